--- /dev/null
+++ b/tests/external_interface.rs
@@ -0,0 +1,343 @@
+//! All that is visible from outside, byte for byte as it is recorded under `tests/data/external`: messages about
+//! configurations, the operators' address, the MySQL protocol, the peers' datagrams and the platform's wires. A change
+//! of names or of structure inside the program changes none of it.
+
+mod child;
+mod external;
+#[path = "recorded/mysql_client.rs"]
+mod mysql_client;
+#[path = "recorded/program.rs"]
+mod program;
+mod recorded;
+
+use child::{Program, Service, connect, event, told};
+use external::configuration::*;
+use external::platform_wire::{FarEnd, read_frame, request};
+use external::statements::{COMMANDS, STATEMENTS};
+use hitchwinch::peers;
+use mysql_client::{MysqlClient, text};
+use program::{call, start_mysql};
+use recorded::{assert_recorded, printable};
+use std::io::Write;
+use std::net::SocketAddr;
+use std::sync::mpsc;
+use std::time::Duration;
+
+const USER: &str = "guest";
+
+// ---- configuration ---------------------------------------------------------------------------------
+
+#[test]
+fn every_key_of_the_deployed_file_is_accepted() {
+    let both = read_mysql_text(&deployed_file()).unwrap_err();
+    assert_eq!(both, "eureka: engines are listed too: only one of both can be");
+    for without in [["eureka", "max_result"], ["engine", "max_result"], ["eureka", "spool"]] {
+        assert_eq!(read_mysql(&mysql_document(&without)), Ok(()), "without {without:?}");
+    }
+    assert_eq!(read_platform(&platform_document()), Ok(()));
+}
+
+#[test]
+fn messages_about_the_operators_file() {
+    let document = mysql_document(&["eureka", "max_result"]);
+    assert_recorded("external/mysql-keys.txt", &broken_keys(&document, read_mysql));
+    assert_recorded("external/mysql-faults.txt", &faults(&document, read_mysql, &mysql_faults()));
+}
+
+/// The lines of a table that begin so.
+fn lines_of(table: &str, start: &str) -> String {
+    table.lines().filter(|line| line.starts_with(start)).map(|line| format!("{line}\n")).collect()
+}
+
+#[test]
+fn messages_about_the_bound_of_results_without_spools() {
+    let table = broken_keys(&mysql_document(&["eureka", "spool"]), read_mysql);
+    assert_recorded("external/mysql-max-result.txt", &lines_of(&table, "/max_result"));
+}
+
+#[test]
+fn messages_about_registries() {
+    let document = mysql_document(&["engine", "max_result"]);
+    let keys = lines_of(&broken_keys(&document, read_mysql), "/eureka");
+    assert_recorded("external/eureka-keys.txt", &keys);
+    assert_recorded("external/eureka-faults.txt", &faults(&document, read_mysql, &eureka_faults()));
+}
+
+#[test]
+fn messages_about_the_platforms_configuration() {
+    let document = platform_document();
+    assert_recorded("external/platform-keys.txt", &broken_keys(&document, read_platform));
+    assert_recorded("external/platform-faults.txt", &faults(&document, read_platform, &platform_faults()));
+}
+
+// ---- the operators' address ------------------------------------------------------------------------
+
+/// Calls whose responses are recorded, in this order.
+const CALLS: [(&str, &str); 20] = [
+    ("GET", "/_ready"),
+    ("POST", "/_ready"),
+    ("GET", "/_vars"),
+    ("GET", "/_vars?any=query"),
+    ("PUT", "/_vars"),
+    ("GET", "/_spools"),
+    ("DELETE", "/_spools"),
+    ("GET", "/_members"),
+    ("POST", "/_members"),
+    ("GET", "/"),
+    ("GET", "/_vars/"),
+    ("GET", "/_engines"),
+    ("GET", "/_engines/detach/e0"),
+    ("POST", "/_engines/detach/none"),
+    ("POST", "/_engines/detach/e%"),
+    ("POST", "/_engines/detach/e0"),
+    ("GET", "/_vars"),
+    ("POST", "/_engines/attach/e0"),
+    ("GET", "/_vars"),
+    ("G@T", "/_vars"),
+];
+
+fn responses(admin: SocketAddr) -> String {
+    let response = |(method, path): &(&str, &str)| {
+        format!("> {method} {path}\n{}\n", call(admin, method, path).replace("\r\n", "\\r\\n\n"))
+    };
+    CALLS.iter().map(response).collect()
+}
+
+#[test]
+fn the_operators_address_on_the_mysql_front() {
+    let (program, _) = start_mysql(&mysql_file(lab::stand::free(), ""));
+    assert_recorded("external/operators-mysql.txt", &responses(program.admin));
+}
+
+#[test]
+fn the_operators_address_on_the_platform() {
+    let journal = Service::down();
+    let engine = child::Engine::new();
+    let program = Program::run(&child::config(&[engine.at], journal.at, None), &[], None);
+    assert_recorded("external/operators-platform.txt", &responses(program.admin));
+}
+
+// ---- MySQL -----------------------------------------------------------------------------------------
+
+/// The operators' file: one engine, a user whose password is empty and one with a password.
+fn mysql_file(engine: SocketAddr, more: &str) -> String {
+    format!(
+        r#"listen = "127.0.0.1:0"
+server_version = "8.0.0-recorded"
+max_statements = 2
+max_packet = 4096
+read_class = "lookup"
+write_class = "load"
+[[user]]
+name = "{USER}"
+password = ""
+[[user]]
+name = "other"
+password = ""
+[[user]]
+name = "locked"
+password = "secret"
+[[class]]
+name = "lookup"
+worth = 1.0
+aim_ms = 1000.0
+deadline_ms = 5000.0
+[[class]]
+name = "load"
+worth = 4.0
+aim_ms = 2000.0
+deadline_ms = 10000.0
+unsafe = true
+[engines]
+user = "lab"
+password = "{password}"
+[[engine]]
+id = "e0"
+address = "{engine}"
+{more}"#,
+        password = lab::engine::PASSWORD,
+    )
+}
+
+/// An engine that speaks MySQL, on a thread of its own for as long as the test runs.
+fn background_engine() -> SocketAddr {
+    let (tell, told) = mpsc::channel();
+    std::thread::spawn(move || {
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+        tokio::task::LocalSet::new().block_on(&runtime, async {
+            let engine = lab::engine::Engine::start("e0", lab::stand::free(), Duration::ZERO).await.unwrap();
+            tell.send(engine.address()).unwrap();
+            std::future::pending::<()>().await;
+        });
+    });
+    told.recv().unwrap()
+}
+
+/// A greeting with its connection's number and its random scramble replaced by `#`.
+fn masked_greeting(greeting: &[u8]) -> Vec<u8> {
+    const SCRAMBLE_LENGTHS: [usize; 2] = [8, 12];
+    /// Between both parts: a zero, capabilities, character set, status, capabilities, a length and ten zeros.
+    const BETWEEN: usize = 1 + 2 + 1 + 2 + 2 + 1 + 10;
+    let number = 1 + greeting[1..].iter().position(|byte| *byte == 0).unwrap() + 1;
+    let first = number + 4;
+    let second = first + SCRAMBLE_LENGTHS[0] + BETWEEN;
+    let mut masked = greeting.to_vec();
+    masked[number..first + SCRAMBLE_LENGTHS[0]].fill(b'#');
+    masked[second..second + SCRAMBLE_LENGTHS[1]].fill(b'#');
+    masked
+}
+
+#[test]
+fn the_greeting_and_refused_log_ins() {
+    const PROTOCOL_41: u32 = 1 << 9;
+    const SECURE_CONNECTION: u32 = 1 << 15;
+    let (program, _) = start_mysql(&mysql_file(lab::stand::free(), ""));
+    let greeting = MysqlClient::connect(program.address).greeting;
+    let mut told = format!("greeting: {}\n", printable(&masked_greeting(&greeting)));
+    let capabilities = PROTOCOL_41 | SECURE_CONNECTION;
+    for (user, proof) in [("nobody", &[][..]), ("locked", &[]), ("locked", &[7; 20]), (USER, &[7; 20])] {
+        let answer = MysqlClient::connect(program.address).authenticate(capabilities, user, proof);
+        told += &format!("log-in of {user}, {} bytes of proof:\n{}", proof.len(), answer.text());
+    }
+    let accepted = MysqlClient::connect(program.address).authenticate(capabilities, USER, &[]);
+    told += &format!("log-in of {USER}:\n{}", accepted.text());
+    assert_recorded("external/mysql-log-in.txt", &told);
+}
+
+#[test]
+fn answers_to_statements_and_commands() {
+    let (program, _) = start_mysql(&mysql_file(background_engine(), ""));
+    let mut client = MysqlClient::log_in(program.address, USER);
+    let mut told = String::new();
+    for statement in STATEMENTS {
+        told += &format!("> {statement}\n{}", text(&client.query(statement)));
+    }
+    for (name, kind, body) in COMMANDS {
+        told += &format!("command {name}\n{}", text(&client.command(kind, body)));
+    }
+    told += &format!("an empty packet\n{}", text(&client.raw(&[])));
+    told += &format!("a packet above the bound\n{}", text(&client.raw(&[b'x'; 5000])));
+    assert_recorded("external/mysql-answers.txt", &told);
+}
+
+#[test]
+fn another_users_session_and_engines_out_by_hand() {
+    let (program, _) = start_mysql(&mysql_file(background_engine(), ""));
+    let mut client = MysqlClient::log_in(program.address, USER);
+    assert!(call(program.admin, "POST", "/_engines/detach/e0").starts_with("HTTP/1.1 200 "));
+    let mut told = String::new();
+    for statement in ["select 1", "insert into crates values (1)", "KILL QUERY 1"] {
+        told += &format!("> {statement}\n{}", text(&client.query(statement)));
+    }
+    let mut other = MysqlClient::log_in(program.address, "other");
+    told += &format!("> KILL QUERY 1, by another user\n{}", text(&other.query("KILL QUERY 1")));
+    assert_recorded("external/mysql-no-engine.txt", &told);
+}
+
+// ---- the peers' datagrams --------------------------------------------------------------------------
+
+#[test]
+fn a_load_report_as_peers_send_it() {
+    const ENGINE: &str = "engine-1";
+    const REPORT: [f64; 5] = [7.0, 0.0, 0.61, 41.0, 1000.0];
+    /// Requests that pay for one message.
+    const REQUESTS: usize = 50;
+    let terms = peers::Terms { peers: 2, price: 1.0, fields: REPORT.len() };
+    let mut bulletin = peers::Bulletin::new(terms);
+    bulletin.list([ENGINE].into_iter());
+    (0..REQUESTS).for_each(|_| bulletin.taken());
+    let message = bulletin.learned(0.0, ENGINE, &REPORT).unwrap();
+    let mut told = format!("message: {}\n", printable(&message));
+    for (what, message) in [
+        ("itself", message.clone()),
+        ("cut short", message[..message.len() - 1].to_vec()),
+        ("another kind", [b"x", &message[1..]].concat()),
+        ("no text", [&message[..message.len() - 1], &[0x80]].concat()),
+        ("nothing", vec![]),
+    ] {
+        let heard = bulletin.heard(0.0, &message).map_err(|error| error.to_string());
+        told += &format!("{what}: {heard:?}\n");
+    }
+    assert_recorded("external/peers.txt", &told);
+}
+
+// ---- the platform's wires --------------------------------------------------------------------------
+
+const REQUEST: u8 = 2;
+const LEAVE: u8 = 8;
+const ASK: u8 = 16;
+const TRANSACTION: &str = "00000000000000a1";
+const STATEMENT: &str = "select 1";
+/// A command with the time that its request has left, which depends on the moment, replaced by `#`.
+fn masked_limit(command: &str) -> String {
+    const KEY: &str = "limit=";
+    let digits = command.find(KEY).unwrap() + KEY.len();
+    let rest = command[digits..].trim_start_matches(|letter: char| letter.is_ascii_digit());
+    // The length of the word before depends on the number of digits: a time of three or four digits is meant.
+    let length = command.len() - digits - rest.len();
+    assert!((3..=4).contains(&length), "{command}");
+    format!("{}#{rest}", &command[..digits]).replace("$20\\r", "$#\\r").replace("$21\\r", "$#\\r")
+}
+
+/// Streams of a connection count from here.
+const FIRST_STREAM: u32 = 1;
+
+/// The answer of an engine, as an array of strings.
+fn engine_answer() -> Vec<u8> {
+    let words = [TRANSACTION, "ACK", "total=1", "a\tb\tc\n"];
+    let words: String = words.iter().map(|word| format!("${}\r\n{word}\r\n", word.len())).collect();
+    format!("*4\r\n{words}").into_bytes()
+}
+
+#[test]
+fn frames_of_clients_and_commands_to_engines() {
+    let engine = FarEnd::start(b"select 1\r\n", engine_answer());
+    let journal = Service::down();
+    let program = Program::run(&child::config(&[engine.address], journal.at, None), &[], None);
+    let good = [("verb", "lookup"), ("txn", TRANSACTION), ("limit", "2000"), ("cpu", "12"), ("mem", "64")];
+    let requests = [
+        ("a look-up", FIRST_STREAM, REQUEST, request(&good, STATEMENT)),
+        ("no class", 2, REQUEST, request(&[("verb", "none"), ("txn", TRANSACTION)], STATEMENT)),
+        ("no verb", 3, REQUEST, request(&good[1..], STATEMENT)),
+        ("no id", 4, REQUEST, request(&[good[0], good[2]], STATEMENT)),
+        ("an id that is none", 5, REQUEST, request(&[good[0], ("txn", "a1"), good[2]], STATEMENT)),
+        ("no limit", 6, REQUEST, request(&good[..2], STATEMENT)),
+        ("a limit that is none", 7, REQUEST, request(&[good[0], good[1], ("limit", "x")], STATEMENT)),
+        ("no statement", 8, REQUEST, request(&good, "")),
+        ("a question of its state", 9, ASK, vec![0]),
+        ("fields that end early", 10, REQUEST, vec![3, 4, b'v']),
+    ];
+    let mut connection = connect(program.address);
+    let mut told = String::new();
+    for (name, stream, kind, payload) in requests {
+        child::send(&mut connection, kind, stream, &payload).unwrap();
+        let answer = read_frame(&mut connection).expect("an answer");
+        told += &format!("{name}: {}\n", printable(&answer));
+    }
+    told += &format!("to the engine: {}\n", masked_limit(&printable(&engine.received())));
+    for (name, kind, stream) in [("a kind that is none", 99, 1), ("a stream that is not new", REQUEST, 0)] {
+        let mut connection = connect(program.address);
+        child::send(&mut connection, LEAVE, 1, &[]).unwrap();
+        child::send(&mut connection, kind, stream, &[0]).unwrap();
+        told += &format!("{name}: {}\n", printable(&read_frame(&mut connection).expect("an answer")));
+    }
+    let mut connection = connect(program.address);
+    connection.write_all(&[0, 0, 0, 1]).unwrap();
+    told += &format!("a length that is none: {}\n", printable(&read_frame(&mut connection).unwrap()));
+    assert_recorded("external/platform-frames.txt", &told);
+}
+
+#[test]
+fn the_call_to_the_journal() {
+    let engine = child::Engine::new();
+    let news = event(2, &told(1, engine.at, "in_service"));
+    let stream = format!("HTTP/1.1 200 OK\r\n\r\n: hello\n{news}");
+    let journal = FarEnd::start(b"\r\n\r\n", stream.into_bytes());
+    let program = Program::run(&child::config(&[engine.at], journal.address, None), &[], None);
+    let head = printable(&journal.received()).replace(&journal.address.to_string(), "(address)");
+    let targets = |count: &str| call(program.admin, "GET", "/_vars").contains(&format!("targets={count}\n"));
+    while !targets("2") {
+        std::thread::sleep(Duration::from_millis(2));
+    }
+    assert_recorded("external/journal.txt", &format!("{head}\n"));
+}
--- /dev/null
+++ b/tests/recorded/mysql_client.rs
@@ -0,0 +1,138 @@
+//! A MySQL client at the level of packets, written from the public protocol: it uses nothing of the library, so that
+//! it shows the bytes as any client sees them.
+
+use crate::child::connect;
+use crate::recorded::printable;
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpStream};
+
+pub const COM_QUERY: u8 = 0x03;
+pub const COM_STMT_PREPARE: u8 = 0x16;
+
+const PROTOCOL_41: u32 = 1 << 9;
+const SECURE_CONNECTION: u32 = 1 << 15;
+const MAX_PACKET: u32 = 1 << 24;
+const UTF8_MB4: u8 = 45;
+const OK: u8 = 0x00;
+const EOF: u8 = 0xfe;
+const ERROR: u8 = 0xff;
+/// An EOF packet is shorter; a row may begin with the same byte.
+const EOF_LENGTH: usize = 9;
+
+/// One packet: its sequence number and its payload.
+pub struct Packet {
+    pub sequence: u8,
+    pub payload: Vec<u8>,
+}
+
+impl Packet {
+    fn begins_with(&self, mark: u8) -> bool {
+        self.payload.first() == Some(&mark)
+    }
+
+    /// It ends columns or rows.
+    fn is_end(&self) -> bool {
+        self.begins_with(ERROR) || self.begins_with(EOF) && self.payload.len() < EOF_LENGTH
+    }
+
+    pub fn text(&self) -> String {
+        format!("  {} {}\n", self.sequence, printable(&self.payload))
+    }
+}
+
+pub struct MysqlClient {
+    connection: TcpStream,
+    pub greeting: Vec<u8>,
+}
+
+impl MysqlClient {
+    /// Connects and reads the greeting.
+    pub fn connect(address: SocketAddr) -> Self {
+        let mut client = MysqlClient { connection: connect(address), greeting: vec![] };
+        client.greeting = client.read().payload;
+        client
+    }
+
+    /// A session of a user whose password is empty.
+    pub fn log_in(address: SocketAddr, user: &str) -> Self {
+        let mut client = Self::connect(address);
+        let answer = client.authenticate(PROTOCOL_41 | SECURE_CONNECTION, user, &[]);
+        assert!(answer.begins_with(OK), "{}", answer.text());
+        client
+    }
+
+    /// The answer to a log-in with these capabilities and this proof of the password.
+    pub fn authenticate(&mut self, capabilities: u32, user: &str, proof: &[u8]) -> Packet {
+        let mut login = [capabilities.to_le_bytes(), MAX_PACKET.to_le_bytes()].concat();
+        login.push(UTF8_MB4);
+        login.extend([0; 23]);
+        login.extend(user.bytes().chain([0, proof.len() as u8]));
+        login.extend(proof);
+        self.write(1, &login);
+        self.read()
+    }
+
+    fn write(&mut self, sequence: u8, payload: &[u8]) {
+        let length = (payload.len() as u32).to_le_bytes();
+        let head = [length[0], length[1], length[2], sequence];
+        self.connection.write_all(&[&head[..], payload].concat()).unwrap();
+    }
+
+    fn read(&mut self) -> Packet {
+        let mut head = [0; 4];
+        self.connection.read_exact(&mut head).unwrap();
+        let mut payload = vec![0; u32::from_le_bytes([head[0], head[1], head[2], 0]) as usize];
+        self.connection.read_exact(&mut payload).unwrap();
+        Packet { sequence: head[3], payload }
+    }
+
+    /// A text statement and all packets of its answer.
+    pub fn query(&mut self, statement: &str) -> Vec<Packet> {
+        self.command(COM_QUERY, statement.as_bytes())
+    }
+
+    /// A command and all packets of its answer.
+    pub fn command(&mut self, kind: u8, body: &[u8]) -> Vec<Packet> {
+        self.raw(&[&[kind], body].concat())
+    }
+
+    /// A packet of any content and all packets of its answer.
+    pub fn raw(&mut self, payload: &[u8]) -> Vec<Packet> {
+        self.write(0, payload);
+        let first = self.read();
+        let (kind, first_mark) = (payload.first().copied(), first.payload.first().copied());
+        let groups = match (kind, first_mark) {
+            (Some(COM_STMT_PREPARE), Some(OK)) => prepared_groups(&first.payload),
+            (Some(COM_QUERY | 0x17), Some(1..=0xfa)) => 2,
+            _ => 0,
+        };
+        let mut packets = vec![first];
+        for _ in 0..groups {
+            self.read_group(&mut packets);
+        }
+        packets
+    }
+
+    /// Reads up to the end of columns or rows.
+    fn read_group(&mut self, packets: &mut Vec<Packet>) {
+        loop {
+            let packet = self.read();
+            let is_end = packet.is_end();
+            packets.push(packet);
+            if is_end {
+                return;
+            }
+        }
+    }
+}
+
+/// Parameters and columns that follow the answer to a prepare: each with an end of its own, if there are any.
+fn prepared_groups(answer: &[u8]) -> usize {
+    let count = |at: usize| u16::from_le_bytes([answer[at], answer[at + 1]]);
+    usize::from(count(5) > 0) + usize::from(count(7) > 0)
+}
+
+/// The packets of an answer, one a line.
+pub fn text(packets: &[Packet]) -> String {
+    packets.iter().map(Packet::text).collect()
+}
--- /dev/null
+++ b/tests/stored/members.rs
@@ -0,0 +1,55 @@
+//! The snapshot of membership as a record.
+
+use hitchwinch::membership::Version;
+use hitchwinch::membership::snapshot::{FORM, Kept, Snapshot};
+use hitchwinch::store::{Disk, Kind, RecordError, Store};
+use std::path::Path;
+
+const FILE: &str = "members";
+const MOST_BYTES: usize = 64 << 20;
+
+fn store(folder: &Path) -> Store {
+    Store::new(Disk, folder, FILE, Kind { tag: *b"MEMB", form: FORM }, MOST_BYTES)
+}
+
+/// What the stored file holds: every field with and without a value.
+pub fn fixed_snapshot() -> Snapshot {
+    let engine = |id: &str, port: u16, serves: bool| Kept {
+        id: id.into(),
+        address: ([127, 0, 0, 1], port).into(),
+        zone: None,
+        kind: None,
+        serves,
+        since: 1_700_000_000_000.0,
+        newest: Version::new(0, 0),
+        drained: None,
+        started: None,
+    };
+    let whole = Kept {
+        zone: Some("north".into()),
+        kind: Some("gen-a".into()),
+        newest: Version::new(1_700_000_000_123, 1_700_000_000_456),
+        drained: Some(Version::new(1_600_000_000_123, 1_600_000_000_456)),
+        started: Some(1_699_999_999_999.5),
+        ..engine("engine-1", 4001, true)
+    };
+    let drained = Version::new(1_700_000_000_789, 1_700_000_000_790);
+    let draining = Kept { newest: drained, drained: Some(drained), ..engine("engine-3", 4003, false) };
+    let odd = engine("host/../x:80 %\u{e9}", 4004, true);
+    Snapshot {
+        written: 1_700_000_001_000.25,
+        engines: vec![whole, engine("engine-2", 4002, true), draining, odd],
+    }
+}
+
+pub fn save_snapshot(folder: &Path, snapshot: &Snapshot) {
+    store(folder).save(&serde_json::to_vec(snapshot).unwrap()).unwrap();
+}
+
+/// The snapshot in this folder, or the message that tells why there is none.
+pub fn load_snapshot(folder: &Path) -> Result<Option<Snapshot>, String> {
+    let read = |content: &[u8]| {
+        serde_json::from_slice(content).map_err(|error| RecordError::Content(error.to_string()))
+    };
+    store(folder).load(read).map_err(|error| error.to_string())
+}
