--- /dev/null
+++ b/tests/recorded_state/gossip_adapter.rs
@@ -0,0 +1,87 @@
+//! The gossip between dispatchers as the streams use it. The only file of this test that names the machine's own items.
+
+use super::recording::{Recording, float, hexadecimal};
+use hitchwinch::peers::{Bulletin, Terms, WordError};
+
+pub const LONGEST_MESSAGE: usize = hitchwinch::peers::MOST;
+
+#[derive(Clone, Copy)]
+pub struct Options {
+    pub dispatchers: u32,
+    pub message_price: f64,
+    pub report_fields: usize,
+}
+
+pub struct Gossip(Bulletin);
+
+impl Gossip {
+    pub fn new(options: Options) -> Self {
+        Gossip(Bulletin::new(Terms {
+            peers: options.dispatchers,
+            price: options.message_price,
+            fields: options.report_fields,
+        }))
+    }
+
+    pub fn list(&mut self, engines: &[String]) {
+        self.0.list(engines.iter().map(String::as_str));
+    }
+
+    pub fn request_taken(&mut self) {
+        self.0.taken();
+    }
+
+    /// The message for all peers, if the report is worth one.
+    pub fn learned(&mut self, now: f64, engine: &str, report: &[f64]) -> Option<Vec<u8>> {
+        self.0.learned(now, engine, report)
+    }
+
+    pub fn record_learned(
+        &mut self,
+        now: f64,
+        engine: &str,
+        report: &[f64],
+        recording: &mut Recording,
+    ) -> Option<Vec<u8>> {
+        let message = self.learned(now, engine, report);
+        recording.count(if message.is_some() { "message sent" } else { "nothing sent" });
+        recording.state(&message.as_deref().map_or("nothing".into(), hexadecimal));
+        message
+    }
+
+    pub fn heard(&mut self, now: f64, message: &[u8], recording: &mut Recording) {
+        match self.0.heard(now, message) {
+            Ok(Some((engine, report))) => {
+                let report: Vec<String> = report.into_iter().map(float).collect();
+                recording.count("report received");
+                recording.state(&format!("received {engine} {report:?}"));
+            }
+            Ok(None) => {
+                recording.count("engine not listed");
+                recording.state("engine not listed");
+            }
+            Err(error) => {
+                recording.count(error_kind(&error));
+                recording.state(&error_text(&error));
+                recording.wording(&error.to_string());
+            }
+        }
+    }
+}
+
+fn error_kind(error: &WordError) -> &'static str {
+    match error {
+        WordError::Length(..) => "wrong length",
+        WordError::Kind(_) => "unknown kind",
+        WordError::Byte => "byte out of range",
+    }
+}
+
+fn error_text(error: &WordError) -> String {
+    let particulars = match error {
+        WordError::Length(actual, expected) => format!("{actual} {expected}"),
+        WordError::Kind(kind) => kind.to_string(),
+        WordError::Byte => String::new(),
+    };
+    format!("{} {particulars}", error_kind(error))
+}
--- /dev/null
+++ b/tests/recorded_state/registry_adapter.rs
@@ -0,0 +1,310 @@
+//! The registry view as the streams use it. With `registry_text` the only file that names its items.
+
+use super::recording::{Recording, float, optional, optional_float};
+use super::registry_text::*;
+use hitchwinch::membership::book::{Member, version};
+use hitchwinch::membership::report::Query;
+use hitchwinch::membership::{
+    Change, Content, Fact, HoldRules, Membership, Networks, Rules, Seen, Snapshot, Status, Version, View,
+};
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+
+/// One instance as a source lists it, in the words of the registry's protocol.
+#[derive(Clone)]
+pub struct Instance {
+    pub id: String,
+    pub status: &'static str,
+    pub overridden: Option<&'static str>,
+    pub address: Option<SocketAddr>,
+    pub zone: Option<String>,
+    pub kind: Option<String>,
+    /// `lastDirtyTimestamp` and `lastUpdatedTimestamp`.
+    pub version: (u64, u64),
+    pub started: Option<f64>,
+}
+
+pub enum Answer {
+    Full(Vec<Instance>),
+    Delta { changed: Vec<Instance>, deleted: Vec<(String, (u64, u64))> },
+}
+
+#[derive(Clone, Copy)]
+pub enum Connection {
+    Opened { at: f64 },
+    Broken { open: usize },
+    Refused { open: usize },
+    Closed { open: usize },
+}
+
+#[derive(Clone, Copy)]
+pub enum AllowedNetworks {
+    Any,
+    Private,
+    Only(&'static [&'static str]),
+}
+
+#[derive(Clone, Copy)]
+pub struct Options {
+    pub networks: AllowedNetworks,
+    pub preserved_share: f64,
+    pub preserved_least: usize,
+    pub preserved_span: f64,
+    pub source_timeout: f64,
+    pub missing_timeout: f64,
+    pub removed_kept: f64,
+    pub instance_limit: usize,
+    pub removed_limit: usize,
+}
+
+fn networks(allowed: AllowedNetworks) -> Networks {
+    match allowed {
+        AllowedNetworks::Any => Networks::any(),
+        AllowedNetworks::Private => Networks::private(),
+        AllowedNetworks::Only(list) => {
+            Networks::only(&list.iter().map(|network| network.parse().unwrap()).collect::<Vec<_>>())
+        }
+    }
+}
+
+fn rules(options: Options) -> Rules {
+    Rules {
+        networks: networks(options.networks),
+        hold: HoldRules {
+            share: options.preserved_share,
+            least: options.preserved_least,
+            span: options.preserved_span,
+        },
+        away: options.source_timeout,
+        patience: options.missing_timeout,
+        remember: options.removed_kept,
+        most: options.instance_limit,
+        most_gone: options.removed_limit,
+    }
+}
+
+fn fact(instance: Instance) -> Fact {
+    Fact {
+        id: instance.id,
+        status: Status::parse(instance.status),
+        overridden: instance.overridden.map(Status::parse),
+        address: instance.address,
+        zone: instance.zone,
+        kind: instance.kind,
+        version: Version::new(instance.version.0, instance.version.1),
+        started: instance.started,
+    }
+}
+
+fn content(answer: Answer) -> Content {
+    let facts = |instances: Vec<Instance>| instances.into_iter().map(fact).collect();
+    let named = |(id, version): (String, (u64, u64))| (id, Version::new(version.0, version.1));
+    match answer {
+        Answer::Full(listed) => Content::Whole(facts(listed)),
+        Answer::Delta { changed, deleted } => {
+            Content::Delta { told: facts(changed), deleted: deleted.into_iter().map(named).collect() }
+        }
+    }
+}
+
+pub struct RegistryView(Membership);
+
+/// A snapshot that was taken, as its file's text.
+pub struct SnapshotText(String);
+
+impl RegistryView {
+    pub fn new(options: Options) -> Self {
+        RegistryView(Membership::new(rules(options)))
+    }
+
+    pub fn configure(&mut self, now: f64, options: Options, sources: &[String], recording: &mut Recording) {
+        let change = self.0.configure(now, rules(options), sources);
+        self.record_change(change, recording);
+    }
+
+    pub fn answered(
+        &mut self,
+        now: f64,
+        source: &str,
+        asked: f64,
+        answer: Answer,
+        recording: &mut Recording,
+    ) {
+        let view = View { source: source.into(), asked, arrived: now, content: content(answer) };
+        let change = self.0.view(now, view);
+        self.record_change(change, recording);
+    }
+
+    pub fn source_failed(&mut self, now: f64, source: &str, recording: &mut Recording) {
+        let change = self.0.failed(now, source, format!("{source} refused"));
+        self.record_change(change, recording);
+    }
+
+    pub fn connection(&mut self, now: f64, engine: &str, event: Connection, recording: &mut Recording) {
+        let seen = match event {
+            Connection::Opened { at } => Seen::Opened { at },
+            Connection::Broken { open } => Seen::Broken { left: open },
+            Connection::Refused { open } => Seen::Refused { left: open },
+            Connection::Closed { open } => Seen::Closed { left: open },
+        };
+        let (change, restarted) = self.0.seen(now, engine, seen);
+        recording.state(&format!("restarted {restarted}"));
+        if restarted {
+            recording.count("restart detected");
+        }
+        self.record_change(change, recording);
+    }
+
+    pub fn taken_out_by_operator(&mut self, engines: BTreeSet<String>) {
+        self.0.by_hand(engines);
+    }
+
+    pub fn tick(&mut self, now: f64, recording: &mut Recording) {
+        let change = self.0.tick(now);
+        self.record_change(change, recording);
+    }
+
+    pub fn next_wake(&self, now: f64) -> Option<f64> {
+        self.0.next_wake(now)
+    }
+
+    pub fn snapshot(&self, now: f64, recording: &mut Recording) -> Option<SnapshotText> {
+        let Some(snapshot) = self.0.snapshot(now) else {
+            recording.state("snapshot none");
+            return None;
+        };
+        recording.count("snapshot taken");
+        recording.state(&format!("snapshot {}", float(snapshot.written)));
+        snapshot.engines.iter().for_each(|kept| recording.state(&kept_text(kept)));
+        let text = serde_json::to_string(&snapshot).unwrap();
+        recording.wording(&text);
+        Some(SnapshotText(text))
+    }
+
+    pub fn restore(&mut self, now: f64, text: &SnapshotText, recording: &mut Recording) {
+        let snapshot: Snapshot = serde_json::from_str(&text.0).unwrap();
+        self.0.restore(now, snapshot);
+        recording.count("snapshot restored");
+    }
+
+    pub fn serve_restored(&mut self, now: f64, recording: &mut Recording) {
+        let change = self.0.serve_restored(now);
+        if change.is_some() {
+            recording.count("snapshot served");
+        }
+        self.record_change(change, recording);
+    }
+
+    /// The operators' report for a query, as JSON.
+    pub fn report(&self, now: f64, query: &str, recording: &mut Recording) {
+        match Query::parse(query) {
+            Ok(query) => {
+                recording.count("report");
+                let only = query.only.map(only_text);
+                recording.state(&format!("query {} {:?} {only:?}", optional(query.limit), query.after));
+                recording.wording(&serde_json::to_string(&self.0.report(now, &query)).unwrap());
+            }
+            Err(error) => {
+                recording.count(query_error_kind(&error));
+                recording.state(query_error_kind(&error));
+                recording.wording(&error.to_string());
+            }
+        }
+    }
+
+    /// Everything that the view shows of itself.
+    pub fn record_all(&self, now: f64, recording: &mut Recording) {
+        for source in self.0.sources() {
+            recording.state(&format!("{} {}", source_text(source), self.0.source_answers(source, now)));
+        }
+        for (id, member) in self.0.members() {
+            self.record_member(id, member, recording);
+        }
+        let (rejected, rejections) = self.0.rejected();
+        for entry in rejected {
+            let last = float(entry.last);
+            recording.state(&format!(
+                "rejected {} {} {} {last}",
+                entry.id,
+                optional(entry.address),
+                entry.times
+            ));
+            recording.wording(&entry.why);
+            recording.count("rejected address");
+        }
+        if self.0.overflow() > 0 {
+            recording.count("beyond instance limit");
+        }
+        let (overflow, gone, held) = (self.0.overflow(), self.0.gone(), self.0.held());
+        recording.state(&format!("totals {rejections} {overflow} {gone} {held} {}", self.0.rules().most));
+        recording.state(&format!("restored {}", optional_float(self.0.restored())));
+        self.record_counts(recording);
+    }
+
+    fn record_counts(&self, recording: &mut Recording) {
+        let counts = self.0.counts();
+        let states = [counts.ready, counts.draining, counts.held, counts.contradicted, counts.unproven];
+        let others = [counts.by_hand, counts.gone];
+        let totals = [counts.rejections, counts.beyond_bound, counts.passed_over];
+        recording.state(&format!("counts {states:?} {others:?} {totals:?}"));
+        if counts.passed_over > 0 {
+            recording.count("older fact ignored");
+        }
+    }
+
+    fn record_member(&self, id: &str, member: &Member, recording: &mut Recording) {
+        let claims: Vec<String> = member.claims.iter().map(claim_text).collect();
+        recording.count(reason_kind(member.belief.why));
+        if member.held.is_some() {
+            recording.count("kept by self-preservation");
+        }
+        if member.superseded.is_some() {
+            recording.count("address passed on");
+        }
+        if member.unproven.is_some() {
+            recording.count("unconfirmed since snapshot");
+        }
+        recording.state(&format!("member {id} {} {}", state_text(member.state()), member_text(member)));
+        recording.state(&format!("claims {} {claims:?}", member.claims.passed_over));
+        recording.state(&format!("out by operator {}", self.0.is_by_hand(id)));
+        recording.wording(&self.0.explain(member.belief.why));
+    }
+
+    fn record_change(&mut self, change: Option<Change>, recording: &mut Recording) {
+        match change {
+            None => recording.state("change none"),
+            Some(change) => {
+                let kind = update_kind(change.update);
+                recording.count(kind);
+                recording.state(kind);
+                change.engines.iter().for_each(|engine| record_engine(engine, recording));
+            }
+        }
+        for line in self.0.news() {
+            recording.count("log line");
+            recording.wording(&line);
+        }
+    }
+}
+
+/// Whether an address may be used, under these networks.
+pub fn record_admission(allowed: AllowedNetworks, address: SocketAddr, recording: &mut Recording) {
+    match networks(allowed).admit(address) {
+        Ok(admitted) => {
+            recording.count("address admitted");
+            recording.state(&format!("admitted {admitted}"));
+        }
+        Err(rejection) => {
+            recording.count("address refused");
+            recording.state("refused");
+            recording.wording(&rejection.to_string());
+        }
+    }
+}
+
+/// The version that two timestamps of a registry's answer make.
+pub fn record_version(dirty: Option<f64>, updated: Option<f64>, recording: &mut Recording) {
+    let version = version(dirty, updated);
+    recording.count(if version.untold() { "version absent" } else { "version present" });
+    recording.state(&version_text(version));
+}
