--- /dev/null
+++ b/tests/recorded_decisions/core_stream.rs
@@ -0,0 +1,299 @@
+//! One seeded stream against the request core: clients, operators, peers and toy engines that answer its commands.
+
+use crate::controller_stream::toy_engine;
+use crate::profiles::{Traffic, core_bounds};
+use crate::random::{Agenda, Random};
+use crate::record::{Record, bits, optional_bits};
+use crate::vocabulary::*;
+use hitchwinch::core::AttemptId;
+use std::collections::BTreeSet;
+
+/// Virtual time that a stream lasts, in milliseconds, and the moment at which it begins.
+const STREAM_MS: f64 = 5000.0;
+const BEGIN: f64 = 1_000_000.0;
+
+/// What a stream brings beyond the profile of the decision module.
+#[derive(Clone, Copy)]
+pub struct CoreTraffic {
+    pub open: usize,
+    /// Dispatchers that tell each other of loads; 0: none do.
+    pub peers: u32,
+    /// Operators take engines out and put them back.
+    pub operators: bool,
+    /// The process stops before the stream ends.
+    pub stops: bool,
+}
+
+enum Step {
+    Open,
+    Leave { request: u64 },
+    End { attempt: AttemptId, engine: usize, outcome: Ending },
+    Begin { attempt: AttemptId, engine: usize },
+    Note { attempt: AttemptId },
+    Written,
+    ListChange,
+    WholeList,
+    Operator,
+    PeerMessage,
+    Share,
+    Stop,
+    Figures,
+}
+
+pub struct CoreStream<'a> {
+    settings: AllSettings,
+    traffic: Traffic,
+    core_traffic: CoreTraffic,
+    random: Random,
+    now: f64,
+    agenda: Agenda<Step>,
+    engines: Vec<ToyEngine>,
+    running: BTreeSet<AttemptId>,
+    core: Core,
+    /// What the core told its peers; it comes back as if a peer had sent it.
+    peer_messages: Vec<Vec<u8>>,
+    class_names: Vec<String>,
+    record: &'a mut Record,
+}
+
+impl<'a> CoreStream<'a> {
+    pub fn new(
+        settings: AllSettings,
+        traffic: Traffic,
+        core_traffic: CoreTraffic,
+        seed: u64,
+        record: &'a mut Record,
+    ) -> Self {
+        let mut core = Core::new(settings.clone(), seed, core_bounds(core_traffic.open)).expect("sound");
+        if core_traffic.peers > 0 {
+            let fields = settings.report_fields.len();
+            core.join(Terms { peers: core_traffic.peers, price: 0.2, fields });
+        }
+        CoreStream {
+            class_names: (0..settings.classes.len()).map(|class| format!("class-{class}")).collect(),
+            engines: (0..traffic.engines + 1).map(|number| toy_engine(number, traffic)).collect(),
+            settings,
+            traffic,
+            core_traffic,
+            random: Random::new(seed ^ 0xc0de),
+            now: BEGIN,
+            agenda: Agenda::new(),
+            running: BTreeSet::new(),
+            core,
+            peer_messages: vec![],
+            record,
+        }
+    }
+
+    pub fn play(&mut self) {
+        self.plan_start();
+        while let Some(at) = self.next_time().filter(|at| *at <= BEGIN + STREAM_MS) {
+            self.now = at;
+            if self.core.next_wake().is_some_and(|wake| wake <= at) {
+                self.record.line("tick", &bits(at));
+                self.core.tick(at);
+            } else if let Some((_, step)) = self.agenda.pop() {
+                self.step(step);
+            }
+            self.settle();
+        }
+    }
+
+    fn next_time(&self) -> Option<f64> {
+        let times = [self.core.next_wake(), self.agenda.next_time()];
+        times.into_iter().flatten().reduce(f64::min).map(|at| at.max(self.now))
+    }
+
+    fn plan_start(&mut self) {
+        self.agenda.plan(BEGIN, Step::WholeList);
+        let first = [Step::Open, Step::ListChange, Step::Share, Step::Figures, Step::PeerMessage];
+        first.into_iter().for_each(|step| self.agenda.plan(BEGIN + 1.0, step));
+        if self.core_traffic.operators {
+            self.agenda.plan(BEGIN + 200.0, Step::Operator);
+        }
+        if self.core_traffic.stops {
+            let at = BEGIN + self.random.between(2500.0, 4000.0);
+            self.agenda.plan(at, Step::Stop);
+        }
+    }
+
+    fn step(&mut self, step: Step) {
+        match step {
+            Step::Open => self.open(),
+            Step::Leave { request } => {
+                self.record.line("leave", &format!("{request} {}", bits(self.now)));
+                self.core.leave(self.now, request);
+            }
+            Step::End { attempt, engine, outcome } => self.end(attempt, engine, outcome),
+            Step::Begin { attempt, engine } => self.begin(attempt, engine),
+            Step::Note { attempt } => self.note(attempt),
+            Step::Written => self.core.written(),
+            Step::ListChange => self.list_change(),
+            Step::WholeList => self.whole_list(),
+            Step::Operator => self.operator(),
+            Step::PeerMessage => self.peer_message(),
+            Step::Share => {
+                let processes = self.random.pick(&[1, 1, 2]);
+                self.record.line("share", &processes.to_string());
+                self.core.share(processes);
+                self.repeat(900.0, Step::Share);
+            }
+            Step::Stop => {
+                self.record.line("stop", &bits(self.now));
+                self.core.stop(self.now, self.now + 400.0);
+            }
+            Step::Figures => self.figures(),
+        }
+    }
+
+    fn repeat(&mut self, average: f64, step: Step) {
+        let at = self.now + self.random.between(0.0, 2.0 * average);
+        self.agenda.plan(at, step);
+    }
+
+    /// Records what the core wants done, carries it out, and records how the core stands.
+    fn settle(&mut self) {
+        for command in self.core.commands() {
+            let (word, details) = command_text(&command);
+            self.record.line(word, &details);
+            match attempt_of(&command) {
+                Some((attempt, Some(engine))) => self.started(attempt, &engine),
+                Some((attempt, None)) => drop(self.running.remove(&attempt)),
+                None => {}
+            }
+            self.peer_messages.extend(message_of(&command));
+        }
+        let (ready, owed) = (self.core.ready(), self.core.owed());
+        let wake = optional_bits(self.core.next_wake());
+        self.record.line("state", &format!("{ready} {owed} {wake}"));
+    }
+
+    fn open(&mut self) {
+        let group_count = self.traffic.tables.max(1);
+        let time_left = self.random.pick(&[10.0, 200.0, 900.0, 2000.0]);
+        let no_deadline = self.random.chance(0.01);
+        let class =
+            if self.random.chance(0.01) { 99 } else { self.random.below(self.settings.classes.len()) };
+        let told = self.random.chance(0.7);
+        let new_request = NewRequest {
+            class,
+            tenant: Some(self.random.below(3)),
+            group: (self.traffic.tables > 0).then(|| self.random.below(group_count) as u64),
+            deadline: if no_deadline { f64::INFINITY } else { self.now + time_left },
+            work: told.then(|| self.random.between(10.0, 400.0)),
+            memory_mb: told.then(|| self.random.between(50.0, 3000.0)),
+        };
+        let request = self.core.open(self.now, new_request);
+        self.record.line("open", &format!("{request} {}", bits(self.now)));
+        if self.random.chance(0.08) {
+            self.repeat(60.0, Step::Leave { request });
+        }
+        self.repeat(1000.0 / self.traffic.arrivals_per_s, Step::Open);
+    }
+
+    fn started(&mut self, attempt: AttemptId, engine: &str) {
+        let engine = self.engines.iter().position(|toy| toy.name == engine).expect("a listed engine");
+        self.running.insert(attempt);
+        self.agenda.plan(self.now, Step::Written);
+        let outcome = draw_outcome(&mut self.random, self.traffic.trouble);
+        let takes = self.random.between(5.0, 300.0) * self.engines[engine].slowness;
+        match outcome {
+            // It never ends by itself: the core's own time limits must end it.
+            Ending::TimedOut => {}
+            Ending::Served if self.random.chance(0.4) => {
+                self.agenda.plan(self.now + takes / 2.0, Step::Begin { attempt, engine });
+            }
+            _ => self.agenda.plan(self.now + takes, Step::End { attempt, engine, outcome }),
+        }
+        if self.random.chance(self.traffic.notes) {
+            self.repeat(60.0, Step::Note { attempt });
+        }
+    }
+
+    fn begin(&mut self, attempt: AttemptId, engine: usize) {
+        self.record.line("answering", &bits(self.now));
+        self.core.answering(self.now, attempt);
+        let outcome = if self.random.chance(0.9) { Ending::Served } else { Ending::Reset };
+        self.repeat(150.0, Step::End { attempt, engine, outcome });
+    }
+
+    fn end(&mut self, attempt: AttemptId, engine: usize, outcome: Ending) {
+        self.running.remove(&attempt);
+        let report = draw_report(&mut self.random, &self.settings, self.running.len() / 4 + engine % 2);
+        let counted = self.core.ended(self.now, attempt, outcome, report);
+        self.record.line(outcome_word(outcome), &format!("{counted} {}", bits(self.now)));
+    }
+
+    fn note(&mut self, attempt: AttemptId) {
+        if !self.running.contains(&attempt) {
+            return;
+        }
+        let done = self.random.between(0.0, 1.0);
+        let note = draw_note(&mut self.random, done);
+        self.record.line(note_word(note), &bits(self.now));
+        self.core.note(self.now, attempt, note);
+        self.repeat(80.0, Step::Note { attempt });
+    }
+
+    fn list_change(&mut self) {
+        let number = self.random.below(self.engines.len());
+        let engine = &mut self.engines[number];
+        engine.standing =
+            self.random.pick(&[Standing::Ready, Standing::Ready, Standing::Draining, Standing::Gone]);
+        engine.started = if self.random.chance(0.3) { Some(self.now - 5.0) } else { engine.started };
+        let entries = vec![entry(engine)];
+        self.record.line("list-patch", &bits(self.now));
+        self.core.engines(self.now, Update::Patch, entries);
+        self.repeat(self.traffic.list_change_every, Step::ListChange);
+    }
+
+    fn whole_list(&mut self) {
+        let entries: Vec<_> =
+            self.engines.iter().filter(|engine| engine.standing != Standing::Gone).map(entry).collect();
+        let first = self.now == BEGIN;
+        self.record.line(if first { "list-stale" } else { "list-whole" }, &bits(self.now));
+        self.core.engines(self.now, if first { Update::Stale } else { Update::Whole }, entries);
+        self.repeat(1000.0, Step::WholeList);
+    }
+
+    fn operator(&mut self) {
+        let name = format!("e{}", self.random.below(self.engines.len() + 1));
+        let (word, entry) = match self.random.chance(0.5) {
+            true => ("hold-out", self.core.hold_out(self.now, &name)),
+            false => ("put-back", self.core.put_back(self.now, &name)),
+        };
+        let (serves, known) = (self.core.in_service(&name), self.core.knows(&name));
+        let held_out = self.core.by_hand().len();
+        self.record.line(word, &format!("{name} {serves} {known} {held_out} {}", entry_text(entry)));
+        self.repeat(150.0, Step::Operator);
+    }
+
+    /// A message as a peer would send it: one that this core wrote itself, sometimes damaged.
+    fn peer_message(&mut self) {
+        self.repeat(100.0, Step::PeerMessage);
+        if self.peer_messages.is_empty() {
+            return;
+        }
+        let number = self.random.below(self.peer_messages.len());
+        let mut message = self.peer_messages[number].clone();
+        let last = message.len() - 1;
+        match self.random.below(8) {
+            0 => message[0] = b'x',
+            1 => message[last] = 200,
+            2 => message.push(0),
+            3 => message[2] = 1,
+            _ => message[last] = self.random.below(128) as u8,
+        }
+        let accepted = self.core.heard(self.now, &message).is_ok();
+        self.record.line("peer-message", &format!("{accepted} {}", bits(self.now)));
+        if self.random.chance(0.1) {
+            self.core.stranger();
+        }
+    }
+
+    fn figures(&mut self) {
+        let text = self.core.figures().text(&self.class_names);
+        self.record.line("figures", &text);
+        self.repeat(100.0, Step::Figures);
+    }
+}
--- /dev/null
+++ b/tests/recorded_decisions/vocabulary.rs
@@ -0,0 +1,312 @@
+//! The words of the library's public interface: events are built here and actions are written as text here, so that
+//! the text stays the same when types, variants or fields get other names.
+
+use crate::random::Random;
+use crate::record::{bits, optional_bits};
+use hitchwinch::core::{Answer, AttemptId, Command};
+use hitchwinch::{
+    Action, Ended, EngineEntry, EngineState, Event, ListUpdate, Note, Outcome, Query, ReportField, Settings,
+};
+
+pub use hitchwinch::core::{Core, NewRequest};
+pub use hitchwinch::peers::Terms;
+pub use hitchwinch::{
+    Controller, EngineState as Standing, Event as ControllerEvent, ListUpdate as Update,
+    Note as ProgressNote, Outcome as Ending, Settings as AllSettings,
+};
+
+/// An engine as the streams know it.
+#[derive(Clone)]
+pub struct ToyEngine {
+    pub name: String,
+    pub standing: Standing,
+    pub started: Option<f64>,
+    pub kind: usize,
+    pub zone: usize,
+    pub cell: i64,
+    /// How many times longer than usual it takes.
+    pub slowness: f64,
+    /// Its process does not answer though the list says that it does.
+    pub dead: bool,
+    pub running: usize,
+}
+
+/// What a new request asks for.
+pub struct Arrival {
+    pub request: u64,
+    pub class: usize,
+    pub tenant: Option<usize>,
+    pub key: Option<String>,
+    pub tables: Option<u64>,
+    pub time_left: f64,
+    pub work: Option<f64>,
+    pub memory_mb: Option<f64>,
+}
+
+/// How an attempt ended.
+pub struct AttemptEnd {
+    pub request: u64,
+    pub attempt: u32,
+    pub outcome: Ending,
+    pub last: bool,
+    pub latency: f64,
+    pub work: Option<f64>,
+    pub memory_mb: Option<f64>,
+    pub report: Vec<f64>,
+}
+
+/// What the streams need to know of an action.
+pub enum Observed {
+    Sent { request: u64, engine: String },
+    CancelAsked { request: u64, attempt: u32 },
+    Closed { request: u64 },
+    ProbeAsked { engine: String },
+    WakeAsked { at: f64, token: u64 },
+    ListAsked,
+    NothingToDo,
+}
+
+pub fn entry(engine: &ToyEngine) -> EngineEntry {
+    EngineEntry {
+        engine: engine.name.clone(),
+        state: engine.standing,
+        started: engine.started,
+        kind: Some(engine.kind),
+        zone: Some(engine.zone),
+        cell: engine.cell,
+    }
+}
+
+pub fn list_event(update: Update, engines: &[ToyEngine]) -> Event {
+    Event::Engines { update, entries: engines.iter().map(entry).collect() }
+}
+
+pub fn list_failure_event() -> Event {
+    Event::DiscoveryFailed
+}
+
+pub fn arrival_event(arrival: Arrival) -> Event {
+    Event::Query(Query {
+        id: arrival.request,
+        class: arrival.class,
+        tenant: arrival.tenant,
+        key: arrival.key,
+        tables: arrival.tables,
+        time_left: arrival.time_left,
+        work: arrival.work,
+        memory_mb: arrival.memory_mb,
+    })
+}
+
+pub fn end_event(end: AttemptEnd) -> Event {
+    Event::Ended(Ended {
+        id: end.request,
+        attempt: end.attempt,
+        outcome: end.outcome,
+        last: end.last,
+        latency: end.latency,
+        work: end.work,
+        memory_mb: end.memory_mb,
+        report: end.report,
+    })
+}
+
+pub fn load_event(engine: &str, outcome: Ending, report: Vec<f64>) -> Event {
+    Event::Heard { engine: engine.to_string(), outcome, report }
+}
+
+pub fn note_event(request: u64, attempt: u32, note: ProgressNote) -> Event {
+    Event::Progress { id: request, attempt, note }
+}
+
+pub fn streaming_event(request: u64, attempt: u32) -> Event {
+    Event::Streaming { id: request, attempt }
+}
+
+pub fn client_left_event(request: u64) -> Event {
+    Event::ClientLeft(request)
+}
+
+pub fn timer_event(token: u64) -> Event {
+    Event::Timer(token)
+}
+
+/// The word for an event in the record.
+pub fn event_word(event: &Event) -> &'static str {
+    match event {
+        Event::Engines { update: ListUpdate::Patch, .. } => "list-patch",
+        Event::Engines { update: ListUpdate::Whole, .. } => "list-whole",
+        Event::Engines { update: ListUpdate::Stale, .. } => "list-stale",
+        Event::DiscoveryFailed => "list-failure",
+        Event::Query(_) => "arrival",
+        Event::Ended(ended) => outcome_word(ended.outcome),
+        Event::Heard { .. } => "load-report",
+        Event::Progress { note, .. } => note_word(*note),
+        Event::Streaming { .. } => "streaming",
+        Event::ClientLeft(_) => "client-left",
+        Event::Timer(_) => "timer",
+    }
+}
+
+pub fn outcome_word(outcome: Ending) -> &'static str {
+    match outcome {
+        Outcome::Served => "end-served",
+        Outcome::Error => "end-error",
+        Outcome::Full => "end-full",
+        Outcome::TimedOut => "end-timed-out",
+        Outcome::Unreachable => "end-unreachable",
+        Outcome::Reset => "end-reset",
+        Outcome::Cancelled => "end-cancelled",
+        Outcome::Moot => "end-not-sent",
+    }
+}
+
+pub fn note_word(note: ProgressNote) -> &'static str {
+    match note {
+        Note::Done(_) => "note-done",
+        Note::Spills(_) => "note-spills",
+        Note::WaitsForMemory => "note-waits-memory",
+        Note::WaitsForLoad => "note-waits-load",
+        Note::Idle => "note-idle",
+        Note::Works => "note-works",
+    }
+}
+
+/// An action as its word and its details.
+pub fn action_text(action: &Action) -> (&'static str, String) {
+    match action {
+        Action::Send { id, engine, timeout } => {
+            ("send", format!("{id} {engine} {}", optional_bits(*timeout)))
+        }
+        Action::Terms { id, priority, memory_mb } => {
+            ("terms", format!("{id} {priority} {}", bits(*memory_mb)))
+        }
+        Action::Cancel { id, attempt } => ("cancel", format!("{id} {attempt}")),
+        Action::Refuse { id, retry_after } => ("refuse", format!("{id} {}", optional_bits(*retry_after))),
+        Action::Fail { id } => ("fail", id.to_string()),
+        Action::Probe { engine } => ("probe", engine.clone()),
+        Action::Timer { at, token } => ("wake", format!("{} {token}", bits(*at))),
+        Action::Subscribe => ("subscribe", String::new()),
+        Action::Log(text) => ("log", text.clone()),
+    }
+}
+
+pub fn observe(action: &Action) -> Observed {
+    match action {
+        Action::Send { id, engine, .. } => Observed::Sent { request: *id, engine: engine.clone() },
+        Action::Cancel { id, attempt } => Observed::CancelAsked { request: *id, attempt: *attempt },
+        Action::Refuse { id, .. } | Action::Fail { id } => Observed::Closed { request: *id },
+        Action::Probe { engine } => Observed::ProbeAsked { engine: engine.clone() },
+        Action::Timer { at, token } => Observed::WakeAsked { at: *at, token: *token },
+        Action::Subscribe => Observed::ListAsked,
+        Action::Terms { .. } | Action::Log(_) => Observed::NothingToDo,
+    }
+}
+
+/// A command of the request core as its word and its details.
+pub fn command_text(command: &Command) -> (&'static str, String) {
+    match command {
+        Command::Start { attempt, engine, until, write_by, memory_mb, alone } => {
+            let numbers = [*until, *write_by, *memory_mb].map(bits).join(" ");
+            ("start", format!("{} {engine} {numbers} {alone}", attempt_text(*attempt)))
+        }
+        Command::Drop { attempt } => ("drop", attempt_text(*attempt)),
+        Command::Answer { request, answer } => {
+            let (word, details) = answer_text(answer);
+            (word, format!("{request} {details}"))
+        }
+        Command::Say(text) => ("say", text.clone()),
+        Command::Tell(message) => ("tell", format!("{message:?}")),
+    }
+}
+
+fn attempt_text(attempt: AttemptId) -> String {
+    format!("{}/{}", attempt.request, attempt.index)
+}
+
+fn answer_text(answer: &Answer) -> (&'static str, String) {
+    match answer {
+        Answer::Served(attempt) => ("answer-served", attempt_text(*attempt)),
+        Answer::Refused { later, why } => ("answer-refused", format!("{} {why}", optional_bits(*later))),
+        Answer::Failed { why } => ("answer-failed", (*why).to_string()),
+        Answer::TimedOut { harmless } => ("answer-timed-out", harmless.to_string()),
+    }
+}
+
+pub fn entry_text(entry: Option<EngineEntry>) -> String {
+    entry.map_or_else(
+        || "-".to_string(),
+        |entry| {
+            let state = match entry.state {
+                EngineState::Ready => "ready",
+                EngineState::Draining => "draining",
+                EngineState::Gone => "gone",
+            };
+            let place = format!("{:?} {:?} {}", entry.kind, entry.zone, entry.cell);
+            format!("{} {state} {} {place}", entry.engine, optional_bits(entry.started))
+        },
+    )
+}
+
+/// What the core wants started or dropped: the attempt, and the engine if it starts.
+pub fn attempt_of(command: &Command) -> Option<(AttemptId, Option<String>)> {
+    match command {
+        Command::Start { attempt, engine, .. } => Some((*attempt, Some(engine.clone()))),
+        Command::Drop { attempt } => Some((*attempt, None)),
+        _ => None,
+    }
+}
+
+/// A message for the peers, if this is one.
+pub fn message_of(command: &Command) -> Option<Vec<u8>> {
+    match command {
+        Command::Tell(message) => Some(message.clone()),
+        _ => None,
+    }
+}
+
+/// How an attempt ends at an engine that answers: mostly well, sometimes in each other way.
+pub fn draw_outcome(random: &mut Random, trouble: u32) -> Ending {
+    random.weighted(&[
+        (Outcome::Served, 100),
+        (Outcome::Error, 2 * trouble),
+        (Outcome::Full, 2 * trouble),
+        (Outcome::TimedOut, trouble),
+        (Outcome::Reset, trouble),
+        (Outcome::Moot, 1),
+    ])
+}
+
+/// A word on a running attempt; `done` is the part of it that is over.
+pub fn draw_note(random: &mut Random, done: f64) -> ProgressNote {
+    let short = random.between(10.0, 4000.0);
+    random.weighted(&[
+        (Note::Done(done), 60),
+        (Note::Done(f64::NAN), 1),
+        (Note::Spills(short), 8),
+        (Note::WaitsForMemory, 5),
+        (Note::WaitsForLoad, 5),
+        (Note::Idle, 4),
+        (Note::Works, 4),
+    ])
+}
+
+/// An engine's load report, in the order of the settings; now and then one that makes no sense.
+pub fn draw_report(random: &mut Random, settings: &Settings, running: usize) -> Vec<f64> {
+    if random.chance(0.04) {
+        return random.pick(&[[f64::NAN, 1.0], [-1.0, 0.5], [f64::INFINITY, 0.0]]).to_vec();
+    }
+    if random.chance(0.05) {
+        return vec![];
+    }
+    let load = running as f64 + random.between(0.0, 8.0);
+    let mut value = |field: &ReportField| match field {
+        ReportField::Inflight => load,
+        ReportField::MemoryQueue => (load - 12.0).max(0.0),
+        ReportField::CpuBusy => (load / 16.0).min(1.0),
+        ReportField::MemoryGranted => (load * random.between(0.02, 0.09)).min(1.0),
+        ReportField::DiskBusy => random.between(0.0, 1.0),
+        ReportField::Other => random.between(0.0, 100.0),
+    };
+    settings.report_fields.iter().map(&mut value).collect()
+}
