--- a/crates/conformance/src/cases.rs
+++ b/crates/conformance/src/cases.rs
@@ -54,8 +54,18 @@
     pub steps: &'static [Step],
 }
 
-const fn case(area: &'static str, name: &'static str, engine: Engine, steps: &'static [Step]) -> Case {
-    Case { area, name, engine, steps }
+const fn case(
+    area: &'static str,
+    name: &'static str,
+    engine: Engine,
+    steps: &'static [Step],
+) -> Case {
+    Case {
+        area,
+        name,
+        engine,
+        steps,
+    }
 }
 
 use Engine::{Alike, No};
@@ -68,9 +78,27 @@
 
 pub const CASES: &[Case] = &[
     case(TEXT, "COM_PING", Alike, &[Command(PING, b"", Ok)]),
-    case(TEXT, "COM_QUERY with rows", Alike, &[Sql("select a from t", Rows(1))]),
-    case(TEXT, "COM_QUERY without rows", Alike, &[Sql("insert into t values (1)", Ok)]),
-    case(TEXT, "COM_INIT_DB", Alike, &[Command(INIT_DB, b"sales_17", Ok), Sql("select a from t", Rows(1))]),
+    case(
+        TEXT,
+        "COM_QUERY with rows",
+        Alike,
+        &[Sql("select a from t", Rows(1))],
+    ),
+    case(
+        TEXT,
+        "COM_QUERY without rows",
+        Alike,
+        &[Sql("insert into t values (1)", Ok)],
+    ),
+    case(
+        TEXT,
+        "COM_INIT_DB",
+        Alike,
+        &[
+            Command(INIT_DB, b"sales_17", Ok),
+            Sql("select a from t", Rows(1)),
+        ],
+    ),
     case(TEXT, "COM_STATISTICS", No, &[Command(STATISTICS, b"", Any)]),
     case(
         TEXT,
@@ -92,19 +120,57 @@
             Sql("select @@time_zone", First(&["SYSTEM"])),
         ],
     ),
-    case(TEXT, "COM_CHANGE_USER with a wrong password", No, &[ChangeUser("guest", "wrong", Code(1045))]),
-    case(TEXT, "COM_SET_OPTION, several statements off", No, &[Command(SET_OPTION, &[1, 0], Any)]),
-    case(TEXT, "COM_SET_OPTION, several statements on", No, &[Command(SET_OPTION, &[0, 0], Code(1235))]),
-    case(TEXT, "COM_FIELD_LIST (deprecated)", No, &[Command(0x04, b"t\0", Code(1047))]),
-    case(TEXT, "COM_PROCESS_KILL (deprecated)", No, &[Command(0x0c, &[1, 0, 0, 0], Code(1047))]),
+    case(
+        TEXT,
+        "COM_CHANGE_USER with a wrong password",
+        No,
+        &[ChangeUser("guest", "wrong", Code(1045))],
+    ),
+    case(
+        TEXT,
+        "COM_SET_OPTION, several statements off",
+        No,
+        &[Command(SET_OPTION, &[1, 0], Any)],
+    ),
+    case(
+        TEXT,
+        "COM_SET_OPTION, several statements on",
+        No,
+        &[Command(SET_OPTION, &[0, 0], Code(1235))],
+    ),
+    case(
+        TEXT,
+        "COM_FIELD_LIST (deprecated)",
+        No,
+        &[Command(0x04, b"t\0", Code(1047))],
+    ),
+    case(
+        TEXT,
+        "COM_PROCESS_KILL (deprecated)",
+        No,
+        &[Command(0x0c, &[1, 0, 0, 0], Code(1047))],
+    ),
     case(
         TEXT,
         "a command that is not known",
         No,
-        &[Command(0x77, b"", Code(1047)), Sql("select a from t", Rows(1))],
+        &[
+            Command(0x77, b"", Code(1047)),
+            Sql("select a from t", Rows(1)),
+        ],
+    ),
+    case(
+        PREPARED,
+        "prepare and execute, twice",
+        Alike,
+        &[Prepared("select a from t", &[Rows(1), Rows(1)])],
+    ),
+    case(
+        PREPARED,
+        "execute without rows",
+        Alike,
+        &[Prepared("insert into t values (1)", &[Ok])],
     ),
-    case(PREPARED, "prepare and execute, twice", Alike, &[Prepared("select a from t", &[Rows(1), Rows(1)])]),
-    case(PREPARED, "execute without rows", Alike, &[Prepared("insert into t values (1)", &[Ok])]),
     case(
         PREPARED,
         "a read-only cursor, COM_STMT_FETCH",
@@ -121,24 +187,46 @@
         PREPARED,
         "execute of what was never prepared",
         Alike,
-        &[Command(STMT_EXECUTE, &[99, 0, 0, 0, 0, 1, 0, 0, 0], Code(1243))],
+        &[Command(
+            STMT_EXECUTE,
+            &[99, 0, 0, 0, 0, 1, 0, 0, 0],
+            Code(1243),
+        )],
+    ),
+    case(
+        PREPARED,
+        "SQL's own PREPARE",
+        No,
+        &[Sql("prepare p from 'select 1'", Code(1235))],
+    ),
+    case(
+        PREPARED,
+        "SET as a prepared statement",
+        No,
+        &[Prepared("set @x = 1", &[Code(1235)])],
     ),
-    case(PREPARED, "SQL's own PREPARE", No, &[Sql("prepare p from 'select 1'", Code(1235))]),
-    case(PREPARED, "SET as a prepared statement", No, &[Prepared("set @x = 1", &[Code(1235)])]),
     case(
         SETTINGS,
         "SET NAMES with a collation",
         Alike,
         &[Sql("SET NAMES 'utf8mb4' COLLATE 'utf8mb4_0900_ai_ci'", Ok)],
     ),
-    case(SETTINGS, "SET NAMES beyond Unicode", No, &[Sql("SET NAMES latin1", Code(1235))]),
+    case(
+        SETTINGS,
+        "SET NAMES beyond Unicode",
+        No,
+        &[Sql("SET NAMES latin1", Code(1235))],
+    ),
     case(
         SETTINGS,
         "SET of session variables, read back",
         Alike,
         &[
             Sql("SET SESSION time_zone = '+04:00', sql_mode = 'ANSI'", Ok),
-            Sql("select @@session.time_zone, @@sql_mode", First(&["+04:00", "ANSI"])),
+            Sql(
+                "select @@session.time_zone, @@sql_mode",
+                First(&["+04:00", "ANSI"]),
+            ),
         ],
     ),
     case(
@@ -168,35 +256,67 @@
         Alike,
         &[
             Sql("SET sql_mode = (SELECT CONCAT(@@sql_mode, ',ANSI'))", Ok),
-            Sql("select @@sql_mode", First(&["ONLY_FULL_GROUP_BY,STRICT_TRANS_TABLES,ANSI"])),
+            Sql(
+                "select @@sql_mode",
+                First(&["ONLY_FULL_GROUP_BY,STRICT_TRANS_TABLES,ANSI"]),
+            ),
         ],
     ),
-    case(SETTINGS, "SET of a variable that is not there", Alike, &[Sql("SET nonsense = 1", Code(1193))]),
+    case(
+        SETTINGS,
+        "SET of a variable that is not there",
+        Alike,
+        &[Sql("SET nonsense = 1", Code(1193))],
+    ),
     case(
         SETTINGS,
         "SET of a value that cannot be",
         Alike,
         &[
-            Sql("SET time_zone = '+04:00', sql_mode = 'NONSENSE'", Code(1231)),
+            Sql(
+                "SET time_zone = '+04:00', sql_mode = 'NONSENSE'",
+                Code(1231),
+            ),
             Sql("select @@time_zone", First(&["SYSTEM"])),
         ],
     ),
-    case(SETTINGS, "SET that cannot be read", No, &[Sql("SET time_zone", Code(1064))]),
-    case(SETTINGS, "SET GLOBAL", No, &[Sql("SET GLOBAL time_zone = 'UTC'", Code(1235))]),
+    case(
+        SETTINGS,
+        "SET that cannot be read",
+        No,
+        &[Sql("SET time_zone", Code(1064))],
+    ),
+    case(
+        SETTINGS,
+        "SET GLOBAL",
+        No,
+        &[Sql("SET GLOBAL time_zone = 'UTC'", Code(1235))],
+    ),
     case(
         SETTINGS,
         "user variables",
         Alike,
-        &[Sql("SET @a = 'it''s', @b := 2", Ok), Sql("select @a, @b, @c", First(&["it's", "2", "NULL"]))],
+        &[
+            Sql("SET @a = 'it''s', @b := 2", Ok),
+            Sql("select @a, @b, @c", First(&["it's", "2", "NULL"])),
+        ],
+    ),
+    case(
+        SETTINGS,
+        "a user variable assigned in a SELECT",
+        No,
+        &[Sql("select a into @n from t", Any)],
     ),
-    case(SETTINGS, "a user variable assigned in a SELECT", No, &[Sql("select a into @n from t", Any)]),
     case(
         SETTINGS,
         "SHOW VARIABLES LIKE",
         Alike,
         &[
             Sql("SET time_zone = '+04:00'", Ok),
-            Sql("SHOW VARIABLES LIKE 'time_zone'", First(&["time_zone", "+04:00"])),
+            Sql(
+                "SHOW VARIABLES LIKE 'time_zone'",
+                First(&["time_zone", "+04:00"]),
+            ),
         ],
     ),
     case(
@@ -205,7 +325,10 @@
         Alike,
         &[
             Sql("insert into t values ('warns') /* warns */ , ( warns )", Ok),
-            Sql("show warnings", First(&["Warning", "1265", "Data truncated"])),
+            Sql(
+                "show warnings",
+                First(&["Warning", "1265", "Data truncated"]),
+            ),
         ],
     ),
     case(
@@ -244,7 +367,10 @@
         Alike,
         &[
             Sql("SET autocommit = 0", Status(0, AUTOCOMMIT)),
-            Sql("insert into t values (1)", Status(IN_TRANSACTION, AUTOCOMMIT)),
+            Sql(
+                "insert into t values (1)",
+                Status(IN_TRANSACTION, AUTOCOMMIT),
+            ),
             Sql("commit", Status(0, IN_TRANSACTION | AUTOCOMMIT)),
             Sql("SET autocommit = 1", Status(AUTOCOMMIT, 0)),
         ],
@@ -276,7 +402,10 @@
         "SET TRANSACTION for the next one",
         Alike,
         &[
-            Sql("SET TRANSACTION ISOLATION LEVEL SERIALIZABLE, READ ONLY", Ok),
+            Sql(
+                "SET TRANSACTION ISOLATION LEVEL SERIALIZABLE, READ ONLY",
+                Ok,
+            ),
             Sql("begin", Any),
             Sql("commit", Any),
         ],
@@ -302,7 +431,12 @@
             Sql("rollback", Status(0, IN_TRANSACTION)),
         ],
     ),
-    case(OPEN, "COMMIT RELEASE", No, &[Sql("commit release", Code(1235))]),
+    case(
+        OPEN,
+        "COMMIT RELEASE",
+        No,
+        &[Sql("commit release", Code(1235))],
+    ),
     case(
         OPEN,
         "prepared statements in a transaction",
@@ -317,7 +451,11 @@
         OPEN,
         "SELECT ... FOR UPDATE",
         Alike,
-        &[Sql("begin", Any), Sql("select a from t for update", Rows(1)), Sql("commit", Any)],
+        &[
+            Sql("begin", Any),
+            Sql("select a from t for update", Rows(1)),
+            Sql("commit", Any),
+        ],
     ),
     case(
         OPEN,
@@ -329,13 +467,36 @@
         OPEN,
         "temporary tables",
         Alike,
-        &[Sql("create temporary table x (a int)", Any), Sql("select a from x", Rows(1))],
+        &[
+            Sql("create temporary table x (a int)", Any),
+            Sql("select a from x", Rows(1)),
+        ],
+    ),
+    case(
+        OPEN,
+        "GET_LOCK",
+        Alike,
+        &[Sql("select get_lock('a', 1)", Any)],
     ),
-    case(OPEN, "GET_LOCK", Alike, &[Sql("select get_lock('a', 1)", Any)]),
     case(OPEN, "XA", No, &[Sql("xa start 'x'", Code(1235))]),
-    case(OTHER, "KILL QUERY of an own session", No, &[Killed("select a from t /* slow */", Code(1317))]),
-    case(OTHER, "KILL QUERY of a session that is not there", No, &[Sql("kill query 999999", Code(1094))]),
-    case(OTHER, "KILL of a connection", No, &[Sql("kill 1", Code(1235))]),
+    case(
+        OTHER,
+        "KILL QUERY of an own session",
+        No,
+        &[Killed("select a from t /* slow */", Code(1317))],
+    ),
+    case(
+        OTHER,
+        "KILL QUERY of a session that is not there",
+        No,
+        &[Sql("kill query 999999", Code(1094))],
+    ),
+    case(
+        OTHER,
+        "KILL of a connection",
+        No,
+        &[Sql("kill 1", Code(1235))],
+    ),
     case(
         OTHER,
         "another session is untouched",
@@ -346,9 +507,24 @@
         ],
     ),
     case(OTHER, "CALL", No, &[Sql("call p()", Code(1235))]),
-    case(OTHER, "several statements in one", No, &[Sql("select 1; select 2", Code(1235))]),
-    case(OTHER, "LOAD DATA LOCAL INFILE", No, &[Sql("load data local infile 'x' into table t", Code(1235))]),
-    case(OTHER, "ROW_COUNT(), FOUND_ROWS()", No, &[Sql("select row_count()", Code(1235))]),
+    case(
+        OTHER,
+        "several statements in one",
+        No,
+        &[Sql("select 1; select 2", Code(1235))],
+    ),
+    case(
+        OTHER,
+        "LOAD DATA LOCAL INFILE",
+        No,
+        &[Sql("load data local infile 'x' into table t", Code(1235))],
+    ),
+    case(
+        OTHER,
+        "ROW_COUNT(), FOUND_ROWS()",
+        No,
+        &[Sql("select row_count()", Code(1235))],
+    ),
     case(
         OTHER,
         "statements that administer an engine",
@@ -359,11 +535,23 @@
 
 /// What no script asks, and why.
 pub const UNTESTED: &[(&str, &str)] = &[
-    ("TLS", "offered where keys are named; played by `tests/mysql_tls.rs`, not by these scripts"),
+    (
+        "TLS",
+        "offered where keys are named; played by `tests/mysql_tls.rs`, not by these scripts",
+    ),
     ("compression (zlib, zstd)", "not offered"),
-    ("full authentication of caching_sha2_password", "its fast path is offered alone"),
-    ("packets of 16 MB and more", "refused above `max_packet`; no script sends one"),
-    ("several results, OUT parameters", "stored procedures are not carried"),
+    (
+        "full authentication of caching_sha2_password",
+        "its fast path is offered alone",
+    ),
+    (
+        "packets of 16 MB and more",
+        "refused above `max_packet`; no script sends one",
+    ),
+    (
+        "several results, OUT parameters",
+        "stored procedures are not carried",
+    ),
     ("query attributes", "not offered"),
     ("session tracking beyond a result's handle", "not offered"),
     ("COM_BINLOG_DUMP and the like", "replication is not carried"),
--- a/crates/conformance/src/lib.rs
+++ b/crates/conformance/src/lib.rs
@@ -40,18 +40,29 @@
 /// # Errors
 /// Its file is wrong, or it cannot listen.
 pub async fn front(engines: &[Engine]) -> Result<SocketAddr, Error> {
-    let list =
-        engines.iter().map(|e| format!("[[engine]]\nid = {:?}\naddress = \"{}\"\n", e.name(), e.address()));
+    let list = engines.iter().map(|e| {
+        format!(
+            "[[engine]]\nid = {:?}\naddress = \"{}\"\n",
+            e.name(),
+            e.address()
+        )
+    });
     let config = Mysql::parse(&stand::file("", &list.collect::<String>()), |_| None)?;
     let pool = Pool::default();
-    let bounds = Bounds { open: config.sockets.most_open, margin: 20.0, page_wait: 600.0 };
+    let bounds = Bounds {
+        open: config.sockets.most_open,
+        margin: 20.0,
+        page_wait: 600.0,
+    };
     let core = Core::new(config.settings.clone(), 1, bounds)?;
     let names = config.names.clone();
     let (spools, done) = Spools::open(&config.spool, names.classes.clone(), names.tenants.clone())?;
     spawn_local(spools.clone().attend(done));
     let upstream = MysqlUpstream::new(config.access, config.sockets, pool.clone(), spools.clone());
     let hub = Hub::new(core, names, upstream);
-    let Source::Fixed(fixed) = config.source else { return Err("the engines are not listed".into()) };
+    let Source::Fixed(fixed) = config.source else {
+        return Err("the engines are not listed".into());
+    };
     let listed = fixed.into_iter().map(|e| Listed {
         id: e.id,
         address: Some(e.address),
@@ -61,7 +72,10 @@
         cell: 0,
         started: None,
     });
-    hub.change(&Change { update: ListUpdate::Whole, engines: listed.collect() });
+    hub.change(&Change {
+        update: ListUpdate::Whole,
+        engines: listed.collect(),
+    });
     spawn_local(hub.clone().clock());
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
@@ -111,14 +125,20 @@
                 s.send(kind, &[body]).await.map_err(|e| e.to_string())?;
                 if let Want::Any = want {
                     let p = s.packet().await.map_err(|e| e.to_string())?;
-                    return if p.first() == Some(&0xff) { Err("an error".into()) } else { Ok(None) };
+                    return if p.first() == Some(&0xff) {
+                        Err("an error".into())
+                    } else {
+                        Ok(None)
+                    };
                 }
                 judge(want, s.answer().await, false)
             }
             Step::Prepared(sql, wants) => {
                 let id = match s.prepare(sql).await {
                     Ok((id, _)) => id,
-                    Err(e) => return judge(wants.first().copied().unwrap_or(Want::Any), Err(e), true),
+                    Err(e) => {
+                        return judge(wants.first().copied().unwrap_or(Want::Any), Err(e), true);
+                    }
                 };
                 for want in wants {
                     judge(*want, s.execute(id, false).await, true)?;
@@ -134,18 +154,31 @@
                 let end = s.change_user(user, password).await;
                 judge(
                     want,
-                    end.map(|()| Answer { columns: 0, rows: vec![], last: Default::default() }),
+                    end.map(|()| Answer {
+                        columns: 0,
+                        rows: vec![],
+                        last: Default::default(),
+                    }),
                     false,
                 )
             }
             Step::Killed(sql, want) => {
-                self.engines.iter().for_each(|e| e.work(Duration::from_secs(3)));
-                s.send(QUERY, &[sql.as_bytes()]).await.map_err(|e| e.to_string())?;
+                self.engines
+                    .iter()
+                    .for_each(|e| e.work(Duration::from_secs(3)));
+                s.send(QUERY, &[sql.as_bytes()])
+                    .await
+                    .map_err(|e| e.to_string())?;
                 tokio::time::sleep(Duration::from_millis(100)).await;
                 let mut other = self.session().await.map_err(|e| e.to_string())?;
-                other.query(&format!("kill query {}", s.number)).await.map_err(|e| e.to_string())?;
+                other
+                    .query(&format!("kill query {}", s.number))
+                    .await
+                    .map_err(|e| e.to_string())?;
                 let answer = s.answer().await;
-                self.engines.iter().for_each(|e| e.work(Duration::from_millis(1)));
+                self.engines
+                    .iter()
+                    .for_each(|e| e.work(Duration::from_millis(1)));
                 judge(want, answer, false)
             }
             Step::Beside(sql, want) => {
@@ -162,7 +195,9 @@
     binary: bool,
 ) -> Result<Option<(u16, String)>, String> {
     let answer = match (came, want) {
-        (Err(PacketError::Sql(e)), Want::Code(code)) if e.code == code => return Ok(Some((code, e.message))),
+        (Err(PacketError::Sql(e)), Want::Code(code)) if e.code == code => {
+            return Ok(Some((code, e.message)));
+        }
         (Err(e), _) => return Err(e.to_string()),
         (Ok(answer), _) => answer,
     };
@@ -175,7 +210,11 @@
         Want::Ok => answer.columns == 0,
         Want::Rows(n) => answer.rows.len() == n,
         Want::First(texts) => {
-            let row = answer.rows.first().map(|r| columns(r.clone(), binary)).unwrap_or_default();
+            let row = answer
+                .rows
+                .first()
+                .map(|r| columns(r.clone(), binary))
+                .unwrap_or_default();
             row.len() >= texts.len() && row.iter().zip(texts).all(|(a, b)| a == b)
         }
         Want::Status(with, without) => status() & with == with && status() & without == 0,
@@ -183,7 +222,11 @@
     };
     match right {
         true => Ok(None),
-        false => Err(format!("{} rows, status {:#x}", answer.rows.len(), status())),
+        false => Err(format!(
+            "{} rows, status {:#x}",
+            answer.rows.len(),
+            status()
+        )),
     }
 }
 
@@ -215,9 +258,19 @@
 pub async fn play() -> Result<Vec<Line>, Error> {
     let engines = stand::engines(2, Duration::from_millis(1)).await?;
     let address = front(&engines).await?;
-    let at_front = Target { address, user: "guest", password: "guest", engines: &engines };
+    let at_front = Target {
+        address,
+        user: "guest",
+        password: "guest",
+        engines: &engines,
+    };
     let address = engines.first().ok_or("no engine")?.address();
-    let at_engine = Target { address, user: "lab", password: lab::engine::PASSWORD, engines: &engines };
+    let at_engine = Target {
+        address,
+        user: "lab",
+        password: lab::engine::PASSWORD,
+        engines: &engines,
+    };
     let mut all = vec![];
     for case in CASES {
         let own = match case.engine {
@@ -249,7 +302,10 @@
     for (case, front, engine) in lines {
         if case.area != area {
             area = case.area;
-            let _ = writeln!(text, "\n## {area}\n\n| what | front | stand-in engine |\n| --- | --- | --- |");
+            let _ = writeln!(
+                text,
+                "\n## {area}\n\n| what | front | stand-in engine |\n| --- | --- | --- |"
+            );
         }
         let told = |came: &Came| match came {
             Came::Carried => "carried".to_string(),
--- a/crates/conformance/src/main.rs
+++ b/crates/conformance/src/main.rs
@@ -16,7 +16,9 @@
 
 fn main() -> Result<(), Error> {
     let args = Args::parse();
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let lines = LocalSet::new().block_on(&runtime, play())?;
     match args.write {
         Some(path) => std::fs::write(path, page(&lines))?,
--- a/crates/conformance/src/tests.rs
+++ b/crates/conformance/src/tests.rs
@@ -3,7 +3,11 @@
 
 fn answer(rows: &[&'static [u8]], last: &'static [u8]) -> Result<Answer, PacketError> {
     let rows: Vec<_> = rows.iter().map(|r| bytes::Bytes::from_static(r)).collect();
-    Ok(Answer { columns: usize::from(!rows.is_empty()), rows, last: bytes::Bytes::from_static(last) })
+    Ok(Answer {
+        columns: usize::from(!rows.is_empty()),
+        rows,
+        last: bytes::Bytes::from_static(last),
+    })
 }
 
 #[test]
--- a/crates/lab/src/client.rs
+++ b/crates/lab/src/client.rs
@@ -64,7 +64,10 @@
 
     /// Milliseconds within which this part of the requests was answered.
     pub fn percentile(&self, percent: f64) -> f64 {
-        self.latency.borrow().as_ref().map_or(0.0, |h| h.value_at_percentile(percent) as f64 / 1000.0)
+        self.latency
+            .borrow()
+            .as_ref()
+            .map_or(0.0, |h| h.value_at_percentile(percent) as f64 / 1000.0)
     }
 }
 
@@ -108,7 +111,11 @@
             let (account, stop) = (account.clone(), stop.clone());
             spawn_local(async move { client(n, address, load, &account, &stop).await })
         });
-        Clients { tasks: tasks.collect(), account, stop }
+        Clients {
+            tasks: tasks.collect(),
+            account,
+            stop,
+        }
     }
 
     /// Lets every client have its last answer.
@@ -181,9 +188,18 @@
     prepared: bool,
 ) -> (Option<Conn>, mysql_async::Result<()>) {
     let result = match (load, prepared) {
-        (true, _) => c.query_drop(format!("insert into orders values ('load-{number}')")).await,
-        (false, false) => c.query_drop(format!("select engine from stock where n = {number}")).await,
-        (false, true) => c.exec_drop("select engine from stock where n = ?", (number,)).await,
+        (true, _) => {
+            c.query_drop(format!("insert into orders values ('load-{number}')"))
+                .await
+        }
+        (false, false) => {
+            c.query_drop(format!("select engine from stock where n = {number}"))
+                .await
+        }
+        (false, true) => {
+            c.exec_drop("select engine from stock where n = ?", (number,))
+                .await
+        }
     };
     let usable = matches!(&result, Ok(()) | Err(mysql_async::Error::Server(_)));
     (usable.then_some(c), result)
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -31,7 +31,10 @@
     /// What is wrong with the file.
     pub fn read(path: &Path) -> Result<Self, ScenarioError> {
         let shown = path.display().to_string();
-        let file = |problem: String| ScenarioError::File { path: shown.clone(), problem };
+        let file = |problem: String| ScenarioError::File {
+            path: shown.clone(),
+            problem,
+        };
         let text = std::fs::read_to_string(path).map_err(|e| file(e.to_string()))?;
         let e: Experiment = json5::from_str(&text).map_err(|e| file(e.to_string()))?;
         if e.policies.is_empty() || e.seeds == 0 || e.scenarios.is_empty() {
@@ -88,7 +91,12 @@
 }
 
 /// Plays everything, on all cores; `done` is called after each day.
-pub fn run(days: &[Scenario], policies: &[Policy], seeds: u64, done: &(dyn Fn() + Sync)) -> Vec<Series> {
+pub fn run(
+    days: &[Scenario],
+    policies: &[Policy],
+    seeds: u64,
+    done: &(dyn Fn() + Sync),
+) -> Vec<Series> {
     let mut plays = vec![];
     for (s, _) in days.iter().enumerate() {
         for p in policies {
@@ -106,9 +114,16 @@
     let mut all: Vec<Series> = vec![];
     for ((s, policy), day) in played {
         // Days come in the order of their seeds: so series are paired by place.
-        match all.last_mut().filter(|x| x.policy == policy && x.scenario == days[s]) {
+        match all
+            .last_mut()
+            .filter(|x| x.policy == policy && x.scenario == days[s])
+        {
             Some(series) => series.days.push(day),
-            None => all.push(Series { scenario: days[s].clone(), policy, days: vec![day] }),
+            None => all.push(Series {
+                scenario: days[s].clone(),
+                policy,
+                days: vec![day],
+            }),
         }
     }
     all
@@ -165,7 +180,12 @@
         (_, high) if high < 0.0 => Verdict::Worse,
         _ => Verdict::CantTell,
     };
-    Difference { median: median(&pairs), low: interval.0, high: interval.1, verdict }
+    Difference {
+        median: median(&pairs),
+        low: interval.0,
+        high: interval.1,
+        verdict,
+    }
 }
 
 /// The bootstrap interval of a median.
@@ -175,7 +195,10 @@
     }
     let mut medians: Vec<f64> = (0..RESAMPLED)
         .map(|_| {
-            let drawn: Vec<f64> = values.iter().map(|_| values[random.below(values.len())]).collect();
+            let drawn: Vec<f64> = values
+                .iter()
+                .map(|_| values[random.below(values.len())])
+                .collect();
             median(&drawn)
         })
         .collect();
@@ -199,7 +222,10 @@
         let mut noise = Streams::new(2).stream("noise");
         let base: Vec<f64> = (0..40).map(|_| noise.unit()).collect();
         let better: Vec<f64> = base.iter().map(|b| b + 0.1 + 0.02 * noise.unit()).collect();
-        let same: Vec<f64> = base.iter().map(|b| b + 0.2 * (noise.unit() - 0.5)).collect();
+        let same: Vec<f64> = base
+            .iter()
+            .map(|b| b + 0.2 * (noise.unit() - 0.5))
+            .collect();
         let d = difference(&base, &better, &mut r);
         assert_eq!(d.verdict, Verdict::Better);
         assert!(d.low > 0.1 && d.high < 0.12 && d.low <= d.median && d.median <= d.high);
@@ -233,7 +259,12 @@
         .unwrap();
         let big = scaled(&s, 30);
         assert_eq!(
-            (big.gateways, big.engines[0].count, big.load.per_s, big.load.areas),
+            (
+                big.gateways,
+                big.engines[0].count,
+                big.load.per_s,
+                big.load.areas
+            ),
             (30, 60, 300.0, 100)
         );
     }
@@ -244,11 +275,21 @@
             r#"{ name: "x", seconds: 4, gateways: 2, engines: [{ kind: "std", count: 3 }], load: { per_s: 15 } }"#,
         )
         .unwrap();
-        let all = run(std::slice::from_ref(&s), &[Policy::Module, Policy::Random], 4, &|| ());
+        let all = run(
+            std::slice::from_ref(&s),
+            &[Policy::Module, Policy::Random],
+            4,
+            &|| (),
+        );
         assert_eq!(all.len(), 2);
         for series in &all {
-            let alone: Vec<u64> = (1..=4).map(|seed| play(&s, series.policy, seed).hash).collect();
-            assert_eq!(series.days.iter().map(|d| d.hash).collect::<Vec<_>>(), alone);
+            let alone: Vec<u64> = (1..=4)
+                .map(|seed| play(&s, series.policy, seed).hash)
+                .collect();
+            assert_eq!(
+                series.days.iter().map(|d| d.hash).collect::<Vec<_>>(),
+                alone
+            );
         }
     }
 }
--- a/crates/lab/src/engine.rs
+++ b/crates/lab/src/engine.rs
@@ -53,7 +53,11 @@
         let inner = sql.split_once("rows(")?.1.split_once(')')?.0;
         let mut numbers = inner.split(',').map(|n| n.trim().parse::<u64>());
         let (n, bytes) = (numbers.next()?.ok()?, numbers.next()?.ok()?);
-        Some(Rows { n, bytes: (bytes as usize).min(1 << 20), breaks: numbers.next().and_then(Result::ok) })
+        Some(Rows {
+            n,
+            bytes: (bytes as usize).min(1 << 20),
+            breaks: numbers.next().and_then(Result::ok),
+        })
     }
 }
 
@@ -141,7 +145,9 @@
         let inner = Rc::downgrade(&self.0);
         let accepting = spawn_local(async move {
             while let Ok((tcp, _)) = listener.accept().await {
-                let Some(engine) = inner.upgrade().map(Engine) else { return };
+                let Some(engine) = inner.upgrade().map(Engine) else {
+                    return;
+                };
                 let session = engine.clone();
                 let task = spawn_local(async move { drop(session.session(tcp).await) });
                 let mut tasks = engine.0.tasks.borrow_mut();
@@ -207,18 +213,33 @@
 
     async fn session(&self, tcp: TcpStream) -> Result<(), PacketError> {
         tcp.set_nodelay(true)?;
-        let mut wire = Framed::new(tcp, PacketCodec { most: 1 << 22, sequence: 0 });
+        let mut wire = Framed::new(
+            tcp,
+            PacketCodec {
+                most: 1 << 22,
+                sequence: 0,
+            },
+        );
         let number = self.0.connections.get() + 1;
         self.0.connections.set(number);
-        let nonce: Vec<u8> =
-            (0..20u32).map(|i| (33 + (number.wrapping_mul(31) + i * 7) % 90) as u8).collect();
-        let greeting =
-            Greeting { connection: number, nonce, plugin: auth::NATIVE.into(), capabilities: CAPABILITIES };
+        let nonce: Vec<u8> = (0..20u32)
+            .map(|i| (33 + (number.wrapping_mul(31) + i * 7) % 90) as u8)
+            .collect();
+        let greeting = Greeting {
+            connection: number,
+            nonce,
+            plugin: auth::NATIVE.into(),
+            capabilities: CAPABILITIES,
+        };
         wire.send(&greeting.write("8.0.0-lab")[..]).await?;
-        let Some(login) = wire.next().await else { return Ok(()) };
+        let Some(login) = wire.next().await else {
+            return Ok(());
+        };
         let login = Login::read(login?)?;
         if !auth::proves(&login.plugin, PASSWORD, &greeting.nonce, &login.auth) {
-            return wire.send(&err(&SqlError::new(code::ACCESS, "wrong password"))[..]).await;
+            return wire
+                .send(&err(&SqlError::new(code::ACCESS, "wrong password"))[..])
+                .await;
         }
         wire.send(&ok()[..]).await?;
         let mut statements: HashMap<u32, String> = HashMap::new();
@@ -226,9 +247,13 @@
         let mut session = Session::new(number, &self.0.name);
         loop {
             wire.codec_mut().sequence = 0;
-            let Some(command) = wire.next().await else { return Ok(()) };
+            let Some(command) = wire.next().await else {
+                return Ok(());
+            };
             let command: Bytes = command?;
-            let Some((&kind, body)) = command.split_first() else { return Ok(()) };
+            let Some((&kind, body)) = command.split_first() else {
+                return Ok(());
+            };
             let said = String::from_utf8_lossy(body).into_owned();
             let id = Reader(command.slice(1..)).u32().unwrap_or(0);
             let (sql, binary) = match kind {
@@ -236,7 +261,14 @@
                 QUERY if said.starts_with("SET ") || said.starts_with("KILL ") => {
                     match session.says(&said) {
                         Some(Said::Error(code, state, text)) => {
-                            wire.send(&err(&SqlError { code, state, message: text })[..]).await?;
+                            wire.send(
+                                &err(&SqlError {
+                                    code,
+                                    state,
+                                    message: text,
+                                })[..],
+                            )
+                            .await?;
                         }
                         _ => wire.send(&done(session.status())[..]).await?,
                     }
@@ -247,13 +279,17 @@
                 STMT_EXECUTE => match statements.get(&id) {
                     Some(sql) => (sql.clone(), true),
                     None => {
-                        wire.send(&err(&SqlError::new(code::NO_STATEMENT, "unknown statement"))[..]).await?;
+                        wire.send(
+                            &err(&SqlError::new(code::NO_STATEMENT, "unknown statement"))[..],
+                        )
+                        .await?;
                         continue;
                     }
                 },
                 STMT_PREPARE => {
                     next += 1;
-                    self.prepared(&mut wire, next, &said, session.columns(&said)).await?;
+                    self.prepared(&mut wire, next, &said, session.columns(&said))
+                        .await?;
                     statements.insert(next, said);
                     continue;
                 }
@@ -286,7 +322,12 @@
     ) -> Result<(), PacketError> {
         let parameters = sql.matches('?').count().min(250) as u8;
         let columns = own.map_or(if reads(sql) { 2 } else { 0 }, |n| n.min(250) as u8);
-        let head = [&[0][..], &id.to_le_bytes(), &[columns, 0, parameters, 0, 0, 0, 0]].concat();
+        let head = [
+            &[0][..],
+            &id.to_le_bytes(),
+            &[columns, 0, parameters, 0, 0, 0, 0],
+        ]
+        .concat();
         wire.feed(&head[..]).await?;
         for _ in 0..parameters {
             wire.feed(&column("?")[..]).await?;
@@ -296,7 +337,8 @@
         }
         if columns > 0 {
             for n in 0..columns {
-                wire.feed(&column(["engine", "process", "more"][usize::from(n.min(2))])[..]).await?;
+                wire.feed(&column(["engine", "process", "more"][usize::from(n.min(2))])[..])
+                    .await?;
             }
             wire.feed(EOF).await?;
         }
@@ -328,7 +370,9 @@
             ran.len() - 1
         };
         inner.running.set(inner.running.get() + 1);
-        inner.most_running.set(inner.most_running.get().max(inner.running.get()));
+        inner
+            .most_running
+            .set(inner.most_running.get().max(inner.running.get()));
         let running = Running(inner);
         // The runtime's clock ticks in milliseconds: no work is to take no time.
         if !inner.work.get().is_zero() {
@@ -343,8 +387,20 @@
             self.many(wire, rows, binary).await?;
         } else if reads(&sql) {
             let head: &[u8] = if binary { &[0, 0] } else { &[] };
-            let row = [head, &text(&inner.name), &text(&inner.process.get().to_string())].concat();
-            for p in [&[2][..], &column("engine"), &column("process"), &end, &row, &end] {
+            let row = [
+                head,
+                &text(&inner.name),
+                &text(&inner.process.get().to_string()),
+            ]
+            .concat();
+            for p in [
+                &[2][..],
+                &column("engine"),
+                &column("process"),
+                &end,
+                &row,
+                &end,
+            ] {
                 wire.feed(p).await?;
             }
             SinkExt::<&[u8]>::flush(wire).await?;
@@ -366,11 +422,25 @@
 }
 
 impl Engine {
-    async fn tell(&self, wire: &mut Wire, said: Said, binary: bool, status: u16) -> Result<(), PacketError> {
+    async fn tell(
+        &self,
+        wire: &mut Wire,
+        said: Said,
+        binary: bool,
+        status: u16,
+    ) -> Result<(), PacketError> {
         let (names, rows) = match said {
             Said::Ok => return wire.send(&done(status)[..]).await,
             Said::Error(code, state, message) => {
-                return wire.send(&err(&SqlError { code, state, message })[..]).await;
+                return wire
+                    .send(
+                        &err(&SqlError {
+                            code,
+                            state,
+                            message,
+                        })[..],
+                    )
+                    .await;
             }
             Said::Row(names, row) => (names, vec![row]),
             Said::Rows(names, rows) => (names, rows),
@@ -381,7 +451,11 @@
         }
         wire.feed(&eof(status)[..]).await?;
         for row in &rows {
-            let mut p = if binary { vec![0; 1 + (row.len() + 9) / 8] } else { vec![] };
+            let mut p = if binary {
+                vec![0; 1 + (row.len() + 9) / 8]
+            } else {
+                vec![]
+            };
             for (i, value) in row.iter().enumerate() {
                 match value {
                     Some(v) => p.extend(text(v)),
@@ -408,8 +482,11 @@
                 SinkExt::<&[u8]>::flush(wire).await?;
                 return Err(PacketError::Protocol("it breaks here"));
             }
-            let long =
-                if rows.bytes < 2000 { filled(n, rows.bytes) } else { format!("{n}:{}", &filler[2..]) };
+            let long = if rows.bytes < 2000 {
+                filled(n, rows.bytes)
+            } else {
+                format!("{n}:{}", &filler[2..])
+            };
             let row = [head, &text(&long), &text(&process)].concat();
             wire.feed(&row[..]).await?;
         }
@@ -435,8 +512,12 @@
 
 fn reads(sql: &str) -> bool {
     let sql = sql.trim_start();
-    let sql = sql.strip_prefix("/*").and_then(|s| s.split_once("*/")).map_or(sql, |s| s.1.trim_start());
-    sql.get(..6).is_some_and(|s| s.eq_ignore_ascii_case("select"))
+    let sql = sql
+        .strip_prefix("/*")
+        .and_then(|s| s.split_once("*/"))
+        .map_or(sql, |s| s.1.trim_start());
+    sql.get(..6)
+        .is_some_and(|s| s.eq_ignore_ascii_case("select"))
 }
 
 fn text(s: &str) -> Vec<u8> {
@@ -447,6 +528,13 @@
 }
 
 fn column(name: &str) -> Vec<u8> {
-    let words: Vec<u8> = ["def", "", "", "", name, name].into_iter().flat_map(text).collect();
-    [&words[..], &[0x0c, UTF8, 0, 0, 1, 0, 0, 0xfd, 0, 0, 0, 0, 0]].concat()
+    let words: Vec<u8> = ["def", "", "", "", name, name]
+        .into_iter()
+        .flat_map(text)
+        .collect();
+    [
+        &words[..],
+        &[0x0c, UTF8, 0, 0, 1, 0, 0, 0xfd, 0, 0, 0, 0, 0],
+    ]
+    .concat()
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -148,11 +148,17 @@
 
 impl Which {
     fn spooling(&self) -> Spooling<'_> {
-        Spooling { program: &self.program, earlier: self.earlier }
+        Spooling {
+            program: &self.program,
+            earlier: self.earlier,
+        }
     }
 
     fn subject(self) -> Subject {
-        Subject { program: self.program, earlier: self.earlier }
+        Subject {
+            program: self.program,
+            earlier: self.earlier,
+        }
     }
 }
 
@@ -161,7 +167,9 @@
 fn main() -> ExitCode {
     let cli = Cli::parse();
     let run = || -> Result<(), Error> {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
         LocalSet::new().block_on(&runtime, run(cli.what))
     };
     match run() {
@@ -175,7 +183,13 @@
 
 async fn run(what: What) -> Result<(), Error> {
     match what {
-        What::Registry { port, nodes, lag_ms, cache_ms, engines } => {
+        What::Registry {
+            port,
+            nodes,
+            lag_ms,
+            cache_ms,
+            engines,
+        } => {
             let mut all: Vec<Node> = vec![];
             for n in 0..nodes {
                 let at = SocketAddr::from(([127, 0, 0, 1], port + n));
@@ -189,35 +203,60 @@
             for e in engines {
                 let (name, port) = e.split_once('=').ok_or(format!("{e:?} is not NAME=PORT"))?;
                 let instance = Instance::engine("ENGINES", name, port.parse()?, lab::now());
-                let forever = Instance { duration: f64::MAX, up: lab::now() - 60_000.0, ..instance };
+                let forever = Instance {
+                    duration: f64::MAX,
+                    up: lab::now() - 60_000.0,
+                    ..instance
+                };
                 all.iter().for_each(|node| node.register(forever.clone()));
             }
-            all.iter().for_each(|node| node.evict_every(Duration::from_secs(10)));
+            all.iter()
+                .for_each(|node| node.evict_every(Duration::from_secs(10)));
             tokio::signal::ctrl_c().await?;
         }
-        What::Engines { port, count, work_ms } => {
-            let engines = measure::serve_engines(count, port, Duration::from_millis(work_ms)).await?;
-            engines.iter().for_each(|e| println!("{} at {}", e.name(), e.address()));
+        What::Engines {
+            port,
+            count,
+            work_ms,
+        } => {
+            let engines =
+                measure::serve_engines(count, port, Duration::from_millis(work_ms)).await?;
+            engines
+                .iter()
+                .for_each(|e| println!("{} at {}", e.name(), e.address()));
             tokio::signal::ctrl_c().await?;
-            engines.iter().for_each(|e| println!("{}: {} statements", e.name(), e.count()));
+            engines
+                .iter()
+                .for_each(|e| println!("{}: {} statements", e.name(), e.count()));
         }
         What::Measure(m) => {
             let line = match m {
-                Measure::Drains { which, registries, instances, drains } => {
+                Measure::Drains {
+                    which,
+                    registries,
+                    instances,
+                    drains,
+                } => {
                     measure::drains(&which.subject(), registries.max(1), instances, drains).await?
                 }
-                Measure::Rounds { which, instances, full } => {
-                    measure::rounds(&which.subject(), instances, full).await?
-                }
-                Measure::Outage { which, seconds, restart } => {
-                    measure::outage(&which.subject(), seconds, restart).await?
-                }
+                Measure::Rounds {
+                    which,
+                    instances,
+                    full,
+                } => measure::rounds(&which.subject(), instances, full).await?,
+                Measure::Outage {
+                    which,
+                    seconds,
+                    restart,
+                } => measure::outage(&which.subject(), seconds, restart).await?,
                 Measure::Occupancy { which, pace } => {
                     measure_spool::occupancy(&which.spooling(), pace).await?
                 }
-                Measure::Readers { which, readers, megabytes } => {
-                    measure_spool::readers(&which.spooling(), readers, megabytes).await?
-                }
+                Measure::Readers {
+                    which,
+                    readers,
+                    megabytes,
+                } => measure_spool::readers(&which.spooling(), readers, megabytes).await?,
                 Measure::Throughput { which, megabytes } => {
                     measure_spool::throughput(&which.spooling(), megabytes).await?
                 }
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -53,16 +53,28 @@
         }
     }
 
-    async fn start(&self, folder: &Folder, top: &str, section: &str) -> Result<Program, MeasureError> {
+    async fn start(
+        &self,
+        folder: &Folder,
+        top: &str,
+        section: &str,
+    ) -> Result<Program, MeasureError> {
         let top = format!("connect_timeout_ms = 1000\n{top}");
-        Ok(Program::start(&self.program, folder, "measured", &stand::file(&top, section)).await?)
+        Ok(Program::start(
+            &self.program,
+            folder,
+            "measured",
+            &stand::file(&top, section),
+        )
+        .await?)
     }
 }
 
 /// One of the figures that operators are told.
 async fn figure(program: &Program, name: &str) -> Option<u64> {
     let (_, text) = program.call("GET", "/_vars").await.ok()?;
-    text.lines().find_map(|l| l.strip_prefix(&format!("{name}="))?.parse().ok())
+    text.lines()
+        .find_map(|l| l.strip_prefix(&format!("{name}="))?.parse().ok())
 }
 
 async fn targets(program: &Program, n: u64) -> Result<(), MeasureError> {
@@ -96,7 +108,15 @@
     for _ in 0..n {
         // Nothing is let go while it is measured, and no delta grows without end.
         all.push(
-            Node::start(free(), Rules { preserve: 1.0, retention: 10_000.0, ..Rules::default() }).await?,
+            Node::start(
+                free(),
+                Rules {
+                    preserve: 1.0,
+                    retention: 10_000.0,
+                    ..Rules::default()
+                },
+            )
+            .await?,
         );
     }
     Ok(all)
@@ -112,11 +132,23 @@
 
 fn spread(values: &[f64]) -> Spread {
     let Ok(mut h) = Histogram::<u64>::new(3) else {
-        return Spread { n: 0, p50_ms: 0.0, p99_ms: 0.0, max_ms: 0.0 };
+        return Spread {
+            n: 0,
+            p50_ms: 0.0,
+            p99_ms: 0.0,
+            max_ms: 0.0,
+        };
     };
-    values.iter().for_each(|v| h.saturating_record((v * 1000.0) as u64));
+    values
+        .iter()
+        .for_each(|v| h.saturating_record((v * 1000.0) as u64));
     let at = |p| h.value_at_percentile(p) as f64 / 1000.0;
-    Spread { n: h.len(), p50_ms: at(50.0), p99_ms: at(99.0), max_ms: h.max() as f64 / 1000.0 }
+    Spread {
+        n: h.len(),
+        p50_ms: at(50.0),
+        p99_ms: at(99.0),
+        max_ms: h.max() as f64 / 1000.0,
+    }
 }
 
 /// From the notice that an engine drains to the last statement that it gets, over so many drains.
@@ -135,14 +167,21 @@
     let all: Vec<&Node> = nodes.iter().collect();
     stand::register(&all, &engines);
     fill(&nodes, engines.len(), instances);
-    let program = subject.start(&folder, "", &subject.section(&all, 1.0, "ask = 1")).await?;
+    let program = subject
+        .start(&folder, "", &subject.section(&all, 1.0, "ask = 1"))
+        .await?;
     targets(&program, instances.max(engines.len()) as u64).await?;
     // What changes at the first is at the others 300 ms later.
     for (i, a) in nodes.iter().enumerate() {
         a.lag(300.0);
         nodes[i + 1..].iter().for_each(|b| a.peer(b));
     }
-    let load = Load { clients: 20, gap: Duration::from_millis(50), loads: 0, prepared: true };
+    let load = Load {
+        clients: 20,
+        gap: Duration::from_millis(50),
+        loads: 0,
+        prepared: true,
+    };
     let clients = Clients::start(program.address, load);
     pass(1500).await;
     let mut late = vec![];
@@ -154,15 +193,25 @@
         nodes[0].set_status("ENGINES", engine.name(), Some(Status::OutOfService));
         let mut notice = None;
         for _ in 0..200 {
-            notice = nodes.iter().filter_map(|node| node.told(engine.name())).reduce(f64::min);
+            notice = nodes
+                .iter()
+                .filter_map(|node| node.told(engine.name()))
+                .reduce(f64::min);
             if notice.is_some() {
                 break;
             }
             pass(20).await;
         }
-        let Some(notice) = notice else { return Err(MeasureError::Never("a notice".into())) };
+        let Some(notice) = notice else {
+            return Err(MeasureError::Never("a notice".into()));
+        };
         pass(1400).await;
-        let last = engine.ran().iter().rev().find(|r| r.at > notice).map_or(0.0, |r| r.at - notice);
+        let last = engine
+            .ran()
+            .iter()
+            .rev()
+            .find(|r| r.at > notice)
+            .map_or(0.0, |r| r.at - notice);
         late.push(last);
         let before = engine.count();
         nodes[0].set_status("ENGINES", engine.name(), None);
@@ -185,7 +234,11 @@
 ///
 /// # Errors
 /// The program or a stand-in does not do its part.
-pub async fn rounds(subject: &Subject, instances: usize, full: bool) -> Result<Value, MeasureError> {
+pub async fn rounds(
+    subject: &Subject,
+    instances: usize,
+    full: bool,
+) -> Result<Value, MeasureError> {
     let folder = Folder::new("measure-rounds")?;
     let nodes = nodes(1).await?;
     let engines = stand::engines(2, Duration::from_millis(1)).await?;
@@ -193,9 +246,16 @@
     fill(&nodes, engines.len(), instances);
     // Changes that are told in every delta end with their retention.
     pass(if instances > 100 { 11_000 } else { 0 }).await;
-    let program = subject.start(&folder, "", &subject.section(&[&nodes[0]], 1.0, "")).await?;
+    let program = subject
+        .start(&folder, "", &subject.section(&[&nodes[0]], 1.0, ""))
+        .await?;
     targets(&program, instances.max(engines.len()) as u64).await?;
-    let load = Load { clients: 4, gap: Duration::from_millis(20), loads: 0, prepared: true };
+    let load = Load {
+        clients: 4,
+        gap: Duration::from_millis(20),
+        loads: 0,
+        prepared: true,
+    };
     let clients = Clients::start(program.address, load);
     pass(2000).await;
     let idle = clients.stop().await;
@@ -203,20 +263,32 @@
         // No delta adds up: the whole is asked for in every round.
         nodes[0].fault(Fault::Hash);
     }
-    let rounds_before = nodes[0].calls().iter().filter(|c| c.ends_with("/apps/delta")).count();
+    let rounds_before = nodes[0]
+        .calls()
+        .iter()
+        .filter(|c| c.ends_with("/apps/delta"))
+        .count();
     let (cpu, bytes) = (program.cpu(), nodes[0].bytes());
     let clients = Clients::start(program.address, load);
     for n in 0..200usize {
         // Ten changes a second, as a fleet has.
         if n % 2 == 0 {
-            let id = format!("filler-{}", engines.len() + n % instances.saturating_sub(engines.len()).max(1));
+            let id = format!(
+                "filler-{}",
+                engines.len() + n % instances.saturating_sub(engines.len()).max(1)
+            );
             let status = if n % 4 == 0 { Some(Status::Down) } else { None };
             nodes[0].set_status("ENGINES", &id, status);
         }
         pass(50).await;
     }
     let account = clients.stop().await;
-    let rounds = nodes[0].calls().iter().filter(|c| c.ends_with("/apps/delta")).count() - rounds_before;
+    let rounds = nodes[0]
+        .calls()
+        .iter()
+        .filter(|c| c.ends_with("/apps/delta"))
+        .count()
+        - rounds_before;
     let used = program.cpu() - cpu;
     let (now_mb, most_mb) = program.memory();
     // What the clients themselves take, from a stretch without rounds that matter, is taken off by rate.
@@ -241,9 +313,16 @@
     let engines = stand::engines(3, Duration::from_millis(400)).await?;
     let all: Vec<&Node> = nodes.iter().collect();
     stand::register(&all, &engines);
-    let program = subject.start(&folder, "", &subject.section(&all, 1.0, "")).await?;
+    let program = subject
+        .start(&folder, "", &subject.section(&all, 1.0, ""))
+        .await?;
     targets(&program, 3).await?;
-    let load = Load { clients: 90, gap: Duration::from_millis(1000), loads: 10, prepared: false };
+    let load = Load {
+        clients: 90,
+        gap: Duration::from_millis(1000),
+        loads: 10,
+        prepared: false,
+    };
     let clients = Clients::start(program.address, load);
     pass(4000).await;
     nodes.iter().for_each(Node::away);
@@ -263,8 +342,12 @@
     }
     pass(2000).await;
     let account = clients.stop().await;
-    let ends: Vec<(String, u64)> =
-        account.ends.borrow().iter().map(|(e, n)| (format!("{e:?}"), *n)).collect();
+    let ends: Vec<(String, u64)> = account
+        .ends
+        .borrow()
+        .iter()
+        .map(|(e, n)| (format!("{e:?}"), *n))
+        .collect();
     Ok(json!({
         "measure": "outage", "earlier": subject.earlier, "seconds": seconds, "restart": restart,
         "ends": ends.into_iter().collect::<std::collections::BTreeMap<_, _>>(),
@@ -299,7 +382,12 @@
         }
         pass(20).await;
     }
-    let load = Load { clients: 10, gap: Duration::from_millis(100), loads: 0, prepared: true };
+    let load = Load {
+        clients: 10,
+        gap: Duration::from_millis(100),
+        loads: 0,
+        prepared: true,
+    };
     let clients = Clients::start(program.address, load);
     pass(1000).await;
     let account = clients.stop().await;
--- a/crates/lab/src/measure_sessions.rs
+++ b/crates/lab/src/measure_sessions.rs
@@ -46,14 +46,21 @@
     let mut latency = bounds.map_err(|e| MeasureError::Client(e.to_string()))?;
     let (began, turns) = (Instant::now(), all.len().max(1));
     for n in 0..rounds {
-        let Some(s) = all.get_mut(n % turns) else { break };
+        let Some(s) = all.get_mut(n % turns) else {
+            break;
+        };
         for sql in sqls {
             let asked = Instant::now();
-            s.query(sql).await.map_err(|e| MeasureError::Never(format!("{sql}: {e}")))?;
+            s.query(sql)
+                .await
+                .map_err(|e| MeasureError::Never(format!("{sql}: {e}")))?;
             let _ = latency.record(asked.elapsed().as_micros() as u64 + 1);
         }
     }
-    Ok(Ran { latency, seconds: began.elapsed().as_secs_f64() })
+    Ok(Ran {
+        latency,
+        seconds: began.elapsed().as_secs_f64(),
+    })
 }
 
 const HOST: &str = "lab.example";
@@ -72,7 +79,10 @@
         .map_err(|e| wrong(&e))?
         .with_root_certificates(roots)
         .with_no_client_auth();
-    Ok((format!("[tls]\n[[tls.key]]\ncert = {cert:?}\nkey = {key:?}\n"), Arc::new(client)))
+    Ok((
+        format!("[tls]\n[[tls.key]]\ncert = {cert:?}\nkey = {key:?}\n"),
+        Arc::new(client),
+    ))
 }
 
 /// Overhead of a statement, alone and in transactions and where two sessions' settings take turns on one connection;
@@ -83,21 +93,33 @@
 pub async fn sessions(subject: &Subject, statements: usize) -> Result<Value, MeasureError> {
     let failed = |e: PacketError| MeasureError::Never(format!("a session: {e}"));
     let engines = stand::engines(1, Duration::ZERO).await?;
-    let engine = engines.first().ok_or_else(|| MeasureError::Never("an engine".into()))?;
+    let engine = engines
+        .first()
+        .ok_or_else(|| MeasureError::Never("an engine".into()))?;
     let folder = Folder::new("measure-sessions")?;
-    let list = format!("[[engine]]\nid = {:?}\naddress = \"{}\"\n", engine.name(), engine.address());
+    let list = format!(
+        "[[engine]]\nid = {:?}\naddress = \"{}\"\n",
+        engine.name(),
+        engine.address()
+    );
     let (tls, client) = keys(&folder)?;
     let text = stand::file("max_clients = 512", &format!("{list}{tls}"));
     let text = text.replace("[engines]", "[engines]\nconnections = 64");
-    let program = crate::program::Program::start(&subject.program, &folder, "sessions", &text).await?;
+    let program =
+        crate::program::Program::start(&subject.program, &folder, "sessions", &text).await?;
     let read = ["select a from t"];
     let transaction = ["begin", "insert into t values (1)", "commit"];
     let mut out = serde_json::Map::new();
-    for (name, sqls, n) in
-        [("read", &read[..], statements), ("transaction", &transaction[..], statements / 3)]
-    {
-        let mut direct = [log_in(engine.address(), "lab", PASSWORD).await.map_err(failed)?];
-        let mut through = [log_in(program.address, "guest", "guest").await.map_err(failed)?];
+    for (name, sqls, n) in [
+        ("read", &read[..], statements),
+        ("transaction", &transaction[..], statements / 3),
+    ] {
+        let mut direct = [log_in(engine.address(), "lab", PASSWORD)
+            .await
+            .map_err(failed)?];
+        let mut through = [log_in(program.address, "guest", "guest")
+            .await
+            .map_err(failed)?];
         rounds(&mut through, sqls, n / 10).await?;
         let told = rounds(&mut direct, sqls, n).await?.told(None);
         out.insert(format!("{name}_direct"), told);
@@ -107,16 +129,27 @@
     }
     let mut two = vec![];
     for zone in ["+01:00", "+02:00"] {
-        let mut s = log_in(program.address, "guest", "guest").await.map_err(failed)?;
-        s.query(&format!("set time_zone = '{zone}', @a = 1, sql_mode = 'ANSI'")).await.map_err(failed)?;
+        let mut s = log_in(program.address, "guest", "guest")
+            .await
+            .map_err(failed)?;
+        s.query(&format!(
+            "set time_zone = '{zone}', @a = 1, sql_mode = 'ANSI'"
+        ))
+        .await
+        .map_err(failed)?;
         two.push(s);
     }
     let before = program.cpu();
     let ran = rounds(&mut two, &read, statements).await?;
-    out.insert("read_with_settings_by_turns".into(), ran.told(Some(program.cpu() - before)));
+    out.insert(
+        "read_with_settings_by_turns".into(),
+        ran.told(Some(program.cpu() - before)),
+    );
 
     let log_in_tls = async || {
-        Session::log_in_tls(program.address, "guest", "guest", client.clone(), HOST).await.map_err(failed)
+        Session::log_in_tls(program.address, "guest", "guest", client.clone(), HOST)
+            .await
+            .map_err(failed)
     };
     let mut secure = [log_in_tls().await?];
     let before = program.cpu();
@@ -131,20 +164,36 @@
         json!((IDLE as f64 / began.elapsed().as_secs_f64()).round()),
     );
     let spent = (program.cpu() - before).max(1e-3);
-    out.insert("of_its_processor".into(), json!((IDLE as f64 / spent).round()));
+    out.insert(
+        "of_its_processor".into(),
+        json!((IDLE as f64 / spent).round()),
+    );
 
     let (empty, began) = (program.memory().0, Instant::now());
     let mut all = vec![];
     for _ in 0..IDLE {
-        all.push(log_in(program.address, "guest", "guest").await.map_err(failed)?);
+        all.push(
+            log_in(program.address, "guest", "guest")
+                .await
+                .map_err(failed)?,
+        );
     }
-    out.insert("log_ins_a_second".into(), json!((IDLE as f64 / began.elapsed().as_secs_f64()).round()));
+    out.insert(
+        "log_ins_a_second".into(),
+        json!((IDLE as f64 / began.elapsed().as_secs_f64()).round()),
+    );
     let idle = program.memory().0;
     for s in all.iter_mut().take(PINNED) {
         s.query("begin").await.map_err(failed)?;
     }
     let pinned = program.memory().0;
-    out.insert("kB_an_idle_session".into(), json!((idle - empty) * 1024.0 / IDLE as f64));
-    out.insert("kB_more_pinned".into(), json!((pinned - idle) * 1024.0 / PINNED as f64));
+    out.insert(
+        "kB_an_idle_session".into(),
+        json!((idle - empty) * 1024.0 / IDLE as f64),
+    );
+    out.insert(
+        "kB_more_pinned".into(),
+        json!((pinned - idle) * 1024.0 / PINNED as f64),
+    );
     Ok(Value::Object(out))
 }
--- a/crates/lab/src/measure_spool.rs
+++ b/crates/lab/src/measure_spool.rs
@@ -20,14 +20,26 @@
 }
 
 impl Spooling<'_> {
-    async fn start(&self, folder: &Folder, engines: &[Engine], spool: &str) -> Result<Program, MeasureError> {
+    async fn start(
+        &self,
+        folder: &Folder,
+        engines: &[Engine],
+        spool: &str,
+    ) -> Result<Program, MeasureError> {
         let mut list = String::new();
         for e in engines {
-            list.push_str(&format!("[[engine]]\nid = {:?}\naddress = \"{}\"\n", e.name(), e.address()));
+            list.push_str(&format!(
+                "[[engine]]\nid = {:?}\naddress = \"{}\"\n",
+                e.name(),
+                e.address()
+            ));
         }
         let (top, rest) = match self.earlier {
             true => ("max_result = 16777216", String::new()),
-            false => ("", format!("[spool]\ndir = {:?}\n{spool}", folder.path().join("spool"))),
+            false => (
+                "",
+                format!("[spool]\ndir = {:?}\n{spool}", folder.path().join("spool")),
+            ),
         };
         let top = format!("max_clients = 500\nconnect_timeout_ms = 1000\n{top}");
         let text = stand::file(&top, &format!("{list}{rest}"));
@@ -37,7 +49,11 @@
 }
 
 async fn results(p: &Program) -> u64 {
-    let page = p.call("GET", "/_spools").await.map(|c| c.1).unwrap_or_default();
+    let page = p
+        .call("GET", "/_spools")
+        .await
+        .map(|c| c.1)
+        .unwrap_or_default();
     let page: Value = serde_json::from_str(&page).unwrap_or_default();
     page["results"].as_u64().unwrap_or(0)
 }
@@ -53,11 +69,18 @@
 pub async fn occupancy(subject: &Spooling<'_>, pace: usize) -> Result<Value, MeasureError> {
     let folder = Folder::new("measure-occupancy")?;
     let engines = stand::engines(1, Duration::from_millis(1)).await?;
-    let program = subject.start(&folder, &engines, "result = \"1 GB\"").await?;
+    let program = subject
+        .start(&folder, &engines, "result = \"1 GB\"")
+        .await?;
     let sql = "select engine from report /* rows(10000, 1000) */";
     for _ in 0..12 {
-        let wants = Wants { receive: (pace > 0).then_some(8192), ..Wants::default() };
-        let mut s = Session::log_in(program.address, "guest", "guest", wants).await.map_err(broken)?;
+        let wants = Wants {
+            receive: (pace > 0).then_some(8192),
+            ..Wants::default()
+        };
+        let mut s = Session::log_in(program.address, "guest", "guest", wants)
+            .await
+            .map_err(broken)?;
         let before = engines[0].ran().iter().filter(|r| r.answered).count();
         let reader = spawn_local(async move {
             match pace {
@@ -90,26 +113,46 @@
 ///
 /// # Errors
 /// The program or a stand-in does not do its part.
-pub async fn readers(subject: &Spooling<'_>, readers: usize, megabytes: u64) -> Result<Value, MeasureError> {
+pub async fn readers(
+    subject: &Spooling<'_>,
+    readers: usize,
+    megabytes: u64,
+) -> Result<Value, MeasureError> {
     let folder = Folder::new("measure-readers")?;
     let engines = stand::engines(2, Duration::from_millis(1)).await?;
     let spool = "memory = \"16 MB\"\ndisk = \"20 GB\"\nresult = \"1 GB\"";
     let program = subject.start(&folder, &engines, spool).await?;
-    let sql = format!("select engine from report /* rows({}, 10000) */", megabytes * 100);
+    let sql = format!(
+        "select engine from report /* rows({}, 10000) */",
+        megabytes * 100
+    );
     let began = now();
     let mut tasks = vec![];
     for n in 0..readers {
-        let wants = Wants { receive: Some(8192), ..Wants::default() };
-        let mut s = Session::log_in(program.address, "guest", "guest", wants).await.map_err(broken)?;
+        let wants = Wants {
+            receive: Some(8192),
+            ..Wants::default()
+        };
+        let mut s = Session::log_in(program.address, "guest", "guest", wants)
+            .await
+            .map_err(broken)?;
         let sql = sql.clone();
         tasks.push(spawn_local(async move {
             let _ = s.send(3, &[sql.as_bytes()]).await;
             s.read_slowly(1000, Duration::from_secs(600)).await
         }));
-        while engines.iter().flat_map(Engine::ran).filter(|r| r.answered).count() < n + 1 {
+        while engines
+            .iter()
+            .flat_map(Engine::ran)
+            .filter(|r| r.answered)
+            .count()
+            < n + 1
+        {
             tokio::time::sleep(Duration::from_millis(20)).await;
             if now() - began > 500_000.0 {
-                return Err(MeasureError::Never(format!("{readers} whole results; {n} are")));
+                return Err(MeasureError::Never(format!(
+                    "{readers} whole results; {n} are"
+                )));
             }
         }
     }
@@ -141,8 +184,13 @@
     let engines = stand::engines(1, Duration::from_millis(1)).await?;
     let spool = "memory = \"16 MB\"\ndisk = \"8 GB\"\nresult = \"4 GB\"";
     let program = subject.start(&folder, &engines, spool).await?;
-    let mut s = Session::log_in(program.address, "guest", "guest", Wants::default()).await.map_err(broken)?;
-    let sql = format!("select engine from report /* rows({}, 100000) */", megabytes * 10);
+    let mut s = Session::log_in(program.address, "guest", "guest", Wants::default())
+        .await
+        .map_err(broken)?;
+    let sql = format!(
+        "select engine from report /* rows({}, 100000) */",
+        megabytes * 10
+    );
     let began = now();
     let mut first = None;
     let each = |n: u64, _: &bytes::Bytes| {
@@ -151,7 +199,10 @@
         }
     };
     let rows = s.each(&sql, each).await.map_err(broken)?;
-    let (all, first) = ((now() - began) / 1000.0, (first.unwrap_or(began) - began) / 1000.0);
+    let (all, first) = (
+        (now() - began) / 1000.0,
+        (first.unwrap_or(began) - began) / 1000.0,
+    );
     Ok(json!({
         "measure": "throughput", "mb": megabytes, "rows": rows, "plain_file_mb_s": megabytes as f64 / plain,
         "into_the_spool_mb_s": megabytes as f64 / first, "out_of_it_mb_s": megabytes as f64 / (all - first),
@@ -167,7 +218,9 @@
     let folder = Folder::new("measure-small")?;
     let engines = stand::engines(2, Duration::ZERO).await?;
     let program = subject.start(&folder, &engines, "").await?;
-    let mut s = Session::log_in(program.address, "guest", "guest", Wants::default()).await.map_err(broken)?;
+    let mut s = Session::log_in(program.address, "guest", "guest", Wants::default())
+        .await
+        .map_err(broken)?;
     let mut spans = vec![];
     for n in 0..requests + 500 {
         let began = std::time::Instant::now();
@@ -178,7 +231,13 @@
         }
     }
     spans.sort_by(f64::total_cmp);
-    let at = |part: f64| spans.get((spans.len() as f64 * part) as usize).copied().unwrap_or(0.0).round();
+    let at = |part: f64| {
+        spans
+            .get((spans.len() as f64 * part) as usize)
+            .copied()
+            .unwrap_or(0.0)
+            .round()
+    };
     Ok(json!({
         "measure": "small", "earlier": subject.earlier, "requests": requests,
         "p50_us": at(0.5), "p90_us": at(0.9), "p99_us": at(0.99),
@@ -196,12 +255,16 @@
     let program = subject.start(&folder, &engines, spool).await?;
     let mut tasks = vec![];
     for n in 0..8 {
-        let mut s =
-            Session::log_in(program.address, "guest", "guest", Wants::default()).await.map_err(broken)?;
+        let mut s = Session::log_in(program.address, "guest", "guest", Wants::default())
+            .await
+            .map_err(broken)?;
         tasks.push(spawn_local(async move {
             let mut done = 0;
             while done < spools / 8 {
-                match s.query(&format!("select engine from r{n} /* rows(70, 1000) */")).await {
+                match s
+                    .query(&format!("select engine from r{n} /* rows(70, 1000) */"))
+                    .await
+                {
                     Ok(_) => done += 1,
                     Err(_) => tokio::time::sleep(Duration::from_millis(50)).await,
                 }
--- a/crates/lab/src/model/engine.rs
+++ b/crates/lab/src/model/engine.rs
@@ -101,7 +101,11 @@
 impl Emulator {
     /// A process that starts now; `warm` from the beginning, as one that started long ago.
     pub fn new(params: Params, now: f64, warm: bool) -> Self {
-        let started = if warm { now - params.warm_within - params.fall_window - 1.0 } else { now };
+        let started = if warm {
+            now - params.warm_within - params.fall_window - 1.0
+        } else {
+            now
+        };
         Emulator {
             params,
             now,
@@ -196,7 +200,11 @@
     pub fn advance(&mut self, now: f64) {
         // Rates change while an engine warms up: small steps follow that closely enough.
         while self.now < now {
-            let step = if self.cold(self.now) { (now - self.now).min(50.0) } else { now - self.now };
+            let step = if self.cold(self.now) {
+                (now - self.now).min(50.0)
+            } else {
+                now - self.now
+            };
             self.step(self.now + step);
         }
     }
@@ -228,7 +236,10 @@
     }
 
     fn truth(&self) -> [f64; 2] {
-        [self.runs.len() as f64, (self.granted / self.params.memory_mb).min(1.0)]
+        [
+            self.runs.len() as f64,
+            (self.granted / self.params.memory_mb).min(1.0),
+        ]
     }
 
     /// Takes a query; false if it has no room for another. `id` is new.
@@ -247,11 +258,23 @@
                 self.fallen = true;
             }
         }
-        let granted = if job.grant_mb > 0.0 { job.grant_mb } else { job.need_mb * p.own_grant };
+        let granted = if job.grant_mb > 0.0 {
+            job.grant_mb
+        } else {
+            job.need_mb * p.own_grant
+        };
         let granted = granted.min(p.memory_mb);
-        let lacks = if job.need_mb > 0.0 { (1.0 - granted / job.need_mb).max(0.0) } else { 0.0 };
+        let lacks = if job.need_mb > 0.0 {
+            (1.0 - granted / job.need_mb).max(0.0)
+        } else {
+            0.0
+        };
         let reads = job.work * job.io;
-        let saved = if self.warm.contains(&job.area) { reads * p.warm_saves } else { 0.0 };
+        let saved = if self.warm.contains(&job.area) {
+            reads * p.warm_saves
+        } else {
+            0.0
+        };
         let total = ((job.work - saved) * (1.0 + (p.spill - 1.0) * lacks)).max(DUST * 2.0);
         let io = ((reads - saved) / (job.work - saved).max(DUST)).clamp(0.0, 1.0);
         let run = Run {
@@ -334,25 +357,40 @@
         }
         let rates = self.rates();
         let runs = self.runs.values().filter(|r| r.state == State::Runs);
-        let next = runs.map(|r| self.now + (r.total - r.done).max(0.0) / Self::pace(r, rates).max(1e-12));
+        let next =
+            runs.map(|r| self.now + (r.total - r.done).max(0.0) / Self::pace(r, rates).max(1e-12));
         let next = next.reduce(f64::min)?;
         // A cold engine quickens: what is far is looked at again.
-        Some(if self.cold(self.now) { next.min(self.now + 100.0) } else { next })
+        Some(if self.cold(self.now) {
+            next.min(self.now + 100.0)
+        } else {
+            next
+        })
     }
 
     /// What has ended by now, with where its time went.
     pub fn ended(&mut self, now: f64) -> Vec<(JobId, Waits)> {
         self.advance(now);
         let over = |r: &Run| r.state == State::Runs && r.total - r.done <= DUST * r.total.max(1.0);
-        let ids: Vec<JobId> = self.runs.iter().filter(|(_, r)| over(r)).map(|(id, _)| *id).collect();
-        ids.into_iter().filter_map(|id| Some((id, self.remove(id)?))).collect()
+        let ids: Vec<JobId> = self
+            .runs
+            .iter()
+            .filter(|(_, r)| over(r))
+            .map(|(id, _)| *id)
+            .collect();
+        ids.into_iter()
+            .filter_map(|id| Some((id, self.remove(id)?)))
+            .collect()
     }
 
     /// Its process ends: all that it had is lost.
     pub fn end(&mut self, now: f64) -> Vec<(JobId, Waits)> {
         self.advance(now);
         let ids: Vec<JobId> = self.runs.keys().copied().collect();
-        let lost = ids.into_iter().filter_map(|id| Some((id, self.remove(id)?))).collect();
+        let lost = ids
+            .into_iter()
+            .filter_map(|id| Some((id, self.remove(id)?)))
+            .collect();
         self.warm.clear();
         lost
     }
@@ -379,7 +417,11 @@
             return vec![];
         }
         let mut notes = vec![];
-        for (id, r) in self.runs.iter_mut().filter(|(_, r)| r.noted + every <= now + DUST) {
+        for (id, r) in self
+            .runs
+            .iter_mut()
+            .filter(|(_, r)| r.noted + every <= now + DUST)
+        {
             r.noted = now;
             let short = r.job.need_mb - r.granted;
             notes.push(match r.state {
@@ -399,11 +441,18 @@
         if self.params.note_every <= 0.0 || self.hung || self.fallen {
             return None;
         }
-        self.runs.values().map(|r| r.noted + self.params.note_every).reduce(f64::min)
+        self.runs
+            .values()
+            .map(|r| r.noted + self.params.note_every)
+            .reduce(f64::min)
     }
 
     /// Threads of what runs.
     pub fn threads(&self) -> f64 {
-        self.runs.values().filter(|r| r.state == State::Runs).map(|r| r.job.threads).sum()
+        self.runs
+            .values()
+            .filter(|r| r.state == State::Runs)
+            .map(|r| r.job.threads)
+            .sum()
     }
 }
--- a/crates/lab/src/model/params.rs
+++ b/crates/lab/src/model/params.rs
@@ -96,7 +96,11 @@
             ("report_every", self.report_every, 0.0),
             ("note_every", self.note_every, 0.0),
         ];
-        let parts = [("floor", self.floor), ("cold_from", self.cold_from), ("warm_saves", self.warm_saves)];
+        let parts = [
+            ("floor", self.floor),
+            ("cold_from", self.cold_from),
+            ("warm_saves", self.warm_saves),
+        ];
         let bad = |key, problem: String| Err(ParamsError { key, problem });
         for (key, v) in above {
             if !(v.is_finite() && v > 0.0) {
--- a/crates/lab/src/model/tests.rs
+++ b/crates/lab/src/model/tests.rs
@@ -60,16 +60,24 @@
     }
     // The first tenth only fills it.
     let times = times.split_off(n as usize / 10);
-    (times.iter().map(|t| t.1).sum::<f64>() / times.len() as f64, times)
+    (
+        times.iter().map(|t| t.1).sum::<f64>() / times.len() as f64,
+        times,
+    )
 }
 
 #[test]
 fn one_core_shared_by_exponential_work_is_the_known_queue() {
     // M/M/1 by processor sharing: the mean time is s / (1 - load), as in turn.
     for (load, seed) in [(0.3, 1), (0.6, 2), (0.8, 3)] {
-        let (mean, _) = mean_times(plain(1.0), load / 100.0, 60_000, seed, |u| -100.0 * libm::log(1.0 - u));
+        let (mean, _) = mean_times(plain(1.0), load / 100.0, 60_000, seed, |u| {
+            -100.0 * libm::log(1.0 - u)
+        });
         let known = 100.0 / (1.0 - load);
-        assert!((mean / known - 1.0).abs() < 0.06, "load {load}: {mean} beside {known}");
+        assert!(
+            (mean / known - 1.0).abs() < 0.06,
+            "load {load}: {mean} beside {known}"
+        );
     }
 }
 
@@ -92,13 +100,27 @@
     assert_eq!(e.next(), Some(100.0));
     assert_eq!(e.ended(100.0).len(), 8);
     let mut e = Emulator::new(plain(8.0), 0.0, true);
-    assert!(e.send(0.0, 1, Job { threads: 3.0, ..job(300.0) }));
-    assert_eq!(e.next(), Some(100.0), "three threads do it in a third of the time");
+    assert!(e.send(
+        0.0,
+        1,
+        Job {
+            threads: 3.0,
+            ..job(300.0)
+        }
+    ));
+    assert_eq!(
+        e.next(),
+        Some(100.0),
+        "three threads do it in a third of the time"
+    );
 }
 
 #[test]
 fn past_the_knee_total_work_falls_and_never_below_its_floor() {
-    let params = Params { disks: 1e9, ..Params::default() };
+    let params = Params {
+        disks: 1e9,
+        ..Params::default()
+    };
     let done = |n: u64| {
         let mut e = Emulator::new(params.clone(), 0.0, true);
         (0..n).for_each(|id| {
@@ -107,39 +129,77 @@
         e.advance(1000.0);
         e.done
     };
-    assert!((done(8) - 8000.0).abs() < 1.0 && (done(14) - 8000.0).abs() < 1.0, "up to the knee all of it");
-    assert!((done(22) - 8000.0 * 0.75).abs() < 1.0, "one thread a core beyond");
+    assert!(
+        (done(8) - 8000.0).abs() < 1.0 && (done(14) - 8000.0).abs() < 1.0,
+        "up to the knee all of it"
+    );
+    assert!(
+        (done(22) - 8000.0 * 0.75).abs() < 1.0,
+        "one thread a core beyond"
+    );
     assert!((done(64) - 8000.0 * 0.3).abs() < 1.0, "{}", done(64));
 }
 
 #[test]
 fn reading_shares_the_disks_and_a_warm_area_saves_it() {
-    let params = Params { disks: 2.0, cores: 8.0, note_every: 0.0, ..Params::default() };
-    let read = |area| Job { io: 1.0, area, ..job(100.0) };
+    let params = Params {
+        disks: 2.0,
+        cores: 8.0,
+        note_every: 0.0,
+        ..Params::default()
+    };
+    let read = |area| Job {
+        io: 1.0,
+        area,
+        ..job(100.0)
+    };
     let mut e = Emulator::new(params, 0.0, true);
     (0..4).for_each(|id| assert!(e.send(0.0, id, read(id))));
-    assert!((e.next().unwrap() - 200.0).abs() < 1e-6, "four on two disks");
+    assert!(
+        (e.next().unwrap() - 200.0).abs() < 1e-6,
+        "four on two disks"
+    );
     e.ended(200.0);
     assert!(e.send(200.0, 9, read(3)));
-    assert!((e.next().unwrap() - 250.0).abs() < 1e-6, "half of it is warm");
+    assert!(
+        (e.next().unwrap() - 250.0).abs() < 1e-6,
+        "half of it is warm"
+    );
     e.ended(250.0);
     (0..4).for_each(|n| {
         let _ = e.send(250.0, 20 + n, read(100 + n));
     });
     e.ended(1000.0);
     assert!(e.send(1000.0, 30, read(3)));
-    assert!((e.next().unwrap() - 1100.0).abs() < 1e-6, "others have been read since");
+    assert!(
+        (e.next().unwrap() - 1100.0).abs() < 1e-6,
+        "others have been read since"
+    );
 }
 
 #[test]
 fn what_lacks_memory_spills_and_what_does_not_fit_waits_in_turn() {
-    let params = Params { memory_mb: 100.0, spill: 3.0, note_every: 500.0, ..Params::default() };
+    let params = Params {
+        memory_mb: 100.0,
+        spill: 3.0,
+        note_every: 500.0,
+        ..Params::default()
+    };
     let mut e = Emulator::new(params, 0.0, true);
-    let big = |need, grant| Job { need_mb: need, grant_mb: grant, ..job(100.0) };
+    let big = |need, grant| Job {
+        need_mb: need,
+        grant_mb: grant,
+        ..job(100.0)
+    };
     assert!(e.send(0.0, 1, big(40.0, 20.0)));
-    assert!((e.next().unwrap() - 200.0).abs() < 1e-6, "half of what it needs: twice the work");
     assert!(
-        e.send(0.0, 2, big(70.0, 70.0)) && e.send(0.0, 3, big(60.0, 60.0)) && e.send(0.0, 4, big(5.0, 5.0))
+        (e.next().unwrap() - 200.0).abs() < 1e-6,
+        "half of what it needs: twice the work"
+    );
+    assert!(
+        e.send(0.0, 2, big(70.0, 70.0))
+            && e.send(0.0, 3, big(60.0, 60.0))
+            && e.send(0.0, 4, big(5.0, 5.0))
     );
     assert_eq!(e.report(), [0.0, 0.0], "it has not looked at itself since");
     // 2 ends at 100, and lets in 3 and, behind it, 4.
@@ -148,36 +208,81 @@
     let (_, waits) = ended.iter().find(|e| e.0 == 3).unwrap();
     assert_eq!((waits.in_line, waits.ran), (100.0, 100.0));
     // Notes tell who spills, and who waits for memory.
-    assert!(e.send(700.0, 7, Job { work: 9e3, ..big(90.0, 30.0) }) && e.send(700.0, 8, big(80.0, 80.0)));
+    assert!(
+        e.send(
+            700.0,
+            7,
+            Job {
+                work: 9e3,
+                ..big(90.0, 30.0)
+            }
+        ) && e.send(700.0, 8, big(80.0, 80.0))
+    );
     let notes = e.notes(1200.0);
-    assert!(notes.contains(&(8, hitchwinch::Note::WaitsForMemory)), "{notes:?}");
-    assert!(notes.contains(&(7, hitchwinch::Note::Spills(60.0))), "{notes:?}");
+    assert!(
+        notes.contains(&(8, hitchwinch::Note::WaitsForMemory)),
+        "{notes:?}"
+    );
+    assert!(
+        notes.contains(&(7, hitchwinch::Note::Spills(60.0))),
+        "{notes:?}"
+    );
 }
 
 #[test]
 fn a_load_holds_its_area_and_readers_of_it_stand() {
-    let mut e = Emulator::new(Params { note_every: 100.0, ..plain(8.0) }, 0.0, true);
-    let load = Job { holds: true, area: 5, from: 2, ..job(300.0) };
-    let reader = |area| Job { stands: true, area, ..job(50.0) };
+    let mut e = Emulator::new(
+        Params {
+            note_every: 100.0,
+            ..plain(8.0)
+        },
+        0.0,
+        true,
+    );
+    let load = Job {
+        holds: true,
+        area: 5,
+        from: 2,
+        ..job(300.0)
+    };
+    let reader = |area| Job {
+        stands: true,
+        area,
+        ..job(50.0)
+    };
     assert!(e.send(0.0, 1, reader(5)) && e.send(10.0, 2, load) && e.send(20.0, 3, reader(5)));
     assert!(e.send(20.0, 4, reader(6)));
     let notes = e.notes(150.0);
     assert!(notes.contains(&(3, Note::WaitsForLoad)) && notes.contains(&(1, Note::WaitsForLoad)));
-    assert_eq!(e.ended(150.0).iter().map(|e| e.0).collect::<Vec<_>>(), [4], "of another area");
+    assert_eq!(
+        e.ended(150.0).iter().map(|e| e.0).collect::<Vec<_>>(),
+        [4],
+        "of another area"
+    );
     assert_eq!(e.next(), Some(310.0));
     e.ended(310.0);
     let done = e.ended(360.0);
     let (_, waits) = done.iter().find(|e| e.0 == 3).unwrap();
     assert_eq!((waits.stood.get(&2), waits.ran), (Some(&290.0), 50.0));
-    let (_, waits) = done.iter().find(|e| e.0 == 1).cloned().unwrap_or_else(|| panic!("{done:?}"));
-    assert_eq!(waits.stood.get(&2), Some(&300.0), "also one that had begun before");
+    let (_, waits) = done
+        .iter()
+        .find(|e| e.0 == 1)
+        .cloned()
+        .unwrap_or_else(|| panic!("{done:?}"));
+    assert_eq!(
+        waits.stood.get(&2),
+        Some(&300.0),
+        "also one that had begun before"
+    );
     use hitchwinch::Note;
 }
 
 #[test]
 fn a_cold_engine_does_less_and_falls_over_when_it_is_pushed() {
     let mut e = Emulator::new(plain(8.0), 0.0, false);
-    assert!((e.capacity_part(0.0) - 0.3).abs() < 1e-9 && (e.capacity_part(15_000.0) - 1.0).abs() < 1e-9);
+    assert!(
+        (e.capacity_part(0.0) - 0.3).abs() < 1e-9 && (e.capacity_part(15_000.0) - 1.0).abs() < 1e-9
+    );
     assert!(e.send(0.0, 1, job(3000.0)));
     let mut at = 0.0;
     while e.len() == 1 {
@@ -202,7 +307,10 @@
     let mut e = Emulator::new(plain(1.0), 0.0, true);
     e.send(0.0, 1, job(100.0));
     e.hang(50.0, true);
-    assert_eq!((e.next(), e.ended(500.0).len(), e.notes(600.0).len()), (None, 0, 0));
+    assert_eq!(
+        (e.next(), e.ended(500.0).len(), e.notes(600.0).len()),
+        (None, 0, 0)
+    );
     e.hang(600.0, false);
     assert_eq!(e.next(), Some(650.0));
     assert_eq!(e.end(620.0).len(), 1);
--- a/crates/lab/src/program.rs
+++ b/crates/lab/src/program.rs
@@ -72,7 +72,12 @@
     ///
     /// # Errors
     /// It does not start, or ends before it listens.
-    pub async fn start(binary: &Path, folder: &Folder, name: &str, text: &str) -> Result<Self, ProgramError> {
+    pub async fn start(
+        binary: &Path,
+        folder: &Folder,
+        name: &str,
+        text: &str,
+    ) -> Result<Self, ProgramError> {
         let file = folder.path().join(format!("{name}.toml"));
         std::fs::write(&file, text)?;
         let mut child = Command::new(binary)
@@ -95,10 +100,21 @@
             });
         }
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
-        let mut program = Program { child, address: nowhere, admin: None, file, log };
+        let mut program = Program {
+            child,
+            address: nowhere,
+            admin: None,
+            file,
+            log,
+        };
         let line = program.says("listens on ").await?;
         program.address = after(&line, "listens on ").unwrap_or(nowhere);
-        let told = program.log.lines.borrow().iter().find_map(|l| after(l, "operators call at "));
+        let told = program
+            .log
+            .lines
+            .borrow()
+            .iter()
+            .find_map(|l| after(l, "operators call at "));
         program.admin = told;
         Ok(program)
     }
@@ -108,7 +124,10 @@
     /// # Errors
     /// None came in time.
     pub async fn says(&self, what: &str) -> Result<String, ProgramError> {
-        let silent = || ProgramError::Silent { what: what.into(), log: self.log.lines.borrow().clone() };
+        let silent = || ProgramError::Silent {
+            what: what.into(),
+            log: self.log.lines.borrow().clone(),
+        };
         let wait = async {
             loop {
                 let more = self.log.more.notified();
@@ -134,7 +153,11 @@
     /// # Errors
     /// The machine's `kill` is not to be had.
     pub async fn signal(&self, name: &str) -> Result<(), ProgramError> {
-        Command::new("kill").arg(format!("-{name}")).arg(self.id().to_string()).status().await?;
+        Command::new("kill")
+            .arg(format!("-{name}"))
+            .arg(self.id().to_string())
+            .status()
+            .await?;
         Ok(())
     }
 
@@ -156,14 +179,21 @@
         let admin = self.admin.ok_or_else(unanswered)?;
         let exchange = async {
             let mut tcp = TcpStream::connect(admin).await?;
-            tcp.write_all(format!("{method} {path} HTTP/1.1\r\nHost: lab\r\n\r\n").as_bytes()).await?;
+            tcp.write_all(format!("{method} {path} HTTP/1.1\r\nHost: lab\r\n\r\n").as_bytes())
+                .await?;
             let mut text = String::new();
             tcp.read_to_string(&mut text).await?;
             Ok::<_, io::Error>(text)
         };
-        let text = tokio::time::timeout(WAIT, exchange).await.map_err(|_| unanswered())??;
+        let text = tokio::time::timeout(WAIT, exchange)
+            .await
+            .map_err(|_| unanswered())??;
         let (head, body) = text.split_once("\r\n\r\n").ok_or_else(unanswered)?;
-        let code = head.split(' ').nth(1).and_then(|c| c.parse().ok()).ok_or_else(unanswered)?;
+        let code = head
+            .split(' ')
+            .nth(1)
+            .and_then(|c| c.parse().ok())
+            .ok_or_else(unanswered)?;
         Ok((code, body.to_string()))
     }
 
@@ -195,7 +225,10 @@
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        let silent = || ProgramError::Silent { what: what.into(), log: self.log() };
+        let silent = || ProgramError::Silent {
+            what: what.into(),
+            log: self.log(),
+        };
         tokio::time::timeout(WAIT, wait).await.map_err(|_| silent())
     }
 
@@ -206,7 +239,9 @@
     pub async fn ends(mut self) -> Result<bool, ProgramError> {
         self.signal("TERM").await?;
         let ended = tokio::time::timeout(Duration::from_secs(35), self.child.wait()).await;
-        Ok(ended.map_err(|_| ProgramError::Unanswered("SIGTERM".into()))??.success())
+        Ok(ended
+            .map_err(|_| ProgramError::Unanswered("SIGTERM".into()))??
+            .success())
     }
 
     /// Ends it without a word.
@@ -220,18 +255,36 @@
     /// Seconds of processor time that it has taken so far.
     pub fn cpu(&self) -> f64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.id())).unwrap_or_default();
-        let fields: Vec<&str> = stat.rsplit(") ").next().unwrap_or_default().split(' ').collect();
-        let ticks = |n: usize| fields.get(n).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
+        let fields: Vec<&str> = stat
+            .rsplit(") ")
+            .next()
+            .unwrap_or_default()
+            .split(' ')
+            .collect();
+        let ticks = |n: usize| {
+            fields
+                .get(n)
+                .and_then(|f| f.parse::<f64>().ok())
+                .unwrap_or(0.0)
+        };
         // The kernel's clock ticks a hundred times a second wherever this runs.
         (ticks(11) + ticks(12)) / 100.0
     }
 
     /// Megabytes of memory: now, and the most so far.
     pub fn memory(&self) -> (f64, f64) {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.id())).unwrap_or_default();
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", self.id())).unwrap_or_default();
         let line = |name: &str| {
-            let line = status.lines().find(|l| l.starts_with(name)).unwrap_or_default();
-            line.split_whitespace().nth(1).and_then(|n| n.parse::<f64>().ok()).unwrap_or(0.0) / 1024.0
+            let line = status
+                .lines()
+                .find(|l| l.starts_with(name))
+                .unwrap_or_default();
+            line.split_whitespace()
+                .nth(1)
+                .and_then(|n| n.parse::<f64>().ok())
+                .unwrap_or(0.0)
+                / 1024.0
         };
         (line("VmRSS:"), line("VmHWM:"))
     }
--- a/crates/lab/src/random.rs
+++ b/crates/lab/src/random.rs
@@ -19,9 +19,9 @@
 
     pub fn stream(&self, name: &str) -> Stream {
         // FNV-1a of the name beside the seed: any mixing does, so long as it stays the same.
-        let hash = name
-            .bytes()
-            .fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
+        let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325u64, |h, b| {
+            (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+        });
         let mut seed = [0; 32];
         seed[..8].copy_from_slice(&self.0.to_le_bytes());
         seed[8..16].copy_from_slice(&hash.to_le_bytes());
@@ -86,7 +86,9 @@
 
 /// Weights of Zipf's law over so many, with this exponent.
 pub fn zipf(n: usize, exponent: f64) -> Vec<f64> {
-    (1..=n).map(|rank| libm::pow(rank as f64, -exponent)).collect()
+    (1..=n)
+        .map(|rank| libm::pow(rank as f64, -exponent))
+        .collect()
 }
 
 #[cfg(test)]
@@ -97,9 +99,15 @@
     fn a_stream_is_the_same_everywhere_and_none_disturbs_another() {
         let s = Streams::new(7);
         let mut a = s.stream("sizes");
-        assert_eq!([a.bits(), a.bits()], [s.stream("sizes").bits(), a.clone_second("sizes", s)]);
+        assert_eq!(
+            [a.bits(), a.bits()],
+            [s.stream("sizes").bits(), a.clone_second("sizes", s)]
+        );
         assert_ne!(s.stream("sizes").bits(), s.stream("areas").bits());
-        assert_ne!(s.numbered("gateway", 1).bits(), s.numbered("gateway", 2).bits());
+        assert_ne!(
+            s.numbered("gateway", 1).bits(),
+            s.numbered("gateway", 2).bits()
+        );
         // The very numbers: another machine that draws others would compare other days.
         assert_eq!(Streams::new(1).stream("arrivals").bits(), ARRIVALS);
     }
@@ -126,6 +134,9 @@
         let w = zipf(3, 1.0);
         let mut counts = [0; 3];
         (0..60_000).for_each(|_| counts[s.weighted(&w)] += 1);
-        assert!((f64::from(counts[0]) / f64::from(counts[2]) - 3.0).abs() < 0.15, "{counts:?}");
+        assert!(
+            (f64::from(counts[0]) / f64::from(counts[2]) - 3.0).abs() < 0.15,
+            "{counts:?}"
+        );
     }
 }
--- a/crates/lab/src/raw.rs
+++ b/crates/lab/src/raw.rs
@@ -77,7 +77,14 @@
         // Its hello would wait for the wish before it to be acknowledged.
         tcp.set_nodelay(true)?;
         let stream = Stream::from(tcp);
-        Self::greet(stream, user, password, Wants::default(), Some((config, host))).await
+        Self::greet(
+            stream,
+            user,
+            password,
+            Wants::default(),
+            Some((config, host)),
+        )
+        .await
     }
 
     /// The certificate that the server has shown.
@@ -92,12 +99,26 @@
         wants: Wants,
         tls: Option<(Arc<ClientConfig>, &str)>,
     ) -> Result<Self, PacketError> {
-        let mut wire = Framed::new(stream, PacketCodec { most: (1 << 24) - 2, sequence: 0 });
-        let Some(greeting) = wire.next().await else { return broken() };
+        let mut wire = Framed::new(
+            stream,
+            PacketCodec {
+                most: (1 << 24) - 2,
+                sequence: 0,
+            },
+        );
+        let Some(greeting) = wire.next().await else {
+            return broken();
+        };
         let greeting = Greeting::read(greeting?)?;
         let proof = auth::proof(&greeting.plugin, password, &greeting.nonce).unwrap_or_default();
         let ends = Ends::default();
-        let login = Login { user: user.into(), auth: proof, schema: None, plugin: greeting.plugin, ends };
+        let login = Login {
+            user: user.into(),
+            auth: proof,
+            schema: None,
+            plugin: greeting.plugin,
+            ends,
+        };
         let mut login = login.write(1 << 24);
         let mut flags = u32::from_le_bytes([login[0], login[1], login[2], login[3]]);
         flags |= if wants.ok_for_eof { DEPRECATE_EOF } else { 0 };
@@ -108,15 +129,23 @@
             // The same head alone, then all of it again in TLS.
             wire.send(&login[..32]).await?;
             let mut parts = wire.into_parts();
-            let Stream::Plain(tcp) = parts.io else { return broken() };
+            let Stream::Plain(tcp) = parts.io else {
+                return broken();
+            };
             let host = ServerName::try_from(host.to_string());
             let host = host.map_err(|_| PacketError::Protocol("the host is no name"))?;
-            let secured = TlsConnector::from(config).connect(host, Ahead::new(BytesMut::new(), tcp)).await?;
+            let secured = TlsConnector::from(config)
+                .connect(host, Ahead::new(BytesMut::new(), tcp))
+                .await?;
             parts.io = Stream::Tls(Box::new(TlsStream::Client(secured)));
             wire = Framed::from_parts(parts);
         }
         wire.send(&login[..]).await?;
-        let mut s = Session { number: greeting.connection, wire, ok_for_eof: wants.ok_for_eof };
+        let mut s = Session {
+            number: greeting.connection,
+            wire,
+            ok_for_eof: wants.ok_for_eof,
+        };
         let p = s.next().await?;
         match p.first() {
             Some(0) => Ok(s),
@@ -130,14 +159,26 @@
     /// The connection's, or that it is turned away.
     pub async fn change_user(&mut self, user: &str, password: &str) -> Result<(), PacketError> {
         // Whatever stands as its proof, the server asks anew with a nonce of its own.
-        self.send(CHANGE_USER, &[user.as_bytes(), &[0, 0, 0, UTF8, 0], auth::NATIVE.as_bytes(), &[0]])
-            .await?;
+        self.send(
+            CHANGE_USER,
+            &[
+                user.as_bytes(),
+                &[0, 0, 0, UTF8, 0],
+                auth::NATIVE.as_bytes(),
+                &[0],
+            ],
+        )
+        .await?;
         let p = self.next().await?;
         let mut r = Reader(p.slice(1..));
         if p.first() != Some(&0xfe) || r.text() != auth::NATIVE {
             return Err(PacketError::Protocol("it asks for no proof"));
         }
-        let proof = auth::proof(auth::NATIVE, password, r.0.strip_suffix(&[0]).unwrap_or(&r.0));
+        let proof = auth::proof(
+            auth::NATIVE,
+            password,
+            r.0.strip_suffix(&[0]).unwrap_or(&r.0),
+        );
         self.wire.send(&proof.unwrap_or_default()[..]).await?;
         let p = self.next().await?;
         match p.first() {
@@ -188,7 +229,13 @@
         let first = self.next().await?;
         match first.first() {
             Some(0xff) => return Err(PacketError::Sql(read_err(&first))),
-            Some(0) => return Ok(Answer { columns: 0, rows: vec![], last: first }),
+            Some(0) => {
+                return Ok(Answer {
+                    columns: 0,
+                    rows: vec![],
+                    last: first,
+                });
+            }
             _ => {}
         }
         let columns = usize::from(first[0]);
@@ -209,7 +256,11 @@
             match p.first() {
                 Some(0xff) => return Err(PacketError::Sql(read_err(&p))),
                 Some(0xfe) if p.len() < 0xff_ffff && (self.ok_for_eof || p.len() < 9) => {
-                    return Ok(Answer { columns, rows, last: p });
+                    return Ok(Answer {
+                        columns,
+                        rows,
+                        last: p,
+                    });
                 }
                 _ => rows.push(p),
             }
@@ -220,7 +271,11 @@
     ///
     /// # Errors
     /// The connection's, or the server's, also one that breaks a result off.
-    pub async fn each(&mut self, sql: &str, mut row: impl FnMut(u64, &Bytes)) -> Result<u64, PacketError> {
+    pub async fn each(
+        &mut self,
+        sql: &str,
+        mut row: impl FnMut(u64, &Bytes),
+    ) -> Result<u64, PacketError> {
         self.send(QUERY, &[sql.as_bytes()]).await?;
         let first = self.next().await?;
         if first.first() == Some(&0xff) {
@@ -264,7 +319,11 @@
     /// # Errors
     /// The connection's, or the server's.
     pub async fn execute(&mut self, id: u32, cursor: bool) -> Result<Answer, PacketError> {
-        self.send(STMT_EXECUTE, &[&id.to_le_bytes(), &[u8::from(cursor), 1, 0, 0, 0]]).await?;
+        self.send(
+            STMT_EXECUTE,
+            &[&id.to_le_bytes(), &[u8::from(cursor), 1, 0, 0, 0]],
+        )
+        .await?;
         if !cursor {
             return self.answer().await;
         }
@@ -277,7 +336,11 @@
             self.next().await?;
         }
         let last = self.next().await?;
-        Ok(Answer { columns, rows: vec![], last })
+        Ok(Answer {
+            columns,
+            rows: vec![],
+            last,
+        })
     }
 
     /// The next rows of its cursor.
@@ -285,7 +348,8 @@
     /// # Errors
     /// The connection's, or the server's.
     pub async fn fetch(&mut self, id: u32, rows: u32) -> Result<Answer, PacketError> {
-        self.send(STMT_FETCH, &[&id.to_le_bytes(), &rows.to_le_bytes()]).await?;
+        self.send(STMT_FETCH, &[&id.to_le_bytes(), &rows.to_le_bytes()])
+            .await?;
         self.rows(0).await
     }
 
@@ -293,7 +357,11 @@
     ///
     /// # Errors
     /// The connection's; its end is none.
-    pub async fn read_slowly(&mut self, bytes_a_second: usize, span: Duration) -> Result<usize, PacketError> {
+    pub async fn read_slowly(
+        &mut self,
+        bytes_a_second: usize,
+        span: Duration,
+    ) -> Result<usize, PacketError> {
         let (mut all, step) = (0, Duration::from_millis(100));
         let began = tokio::time::Instant::now();
         let mut buffer = vec![0; (bytes_a_second / 10).max(1)];
@@ -311,13 +379,20 @@
 /// The text of a row's first column.
 pub fn text(row: &Bytes, binary: bool) -> Option<String> {
     let mut r = Reader(row.slice(if binary { 2 } else { 0 }..));
-    r.lenenc_bytes().ok().map(|b| String::from_utf8_lossy(&b).into_owned())
+    r.lenenc_bytes()
+        .ok()
+        .map(|b| String::from_utf8_lossy(&b).into_owned())
 }
 
 /// All columns of a row of texts.
 pub fn texts(row: &Bytes) -> Vec<String> {
     let mut r = Reader(row.clone());
-    std::iter::from_fn(|| r.lenenc_bytes().ok().map(|b| String::from_utf8_lossy(&b).into_owned())).collect()
+    std::iter::from_fn(|| {
+        r.lenenc_bytes()
+            .ok()
+            .map(|b| String::from_utf8_lossy(&b).into_owned())
+    })
+    .collect()
 }
 
 /// The server's error in a result.
--- a/crates/lab/src/registry/document.rs
+++ b/crates/lab/src/registry/document.rs
@@ -13,7 +13,9 @@
 
 /// Text within XML.
 fn escaped(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
 }
 
 fn over(i: &Instance) -> &'static str {
@@ -21,8 +23,11 @@
 }
 
 pub fn json_instance(i: &Instance) -> String {
-    let metadata: Vec<String> =
-        i.metadata.iter().map(|(k, v)| format!("{}:{}", quoted(k), quoted(v))).collect();
+    let metadata: Vec<String> = i
+        .metadata
+        .iter()
+        .map(|(k, v)| format!("{}:{}", quoted(k), quoted(v)))
+        .collect();
     format!(
         concat!(
             r#"{{"instanceId":{id},"hostName":{host},"app":{app},"ipAddr":{ip},"status":"{status}","#,
@@ -94,20 +99,29 @@
 
 fn by_app<'a>(instances: &[&'a Instance]) -> BTreeMap<&'a str, Vec<&'a Instance>> {
     let mut apps: BTreeMap<&str, Vec<&Instance>> = BTreeMap::new();
-    instances.iter().for_each(|i| apps.entry(&i.app).or_default().push(i));
+    instances
+        .iter()
+        .for_each(|i| apps.entry(&i.app).or_default().push(i));
     apps
 }
 
 fn json_application(name: &str, instances: &[&Instance]) -> String {
     let all: Vec<String> = instances.iter().map(|i| json_instance(i)).collect();
     // One instance stands without brackets, as registries write it.
-    let list = if all.len() == 1 { all[0].clone() } else { format!("[{}]", all.join(",")) };
+    let list = if all.len() == 1 {
+        all[0].clone()
+    } else {
+        format!("[{}]", all.join(","))
+    };
     format!(r#"{{"name":{},"instance":{list}}}"#, quoted(name))
 }
 
 fn xml_application(name: &str, instances: &[&Instance]) -> String {
     let all: String = instances.iter().map(|i| xml_instance(i)).collect();
-    format!("<application><name>{}</name>{all}</application>", escaped(name))
+    format!(
+        "<application><name>{}</name>{all}</application>",
+        escaped(name)
+    )
 }
 
 /// All, or a delta, or those under one name.
@@ -115,14 +129,20 @@
     let apps = by_app(instances);
     match xml {
         true => {
-            let all: String = apps.iter().map(|(name, i)| xml_application(name, i)).collect();
+            let all: String = apps
+                .iter()
+                .map(|(name, i)| xml_application(name, i))
+                .collect();
             format!(
                 "<applications><versions__delta>1</versions__delta>\
                  <apps__hashcode>{hashcode}</apps__hashcode>{all}</applications>"
             )
         }
         false => {
-            let all: Vec<String> = apps.iter().map(|(name, i)| json_application(name, i)).collect();
+            let all: Vec<String> = apps
+                .iter()
+                .map(|(name, i)| json_application(name, i))
+                .collect();
             format!(
                 r#"{{"applications":{{"versions__delta":"1","apps__hashcode":"{hashcode}","application":[{}]}}}}"#,
                 all.join(",")
@@ -141,5 +161,9 @@
 
 /// One instance alone.
 pub fn instance(xml: bool, i: &Instance) -> String {
-    if xml { xml_instance(i) } else { format!(r#"{{"instance":{}}}"#, json_instance(i)) }
+    if xml {
+        xml_instance(i)
+    } else {
+        format!(r#"{{"instance":{}}}"#, json_instance(i))
+    }
 }
--- a/crates/lab/src/registry/leases.rs
+++ b/crates/lab/src/registry/leases.rs
@@ -16,7 +16,11 @@
 
 impl Default for Rules {
     fn default() -> Self {
-        Rules { lease: 90_000.0, preserve: 0.85, retention: 180_000.0 }
+        Rules {
+            lease: 90_000.0,
+            preserve: 0.85,
+            retention: 180_000.0,
+        }
     }
 }
 
@@ -110,7 +114,13 @@
 
 impl Leases {
     pub fn new(rules: Rules) -> Self {
-        Leases { rules, all: BTreeMap::new(), recent: VecDeque::new(), renewals: VecDeque::new(), evicted: 0 }
+        Leases {
+            rules,
+            all: BTreeMap::new(),
+            recent: VecDeque::new(),
+            renewals: VecDeque::new(),
+            evicted: 0,
+        }
     }
 
     pub fn instances(&self) -> impl Iterator<Item = &Instance> {
@@ -129,15 +139,23 @@
     /// `DOWN_1_UP_7_`, over all applications.
     pub fn hashcode(&self) -> String {
         let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
-        self.all.values().for_each(|i| *counts.entry(i.listed().word()).or_default() += 1);
-        counts.iter().map(|(status, n)| format!("{status}_{n}_")).collect()
+        self.all
+            .values()
+            .for_each(|i| *counts.entry(i.listed().word()).or_default() += 1);
+        counts
+            .iter()
+            .map(|(status, n)| format!("{status}_{n}_"))
+            .collect()
     }
 
     fn changed(&mut self, now: f64, mut instance: Instance, action: &'static str) {
         instance.action = action;
         self.recent.push_back((now, instance));
         // Bounded by what is told in deltas, and by number.
-        while self.recent.front().is_some_and(|r| r.0 + self.rules.retention < now)
+        while self
+            .recent
+            .front()
+            .is_some_and(|r| r.0 + self.rules.retention < now)
             || self.recent.len() > 65_536
         {
             self.recent.pop_front();
@@ -173,7 +191,11 @@
         if new.listed() == Status::Up && new.up == 0.0 {
             new.up = now;
         }
-        let action = if self.all.contains_key(&key) { "MODIFIED" } else { "ADDED" };
+        let action = if self.all.contains_key(&key) {
+            "MODIFIED"
+        } else {
+            "ADDED"
+        };
         self.all.insert(key, new.clone());
         self.changed(now, new, action);
     }
@@ -197,7 +219,9 @@
 
     /// The instance's own end, or a `DELETE` from a replica.
     pub fn cancel(&mut self, now: f64, app: &str, id: &str) -> bool {
-        let Some(mut gone) = self.all.remove(&(app.to_uppercase(), id.to_string())) else { return false };
+        let Some(mut gone) = self.all.remove(&(app.to_uppercase(), id.to_string())) else {
+            return false;
+        };
         gone.updated = now as u64;
         self.changed(now, gone, "DELETED");
         true
@@ -205,7 +229,9 @@
 
     /// Operators set a status over the instance's, or take it back.
     pub fn set_override(&mut self, now: f64, app: &str, id: &str, status: Option<Status>) -> bool {
-        let Some(i) = self.all.get_mut(&(app.to_uppercase(), id.to_string())) else { return false };
+        let Some(i) = self.all.get_mut(&(app.to_uppercase(), id.to_string())) else {
+            return false;
+        };
         (i.overridden, i.updated) = (status, (now as u64).max(i.updated + 1));
         let changed = i.clone();
         self.changed(now, changed, "MODIFIED");
@@ -215,8 +241,16 @@
     /// Renewals are fewer than what the leases promise: the registry doubts its own sight.
     pub fn preserves(&self, now: f64) -> bool {
         // A lease is renewed three times within its length.
-        let due: f64 = self.all.values().map(|i| 3.0 * 60_000.0 / i.duration.max(1.0)).sum();
-        let heard = self.renewals.iter().filter(|r| **r + 60_000.0 >= now).count() as f64;
+        let due: f64 = self
+            .all
+            .values()
+            .map(|i| 3.0 * 60_000.0 / i.duration.max(1.0))
+            .sum();
+        let heard = self
+            .renewals
+            .iter()
+            .filter(|r| **r + 60_000.0 >= now)
+            .count() as f64;
         self.rules.preserve > 0.0 && heard < self.rules.preserve * due
     }
 
@@ -229,9 +263,17 @@
             p if p > 0.0 => (((1.0 - p) * self.all.len() as f64) as usize).max(1),
             _ => usize::MAX,
         };
-        let over: Vec<Key> =
-            self.all.iter().filter(|(_, i)| i.expires() < now).map(|(k, _)| k.clone()).take(most).collect();
-        let gone: Vec<Instance> = over.iter().filter_map(|k| self.all.get(k).cloned()).collect();
+        let over: Vec<Key> = self
+            .all
+            .iter()
+            .filter(|(_, i)| i.expires() < now)
+            .map(|(k, _)| k.clone())
+            .take(most)
+            .collect();
+        let gone: Vec<Instance> = over
+            .iter()
+            .filter_map(|k| self.all.get(k).cloned())
+            .collect();
         for (app, id) in over {
             self.cancel(now, &app, &id);
             self.evicted += 1;
@@ -245,9 +287,15 @@
     use super::*;
 
     fn leases(preserve: f64) -> Leases {
-        let mut l = Leases::new(Rules { preserve, ..Rules::default() });
+        let mut l = Leases::new(Rules {
+            preserve,
+            ..Rules::default()
+        });
         for n in 0..10 {
-            l.register(1000.0, Instance::engine("engines", &format!("e{n}"), 1 + n, 1000.0));
+            l.register(
+                1000.0,
+                Instance::engine("engines", &format!("e{n}"), 1 + n, 1000.0),
+            );
         }
         l
     }
@@ -259,7 +307,13 @@
         assert_eq!(l.evict(91_001.0).len(), 9);
         assert_eq!((l.hashcode().as_str(), l.evicted), ("UP_1_", 9));
         assert_eq!(l.renew(91_002.0, "engines", "e4", None), Renewed::Unknown);
-        assert_eq!(l.delta(91_002.0).iter().filter(|i| i.action == "DELETED").count(), 9);
+        assert_eq!(
+            l.delta(91_002.0)
+                .iter()
+                .filter(|i| i.action == "DELETED")
+                .count(),
+            9
+        );
     }
 
     #[test]
@@ -270,10 +324,19 @@
         // All are heard often enough but one: that one goes.
         for at in [100_000.0, 120_000.0, 140_000.0] {
             for n in 0..9 {
-                assert_eq!(l.renew(at, "engines", &format!("e{n}"), None), Renewed::Done);
+                assert_eq!(
+                    l.renew(at, "engines", &format!("e{n}"), None),
+                    Renewed::Done
+                );
             }
         }
-        assert_eq!(l.evict(141_000.0).iter().map(|i| i.id.as_str()).collect::<Vec<_>>(), ["e9"]);
+        assert_eq!(
+            l.evict(141_000.0)
+                .iter()
+                .map(|i| i.id.as_str())
+                .collect::<Vec<_>>(),
+            ["e9"]
+        );
     }
 
     #[test]
@@ -281,7 +344,10 @@
         let mut l = leases(0.0);
         assert!(l.set_override(2000.0, "engines", "e1", Some(Status::OutOfService)));
         assert_eq!(l.hashcode(), "OUT_OF_SERVICE_1_UP_9_");
-        let again = Instance { dirty: 2001, ..Instance::engine("engines", "e1", 2, 2001.0) };
+        let again = Instance {
+            dirty: 2001,
+            ..Instance::engine("engines", "e1", 2, 2001.0)
+        };
         l.register(2001.0, again);
         assert_eq!(
             l.get("engines", "e1").unwrap().listed(),
@@ -290,9 +356,16 @@
         );
         assert!(l.set_override(3000.0, "engines", "e1", None));
         let delta = l.delta(3000.0);
-        assert_eq!((delta.len(), delta.last().unwrap().listed()), (10, Status::Up));
+        assert_eq!(
+            (delta.len(), delta.last().unwrap().listed()),
+            (10, Status::Up)
+        );
         assert!(l.delta(200_000.0).is_empty(), "the retention is over");
-        let older = Instance { dirty: 1, status: Status::Down, ..Instance::engine("engines", "e1", 2, 1.0) };
+        let older = Instance {
+            dirty: 1,
+            status: Status::Down,
+            ..Instance::engine("engines", "e1", 2, 1.0)
+        };
         l.register(3001.0, older);
         assert_eq!(
             l.get("engines", "e1").unwrap().listed(),
--- a/crates/lab/src/registry/server.rs
+++ b/crates/lab/src/registry/server.rs
@@ -10,7 +10,9 @@
 use http_body_util::combinators::BoxBody;
 use http_body_util::{BodyExt, Full, Limited, StreamBody};
 use hyper::body::{Frame, Incoming};
-use hyper::header::{ACCEPT, ACCEPT_ENCODING, AUTHORIZATION, CONTENT_ENCODING, CONTENT_TYPE, LOCATION};
+use hyper::header::{
+    ACCEPT, ACCEPT_ENCODING, AUTHORIZATION, CONTENT_ENCODING, CONTENT_TYPE, LOCATION,
+};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
@@ -294,7 +296,10 @@
     fn shown(&self, anew: bool) -> Rc<Shown> {
         let mut shown = self.0.shown.borrow_mut();
         let stale = *self.0.fault.borrow() == Fault::Stale;
-        if let Some(s) = shown.as_ref().filter(|s| !anew && (stale || s.at + self.0.cache.get() > now())) {
+        if let Some(s) = shown
+            .as_ref()
+            .filter(|s| !anew && (stale || s.at + self.0.cache.get() > now()))
+        {
             return s.clone();
         }
         let leases = self.0.leases.borrow();
@@ -312,14 +317,21 @@
     fn note(&self, instances: &[&Instance]) {
         let mut watched = self.0.watched.borrow_mut();
         for (id, told) in watched.iter_mut().filter(|w| w.1.is_none()) {
-            if instances.iter().any(|i| i.id == *id && (i.listed() != Status::Up || i.action == "DELETED")) {
+            if instances
+                .iter()
+                .any(|i| i.id == *id && (i.listed() != Status::Up || i.action == "DELETED"))
+            {
                 *told = Some(now());
             }
         }
     }
 
     async fn answer(&self, request: Request<Incoming>) -> io::Result<Response<Body>> {
-        let path = request.uri().path_and_query().map_or("", |p| p.as_str()).to_string();
+        let path = request
+            .uri()
+            .path_and_query()
+            .map_or("", |p| p.as_str())
+            .to_string();
         let method = request.method().clone();
         {
             let mut calls = self.0.calls.borrow_mut();
@@ -328,27 +340,39 @@
             }
             calls.push_back((now(), format!("{method} {path}")));
         }
-        let header = |name| request.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or_default();
+        let header = |name| {
+            request
+                .headers()
+                .get(name)
+                .and_then(|v| v.to_str().ok())
+                .unwrap_or_default()
+        };
         let wanted = self.0.authorization.borrow().clone();
         if wanted.is_some_and(|w| header(AUTHORIZATION) != w) {
             return Ok(plain(StatusCode::UNAUTHORIZED, ""));
         }
         let xml = header(ACCEPT).contains("xml");
         let gzip = header(ACCEPT_ENCODING).contains("gzip");
-        let Some(rest) = path.strip_prefix("/eureka") else { return Ok(plain(StatusCode::NOT_FOUND, "")) };
+        let Some(rest) = path.strip_prefix("/eureka") else {
+            return Ok(plain(StatusCode::NOT_FOUND, ""));
+        };
         let (rest, query) = rest.split_once('?').unwrap_or((rest, ""));
         let parts: Vec<String> = rest
             .split('/')
             .skip(1)
             .map(|p| {
-                url::form_urlencoded::parse(p.as_bytes()).next().map_or(String::new(), |p| p.0.into_owned())
+                url::form_urlencoded::parse(p.as_bytes())
+                    .next()
+                    .map_or(String::new(), |p| p.0.into_owned())
             })
             .collect();
         let parts: Vec<&str> = parts.iter().map(String::as_str).collect();
         match (&method, &parts[..]) {
             (&Method::POST, ["apps", app]) => {
                 let body = Limited::new(request.into_body(), MOST).collect().await;
-                let Ok(body) = body else { return Ok(plain(StatusCode::BAD_REQUEST, "too long")) };
+                let Ok(body) = body else {
+                    return Ok(plain(StatusCode::BAD_REQUEST, "too long"));
+                };
                 return Ok(self.registered(app, &body.to_bytes()));
             }
             (&Method::PUT, ["apps", app, id]) => {
@@ -362,13 +386,27 @@
             }
             (&Method::DELETE, ["apps", app, id]) => {
                 let done = self.change(Copied::Cancel(app.to_string(), id.to_string()));
-                return Ok(plain(if done { StatusCode::OK } else { StatusCode::NOT_FOUND }, ""));
+                return Ok(plain(
+                    if done {
+                        StatusCode::OK
+                    } else {
+                        StatusCode::NOT_FOUND
+                    },
+                    "",
+                ));
             }
             (&Method::PUT | &Method::DELETE, ["apps", app, id, "status"]) => {
                 let status = value(query, "value").filter(|_| method == Method::PUT);
                 let status = status.map(|s| Status::parse(&s));
                 let done = self.change(Copied::Override(app.to_string(), id.to_string(), status));
-                return Ok(plain(if done { StatusCode::OK } else { StatusCode::NOT_FOUND }, ""));
+                return Ok(plain(
+                    if done {
+                        StatusCode::OK
+                    } else {
+                        StatusCode::NOT_FOUND
+                    },
+                    "",
+                ));
             }
             (&Method::GET, _) => {}
             _ => return Ok(plain(StatusCode::METHOD_NOT_ALLOWED, "")),
@@ -377,14 +415,23 @@
         if let Fault::Delay(span) = fault {
             tokio::time::sleep(span).await;
         }
-        let Some(text) = self.list(&fault, xml, &parts) else { return Ok(plain(StatusCode::NOT_FOUND, "")) };
+        let Some(text) = self.list(&fault, xml, &parts) else {
+            return Ok(plain(StatusCode::NOT_FOUND, ""));
+        };
         Ok(self.troubled(fault, xml, gzip, text, rest))
     }
 
     fn registered(&self, app: &str, body: &[u8]) -> Response<Body> {
         // The reader is the dispatcher's own: what it sends must at least read as what it meant.
-        let Ok(document) = format::json(body) else { return plain(StatusCode::BAD_REQUEST, "no instance") };
-        let Some(i) = document.applications.iter().flat_map(|a| &a.instances).next() else {
+        let Ok(document) = format::json(body) else {
+            return plain(StatusCode::BAD_REQUEST, "no instance");
+        };
+        let Some(i) = document
+            .applications
+            .iter()
+            .flat_map(|a| &a.instances)
+            .next()
+        else {
             return plain(StatusCode::BAD_REQUEST, "no instance");
         };
         let raw: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
@@ -397,11 +444,18 @@
             ip: text("ipAddr"),
             vip: text("vipAddress"),
             status: Status::parse(&i.status),
-            metadata: metadata.filter_map(|(k, v)| Some((k.clone(), v.as_str()?.to_string()))).collect(),
+            metadata: metadata
+                .filter_map(|(k, v)| Some((k.clone(), v.as_str()?.to_string())))
+                .collect(),
             duration: seconds * 1000.0,
             dirty: i.dirty.unwrap_or(0.0) as u64,
             up: 0.0,
-            ..Instance::engine(app, &i.id, i.port.and_then(|p| p.number).unwrap_or(0), now())
+            ..Instance::engine(
+                app,
+                &i.id,
+                i.port.and_then(|p| p.number).unwrap_or(0),
+                now(),
+            )
         };
         self.change(Copied::Register(Box::new(instance)));
         plain(StatusCode::NO_CONTENT, "")
@@ -417,7 +471,11 @@
                 Fault::Empty => empty.clone(),
                 Fault::Only(n) => {
                     let first: Vec<Instance> = list.into_iter().take(*n).cloned().collect();
-                    let hash = if first.is_empty() { String::new() } else { format!("UP_{}_", first.len()) };
+                    let hash = if first.is_empty() {
+                        String::new()
+                    } else {
+                        format!("UP_{}_", first.len())
+                    };
                     (first, hash)
                 }
                 _ => (list.into_iter().cloned().collect(), shown.hashcode.clone()),
@@ -441,7 +499,8 @@
                 }
             },
             ["apps", app] => {
-                let (list, _) = limited(all().filter(|i| i.app.eq_ignore_ascii_case(app)).collect());
+                let (list, _) =
+                    limited(all().filter(|i| i.app.eq_ignore_ascii_case(app)).collect());
                 let list: Vec<&Instance> = list.iter().collect();
                 self.note(&list);
                 (!list.is_empty()).then(|| document::application(xml, &app.to_uppercase(), &list))
@@ -451,7 +510,13 @@
                 Some(document::instance(xml, found))
             }
             [kind @ ("vips" | "svips"), name] => {
-                let under = |i: &&Instance| if *kind == "vips" { i.vip == *name } else { i.svip == *name };
+                let under = |i: &&Instance| {
+                    if *kind == "vips" {
+                        i.vip == *name
+                    } else {
+                        i.svip == *name
+                    }
+                };
                 let (list, hash) = limited(all().filter(under).collect());
                 let list: Vec<&Instance> = list.iter().collect();
                 self.note(&list);
@@ -461,15 +526,31 @@
         }
     }
 
-    fn troubled(&self, fault: Fault, xml: bool, gzip: bool, text: String, path: &str) -> Response<Body> {
-        let kind = if xml { "application/xml" } else { "application/json" };
+    fn troubled(
+        &self,
+        fault: Fault,
+        xml: bool,
+        gzip: bool,
+        text: String,
+        path: &str,
+    ) -> Response<Body> {
+        let kind = if xml {
+            "application/xml"
+        } else {
+            "application/json"
+        };
         let ok = || Response::builder().header(CONTENT_TYPE, kind);
         let built = match fault {
             Fault::Html => Response::builder()
                 .header(CONTENT_TYPE, "text/html")
-                .body(full("<html><body>Please log in to the network</body></html>".into())),
+                .body(full(
+                    "<html><body>Please log in to the network</body></html>".into(),
+                )),
             Fault::Status(code) => {
-                return plain(StatusCode::from_u16(code).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR), "");
+                return plain(
+                    StatusCode::from_u16(code).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR),
+                    "",
+                );
             }
             Fault::Redirect(to) => Response::builder()
                 .status(302)
@@ -482,12 +563,15 @@
                 }
                 response.body(endless(bytes))
             }
-            Fault::Drip(every) => ok().header("content-length", text.len()).body(drip(text.into(), every)),
+            Fault::Drip(every) => ok()
+                .header("content-length", text.len())
+                .body(drip(text.into(), every)),
             Fault::Torn => {
                 let half = Bytes::from(text.clone()).slice(..text.len() / 2);
                 let broken = Err(io::Error::from(io::ErrorKind::ConnectionReset));
                 let frames = stream::iter([Ok(Frame::data(half)), broken]);
-                ok().header("content-length", text.len()).body(BodyExt::boxed(StreamBody::new(frames)))
+                ok().header("content-length", text.len())
+                    .body(BodyExt::boxed(StreamBody::new(frames)))
             }
             _ if gzip && text.len() > 1024 => {
                 let mut packed = flate2::write::GzEncoder::new(vec![], flate2::Compression::fast());
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -15,7 +15,10 @@
 }
 
 fn bad(key: impl Into<String>, problem: impl std::fmt::Display) -> ScenarioError {
-    ScenarioError::Key { key: key.into(), problem: problem.to_string() }
+    ScenarioError::Key {
+        key: key.into(),
+        problem: problem.to_string(),
+    }
 }
 
 /// A day. Spans are in seconds where a name ends in `_s`, in milliseconds where it ends in `_ms`.
@@ -101,30 +104,71 @@
 
 /// The operators' three classes.
 fn classes() -> Vec<ClassSet> {
-    let class =
-        |name: &str, share, work_ms, threads, io, memory_mb, worth, aim_ms, aim_stretch, deadline_ms| {
-            ClassSet {
-                name: name.into(),
-                share,
-                work_ms,
-                sigma: spread(),
-                threads,
-                io,
-                memory_mb,
-                worth,
-                aim_ms,
-                aim_stretch,
-                late_share: 0.25,
-                deadline_ms,
-                fragile: name == "load",
-                holds: name == "load",
-                stands: name != "load",
-            }
-        };
+    let class = |name: &str,
+                 share,
+                 work_ms,
+                 threads,
+                 io,
+                 memory_mb,
+                 worth,
+                 aim_ms,
+                 aim_stretch,
+                 deadline_ms| {
+        ClassSet {
+            name: name.into(),
+            share,
+            work_ms,
+            sigma: spread(),
+            threads,
+            io,
+            memory_mb,
+            worth,
+            aim_ms,
+            aim_stretch,
+            late_share: 0.25,
+            deadline_ms,
+            fragile: name == "load",
+            holds: name == "load",
+            stands: name != "load",
+        }
+    };
     vec![
-        class("lookup", 0.794, 320.0, 1.0, [0.21, 0.42], 150.0, 1.0, 2000.0, 1.5, 10_000.0),
-        class("report", 0.15, 3300.0, 3.0, [0.34, 0.59], 1000.0, 5.0, 2000.0, 2.5, 25_000.0),
-        class("load", 0.056, 3300.0, 2.0, [0.42, 0.60], 750.0, 4.0, 4000.0, 3.0, 20_000.0),
+        class(
+            "lookup",
+            0.794,
+            320.0,
+            1.0,
+            [0.21, 0.42],
+            150.0,
+            1.0,
+            2000.0,
+            1.5,
+            10_000.0,
+        ),
+        class(
+            "report",
+            0.15,
+            3300.0,
+            3.0,
+            [0.34, 0.59],
+            1000.0,
+            5.0,
+            2000.0,
+            2.5,
+            25_000.0,
+        ),
+        class(
+            "load",
+            0.056,
+            3300.0,
+            2.0,
+            [0.42, 0.60],
+            750.0,
+            4.0,
+            4000.0,
+            3.0,
+            20_000.0,
+        ),
     ]
 }
 
@@ -176,7 +220,9 @@
 impl Load {
     /// The part of `per_s` at a moment in seconds.
     pub fn part(&self, at: f64) -> f64 {
-        let Some(first) = self.shape.first() else { return 1.0 };
+        let Some(first) = self.shape.first() else {
+            return 1.0;
+        };
         if at <= first[0] {
             return first[1];
         }
@@ -190,7 +236,10 @@
     }
 
     pub fn most(&self) -> f64 {
-        self.shape.iter().map(|s| s[1]).fold(if self.shape.is_empty() { 1.0 } else { 0.0 }, f64::max)
+        self.shape
+            .iter()
+            .map(|s| s[1])
+            .fold(if self.shape.is_empty() { 1.0 } else { 0.0 }, f64::max)
     }
 }
 
@@ -209,7 +258,12 @@
 
 impl Default for Net {
     fn default() -> Self {
-        Net { within_ms: 0.3, across_ms: [1.4, 2.6], list_ms: [200.0, 900.0], lost_notes: 0.0 }
+        Net {
+            within_ms: 0.3,
+            across_ms: [1.4, 2.6],
+            list_ms: [200.0, 900.0],
+            lost_notes: 0.0,
+        }
     }
 }
 
@@ -243,15 +297,32 @@
     /// They take requests and answer none.
     Hang { engines: Which, for_s: f64 },
     /// Another program takes this part of the machine.
-    Neighbour { engines: Which, part: f64, for_s: f64 },
+    Neighbour {
+        engines: Which,
+        part: f64,
+        for_s: f64,
+    },
     /// The list is so much further behind.
     StaleList { extra_s: f64, for_s: f64 },
     /// This part of a class's requests costs so many times the usual; their estimates show it.
-    HeavyTail { class: String, part: f64, times: f64, for_s: f64 },
+    HeavyTail {
+        class: String,
+        part: f64,
+        times: f64,
+        for_s: f64,
+    },
     /// Nothing passes between these gateways and these engines.
-    Partition { gateways: Vec<usize>, engines: Which, for_s: f64 },
+    Partition {
+        gateways: Vec<usize>,
+        engines: Which,
+        for_s: f64,
+    },
     /// Messages of these gateways take so much longer.
-    SlowLink { gateways: Vec<usize>, extra_ms: f64, for_s: f64 },
+    SlowLink {
+        gateways: Vec<usize>,
+        extra_ms: f64,
+        for_s: f64,
+    },
     /// What these engines have breaks off; their processes go on.
     Reset { engines: Which },
     /// All engines of a zone end; those that are back start cold.
@@ -261,7 +332,11 @@
     /// One after the other: drained, restarted, back.
     RollingRestart { each_s: f64, drain_s: f64 },
     /// Operators take them out at every gateway, restart them and put them back.
-    ByHand { engines: Which, for_s: f64, restart_after_s: f64 },
+    ByHand {
+        engines: Which,
+        for_s: f64,
+        restart_after_s: f64,
+    },
     /// No news of the list reaches anybody.
     RegistryAway { for_s: f64 },
 }
@@ -273,7 +348,10 @@
     /// What is wrong with the file, by its key.
     pub fn read(path: &std::path::Path) -> Result<Self, ScenarioError> {
         let shown = path.display().to_string();
-        let file = |problem: String| ScenarioError::File { path: shown.clone(), problem };
+        let file = |problem: String| ScenarioError::File {
+            path: shown.clone(),
+            problem,
+        };
         let text = std::fs::read_to_string(path).map_err(|e| file(e.to_string()))?;
         Self::parse(&text).map_err(|e| file(e.to_string()))
     }
@@ -292,27 +370,43 @@
             return Err(bad("engines", format!("{total} engines are not 1 to 5000")));
         }
         if !(1..=5000).contains(&self.gateways) {
-            return Err(bad("gateways", format!("{} is not in 1 to 5000", self.gateways)));
+            return Err(bad(
+                "gateways",
+                format!("{} is not in 1 to 5000", self.gateways),
+            ));
         }
         if !(self.seconds > 0.0 && self.seconds <= 86_400.0) {
-            return Err(bad("seconds", format!("{} is not in 0 to 86400", self.seconds)));
+            return Err(bad(
+                "seconds",
+                format!("{} is not in 0 to 86400", self.seconds),
+            ));
         }
         if self.zones.is_empty() {
             return Err(bad("zones", "at least one is needed"));
         }
         for (name, kind) in &self.kinds {
-            kind.check().map_err(|e| bad(format!("kinds.{name}.{}", e.key), e.problem))?;
+            kind.check()
+                .map_err(|e| bad(format!("kinds.{name}.{}", e.key), e.problem))?;
         }
-        let unknown = self.engines.iter().position(|e| !self.kinds.contains_key(&e.kind) && e.kind != "std");
+        let unknown = self
+            .engines
+            .iter()
+            .position(|e| !self.kinds.contains_key(&e.kind) && e.kind != "std");
         if let Some(i) = unknown {
-            return Err(bad(format!("engines[{i}].kind"), format!("{:?} is no kind", self.engines[i].kind)));
+            return Err(bad(
+                format!("engines[{i}].kind"),
+                format!("{:?} is no kind", self.engines[i].kind),
+            ));
         }
         if self.classes.is_empty() {
             return Err(bad("classes", "at least one is needed"));
         }
         for (i, c) in self.classes.iter().enumerate() {
-            let ok =
-                c.share >= 0.0 && c.work_ms > 0.0 && c.deadline_ms > 0.0 && c.worth > 0.0 && c.threads >= 1.0;
+            let ok = c.share >= 0.0
+                && c.work_ms > 0.0
+                && c.deadline_ms > 0.0
+                && c.worth > 0.0
+                && c.threads >= 1.0;
             if !ok {
                 return Err(bad(
                     format!("classes[{i}]"),
@@ -341,7 +435,10 @@
             };
             match which {
                 Some(Which::These(n)) if n.iter().any(|n| *n >= total) => {
-                    return Err(bad(key, format!("there are {total} engines, counted from 0")));
+                    return Err(bad(
+                        key,
+                        format!("there are {total} engines, counted from 0"),
+                    ));
                 }
                 Some(Which::Zone { zone }) if !self.zones.contains(&zone) => {
                     return Err(bad(key, format!("{zone:?} is no zone")));
@@ -358,7 +455,10 @@
                 _ => &[],
             };
             if gateways.iter().any(|g| *g >= self.gateways) {
-                return Err(bad(key, format!("there are {} gateways, counted from 0", self.gateways)));
+                return Err(bad(
+                    key,
+                    format!("there are {} gateways, counted from 0", self.gateways),
+                ));
             }
         }
         Ok(())
@@ -381,13 +481,20 @@
     pub fn settings(&self, zone: usize) -> Settings {
         let params: Vec<Params> = self.kind_names().iter().map(|n| self.kind(n)).collect();
         let first = params.first().cloned().unwrap_or_default();
-        let kinds = params.iter().map(|p| Kind { cores: p.cores, memory_mb: p.memory_mb });
+        let kinds = params.iter().map(|p| Kind {
+            cores: p.cores,
+            memory_mb: p.memory_mb,
+        });
         let class = |c: &ClassSet| Class {
             worth: c.worth,
             aim: c.aim_ms,
             aim_stretch: c.aim_stretch,
             late_share: c.late_share,
-            effect: if c.fragile { Effect::Unsafe } else { Effect::Safe },
+            effect: if c.fragile {
+                Effect::Unsafe
+            } else {
+                Effect::Safe
+            },
             in_order: false,
             only_zones: None,
             only_kinds: None,
@@ -403,7 +510,9 @@
             tenants: self
                 .tenants
                 .iter()
-                .map(|t| Tenant { quota_per_s: t.quota_per_s.unwrap_or(f64::MAX) })
+                .map(|t| Tenant {
+                    quota_per_s: t.quota_per_s.unwrap_or(f64::MAX),
+                })
                 .collect(),
             kinds: kinds.collect(),
             over_share_worth: 0.05,
@@ -451,12 +560,19 @@
             load: { per_s: 40, shape: [[0, 1], [10, 2]] },
             trouble: [{ at_s: 5, kind: "die", engines: { part: 0.25 }, back_s: 10 }] }"#;
         let s = Scenario::parse(good).unwrap();
-        assert_eq!((s.classes.len(), s.load.part(5.0), s.load.part(99.0)), (3, 1.5, 2.0));
+        assert_eq!(
+            (s.classes.len(), s.load.part(5.0), s.load.part(99.0)),
+            (3, 1.5, 2.0)
+        );
         s.settings(0).check().unwrap();
         let cases = [
             ("seconds: 30", "seconds: -1", "seconds"),
             ("gateways: 3", "gateways: 0", "gateways"),
-            ("kind: \"gen-a\", count", "kind: \"gen-x\", count", "engines[0].kind"),
+            (
+                "kind: \"gen-a\", count",
+                "kind: \"gen-x\", count",
+                "engines[0].kind",
+            ),
             ("count: 4", "count: 0", "engines"),
             ("cores: 8", "cores: 0", "kinds.gen-a.cores"),
             ("cores: 8", "core: 8", "core"),
@@ -467,7 +583,9 @@
         ];
         for (old, new, what) in cases {
             assert!(good.contains(old), "{old}");
-            let e = Scenario::parse(&good.replace(old, new)).unwrap_err().to_string();
+            let e = Scenario::parse(&good.replace(old, new))
+                .unwrap_err()
+                .to_string();
             assert!(e.contains(what), "{new}: {e}");
         }
     }
--- a/crates/lab/src/session.rs
+++ b/crates/lab/src/session.rs
@@ -60,9 +60,21 @@
 
 impl Session {
     pub fn new(number: u32, name: &str) -> Self {
-        let variables = VARIABLES.iter().map(|(n, v)| ((*n).to_string(), (*v).to_string())).collect();
+        let variables = VARIABLES
+            .iter()
+            .map(|(n, v)| ((*n).to_string(), (*v).to_string()))
+            .collect();
         let (users, pending, lasting) = (BTreeMap::new(), vec![], vec![]);
-        Session { number, name: name.into(), variables, users, open: false, warned: None, pending, lasting }
+        Session {
+            number,
+            name: name.into(),
+            variables,
+            users,
+            open: false,
+            warned: None,
+            pending,
+            lasting,
+        }
     }
 
     /// How many warnings the last statement brought.
@@ -93,7 +105,11 @@
             ["set", "transaction", ..] => return Some(Said::Ok),
             ["set", "names", ref rest @ ..] => {
                 let set = rest.first().map_or("", |w| w.trim_matches(['\'', '"']));
-                for v in ["character_set_client", "character_set_connection", "character_set_results"] {
+                for v in [
+                    "character_set_client",
+                    "character_set_connection",
+                    "character_set_results",
+                ] {
                     self.variables.insert(v.into(), set.into());
                 }
                 return Some(Said::Ok);
@@ -115,21 +131,33 @@
                 self.open = false;
                 return Some(Said::Ok);
             }
-            ["rollback" | "savepoint" | "release" | "lock" | "unlock", ..] => return Some(Said::Ok),
+            ["rollback" | "savepoint" | "release" | "lock" | "unlock", ..] => {
+                return Some(Said::Ok);
+            }
             ["show", "warnings", ..] => {
                 let columns = ["Level", "Code", "Message"].map(String::from).to_vec();
-                let row = |w: &String| vec![Some("Warning".into()), Some("1265".into()), Some(w.clone())];
+                let row =
+                    |w: &String| vec![Some("Warning".into()), Some("1265".into()), Some(w.clone())];
                 return Some(Said::Rows(columns, self.warned.iter().map(row).collect()));
             }
             ["show", "variables" | "session", ..] => {
-                let like = text.split(['\'', '"']).nth(1).unwrap_or("%").to_ascii_lowercase();
+                let like = text
+                    .split(['\'', '"'])
+                    .nth(1)
+                    .unwrap_or("%")
+                    .to_ascii_lowercase();
                 let fits = |n: &str| match like.strip_suffix('%') {
                     Some(head) => n.starts_with(head),
                     None => n == like,
                 };
                 let rows = self.variables.iter().filter(|(n, _)| fits(n));
-                let rows = rows.map(|(n, v)| vec![Some(n.clone()), Some(v.clone())]).collect();
-                return Some(Said::Rows(vec!["Variable_name".into(), "Value".into()], rows));
+                let rows = rows
+                    .map(|(n, v)| vec![Some(n.clone()), Some(v.clone())])
+                    .collect();
+                return Some(Said::Rows(
+                    vec!["Variable_name".into(), "Value".into()],
+                    rows,
+                ));
             }
             ["select", ..] => {
                 if let Some(said) = self.select(&text[6..]) {
@@ -138,9 +166,17 @@
             }
             _ => {}
         }
-        self.warned = words.contains(&"warns").then(|| "Data truncated".to_string());
-        let changes = matches!(words.first(), Some(&("insert" | "update" | "delete" | "replace" | "load")));
-        let reads = matches!(words.first(), Some(&("select" | "with" | "show" | "values" | "table")));
+        self.warned = words
+            .contains(&"warns")
+            .then(|| "Data truncated".to_string());
+        let changes = matches!(
+            words.first(),
+            Some(&("insert" | "update" | "delete" | "replace" | "load"))
+        );
+        let reads = matches!(
+            words.first(),
+            Some(&("select" | "with" | "show" | "values" | "table"))
+        );
         if !changes && !reads {
             // What defines commits what is open.
             self.commit();
@@ -162,10 +198,16 @@
             let Some((name, value)) = one.split_once('=') else {
                 return Said::Error(1064, "42000", format!("near {one}"));
             };
-            let name = name.trim().trim_end_matches(':').trim().to_ascii_lowercase();
+            let name = name
+                .trim()
+                .trim_end_matches(':')
+                .trim()
+                .to_ascii_lowercase();
             let value = value.trim();
             if let Some(user) = name.strip_prefix('@').filter(|n| !n.starts_with('@')) {
-                let Some(v) = self.value(value) else { return Said::Error(1064, "42000", value.into()) };
+                let Some(v) = self.value(value) else {
+                    return Said::Error(1064, "42000", value.into());
+                };
                 new.1.insert(user.trim_matches('`').into(), v);
                 continue;
             }
@@ -185,7 +227,11 @@
             };
             let value = value.unwrap_or_default();
             if name == "sql_mode" && value.split(',').any(|m| m == "NONSENSE") {
-                return Said::Error(1231, "42000", format!("Variable 'sql_mode' can't be set to '{value}'"));
+                return Said::Error(
+                    1231,
+                    "42000",
+                    format!("Variable 'sql_mode' can't be set to '{value}'"),
+                );
             }
             new.0.insert(name, value);
         }
@@ -202,16 +248,29 @@
         let lower = text.to_ascii_lowercase();
         if let Some(inner) = text.strip_prefix('(').and_then(|t| t.strip_suffix(')')) {
             let inner = inner.trim();
-            let select = inner.get(..6).filter(|w| w.eq_ignore_ascii_case("select")).map(|_| &inner[6..]);
+            let select = inner
+                .get(..6)
+                .filter(|w| w.eq_ignore_ascii_case("select"))
+                .map(|_| &inner[6..]);
             return self.value(select.unwrap_or(inner));
         }
-        if let Some(args) = lower.starts_with("concat(").then(|| &text[7..text.len() - 1]) {
-            let all: Option<Vec<Option<String>>> = split(args).iter().map(|a| self.value(a)).collect();
-            return Some(all?.into_iter().collect::<Option<Vec<String>>>().map(|v| v.concat()));
+        if let Some(args) = lower
+            .starts_with("concat(")
+            .then(|| &text[7..text.len() - 1])
+        {
+            let all: Option<Vec<Option<String>>> =
+                split(args).iter().map(|a| self.value(a)).collect();
+            return Some(
+                all?.into_iter()
+                    .collect::<Option<Vec<String>>>()
+                    .map(|v| v.concat()),
+            );
         }
         if let Some(name) = lower.strip_prefix("@@") {
-            let name =
-                ["session.", "local.", "global."].iter().find_map(|p| name.strip_prefix(p)).unwrap_or(name);
+            let name = ["session.", "local.", "global."]
+                .iter()
+                .find_map(|p| name.strip_prefix(p))
+                .unwrap_or(name);
             return self.variables.get(name).map(|v| Some(v.clone()));
         }
         if let Some(name) = lower.strip_prefix('@') {
@@ -219,7 +278,11 @@
         }
         let quoted = |q: char| text.len() > 1 && text.starts_with(q) && text.ends_with(q);
         if quoted('\'') || quoted('"') {
-            return Some(Some(text[1..text.len() - 1].replace("''", "'").replace("\\\\", "\\")));
+            return Some(Some(
+                text[1..text.len() - 1]
+                    .replace("''", "'")
+                    .replace("\\\\", "\\"),
+            ));
         }
         match lower.as_str() {
             "null" => Some(None),
@@ -235,7 +298,10 @@
     /// How many columns a SELECT brings that it answers by itself.
     pub fn columns(&self, sql: &str) -> Option<usize> {
         let text = plain(sql);
-        let list = text.get(..6).filter(|w| w.eq_ignore_ascii_case("select")).map(|_| &text[6..])?;
+        let list = text
+            .get(..6)
+            .filter(|w| w.eq_ignore_ascii_case("select"))
+            .map(|_| &text[6..])?;
         match self.select(list)? {
             Said::Row(names, _) => Some(names.len()),
             _ => None,
@@ -244,7 +310,10 @@
 
     fn select(&self, list: &str) -> Option<Said> {
         let list = list.trim();
-        let list = list.strip_suffix("LIMIT 1").or_else(|| list.strip_suffix("limit 1")).unwrap_or(list);
+        let list = list
+            .strip_suffix("LIMIT 1")
+            .or_else(|| list.strip_suffix("limit 1"))
+            .unwrap_or(list);
         let (mut names, mut row) = (vec![], vec![]);
         for one in split(list) {
             let one = one.trim();
@@ -296,17 +365,29 @@
     #[test]
     fn variables_are_set_read_and_reset() {
         let mut s = Session::new(7, "e");
-        assert_eq!(s.says("SET SESSION time_zone = '+02:00', @x = 'it''s'"), Some(Said::Ok));
+        assert_eq!(
+            s.says("SET SESSION time_zone = '+02:00', @x = 'it''s'"),
+            Some(Said::Ok)
+        );
         let row = Said::Row(
             vec!["@@time_zone".into(), "x".into(), "n".into()],
             vec![Some("+02:00".into()), Some("it's".into()), Some("7".into())],
         );
-        assert_eq!(s.says("select @@time_zone, @x as x, connection_id() as n"), Some(row));
-        assert!(matches!(s.says("SET SESSION nonsense = 1, time_zone = 'x'"), Some(Said::Error(1193, ..))));
+        assert_eq!(
+            s.says("select @@time_zone, @x as x, connection_id() as n"),
+            Some(row)
+        );
+        assert!(matches!(
+            s.says("SET SESSION nonsense = 1, time_zone = 'x'"),
+            Some(Said::Error(1193, ..))
+        ));
         assert_eq!(s.variables["time_zone"], "+02:00", "all or nothing");
         s.says("SET SESSION time_zone = DEFAULT, sql_mode = (SELECT CONCAT(@@sql_mode, ',ANSI'))");
         assert_eq!(s.variables["time_zone"], "SYSTEM");
-        assert_eq!(s.variables["sql_mode"], "ONLY_FULL_GROUP_BY,STRICT_TRANS_TABLES,ANSI");
+        assert_eq!(
+            s.variables["sql_mode"],
+            "ONLY_FULL_GROUP_BY,STRICT_TRANS_TABLES,ANSI"
+        );
     }
 
     #[test]
@@ -316,7 +397,10 @@
         assert_eq!((s.lasting.len(), s.status()), (1, AUTOCOMMIT));
         s.says("begin");
         s.says("insert into t values (2)");
-        assert_eq!((s.lasting.len(), s.status()), (1, AUTOCOMMIT | IN_TRANSACTION));
+        assert_eq!(
+            (s.lasting.len(), s.status()),
+            (1, AUTOCOMMIT | IN_TRANSACTION)
+        );
         s.says("rollback");
         s.says("SET SESSION autocommit = 0");
         s.says("select 1");
@@ -325,6 +409,9 @@
         s.says("insert into t values (3)");
         assert_eq!((s.lasting.len(), s.status()), (1, IN_TRANSACTION));
         s.says("create table u (a int)");
-        assert_eq!(s.lasting, ["insert into t values (1)", "insert into t values (3)"]);
+        assert_eq!(
+            s.lasting,
+            ["insert into t values (1)", "insert into t values (3)"]
+        );
     }
 }
--- a/crates/lab/src/stand.rs
+++ b/crates/lab/src/stand.rs
@@ -32,7 +32,10 @@
         let long_up = now() - 60_000.0;
         let instance = Instance::engine("ENGINES", e.name(), e.address().port(), now());
         for node in nodes {
-            node.register(Instance { up: long_up, ..instance.clone() });
+            node.register(Instance {
+                up: long_up,
+                ..instance.clone()
+            });
         }
     }
 }
@@ -87,13 +90,22 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Broken {
     #[error("{engine} was sent {sql:?} {late:.0} ms after the notice that it drains")]
-    Drain { engine: String, sql: String, late: f64 },
+    Drain {
+        engine: String,
+        sql: String,
+        late: f64,
+    },
     #[error("{sql:?} ran {times} times")]
     LoadTwice { sql: String, times: usize },
     #[error(
         "{engine} was sent {sent} statements within {within:.0} ms of its start, where {most} were allowed"
     )]
-    Cold { engine: String, sent: usize, most: usize, within: f64 },
+    Cold {
+        engine: String,
+        sent: usize,
+        most: usize,
+        within: f64,
+    },
 }
 
 /// Nothing new to an engine later than 1 s after notice.
@@ -104,9 +116,11 @@
     let ran = engine.ran();
     let after: Vec<_> = ran.iter().filter(|r| r.at > notice).collect();
     match after.iter().find(|r| r.at > notice + 1000.0) {
-        Some(r) => {
-            Err(Broken::Drain { engine: engine.name().into(), sql: r.sql.clone(), late: r.at - notice })
-        }
+        Some(r) => Err(Broken::Drain {
+            engine: engine.name().into(),
+            sql: r.sql.clone(),
+            late: r.at - notice,
+        }),
         None => Ok(after.last().map_or(0.0, |r| r.at - notice)),
     }
 }
@@ -117,7 +131,11 @@
 /// The first that did.
 pub fn loads_once(engines: &[Engine]) -> Result<usize, Broken> {
     let mut times: BTreeMap<String, usize> = BTreeMap::new();
-    for r in engines.iter().flat_map(Engine::ran).filter(|r| r.sql.starts_with("insert")) {
+    for r in engines
+        .iter()
+        .flat_map(Engine::ran)
+        .filter(|r| r.sql.starts_with("insert"))
+    {
         *times.entry(r.sql).or_default() += 1;
     }
     let n = times.len();
@@ -132,15 +150,31 @@
 ///
 /// # Errors
 /// One did. Else the most that any span brought, and all since the start.
-pub fn spared(engine: &Engine, within: f64, most: impl Fn(f64) -> usize) -> Result<(usize, usize), Broken> {
+pub fn spared(
+    engine: &Engine,
+    within: f64,
+    most: impl Fn(f64) -> usize,
+) -> Result<(usize, usize), Broken> {
     let (started, ran) = (engine.started(), engine.ran());
-    let times: Vec<f64> = ran.iter().map(|r| r.at).filter(|at| *at >= started).collect();
+    let times: Vec<f64> = ran
+        .iter()
+        .map(|r| r.at)
+        .filter(|at| *at >= started)
+        .collect();
     let mut highest = 0;
     for from in &times {
-        let sent = times.iter().filter(|at| **at >= *from && **at < from + within).count();
+        let sent = times
+            .iter()
+            .filter(|at| **at >= *from && **at < from + within)
+            .count();
         let most = most(from - started);
         if sent > most {
-            return Err(Broken::Cold { engine: engine.name().into(), sent, most, within });
+            return Err(Broken::Cold {
+                engine: engine.name().into(),
+                sent,
+                most,
+                within,
+            });
         }
         highest = highest.max(sent);
     }
--- a/crates/lab/src/world/day.rs
+++ b/crates/lab/src/world/day.rs
@@ -26,7 +26,11 @@
 impl Worth {
     /// 1 where nothing was asked.
     pub fn part(&self) -> f64 {
-        if self.asked > 0.0 { self.earned / self.asked } else { 1.0 }
+        if self.asked > 0.0 {
+            self.earned / self.asked
+        } else {
+            1.0
+        }
     }
 }
 
@@ -61,7 +65,11 @@
         self.ran += waits.ran;
         self.in_line += waits.in_line;
         for (whose, span) in &waits.stood {
-            *(if *whose == gateway { &mut self.behind_own } else { &mut self.behind_others }) += span;
+            *(if *whose == gateway {
+                &mut self.behind_own
+            } else {
+                &mut self.behind_others
+            }) += span;
         }
     }
 
@@ -148,12 +156,16 @@
 
     /// Milliseconds within which this part of a class's requests was served.
     pub fn percentile(&self, class: usize, percent: f64) -> f64 {
-        self.classes.get(class).map_or(0.0, |c| c.latency.value_at_percentile(percent) as f64 / 1000.0)
+        self.classes.get(class).map_or(0.0, |c| {
+            c.latency.value_at_percentile(percent) as f64 / 1000.0
+        })
     }
 
     /// The mean of a class's latency, in milliseconds.
     pub fn mean(&self, class: usize) -> f64 {
-        self.classes.get(class).map_or(0.0, |c| c.latency.mean() / 1000.0)
+        self.classes
+            .get(class)
+            .map_or(0.0, |c| c.latency.mean() / 1000.0)
     }
 
     /// All late look-ups' causes together.
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -52,16 +52,52 @@
 enum Event {
     Arrive,
     Again(Box<Try>),
-    Leave { gateway: usize, request: u64 },
-    Reach { engine: usize, process: u32, attempt: Attempt, job: Box<Job> },
-    Cancel { engine: usize, attempt: Attempt },
-    Wake { engine: usize, stamp: u64 },
-    Notes { engine: usize, stamp: u64 },
-    Back { attempt: Attempt, outcome: Outcome, report: Vec<f64> },
-    Noted { attempt: Attempt, note: Note },
-    Tick { gateway: usize, at: u64 },
-    News { gateway: usize, engine: usize, entry: Box<EngineEntry>, at: u64 },
-    Hand { gateway: usize, engine: usize, out: bool },
+    Leave {
+        gateway: usize,
+        request: u64,
+    },
+    Reach {
+        engine: usize,
+        process: u32,
+        attempt: Attempt,
+        job: Box<Job>,
+    },
+    Cancel {
+        engine: usize,
+        attempt: Attempt,
+    },
+    Wake {
+        engine: usize,
+        stamp: u64,
+    },
+    Notes {
+        engine: usize,
+        stamp: u64,
+    },
+    Back {
+        attempt: Attempt,
+        outcome: Outcome,
+        report: Vec<f64>,
+    },
+    Noted {
+        attempt: Attempt,
+        note: Note,
+    },
+    Tick {
+        gateway: usize,
+        at: u64,
+    },
+    News {
+        gateway: usize,
+        engine: usize,
+        entry: Box<EngineEntry>,
+        at: u64,
+    },
+    Hand {
+        gateway: usize,
+        engine: usize,
+        out: bool,
+    },
     Trouble(usize),
     Over(usize, Vec<usize>),
     Step(Step),
@@ -168,7 +204,9 @@
 /// Plays a scenario with a policy and a seed.
 pub fn play(scenario: &Scenario, policy: Policy, seed: u64) -> Day {
     let streams = Streams::new(seed);
-    play_with(scenario, seed, &mut |g, zone| decides(scenario, policy, &streams, g, zone))
+    play_with(scenario, seed, &mut |g, zone| {
+        decides(scenario, policy, &streams, g, zone)
+    })
 }
 
 fn decides(
@@ -180,7 +218,11 @@
 ) -> Box<dyn Dispatch> {
     let mut random = streams.numbered("decisions", gateway);
     let settings = scenario.settings(zone);
-    let bounds = Bounds { open: 20_000, margin: MARGIN, page_wait: PAGE_WAIT };
+    let bounds = Bounds {
+        open: 20_000,
+        margin: MARGIN,
+        page_wait: PAGE_WAIT,
+    };
     match policy {
         // Settings were checked with their scenario; should the core still refuse them, nothing is dispatched at all.
         Policy::Module => match Core::new(settings, random.bits(), bounds) {
@@ -207,8 +249,9 @@
 
 fn histogram() -> Histogram<u64> {
     // From a microsecond to ten minutes, to three digits: bounds that are always good.
-    Histogram::new_with_bounds(1, 600_000_000, 3)
-        .unwrap_or_else(|_| Histogram::new_from(&Histogram::<u64>::new(3).expect("three digits are good")))
+    Histogram::new_with_bounds(1, 600_000_000, 3).unwrap_or_else(|_| {
+        Histogram::new_from(&Histogram::<u64>::new(3).expect("three digits are good"))
+    })
 }
 
 impl<'a> World<'a> {
@@ -259,8 +302,11 @@
             ends: Ends::default(),
             latency: histogram(),
         });
-        let mut tenants: Vec<(String, Worth)> =
-            scenario.tenants.iter().map(|t| (t.name.clone(), Worth::default())).collect();
+        let mut tenants: Vec<(String, Worth)> = scenario
+            .tenants
+            .iter()
+            .map(|t| (t.name.clone(), Worth::default()))
+            .collect();
         if tenants.is_empty() {
             tenants.push(("all".into(), Worth::default()));
         }
@@ -313,7 +359,11 @@
 
     fn at(&mut self, at: f64, event: Event) {
         self.seq += 1;
-        self.queue.push(Reverse(Due { at: at.max(self.now), seq: self.seq, event }));
+        self.queue.push(Reverse(Due {
+            at: at.max(self.now),
+            seq: self.seq,
+            event,
+        }));
     }
 
     /// Mixes an event into the day's hash: its moment in microseconds, what it is, and whose.
@@ -380,7 +430,11 @@
         let shares: Vec<f64> = s.classes.iter().map(|c| c.share).collect();
         let class = self.mix.weighted(&shares);
         let tenants: Vec<f64> = s.tenants.iter().map(|t| t.share).collect();
-        let tenant = if tenants.is_empty() { 0 } else { self.mix.weighted(&tenants) };
+        let tenant = if tenants.is_empty() {
+            0
+        } else {
+            self.mix.weighted(&tenants)
+        };
         let gateway = self.mix.below(self.gateways.len());
         let c = &s.classes[class];
         let mut work = self.sizes.lognormal(c.work_ms, c.sigma);
@@ -394,7 +448,10 @@
         }
         let area = self.areas.weighted(&self.area_weights) as u64;
         let sigma = s.load.estimate_sigma;
-        let (told, told_mb) = (self.estimates.lognormal(work, sigma), self.estimates.lognormal(need, sigma));
+        let (told, told_mb) = (
+            self.estimates.lognormal(work, sigma),
+            self.estimates.lognormal(need, sigma),
+        );
         let patience = self.clients.between(0.8, 1.0);
         let leaves = self.clients.chance(s.load.leave);
         let job = Job {
@@ -441,7 +498,14 @@
     }
 
     fn over_quota(&mut self, tenant: usize) -> bool {
-        let Some(quota) = self.scenario.tenants.get(tenant).and_then(|t| t.quota_per_s) else { return false };
+        let Some(quota) = self
+            .scenario
+            .tenants
+            .get(tenant)
+            .and_then(|t| t.quota_per_s)
+        else {
+            return false;
+        };
         let (tokens, at) = self.buckets[tenant];
         let grown = (tokens + quota * (self.now - at) / 1000.0).min((2.0 * quota).max(1.0));
         let there = grown >= 1.0;
@@ -454,7 +518,10 @@
         let n = ((born - BEGIN) / 1000.0 / WINDOW_S) as usize;
         while self.day.windows.len() <= n {
             let from_s = self.day.windows.len() as f64 * WINDOW_S;
-            self.day.windows.push(Window { from_s, ..Window::default() });
+            self.day.windows.push(Window {
+                from_s,
+                ..Window::default()
+            });
         }
         &mut self.day.windows[n]
     }
@@ -485,7 +552,10 @@
         self.checker.took((g, request), fragile, gives_up);
         self.gateways[g].tries.insert(request, t);
         self.carry_out(g);
-        self.gateways[g].tries.contains_key(&request).then_some(request)
+        self.gateways[g]
+            .tries
+            .contains_key(&request)
+            .then_some(request)
     }
 
     // ---- gateways --------------------------------------------------------------------------------
@@ -510,21 +580,43 @@
         }
         let wake = self.gateways[g].decides.next_wake();
         if let Some(at) = wake
-            && self.gateways[g].tick_at.is_none_or(|t| at < t || t <= self.now)
+            && self.gateways[g]
+                .tick_at
+                .is_none_or(|t| at < t || t <= self.now)
         {
             let at = at.max(self.now + 0.01);
             self.gateways[g].tick_at = Some(at);
-            self.at(at, Event::Tick { gateway: g, at: at.to_bits() });
+            self.at(
+                at,
+                Event::Tick {
+                    gateway: g,
+                    at: at.to_bits(),
+                },
+            );
         }
     }
 
     fn command(&mut self, g: usize, command: Command) {
         match command {
-            Command::Start { attempt, engine, memory_mb, .. } => self.start(g, attempt, &engine, memory_mb),
+            Command::Start {
+                attempt,
+                engine,
+                memory_mb,
+                ..
+            } => self.start(g, attempt, &engine, memory_mb),
             Command::Drop { attempt } => {
                 if let Some((engine, _)) = self.gateways[g].out.remove(&attempt) {
                     let at = self.now + self.delay(g, engine);
-                    self.at(at, Event::Cancel { engine, attempt: Attempt { gateway: g, id: attempt } });
+                    self.at(
+                        at,
+                        Event::Cancel {
+                            engine,
+                            attempt: Attempt {
+                                gateway: g,
+                                id: attempt,
+                            },
+                        },
+                    );
                 }
                 self.close(g, attempt.request);
             }
@@ -534,29 +626,59 @@
     }
 
     fn start(&mut self, g: usize, id: AttemptId, engine: &str, memory_mb: f64) {
-        let Some(e) = self.engines.iter().position(|x| x.name == engine) else { return };
+        let Some(e) = self.engines.iter().position(|x| x.name == engine) else {
+            return;
+        };
         let attempt = Attempt { gateway: g, id };
         // As the program does: looked at again right before it is written.
         if !self.gateways[g].decides.in_service(engine) {
             self.gateways[g].out.insert(id, (e, self.now));
-            return self.at(self.now, Event::Back { attempt, outcome: Outcome::Unreachable, report: vec![] });
+            return self.at(
+                self.now,
+                Event::Back {
+                    attempt,
+                    outcome: Outcome::Unreachable,
+                    report: vec![],
+                },
+            );
         }
         self.day.attempts += 1;
-        self.mark(2, (g as u64) << 32 | e as u64, id.request << 8 | u64::from(id.index));
+        self.mark(
+            2,
+            (g as u64) << 32 | e as u64,
+            id.request << 8 | u64::from(id.index),
+        );
         self.checker.sent(self.now, (g, id.request), id.index, e);
         self.gateways[g].out.insert(id, (e, self.now));
-        let Some(t) = self.gateways[g].tries.get_mut(&id.request) else { return };
+        let Some(t) = self.gateways[g].tries.get_mut(&id.request) else {
+            return;
+        };
         t.first_sent.get_or_insert(self.now);
-        let job = Job { grant_mb: memory_mb, ..t.job.clone() };
+        let job = Job {
+            grant_mb: memory_mb,
+            ..t.job.clone()
+        };
         let (process, at) = (self.engines[e].process, self.now + self.delay(g, e));
-        self.at(at, Event::Reach { engine: e, process, attempt, job: Box::new(job) });
+        self.at(
+            at,
+            Event::Reach {
+                engine: e,
+                process,
+                attempt,
+                job: Box::new(job),
+            },
+        );
     }
 
     fn delay(&mut self, g: usize, e: usize) -> f64 {
         let net = &self.scenario.net;
         let gateway = &mut self.gateways[g];
         let across = gateway.delay.between(net.across_ms[0], net.across_ms[1]);
-        let span = if gateway.zone == self.engines[e].zone { net.within_ms } else { across };
+        let span = if gateway.zone == self.engines[e].zone {
+            net.within_ms
+        } else {
+            across
+        };
         span + self.slow.get(&g).copied().unwrap_or(0.0)
     }
 
@@ -566,12 +688,21 @@
             return;
         }
         let at = self.now + self.delay(attempt.gateway, engine);
-        self.at(at, Event::Back { attempt, outcome, report });
+        self.at(
+            at,
+            Event::Back {
+                attempt,
+                outcome,
+                report,
+            },
+        );
     }
 
     fn answer(&mut self, g: usize, request: u64, answer: Answer) {
         self.checker.answered(self.now, (g, request));
-        let Some(t) = self.gateways[g].tries.get_mut(&request) else { return };
+        let Some(t) = self.gateways[g].tries.get_mut(&request) else {
+            return;
+        };
         if std::mem::replace(&mut t.over, true) {
             return;
         }
@@ -588,7 +719,11 @@
         {
             let at = self.now + later.unwrap_or(self.scenario.load.retry_ms).max(1.0);
             if at < t.gives_up - 200.0 {
-                let again = Try { again: t.again + 1, over: false, ..t };
+                let again = Try {
+                    again: t.again + 1,
+                    over: false,
+                    ..t
+                };
                 self.at(at, Event::Again(Box::new(again)));
                 return self.close(g, request);
             }
@@ -600,7 +735,11 @@
             Answer::Served(_) => {
                 class.ends.served += 1;
                 class.latency.saturating_record((took * 1000.0) as u64 + 1);
-                if took <= t.aim { t.worth } else { t.worth * late_share }
+                if took <= t.aim {
+                    t.worth
+                } else {
+                    t.worth * late_share
+                }
             }
             Answer::Refused { .. } => {
                 class.ends.refused += 1;
@@ -633,7 +772,10 @@
     fn close(&mut self, g: usize, request: u64) {
         let gateway = &mut self.gateways[g];
         let first = AttemptId { request, index: 0 };
-        let last = AttemptId { request, index: u32::MAX };
+        let last = AttemptId {
+            request,
+            index: u32::MAX,
+        };
         let out = gateway.out.range(first..=last).next().is_some();
         if !out && gateway.tries.get(&request).is_some_and(|t| t.over) {
             gateway.tries.remove(&request);
@@ -665,7 +807,13 @@
             self.at(at, Event::Wake { engine: e, stamp });
         }
         if let Some(at) = note {
-            self.at(at, Event::Notes { engine: e, stamp: note_stamp });
+            self.at(
+                at,
+                Event::Notes {
+                    engine: e,
+                    stamp: note_stamp,
+                },
+            );
         }
         if self.engines[e].model.fallen() && !std::mem::replace(&mut self.engines[e].fell, true) {
             self.checker.fell(self.now, e);
@@ -693,12 +841,16 @@
         }
         x.jobs.insert(id, attempt);
         x.ids.insert(attempt, id);
-        self.checker.ran(self.now, (attempt.gateway, attempt.id.request), e);
+        self.checker
+            .ran(self.now, (attempt.gateway, attempt.id.request), e);
         self.rewake(e);
     }
 
     fn spent(&mut self, attempt: Attempt, waits: &Waits) {
-        if let Some(t) = self.gateways[attempt.gateway].tries.get_mut(&attempt.id.request) {
+        if let Some(t) = self.gateways[attempt.gateway]
+            .tries
+            .get_mut(&attempt.id.request)
+        {
             t.waits.ran += waits.ran;
             t.waits.in_line += waits.in_line;
             for (whose, span) in &waits.stood {
@@ -711,7 +863,9 @@
         let ended = self.engines[e].model.ended(self.now);
         for (id, waits) in ended {
             let x = &mut self.engines[e];
-            let Some(attempt) = x.jobs.remove(&id) else { continue };
+            let Some(attempt) = x.jobs.remove(&id) else {
+                continue;
+            };
             x.ids.remove(&attempt);
             let report = x.model.report().to_vec();
             self.mark(4, e as u64, id);
@@ -728,7 +882,9 @@
         let jobs = std::mem::take(&mut x.jobs);
         x.ids.clear();
         for (id, waits) in lost {
-            let Some(attempt) = jobs.get(&id).copied() else { continue };
+            let Some(attempt) = jobs.get(&id).copied() else {
+                continue;
+            };
             self.spent(attempt, &waits);
             self.back(attempt, e, outcome, vec![]);
         }
@@ -764,7 +920,12 @@
             let at = self.now.to_bits();
             self.at(
                 self.now + lag,
-                Event::News { gateway: g, engine: e, entry: Box::new(entry.clone()), at },
+                Event::News {
+                    gateway: g,
+                    engine: e,
+                    entry: Box::new(entry.clone()),
+                    at,
+                },
             );
         }
     }
@@ -788,7 +949,9 @@
             Which::Part { part } => drawn(&mut self.troubles, (part * n as f64).round() as usize),
             Which::Zone { zone } => {
                 let z = self.scenario.zones.iter().position(|x| x == zone);
-                (0..n).filter(|e| Some(self.engines[*e].zone) == z).collect()
+                (0..n)
+                    .filter(|e| Some(self.engines[*e].zone) == z)
+                    .collect()
             }
         }
     }
@@ -820,7 +983,11 @@
                 }
                 self.at(self.now + for_s * s, Event::Over(i, hung));
             }
-            What::Neighbour { engines, part, for_s } => {
+            What::Neighbour {
+                engines,
+                part,
+                for_s,
+            } => {
                 let crowded = self.which(&engines);
                 for e in &crowded {
                     self.engines[*e].model.neighbour(self.now, part);
@@ -836,20 +1003,40 @@
                 self.list_away = true;
                 self.at(self.now + for_s * s, Event::Over(i, vec![]));
             }
-            What::HeavyTail { class, part, times, for_s } => {
-                let class = self.scenario.classes.iter().position(|c| c.name == class).unwrap_or(0);
+            What::HeavyTail {
+                class,
+                part,
+                times,
+                for_s,
+            } => {
+                let class = self
+                    .scenario
+                    .classes
+                    .iter()
+                    .position(|c| c.name == class)
+                    .unwrap_or(0);
                 self.heavy.push((class, part, times));
                 self.at(self.now + for_s * s, Event::Over(i, vec![class]));
             }
-            What::Partition { gateways, engines, for_s } => {
+            What::Partition {
+                gateways,
+                engines,
+                for_s,
+            } => {
                 let engines = self.which(&engines);
                 for g in &gateways {
                     self.cut.extend(engines.iter().map(|e| (*g, *e)));
                 }
                 self.at(self.now + for_s * s, Event::Over(i, engines));
             }
-            What::SlowLink { gateways, extra_ms, for_s } => {
-                gateways.iter().for_each(|g| *self.slow.entry(*g).or_default() += extra_ms);
+            What::SlowLink {
+                gateways,
+                extra_ms,
+                for_s,
+            } => {
+                gateways
+                    .iter()
+                    .for_each(|g| *self.slow.entry(*g).or_default() += extra_ms);
                 self.at(self.now + for_s * s, Event::Over(i, vec![]));
             }
             What::Reset { engines } => {
@@ -871,12 +1058,23 @@
                     self.at(at + drain_s * s, Event::Step(Step::ListIn(e)));
                 }
             }
-            What::ByHand { engines, for_s, restart_after_s } => {
+            What::ByHand {
+                engines,
+                for_s,
+                restart_after_s,
+            } => {
                 for e in self.which(&engines) {
                     for g in 0..self.gateways.len() {
                         // Operators call one gateway after the other.
                         let at = self.now + 50.0 * g as f64;
-                        self.at(at, Event::Hand { gateway: g, engine: e, out: true });
+                        self.at(
+                            at,
+                            Event::Hand {
+                                gateway: g,
+                                engine: e,
+                                out: true,
+                            },
+                        );
                     }
                     self.at(self.now + restart_after_s * s, Event::Step(Step::Start(e)));
                     self.at(self.now + for_s * s, Event::Step(Step::HandIn(e)));
@@ -906,22 +1104,33 @@
                     let at = self.now.to_bits();
                     self.at(
                         self.now + 1.0,
-                        Event::News { gateway: g, engine: e, entry: Box::new(entry), at },
+                        Event::News {
+                            gateway: g,
+                            engine: e,
+                            entry: Box::new(entry),
+                            at,
+                        },
                     );
                 }
             }
             What::HeavyTail { .. } => {
-                let first = self.heavy.iter().position(|h| Some(&h.0) == engines.first());
+                let first = self
+                    .heavy
+                    .iter()
+                    .position(|h| Some(&h.0) == engines.first());
                 if let Some(n) = first {
                     self.heavy.remove(n);
                 }
             }
             What::Partition { gateways, .. } => {
                 for g in gateways {
-                    self.cut.retain(|(cut, e)| *cut != g || !engines.contains(e));
+                    self.cut
+                        .retain(|(cut, e)| *cut != g || !engines.contains(e));
                 }
             }
-            What::SlowLink { gateways, extra_ms, .. } => {
+            What::SlowLink {
+                gateways, extra_ms, ..
+            } => {
                 for g in gateways {
                     *self.slow.entry(g).or_default() -= extra_ms;
                 }
@@ -949,7 +1158,14 @@
             Step::HandIn(e) => {
                 for g in 0..self.gateways.len() {
                     let at = self.now + 50.0 * g as f64;
-                    self.at(at, Event::Hand { gateway: g, engine: e, out: false });
+                    self.at(
+                        at,
+                        Event::Hand {
+                            gateway: g,
+                            engine: e,
+                            out: false,
+                        },
+                    );
                 }
             }
         }
@@ -968,7 +1184,11 @@
             }
             Event::Again(t) => drop(self.ask(*t)),
             Event::Leave { gateway, request } => {
-                let Some(t) = self.gateways[gateway].tries.get_mut(&request).filter(|t| !t.over) else {
+                let Some(t) = self.gateways[gateway]
+                    .tries
+                    .get_mut(&request)
+                    .filter(|t| !t.over)
+                else {
                     return;
                 };
                 t.over = true;
@@ -978,7 +1198,12 @@
                 self.decide(gateway, |d, now| d.leave(now, request));
                 self.close(gateway, request);
             }
-            Event::Reach { engine, process, attempt, job } => self.reach(engine, process, attempt, *job),
+            Event::Reach {
+                engine,
+                process,
+                attempt,
+                job,
+            } => self.reach(engine, process, attempt, *job),
             Event::Cancel { engine, attempt } => {
                 let x = &mut self.engines[engine];
                 if let Some(id) = x.ids.remove(&attempt) {
@@ -1000,9 +1225,15 @@
                     self.notes(engine);
                 }
             }
-            Event::Back { attempt, outcome, report } => {
+            Event::Back {
+                attempt,
+                outcome,
+                report,
+            } => {
                 let Attempt { gateway, id } = attempt;
-                let Some((_, sent)) = self.gateways[gateway].out.remove(&id) else { return };
+                let Some((_, sent)) = self.gateways[gateway].out.remove(&id) else {
+                    return;
+                };
                 if matches!(outcome, Outcome::Reset | Outcome::Unreachable)
                     && let Some(t) = self.gateways[gateway].tries.get_mut(&id.request)
                 {
@@ -1023,7 +1254,12 @@
                     self.decide(gateway, |d, now| d.tick(now));
                 }
             }
-            Event::News { gateway, engine, entry, at } => {
+            Event::News {
+                gateway,
+                engine,
+                entry,
+                at,
+            } => {
                 // Messages may overtake each other; the news of a moment never go behind later ones.
                 let known = self.gateways[gateway].news.insert(engine, at);
                 if let Some(known) = known.filter(|k| *k > at) {
@@ -1031,10 +1267,17 @@
                     return;
                 }
                 self.mark(9, gateway as u64, engine as u64);
-                self.checker.told(self.now, gateway, engine, entry.state == EngineState::Ready);
-                self.decide(gateway, |d, now| d.engines(now, ListUpdate::Patch, vec![*entry]));
+                self.checker
+                    .told(self.now, gateway, engine, entry.state == EngineState::Ready);
+                self.decide(gateway, |d, now| {
+                    d.engines(now, ListUpdate::Patch, vec![*entry])
+                });
             }
-            Event::Hand { gateway, engine, out } => {
+            Event::Hand {
+                gateway,
+                engine,
+                out,
+            } => {
                 let name = self.engines[engine].name.clone();
                 self.checker.told(self.now, gateway, engine, !out);
                 self.decide(gateway, |d, now| d.by_hand(now, &name, out));
@@ -1050,7 +1293,9 @@
         let notes = self.engines[e].model.notes(self.now);
         let lost = self.scenario.net.lost_notes;
         for (id, note) in notes {
-            let Some(attempt) = self.engines[e].jobs.get(&id).copied() else { continue };
+            let Some(attempt) = self.engines[e].jobs.get(&id).copied() else {
+                continue;
+            };
             let arrives = !self.lists.chance(lost) && !self.cut.contains(&(attempt.gateway, e));
             if arrives {
                 let at = self.now + self.delay(attempt.gateway, e);
@@ -1070,8 +1315,11 @@
             done += x.model.done;
             bears += x.model.params().cores * x.model.params().speed;
         }
-        let serving =
-            self.engines.iter().filter(|x| x.up && !x.fell && x.listed == EngineState::Ready).count();
+        let serving = self
+            .engines
+            .iter()
+            .filter(|x| x.up && !x.fell && x.listed == EngineState::Ready)
+            .count();
         let occupied = (done - self.done_at_window) / (bears * WINDOW_S * 1000.0).max(1.0);
         self.done_at_window = done;
         let w = self.window_of(now - 1.0);
--- a/crates/lab/src/world/policy.rs
+++ b/crates/lab/src/world/policy.rs
@@ -38,7 +38,11 @@
         Core::engines(self, now, update, entries);
     }
     fn by_hand(&mut self, now: f64, engine: &str, out: bool) {
-        let _ = if out { self.hold_out(now, engine) } else { self.put_back(now, engine) };
+        let _ = if out {
+            self.hold_out(now, engine)
+        } else {
+            self.put_back(now, engine)
+        };
     }
     fn tick(&mut self, now: f64) {
         Core::tick(self, now);
@@ -56,7 +60,17 @@
 
 /// How an engine is chosen.
 #[derive(
-    Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, clap::ValueEnum,
+    Clone,
+    Copy,
+    Debug,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    Hash,
+    Serialize,
+    Deserialize,
+    clap::ValueEnum,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Policy {
@@ -71,8 +85,13 @@
 }
 
 impl Policy {
-    pub const ALL: [Policy; 5] =
-        [Policy::Module, Policy::Random, Policy::RoundRobin, Policy::LeastOutstanding, Policy::TwoChoices];
+    pub const ALL: [Policy; 5] = [
+        Policy::Module,
+        Policy::Random,
+        Policy::RoundRobin,
+        Policy::LeastOutstanding,
+        Policy::TwoChoices,
+    ];
 
     pub fn name(self) -> &'static str {
         match self {
@@ -135,7 +154,11 @@
 
     fn choose(&mut self, tried: &[usize]) -> Option<usize> {
         let usable: Vec<usize> = self.ready.difference(&self.by_hand).copied().collect();
-        let fresh: Vec<usize> = usable.iter().copied().filter(|e| !tried.contains(e)).collect();
+        let fresh: Vec<usize> = usable
+            .iter()
+            .copied()
+            .filter(|e| !tried.contains(e))
+            .collect();
         let from = if fresh.is_empty() { usable } else { fresh };
         if from.is_empty() {
             return None;
@@ -148,11 +171,15 @@
             }
             Policy::LeastOutstanding => {
                 let least = from.iter().map(|e| self.out[*e]).min().unwrap_or(0);
-                let equal: Vec<usize> = from.into_iter().filter(|e| self.out[*e] == least).collect();
+                let equal: Vec<usize> =
+                    from.into_iter().filter(|e| self.out[*e] == least).collect();
                 equal[self.random.below(equal.len())]
             }
             Policy::TwoChoices => {
-                let (a, b) = (from[self.random.below(from.len())], from[self.random.below(from.len())]);
+                let (a, b) = (
+                    from[self.random.below(from.len())],
+                    from[self.random.below(from.len())],
+                );
                 if self.out[b] < self.out[a] { b } else { a }
             }
         })
@@ -162,11 +189,20 @@
         let Some(r) = self.open.get(&id) else { return };
         let tried: Vec<usize> = r.attempts.iter().map(|a| a.0).collect();
         let (due, harmless) = (r.due, !(r.fragile && r.may_have_run));
-        let chosen = if tried.len() < ATTEMPTS && harmless { self.choose(&tried) } else { None };
+        let chosen = if tried.len() < ATTEMPTS && harmless {
+            self.choose(&tried)
+        } else {
+            None
+        };
         let Some(engine) = chosen else {
             let answer = match harmless {
-                true => Answer::Refused { later: Some(500.0), why: "no engine" },
-                false => Answer::Failed { why: "it may have run" },
+                true => Answer::Refused {
+                    later: Some(500.0),
+                    why: "no engine",
+                },
+                false => Answer::Failed {
+                    why: "it may have run",
+                },
             };
             return self.close(id, Some(answer));
         };
@@ -174,10 +210,20 @@
         if let Some(r) = self.open.get_mut(&id) {
             r.attempts.push((engine, true));
         }
-        let attempt = AttemptId { request: id, index: tried.len() as u32 };
+        let attempt = AttemptId {
+            request: id,
+            index: tried.len() as u32,
+        };
         let engine = self.engines[engine].clone();
         let write_by = f64::INFINITY;
-        let start = Command::Start { attempt, engine, until: due, write_by, memory_mb: 0.0, alone: false };
+        let start = Command::Start {
+            attempt,
+            engine,
+            until: due,
+            write_by,
+            memory_mb: 0.0,
+            alone: false,
+        };
         self.commands.push(start);
     }
 
@@ -188,11 +234,18 @@
             for (index, (engine, out)) in r.attempts.into_iter().enumerate() {
                 if out {
                     self.out[engine] -= 1;
-                    self.commands
-                        .push(Command::Drop { attempt: AttemptId { request: id, index: index as u32 } });
+                    self.commands.push(Command::Drop {
+                        attempt: AttemptId {
+                            request: id,
+                            index: index as u32,
+                        },
+                    });
                 }
             }
-            self.commands.extend(answer.map(|answer| Command::Answer { request: id, answer }));
+            self.commands.extend(answer.map(|answer| Command::Answer {
+                request: id,
+                answer,
+            }));
         }
     }
 }
@@ -203,7 +256,15 @@
         self.next += 1;
         let due = (r.deadline - MARGIN).max(now);
         let fragile = self.fragile.get(r.class).copied().unwrap_or(true);
-        self.open.insert(id, Open { fragile, due, attempts: vec![], may_have_run: false });
+        self.open.insert(
+            id,
+            Open {
+                fragile,
+                due,
+                attempts: vec![],
+                may_have_run: false,
+            },
+        );
         self.due.insert((due.to_bits(), id));
         self.send(id);
         id
@@ -214,11 +275,18 @@
     }
 
     fn ended(&mut self, _: f64, attempt: AttemptId, outcome: Outcome, _: Vec<f64>) {
-        let Some(r) = self.open.get_mut(&attempt.request) else { return };
-        let Some(a) = r.attempts.get_mut(attempt.index as usize).filter(|a| a.1) else { return };
+        let Some(r) = self.open.get_mut(&attempt.request) else {
+            return;
+        };
+        let Some(a) = r.attempts.get_mut(attempt.index as usize).filter(|a| a.1) else {
+            return;
+        };
         a.1 = false;
         let engine = a.0;
-        r.may_have_run |= !matches!(outcome, Outcome::Full | Outcome::Unreachable | Outcome::Moot);
+        r.may_have_run |= !matches!(
+            outcome,
+            Outcome::Full | Outcome::Unreachable | Outcome::Moot
+        );
         self.out[engine] -= 1;
         match outcome {
             Outcome::Served => self.close(attempt.request, Some(Answer::Served(attempt))),
@@ -247,7 +315,9 @@
     }
 
     fn by_hand(&mut self, _: f64, engine: &str, out: bool) {
-        let Some(place) = self.place.get(engine) else { return };
+        let Some(place) = self.place.get(engine) else {
+            return;
+        };
         match out {
             true => drop(self.by_hand.insert(*place)),
             false => drop(self.by_hand.remove(place)),
@@ -255,7 +325,12 @@
     }
 
     fn tick(&mut self, now: f64) {
-        while let Some((_, id)) = self.due.first().copied().filter(|d| f64::from_bits(d.0) <= now) {
+        while let Some((_, id)) = self
+            .due
+            .first()
+            .copied()
+            .filter(|d| f64::from_bits(d.0) <= now)
+        {
             let harmless = self.open.get(&id).is_none_or(|r| !r.fragile);
             self.close(id, Some(Answer::TimedOut { harmless }));
         }
@@ -270,6 +345,8 @@
     }
 
     fn in_service(&self, engine: &str) -> bool {
-        self.place.get(engine).is_some_and(|p| self.ready.contains(p) && !self.by_hand.contains(p))
+        self.place
+            .get(engine)
+            .is_some_and(|p| self.ready.contains(p) && !self.by_hand.contains(p))
     }
 }
--- a/crates/lab/src/world/rules.rs
+++ b/crates/lab/src/world/rules.rs
@@ -19,7 +19,13 @@
 }
 
 impl Rule {
-    pub const ALL: [Rule; 5] = [Rule::OneAnswer, Rule::Drains, Rule::Repeats, Rule::Cold, Rule::Attempts];
+    pub const ALL: [Rule; 5] = [
+        Rule::OneAnswer,
+        Rule::Drains,
+        Rule::Repeats,
+        Rule::Cold,
+        Rule::Attempts,
+    ];
 
     pub fn name(self) -> &'static str {
         match self {
@@ -82,7 +88,14 @@
     /// A gateway took a request whose client gives up then.
     pub fn took(&mut self, key: Key, fragile: bool, gives_up: f64) {
         self.taken += 1;
-        self.open.insert(key, Request { fragile, gives_up, ..Request::default() });
+        self.open.insert(
+            key,
+            Request {
+                fragile,
+                gives_up,
+                ..Request::default()
+            },
+        );
     }
 
     /// Its client left before: nothing is owed.
@@ -123,39 +136,61 @@
             self.breaks(
                 Rule::Attempts,
                 now,
-                format!("gateway {} made attempt {} of request {}", key.0, index + 1, key.1),
+                format!(
+                    "gateway {} made attempt {} of request {}",
+                    key.0,
+                    index + 1,
+                    key.1
+                ),
             );
         }
         if twice {
-            let event = format!("gateway {} sent load {} again, which may have run", key.0, key.1);
+            let event = format!(
+                "gateway {} sent load {} again, which may have run",
+                key.0, key.1
+            );
             self.breaks(Rule::Repeats, now, event);
         }
     }
 
     /// An attempt has reached its engine, which took it.
     pub fn ran(&mut self, now: f64, key: Key, engine: usize) {
-        let Some(r) = self.open.get_mut(&key) else { return };
+        let Some(r) = self.open.get_mut(&key) else {
+            return;
+        };
         r.ran += 1;
         if r.fragile && r.ran > 1 {
-            let event = format!("load {} of gateway {} ran a second time, on engine {engine}", key.1, key.0);
+            let event = format!(
+                "load {} of gateway {} ran a second time, on engine {engine}",
+                key.1, key.0
+            );
             self.breaks(Rule::Repeats, now, event);
         }
     }
 
     pub fn answered(&mut self, now: f64, key: Key) {
         let Some(r) = self.open.get_mut(&key) else {
-            let event = format!("gateway {} answered request {}, which it has not", key.0, key.1);
+            let event = format!(
+                "gateway {} answered request {}, which it has not",
+                key.0, key.1
+            );
             return self.breaks(Rule::OneAnswer, now, event);
         };
         r.answers += 1;
         let (answers, late) = (r.answers, now - r.gives_up);
         self.answered += 1;
         if answers > 1 {
-            self.breaks(Rule::OneAnswer, now, format!("gateway {} answered request {} again", key.0, key.1));
+            self.breaks(
+                Rule::OneAnswer,
+                now,
+                format!("gateway {} answered request {} again", key.0, key.1),
+            );
         }
         if late > 0.0 {
-            let event =
-                format!("gateway {} answered request {} {late:.0} ms after its client gave up", key.0, key.1);
+            let event = format!(
+                "gateway {} answered request {} {late:.0} ms after its client gave up",
+                key.0, key.1
+            );
             self.breaks(Rule::OneAnswer, now, event);
         }
     }
@@ -169,14 +204,26 @@
 
     /// An engine fell over.
     pub fn fell(&mut self, now: f64, engine: usize) {
-        self.breaks(Rule::Cold, now, format!("engine {engine} fell over, pushed while it was cold"));
+        self.breaks(
+            Rule::Cold,
+            now,
+            format!("engine {engine} fell over, pushed while it was cold"),
+        );
     }
 
     /// The day is over: whatever is owed has had its time.
     pub fn end(&mut self, now: f64) {
-        let owed = self.open.iter().find(|(_, r)| r.answers == 0 && r.gives_up < now).map(|(k, _)| *k);
+        let owed = self
+            .open
+            .iter()
+            .find(|(_, r)| r.answers == 0 && r.gives_up < now)
+            .map(|(k, _)| *k);
         if let Some((gateway, request)) = owed {
-            self.breaks(Rule::OneAnswer, now, format!("gateway {gateway} never answered request {request}"));
+            self.breaks(
+                Rule::OneAnswer,
+                now,
+                format!("gateway {gateway} never answered request {request}"),
+            );
         }
     }
 
@@ -216,14 +263,31 @@
         c.ran(1000.0, (0, 1), 4);
         c.sent(1001.0, (0, 1), 1, 4);
         assert_eq!(rules(&c), [Rule::Drains, Rule::Repeats]);
-        assert!(c.broken()[0].event.contains("engine 4 1001 ms after"), "{:?}", c.broken());
+        assert!(
+            c.broken()[0].event.contains("engine 4 1001 ms after"),
+            "{:?}",
+            c.broken()
+        );
         c.sent(1002.0, (0, 1), 2, 5);
         c.sent(1003.0, (0, 1), 3, 5);
         c.answered(5_001.0, (0, 1));
         c.answered(5_002.0, (0, 1));
         c.fell(6_000.0, 2);
-        assert_eq!(rules(&c), [Rule::Drains, Rule::Repeats, Rule::Attempts, Rule::OneAnswer, Rule::Cold]);
-        assert!(c.broken()[3].event.contains("after its client gave up"), "{:?}", c.broken()[3]);
+        assert_eq!(
+            rules(&c),
+            [
+                Rule::Drains,
+                Rule::Repeats,
+                Rule::Attempts,
+                Rule::OneAnswer,
+                Rule::Cold
+            ]
+        );
+        assert!(
+            c.broken()[3].event.contains("after its client gave up"),
+            "{:?}",
+            c.broken()[3]
+        );
     }
 
     #[test]
@@ -233,7 +297,11 @@
         c.end(99.0);
         assert!(c.broken().is_empty());
         c.end(101.0);
-        assert!(c.broken()[0].event.contains("gateway 2 never answered request 9"));
+        assert!(
+            c.broken()[0]
+                .event
+                .contains("gateway 2 never answered request 9")
+        );
         let mut c = Checker::default();
         c.took((2, 9), false, 100.0);
         c.left((2, 9));
