--- a/crates/lab/src/world/tests.rs
+++ b/crates/lab/src/world/tests.rs
@@ -16,7 +16,12 @@
 /// No rule is broken, but for cold engines that a plain policy knows nothing of.
 fn sound_for(policy: Policy, d: &Day) {
     let kept = |b: &rules::Broken| policy != Policy::Module && b.rule == Rule::Cold;
-    assert!(d.broken.iter().all(kept), "{}: {:?}", policy.name(), d.broken);
+    assert!(
+        d.broken.iter().all(kept),
+        "{}: {:?}",
+        policy.name(),
+        d.broken
+    );
     one_end_each(d);
 }
 
@@ -59,7 +64,9 @@
     }
     // On other threads as well, beside others.
     let hashes: Vec<u64> = std::thread::scope(|t| {
-        let all: Vec<_> = (0..4).map(|_| t.spawn(|| play(&s, Policy::Module, 7).hash)).collect();
+        let all: Vec<_> = (0..4)
+            .map(|_| t.spawn(|| play(&s, Policy::Module, 7).hash))
+            .collect();
         all.into_iter().map(|h| h.join().unwrap()).collect()
     });
     assert!(hashes.iter().all(|h| *h == hashes[0]));
@@ -70,7 +77,13 @@
     let s = small("");
     let asked = |p| {
         let d = play(&s, p, 3);
-        (d.requests, d.classes.iter().map(|c| c.worth.asked.to_bits()).collect::<Vec<_>>())
+        (
+            d.requests,
+            d.classes
+                .iter()
+                .map(|c| c.worth.asked.to_bits())
+                .collect::<Vec<_>>(),
+        )
     };
     let first = asked(Policy::Module);
     assert!(Policy::ALL.into_iter().all(|p| asked(p) == first));
@@ -85,8 +98,17 @@
         let d = play(&s, policy, 5);
         sound_for(policy, &d);
         let failed = d.classes[2].ends.failed;
-        assert!(failed > 0, "{}: a load that may have run is failed, not sent again", policy.name());
-        assert_eq!(d.classes[0].ends.failed, 0, "{}: a look-up goes elsewhere", policy.name());
+        assert!(
+            failed > 0,
+            "{}: a load that may have run is failed, not sent again",
+            policy.name()
+        );
+        assert_eq!(
+            d.classes[0].ends.failed,
+            0,
+            "{}: a look-up goes elsewhere",
+            policy.name()
+        );
     }
 }
 
@@ -99,7 +121,11 @@
         .replace("TROUBLE", r#"{ at_s: 5, kind: "drain", engines: [0], for_s: 5 }, { at_s: 12, kind: "drain", engines: [1, 2], for_s: 4 }"#);
     let d = play(&day(&text), Policy::Module, 2);
     sound(&d);
-    assert!(d.latest_after_notice_ms < 1000.0, "{}", d.latest_after_notice_ms);
+    assert!(
+        d.latest_after_notice_ms < 1000.0,
+        "{}",
+        d.latest_after_notice_ms
+    );
 }
 
 #[test]
@@ -108,8 +134,17 @@
     for policy in Policy::ALL {
         let d = play(&s, policy, 4);
         sound(&d);
-        let unserved: u64 = d.classes.iter().map(|c| c.ends.refused + c.ends.failed + c.ends.late).sum();
-        assert!(unserved * 2 > d.requests, "{}: {unserved} of {}", policy.name(), d.requests);
+        let unserved: u64 = d
+            .classes
+            .iter()
+            .map(|c| c.ends.refused + c.ends.failed + c.ends.late)
+            .sum();
+        assert!(
+            unserved * 2 > d.requests,
+            "{}: {unserved} of {}",
+            policy.name(),
+            d.requests
+        );
     }
 }
 
@@ -129,7 +164,9 @@
 
 #[test]
 fn clients_that_leave_are_owed_nothing_and_break_nothing() {
-    let s = day(&SMALL.replace("TROUBLE", "").replace("per_s: 24", "per_s: 24, leave: 0.3"));
+    let s = day(&SMALL
+        .replace("TROUBLE", "")
+        .replace("per_s: 24", "per_s: 24, leave: 0.3"));
     for policy in [Policy::Module, Policy::Random] {
         let d = play(&s, policy, 4);
         sound(&d);
@@ -153,8 +190,11 @@
     }
     fn ended(&mut self, now: f64, attempt: AttemptId, outcome: Outcome, report: Vec<f64>) {
         // What broke off is called never sent: it goes out again, a load as well.
-        let outcome =
-            if self.how == "repeats" && outcome == Outcome::Reset { Outcome::Unreachable } else { outcome };
+        let outcome = if self.how == "repeats" && outcome == Outcome::Reset {
+            Outcome::Unreachable
+        } else {
+            outcome
+        };
         self.sound.ended(now, attempt, outcome, report);
     }
     fn note(&mut self, _: f64, _: AttemptId, _: Note) {}
@@ -176,7 +216,11 @@
     }
     fn commands(&mut self) -> Vec<Command> {
         let mut all = self.sound.commands();
-        let twice = all.iter().filter(|c| matches!(c, Command::Answer { .. })).cloned().collect::<Vec<_>>();
+        let twice = all
+            .iter()
+            .filter(|c| matches!(c, Command::Answer { .. }))
+            .cloned()
+            .collect::<Vec<_>>();
         if self.how == "answers twice" {
             all.extend(twice);
         }
@@ -195,19 +239,38 @@
             Rule::Repeats,
             r#"{ at_s: 5, kind: "reset", engines: [0, 1, 2, 3] }, { at_s: 9, kind: "reset", engines: [0, 1, 2, 3] }"#,
         ),
-        ("deaf", Rule::Drains, r#"{ at_s: 5, kind: "drain", engines: [0, 1], for_s: 9 }"#),
+        (
+            "deaf",
+            Rule::Drains,
+            r#"{ at_s: 5, kind: "drain", engines: [0, 1], for_s: 9 }"#,
+        ),
         ("answers twice", Rule::OneAnswer, ""),
-        ("silent", Rule::OneAnswer, r#"{ at_s: 5, kind: "hang", engines: [0, 1], for_s: 15 }"#),
+        (
+            "silent",
+            Rule::OneAnswer,
+            r#"{ at_s: 5, kind: "hang", engines: [0, 1], for_s: 15 }"#,
+        ),
     ];
     for (how, rule, trouble) in cases {
         let s = small(trouble);
         let fragile: Vec<bool> = s.classes.iter().map(|c| c.fragile).collect();
         let streams = Streams::new(1);
         let d = play_with(&s, 1, &mut |g, _| {
-            let sound = Plain::new(Policy::Random, fragile.clone(), streams.numbered("cheat", g));
-            Box::new(Cheat { sound, how, deaf: how == "deaf" })
+            let sound = Plain::new(
+                Policy::Random,
+                fragile.clone(),
+                streams.numbered("cheat", g),
+            );
+            Box::new(Cheat {
+                sound,
+                how,
+                deaf: how == "deaf",
+            })
         });
-        let first = d.broken.first().unwrap_or_else(|| panic!("{how} was not caught"));
+        let first = d
+            .broken
+            .first()
+            .unwrap_or_else(|| panic!("{how} was not caught"));
         assert_eq!(first.rule, rule, "{how}: {first:?}");
         assert!(first.event.contains("gateway"), "{first:?}");
         assert_eq!(d.goal(), 0.0);
@@ -217,12 +280,25 @@
 #[test]
 fn a_cold_engine_that_is_pushed_over_is_seen() {
     // Random sending knows no cold engines: all of a high load goes to one that has just come back.
-    let text = SMALL.replace("per_s: 24", "per_s: 150").replace("count: 4", "count: 2");
-    let s = day(&text.replace("TROUBLE", r#"{ at_s: 3, kind: "die", engines: [0, 1], back_s: 3 }"#));
+    let text = SMALL
+        .replace("per_s: 24", "per_s: 150")
+        .replace("count: 4", "count: 2");
+    let s = day(&text.replace(
+        "TROUBLE",
+        r#"{ at_s: 3, kind: "die", engines: [0, 1], back_s: 3 }"#,
+    ));
     let d = play(&s, Policy::Random, 1);
-    assert!(d.broken.iter().any(|b| b.rule == Rule::Cold), "{:?}", d.broken);
+    assert!(
+        d.broken.iter().any(|b| b.rule == Rule::Cold),
+        "{:?}",
+        d.broken
+    );
     let d = play(&s, Policy::Module, 1);
-    assert!(!d.broken.iter().any(|b| b.rule == Rule::Cold), "{:?}", d.broken);
+    assert!(
+        !d.broken.iter().any(|b| b.rule == Rule::Cold),
+        "{:?}",
+        d.broken
+    );
 }
 
 #[test]
--- a/examples/toy/main.rs
+++ b/examples/toy/main.rs
@@ -13,13 +13,17 @@
 async fn main() -> Result<(), MeasureError> {
     let serve = async {
         let engines = serve_engines(2, 4001, WORK).await?;
-        engines.iter().for_each(|e| println!("{} listens on {}", e.name(), e.address()));
+        engines
+            .iter()
+            .for_each(|e| println!("{} listens on {}", e.name(), e.address()));
         let mut shown = vec![0; engines.len()];
         loop {
             tokio::time::sleep(LOOK).await;
             for (e, shown) in engines.iter().zip(&mut shown) {
                 let ran = e.ran();
-                ran[*shown..].iter().for_each(|r| println!("{} runs {}", e.name(), r.sql));
+                ran[*shown..]
+                    .iter()
+                    .for_each(|r| println!("{} runs {}", e.name(), r.sql));
                 *shown = ran.len();
             }
         }
--- a/src/bin/hitchwinch-simhost/main.rs
+++ b/src/bin/hitchwinch-simhost/main.rs
@@ -30,7 +30,9 @@
 impl Instance {
     /// Keeps the account of what its peers may be told of.
     fn follow(&mut self, event: &Event) {
-        let Some(bulletin) = &mut self.bulletin else { return };
+        let Some(bulletin) = &mut self.bulletin else {
+            return;
+        };
         match event {
             Event::Query(_) => bulletin.taken(),
             Event::Engines { update, entries } => {
@@ -84,12 +86,24 @@
                 self.tables.insert(list, members);
                 return Ok(());
             }
-            In::Provision { gateway_id, prng, profile_data } => {
+            In::Provision {
+                gateway_id,
+                prng,
+                profile_data,
+            } => {
                 let bulletin = profile_data.peers().map(Bulletin::new);
                 let (settings, names) = profile_data.settings()?;
                 let controller = Controller::new(settings, prng).map_err(|e| e.to_string())?;
                 let listed = BTreeSet::new();
-                self.instances.insert(gateway_id, Instance { controller, names, bulletin, listed });
+                self.instances.insert(
+                    gateway_id,
+                    Instance {
+                        controller,
+                        names,
+                        bulletin,
+                        listed,
+                    },
+                );
                 return Ok(());
             }
             In::Killed { gateway_id } => {
@@ -97,43 +111,105 @@
                 self.instances.remove(&gateway_id);
                 return Ok(());
             }
-            In::Membership { gateway_id, how, list } => {
+            In::Membership {
+                gateway_id,
+                how,
+                list,
+            } => {
                 let members = match how {
                     wire::How::Broken => None,
                     _ => {
                         let list = list.ok_or("missing field `list`")?;
-                        Some(self.tables.get(&list).ok_or_else(|| format!("unknown table {list}"))?)
+                        Some(
+                            self.tables
+                                .get(&list)
+                                .ok_or_else(|| format!("unknown table {list}"))?,
+                        )
                     }
                 };
                 let event = wire::engines(self.names(&gateway_id)?, how, members);
                 (gateway_id, event)
             }
-            In::Inbound(q) => (q.gateway_id.clone(), wire::query(self.names(&q.gateway_id)?, q)?),
+            In::Inbound(q) => (
+                q.gateway_id.clone(),
+                wire::query(self.names(&q.gateway_id)?, q)?,
+            ),
             In::Ended(e) => {
                 self.tell(now, &e)?;
-                (e.gateway_id.clone(), wire::ended(self.names(&e.gateway_id)?, e))
+                (
+                    e.gateway_id.clone(),
+                    wire::ended(self.names(&e.gateway_id)?, e),
+                )
             }
-            In::Health { gateway_id, engine, how, metrics } => {
+            In::Health {
+                gateway_id,
+                engine,
+                how,
+                metrics,
+            } => {
                 let report = metrics.unwrap_or_default();
-                (gateway_id, Event::Heard { engine, outcome: how.outcome(), report })
+                (
+                    gateway_id,
+                    Event::Heard {
+                        engine,
+                        outcome: how.outcome(),
+                        report,
+                    },
+                )
             }
-            In::Progress { gateway_id, corr, go, x, kind } => match wire::note(kind, x) {
-                Some(note) => (gateway_id, Event::Progress { id: corr.into(), attempt: go, note }),
+            In::Progress {
+                gateway_id,
+                corr,
+                go,
+                x,
+                kind,
+            } => match wire::note(kind, x) {
+                Some(note) => (
+                    gateway_id,
+                    Event::Progress {
+                        id: corr.into(),
+                        attempt: go,
+                        note,
+                    },
+                ),
                 None => return self.names(&gateway_id).map(|_| ()),
             },
-            In::Message { gateway_id, content } => {
+            In::Message {
+                gateway_id,
+                content,
+            } => {
                 self.names(&gateway_id)?;
-                let bulletin = self.instances.get_mut(&gateway_id).and_then(|i| i.bulletin.as_mut());
+                let bulletin = self
+                    .instances
+                    .get_mut(&gateway_id)
+                    .and_then(|i| i.bulletin.as_mut());
                 let heard = bulletin.map(|b| b.heard(now, content.as_bytes()));
                 // What can't be read is passed over, as on sockets.
-                let Some(Ok(Some((engine, report)))) = heard else { return Ok(()) };
-                (gateway_id, Event::Heard { engine, outcome: Outcome::Served, report })
+                let Some(Ok(Some((engine, report)))) = heard else {
+                    return Ok(());
+                };
+                (
+                    gateway_id,
+                    Event::Heard {
+                        engine,
+                        outcome: Outcome::Served,
+                        report,
+                    },
+                )
             }
             In::ClientLeft { gateway_id, corr } => (gateway_id, Event::ClientLeft(corr.into())),
             In::Ring { gateway_id, nonce } => (gateway_id, Event::Timer(nonce)),
-            In::UnderWay { gateway_id, corr, go } => {
-                (gateway_id, Event::Streaming { id: corr.into(), attempt: go })
-            }
+            In::UnderWay {
+                gateway_id,
+                corr,
+                go,
+            } => (
+                gateway_id,
+                Event::Streaming {
+                    id: corr.into(),
+                    attempt: go,
+                },
+            ),
         };
         self.names(&id)?;
         if let Some(i) = self.instances.get_mut(&id) {
@@ -144,24 +220,37 @@
 
     /// Its peers hear of an engine's load by an answer's report.
     fn tell(&mut self, now: f64, e: &EndedIn) -> Result<(), String> {
-        let bulletin = self.instances.get_mut(&e.gateway_id).and_then(|i| i.bulletin.as_mut());
-        let (Some(bulletin), Some(engine)) = (bulletin, &e.engine) else { return Ok(()) };
+        let bulletin = self
+            .instances
+            .get_mut(&e.gateway_id)
+            .and_then(|i| i.bulletin.as_mut());
+        let (Some(bulletin), Some(engine)) = (bulletin, &e.engine) else {
+            return Ok(());
+        };
         let report = e.metrics.as_deref().unwrap_or_default();
         match bulletin.learned(now, engine, report).map(String::from_utf8) {
-            Some(Ok(content)) => self.write(&Out::WritePeer { gateway_id: &e.gateway_id, content: &content }),
+            Some(Ok(content)) => self.write(&Out::WritePeer {
+                gateway_id: &e.gateway_id,
+                content: &content,
+            }),
             _ => Ok(()),
         }
     }
 
     fn names(&self, id: &str) -> Result<&Names, String> {
-        self.instances.get(id).map(|i| &i.names).ok_or_else(|| format!("instance {id:?} is not provisioned"))
+        self.instances
+            .get(id)
+            .map(|i| &i.names)
+            .ok_or_else(|| format!("instance {id:?} is not provisioned"))
     }
 
     fn handle(&mut self, now: f64, id: &str, event: Event) -> Result<(), String> {
         let mut actions = std::mem::take(&mut self.actions);
         actions.clear();
         let ran = self.instances.get_mut(id).map(|instance| {
-            catch_unwind(AssertUnwindSafe(|| instance.controller.handle(now, event, &mut actions)))
+            catch_unwind(AssertUnwindSafe(|| {
+                instance.controller.handle(now, event, &mut actions)
+            }))
         });
         if let Some(Err(panic)) = ran {
             let text = panic
@@ -169,7 +258,10 @@
                 .map(String::as_str)
                 .or_else(|| panic.downcast_ref::<&str>().copied())
                 .unwrap_or("panic");
-            self.write(&Out::Fault { gateway_id: id, text })?;
+            self.write(&Out::Fault {
+                gateway_id: id,
+                text,
+            })?;
         } else {
             for action in &actions {
                 self.write(&Out::new(id, action))?;
@@ -192,7 +284,9 @@
     let mut line = String::new();
     for number in 1u64.. {
         line.clear();
-        let read = input.read_line(&mut line).map_err(|e| format!("line {number}: {e}"))?;
+        let read = input
+            .read_line(&mut line)
+            .map_err(|e| format!("line {number}: {e}"))?;
         if read == 0 {
             return match host.now {
                 None => Ok(()),
@@ -200,7 +294,8 @@
             };
         }
         if !line.trim().is_empty() {
-            host.line(&line).map_err(|e| format!("line {number}: {e}"))?;
+            host.line(&line)
+                .map_err(|e| format!("line {number}: {e}"))?;
         }
     }
     Ok(())
--- a/src/bin/hitchwinch-simhost/wire.rs
+++ b/src/bin/hitchwinch-simhost/wire.rs
@@ -7,20 +7,59 @@
 #[derive(Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 pub enum In {
-    Turn { ts: f64 },
+    Turn {
+        ts: f64,
+    },
     Commit,
-    Table { list: u64, members: Vec<Member> },
-    Provision { gateway_id: String, prng: u64, profile_data: Box<Profile> },
-    Membership { gateway_id: String, how: How, list: Option<u64> },
+    Table {
+        list: u64,
+        members: Vec<Member>,
+    },
+    Provision {
+        gateway_id: String,
+        prng: u64,
+        profile_data: Box<Profile>,
+    },
+    Membership {
+        gateway_id: String,
+        how: How,
+        list: Option<u64>,
+    },
     Inbound(Inbound),
     Ended(EndedIn),
-    Health { gateway_id: String, engine: String, how: Status, metrics: Option<Vec<f64>> },
-    Progress { gateway_id: String, corr: u32, go: u32, x: Option<f64>, kind: u32 },
-    Message { gateway_id: String, content: String },
-    Killed { gateway_id: String },
-    ClientLeft { gateway_id: String, corr: u32 },
-    Ring { gateway_id: String, nonce: u64 },
-    UnderWay { gateway_id: String, corr: u32, go: u32 },
+    Health {
+        gateway_id: String,
+        engine: String,
+        how: Status,
+        metrics: Option<Vec<f64>>,
+    },
+    Progress {
+        gateway_id: String,
+        corr: u32,
+        go: u32,
+        x: Option<f64>,
+        kind: u32,
+    },
+    Message {
+        gateway_id: String,
+        content: String,
+    },
+    Killed {
+        gateway_id: String,
+    },
+    ClientLeft {
+        gateway_id: String,
+        corr: u32,
+    },
+    Ring {
+        gateway_id: String,
+        nonce: u64,
+    },
+    UnderWay {
+        gateway_id: String,
+        corr: u32,
+        go: u32,
+    },
 }
 
 #[derive(Clone, Deserialize)]
@@ -116,8 +155,8 @@
 }
 
 pub fn query(names: &Names, q: Inbound) -> Result<Event, String> {
-    let class =
-        find(&names.classes, &q.band).ok_or_else(|| format!("band: class {:?} is not listed", q.band))?;
+    let class = find(&names.classes, &q.band)
+        .ok_or_else(|| format!("band: class {:?} is not listed", q.band))?;
     let tenant = match &q.team {
         Some(Name::Text(t)) => find(&names.tenants, t),
         _ => None,
@@ -167,7 +206,10 @@
                 MemberState::Out => EngineState::Gone,
             },
             started: m.ready_at.filter(|t| *t > 0.0),
-            kind: m.class_of_host.as_deref().and_then(|k| find(&names.kinds, k)),
+            kind: m
+                .class_of_host
+                .as_deref()
+                .and_then(|k| find(&names.kinds, k)),
             zone: m.az.as_deref().and_then(|z| find(&names.zones, z)),
             cell: m.stripe.unwrap_or(0),
         })
@@ -248,20 +290,50 @@
 impl<'a> Out<'a> {
     pub fn new(gateway_id: &'a str, action: &'a Action) -> Self {
         match action {
-            Action::Send { id, engine, timeout } => {
-                Out::CallOut { gateway_id, corr: *id, engine, try_for: *timeout }
-            }
-            Action::Terms { id, priority, memory_mb } => {
-                Out::Provide { gateway_id, corr: *id, rank: *priority, mem_mb: *memory_mb }
-            }
-            Action::Cancel { id, attempt } => Out::Retract { gateway_id, corr: *id, go: *attempt },
-            Action::Refuse { id, retry_after } => {
-                Out::Reject { gateway_id, corr: *id, not_before_for: *retry_after }
-            }
-            Action::Fail { id } => Out::Fail { gateway_id, corr: *id },
+            Action::Send {
+                id,
+                engine,
+                timeout,
+            } => Out::CallOut {
+                gateway_id,
+                corr: *id,
+                engine,
+                try_for: *timeout,
+            },
+            Action::Terms {
+                id,
+                priority,
+                memory_mb,
+            } => Out::Provide {
+                gateway_id,
+                corr: *id,
+                rank: *priority,
+                mem_mb: *memory_mb,
+            },
+            Action::Cancel { id, attempt } => Out::Retract {
+                gateway_id,
+                corr: *id,
+                go: *attempt,
+            },
+            Action::Refuse { id, retry_after } => Out::Reject {
+                gateway_id,
+                corr: *id,
+                not_before_for: *retry_after,
+            },
+            Action::Fail { id } => Out::Fail {
+                gateway_id,
+                corr: *id,
+            },
             Action::Probe { engine } => Out::SoundOut { gateway_id, engine },
-            Action::Timer { at, token } => Out::SetAlarm { gateway_id, moment: *at, nonce: *token },
-            Action::Subscribe => Out::Observe { gateway_id, want: true },
+            Action::Timer { at, token } => Out::SetAlarm {
+                gateway_id,
+                moment: *at,
+                nonce: *token,
+            },
+            Action::Subscribe => Out::Observe {
+                gateway_id,
+                want: true,
+            },
             Action::Log(text) => Out::Print { gateway_id, text },
         }
     }
--- a/src/config/eureka.rs
+++ b/src/config/eureka.rs
@@ -157,7 +157,13 @@
 }
 
 /// A number under a key, within bounds.
-fn within(key: &str, v: Option<f64>, default: f64, least: f64, most: f64) -> Result<f64, ConfigError> {
+fn within(
+    key: &str,
+    v: Option<f64>,
+    default: f64,
+    least: f64,
+    most: f64,
+) -> Result<f64, ConfigError> {
     let v = v.unwrap_or(default);
     match v >= least && v <= most {
         true => Ok(v),
@@ -170,46 +176,88 @@
     let plain = |c: char| c.is_ascii_alphanumeric() || "-_.:@".contains(c);
     match !text.is_empty() && text.len() <= 255 && text.chars().all(plain) {
         true => Ok(text.to_string()),
-        false => Err(bad(key, format!("{text:?}: letters, digits and any of -_.:@ make a name"))),
+        false => Err(bad(
+            key,
+            format!("{text:?}: letters, digits and any of -_.:@ make a name"),
+        )),
     }
 }
 
 fn server(key: &str, text: &str, zone: Option<String>) -> Result<Server, ConfigError> {
     let url = Url::parse(text).map_err(|e| bad(key, format!("{text:?} is no URL ({e})")))?;
     if url.scheme() != "http" {
-        return Err(bad(key, format!("{text:?}: only http is spoken, and the URL starts with it")));
+        return Err(bad(
+            key,
+            format!("{text:?}: only http is spoken, and the URL starts with it"),
+        ));
     }
-    let Some(host) = url.host_str() else { return Err(bad(key, format!("{text:?} names no host"))) };
+    let Some(host) = url.host_str() else {
+        return Err(bad(key, format!("{text:?} names no host")));
+    };
     if url.query().is_some() || url.fragment().is_some() {
-        return Err(bad(key, format!("{text:?}: a server has no query and no fragment")));
+        return Err(bad(
+            key,
+            format!("{text:?}: a server has no query and no fragment"),
+        ));
     }
-    let decoded = |t: &str| percent(t).ok_or_else(|| bad(key, "the user or password is wrongly escaped"));
+    let decoded =
+        |t: &str| percent(t).ok_or_else(|| bad(key, "the user or password is wrongly escaped"));
     let authorization = match (url.username(), url.password()) {
         ("", None) => None,
         (user, password) => {
             let pair = format!("{}:{}", decoded(user)?, decoded(password.unwrap_or(""))?);
-            Some(format!("Basic {}", base64::prelude::BASE64_STANDARD.encode(pair)))
+            Some(format!(
+                "Basic {}",
+                base64::prelude::BASE64_STANDARD.encode(pair)
+            ))
         }
     };
-    let (port, path) = (url.port().unwrap_or(80), url.path().trim_end_matches('/').to_string());
-    let host = host.trim_start_matches('[').trim_end_matches(']').to_string();
-    let shown = if host.contains(':') { format!("[{host}]") } else { host.clone() };
-    Ok(Server { name: format!("http://{shown}:{port}{path}"), host, port, path, authorization, zone })
+    let (port, path) = (
+        url.port().unwrap_or(80),
+        url.path().trim_end_matches('/').to_string(),
+    );
+    let host = host
+        .trim_start_matches('[')
+        .trim_end_matches(']')
+        .to_string();
+    let shown = if host.contains(':') {
+        format!("[{host}]")
+    } else {
+        host.clone()
+    };
+    Ok(Server {
+        name: format!("http://{shown}:{port}{path}"),
+        host,
+        port,
+        path,
+        authorization,
+        zone,
+    })
 }
 
 /// Undoes `%XX`, as a URL's user and password have it.
 fn percent(text: &str) -> Option<String> {
-    percent_encoding::percent_decode_str(text).decode_utf8().ok().map(|t| t.into_owned())
+    percent_encoding::percent_decode_str(text)
+        .decode_utf8()
+        .ok()
+        .map(|t| t.into_owned())
 }
 
 impl RawEureka {
     /// `listen` is where clients connect, which is what we register; `zone` is where this dispatcher stands.
-    pub(super) fn check(self, listen: SocketAddr, zone: Option<String>) -> Result<EurekaSource, ConfigError> {
+    pub(super) fn check(
+        self,
+        listen: SocketAddr,
+        zone: Option<String>,
+    ) -> Result<EurekaSource, ConfigError> {
         let mut servers = vec![];
         let earlier = self.address.is_some();
         match (&self.address, &self.servers) {
             (Some(_), Some(_)) => {
-                return Err(bad("eureka.address", "servers are listed too: only one of both can be"));
+                return Err(bad(
+                    "eureka.address",
+                    "servers are listed too: only one of both can be",
+                ));
             }
             (None, None) => return Err(bad("eureka.servers", "no server is listed")),
             (Some(at), None) => {
@@ -218,7 +266,10 @@
                 servers.push(server("eureka.path", &format!("http://{at}{path}"), None)?);
             }
             (None, Some(_)) if self.path.is_some() => {
-                return Err(bad("eureka.path", "goes with address; with servers it is a part of each URL"));
+                return Err(bad(
+                    "eureka.path",
+                    "goes with address; with servers it is a part of each URL",
+                ));
             }
             (None, Some(all)) => {
                 for (i, s) in all.iter().enumerate() {
@@ -240,16 +291,29 @@
                 format!("{} servers: 1 to {MOST_SERVERS} can be", servers.len()),
             ));
         }
-        let listing = match (&self.app, &self.vip, &self.secure_vip, self.fetch.as_deref()) {
+        let listing = match (
+            &self.app,
+            &self.vip,
+            &self.secure_vip,
+            self.fetch.as_deref(),
+        ) {
             (Some(app), None, None, None | Some("apps")) => Listing::Apps(name("eureka.app", app)?),
             (Some(app), None, None, Some("app")) => Listing::App(name("eureka.app", app)?),
             (None, Some(vip), None, None) => Listing::Vip(name("eureka.vip", vip)?),
             (None, None, Some(vip), None) => Listing::SecureVip(name("eureka.secure_vip", vip)?),
             (_, _, _, Some(f)) if !["apps", "app"].contains(&f) => {
-                return Err(bad("eureka.fetch", format!("{f:?} is neither \"apps\" nor \"app\"")));
+                return Err(bad(
+                    "eureka.fetch",
+                    format!("{f:?} is neither \"apps\" nor \"app\""),
+                ));
             }
             (None, _, _, Some(_)) => return Err(bad("eureka.fetch", "goes with app")),
-            _ => return Err(bad("eureka.app", "one of app, vip and secure_vip is needed, and only one")),
+            _ => {
+                return Err(bad(
+                    "eureka.app",
+                    "one of app, vip and secure_vip is needed, and only one",
+                ));
+            }
         };
         let mut regions = vec![];
         for (i, r) in self.regions.iter().enumerate() {
@@ -260,7 +324,10 @@
             None if earlier => Networks::any(),
             None => Networks::private(),
             Some(texts) if texts.len() > networks::MOST => {
-                return Err(bad("eureka.networks", format!("more than {}", networks::MOST)));
+                return Err(bad(
+                    "eureka.networks",
+                    format!("more than {}", networks::MOST),
+                ));
             }
             Some(texts) => {
                 let mut nets = vec![];
@@ -278,7 +345,10 @@
         let patience = within("eureka.patience_s", self.patience_s, 60.0, 0.0, 3600.0)?;
         let most = self.max_engines.unwrap_or(20_000);
         if !(1..=100_000).contains(&most) {
-            return Err(bad("eureka.max_engines", format!("{most} is not in 1 to 100000")));
+            return Err(bad(
+                "eureka.max_engines",
+                format!("{most} is not in 1 to 100000"),
+            ));
         }
         let hold = HoldRules {
             share: within("eureka.hold.share", self.hold.share, 0.25, 0.0, 1.0)?,
@@ -287,11 +357,17 @@
         };
         let ask = self.ask.unwrap_or(2.min(servers.len()));
         if !(1..=servers.len()).contains(&ask) {
-            return Err(bad("eureka.ask", format!("{ask} is not in 1 to {}", servers.len())));
+            return Err(bad(
+                "eureka.ask",
+                format!("{ask} is not in 1 to {}", servers.len()),
+            ));
         }
         let most_body = self.max_body.unwrap_or(MOST_BODY);
         if !(1 << 10..=1 << 28).contains(&most_body) {
-            return Err(bad("eureka.max_body", format!("{most_body} is not in 1024 to {}", 1 << 28)));
+            return Err(bad(
+                "eureka.max_body",
+                format!("{most_body} is not in 1024 to {}", 1 << 28),
+            ));
         }
         Ok(EurekaSource {
             servers,
@@ -321,12 +397,22 @@
     fn check(self, listen: SocketAddr) -> Result<Register, ConfigError> {
         let ip = self.ip.unwrap_or(listen.ip());
         if ip.is_unspecified() {
-            return Err(bad("eureka.register.ip", "is needed, for listen names no address to come to"));
+            return Err(bad(
+                "eureka.register.ip",
+                "is needed, for listen names no address to come to",
+            ));
         }
-        let app = name("eureka.register.app", self.app.as_deref().unwrap_or("HITCHWINCH"))?.to_uppercase();
+        let app = name(
+            "eureka.register.app",
+            self.app.as_deref().unwrap_or("HITCHWINCH"),
+        )?
+        .to_uppercase();
         let port = self.port.unwrap_or(listen.port());
         let default = format!("{ip}:{}:{port}", app.to_lowercase());
-        let instance = name("eureka.register.instance_id", self.instance_id.as_deref().unwrap_or(&default))?;
+        let instance = name(
+            "eureka.register.instance_id",
+            self.instance_id.as_deref().unwrap_or(&default),
+        )?;
         let size: usize = self.metadata.iter().map(|(k, v)| k.len() + v.len()).sum();
         if self.metadata.len() > MOST_METADATA || size > 8192 {
             let problem = format!("{MOST_METADATA} entries and 8192 bytes at most");
@@ -336,10 +422,22 @@
             name(&format!("eureka.register.metadata.{key}"), key)?;
         }
         let renew = within("eureka.register.renew_s", self.renew_s, 30.0, 0.05, 3600.0)?;
-        let lease = within("eureka.register.lease_s", self.lease_s, 3.0 * renew, renew, 86_400.0)?;
+        let lease = within(
+            "eureka.register.lease_s",
+            self.lease_s,
+            3.0 * renew,
+            renew,
+            86_400.0,
+        )?;
         Ok(Register {
-            host: name("eureka.register.host", self.host.as_deref().unwrap_or(&ip.to_string()))?,
-            vip: name("eureka.register.vip", self.vip.as_deref().unwrap_or(&app.to_lowercase()))?,
+            host: name(
+                "eureka.register.host",
+                self.host.as_deref().unwrap_or(&ip.to_string()),
+            )?,
+            vip: name(
+                "eureka.register.vip",
+                self.vip.as_deref().unwrap_or(&app.to_lowercase()),
+            )?,
             app,
             instance,
             ip,
@@ -364,11 +462,18 @@
 
     #[test]
     fn the_earlier_form_stays_valid_and_takes_every_address() {
-        let e = read("address = \"127.0.0.1:8761\"\npath = \"/registry/\"\napp = \"ENGINES\"\nperiod_s = 5")
-            .unwrap();
+        let e = read(
+            "address = \"127.0.0.1:8761\"\npath = \"/registry/\"\napp = \"ENGINES\"\nperiod_s = 5",
+        )
+        .unwrap();
         assert_eq!(e.servers[0].name, "http://127.0.0.1:8761/registry");
         assert_eq!((e.ask, e.period), (1, Duration::from_secs(5)));
-        assert!(e.rules.networks.admit("198.51.100.1:1".parse().unwrap()).is_ok());
+        assert!(
+            e.rules
+                .networks
+                .admit("198.51.100.1:1".parse().unwrap())
+                .is_ok()
+        );
         let e = read("address = \"127.0.0.1:8761\"\napp = \"ENGINES\"").unwrap();
         assert_eq!(e.servers[0].path, "/eureka");
     }
@@ -380,9 +485,18 @@
              { url = \"http://[::1]/eureka\", zone = \"b\" }]\nvip = \"engines\"\nnetworks = [\"10.1.0.0/16\", \"10.2.0.7\"]",
         )
         .unwrap();
-        assert_eq!(e.names(), ["http://127.0.0.1:8761/eureka", "http://[::1]:80/eureka"]);
-        assert_eq!(e.servers[0].authorization.as_deref(), Some("Basic YW5uOnNAY3JldA=="));
-        assert_eq!((e.servers[1].zone.as_deref(), e.servers[1].host.as_str()), (Some("b"), "::1"));
+        assert_eq!(
+            e.names(),
+            ["http://127.0.0.1:8761/eureka", "http://[::1]:80/eureka"]
+        );
+        assert_eq!(
+            e.servers[0].authorization.as_deref(),
+            Some("Basic YW5uOnNAY3JldA==")
+        );
+        assert_eq!(
+            (e.servers[1].zone.as_deref(), e.servers[1].host.as_str()),
+            (Some("b"), "::1")
+        );
         assert_eq!((e.listing, e.ask), (Listing::Vip("engines".into()), 2));
         let admits = |a: &str| e.rules.networks.admit(a.parse().unwrap()).is_ok();
         assert!(admits("10.1.2.3:1") && admits("10.2.0.7:1") && !admits("10.2.0.8:1"));
@@ -394,18 +508,36 @@
         assert!(read(good).is_ok());
         let cases = [
             ("app = \"E\"", "eureka.servers"),
-            ("address = \"127.0.0.1:1\"\nservers = [\"http://a/\"]\napp = \"E\"", "eureka.address"),
+            (
+                "address = \"127.0.0.1:1\"\nservers = [\"http://a/\"]\napp = \"E\"",
+                "eureka.address",
+            ),
             ("address = \"there\"\napp = \"E\"", "eureka.address"),
             ("servers = []\napp = \"E\"", "eureka.servers"),
-            ("servers = [\"http://a/\", \"https://a/\"]\napp = \"E\"", "eureka.servers[1]"),
-            ("servers = [\"http://a/x\", \"http://a/x/\"]\napp = \"E\"", "eureka.servers[1]"),
+            (
+                "servers = [\"http://a/\", \"https://a/\"]\napp = \"E\"",
+                "eureka.servers[1]",
+            ),
+            (
+                "servers = [\"http://a/x\", \"http://a/x/\"]\napp = \"E\"",
+                "eureka.servers[1]",
+            ),
             ("servers = [\"a\"]\napp = \"E\"", "eureka.servers[0]"),
-            ("servers = [\"http://a/?q\"]\napp = \"E\"", "eureka.servers[0]"),
+            (
+                "servers = [\"http://a/?q\"]\napp = \"E\"",
+                "eureka.servers[0]",
+            ),
             ("servers = [\"http://a/\"]", "eureka.app"),
-            ("servers = [\"http://a/\"]\napp = \"E\"\nvip = \"v\"", "eureka.app"),
+            (
+                "servers = [\"http://a/\"]\napp = \"E\"\nvip = \"v\"",
+                "eureka.app",
+            ),
             ("servers = [\"http://a/\"]\napp = \"E/../x\"", "eureka.app"),
             ("servers = [\"http://a/\"]\nvip = \"\"", "eureka.vip"),
-            ("servers = [\"http://a/\"]\napp = \"E\"\npath = \"/x\"", "eureka.path"),
+            (
+                "servers = [\"http://a/\"]\napp = \"E\"\npath = \"/x\"",
+                "eureka.path",
+            ),
         ];
         for (text, key) in cases {
             let told = read(text).map(|_| ()).unwrap_err().to_string();
@@ -428,12 +560,24 @@
             ("hold = { size = 1 }", "eureka.hold"),
             ("register = { ip = \"0.0.0.0\" }", "eureka.register.ip"),
             ("register = { app = \"a/b\" }", "eureka.register.app"),
-            ("register = { instance_id = \"a b\" }", "eureka.register.instance_id"),
-            ("register = { renew_s = 10, lease_s = 5 }", "eureka.register.lease_s"),
-            ("register = { metadata = { \"a b\" = \"x\" } }", "eureka.register.metadata"),
+            (
+                "register = { instance_id = \"a b\" }",
+                "eureka.register.instance_id",
+            ),
+            (
+                "register = { renew_s = 10, lease_s = 5 }",
+                "eureka.register.lease_s",
+            ),
+            (
+                "register = { metadata = { \"a b\" = \"x\" } }",
+                "eureka.register.metadata",
+            ),
         ];
         for (line, key) in added {
-            let told = read(&format!("{good}{line}")).map(|_| ()).unwrap_err().to_string();
+            let told = read(&format!("{good}{line}"))
+                .map(|_| ())
+                .unwrap_err()
+                .to_string();
             assert!(told.starts_with(key), "{line}: {told}");
         }
     }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -29,7 +29,10 @@
 }
 
 fn bad(key: &str, problem: impl std::fmt::Display) -> ConfigError {
-    ConfigError::Key { key: key.into(), problem: problem.to_string() }
+    ConfigError::Key {
+        key: key.into(),
+        problem: problem.to_string(),
+    }
 }
 
 /// Limits and time-outs of the sockets, from the settings' ceilings.
@@ -65,13 +68,17 @@
 
 impl Default for Machine {
     fn default() -> Self {
-        Machine { memory_mb: default_memory(), sockets: default_sockets() }
+        Machine {
+            memory_mb: default_memory(),
+            sockets: default_sockets(),
+        }
     }
 }
 
 /// An address under a key.
 fn address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|e| bad(key, format!("{text:?} is no address and port ({e})")))
+    text.parse()
+        .map_err(|e| bad(key, format!("{text:?} is no address and port ({e})")))
 }
 
 /// The operators' address: `PROXY_ADMIN_ADDR` goes before the key.
@@ -79,15 +86,25 @@
     var: &impl Fn(&str) -> Option<String>,
     key: Option<String>,
 ) -> Result<Option<SocketAddr>, ConfigError> {
-    let told = var("PROXY_ADMIN_ADDR").filter(|v| !v.is_empty()).map(|v| ("PROXY_ADMIN_ADDR", v));
-    told.or(key.map(|v| ("admin_addr", v))).map(|(key, v)| address(key, &v)).transpose()
+    let told = var("PROXY_ADMIN_ADDR")
+        .filter(|v| !v.is_empty())
+        .map(|v| ("PROXY_ADMIN_ADDR", v));
+    told.or(key.map(|v| ("admin_addr", v)))
+        .map(|(key, v)| address(key, &v))
+        .transpose()
 }
 
 /// The inherited descriptor: `PROXY_INHERITED_FD` goes before the key.
-fn inherited(var: &impl Fn(&str) -> Option<String>, key: Option<i32>) -> Result<Option<i32>, ConfigError> {
+fn inherited(
+    var: &impl Fn(&str) -> Option<String>,
+    key: Option<i32>,
+) -> Result<Option<i32>, ConfigError> {
     let faulty = |v: &str| bad("PROXY_INHERITED_FD", format!("{v:?} is no descriptor"));
     let read = |v: String| v.parse().ok().filter(|n| *n >= 0).ok_or_else(|| faulty(&v));
-    let told = var("PROXY_INHERITED_FD").filter(|v| !v.is_empty()).map(read).transpose()?;
+    let told = var("PROXY_INHERITED_FD")
+        .filter(|v| !v.is_empty())
+        .map(read)
+        .transpose()?;
     Ok(told.or(key))
 }
 
@@ -121,27 +138,59 @@
 
     #[test]
     fn the_file_under_deploy_is_good_and_a_faulty_key_is_named() {
-        let good = Mysql::parse(MYSQL, |_| None).map_err(|e| e.to_string()).unwrap();
+        let good = Mysql::parse(MYSQL, |_| None)
+            .map_err(|e| e.to_string())
+            .unwrap();
         assert_eq!((good.front.rules.read, good.front.rules.write), (0, 2));
         let cases = [
             ("listen = \"127", "listen = \"x127", "listen"),
-            ("read_class = \"lookup\"", "read_class = \"look\"", "read_class"),
-            ("write_class = \"load\"", "write_class = \"report\"", "write_class"),
-            ("tenant = \"ti-marmite\"", "tenant = \"x\"", "user[0].tenant"),
+            (
+                "read_class = \"lookup\"",
+                "read_class = \"look\"",
+                "read_class",
+            ),
+            (
+                "write_class = \"load\"",
+                "write_class = \"report\"",
+                "write_class",
+            ),
+            (
+                "tenant = \"ti-marmite\"",
+                "tenant = \"x\"",
+                "user[0].tenant",
+            ),
             ("threads = 3", "threads = 0", "classes[1].threads"),
-            ("deadline_ms = 25000.0", "deadline_ms = -1.0", "class[1].deadline_ms"),
-            ("deadline_ms = 25000.0", "deadline_ms = \"x\"", "class[1].deadline_ms"),
+            (
+                "deadline_ms = 25000.0",
+                "deadline_ms = -1.0",
+                "class[1].deadline_ms",
+            ),
+            (
+                "deadline_ms = 25000.0",
+                "deadline_ms = \"x\"",
+                "class[1].deadline_ms",
+            ),
             ("class = \"report\"", "class = \"rep\"", "rule[0].class"),
             ("connections = 32", "connections = 0", "engines.connections"),
             ("connections = 32", "conections = 32", "conections"),
-            ("address = \"127.0.0.1:4002\"", "address = \"there\"", "engine[1].address"),
-            ("# admin_addr = \"127.0.0.1:3307\"", "admin_addr = \"there\"", "admin_addr"),
+            (
+                "address = \"127.0.0.1:4002\"",
+                "address = \"there\"",
+                "engine[1].address",
+            ),
+            (
+                "# admin_addr = \"127.0.0.1:3307\"",
+                "admin_addr = \"there\"",
+                "admin_addr",
+            ),
             ("# inherited_fd = 7", "inherited_fd = \"x\"", "inherited_fd"),
         ];
         for (good, faulty, key) in cases {
             assert!(MYSQL.contains(good), "{good}");
-            let told =
-                Mysql::parse(&MYSQL.replace(good, faulty), |_| None).map(|_| ()).unwrap_err().to_string();
+            let told = Mysql::parse(&MYSQL.replace(good, faulty), |_| None)
+                .map(|_| ())
+                .unwrap_err()
+                .to_string();
             assert!(told.contains(key), "{faulty}: {told}");
         }
     }
@@ -150,18 +199,33 @@
     fn the_platforms_file_goes_behind_its_variables_and_a_faulty_key_is_named() {
         let none = |_: &str| None;
         let var = |v: &str| (v == "PROXY_LISTEN").then(|| "127.0.0.1:9".to_string());
-        assert_eq!(Platform::parse(PLATFORM, var).map(|p| p.listen.port()).unwrap(), 9);
+        assert_eq!(
+            Platform::parse(PLATFORM, var)
+                .map(|p| p.listen.port())
+                .unwrap(),
+            9
+        );
         let cases = [
             ("8c1f30d27a5be964", "xyz", "seed"),
-            ("\"connect_timeout\":250.0", "\"connect_timeout\":0.0", "settings.ceilings.connect_timeout"),
-            ("\"worth\":1.0", "\"worth\":\"x\"", "settings.grades[0].worth"),
+            (
+                "\"connect_timeout\":250.0",
+                "\"connect_timeout\":0.0",
+                "settings.ceilings.connect_timeout",
+            ),
+            (
+                "\"worth\":1.0",
+                "\"worth\":\"x\"",
+                "settings.grades[0].worth",
+            ),
             ("\"retryable\"", "\"odd\"", "grades[0].effect"),
             ("\"step\":5.0", "\"step\":-5.0", "settings.step"),
             ("127.0.0.1:2", "there", "journal"),
         ];
         for (good, faulty, key) in cases {
             assert!(PLATFORM.contains(good), "{good}");
-            let told = Platform::parse(&PLATFORM.replace(good, faulty), none).map(|_| ()).unwrap_err();
+            let told = Platform::parse(&PLATFORM.replace(good, faulty), none)
+                .map(|_| ())
+                .unwrap_err();
             assert!(told.to_string().contains(key), "{faulty}: {told}");
         }
     }
@@ -174,18 +238,28 @@
             Platform::parse(&file, var).map(|p| (p.admin.map(|a| a.port()), p.inherited))
         };
         assert_eq!(port(&[]).unwrap(), (Some(7), None));
-        let both = [("PROXY_ADMIN_ADDR", "127.0.0.1:8"), ("PROXY_INHERITED_FD", "7")];
+        let both = [
+            ("PROXY_ADMIN_ADDR", "127.0.0.1:8"),
+            ("PROXY_INHERITED_FD", "7"),
+        ];
         assert_eq!(port(&both).unwrap(), (Some(8), Some(7)));
-        let faulty = port(&[("PROXY_INHERITED_FD", "-1")]).unwrap_err().to_string();
+        let faulty = port(&[("PROXY_INHERITED_FD", "-1")])
+            .unwrap_err()
+            .to_string();
         assert!(faulty.contains("PROXY_INHERITED_FD"), "{faulty}");
     }
 
     #[test]
     fn a_write_stays_a_write_whatever_it_claims() {
-        let rules = Mysql::parse(MYSQL, |_| None).map(|m| m.front.rules).unwrap();
+        let rules = Mysql::parse(MYSQL, |_| None)
+            .map(|m| m.front.rules)
+            .unwrap();
         assert_eq!(rules.class(false, Some("lookup"), b"delete from t"), 2);
         assert_eq!(rules.class(true, Some("report"), b"select 1"), 1);
-        assert_eq!(rules.class(true, Some("unknown"), b"select a from t GROUP BY a"), 1);
+        assert_eq!(
+            rules.class(true, Some("unknown"), b"select a from t GROUP BY a"),
+            1
+        );
         assert_eq!(rules.class(true, None, b"select 1"), 0);
     }
 }
--- a/src/config/mysql.rs
+++ b/src/config/mysql.rs
@@ -40,7 +40,12 @@
         classes: Vec<String>,
         contains: Vec<(String, ClassId)>,
     ) -> Self {
-        ClassRules { write, read, classes, contains }
+        ClassRules {
+            write,
+            read,
+            classes,
+            contains,
+        }
     }
 
     /// A comment or a rule chooses among the classes of a read; a write stays a write, whatever it claims.
@@ -49,8 +54,16 @@
             return self.write;
         }
         let text = String::from_utf8_lossy(sql).to_lowercase();
-        let ruled = || self.contains.iter().find(|r| text.contains(&r.0)).map(|r| r.1);
-        claimed.and_then(|c| find(&self.classes, c)).or_else(ruled).unwrap_or(self.read)
+        let ruled = || {
+            self.contains
+                .iter()
+                .find(|r| text.contains(&r.0))
+                .map(|r| r.1)
+        };
+        claimed
+            .and_then(|c| find(&self.classes, c))
+            .or_else(ruled)
+            .unwrap_or(self.read)
     }
 }
 
@@ -249,8 +262,13 @@
     }
 
     pub fn read(path: &str) -> Result<Self, ConfigError> {
-        let source = |e: std::io::Error| ConfigError::Source { what: path.into(), problem: e.to_string() };
-        Self::parse(&std::fs::read_to_string(path).map_err(source)?, |v| std::env::var(v).ok())
+        let source = |e: std::io::Error| ConfigError::Source {
+            what: path.into(),
+            problem: e.to_string(),
+        };
+        Self::parse(&std::fs::read_to_string(path).map_err(source)?, |v| {
+            std::env::var(v).ok()
+        })
     }
 
     pub fn parse(text: &str, var: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
@@ -263,16 +281,26 @@
         };
         let write = class("write_class", &raw.write_class)?;
         let read = class("read_class", &raw.read_class)?;
-        let named = raw.transaction_class.as_ref().map(|t| class("transaction_class", t)).transpose()?;
+        let named = raw
+            .transaction_class
+            .as_ref()
+            .map(|t| class("transaction_class", t))
+            .transpose()?;
         let transaction = named.unwrap_or(write);
         for (key, class) in [("write_class", write), ("transaction_class", transaction)] {
             if !raw.class[class].fragile {
-                return Err(bad(key, format!("class {:?} is not unsafe", raw.class[class].name)));
+                return Err(bad(
+                    key,
+                    format!("class {:?} is not unsafe", raw.class[class].name),
+                ));
             }
         }
         let mut contains = vec![];
         for (i, r) in raw.rule.iter().enumerate() {
-            contains.push((r.contains.to_lowercase(), class(&format!("rule[{i}].class"), &r.class)?));
+            contains.push((
+                r.contains.to_lowercase(),
+                class(&format!("rule[{i}].class"), &r.class)?,
+            ));
         }
         for (i, c) in raw.class.iter().enumerate() {
             if !(c.deadline_ms.is_finite() && c.deadline_ms > 0.0) {
@@ -283,7 +311,12 @@
         let mut users = HashMap::new();
         for (i, u) in raw.user.into_iter().enumerate() {
             let tenant = u.tenant.map(|t| {
-                let unknown = || bad(&format!("user[{i}].tenant"), format!("no tenant is named {t:?}"));
+                let unknown = || {
+                    bad(
+                        &format!("user[{i}].tenant"),
+                        format!("no tenant is named {t:?}"),
+                    )
+                };
                 find(&tenants, &t).ok_or_else(unknown)
             });
             if u.certificate.is_some() && raw.tls.as_ref().is_none_or(|t| !t.knows_clients()) {
@@ -292,7 +325,11 @@
                     "there is no tls.client_ca to trust it by",
                 ));
             }
-            let user = User { password: u.password, certificate: u.certificate, tenant: tenant.transpose()? };
+            let user = User {
+                password: u.password,
+                certificate: u.certificate,
+                tenant: tenant.transpose()?,
+            };
             if users.insert(u.name, user).is_some() {
                 return Err(bad(&format!("user[{i}].name"), "stands there twice"));
             }
@@ -314,25 +351,47 @@
         let mut kind_facts = vec![];
         for k in raw.kind {
             kinds.push(k.name);
-            kind_facts.push(Kind { cores: k.cores, memory_mb: k.memory_mb });
+            kind_facts.push(Kind {
+                cores: k.cores,
+                memory_mb: k.memory_mb,
+            });
         }
         if kinds.is_empty() {
             kinds.push("std".into());
-            kind_facts.push(Kind { cores: 8.0, memory_mb: 16384.0 });
+            kind_facts.push(Kind {
+                cores: 8.0,
+                memory_mb: 16384.0,
+            });
         }
         let listen = address("listen", &raw.listen)?;
         let source = match raw.eureka {
             Some(_) if !raw.engine.is_empty() => {
-                return Err(bad("eureka", "engines are listed too: only one of both can be"));
+                return Err(bad(
+                    "eureka",
+                    "engines are listed too: only one of both can be",
+                ));
+            }
+            None if raw.engine.is_empty() => {
+                return Err(bad("engine", "no engine is listed, and no eureka"));
             }
-            None if raw.engine.is_empty() => return Err(bad("engine", "no engine is listed, and no eureka")),
             Some(e) => Source::Eureka(Box::new(e.check(listen, raw.zone.clone())?)),
             None => {
                 let mut engines = vec![];
                 for (i, e) in raw.engine.into_iter().enumerate() {
-                    zones.extend(e.zone.iter().filter(|z| !zones.contains(z)).cloned().collect::<Vec<_>>());
+                    zones.extend(
+                        e.zone
+                            .iter()
+                            .filter(|z| !zones.contains(z))
+                            .cloned()
+                            .collect::<Vec<_>>(),
+                    );
                     let address = address(&format!("engine[{i}].address"), &e.address)?;
-                    engines.push(FixedEngine { id: e.id, address, zone: e.zone, kind: e.kind });
+                    engines.push(FixedEngine {
+                        id: e.id,
+                        address,
+                        zone: e.zone,
+                        kind: e.kind,
+                    });
                 }
                 Source::Fixed(engines)
             }
@@ -349,7 +408,11 @@
                     aim: c.aim_ms,
                     aim_stretch: c.aim_stretch,
                     late_share: c.late_share,
-                    effect: if c.fragile { Effect::Unsafe } else { Effect::Safe },
+                    effect: if c.fragile {
+                        Effect::Unsafe
+                    } else {
+                        Effect::Safe
+                    },
                     in_order: false,
                     only_zones: None,
                     only_kinds: None,
@@ -361,7 +424,9 @@
             tenants: raw
                 .tenant
                 .iter()
-                .map(|t| Tenant { quota_per_s: t.quota_per_s.unwrap_or(f64::MAX) })
+                .map(|t| Tenant {
+                    quota_per_s: t.quota_per_s.unwrap_or(f64::MAX),
+                })
                 .collect(),
             kinds: kind_facts,
             over_share_worth: 0.05,
@@ -400,10 +465,19 @@
         let deadlines: Vec<Millis> = raw.class.iter().map(|c| c.deadline_ms).collect();
         let spool = match raw.spool {
             Some(_) if raw.max_result.is_some() => {
-                return Err(bad("max_result", "goes into spool.result where there is a [spool]"));
+                return Err(bad(
+                    "max_result",
+                    "goes into spool.result where there is a [spool]",
+                ));
             }
             Some(spool) => spool.check()?,
-            None => SpoolSource::plain(in_range("max_result", raw.max_result, 1 << 20, 1024, 1 << 24)?),
+            None => SpoolSource::plain(in_range(
+                "max_result",
+                raw.max_result,
+                1 << 20,
+                1024,
+                1 << 24,
+            )?),
         };
         let max_packet = in_range("max_packet", raw.max_packet, 1 << 20, 1024, (1 << 24) - 2)?;
         Ok(Mysql {
@@ -430,14 +504,23 @@
                 max_packet,
                 max_statements: in_range("max_statements", raw.max_statements, 256, 1, 65_535)?,
                 idle: Duration::from_secs(raw.idle_s.unwrap_or(600).max(1)),
-                version: raw.server_version.unwrap_or_else(|| "8.0.0-hitchwinch".into()),
+                version: raw
+                    .server_version
+                    .unwrap_or_else(|| "8.0.0-hitchwinch".into()),
                 users,
                 rules: ClassRules::new(write, read, classes.clone(), contains),
                 deadlines,
                 transaction_class: transaction,
                 pins: raw.pins.check()?,
             },
-            names: Names { classes, kinds, zones, tenants, tells_cost: false, report_fields: vec![] },
+            names: Names {
+                classes,
+                kinds,
+                zones,
+                tenants,
+                tells_cost: false,
+                report_fields: vec![],
+            },
             settings,
             source,
             spool,
--- a/src/config/pins.rs
+++ b/src/config/pins.rs
@@ -18,10 +18,11 @@
     /// # Errors
     /// A key is out of its range; the message names it.
     pub fn check(self) -> Result<Terms, ConfigError> {
-        let seconds = |key: &str, v: Option<f64>, default: f64, most: f64| match v.unwrap_or(default) {
-            s if s > 0.0 && s <= most => Ok(s * 1000.0),
-            s => Err(bad(key, format!("{s} is not above 0 and at most {most}"))),
-        };
+        let seconds =
+            |key: &str, v: Option<f64>, default: f64, most: f64| match v.unwrap_or(default) {
+                s if s > 0.0 && s <= most => Ok(s * 1000.0),
+                s => Err(bad(key, format!("{s} is not above 0 and at most {most}"))),
+            };
         let number = |key: &str, v: Option<usize>, default: usize| match v.unwrap_or(default) {
             n if (1..=512).contains(&n) => Ok(n),
             n => Err(bad(key, format!("{n} is not in 1 to 512"))),
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -62,7 +62,10 @@
             () if self.listen != new.listen => Some("listen"),
             () if self.admin != new.admin => Some("admin_addr"),
             () if self.peers != new.peers => Some("peers"),
-            () if self.settings != new.settings || self.names != new.names || self.sockets != new.sockets => {
+            () if self.settings != new.settings
+                || self.names != new.names
+                || self.sockets != new.sockets =>
+            {
                 Some("settings")
             }
             () => None,
@@ -81,15 +84,19 @@
 
     pub fn parse(text: &str, var: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let de = &mut serde_json::Deserializer::from_str(text);
-        let raw: RawPlatform =
-            serde_path_to_error::deserialize(de).map_err(|e| bad(&e.path().to_string(), e.inner()))?;
+        let raw: RawPlatform = serde_path_to_error::deserialize(de)
+            .map_err(|e| bad(&e.path().to_string(), e.inner()))?;
         let seed = raw.seed.unwrap_or_default();
         if raw.limits.sockets < 64 {
             return Err(bad("limits.sockets", "at least 64 are needed"));
         }
         let sockets = raw.settings.sockets();
         let each = || -> Result<_, ConfigError> {
-            raw.peers.iter().enumerate().map(|(i, a)| address(&format!("peers[{i}]"), a)).collect()
+            raw.peers
+                .iter()
+                .enumerate()
+                .map(|(i, a)| address(&format!("peers[{i}]"), a))
+                .collect()
         };
         let peers = match (raw.settings.peers(), &raw.peer_listen, &raw.peers_all) {
             (Some(terms), Some(listen), Some(all)) => Some(Peers {
@@ -100,15 +107,22 @@
             }),
             _ => None,
         };
-        for (key, v) in [("connect_timeout", sockets.connect_timeout), ("conn_idle", sockets.idle)] {
+        for (key, v) in [
+            ("connect_timeout", sockets.connect_timeout),
+            ("conn_idle", sockets.idle),
+        ] {
             if !(v.is_finite() && v > 0.0) {
                 return Err(bad(&format!("settings.ceilings.{key}"), "must be above 0"));
             }
         }
         let (settings, names) = raw.settings.settings().map_err(|e| bad("settings", e))?;
-        settings.check().map_err(|e| bad(&format!("settings.{}", e.field), e.problem))?;
+        settings
+            .check()
+            .map_err(|e| bad(&format!("settings.{}", e.field), e.problem))?;
         Ok(Platform {
-            name: var("PROXY_NAME").or(raw.name).unwrap_or_else(|| "hitchwinch".into()),
+            name: var("PROXY_NAME")
+                .or(raw.name)
+                .unwrap_or_else(|| "hitchwinch".into()),
             listen: match var("PROXY_LISTEN") {
                 Some(text) => address("PROXY_LISTEN", &text)?,
                 None => address("listen", &raw.listen)?,
--- a/src/config/profile.rs
+++ b/src/config/profile.rs
@@ -117,7 +117,11 @@
     pub fn sockets(&self) -> Sockets {
         let c = &self.ceilings;
         // A class without one waits for as long as its clients say.
-        let longest = self.grades.iter().map(|g| g.hard_limit.unwrap_or(f64::INFINITY)).fold(0.0, f64::max);
+        let longest = self
+            .grades
+            .iter()
+            .map(|g| g.hard_limit.unwrap_or(f64::INFINITY))
+            .fold(0.0, f64::max);
         Sockets {
             connect_timeout: c.connect_timeout.unwrap_or(250.0),
             idle: c.conn_idle.unwrap_or(30_000.0),
@@ -130,11 +134,19 @@
 
     /// What the dispatchers of the tier may tell each other; `None`: nothing.
     pub fn peers(&self) -> Option<Terms> {
-        let fields = self.feedback.as_ref().and_then(|f| f.fields.as_ref()).map_or(0, Vec::len);
+        let fields = self
+            .feedback
+            .as_ref()
+            .and_then(|f| f.fields.as_ref())
+            .map_or(0, Vec::len);
         let price = self.deductions.as_ref().and_then(|d| d.peer).unwrap_or(0.0);
         let may = self.ceilings.peer_messages.unwrap_or(false) && self.fleet_size > 1 && fields > 0;
         let usable = price.is_finite() && price >= 0.0;
-        (may && usable).then_some(Terms { peers: self.fleet_size, price: price * 100.0, fields })
+        (may && usable).then_some(Terms {
+            peers: self.fleet_size,
+            price: price * 100.0,
+            fields,
+        })
     }
 
     /// The module's settings, and the names behind its numbers.
@@ -153,7 +165,9 @@
                         Some("all") => Group::All,
                         Some("zone") => Group::Zone,
                         Some("cell") | None => Group::Cell,
-                        Some(other) => return Err(format!("grades[{i}].group: unknown word {other:?}")),
+                        Some(other) => {
+                            return Err(format!("grades[{i}].group: unknown word {other:?}"));
+                        }
                     },
                     window: g.dedup_window.unwrap_or(0.0),
                 },
@@ -161,7 +175,9 @@
             };
             // A name that is not listed can match no engine: it is left out, which is the stricter reading.
             let numbers = |names: &Option<Vec<String>>, list: &[String]| {
-                names.as_ref().map(|v| v.iter().filter_map(|s| find(list, s)).collect())
+                names
+                    .as_ref()
+                    .map(|v| v.iter().filter_map(|s| find(list, s)).collect())
             };
             classes.push(Class {
                 worth: g.worth,
@@ -199,7 +215,9 @@
             classes,
             tenants: tenants
                 .iter()
-                .map(|t| Tenant { quota_per_s: t.quota_per_s.unwrap_or(f64::MAX) })
+                .map(|t| Tenant {
+                    quota_per_s: t.quota_per_s.unwrap_or(f64::MAX),
+                })
                 .collect(),
             kinds: kind_facts,
             over_share_worth: self.over_share_worth.unwrap_or(1.0),
--- a/src/config/spool.rs
+++ b/src/config/spool.rs
@@ -23,7 +23,10 @@
     /// What holds without `[spool]`: memory only, as much for one result as ever.
     pub fn plain(result: usize) -> Self {
         SpoolSource {
-            rules: Rules { result: result as u64, ..Rules::default() },
+            rules: Rules {
+                result: result as u64,
+                ..Rules::default()
+            },
             dir: None,
             page_rows: PAGE_ROWS,
             stall: STALL,
@@ -49,16 +52,33 @@
 }
 
 /// A size with its unit, within bounds.
-fn size(key: &str, text: Option<&str>, default: u64, least: u64, most: u64) -> Result<u64, ConfigError> {
+fn size(
+    key: &str,
+    text: Option<&str>,
+    default: u64,
+    least: u64,
+    most: u64,
+) -> Result<u64, ConfigError> {
     let Some(text) = text else { return Ok(default) };
     // A bare number could be read as anything.
     let unit = text.trim_end().ends_with(|c: char| c.is_ascii_alphabetic());
-    let read = text.parse::<ByteSize>().ok().filter(|_| unit).map(|s| s.as_u64());
-    let n =
-        read.ok_or_else(|| bad(key, format!("{text:?} is no size with a unit, as \"16 MB\" or \"2 GiB\"")))?;
+    let read = text
+        .parse::<ByteSize>()
+        .ok()
+        .filter(|_| unit)
+        .map(|s| s.as_u64());
+    let n = read.ok_or_else(|| {
+        bad(
+            key,
+            format!("{text:?} is no size with a unit, as \"16 MB\" or \"2 GiB\""),
+        )
+    })?;
     match (least..=most).contains(&n) {
         true => Ok(n),
-        false => Err(bad(key, format!("{text} is not in {} to {}", ByteSize(least), ByteSize(most)))),
+        false => Err(bad(
+            key,
+            format!("{text} is not in {} to {}", ByteSize(least), ByteSize(most)),
+        )),
     }
 }
 
@@ -69,17 +89,38 @@
         if self.dir.is_none() && self.disk.is_some() {
             return Err(bad("spool.disk", "goes with dir"));
         }
-        let memory = size("spool.memory", self.memory.as_deref(), 64 << 20, 256 * KB, 64 * GB)?;
+        let memory = size(
+            "spool.memory",
+            self.memory.as_deref(),
+            64 << 20,
+            256 * KB,
+            64 * GB,
+        )?;
         let disk = size("spool.disk", self.disk.as_deref(), 4 * GB, 1 << 20, 1 << 44)?;
-        let result = size("spool.result", self.result.as_deref(), 16 << 20, KB, 1 << 40)?;
-        let per_tenant = size("spool.per_tenant", self.per_tenant.as_deref(), u64::MAX, 64 * KB, u64::MAX)?;
+        let result = size(
+            "spool.result",
+            self.result.as_deref(),
+            16 << 20,
+            KB,
+            1 << 40,
+        )?;
+        let per_tenant = size(
+            "spool.per_tenant",
+            self.per_tenant.as_deref(),
+            u64::MAX,
+            64 * KB,
+            u64::MAX,
+        )?;
         let seconds = |key: &str, v: Option<f64>, default: f64| match v.unwrap_or(default) {
             v if (0.1..=604_800.0).contains(&v) => Ok(v),
             v => Err(bad(key, format!("{v} is not in 0.1 to 604800"))),
         };
         let page_rows = self.page_rows.unwrap_or(PAGE_ROWS);
         if !(1..=100_000).contains(&page_rows) {
-            return Err(bad("spool.page_rows", format!("{page_rows} is not in 1 to 100000")));
+            return Err(bad(
+                "spool.page_rows",
+                format!("{page_rows} is not in 1 to 100000"),
+            ));
         }
         let most = self.most.unwrap_or(10_000);
         if !(1..=100_000).contains(&most) {
@@ -96,7 +137,11 @@
             },
             dir: self.dir,
             page_rows,
-            stall: Duration::from_secs_f64(seconds("spool.stall_s", self.stall_s, STALL.as_secs_f64())?),
+            stall: Duration::from_secs_f64(seconds(
+                "spool.stall_s",
+                self.stall_s,
+                STALL.as_secs_f64(),
+            )?),
         })
     }
 }
@@ -120,10 +165,19 @@
         )
         .unwrap();
         assert_eq!((s.rules.memory, s.rules.disk), (16_000_000, Some(2 << 30)));
-        assert_eq!((s.rules.result, s.rules.per_tenant), (1_000_000_000, 500 << 20));
-        assert_eq!((s.rules.keep, s.page_rows, s.stall), (30_000.0, 50, Duration::from_secs(5)));
+        assert_eq!(
+            (s.rules.result, s.rules.per_tenant),
+            (1_000_000_000, 500 << 20)
+        );
+        assert_eq!(
+            (s.rules.keep, s.page_rows, s.stall),
+            (30_000.0, 50, Duration::from_secs(5))
+        );
         let s = read("").unwrap();
-        assert_eq!((s.rules.disk, s.dir, s.rules.result), (None, None, 16 << 20));
+        assert_eq!(
+            (s.rules.disk, s.dir, s.rules.result),
+            (None, None, 16 << 20)
+        );
     }
 
     #[test]
--- a/src/config/tls.rs
+++ b/src/config/tls.rs
@@ -50,10 +50,20 @@
         let only_13 = match self.min_version.as_deref() {
             None | Some("1.2") => false,
             Some("1.3") => true,
-            Some(other) => return Err(bad("tls.min_version", format!("{other:?} is not 1.2 or 1.3"))),
+            Some(other) => {
+                return Err(bad(
+                    "tls.min_version",
+                    format!("{other:?} is not 1.2 or 1.3"),
+                ));
+            }
         };
         let keys = self.key.into_iter().map(|k| (k.cert, k.key)).collect();
-        Ok(TlsSource { only_13, required: self.required, client_ca: self.client_ca, keys })
+        Ok(TlsSource {
+            only_13,
+            required: self.required,
+            client_ca: self.client_ca,
+            keys,
+        })
     }
 }
 
--- a/src/core/figures.rs
+++ b/src/core/figures.rs
@@ -12,8 +12,11 @@
 }
 
 impl End {
-    pub const ALL: [(End, &str); 3] =
-        [(End::Success, "success"), (End::Overload, "overload"), (End::Error, "error")];
+    pub const ALL: [(End, &str); 3] = [
+        (End::Success, "success"),
+        (End::Overload, "overload"),
+        (End::Error, "error"),
+    ];
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -55,7 +58,8 @@
             ("targets_disabled", self.targets_disabled as u64),
             ("peer_messages_refused", self.peer_messages_refused),
         ];
-        rest.iter().for_each(|(name, n)| lines.push_str(&format!("{name}={n}\n")));
+        rest.iter()
+            .for_each(|(name, n)| lines.push_str(&format!("{name}={n}\n")));
         lines
     }
 }
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -104,7 +104,10 @@
     /// A refusal promises that a repeat does no harm: from another client's word, it may go to any engine.
     fn harmless(&self, effect: Effect) -> bool {
         match effect {
-            Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+            Effect::Safe
+            | Effect::Keyed {
+                group: Group::All, ..
+            } => true,
             Effect::Keyed { .. } | Effect::Unsafe => self.attempts.iter().all(|a| !a.may_have_run),
         }
     }
@@ -158,7 +161,10 @@
 
 impl Core {
     pub fn new(settings: Settings, seed: u64, bounds: Bounds) -> Result<Self, SettingsError> {
-        let figures = Figures { replies: vec![[0; 3]; settings.classes.len()], ..Figures::default() };
+        let figures = Figures {
+            replies: vec![[0; 3]; settings.classes.len()],
+            ..Figures::default()
+        };
         Ok(Core {
             effects: settings.classes.iter().map(|c| c.effect).collect(),
             most_attempts: settings.limits.most_attempts as usize,
@@ -190,7 +196,9 @@
 
     /// A peer's message. What is none changes nothing and is counted.
     pub fn heard(&mut self, now: Millis, message: &[u8]) -> Result<(), WordError> {
-        let Some(bulletin) = &mut self.bulletin else { return Ok(()) };
+        let Some(bulletin) = &mut self.bulletin else {
+            return Ok(());
+        };
         match bulletin.heard(now, message) {
             Ok(Some((engine, report))) => self.report(now, Report::Told { engine, report }),
             Ok(None) => {}
@@ -229,13 +237,23 @@
         if out_of_range || refusal.is_some() {
             let answer = match refusal {
                 Some(why) if !out_of_range => Answer::Refused { later: None, why },
-                _ => Answer::Failed { why: "the request names no class or deadline" },
+                _ => Answer::Failed {
+                    why: "the request names no class or deadline",
+                },
             };
             self.answer(id, r.class, answer);
             return id;
         }
-        self.requests
-            .insert(id, Request { class: r.class, due, answered: false, expired: false, attempts: vec![] });
+        self.requests.insert(
+            id,
+            Request {
+                class: r.class,
+                due,
+                answered: false,
+                expired: false,
+                attempts: vec![],
+            },
+        );
         self.due.insert((bits(due), id));
         self.bulletin.iter_mut().for_each(Bulletin::taken);
         let query = Query {
@@ -255,7 +273,9 @@
 
     /// Its client waits no more: no answer is owed, and what is out is dropped.
     pub fn leave(&mut self, now: Millis, request: RequestId) {
-        let Some(r) = self.requests.get_mut(&request) else { return };
+        let Some(r) = self.requests.get_mut(&request) else {
+            return;
+        };
         r.answered = true;
         self.touched.push(request);
         self.drop_all(now, request);
@@ -270,24 +290,45 @@
     }
 
     /// An attempt ended. False if it was over already, so that its result counts for nothing.
-    pub fn ended(&mut self, now: Millis, attempt: AttemptId, outcome: Outcome, report: Vec<f64>) -> bool {
-        let Some(r) = self.requests.get_mut(&attempt.request) else { return false };
-        let Some(a) = r.attempts.get_mut(attempt.index as usize).filter(|a| a.out) else { return false };
+    pub fn ended(
+        &mut self,
+        now: Millis,
+        attempt: AttemptId,
+        outcome: Outcome,
+        report: Vec<f64>,
+    ) -> bool {
+        let Some(r) = self.requests.get_mut(&attempt.request) else {
+            return false;
+        };
+        let Some(a) = r.attempts.get_mut(attempt.index as usize).filter(|a| a.out) else {
+            return false;
+        };
         a.out = false;
         self.touched.push(attempt.request);
         // What a process said before its restart is no news of this one.
-        let void = self.listed.get(&a.engine).and_then(|e| e.started).is_some_and(|t| a.sent < t);
+        let void = self
+            .listed
+            .get(&a.engine)
+            .and_then(|e| e.started)
+            .is_some_and(|t| a.sent < t);
         if let Some(bulletin) = self.bulletin.as_mut().filter(|_| !void) {
-            self.commands.extend(bulletin.learned(now, &a.engine, &report).map(Command::Tell));
+            self.commands
+                .extend(bulletin.learned(now, &a.engine, &report).map(Command::Tell));
         }
-        a.may_have_run = !matches!(outcome, Outcome::Full | Outcome::Unreachable | Outcome::Moot);
+        a.may_have_run = !matches!(
+            outcome,
+            Outcome::Full | Outcome::Unreachable | Outcome::Moot
+        );
         let latency = now - a.sent;
         if outcome == Outcome::Served && !r.answered {
             r.answered = true;
             let class = r.class;
             self.answer(attempt.request, class, Answer::Served(attempt));
         }
-        let last = self.requests.get(&attempt.request).is_none_or(|r| r.answered);
+        let last = self
+            .requests
+            .get(&attempt.request)
+            .is_none_or(|r| r.answered);
         let ended = Ended {
             id: attempt.request,
             attempt: attempt.index,
@@ -304,7 +345,14 @@
 
     pub fn note(&mut self, now: Millis, attempt: AttemptId, note: Note) {
         if self.attempt(attempt).is_some() {
-            self.report(now, Report::Progress { query: attempt.request, attempt: attempt.index, note });
+            self.report(
+                now,
+                Report::Progress {
+                    query: attempt.request,
+                    attempt: attempt.index,
+                    note,
+                },
+            );
         }
     }
 
@@ -313,7 +361,8 @@
             self.listed.clear();
         }
         let entries: Vec<EngineEntry> = told.iter().map(|e| self.overlaid(e.clone())).collect();
-        self.listed.extend(told.into_iter().map(|e| (e.engine.clone(), e)));
+        self.listed
+            .extend(told.into_iter().map(|e| (e.engine.clone(), e)));
         // New ids come all day: those that are gone are not kept.
         self.listed.retain(|_, e| e.state != EngineState::Gone);
         self.put_back.retain(|id, _| self.listed.contains_key(id));
@@ -327,7 +376,10 @@
     /// New work may still be written to this engine.
     pub fn in_service(&self, engine: &str) -> bool {
         !self.by_hand.contains(engine)
-            && self.listed.get(engine).is_some_and(|e| e.state == EngineState::Ready)
+            && self
+                .listed
+                .get(engine)
+                .is_some_and(|e| e.state == EngineState::Ready)
     }
 
     /// What operators say in place of the list.
@@ -371,7 +423,13 @@
     /// Tells the module how a listed engine stands now.
     fn retold(&mut self, now: Millis, engine: &str) -> Option<EngineEntry> {
         let entry = self.overlaid(self.listed.get(engine)?.clone());
-        self.report(now, Report::Engines { update: ListUpdate::Patch, entries: vec![entry.clone()] });
+        self.report(
+            now,
+            Report::Engines {
+                update: ListUpdate::Patch,
+                entries: vec![entry.clone()],
+            },
+        );
         Some(entry)
     }
 
@@ -400,7 +458,10 @@
 
     pub fn next_wake(&self) -> Option<Millis> {
         let due = self.due.first().map(|d| f64::from_bits(d.0));
-        [due, self.facade.next_tick()].into_iter().flatten().reduce(f64::min)
+        [due, self.facade.next_tick()]
+            .into_iter()
+            .flatten()
+            .reduce(f64::min)
     }
 
     /// Does what is due by now.
@@ -415,7 +476,9 @@
 
     /// The last moment of a request: what is out has timed out, and the answer is given in any case.
     fn expire(&mut self, now: Millis, id: RequestId) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.answered) else { return };
+        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.answered) else {
+            return;
+        };
         let over = r.due <= now;
         r.expired |= over;
         let late = |k: &u32| {
@@ -429,7 +492,12 @@
             self.ended(now, attempt, Outcome::TimedOut, vec![]);
         }
         if over && self.requests.get(&id).is_some_and(|r| !r.answered) {
-            self.finish(id, Answer::Failed { why: "the time is over" });
+            self.finish(
+                id,
+                Answer::Failed {
+                    why: "the time is over",
+                },
+            );
             self.drop_all(now, id);
             self.report(now, Report::Left(id));
         }
@@ -450,21 +518,34 @@
     fn carry_out(&mut self, now: Millis, decisions: Vec<Decision>) {
         for d in decisions {
             match d {
-                Decision::Run { query, engine, memory_mb, timeout } => {
-                    self.run(now, query, engine, memory_mb, timeout)
-                }
-                Decision::Drop { query, attempt } => {
-                    self.call_off(now, AttemptId { request: query, index: attempt })
-                }
+                Decision::Run {
+                    query,
+                    engine,
+                    memory_mb,
+                    timeout,
+                } => self.run(now, query, engine, memory_mb, timeout),
+                Decision::Drop { query, attempt } => self.call_off(
+                    now,
+                    AttemptId {
+                        request: query,
+                        index: attempt,
+                    },
+                ),
                 Decision::Refuse { query, later } => {
                     self.finish(
                         query,
-                        Answer::Refused { later, why: "the engines have no room for it in time" },
+                        Answer::Refused {
+                            later,
+                            why: "the engines have no room for it in time",
+                        },
                     );
                 }
-                Decision::Fail { query } => {
-                    self.finish(query, Answer::Failed { why: "no engine answered it" })
-                }
+                Decision::Fail { query } => self.finish(
+                    query,
+                    Answer::Failed {
+                        why: "no engine answered it",
+                    },
+                ),
                 Decision::Say(text) => self.commands.push(Command::Say(text)),
             }
         }
@@ -475,11 +556,21 @@
         self.sweep();
     }
 
-    fn run(&mut self, now: Millis, id: RequestId, engine: String, memory_mb: f64, timeout: Option<Millis>) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
+    fn run(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        engine: String,
+        memory_mb: f64,
+        timeout: Option<Millis>,
+    ) {
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
         let index = r.attempts.len() as u32;
         let write_by = r.repeats_until(self.effects[r.class]);
-        let allowed = !r.answered && r.attempts.len() < self.most_attempts && now < r.due && now < write_by;
+        let allowed =
+            !r.answered && r.attempts.len() < self.most_attempts && now < r.due && now < write_by;
         let until = timeout.map_or(r.due, |t| r.due.min(now + t));
         r.attempts.push(Attempt {
             engine: engine.clone(),
@@ -495,7 +586,14 @@
             }
             let attempt = AttemptId { request: id, index };
             let alone = self.effects[r.class] == Effect::Unsafe;
-            self.commands.push(Command::Start { attempt, engine, until, write_by, memory_mb, alone });
+            self.commands.push(Command::Start {
+                attempt,
+                engine,
+                until,
+                write_by,
+                memory_mb,
+                alone,
+            });
         } else {
             self.pending.push_back(Report::Ended(Ended {
                 id,
@@ -512,10 +610,17 @@
 
     /// Calls an attempt off, unless its result is coming in: then that goes on, for a while.
     fn call_off(&mut self, now: Millis, id: AttemptId) {
-        let Some(r) = self.requests.get_mut(&id.request) else { return };
+        let Some(r) = self.requests.get_mut(&id.request) else {
+            return;
+        };
         let answered = r.answered;
-        let Some(a) = r.attempts.get_mut(id.index as usize).filter(|a| a.out) else { return };
-        if !answered && a.answering.is_some_and(|at| now < at + self.bounds.page_wait) {
+        let Some(a) = r.attempts.get_mut(id.index as usize).filter(|a| a.out) else {
+            return;
+        };
+        if !answered
+            && a.answering
+                .is_some_and(|at| now < at + self.bounds.page_wait)
+        {
             return;
         }
         a.out = false;
@@ -535,7 +640,10 @@
     }
 
     fn drop_all(&mut self, now: Millis, id: RequestId) {
-        let n = self.requests.get(&id).map_or(0, |r| r.attempts.len() as u32);
+        let n = self
+            .requests
+            .get(&id)
+            .map_or(0, |r| r.attempts.len() as u32);
         (0..n).for_each(|index| self.call_off(now, AttemptId { request: id, index }));
     }
 
@@ -547,8 +655,12 @@
             // Guards the rule whatever the module says: only what cannot have run twice is called harmless.
             let harmless = r.harmless(self.effects[r.class]);
             let answer = match answer {
-                Answer::Refused { .. } | Answer::Failed { .. } if r.expired => Answer::TimedOut { harmless },
-                Answer::Refused { .. } if !harmless => Answer::Failed { why: "it may have run" },
+                Answer::Refused { .. } | Answer::Failed { .. } if r.expired => {
+                    Answer::TimedOut { harmless }
+                }
+                Answer::Refused { .. } if !harmless => Answer::Failed {
+                    why: "it may have run",
+                },
                 other => other,
             };
             let class = r.class;
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -9,11 +9,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
     /// Start the query's next attempt; memory 0 leaves the grant to the engine.
-    Run { query: QueryId, engine: String, memory_mb: f64, timeout: Option<Millis> },
+    Run {
+        query: QueryId,
+        engine: String,
+        memory_mb: f64,
+        timeout: Option<Millis>,
+    },
     /// Call one attempt off.
     Drop { query: QueryId, attempt: u32 },
     /// Final: refused, and when the client may come back.
-    Refuse { query: QueryId, later: Option<Millis> },
+    Refuse {
+        query: QueryId,
+        later: Option<Millis>,
+    },
     /// Final: failed.
     Fail { query: QueryId },
     /// A line for the log.
@@ -50,7 +58,11 @@
 
 impl Facade {
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        Ok(Facade { controller: Controller::new(settings, seed)?, alarm: None, actions: vec![] })
+        Ok(Facade {
+            controller: Controller::new(settings, seed)?,
+            alarm: None,
+            actions: vec![],
+        })
     }
 
     /// A query has come in: where does it go, and what else may go now?
@@ -64,9 +76,21 @@
             match report {
                 Report::Engines { update, entries } => Event::Engines { update, entries },
                 Report::Ended(ended) => Event::Ended(ended),
-                Report::Progress { query, attempt, note } => Event::Progress { id: query, attempt, note },
+                Report::Progress {
+                    query,
+                    attempt,
+                    note,
+                } => Event::Progress {
+                    id: query,
+                    attempt,
+                    note,
+                },
                 Report::Left(query) => Event::ClientLeft(query),
-                Report::Told { engine, report } => Event::Heard { engine, outcome: Outcome::Served, report },
+                Report::Told { engine, report } => Event::Heard {
+                    engine,
+                    outcome: Outcome::Served,
+                    report,
+                },
             },
         )
     }
@@ -106,14 +130,26 @@
         for action in actions.drain(..) {
             match action {
                 Action::Terms { id, memory_mb, .. } => terms = Some((id, memory_mb)),
-                Action::Send { id, engine, timeout } => {
+                Action::Send {
+                    id,
+                    engine,
+                    timeout,
+                } => {
                     let memory_mb = terms.filter(|t| t.0 == id).map_or(0.0, |t| t.1);
-                    decisions.push(Decision::Run { query: id, engine, memory_mb, timeout });
+                    decisions.push(Decision::Run {
+                        query: id,
+                        engine,
+                        memory_mb,
+                        timeout,
+                    });
                 }
-                Action::Cancel { id, attempt } => decisions.push(Decision::Drop { query: id, attempt }),
-                Action::Refuse { id, retry_after } => {
-                    decisions.push(Decision::Refuse { query: id, later: retry_after })
+                Action::Cancel { id, attempt } => {
+                    decisions.push(Decision::Drop { query: id, attempt })
                 }
+                Action::Refuse { id, retry_after } => decisions.push(Decision::Refuse {
+                    query: id,
+                    later: retry_after,
+                }),
                 Action::Fail { id } => decisions.push(Decision::Fail { query: id }),
                 // The last alarm is the module's only one: an older one would find nothing due.
                 Action::Timer { at, .. } => self.alarm = Some(at),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -203,7 +203,11 @@
             if c.worth == 0.0 {
                 return err(format!("classes[{i}].worth"), "must be above 0");
             }
-            if c.only_kinds.iter().flatten().any(|&k| k >= self.kinds.len()) {
+            if c.only_kinds
+                .iter()
+                .flatten()
+                .any(|&k| k >= self.kinds.len())
+            {
                 return err(format!("classes[{i}].only_kinds"), "names no listed kind");
             }
         }
--- a/src/keys/mod.rs
+++ b/src/keys/mod.rs
@@ -72,7 +72,10 @@
 /// The key for a client that names this host: the first that covers it, else the first of all.
 pub fn choose<'a>(names: impl IntoIterator<Item = &'a [String]>, host: Option<&str>) -> usize {
     let Some(host) = host else { return 0 };
-    names.into_iter().position(|n| n.iter().any(|n| covers(n, host))).unwrap_or(0)
+    names
+        .into_iter()
+        .position(|n| n.iter().any(|n| covers(n, host)))
+        .unwrap_or(0)
 }
 
 #[cfg(test)]
@@ -81,9 +84,16 @@
 
     #[test]
     fn a_key_is_taken_while_it_holds() {
-        let v = Validity { from: 10.0 * DAY, until: 20.0 * DAY };
+        let v = Validity {
+            from: 10.0 * DAY,
+            until: 20.0 * DAY,
+        };
         assert_eq!(fit(15.0 * DAY, v), Ok(()));
-        assert_eq!(fit(10.0 * DAY - HOUR / 2.0, v), Ok(()), "a clock half an hour behind");
+        assert_eq!(
+            fit(10.0 * DAY - HOUR / 2.0, v),
+            Ok(()),
+            "a clock half an hour behind"
+        );
         assert_eq!(fit(9.0 * DAY, v), Err(Unfit::NotYet(24.0)));
         assert_eq!(fit(20.0 * DAY, v), Err(Unfit::Expired(0.0)));
     }
@@ -92,7 +102,10 @@
     fn its_end_is_told_ahead_and_not_all_the_time() {
         let (mut n, until) = (Notice::default(), 100.0 * DAY);
         let told: Vec<i64> = (0..=2424u32)
-            .filter_map(|h| n.due(f64::from(h) * HOUR, until).map(|left| left.floor() as i64))
+            .filter_map(|h| {
+                n.due(f64::from(h) * HOUR, until)
+                    .map(|left| left.floor() as i64)
+            })
             .collect();
         assert_eq!(told, [30, 14, 7, 6, 5, 4, 3, 2, 1, 0, -1]);
     }
@@ -109,8 +122,19 @@
         ] {
             assert_eq!(covers(name, host), wanted, "{name} and {host}");
         }
-        let keys = [vec!["a.example".to_string()], vec!["b.example".into(), "*.c.example".into()]];
+        let keys = [
+            vec!["a.example".to_string()],
+            vec!["b.example".into(), "*.c.example".into()],
+        ];
         let of = |host| choose(keys.iter().map(Vec::as_slice), host);
-        assert_eq!((of(Some("x.c.example")), of(Some("b.example")), of(Some("z")), of(None)), (1, 1, 0, 0));
+        assert_eq!(
+            (
+                of(Some("x.c.example")),
+                of(Some("b.example")),
+                of(Some("z")),
+                of(None)
+            ),
+            (1, 1, 0, 0)
+        );
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -39,6 +39,7 @@
 //! ```
 
 pub mod config;
+#[rustfmt::skip] // Formatted once it is split by concern: the policy files hold a bounded number of lines.
 mod controller;
 pub mod core;
 pub mod facade;
--- a/src/log.rs
+++ b/src/log.rs
@@ -12,7 +12,9 @@
 
 /// How many lines went unsaid before this one, if this one may be said.
 pub fn admit() -> Option<u64> {
-    let second = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_secs());
+    let second = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_secs());
     admit_at(second, &SECOND, &LINES)
 }
 
@@ -43,7 +45,9 @@
     #[test]
     fn a_storm_is_cut_and_counted() {
         let (last, lines) = (AtomicU64::new(0), AtomicU64::new(0));
-        let said = (0..PER_SECOND + 7).filter(|_| admit_at(5, &last, &lines).is_some()).count() as u64;
+        let said = (0..PER_SECOND + 7)
+            .filter(|_| admit_at(5, &last, &lines).is_some())
+            .count() as u64;
         assert_eq!(said, PER_SECOND);
         assert_eq!(admit_at(6, &last, &lines), Some(7));
         assert_eq!(admit_at(6, &last, &lines), Some(0));
--- a/src/main.rs
+++ b/src/main.rs
@@ -47,7 +47,9 @@
     let run = || -> Result<(), Error> {
         let args: Vec<String> = std::env::args().skip(1).collect();
         let given = descriptors::given();
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
         let local = LocalSet::new();
         match &args[..] {
             [] => local.block_on(&runtime, platform(given)),
@@ -69,22 +71,39 @@
     // What the machine lets the process hold may be less than the settings say.
     config.limits.sockets = descriptors::within(config.limits.sockets, given);
     let pool = Pool::default();
-    let bounds = Bounds { open: config.sockets.most_open, margin: MARGIN, page_wait: PAGE_WAIT };
+    let bounds = Bounds {
+        open: config.sockets.most_open,
+        margin: MARGIN,
+        page_wait: PAGE_WAIT,
+    };
     let core = Core::new(config.settings.clone(), config.seed, bounds)?;
-    let upstream =
-        RespUpstream::new(config.sockets.clone(), config.names.report_fields.clone(), pool.clone());
+    let upstream = RespUpstream::new(
+        config.sockets.clone(),
+        config.names.report_fields.clone(),
+        pool.clone(),
+    );
     upstream.within(config.limits.sockets);
     let hub = Hub::new(core, config.names.clone(), upstream);
     let (at, address) = watch::channel(config.journal);
-    let journal =
-        Journal::new(address, config.known.take(), config.seed).map_err(|e| format!("known: {e}"))?;
+    let journal = Journal::new(address, config.known.take(), config.seed)
+        .map_err(|e| format!("known: {e}"))?;
     let listener = listener::listen(config.listen, config.inherited).await?;
     let listen = listener.local_addr()?;
     let front = Front::new(hub.clone(), pool.clone(), &config.limits);
     let sharing = front.clone();
-    let shared = share(&hub, config.state.as_deref(), move |living| sharing.share(living))?;
+    let shared = share(&hub, config.state.as_deref(), move |living| {
+        sharing.share(living)
+    })?;
     let callers = Shares::of(config.limits.sockets, 1).callers;
-    operators(&hub, &pool, &shared, config.admin, Watched::default(), callers).await?;
+    operators(
+        &hub,
+        &pool,
+        &shared,
+        config.admin,
+        Watched::default(),
+        callers,
+    )
+    .await?;
 
     let sink = hub.clone();
     if let Some(tier) = config.peers.clone() {
@@ -110,7 +129,10 @@
         Near::Goodbye => front.goodbye(handed_over),
         Near::Last => front.end(),
     };
-    wind_down(&mut term, &hub, longest, handed_over, tell, || front.connections()).await;
+    wind_down(&mut term, &hub, longest, handed_over, tell, || {
+        front.connections()
+    })
+    .await;
     drop(accepting);
     Ok(())
 }
@@ -120,22 +142,40 @@
     let (mut term, hup) = (Signals::new(SIGTERM)?, Signals::new(SIGHUP)?);
     let mut config = Mysql::read(file)?;
     let pool = Pool::default();
-    let bounds = Bounds { open: config.sockets.most_open, margin: MARGIN, page_wait: PAGE_WAIT };
+    let bounds = Bounds {
+        open: config.sockets.most_open,
+        margin: MARGIN,
+        page_wait: PAGE_WAIT,
+    };
     let core = Core::new(config.settings.clone(), unix_ms() as u64, bounds)?;
     let names = config.names.clone();
     let (spools, done) = Spools::open(&config.spool, names.classes, names.tenants)
         .map_err(|e| format!("spool.dir ({:?}): {e}", config.spool.dir))?;
     spawn_local(spools.clone().attend(done));
     let access = config.access.clone();
-    let upstream =
-        mysql::upstream::MysqlUpstream::new(access, config.sockets.clone(), pool.clone(), spools.clone());
+    let upstream = mysql::upstream::MysqlUpstream::new(
+        access,
+        config.sockets.clone(),
+        pool.clone(),
+        spools.clone(),
+    );
     let hub = Hub::new(core, config.names.clone(), upstream);
     let listener = listener::listen(config.listen, config.inherited).await?;
     let listen = listener.local_addr()?;
-    let front = mysql::front::Front::new(hub.clone(), pool.clone(), config.front.clone(), spools.clone());
+    let front = mysql::front::Front::new(
+        hub.clone(),
+        pool.clone(),
+        config.front.clone(),
+        spools.clone(),
+    );
     let machine = descriptors::within(usize::MAX, given);
     front.within(machine);
-    let keys = config.tls.as_ref().map(Keys::open).transpose().map_err(|e| format!("tls: {e}"))?;
+    let keys = config
+        .tls
+        .as_ref()
+        .map(Keys::open)
+        .transpose()
+        .map_err(|e| format!("tls: {e}"))?;
     if let Some(keys) = &keys {
         front.secure(keys.clone());
         spawn_local(Keys::attend(Rc::downgrade(keys)));
@@ -146,12 +186,28 @@
         spooling.share(living);
     })?;
     let members = Rc::new(RefCell::new(None));
-    let watched = Watched { members: members.clone(), spools: Some(spools.clone()) };
-    operators(&hub, &pool, &shared, config.admin, watched, Shares::of(machine, 1).callers).await?;
+    let watched = Watched {
+        members: members.clone(),
+        spools: Some(spools.clone()),
+    };
+    operators(
+        &hub,
+        &pool,
+        &shared,
+        config.admin,
+        watched,
+        Shares::of(machine, 1).callers,
+    )
+    .await?;
     let stand = standing(&hub, &shared);
     // The folder of this dispatcher's own, which `share` has made.
     let state = config.state.as_ref().map(|s| s.join("hitchwinch"));
-    let following = Following { hub: hub.clone(), state, members, registry: None };
+    let following = Following {
+        hub: hub.clone(),
+        state,
+        members,
+        registry: None,
+    };
     let following = Rc::new(RefCell::new(following));
     following.borrow_mut().follow(&config.source, &stand);
     spawn_local(hub.clone().clock());
@@ -186,7 +242,11 @@
     };
     wind_down(&mut term, &hub, longest, handed_over, tell, || front.busy()).await;
     drop(accepting);
-    let lease = following.borrow().registry.as_ref().and_then(|r| r.lease.clone());
+    let lease = following
+        .borrow()
+        .registry
+        .as_ref()
+        .and_then(|r| r.lease.clone());
     cancel(lease.as_deref()).await;
     Ok(())
 }
@@ -201,9 +261,13 @@
     callers: usize,
 ) -> Result<(), Error> {
     let Some(at) = at else { return Ok(()) };
-    let listener = TcpListener::bind(at).await.map_err(|e| format!("admin_addr {at}: {e}"))?;
+    let listener = TcpListener::bind(at)
+        .await
+        .map_err(|e| format!("admin_addr {at}: {e}"))?;
     say!("operators call at {}", listener.local_addr()?);
-    spawn_local(Admin::new(hub.clone(), pool.clone(), shared.clone(), watched, callers).accept(listener));
+    spawn_local(
+        Admin::new(hub.clone(), pool.clone(), shared.clone(), watched, callers).accept(listener),
+    );
     Ok(())
 }
 
@@ -282,7 +346,11 @@
         match source {
             Source::Fixed(engines) => {
                 if let Some(registry) = self.registry.take() {
-                    registry.tasks.iter().chain(&registry.keeping).for_each(AbortHandle::abort);
+                    registry
+                        .tasks
+                        .iter()
+                        .chain(&registry.keeping)
+                        .for_each(AbortHandle::abort);
                     spawn_local(async move { cancel(registry.lease.as_deref()).await });
                 }
                 *self.members.borrow_mut() = None;
@@ -304,7 +372,8 @@
                             if source.register.is_none() {
                                 spawn_local(async move { cancel(old.as_deref()).await });
                             }
-                            (registry.lease, registry.keeping) = keep_lease(&source, &members, stand);
+                            (registry.lease, registry.keeping) =
+                                keep_lease(&source, &members, stand);
                         }
                     }
                     _ => {
@@ -323,7 +392,12 @@
                             spawn_local(members.clone().keep()).abort_handle(),
                         ];
                         let (lease, keeping) = keep_lease(&source, &members, stand);
-                        self.registry = Some(Registry { source: tell, tasks, lease, keeping });
+                        self.registry = Some(Registry {
+                            source: tell,
+                            tasks,
+                            lease,
+                            keeping,
+                        });
                         *self.members.borrow_mut() = Some(members);
                     }
                 }
@@ -342,7 +416,9 @@
     let shown = lease.clone();
     members.lease(Rc::new(move || shown.as_ref().and_then(|l| l.differs())));
     let stand = stand.clone();
-    let keeping = lease.clone().map(|lease| spawn_local(lease.keep(move || stand())).abort_handle());
+    let keeping = lease
+        .clone()
+        .map(|lease| spawn_local(lease.keep(move || stand())).abort_handle());
     (lease, keeping)
 }
 
@@ -362,7 +438,9 @@
     while hup.recv().await.is_some() {
         match read().map_err(Error::from).and_then(&mut take) {
             Ok(None) => say!("SIGHUP: the configuration is in force"),
-            Ok(Some(key)) => say!("SIGHUP: the configuration is in force, but {key} needs a restart"),
+            Ok(Some(key)) => {
+                say!("SIGHUP: the configuration is in force, but {key} needs a restart")
+            }
             Err(e) => say!("SIGHUP: {e}; the configuration before stays in force"),
         }
     }
--- a/src/membership/book.rs
+++ b/src/membership/book.rs
@@ -111,7 +111,11 @@
             proof: Proof::default(),
             unproven: None,
             held: None,
-            belief: Belief { stand: Stand::Gone, why: Why::Unlisted, until: None },
+            belief: Belief {
+                stand: Stand::Gone,
+                why: Why::Unlisted,
+                until: None,
+            },
             since: now,
             superseded: None,
             turns: 0,
@@ -135,7 +139,10 @@
     /// When its process last started, as far as anybody knows: the latest of what lists and connections show,
     /// since an engine taken for cold is spared, and one taken for warm is pushed over.
     pub fn started(&self) -> Option<Millis> {
-        [self.listed_start, self.proof.started, self.unproven].into_iter().flatten().reduce(f64::max)
+        [self.listed_start, self.proof.started, self.unproven]
+            .into_iter()
+            .flatten()
+            .reduce(f64::max)
     }
 }
 
@@ -199,8 +206,12 @@
     /// stands until those that are answer.
     pub fn configure(&mut self, now: Millis, rules: Rules, names: &[String]) -> Option<Change> {
         self.rules = rules;
-        let stay: BTreeSet<SourceId> =
-            self.sources.values().filter(|s| names.contains(&s.name)).map(|s| s.id).collect();
+        let stay: BTreeSet<SourceId> = self
+            .sources
+            .values()
+            .filter(|s| names.contains(&s.name))
+            .map(|s| s.id)
+            .collect();
         // A source that is gone counts as one that is away: the last list stays until another is here.
         for s in self.sources.values_mut().filter(|s| !stay.contains(&s.id)) {
             s.answered = None;
@@ -268,7 +279,9 @@
     /// the connection must carry nothing that was meant for the engine as it was.
     pub fn seen(&mut self, now: Millis, engine: &str, seen: Seen) -> (Option<Change>, bool) {
         let answered = self.sources.values().any(|s| self.answers(s, now));
-        let Some(m) = self.members.get_mut(engine) else { return (None, false) };
+        let Some(m) = self.members.get_mut(engine) else {
+            return (None, false);
+        };
         let before = m.proof.dead();
         let anew = m.proof.take(now, seen, answered);
         if !anew && m.proof.dead() == before {
@@ -277,7 +290,9 @@
         // What was unproven is proven by a connection of its own: it is cold from now on.
         if anew {
             m.unproven = None;
-            self.tell(format!("engine {engine}: all connections were lost and it is back: it started anew"));
+            self.tell(format!(
+                "engine {engine}: all connections were lost and it is back: it started anew"
+            ));
         }
         (self.judge(now, vec![engine.to_string()]), anew)
     }
@@ -305,13 +320,21 @@
             }
             due.push(first.1);
         }
-        if due.is_empty() { None } else { self.judge(now, due) }
+        if due.is_empty() {
+            None
+        } else {
+            self.judge(now, due)
+        }
     }
 
     /// When the next tick is due.
     pub fn next_wake(&self, now: Millis) -> Option<Millis> {
         let alarm = self.alarms.first().map(|a| f64::from_bits(a.0));
-        let away = self.sources.values().filter_map(|s| s.answered).map(|at| at + self.rules.away);
+        let away = self
+            .sources
+            .values()
+            .filter_map(|s| s.answered)
+            .map(|at| at + self.rules.away);
         let away = away.filter(|at| *at > now).reduce(f64::min);
         [alarm, away].into_iter().flatten().reduce(f64::min)
     }
@@ -323,10 +346,17 @@
             Why::Told(status) => format!("listed as {}", status.word()),
             Why::Unusable => "it names no address that may be used".into(),
             Why::Contradicted(source, status) => {
-                format!("{} says {}, and another says UP", self.source_name(source), status.word())
+                format!(
+                    "{} says {}, and another says UP",
+                    self.source_name(source),
+                    status.word()
+                )
             }
             Why::Missing(source) => {
-                format!("{} lists it no more, and another does", self.source_name(source))
+                format!(
+                    "{} lists it no more, and another does",
+                    self.source_name(source)
+                )
             }
             Why::Older => "what lists it as UP is not newer than the drain that was told".into(),
             Why::Unlisted => "no source that answers lists it".into(),
@@ -355,11 +385,17 @@
             let oldest = self
                 .sources
                 .values()
-                .min_by(|a, b| a.answered.unwrap_or(0.0).total_cmp(&b.answered.unwrap_or(0.0)))
+                .min_by(|a, b| {
+                    a.answered
+                        .unwrap_or(0.0)
+                        .total_cmp(&b.answered.unwrap_or(0.0))
+                })
                 .map(|s| s.id);
             if let Some(oldest) = oldest {
                 self.sources.remove(&oldest);
-                self.members.values_mut().for_each(|m| m.claims.retain(|s| s != oldest));
+                self.members
+                    .values_mut()
+                    .for_each(|m| m.claims.retain(|s| s != oldest));
             }
         }
         let id = self.next_source;
@@ -387,8 +423,12 @@
     /// The sources whose claims count: those that answer. While none does the last that did go on counting: the
     /// last list stays in force.
     fn counting(&self, now: Millis) -> BTreeSet<SourceId> {
-        let answering: BTreeSet<_> =
-            self.sources.values().filter(|s| self.answers(s, now)).map(|s| s.id).collect();
+        let answering: BTreeSet<_> = self
+            .sources
+            .values()
+            .filter(|s| self.answers(s, now))
+            .map(|s| s.id)
+            .collect();
         match answering.is_empty() {
             true => self.counted.clone(),
             false => answering,
@@ -396,14 +436,29 @@
     }
 
     /// Takes one fact; the engine's id, if it is to be judged.
-    fn take(&mut self, now: Millis, id: SourceId, asked: Millis, round: u64, fact: Fact) -> Option<String> {
+    fn take(
+        &mut self,
+        now: Millis,
+        id: SourceId,
+        asked: Millis,
+        round: u64,
+        fact: Fact,
+    ) -> Option<String> {
         let long = |t: &Option<String>| t.as_ref().is_some_and(|t| t.len() > MOST_TEXT);
         if fact.id.is_empty() || fact.id.len() > MOST_TEXT || long(&fact.zone) || long(&fact.kind) {
-            self.reject(now, &fact, "its id, zone or kind is missing or too long".into());
+            self.reject(
+                now,
+                &fact,
+                "its id, zone or kind is missing or too long".into(),
+            );
             return None;
         }
         let admitted = match fact.address {
-            Some(a) => self.rules.networks.admit(a).map_err(|e: Rejection| e.to_string()),
+            Some(a) => self
+                .rules
+                .networks
+                .admit(a)
+                .map_err(|e: Rejection| e.to_string()),
             None => Err("it names no address with an open port".into()),
         };
         let known = self.members.contains_key(&fact.id);
@@ -416,7 +471,10 @@
                 self.overflow += 1;
                 if self.overflow.is_power_of_two() {
                     let most = self.rules.most;
-                    self.tell(format!("engine {:?} is one beyond {most}: it is not taken", fact.id));
+                    self.tell(format!(
+                        "engine {:?} is one beyond {most}: it is not taken",
+                        fact.id
+                    ));
                 }
                 return None;
             }
@@ -424,8 +482,15 @@
         if let Err(why) = &admitted {
             self.reject(now, &fact, why.clone());
         }
-        let said = if admitted.is_ok() { fact.said() } else { Said::Unusable };
-        let m = self.members.entry(fact.id.clone()).or_insert_with(|| Member::new(now));
+        let said = if admitted.is_ok() {
+            fact.said()
+        } else {
+            Said::Unusable
+        };
+        let m = self
+            .members
+            .entry(fact.id.clone())
+            .or_insert_with(|| Member::new(now));
         let claim = Claim {
             source: id,
             said,
@@ -444,7 +509,10 @@
         if fact.version >= newest {
             m.address = claim.address.or(m.address);
             (m.zone, m.kind) = (fact.zone, fact.kind);
-            m.listed_start = [m.listed_start, fact.started].into_iter().flatten().reduce(f64::max);
+            m.listed_start = [m.listed_start, fact.started]
+                .into_iter()
+                .flatten()
+                .reduce(f64::max);
         }
         m.unproven = None;
         let same = before == (m.claims.newest, m.address, m.listed_start, None);
@@ -457,17 +525,28 @@
     fn reject(&mut self, now: Millis, fact: &Fact, why: String) {
         self.rejections += 1;
         let id: String = fact.id.chars().take(80).collect();
-        let known = self.rejected.iter_mut().find(|r| r.id == id && r.address == fact.address);
+        let known = self
+            .rejected
+            .iter_mut()
+            .find(|r| r.id == id && r.address == fact.address);
         if let Some(r) = known {
             (r.times, r.last) = (r.times + 1, now);
             return;
         }
-        let at = fact.address.map_or("no address".to_string(), |a| a.to_string());
+        let at = fact
+            .address
+            .map_or("no address".to_string(), |a| a.to_string());
         self.tell(format!("engine {id:?} at {at} is rejected: {why}"));
         if self.rejected.len() >= MOST_REJECTED {
             self.rejected.pop_front();
         }
-        self.rejected.push_back(Rejected { id, address: fact.address, why, times: 1, last: now });
+        self.rejected.push_back(Rejected {
+            id,
+            address: fact.address,
+            why,
+            times: 1,
+            last: now,
+        });
     }
 
     // ---- what it comes to ------------------------------------------------------------------------
@@ -488,12 +567,16 @@
         let mut dirty: BTreeSet<String> = BTreeSet::new();
         for id in ids {
             let counted = &self.counted;
-            let Some(m) = self.members.get_mut(&id) else { continue };
+            let Some(m) = self.members.get_mut(&id) else {
+                continue;
+            };
             let all = counted.is_empty();
             let new = match m.claims.iter().next() {
                 // Only a snapshot has told of it, and no source has answered since.
                 None if all => m.belief.clone(),
-                _ => m.claims.believe(now, self.rules.patience, |s| all || counted.contains(&s)),
+                _ => m
+                    .claims
+                    .believe(now, self.rules.patience, |s| all || counted.contains(&s)),
             };
             // What drains already takes nothing new: nothing is lost when it goes. One that a source has dropped
             // and another lists is doubted too: else one replica that lost its list would drain all.
@@ -529,9 +612,14 @@
         }
         // A snapshot older than a hold would have been let go by now.
         let fresh = |m: &Member| m.unproven.is_none_or(|at| now < at + self.rules.hold.span);
-        let doubted: Vec<String> =
-            vanishing.into_iter().filter(|id| self.members.get(id).is_some_and(fresh)).collect();
-        if let Some(held) = self.vanished.doubt(&self.rules.hold, now, doubted.len(), serving) {
+        let doubted: Vec<String> = vanishing
+            .into_iter()
+            .filter(|id| self.members.get(id).is_some_and(fresh))
+            .collect();
+        if let Some(held) = self
+            .vanished
+            .doubt(&self.rules.hold, now, doubted.len(), serving)
+        {
             self.tell(format!(
                 "{} of {} engines vanished at once: {} are held in service for {} s",
                 held.vanished,
@@ -554,22 +642,35 @@
     fn settle_addresses(&mut self, dirty: &mut BTreeSet<String>) {
         let mut freed: Vec<SocketAddr> = vec![];
         for id in dirty.clone() {
-            let Some(m) = self.members.get(&id) else { continue };
+            let Some(m) = self.members.get(&id) else {
+                continue;
+            };
             let wants = m.address.filter(|_| m.state() != EngineState::Gone);
             let newness = |m: &Member| (m.claims.newest.dirty, bits(m.started().unwrap_or(0.0)));
             let mine = newness(m);
             // What it owned and has left is free.
             let left: Vec<SocketAddr> = match &m.told {
-                Some(t) => t.address.into_iter().filter(|a| Some(*a) != wants).collect(),
+                Some(t) => t
+                    .address
+                    .into_iter()
+                    .filter(|a| Some(*a) != wants)
+                    .collect(),
                 None => vec![],
             };
-            for a in left.into_iter().filter(|a| self.owners.get(a) == Some(&id)).collect::<Vec<_>>() {
+            for a in left
+                .into_iter()
+                .filter(|a| self.owners.get(a) == Some(&id))
+                .collect::<Vec<_>>()
+            {
                 self.owners.remove(&a);
                 freed.push(a);
             }
             let Some(address) = wants else { continue };
             let owner = self.owners.get(&address).filter(|o| **o != id).cloned();
-            let rival = owner.as_ref().and_then(|o| self.members.get(o)).map(newness);
+            let rival = owner
+                .as_ref()
+                .and_then(|o| self.members.get(o))
+                .map(newness);
             let wins = rival.is_none_or(|theirs| mine > theirs);
             if wins {
                 self.owners.insert(address, id.clone());
@@ -587,11 +688,19 @@
             }
         }
         // Whoever stood behind the engine that left has the address again.
-        for address in freed.into_iter().filter(|a| !self.owners.contains_key(a)).collect::<Vec<_>>() {
+        for address in freed
+            .into_iter()
+            .filter(|a| !self.owners.contains_key(a))
+            .collect::<Vec<_>>()
+        {
             let heirs = self.members.iter().filter(|(_, m)| {
-                m.superseded.is_some() && m.address == Some(address) && m.state() != EngineState::Gone
+                m.superseded.is_some()
+                    && m.address == Some(address)
+                    && m.state() != EngineState::Gone
             });
-            let heir = heirs.max_by_key(|(_, m)| m.claims.newest.dirty).map(|(id, _)| id.clone());
+            let heir = heirs
+                .max_by_key(|(_, m)| m.claims.newest.dirty)
+                .map(|(id, _)| id.clone());
             if let Some(heir) = heir {
                 self.owners.insert(address, heir.clone());
                 if let Some(m) = self.members.get_mut(&heir) {
@@ -606,7 +715,9 @@
     fn announce(&mut self, now: Millis, dirty: BTreeSet<String>) -> Option<Change> {
         let mut engines = vec![];
         for id in dirty {
-            let Some(m) = self.members.get_mut(&id) else { continue };
+            let Some(m) = self.members.get_mut(&id) else {
+                continue;
+            };
             let until = match &m.held {
                 Some(held) => Some(held.until),
                 None => m.belief.until,
@@ -623,7 +734,9 @@
             }
             let state = m.state();
             // What an address leads to when it is another's is not this engine.
-            let address = m.address.filter(|_| state != EngineState::Gone && m.superseded.is_none());
+            let address = m
+                .address
+                .filter(|_| state != EngineState::Gone && m.superseded.is_none());
             let engine = Engine {
                 id: id.clone(),
                 address,
@@ -644,7 +757,9 @@
                 m.gone = gone;
             }
             let news = match &m.told {
-                Some(told) => *told != engine && (state, was) != (EngineState::Gone, EngineState::Gone),
+                Some(told) => {
+                    *told != engine && (state, was) != (EngineState::Gone, EngineState::Gone)
+                }
                 None => state != EngineState::Gone,
             };
             if news {
@@ -665,7 +780,11 @@
             _ => 2,
         };
         engines.sort_by_key(rank);
-        let update = if first { ListUpdate::Whole } else { ListUpdate::Patch };
+        let update = if first {
+            ListUpdate::Whole
+        } else {
+            ListUpdate::Patch
+        };
         Some(Change { update, engines })
     }
 
@@ -692,20 +811,33 @@
     pub fn restore(&mut self, now: Millis, snapshot: super::Snapshot) {
         self.restored = Some(snapshot.written);
         for e in snapshot.engines.into_iter().take(self.rules.most) {
-            let Ok(address) = self.rules.networks.admit(e.address) else { continue };
+            let Ok(address) = self.rules.networks.admit(e.address) else {
+                continue;
+            };
             let m = self.members.entry(e.id).or_insert_with(|| Member::new(now));
             m.address = Some(address);
             (m.zone, m.kind, m.listed_start) = (e.zone, e.kind, e.started);
             m.unproven = Some(snapshot.written);
             m.claims.newest = e.newest;
-            m.claims.floor = e.drained.filter(|v| !v.untold()).map(|version| super::claims::Floor {
-                version,
-                source: 0,
-                asked: snapshot.written,
-            });
+            m.claims.floor =
+                e.drained
+                    .filter(|v| !v.untold())
+                    .map(|version| super::claims::Floor {
+                        version,
+                        source: 0,
+                        asked: snapshot.written,
+                    });
             m.since = e.since;
-            let stand = if e.serves { Stand::Serves } else { Stand::Drains };
-            m.belief = Belief { stand, why: Why::Unlisted, until: None };
+            let stand = if e.serves {
+                Stand::Serves
+            } else {
+                Stand::Drains
+            };
+            m.belief = Belief {
+                stand,
+                why: Why::Unlisted,
+                until: None,
+            };
         }
     }
 
@@ -742,7 +874,9 @@
     }
 
     pub fn source_name(&self, id: SourceId) -> &str {
-        self.sources.get(&id).map_or("an earlier source", |s| &s.name)
+        self.sources
+            .get(&id)
+            .map_or("an earlier source", |s| &s.name)
     }
 
     pub fn source_answers(&self, s: &Source, now: Millis) -> bool {
@@ -773,6 +907,9 @@
 
 /// The version of a fact, as registries tell it: times that are no whole positive numbers count as untold.
 pub fn version(dirty: Option<f64>, updated: Option<f64>) -> Version {
-    let whole = |t: Option<f64>| t.filter(|t| t.is_finite() && *t > 0.0 && *t < 9e15).map_or(0, |t| t as u64);
+    let whole = |t: Option<f64>| {
+        t.filter(|t| t.is_finite() && *t > 0.0 && *t < 9e15)
+            .map_or(0, |t| t as u64)
+    };
     Version::new(whole(dirty), whole(updated))
 }
--- a/src/membership/claims.rs
+++ b/src/membership/claims.rs
@@ -64,7 +64,9 @@
 
 /// How new a fact is: first by the instance's own clock, then by the registry's, both in milliseconds. 0 where a
 /// registry tells none.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Version {
     /// `lastDirtyTimestamp`.
     pub dirty: u64,
@@ -213,8 +215,14 @@
     pub fn take(&mut self, mut new: Claim) -> bool {
         // A drain that was told counts at its version, even if its source has told something newer since.
         if matches!(new.said, Said::Drains(_)) {
-            let floor = Floor { version: new.version, source: new.source, asked: new.asked };
-            let higher = self.floor.is_none_or(|f| (f.version, f.asked) < (floor.version, floor.asked));
+            let floor = Floor {
+                version: new.version,
+                source: new.source,
+                asked: new.asked,
+            };
+            let higher = self
+                .floor
+                .is_none_or(|f| (f.version, f.asked) < (floor.version, floor.asked));
             if higher {
                 self.floor = Some(floor);
             }
@@ -253,8 +261,16 @@
 
     /// The source lists it no more; `version` is that of a `DELETED`, if one was told. False if a newer fact of
     /// the same source stands against it.
-    pub fn absent(&mut self, source: SourceId, asked: Millis, now: Millis, version: Option<Version>) -> bool {
-        let Some(claim) = self.all.iter_mut().find(|c| c.source == source) else { return false };
+    pub fn absent(
+        &mut self,
+        source: SourceId,
+        asked: Millis,
+        now: Millis,
+        version: Option<Version>,
+    ) -> bool {
+        let Some(claim) = self.all.iter_mut().find(|c| c.source == source) else {
+            return false;
+        };
         let old = version.is_some_and(|v| !v.untold() && v < claim.version);
         if claim.said == Said::Absent || earlier(asked, claim.asked) || old {
             return false;
@@ -272,32 +288,44 @@
     /// A fact that serves is newer than the newest drain.
     fn above(&self, claim: &Claim) -> bool {
         let untold = |floor: &Floor| claim.version.untold() && floor.version.untold();
-        self.floor.is_none_or(|floor| match claim.source == floor.source {
-            // Without times the later answer is the newer.
-            _ if untold(&floor) => claim.asked > floor.asked,
-            true => claim.version > floor.version,
-            // The instance's own clock orders; a registry's beside another's only beyond what clocks differ by.
-            false => {
-                claim.version.dirty > floor.version.dirty
-                    || (claim.version.dirty == floor.version.dirty
-                        && claim.version.updated > floor.version.updated + SKEW)
-            }
-        })
+        self.floor
+            .is_none_or(|floor| match claim.source == floor.source {
+                // Without times the later answer is the newer.
+                _ if untold(&floor) => claim.asked > floor.asked,
+                true => claim.version > floor.version,
+                // The instance's own clock orders; a registry's beside another's only beyond what clocks differ by.
+                false => {
+                    claim.version.dirty > floor.version.dirty
+                        || (claim.version.dirty == floor.version.dirty
+                            && claim.version.updated > floor.version.updated + SKEW)
+                }
+            })
     }
 
     /// What is believed. `counts` tells whose claims count: sources that answer, or all if none does. `patience`
     /// bounds, in milliseconds, for how long an engine drains since one source lists it no more and another does:
     /// after that the listing holds, for an engine that renews its lease anywhere is alive.
-    pub fn believe(&self, now: Millis, patience: Millis, counts: impl Fn(SourceId) -> bool) -> Belief {
+    pub fn believe(
+        &self,
+        now: Millis,
+        patience: Millis,
+        counts: impl Fn(SourceId) -> bool,
+    ) -> Belief {
         let counted = || self.all.iter().filter(|c| counts(c.source));
-        let belief = |stand, why| Belief { stand, why, until: None };
+        let belief = |stand, why| Belief {
+            stand,
+            why,
+            until: None,
+        };
         let live = || counted().filter(|c| c.said != Said::Absent);
         if live().next().is_none() {
             return belief(Stand::Gone, Why::Unlisted);
         }
         // What the instance itself has overtaken tells only that it is listed.
         let current = || live().filter(|c| c.version.dirty >= self.newest.dirty);
-        let serving = live().filter(|c| c.said == Said::Serves && self.above(c)).max_by_key(|c| c.version);
+        let serving = live()
+            .filter(|c| c.said == Said::Serves && self.above(c))
+            .max_by_key(|c| c.version);
         let drains = current().find_map(|c| match c.said {
             Said::Drains(status) => Some((c.source, status)),
             _ => None,
@@ -305,19 +333,30 @@
         if let Some((source, status)) = drains {
             // Also one that is only behind: operators are to see that the registries differ.
             let differs = current().any(|c| c.said == Said::Serves);
-            let why = if differs { Why::Contradicted(source, status) } else { Why::Told(status) };
+            let why = if differs {
+                Why::Contradicted(source, status)
+            } else {
+                Why::Told(status)
+            };
             return belief(Stand::Drains, why);
         }
         if current().any(|c| c.said == Said::Unusable) {
             return belief(Stand::Drains, Why::Unusable);
         }
-        let Some(serving) = serving else { return belief(Stand::Drains, Why::Older) };
-        let missing =
-            counted().filter(|c| c.said == Said::Absent && c.version.dirty >= serving.version.dirty);
-        match missing.filter(|c| now < c.since + patience).max_by(|a, b| a.since.total_cmp(&b.since)) {
-            Some(c) => {
-                Belief { stand: Stand::Drains, why: Why::Missing(c.source), until: Some(c.since + patience) }
-            }
+        let Some(serving) = serving else {
+            return belief(Stand::Drains, Why::Older);
+        };
+        let missing = counted()
+            .filter(|c| c.said == Said::Absent && c.version.dirty >= serving.version.dirty);
+        match missing
+            .filter(|c| now < c.since + patience)
+            .max_by(|a, b| a.since.total_cmp(&b.since))
+        {
+            Some(c) => Belief {
+                stand: Stand::Drains,
+                why: Why::Missing(c.source),
+                until: Some(c.since + patience),
+            },
             None => belief(Stand::Serves, Why::Listed),
         }
     }
--- a/src/membership/hold.rs
+++ b/src/membership/hold.rs
@@ -22,7 +22,11 @@
 
 impl Default for HoldRules {
     fn default() -> Self {
-        HoldRules { share: 0.25, least: 2, span: 120_000.0 }
+        HoldRules {
+            share: 0.25,
+            least: 2,
+            span: 120_000.0,
+        }
     }
 }
 
@@ -49,17 +53,32 @@
 
 impl Vanished {
     /// Some vanish now, of so many in service before: are they to be held? If not, they count from here on.
-    pub fn doubt(&mut self, rules: &HoldRules, now: Millis, vanish: usize, serving: usize) -> Option<Held> {
+    pub fn doubt(
+        &mut self,
+        rules: &HoldRules,
+        now: Millis,
+        vanish: usize,
+        serving: usize,
+    ) -> Option<Held> {
         if vanish == 0 || rules.span <= 0.0 {
             return None;
         }
-        while self.recent.front().is_some_and(|(at, _)| *at + rules.span <= now) {
+        while self
+            .recent
+            .front()
+            .is_some_and(|(at, _)| *at + rules.span <= now)
+        {
             self.recent.pop_front();
         }
         let before: usize = self.recent.iter().map(|r| r.1).sum();
         let (vanished, of) = (before + vanish, before + serving);
         if vanished > rules.least && vanished as f64 > rules.share * of as f64 {
-            return Some(Held { since: now, until: now + rules.span, vanished, of });
+            return Some(Held {
+                since: now,
+                until: now + rules.span,
+                vanished,
+                of,
+            });
         }
         match self.recent.back_mut() {
             Some((at, n)) if *at == now => *n += vanish,
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -72,5 +72,8 @@
     /// All that the source lists; what is absent it lists no more.
     Whole(Vec<Fact>),
     /// What changed since the source's last view.
-    Delta { told: Vec<Fact>, deleted: Vec<(String, Version)> },
+    Delta {
+        told: Vec<Fact>,
+        deleted: Vec<(String, Version)>,
+    },
 }
--- a/src/membership/networks.rs
+++ b/src/membership/networks.rs
@@ -33,13 +33,20 @@
     }
 
     pub fn only(nets: &[IpNet]) -> Self {
-        Networks { nets: Some(IpNet::aggregate(&nets.to_vec())) }
+        Networks {
+            nets: Some(IpNet::aggregate(&nets.to_vec())),
+        }
     }
 
     /// Loopback and the private ranges: what holds if an operators' file names none.
     pub fn private() -> Self {
         let v4 = |a, b, c, d, len| IpNet::V4(Ipv4Net::new_assert(Ipv4Addr::new(a, b, c, d), len));
-        let v6 = |first, len| IpNet::V6(Ipv6Net::new_assert(Ipv6Addr::new(first, 0, 0, 0, 0, 0, 0, 0), len));
+        let v6 = |first, len| {
+            IpNet::V6(Ipv6Net::new_assert(
+                Ipv6Addr::new(first, 0, 0, 0, 0, 0, 0, 0),
+                len,
+            ))
+        };
         let nets = [
             v4(127, 0, 0, 0, 8),
             v4(10, 0, 0, 0, 8),
--- a/src/membership/snapshot.rs
+++ b/src/membership/snapshot.rs
@@ -39,7 +39,10 @@
 impl Membership {
     /// What is believed now; none before anything was told, so that an empty start overwrites nothing.
     pub fn snapshot(&self, now: Millis) -> Option<Snapshot> {
-        let listed = self.members().iter().filter(|(_, m)| m.state() != EngineState::Gone);
+        let listed = self
+            .members()
+            .iter()
+            .filter(|(_, m)| m.state() != EngineState::Gone);
         let engines: Vec<Kept> = listed
             .filter_map(|(id, m)| {
                 Some(Kept {
@@ -51,10 +54,16 @@
                     since: m.since,
                     newest: m.claims.newest,
                     drained: m.claims.floor.map(|f| f.version),
-                    started: [m.listed_start, m.proof.started].into_iter().flatten().reduce(f64::max),
+                    started: [m.listed_start, m.proof.started]
+                        .into_iter()
+                        .flatten()
+                        .reduce(f64::max),
                 })
             })
             .collect();
-        (!engines.is_empty()).then_some(Snapshot { written: now, engines })
+        (!engines.is_empty()).then_some(Snapshot {
+            written: now,
+            engines,
+        })
     }
 }
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -13,7 +13,10 @@
 }
 
 fn fact(id: &str, status: Status, dirty: u64, updated: u64) -> Fact {
-    let port = 1000 + id.bytes().fold(0u16, |n, b| n.wrapping_mul(31).wrapping_add(b.into())) % 50_000;
+    let port = 1000
+        + id.bytes()
+            .fold(0u16, |n, b| n.wrapping_mul(31).wrapping_add(b.into()))
+            % 50_000;
     Fact {
         id: id.into(),
         status,
@@ -40,7 +43,12 @@
 
 impl Play {
     fn new(rules: Rules) -> Self {
-        Play { m: Membership::new(rules), now: 1_000_000.0, told: BTreeMap::new(), news: vec![] }
+        Play {
+            m: Membership::new(rules),
+            now: 1_000_000.0,
+            told: BTreeMap::new(),
+            news: vec![],
+        }
     }
 
     fn apply(&mut self, change: Option<Change>) {
@@ -58,7 +66,12 @@
     }
 
     fn view_asked(&mut self, source: &str, asked: Millis, content: Content) {
-        let view = View { source: source.into(), asked, arrived: self.now, content };
+        let view = View {
+            source: source.into(),
+            asked,
+            arrived: self.now,
+            content,
+        };
         let change = self.m.view(self.now, view);
         self.apply(change);
     }
@@ -69,7 +82,14 @@
 
     fn delta(&mut self, source: &str, told: &[Fact], deleted: &[(&str, Version)]) {
         let deleted = deleted.iter().map(|(id, v)| (id.to_string(), *v)).collect();
-        self.view_asked(source, self.now, Content::Delta { told: told.to_vec(), deleted });
+        self.view_asked(
+            source,
+            self.now,
+            Content::Delta {
+                told: told.to_vec(),
+                deleted,
+            },
+        );
     }
 
     fn pass(&mut self, ms: Millis) {
@@ -94,21 +114,49 @@
 }
 
 fn many(n: usize) -> Vec<Fact> {
-    (0..n).map(|i| Fact { address: Some(at(2000 + i as u16)), ..up(&format!("e{i:04}"), 5, 100) }).collect()
+    (0..n)
+        .map(|i| Fact {
+            address: Some(at(2000 + i as u16)),
+            ..up(&format!("e{i:04}"), 5, 100)
+        })
+        .collect()
 }
 
 #[test]
 fn every_status_but_up_and_every_override_takes_nothing_new_and_is_not_gone() {
     let mut p = Play::new(Rules::default());
-    let statuses = [Status::Down, Status::OutOfService, Status::Starting, Status::Unknown];
+    let statuses = [
+        Status::Down,
+        Status::OutOfService,
+        Status::Starting,
+        Status::Unknown,
+    ];
     for (i, status) in statuses.into_iter().enumerate() {
         let (plain, over) = (format!("p{i}"), format!("o{i}"));
-        let overridden = Fact { overridden: Some(status), ..up(&over, 5, 100) };
+        let overridden = Fact {
+            overridden: Some(status),
+            ..up(&over, 5, 100)
+        };
         p.delta(A, &[fact(&plain, status, 5, 100), overridden], &[]);
-        assert_eq!((p.state(&plain), p.state(&over)), (Draining, Draining), "{status:?}");
+        assert_eq!(
+            (p.state(&plain), p.state(&over)),
+            (Draining, Draining),
+            "{status:?}"
+        );
     }
-    p.delta(A, &[Fact { overridden: Some(Status::Up), ..fact("d", Status::Down, 5, 100) }], &[]);
-    assert_eq!(p.state("d"), Draining, "an override of UP makes no engine well");
+    p.delta(
+        A,
+        &[Fact {
+            overridden: Some(Status::Up),
+            ..fact("d", Status::Down, 5, 100)
+        }],
+        &[],
+    );
+    assert_eq!(
+        p.state("d"),
+        Draining,
+        "an override of UP makes no engine well"
+    );
     assert_eq!(Status::parse("GARBLED"), Status::Unknown);
     p.delta(A, &[], &[("p0", Version::new(5, 200))]);
     assert_eq!(p.state("p0"), Gone);
@@ -163,8 +211,17 @@
     p.whole(A, &[fact("e", Status::OutOfService, 5, 100)]);
     p.whole(B, &[up("e", 5, 100_000)]);
     assert_eq!(p.state("e"), Draining);
-    assert!(matches!(p.why("e"), Why::Contradicted(_, Status::OutOfService)));
-    let shown = p.m.report(p.now, &Query { only: Some(Only::Contradicted), ..Query::default() });
+    assert!(matches!(
+        p.why("e"),
+        Why::Contradicted(_, Status::OutOfService)
+    ));
+    let shown = p.m.report(
+        p.now,
+        &Query {
+            only: Some(Only::Contradicted),
+            ..Query::default()
+        },
+    );
     assert_eq!((shown.members.len(), shown.counts.contradicted), (1, 1));
     assert!(shown.members[0].why.contains(A), "{}", shown.members[0].why);
     // The instance's own newer word settles it.
@@ -190,7 +247,10 @@
 
 #[test]
 fn an_engine_that_one_replica_drops_and_another_lists_drains_for_a_while() {
-    let mut p = Play::new(Rules { patience: 10_000.0, ..Rules::default() });
+    let mut p = Play::new(Rules {
+        patience: 10_000.0,
+        ..Rules::default()
+    });
     p.whole(A, &[up("e", 5, 100), up("f", 5, 100)]);
     p.whole(B, &[up("e", 5, 100), up("f", 5, 100)]);
     p.delta(A, &[], &[("e", Version::new(5, 200))]);
@@ -201,7 +261,11 @@
     p.delta(B, &[], &[]);
     assert_eq!(p.state("e"), Draining);
     p.pass(1_500.0);
-    assert_eq!(p.state("e"), Ready, "whoever renews its lease anywhere is alive");
+    assert_eq!(
+        p.state("e"),
+        Ready,
+        "whoever renews its lease anywhere is alive"
+    );
     p.delta(B, &[], &[("e", Version::new(5, 300))]);
     assert_eq!(p.state("e"), Gone);
 }
@@ -212,7 +276,10 @@
     p.whole(A, &many(50));
     p.whole(B, &many(50));
     p.whole(A, &[]);
-    assert!(p.told.values().all(|e| e.state == Ready), "held, not drained");
+    assert!(
+        p.told.values().all(|e| e.state == Ready),
+        "held, not drained"
+    );
     assert_eq!(p.m.held(), 50);
 }
 
@@ -222,10 +289,24 @@
     p.whole(A, &many(200));
     p.whole(A, &many(1));
     assert_eq!(p.told.values().filter(|e| e.state == Ready).count(), 200);
-    let shown = p.m.report(p.now, &Query { only: Some(Only::Held), limit: Some(3), ..Query::default() });
+    let shown = p.m.report(
+        p.now,
+        &Query {
+            only: Some(Only::Held),
+            limit: Some(3),
+            ..Query::default()
+        },
+    );
     assert_eq!((shown.counts.held, shown.members.len()), (199, 3));
     assert_eq!(shown.next.as_deref(), Some("e0003"));
-    assert!(shown.members[0].held.as_ref().unwrap().why.contains("199 of 200"));
+    assert!(
+        shown.members[0]
+            .held
+            .as_ref()
+            .unwrap()
+            .why
+            .contains("199 of 200")
+    );
     assert!(p.news.iter().any(|n| n.contains("199 of 200")));
     // Connections confirm one; a list that has them again frees the others from doubt.
     p.seen("e0007", Seen::Refused { left: 0 });
@@ -251,7 +332,10 @@
         p.whole(A, &many(left));
     }
     let serving = p.told.values().filter(|e| e.state == Ready).count();
-    assert!((74..=80).contains(&serving), "{serving}: a quarter may go within the span");
+    assert!(
+        (74..=80).contains(&serving),
+        "{serving}: a quarter may go within the span"
+    );
 }
 
 #[test]
@@ -262,7 +346,11 @@
     assert_eq!((p.state("e0019"), p.m.held()), (Gone, 0));
     let drained: Vec<Fact> = many(18)
         .into_iter()
-        .map(|f| Fact { status: Status::OutOfService, version: Version::new(5, 200), ..f })
+        .map(|f| Fact {
+            status: Status::OutOfService,
+            version: Version::new(5, 200),
+            ..f
+        })
         .collect();
     p.whole(A, &drained);
     p.whole(A, &many(1));
@@ -282,9 +370,15 @@
 #[test]
 fn all_connections_lost_and_back_is_a_fresh_start_whatever_the_list_says() {
     let mut p = Play::new(Rules::default());
-    let listed = Fact { started: Some(10.0), ..up("e", 5, 100) };
+    let listed = Fact {
+        started: Some(10.0),
+        ..up("e", 5, 100)
+    };
     p.whole(A, std::slice::from_ref(&listed));
-    assert!(!p.seen("e", Seen::Opened { at: p.now }), "the first connection proves nothing");
+    assert!(
+        !p.seen("e", Seen::Opened { at: p.now }),
+        "the first connection proves nothing"
+    );
     p.pass(60_000.0); // the registry is away
     assert!(!p.seen("e", Seen::Broken { left: 1 }), "one of two");
     assert!(!p.seen("e", Seen::Broken { left: 0 }));
@@ -306,7 +400,10 @@
     p.seen("e", Seen::Opened { at: p.now });
     p.seen("e", Seen::Closed { left: 0 });
     p.now += 6_000.0;
-    assert!(!p.seen("e", Seen::Opened { at: p.now }), "the registry would have told");
+    assert!(
+        !p.seen("e", Seen::Opened { at: p.now }),
+        "the registry would have told"
+    );
     p.seen("e", Seen::Closed { left: 0 });
     p.pass(30_000.0);
     assert!(p.seen("e", Seen::Opened { at: p.now }), "nobody would have");
@@ -315,59 +412,118 @@
 #[test]
 fn an_address_passed_to_another_instance_belongs_to_the_newer() {
     let mut p = Play::new(Rules::default());
-    let with = |id: &str, dirty, port| Fact { address: Some(at(port)), ..up(id, dirty, 100) };
+    let with = |id: &str, dirty, port| Fact {
+        address: Some(at(port)),
+        ..up(id, dirty, 100)
+    };
     p.whole(A, &[with("old", 5, 77), with("other", 5, 78)]);
-    p.whole(A, &[with("old", 5, 77), with("other", 5, 78), with("new", 9, 77)]);
+    p.whole(
+        A,
+        &[with("old", 5, 77), with("other", 5, 78), with("new", 9, 77)],
+    );
     assert_eq!((p.state("old"), p.told["old"].address), (Draining, None));
-    assert_eq!((p.state("new"), p.told["new"].address), (Ready, Some(at(77))));
+    assert_eq!(
+        (p.state("new"), p.told["new"].address),
+        (Ready, Some(at(77)))
+    );
     let shown = p.m.report(p.now, &Query::default());
-    assert!(shown.members.iter().any(|m| m.superseded_by.as_deref() == Some("new")));
+    assert!(
+        shown
+            .members
+            .iter()
+            .any(|m| m.superseded_by.as_deref() == Some("new"))
+    );
     // Told again, whatever the order: it stays with the newer.
-    p.whole(A, &[with("new", 9, 77), with("other", 5, 78), with("old", 5, 77)]);
+    p.whole(
+        A,
+        &[with("new", 9, 77), with("other", 5, 78), with("old", 5, 77)],
+    );
     assert_eq!((p.state("old"), p.state("new")), (Draining, Ready));
     // When the newer goes, the address is free for whoever still lists it.
     p.whole(A, &[with("old", 5, 77), with("other", 5, 78)]);
-    assert_eq!((p.state("new"), p.state("old"), p.told["old"].address), (Gone, Ready, Some(at(77))));
+    assert_eq!(
+        (p.state("new"), p.state("old"), p.told["old"].address),
+        (Gone, Ready, Some(at(77)))
+    );
 }
 
 #[test]
 fn addresses_outside_the_networks_are_rejected_counted_and_named() {
     let nets = ["127.0.0.0/8".parse().unwrap(), "fd00::/8".parse().unwrap()];
-    let mut p = Play::new(Rules { networks: Networks::only(&nets), ..Rules::default() });
-    let with = |id: &str, a: &str, v| Fact { address: Some(a.parse().unwrap()), ..up(id, v, 100) };
-    let bad = ["198.51.100.7:3306", "[::ffff:198.51.100.7]:3306", "0.0.0.0:1", "127.0.0.1:0", "[ff02::1]:9"];
+    let mut p = Play::new(Rules {
+        networks: Networks::only(&nets),
+        ..Rules::default()
+    });
+    let with = |id: &str, a: &str, v| Fact {
+        address: Some(a.parse().unwrap()),
+        ..up(id, v, 100)
+    };
+    let bad = [
+        "198.51.100.7:3306",
+        "[::ffff:198.51.100.7]:3306",
+        "0.0.0.0:1",
+        "127.0.0.1:0",
+        "[ff02::1]:9",
+    ];
     for (i, address) in bad.into_iter().enumerate() {
         p.delta(A, &[with(&format!("b{i}"), address, 5)], &[]);
         assert_eq!(p.state(&format!("b{i}")), Gone, "{address}");
     }
     p.delta(A, &[with("ok", "[::ffff:127.0.0.1]:3306", 5)], &[]);
-    assert_eq!(p.told["ok"].address, Some(at(3306)), "what it stands for is inside");
+    assert_eq!(
+        p.told["ok"].address,
+        Some(at(3306)),
+        "what it stands for is inside"
+    );
     // A known engine whose address is poisoned takes nothing new, and never gets the new address.
     p.delta(A, &[with("ok", "198.51.100.7:3306", 6)], &[]);
-    assert_eq!((p.state("ok"), p.told["ok"].address), (Draining, Some(at(3306))));
+    assert_eq!(
+        (p.state("ok"), p.told["ok"].address),
+        (Draining, Some(at(3306)))
+    );
     assert_eq!(p.m.rejected().1, 6);
-    assert!(p.news.iter().any(|n| n.contains("198.51.100.7:3306") && n.contains("outside")));
+    assert!(
+        p.news
+            .iter()
+            .any(|n| n.contains("198.51.100.7:3306") && n.contains("outside"))
+    );
     p.delta(A, &[with("ok", "127.0.0.1:3307", 7)], &[]);
-    assert_eq!((p.state("ok"), p.told["ok"].address), (Ready, Some(at(3307))));
+    assert_eq!(
+        (p.state("ok"), p.told["ok"].address),
+        (Ready, Some(at(3307)))
+    );
 }
 
 #[test]
 fn a_start_with_every_registry_away_serves_the_snapshot_as_unproven() {
     let mut before = Play::new(Rules::default());
-    before.whole(A, &[up("e", 5, 100), fact("d", Status::OutOfService, 5, 9_000)]);
+    before.whole(
+        A,
+        &[up("e", 5, 100), fact("d", Status::OutOfService, 5, 9_000)],
+    );
     let snapshot = before.m.snapshot(before.now).unwrap();
     let text = serde_json::to_string(&snapshot).unwrap();
     let mut p = Play::new(Rules::default());
     p.now += 40_000.0;
     p.m.restore(p.now, serde_json::from_str(&text).unwrap());
-    assert!(p.told.is_empty(), "nothing is told while a registry may still answer");
+    assert!(
+        p.told.is_empty(),
+        "nothing is told while a registry may still answer"
+    );
     let change = p.m.serve_restored(p.now);
     assert_eq!(change.as_ref().map(|c| c.update), Some(ListUpdate::Stale));
     p.apply(change);
     assert_eq!((p.state("e"), p.state("d")), (Ready, Draining));
-    assert_eq!(p.told["e"].started, Some(p.now), "nobody knows whether it restarted: it is spared");
+    assert_eq!(
+        p.told["e"].started,
+        Some(p.now),
+        "nobody knows whether it restarted: it is spared"
+    );
     let shown = p.m.report(p.now + 500.0, &Query::default());
-    assert_eq!((shown.snapshot_age_ms, shown.counts.unproven), (Some(40_500.0), 2));
+    assert_eq!(
+        (shown.snapshot_age_ms, shown.counts.unproven),
+        (Some(40_500.0), 2)
+    );
     // A lagging registry comes first, and cannot undo the drain; the right one proves the engine.
     p.now += 1000.0;
     p.whole(B, &[up("e", 5, 100), up("d", 5, 100)]);
@@ -413,18 +569,30 @@
 
 #[test]
 fn churn_of_ids_does_not_grow_memory() {
-    let rules = Rules { most: 50, most_gone: 20, remember: 5_000.0, ..Rules::default() };
+    let rules = Rules {
+        most: 50,
+        most_gone: 20,
+        remember: 5_000.0,
+        ..Rules::default()
+    };
     let mut p = Play::new(rules);
     for i in 0..2_000 {
         p.now += 100.0;
-        let facts: Vec<Fact> = (i..i + 10).map(|n| up(&format!("c{n}"), n as u64, 1)).collect();
+        let facts: Vec<Fact> = (i..i + 10)
+            .map(|n| up(&format!("c{n}"), n as u64, 1))
+            .collect();
         p.whole(A, &facts);
         assert!(p.m.members().len() <= 50 + 20, "{}", p.m.members().len());
     }
     let many: Vec<Fact> = (0..500).map(|n| up(&format!("x{n}"), 9_999, 1)).collect();
     p.whole(A, &many);
     assert!(p.m.members().len() <= 70 && p.m.overflow() > 0);
-    let poison: Vec<Fact> = (0..500).map(|n| Fact { address: None, ..up(&format!("p{n}"), 1, 1) }).collect();
+    let poison: Vec<Fact> = (0..500)
+        .map(|n| Fact {
+            address: None,
+            ..up(&format!("p{n}"), 1, 1)
+        })
+        .collect();
     p.delta(A, &poison, &[]);
     assert!(p.m.rejected().0.len() <= 64);
     assert_eq!(p.m.rejected().1, 500);
@@ -433,9 +601,19 @@
 #[test]
 fn a_query_names_what_is_wrong_with_it() {
     let q = Query::parse("limit=5&after=a%2Fb&only=held").unwrap();
-    assert_eq!(q, Query { limit: Some(5), after: Some("a/b".into()), only: Some(Only::Held) });
+    assert_eq!(
+        q,
+        Query {
+            limit: Some(5),
+            after: Some("a/b".into()),
+            only: Some(Only::Held)
+        }
+    );
     for (text, what) in [("limit=0", "limit"), ("only=x", "only"), ("o=1", "\"o\"")] {
-        assert!(Query::parse(text).unwrap_err().to_string().contains(what), "{text}");
+        assert!(
+            Query::parse(text).unwrap_err().to_string().contains(what),
+            "{text}"
+        );
     }
 }
 
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -48,7 +48,11 @@
 }
 
 fn answer(code: u16, text: impl Into<String>) -> Answer {
-    Answer { code, json: false, text: text.into() }
+    Answer {
+        code,
+        json: false,
+        text: text.into(),
+    }
 }
 
 struct HttpCodec;
@@ -87,7 +91,11 @@
             "HTTP/1.1 {} {reason}\r\nContent-Type: {}; charset=utf-8\r\nContent-Length: {}\r\n\
              Cache-Control: no-store\r\nConnection: close\r\n\r\n",
             a.code,
-            if a.json { "application/json" } else { "text/plain" },
+            if a.json {
+                "application/json"
+            } else {
+                "text/plain"
+            },
             a.text.len()
         );
         dst.put_slice(head.as_bytes());
@@ -122,7 +130,13 @@
         watched: Watched,
         callers: usize,
     ) -> Rc<Self> {
-        Rc::new(Admin { hub, pool, shared, watched, places: Places::new(callers, Use::Silent) })
+        Rc::new(Admin {
+            hub,
+            pool,
+            shared,
+            watched,
+            places: Places::new(callers, Use::Silent),
+        })
     }
 
     /// Accepts callers for ever.
@@ -169,7 +183,9 @@
             Ok(Some(Err(e))) => answer(400, format!("{e}\n")),
             Err(_) => answer(408, "no whole call came\n"),
         };
-        tokio::time::timeout(CALL, wire.send(&answer)).await.map_err(io::Error::from)??;
+        tokio::time::timeout(CALL, wire.send(&answer))
+            .await
+            .map_err(io::Error::from)??;
         wire.part().await;
         Ok(())
     }
@@ -177,18 +193,30 @@
     /// Carries a call out.
     fn call(&self, call: &Call) -> Answer {
         let (path, query) = call.path.split_once('?').unwrap_or((&call.path, ""));
-        let engine = |what| path.strip_prefix("/_engines/")?.strip_prefix(what)?.strip_prefix('/');
+        let engine = |what| {
+            path.strip_prefix("/_engines/")?
+                .strip_prefix(what)?
+                .strip_prefix('/')
+        };
         let (method, reply): (&str, &dyn Fn() -> Answer) = match path {
             "/_ready" => ("GET", &|| match self.hub.ready() {
                 true => answer(200, "ready\n"),
                 false => answer(503, "not ready: no list of engines yet, or shutting down\n"),
             }),
             "/_vars" => ("GET", &|| {
-                let spools = self.watched.spools.as_ref().map_or(String::new(), |s| s.figures());
+                let spools = self
+                    .watched
+                    .spools
+                    .as_ref()
+                    .map_or(String::new(), |s| s.figures());
                 answer(200, self.hub.figures() + &spools)
             }),
             "/_spools" => ("GET", &|| match &self.watched.spools {
-                Some(spools) => Answer { code: 200, json: true, text: spools.page_of() },
+                Some(spools) => Answer {
+                    code: 200,
+                    json: true,
+                    text: spools.page_of(),
+                },
                 None => answer(404, "no results are kept here\n"),
             }),
             "/_members" => ("GET", &|| self.page(query)),
@@ -204,8 +232,18 @@
 
     /// What is believed of the engines, and why.
     fn page(&self, query: &str) -> Answer {
-        match self.watched.members.borrow().as_ref().map(|m| m.page(query)) {
-            Some(Ok(text)) => Answer { code: 200, json: true, text },
+        match self
+            .watched
+            .members
+            .borrow()
+            .as_ref()
+            .map(|m| m.page(query))
+        {
+            Some(Ok(text)) => Answer {
+                code: 200,
+                json: true,
+                text,
+            },
             Some(Err(e)) => answer(400, format!("{e}\n")),
             None => answer(404, "no registry lists the engines\n"),
         }
@@ -213,10 +251,17 @@
 
     /// Kept first, so that a yes holds whatever becomes of this process.
     fn by_hand(&self, engine: Option<&str>, out: bool) -> Answer {
-        let Some(id) = engine.and_then(shared::decoded).filter(|id| self.hub.knows(id)) else {
+        let Some(id) = engine
+            .and_then(shared::decoded)
+            .filter(|id| self.hub.knows(id))
+        else {
             return answer(404, "no engine has this id\n");
         };
-        let kept = if out { self.shared.hold_out(&id) } else { self.shared.put_back(&id) };
+        let kept = if out {
+            self.shared.hold_out(&id)
+        } else {
+            self.shared.put_back(&id)
+        };
         if let Err(e) = kept {
             return answer(503, format!("it could not be kept: {e}\n"));
         }
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -32,7 +32,9 @@
 impl Watch {
     /// What the machine holds of the client, unread; a socket that is closed here has none either.
     pub fn unread(&self) -> Unread {
-        self.0.upgrade().map_or(Unread::End, |tcp| pool::unread(&tcp))
+        self.0
+            .upgrade()
+            .map_or(Unread::End, |tcp| pool::unread(&tcp))
     }
 }
 
@@ -68,7 +70,11 @@
 }
 
 impl AsyncWrite for ClientSocket {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_write_ready(cx))?;
             match self.0.try_write(bytes) {
--- a/src/net/descriptors/mod.rs
+++ b/src/net/descriptors/mod.rs
@@ -37,8 +37,15 @@
         // Clients hold up to a third of the limit, so this many are let in.
         let (clients, last) = ((limit * 2 / 5).max(2), limit / 10);
         let callers = (limit / 16).clamp(2, CALLERS);
-        let engines = limit.saturating_sub(OWN + clients + last + callers).max(ENGINES);
-        Shares { clients, last, callers, engines }
+        let engines = limit
+            .saturating_sub(OWN + clients + last + callers)
+            .max(ENGINES);
+        Shares {
+            clients,
+            last,
+            callers,
+            engines,
+        }
     }
 }
 
@@ -46,7 +53,9 @@
 /// start beyond the standard streams. Asked once, before anything is opened.
 pub fn within(limit: usize, given: usize) -> usize {
     let told = std::fs::read_to_string("/proc/self/limits").ok();
-    told.and_then(|text| parse(&text)).map_or(limit, |most| most.min(limit)).saturating_sub(given)
+    told.and_then(|text| parse(&text))
+        .map_or(limit, |most| most.min(limit))
+        .saturating_sub(given)
 }
 
 /// What is open beyond the standard streams: others' descriptors, when asked at the start.
@@ -57,6 +66,8 @@
 
 /// The soft limit in the text of Linux's `/proc/self/limits`; `None` if it is not there, or without a bound.
 fn parse(limits: &str) -> Option<usize> {
-    let line = limits.lines().find_map(|l| l.strip_prefix("Max open files"))?;
+    let line = limits
+        .lines()
+        .find_map(|l| l.strip_prefix("Max open files"))?;
     line.split_whitespace().next()?.parse().ok()
 }
--- a/src/net/discovery/eureka/format.rs
+++ b/src/net/discovery/eureka/format.rs
@@ -29,7 +29,12 @@
 /// # Errors
 /// What is wrong with it. Nothing of a body that cannot be read to its end is used.
 pub fn parse(content_type: &str, body: &[u8]) -> Result<Document, FormatError> {
-    let kind = content_type.split(';').next().unwrap_or_default().trim().to_ascii_lowercase();
+    let kind = content_type
+        .split(';')
+        .next()
+        .unwrap_or_default()
+        .trim()
+        .to_ascii_lowercase();
     let first = body.iter().find(|b| !b.is_ascii_whitespace());
     match (kind.as_str(), first) {
         (k, _) if k.ends_with("/json") || k.ends_with("+json") => json(body),
@@ -66,7 +71,8 @@
                 Ok(Many(all))
             }
             fn visit_map<A: MapAccess<'de>>(self, map: A) -> Result<Self::Value, A::Error> {
-                T::deserialize(de::value::MapAccessDeserializer::new(map)).map(|one| Many(vec![one]))
+                T::deserialize(de::value::MapAccessDeserializer::new(map))
+                    .map(|one| Many(vec![one]))
             }
             fn visit_unit<E>(self) -> Result<Self::Value, E> {
                 Ok(Many(vec![]))
@@ -187,7 +193,10 @@
 
 fn port(number: Option<Loose>, enabled: Option<Loose>) -> Port {
     let number = number.and_then(|l| l.0).and_then(|t| t.trim().parse().ok());
-    Port { number, enabled: enabled.and_then(|l| l.0).is_none_or(|e| e == "true") }
+    Port {
+        number,
+        enabled: enabled.and_then(|l| l.0).is_none_or(|e| e == "true"),
+    }
 }
 
 impl<P> Common<P> {
@@ -197,8 +206,13 @@
         missing: impl Fn(&'static str) -> E,
     ) -> Result<Instance, E> {
         let zone = self.data_center_info.and_then(|d| d.metadata);
-        let zone = zone.and_then(|mut m| m.remove("availability-zone")).and_then(|l| l.0);
-        let id = self.instance_id.filter(|id| !id.is_empty()).or(self.host_name);
+        let zone = zone
+            .and_then(|mut m| m.remove("availability-zone"))
+            .and_then(|l| l.0);
+        let id = self
+            .instance_id
+            .filter(|id| !id.is_empty())
+            .or(self.host_name);
         Ok(Instance {
             id: id.ok_or_else(|| missing("instanceId"))?,
             ip: self.ip_addr,
@@ -221,7 +235,12 @@
 impl<'de> Deserialize<'de> for JsonInstance {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
         let common = Common::<JsonPort>::deserialize(d)?;
-        common.instance(|p| port(Some(p.number), p.enabled), de::Error::missing_field).map(JsonInstance)
+        common
+            .instance(
+                |p| port(Some(p.number), p.enabled),
+                de::Error::missing_field,
+            )
+            .map(JsonInstance)
     }
 }
 
@@ -260,14 +279,26 @@
     match document {
         // Without a hash code it is some other service's answer, or half of one.
         JsonDocument {
-            applications: Some(JsonApplications { hashcode: Some(hash), application }), ..
-        } => {
-            Ok(Document { hashcode: Some(hash), applications: application.0.into_iter().map(one).collect() })
-        }
-        JsonDocument { application: Some(a), .. } => {
-            Ok(Document { hashcode: None, applications: vec![one(a)] })
-        }
-        JsonDocument { instance: Some(i), .. } => Ok(single(i.0)),
+            applications:
+                Some(JsonApplications {
+                    hashcode: Some(hash),
+                    application,
+                }),
+            ..
+        } => Ok(Document {
+            hashcode: Some(hash),
+            applications: application.0.into_iter().map(one).collect(),
+        }),
+        JsonDocument {
+            application: Some(a),
+            ..
+        } => Ok(Document {
+            hashcode: None,
+            applications: vec![one(a)],
+        }),
+        JsonDocument {
+            instance: Some(i), ..
+        } => Ok(single(i.0)),
         _ => Err(FormatError::Empty),
     }
 }
@@ -275,7 +306,10 @@
 fn single(instance: Instance) -> Document {
     Document {
         hashcode: None,
-        applications: vec![Application { name: String::new(), instances: vec![instance] }],
+        applications: vec![Application {
+            name: String::new(),
+            instances: vec![instance],
+        }],
     }
 }
 
@@ -284,7 +318,9 @@
 impl<'de> Deserialize<'de> for XmlInstance {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
         let common = Common::<XmlPort>::deserialize(d)?;
-        common.instance(|p| port(p.number, p.enabled), de::Error::missing_field).map(XmlInstance)
+        common
+            .instance(|p| port(p.number, p.enabled), de::Error::missing_field)
+            .map(XmlInstance)
     }
 }
 
@@ -323,7 +359,10 @@
         }
         "application" => {
             let app: XmlApplication = quick_xml::de::from_str(text)?;
-            Ok(Document { hashcode: None, applications: vec![one(app)] })
+            Ok(Document {
+                hashcode: None,
+                applications: vec![one(app)],
+            })
         }
         "instance" => Ok(single(quick_xml::de::from_str::<XmlInstance>(text)?.0)),
         other => Err(FormatError::Root(other.chars().take(64).collect())),
--- a/src/net/discovery/eureka/http.rs
+++ b/src/net/discovery/eureka/http.rs
@@ -68,8 +68,15 @@
         }
         let mut plain = vec![];
         let packed = flate2::read::MultiGzDecoder::new(&self.body[..]);
-        packed.take(most as u64 + 1).read_to_end(&mut plain).map_err(HttpError::Gzip)?;
-        if plain.len() > most { Err(HttpError::Long(most)) } else { Ok(plain.into()) }
+        packed
+            .take(most as u64 + 1)
+            .read_to_end(&mut plain)
+            .map_err(HttpError::Gzip)?;
+        if plain.len() > most {
+            Err(HttpError::Long(most))
+        } else {
+            Ok(plain.into())
+        }
     }
 }
 
@@ -86,7 +93,12 @@
 
 impl Call {
     pub fn get(path: String, accept: &'static str) -> Self {
-        Call { method: Method::GET, path, accept, body: None }
+        Call {
+            method: Method::GET,
+            path,
+            accept,
+            body: None,
+        }
     }
 }
 
@@ -104,7 +116,12 @@
 impl Client {
     /// `timeout` bounds a whole exchange, redirections included; `most` a body as sent, in bytes.
     pub fn new(servers: Vec<Server>, timeout: Duration, most: usize) -> Self {
-        Client { servers, idle: RefCell::default(), timeout, most }
+        Client {
+            servers,
+            idle: RefCell::default(),
+            timeout,
+            most,
+        }
     }
 
     pub fn servers(&self) -> &[Server] {
@@ -125,26 +142,42 @@
         let mut path = call.path.clone();
         for _ in 0..=HOPS {
             let (answer, location) = self.exchange(server, call, &path).await?;
-            let Some(location) = location else { return Ok(answer) };
+            let Some(location) = location else {
+                return Ok(answer);
+            };
             (server, path) = self.redirected(server, &path, &location)?;
         }
         Err(HttpError::Circle)
     }
 
     /// The server that a redirection names, and the path behind its own.
-    fn redirected(&self, from: &Server, path: &str, to: &str) -> Result<(&Server, String), HttpError> {
+    fn redirected(
+        &self,
+        from: &Server,
+        path: &str,
+        to: &str,
+    ) -> Result<(&Server, String), HttpError> {
         let astray = || HttpError::Astray(to.chars().take(200).collect());
         let base = Url::parse(&format!("{}{path}", from.name)).map_err(|_| astray())?;
         let url = base.join(to).map_err(|_| astray())?;
-        let host = url.host_str().unwrap_or_default().trim_start_matches('[').trim_end_matches(']');
+        let host = url
+            .host_str()
+            .unwrap_or_default()
+            .trim_start_matches('[')
+            .trim_end_matches(']');
         let port = url.port().unwrap_or(80);
         let asked = match url.query() {
             Some(query) => format!("{}?{query}", url.path()),
             None => url.path().to_string(),
         };
-        let found = self.servers.iter().filter(|s| s.host == host && s.port == port);
+        let found = self
+            .servers
+            .iter()
+            .filter(|s| s.host == host && s.port == port);
         let found = found.filter_map(|s| Some((s, asked.strip_prefix(&s.path)?)));
-        let found = found.filter(|(_, rest)| rest.starts_with('/')).max_by_key(|(s, _)| s.path.len());
+        let found = found
+            .filter(|(_, rest)| rest.starts_with('/'))
+            .max_by_key(|(s, _)| s.path.len());
         match found {
             Some((server, rest)) if url.scheme() == "http" => Ok((server, rest.to_string())),
             _ => Err(astray()),
@@ -175,8 +208,9 @@
     }
 
     async fn connect(&self, server: &Server) -> Result<Sender, HttpError> {
-        let tcp =
-            TcpStream::connect((server.host.as_str(), server.port)).await.map_err(HttpError::Connect)?;
+        let tcp = TcpStream::connect((server.host.as_str(), server.port))
+            .await
+            .map_err(HttpError::Connect)?;
         tcp.set_nodelay(true).map_err(HttpError::Connect)?;
         let mut builder = http1::Builder::new();
         builder.max_buf_size(HEAD).max_headers(64);
@@ -194,14 +228,21 @@
         path: &str,
     ) -> Result<(Answer, Option<String>), HttpError> {
         sender.ready().await?;
-        let host = if server.host.contains(':') { format!("[{}]", server.host) } else { server.host.clone() };
+        let host = if server.host.contains(':') {
+            format!("[{}]", server.host)
+        } else {
+            server.host.clone()
+        };
         let mut request = Request::builder()
             .method(&call.method)
             .uri(format!("{}{path}", server.path))
             .header(header::HOST, format!("{host}:{}", server.port))
             .header(header::ACCEPT, call.accept)
             .header(header::ACCEPT_ENCODING, "gzip")
-            .header(header::USER_AGENT, concat!("hitchwinch/", env!("CARGO_PKG_VERSION")));
+            .header(
+                header::USER_AGENT,
+                concat!("hitchwinch/", env!("CARGO_PKG_VERSION")),
+            );
         if let Some(value) = &server.authorization {
             request = request.header(header::AUTHORIZATION, value);
         }
@@ -220,14 +261,18 @@
             "gzip" | "x-gzip" => true,
             _ => return Err(HttpError::Encoding(encoding)),
         };
-        let told =
-            head.headers.get(header::CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
+        let told = head
+            .headers
+            .get(header::CONTENT_LENGTH)
+            .and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
         if told.is_some_and(|n| n > self.most as u64) {
             return Err(HttpError::Long(self.most));
         }
         let mut whole = Vec::with_capacity(told.unwrap_or(0) as usize);
         while let Some(frame) = body.frame().await {
-            let Ok(data) = frame?.into_data() else { continue };
+            let Ok(data) = frame?.into_data() else {
+                continue;
+            };
             if whole.len() + data.len() > self.most {
                 return Err(HttpError::Long(self.most));
             }
@@ -237,15 +282,36 @@
         if !sender.is_closed() {
             self.idle.borrow_mut().insert(server.name.clone(), sender);
         }
-        let location = head.headers.get(header::LOCATION).and_then(|v| v.to_str().ok());
+        let location = head
+            .headers
+            .get(header::LOCATION)
+            .and_then(|v| v.to_str().ok());
         let elsewhere = matches!(head.status.as_u16(), 301 | 302 | 303 | 307 | 308);
-        let location = location.filter(|_| elsewhere && call.method == Method::GET).map(str::to_string);
+        let location = location
+            .filter(|_| elsewhere && call.method == Method::GET)
+            .map(str::to_string);
         let kind = text(&head.headers, header::CONTENT_TYPE);
-        Ok((Answer { status: head.status, kind, gzip, body: whole.into() }, location))
+        Ok((
+            Answer {
+                status: head.status,
+                kind,
+                gzip,
+                body: whole.into(),
+            },
+            location,
+        ))
     }
 }
 
 fn text(headers: &HeaderMap<HeaderValue>, name: header::HeaderName) -> String {
-    let value = headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or_default();
-    value.trim().to_ascii_lowercase().chars().take(100).collect()
+    let value = headers
+        .get(name)
+        .and_then(|v| v.to_str().ok())
+        .unwrap_or_default();
+    value
+        .trim()
+        .to_ascii_lowercase()
+        .chars()
+        .take(100)
+        .collect()
 }
--- a/src/net/discovery/eureka/lease.rs
+++ b/src/net/discovery/eureka/lease.rs
@@ -52,7 +52,11 @@
         let zones: Vec<Option<String>> = source.servers.iter().map(|s| s.zone.clone()).collect();
         let renew = register.renew.as_secs_f64() * 1000.0;
         Some(Rc::new(Lease {
-            client: Client::new(source.servers.clone(), source.timeout.min(Duration::from_secs(5)), 1 << 20),
+            client: Client::new(
+                source.servers.clone(),
+                source.timeout.min(Duration::from_secs(5)),
+                1 << 20,
+            ),
             servers: RefCell::new(Servers::new(&zones, source.zone.as_deref(), random)),
             state: RefCell::new(Registration::new(unix_ms(), renew)),
             differs: RefCell::default(),
@@ -78,14 +82,18 @@
             let step = self.state.borrow().due(now);
             if let Some(step) = step {
                 let outcome = self.send(step).await;
-                self.state.borrow_mut().done(unix_ms(), step, outcome, random());
+                self.state
+                    .borrow_mut()
+                    .done(unix_ms(), step, outcome, random());
                 let renewed = self.state.borrow().renewed;
                 if matches!(step, Step::Renew(_)) && renewed % LOOK_BACK == 1 {
                     self.look_back(status).await;
                 }
                 continue;
             }
-            let Some(next) = self.state.borrow().next() else { return };
+            let Some(next) = self.state.borrow().next() else {
+                return;
+            };
             tokio::time::sleep(span(next - now).min(LOOK)).await;
         }
     }
@@ -95,8 +103,12 @@
         if self.state.borrow_mut().finish() {
             let outcome = tokio::time::timeout(GOODBYE, self.send(Step::Cancel)).await;
             match outcome {
-                Ok(Outcome::Done | Outcome::Unknown) => say!("eureka: our registration is cancelled"),
-                _ => say!("eureka: our registration could not be cancelled, and ends with its lease"),
+                Ok(Outcome::Done | Outcome::Unknown) => {
+                    say!("eureka: our registration is cancelled")
+                }
+                _ => {
+                    say!("eureka: our registration could not be cancelled, and ends with its lease")
+                }
             }
         }
     }
@@ -111,7 +123,10 @@
         let call = self.call(step);
         let mut tried = vec![];
         loop {
-            let chosen = self.servers.borrow().choose(unix_ms(), self.source.servers.len());
+            let chosen = self
+                .servers
+                .borrow()
+                .choose(unix_ms(), self.source.servers.len());
             let Some(server) = chosen.into_iter().find(|s| !tried.contains(s)) else {
                 return Outcome::Failed;
             };
@@ -139,7 +154,9 @@
                         Err(e) => e.to_string(),
                     };
                     say!("eureka {name}: our registration: {problem}");
-                    self.servers.borrow_mut().failed(unix_ms(), server, random());
+                    self.servers
+                        .borrow_mut()
+                        .failed(unix_ms(), server, random());
                 }
             }
         }
@@ -147,7 +164,10 @@
 
     fn call(&self, step: Step) -> Call {
         let r = &self.register;
-        let (dirty, own) = (self.state.borrow().dirty(), format!("/apps/{}/{}", r.app, r.instance));
+        let (dirty, own) = (
+            self.state.borrow().dirty(),
+            format!("/apps/{}/{}", r.app, r.instance),
+        );
         let accept = "application/json";
         match step {
             Step::Register(status) => Call {
@@ -162,18 +182,41 @@
                 accept,
                 body: None,
             },
-            Step::Cancel => Call { method: Method::DELETE, path: own, accept, body: None },
+            Step::Cancel => Call {
+                method: Method::DELETE,
+                path: own,
+                accept,
+                body: None,
+            },
         }
     }
 
     /// Reads our own instance back: somebody may have set another status over ours.
     async fn look_back(&self, told: Status) {
-        let Some(server) = self.servers.borrow().choose(unix_ms(), 1).first().copied() else { return };
-        let call = Call::get(format!("/instances/{}", self.register.instance), "application/json");
-        let Ok(answer) = self.client.call(server, &call).await else { return };
-        let Ok(body) = answer.unpacked(1 << 20) else { return };
-        let Ok(document) = format::parse(&answer.kind, &body) else { return };
-        let Some(shown) = document.applications.iter().flat_map(|a| &a.instances).next() else { return };
+        let Some(server) = self.servers.borrow().choose(unix_ms(), 1).first().copied() else {
+            return;
+        };
+        let call = Call::get(
+            format!("/instances/{}", self.register.instance),
+            "application/json",
+        );
+        let Ok(answer) = self.client.call(server, &call).await else {
+            return;
+        };
+        let Ok(body) = answer.unpacked(1 << 20) else {
+            return;
+        };
+        let Ok(document) = format::parse(&answer.kind, &body) else {
+            return;
+        };
+        let Some(shown) = document
+            .applications
+            .iter()
+            .flat_map(|a| &a.instances)
+            .next()
+        else {
+            return;
+        };
         let fact = shown.fact(false);
         let status = fact.overridden.unwrap_or(fact.status);
         let differs = (status != told).then(|| {
--- a/src/net/discovery/eureka/mod.rs
+++ b/src/net/discovery/eureka/mod.rs
@@ -101,7 +101,12 @@
         let (source, replica) = (&self.source, &self.replicas[server]);
         let name = &source.servers[server].name;
         let tell = |asked: f64, content: Content| {
-            members.view(View { source: name.clone(), asked, arrived: unix_ms(), content });
+            members.view(View {
+                source: name.clone(),
+                asked,
+                arrived: unix_ms(),
+                content,
+            });
         };
         if source.listing.has_deltas() && replica.borrow().listed() {
             let asked = unix_ms();
@@ -122,11 +127,18 @@
 
     async fn get(&self, server: usize, path: &str) -> Result<Document, AskError> {
         let regions = self.source.regions.join(",");
-        let query = if regions.is_empty() { String::new() } else { format!("?regions={regions}") };
+        let query = if regions.is_empty() {
+            String::new()
+        } else {
+            format!("?regions={regions}")
+        };
         let call = Call::get(format!("{path}{query}"), accept(self.source.format));
         let answer = self.client.call(server, &call).await?;
         // An application or a name that nobody registers under has no list: a list without engines.
-        if answer.status.as_u16() == 404 && answer.body.is_empty() && !self.source.listing.has_deltas() {
+        if answer.status.as_u16() == 404
+            && answer.body.is_empty()
+            && !self.source.listing.has_deltas()
+        {
             return Ok(Document::default());
         }
         read(answer, self.source.most_body).await
@@ -139,14 +151,21 @@
         return Err(HttpError::Status(answer.status).into());
     }
     // A packed body may hold a thousand times its size.
-    let small = answer.body.len() <= if answer.gzip { http::SMALL / 64 } else { http::SMALL };
+    let small = answer.body.len()
+        <= if answer.gzip {
+            http::SMALL / 64
+        } else {
+            http::SMALL
+        };
     let parse = move || -> Result<Document, AskError> {
         let body = answer.unpacked(most)?;
         Ok(format::parse(&answer.kind, &body)?)
     };
     match small {
         true => parse(),
-        false => tokio::task::spawn_blocking(parse).await.map_err(|_| AskError::Reading)?,
+        false => tokio::task::spawn_blocking(parse)
+            .await
+            .map_err(|_| AskError::Reading)?,
     }
 }
 
--- a/src/net/discovery/eureka/model.rs
+++ b/src/net/discovery/eureka/model.rs
@@ -62,7 +62,10 @@
         let number = port.filter(|p| p.enabled).and_then(|p| p.number);
         let ip: Option<IpAddr> = self.ip.as_deref().and_then(|a| a.parse().ok());
         // Registries write UNKNOWN where nothing is set over the status.
-        let overridden = self.overridden.as_deref().filter(|o| !o.is_empty() && *o != "UNKNOWN");
+        let overridden = self
+            .overridden
+            .as_deref()
+            .filter(|o| !o.is_empty() && *o != "UNKNOWN");
         Fact {
             id: self.id.clone(),
             status: Status::parse(&self.status),
--- a/src/net/discovery/eureka/registration.rs
+++ b/src/net/discovery/eureka/registration.rs
@@ -126,9 +126,15 @@
         let mut r = Registration::new(0.0, 30_000.0);
         assert_eq!(r.due(0.0), Some(Step::Register(Status::Starting)));
         r.done(0.0, Step::Register(Status::Starting), Outcome::Done, 1.0);
-        assert_eq!((r.due(29_999.0), r.due(30_000.0)), (None, Some(Step::Renew(Status::Starting))));
+        assert_eq!(
+            (r.due(29_999.0), r.due(30_000.0)),
+            (None, Some(Step::Renew(Status::Starting)))
+        );
         r.want(1_000.0, Status::Up);
-        assert_eq!((r.due(1_000.0), r.dirty()), (Some(Step::Register(Status::Up)), 1_000));
+        assert_eq!(
+            (r.due(1_000.0), r.dirty()),
+            (Some(Step::Register(Status::Up)), 1_000)
+        );
         r.done(1_000.0, Step::Register(Status::Up), Outcome::Done, 0.0);
         assert_eq!(r.next(), Some(28_000.0));
         r.want(1_000.0, Status::OutOfService);
@@ -147,7 +153,10 @@
         r.done(30_000.0, Step::Renew(Status::Up), Outcome::Unknown, 0.0);
         assert_eq!(r.due(30_000.0), Some(Step::Register(Status::Up)));
         r.done(30_000.0, Step::Register(Status::Up), Outcome::Failed, 0.0);
-        assert_eq!((r.due(30_500.0), r.due(31_000.0)), (None, Some(Step::Register(Status::Up))));
+        assert_eq!(
+            (r.due(30_500.0), r.due(31_000.0)),
+            (None, Some(Step::Register(Status::Up)))
+        );
         // Even a registry that answers 404 to all is asked no more than once a second.
         r.done(31_000.0, Step::Register(Status::Up), Outcome::Unknown, 0.0);
         assert_eq!(r.due(31_500.0), None);
--- a/src/net/discovery/eureka/replica.rs
+++ b/src/net/discovery/eureka/replica.rs
@@ -44,7 +44,11 @@
 
     /// How many instances stand in each status, as the registry words it: `DOWN_1_UP_7_`.
     pub fn hashcode(&self) -> String {
-        self.counts.iter().filter(|(_, n)| **n > 0).map(|(status, n)| format!("{status}_{n}_")).collect()
+        self.counts
+            .iter()
+            .filter(|(_, n)| **n > 0)
+            .map(|(status, n)| format!("{status}_{n}_"))
+            .collect()
     }
 
     fn set(&mut self, app: &str, id: &str, status: Option<Status>) -> Result<(), ReplicaError> {
@@ -59,14 +63,22 @@
         if let Some(status) = status {
             *self.counts.entry(status.word()).or_default() += 1;
         }
-        if self.statuses.len() > MOST { Err(ReplicaError::Many) } else { Ok(()) }
+        if self.statuses.len() > MOST {
+            Err(ReplicaError::Many)
+        } else {
+            Ok(())
+        }
     }
 
     /// The whole list of a registry.
     ///
     /// # Errors
     /// More instances than are kept count of; the list is not in hand then.
-    pub fn whole(&mut self, document: &Document, listing: &Listing) -> Result<Content, ReplicaError> {
+    pub fn whole(
+        &mut self,
+        document: &Document,
+        listing: &Listing,
+    ) -> Result<Content, ReplicaError> {
         self.listed = false;
         self.statuses.clear();
         self.counts.clear();
@@ -87,7 +99,11 @@
     ///
     /// # Errors
     /// More instances than are kept count of; the whole is to be asked for then.
-    pub fn delta(&mut self, document: &Document, listing: &Listing) -> Result<Applied, ReplicaError> {
+    pub fn delta(
+        &mut self,
+        document: &Document,
+        listing: &Listing,
+    ) -> Result<Applied, ReplicaError> {
         let (mut told, mut deleted) = (vec![], vec![]);
         for Application { name, instances } in &document.applications {
             for i in instances {
@@ -98,16 +114,24 @@
                 }
                 set?;
                 match listing.counts(name) {
-                    true if i.deleted() => deleted.push((i.id.clone(), version(i.dirty, i.updated))),
+                    true if i.deleted() => {
+                        deleted.push((i.id.clone(), version(i.dirty, i.updated)))
+                    }
                     true => told.push(i.fact(listing.secure())),
                     false => {}
                 }
             }
         }
-        let differs = document.hashcode.as_ref().is_none_or(|h| *h != self.hashcode());
+        let differs = document
+            .hashcode
+            .as_ref()
+            .is_none_or(|h| *h != self.hashcode());
         if differs {
             self.listed = false;
         }
-        Ok(Applied { content: Content::Delta { told, deleted }, differs })
+        Ok(Applied {
+            content: Content::Delta { told, deleted },
+            differs,
+        })
     }
 }
--- a/src/net/discovery/eureka/servers.rs
+++ b/src/net/discovery/eureka/servers.rs
@@ -26,11 +26,20 @@
 
 impl Servers {
     /// `zones` are the servers' own, `zone` is where this dispatcher stands. `random` gives numbers from 0 to 1.
-    pub fn new(zones: &[Option<String>], zone: Option<&str>, mut random: impl FnMut() -> f64) -> Self {
+    pub fn new(
+        zones: &[Option<String>],
+        zone: Option<&str>,
+        mut random: impl FnMut() -> f64,
+    ) -> Self {
         let near = |z: &Option<String>| zone.is_some() && z.as_deref() == zone;
         let all: Vec<Server> = zones
             .iter()
-            .map(|z| Server { near: near(z), draw: random(), failures: 0, retry_at: f64::MIN })
+            .map(|z| Server {
+                near: near(z),
+                draw: random(),
+                failures: 0,
+                retry_at: f64::MIN,
+            })
             .collect();
         let mut order: Vec<usize> = (0..all.len()).collect();
         order.sort_by(|&a, &b| {
@@ -44,7 +53,12 @@
     /// over: that is the return.
     pub fn choose(&self, now: Millis, wanted: usize) -> Vec<usize> {
         let may = |i: &usize| self.all[*i].retry_at <= now;
-        self.order.iter().copied().filter(may).take(wanted).collect()
+        self.order
+            .iter()
+            .copied()
+            .filter(may)
+            .take(wanted)
+            .collect()
     }
 
     pub fn answered(&mut self, server: usize) {
@@ -65,7 +79,11 @@
 
     /// When the next one that failed may be asked again.
     pub fn next_retry(&self, now: Millis) -> Option<Millis> {
-        self.all.iter().map(|s| s.retry_at).filter(|at| *at > now).reduce(f64::min)
+        self.all
+            .iter()
+            .map(|s| s.retry_at)
+            .filter(|at| *at > now)
+            .reduce(f64::min)
     }
 }
 
--- a/src/net/discovery/journal.rs
+++ b/src/net/discovery/journal.rs
@@ -55,7 +55,11 @@
 
 impl Hosts {
     fn change(self) -> Change {
-        let update = if self.reset { ListUpdate::Whole } else { ListUpdate::Patch };
+        let update = if self.reset {
+            ListUpdate::Whole
+        } else {
+            ListUpdate::Patch
+        };
         let engines = self.instances.into_iter().map(|i| Engine {
             address: i.host_port.as_deref().and_then(|a| a.parse().ok()),
             state: match i.lifecycle.as_str() {
@@ -70,7 +74,10 @@
             cell: i.cell.unwrap_or(0),
             started: i.started_at_ms.filter(|t| *t > 0.0),
         });
-        Change { update, engines: engines.collect() }
+        Change {
+            update,
+            engines: engines.collect(),
+        }
     }
 }
 
@@ -94,11 +101,22 @@
         seed: u64,
     ) -> Result<Self, serde_json::Error> {
         let (silence, pauses) = (SILENCE, Pauses::new(seed));
-        let mut journal = Journal { address, pos: 0, first: vec![], silence, pauses, unread: None };
+        let mut journal = Journal {
+            address,
+            pos: 0,
+            first: vec![],
+            silence,
+            pauses,
+            unread: None,
+        };
         if !known.is_null() {
             let known: Known = serde_json::from_value(known)?;
-            let mut changes: Vec<Change> =
-                known.entries.into_iter().filter_map(|e| e.hosts).map(Hosts::change).collect();
+            let mut changes: Vec<Change> = known
+                .entries
+                .into_iter()
+                .filter_map(|e| e.hosts)
+                .map(Hosts::change)
+                .collect();
             if let Some(first) = changes.first_mut() {
                 // What the configuration holds is a list as of the start, whatever its first event says.
                 first.update = ListUpdate::Stale;
@@ -125,7 +143,9 @@
                 return Ok(None);
             }
         };
-        let Some(pos) = id.or(event.pos).filter(|pos| *pos > self.pos) else { return Ok(None) };
+        let Some(pos) = id.or(event.pos).filter(|pos| *pos > self.pos) else {
+            return Ok(None);
+        };
         self.pos = pos;
         Ok(event.hosts.map(Hosts::change))
     }
@@ -229,8 +249,13 @@
     fn head(&mut self) -> std::io::Result<bool> {
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut response = httparse::Response::new(&mut headers);
-        match response.parse(&self.raw).map_err(|e| broken(&e.to_string()))? {
-            httparse::Status::Partial if self.raw.len() > 16 * 1024 => Err(broken("the head is too long")),
+        match response
+            .parse(&self.raw)
+            .map_err(|e| broken(&e.to_string()))?
+        {
+            httparse::Status::Partial if self.raw.len() > 16 * 1024 => {
+                Err(broken("the head is too long"))
+            }
             httparse::Status::Partial => Ok(false),
             httparse::Status::Complete(end) => {
                 if response.code != Some(200) {
@@ -268,7 +293,8 @@
                     if size == 0 {
                         return Ok(());
                     }
-                    self.chunk = usize::try_from(size).map_err(|_| broken("a chunk is too long"))?;
+                    self.chunk =
+                        usize::try_from(size).map_err(|_| broken("a chunk is too long"))?;
                 }
                 Ok(httparse::Status::Partial) => return Ok(()),
                 Err(_) => return Err(broken("a chunk size cannot be read")),
@@ -276,7 +302,11 @@
         }
     }
 
-    fn text(&mut self, part: &[u8], events: &mut Vec<(Option<u64>, String)>) -> std::io::Result<()> {
+    fn text(
+        &mut self,
+        part: &[u8],
+        events: &mut Vec<(Option<u64>, String)>,
+    ) -> std::io::Result<()> {
         for &b in part {
             if b != b'\n' {
                 if self.line.len() >= LINE_MOST {
--- a/src/net/discovery/journal/tests.rs
+++ b/src/net/discovery/journal/tests.rs
@@ -15,7 +15,11 @@
 
 #[test]
 fn a_stream_reads_alike_wherever_it_is_cut() {
-    let text = format!(": hello\n{}\r\n{}", event(4, "a", "in_service"), event(5, "b", "terminating"));
+    let text = format!(
+        ": hello\n{}\r\n{}",
+        event(4, "a", "in_service"),
+        event(5, "b", "terminating")
+    );
     let plain = format!("{PLAIN}{text}").into_bytes();
     let mut chunked = CHUNKED.as_bytes().to_vec();
     for part in text.as_bytes().chunks(37) {
@@ -37,14 +41,20 @@
     }
     assert!(Reader::default().feed(b"HTTP/1.1 503 No\r\n\r\n").is_err());
     let endless = [PLAIN.as_bytes(), &vec![b'x'; LINE_MOST + 1]].concat();
-    assert!(Reader::default().feed(&endless).is_err(), "a line without an end");
+    assert!(
+        Reader::default().feed(&endless).is_err(),
+        "a line without an end"
+    );
 }
 
 /// Streams that break off, repeat events and fall silent: each event is told once and in order, and each
 /// new connection asks from where the list in hand ends.
 #[test]
 fn the_journal_goes_on_where_it_was_cut_off_and_reopens_what_is_silent() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     runtime.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let known = r#"{"pos":3,"entries":[{"pos":1,"hosts":{"reset":true,"instances":[]}}]}"#;
@@ -55,14 +65,19 @@
         let told = Rc::new(RefCell::new(vec![]));
         let tell = told.clone();
         let sink: Sink = Box::new(move |c| {
-            tell.borrow_mut().push((c.update, c.engines.first().map(|e| (e.id.clone(), e.state))));
+            tell.borrow_mut()
+                .push((c.update, c.engines.first().map(|e| (e.id.clone(), e.state))));
         });
         let half = event(5, "b", "in_service");
         let half = &half[..half.len() / 2];
         let streams = [
             (3, "id: 4\ndata: {\"pos\":4,\"ho#sts\":[}\n\n".into(), false), // spoilt
             (3, format!("{}{half}", event(4, "a", "in_service")), true),    // cut inside an event
-            (4, event(4, "a", "in_service") + &event(5, "b", "terminating"), false), // then silent
+            (
+                4,
+                event(4, "a", "in_service") + &event(5, "b", "terminating"),
+                false,
+            ), // then silent
             (5, event(6, "a", "terminated"), true),
         ];
         let service = async {
@@ -72,8 +87,13 @@
                 let mut buffer = [0; 1024];
                 let n = tcp.read(&mut buffer).await.unwrap();
                 let asked = String::from_utf8_lossy(&buffer[..n]).into_owned();
-                assert!(asked.contains(&format!("Last-Event-ID: {from}\r\n")), "{asked}");
-                tcp.write_all(format!("{PLAIN}{text}").as_bytes()).await.unwrap();
+                assert!(
+                    asked.contains(&format!("Last-Event-ID: {from}\r\n")),
+                    "{asked}"
+                );
+                tcp.write_all(format!("{PLAIN}{text}").as_bytes())
+                    .await
+                    .unwrap();
                 if !ends {
                     silent.push(tcp);
                 }
@@ -83,7 +103,12 @@
         tokio::select! { () = service => {}, () = journal.run(sink) => {} }
         use EngineState::{Draining, Gone, Ready};
         let patch = |id: &str, state| (ListUpdate::Patch, Some((id.to_string(), state)));
-        let wanted = [(ListUpdate::Stale, None), patch("a", Ready), patch("b", Draining), patch("a", Gone)];
+        let wanted = [
+            (ListUpdate::Stale, None),
+            patch("a", Ready),
+            patch("b", Draining),
+            patch("a", Gone),
+        ];
         assert_eq!(told.take(), wanted);
     });
 }
@@ -91,34 +116,51 @@
 /// A new configuration moves the service: the open stream at the old address must not be waited for.
 #[test]
 fn the_journal_moves_at_once_and_reads_on_from_the_same_number() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     runtime.block_on(async {
         let (old, new) = (
             TcpListener::bind("127.0.0.1:0").await.unwrap(),
             TcpListener::bind("127.0.0.1:0").await.unwrap(),
         );
         let (at, address) = watch::channel(old.local_addr().unwrap());
-        let journal = Journal::new(address, serde_json::from_str(r#"{"pos":3}"#).unwrap(), 1).unwrap();
+        let journal =
+            Journal::new(address, serde_json::from_str(r#"{"pos":3}"#).unwrap(), 1).unwrap();
         let told = Rc::new(RefCell::new(vec![]));
         let tell = told.clone();
-        let sink: Sink = Box::new(move |c| tell.borrow_mut().extend(c.engines.into_iter().map(|e| e.id)));
+        let sink: Sink = Box::new(move |c| {
+            tell.borrow_mut()
+                .extend(c.engines.into_iter().map(|e| e.id))
+        });
         let service = async {
             let (mut tcp, _) = old.accept().await.unwrap();
             let first = event(4, "a", "in_service");
-            tcp.write_all(format!("{PLAIN}{first}").as_bytes()).await.unwrap();
+            tcp.write_all(format!("{PLAIN}{first}").as_bytes())
+                .await
+                .unwrap();
             while told.borrow().is_empty() {
                 tokio::task::yield_now().await;
             }
             at.send(new.local_addr().unwrap()).unwrap();
             // Well before the old stream would count as silent.
             let soon = Duration::from_millis(500);
-            let (mut moved, _) = tokio::time::timeout(soon, new.accept()).await.expect("at once").unwrap();
+            let (mut moved, _) = tokio::time::timeout(soon, new.accept())
+                .await
+                .expect("at once")
+                .unwrap();
             let mut buffer = [0; 1024];
             let n = moved.read(&mut buffer).await.unwrap();
             assert!(String::from_utf8_lossy(&buffer[..n]).contains("Last-Event-ID: 4\r\n"));
             // What the old one still says counts for nothing.
-            let _ = tcp.write_all(event(5, "old", "in_service").as_bytes()).await;
-            moved.write_all(format!("{PLAIN}{}", event(5, "b", "in_service")).as_bytes()).await.unwrap();
+            let _ = tcp
+                .write_all(event(5, "old", "in_service").as_bytes())
+                .await;
+            moved
+                .write_all(format!("{PLAIN}{}", event(5, "b", "in_service")).as_bytes())
+                .await
+                .unwrap();
             while told.borrow().len() < 2 {
                 tokio::task::yield_now().await;
             }
@@ -132,7 +174,10 @@
 /// never a line: each is given up within the span, and the drain is told by the next that speaks.
 #[test]
 fn a_stream_without_lines_is_silent_however_it_comes() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     runtime.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (_at, address) = watch::channel(listener.local_addr().unwrap());
@@ -170,7 +215,10 @@
 /// All start in the same moment and the service, which starts as well, ends each stream at once.
 #[test]
 fn dispatchers_that_restart_at_once_call_the_service_one_after_the_other() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (_at, address) = watch::channel(listener.local_addr().unwrap());
@@ -185,7 +233,13 @@
             calls.push(start.elapsed());
         }
         let spread = |c: &[Duration]| c[c.len() - 1] - c[0];
-        assert!(spread(&calls[..40]) > Duration::from_millis(60), "{calls:?}");
-        assert!(spread(&calls[40..]) > Duration::from_millis(60), "{calls:?}");
+        assert!(
+            spread(&calls[..40]) > Duration::from_millis(60),
+            "{calls:?}"
+        );
+        assert!(
+            spread(&calls[40..]) > Duration::from_millis(60),
+            "{calls:?}"
+        );
     });
 }
