--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -28,5 +28,8 @@
         cell: 0,
         started: None,
     };
-    Change { update: ListUpdate::Whole, engines: engines.iter().map(engine).collect() }
+    Change {
+        update: ListUpdate::Whole,
+        engines: engines.iter().map(engine).collect(),
+    }
 }
--- a/src/net/discovery/pause.rs
+++ b/src/net/discovery/pause.rs
@@ -17,7 +17,10 @@
 
 impl Pauses {
     pub fn new(seed: u64) -> Self {
-        Pauses { next: AGAIN, random: Rand32::new(seed) }
+        Pauses {
+            next: AGAIN,
+            random: Rand32::new(seed),
+        }
     }
 
     /// Before the first call of a process, and the first at a new address.
@@ -29,7 +32,11 @@
     /// After a call that brought `news`, or none: twice as long after each of those, up to a bound. Half of it is
     /// drawn, so that no pause is longer than it would be for one dispatcher alone.
     pub fn after(&mut self, news: bool) -> Duration {
-        self.next = if news { AGAIN } else { (self.next * 2).min(MOST) };
+        self.next = if news {
+            AGAIN
+        } else {
+            (self.next * 2).min(MOST)
+        };
         self.next.mul_f32(0.5 + self.random.rand_float() / 2.0)
     }
 }
@@ -56,7 +63,9 @@
         let calls = calls(100, 12);
         for round in 0..12 {
             let mut tens = std::collections::BTreeMap::<u32, u32>::new();
-            calls.iter().for_each(|c| *tens.entry((c[round] / 10.0) as u32).or_default() += 1);
+            calls
+                .iter()
+                .for_each(|c| *tens.entry((c[round] / 10.0) as u32).or_default() += 1);
             let most = tens.values().max().unwrap();
             assert!(*most <= 25, "{most} of 100 within 10 ms in round {round}");
         }
@@ -68,10 +77,16 @@
             assert!(c[0] <= 100.0);
             let pauses: Vec<f32> = c.windows(2).map(|w| w[1] - w[0]).collect();
             assert!((100.0..=200.0).contains(&pauses[0]), "{pauses:?}");
-            assert!(pauses[1..].iter().all(|p| (199.0..=401.0).contains(p)), "{pauses:?}");
+            assert!(
+                pauses[1..].iter().all(|p| (199.0..=401.0).contains(p)),
+                "{pauses:?}"
+            );
         }
         let mut pauses = Pauses::new(7);
         (0..9).for_each(|_| assert!(pauses.after(false) <= MOST));
-        assert!(pauses.after(true) <= AGAIN, "news shows that the service is well");
+        assert!(
+            pauses.after(true) <= AGAIN,
+            "news shows that the service is well"
+        );
     }
 }
--- a/src/net/frames/codec.rs
+++ b/src/net/frames/codec.rs
@@ -39,7 +39,9 @@
     type Error = FrameError;
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Frame>, FrameError> {
-        let Some((head, _)) = src.split_first_chunk::<4>() else { return Ok(None) };
+        let Some((head, _)) = src.split_first_chunk::<4>() else {
+            return Ok(None);
+        };
         let length = u32::from_be_bytes(*head) as usize;
         // Checked before any room is made for it.
         if !(LEAST..=MOST).contains(&length) {
@@ -58,7 +60,11 @@
         if src.is_empty() && src.capacity() > 2 * pool::SIZE {
             *src = BytesMut::with_capacity(pool::SIZE);
         }
-        Ok(Some(Frame { kind, stream, payload }))
+        Ok(Some(Frame {
+            kind,
+            stream,
+            payload,
+        }))
     }
 }
 
--- a/src/net/frames/mod.rs
+++ b/src/net/frames/mod.rs
@@ -93,8 +93,11 @@
     fn bound(&self) {
         let (limits, processes) = (self.limits.borrow(), self.processes.get());
         // A quarter of the memory for statements.
-        self.budget.most.set(limits.memory_mb * 1024 * 1024 / 4 / processes);
-        self.places.bound(Shares::of(limits.sockets, processes).clients);
+        self.budget
+            .most
+            .set(limits.memory_mb * 1024 * 1024 / 4 / processes);
+        self.places
+            .bound(Shares::of(limits.sockets, processes).clients);
     }
 
     /// No new request is wanted on any connection; what comes all the same is answered. `to_another`: another
--- a/src/net/frames/request.rs
+++ b/src/net/frames/request.rs
@@ -35,7 +35,10 @@
 
 impl Budget {
     pub fn new(bytes: usize) -> Self {
-        Budget { most: Cell::new(bytes), held: Rc::default() }
+        Budget {
+            most: Cell::new(bytes),
+            held: Rc::default(),
+        }
     }
 
     pub(super) fn take(&self, bytes: usize) -> Option<Held> {
@@ -58,7 +61,10 @@
 impl Ids {
     pub(super) fn take(&self, txn: &str) -> Option<Named> {
         let id = u64::from_str_radix(txn, 16).ok()?;
-        self.0.borrow_mut().insert(id).then(|| Named(id, Some(self.clone())))
+        self.0
+            .borrow_mut()
+            .insert(id)
+            .then(|| Named(id, Some(self.clone())))
     }
 }
 
@@ -88,7 +94,14 @@
     /// Work that counts towards no budget.
     pub fn free(txn: &str, class: &str, statement: Bytes) -> Self {
         let (held, named) = (Held::default(), Named::default());
-        Work { txn: txn.into(), class: class.into(), statement, held, named, client: None }
+        Work {
+            txn: txn.into(),
+            class: class.into(),
+            statement,
+            held,
+            named,
+            client: None,
+        }
     }
 
     /// It holds its bytes and its id for as long as it lives, and is its client's.
@@ -123,13 +136,20 @@
     let field = |name: &str| fields.iter().find(|f| f.0 == name).map(|f| f.1.as_str());
     // An absurd figure would spoil what is learned of all others, so that its request is failed.
     let number = |name: &str, most: f64| {
-        let read = |v: &str| v.trim().parse::<f64>().ok().filter(|v| (0.0..=most).contains(v));
-        let figure = |v: &str| read(v).ok_or_else(|| format!("{name}: {v:?} is no number from 0 to {most}"));
+        let read = |v: &str| {
+            v.trim()
+                .parse::<f64>()
+                .ok()
+                .filter(|v| (0.0..=most).contains(v))
+        };
+        let figure =
+            |v: &str| read(v).ok_or_else(|| format!("{name}: {v:?} is no number from 0 to {most}"));
         field(name).map(figure).transpose()
     };
     let read = || {
         let class = field("verb").ok_or("the field `verb` is missing")?;
-        let index = find(&hub.names().classes, class).ok_or(format!("verb: no class is named {class:?}"))?;
+        let index = find(&hub.names().classes, class)
+            .ok_or(format!("verb: no class is named {class:?}"))?;
         named.set(Some(index));
         let txn = field("txn").ok_or("the field `txn` is missing")?;
         if txn.len() != 16 || !txn.bytes().all(|b| b.is_ascii_hexdigit()) {
@@ -140,11 +160,14 @@
         let tenant = match field("team") {
             _ if tenants.is_empty() => None,
             None => return Err("the field `team` is missing".to_string()),
-            Some(t) => Some(find(tenants, t).ok_or_else(|| format!("team: no tenant is named {t:?}"))?),
+            Some(t) => {
+                Some(find(tenants, t).ok_or_else(|| format!("team: no tenant is named {t:?}"))?)
+            }
         };
         // Engines close on what they cannot read, whatever else is open on that connection.
         let odd = |c: char| c.is_control() && !c.is_whitespace();
-        if std::str::from_utf8(&statement).map_or(true, |s| s.trim().is_empty() || s.contains(odd)) {
+        if std::str::from_utf8(&statement).map_or(true, |s| s.trim().is_empty() || s.contains(odd))
+        {
             return Err("the statement is no text".to_string());
         }
         let new = NewRequest {
--- a/src/net/frames/talk.rs
+++ b/src/net/frames/talk.rs
@@ -79,7 +79,9 @@
             self.top = n;
             return true;
         }
-        let Some(down) = (self.top - n).checked_sub(1).filter(|d| *d < 128 && n > 0) else { return false };
+        let Some(down) = (self.top - n).checked_sub(1).filter(|d| *d < 128 && n > 0) else {
+            return false;
+        };
         let new = self.below & (1 << down) == 0;
         self.below |= 1 << down;
         new
@@ -103,7 +105,12 @@
     tcp: TcpStream,
 ) -> Result<(), FrameError> {
     tcp.set_nodelay(true)?;
-    converse(front, place, &mut Wire::new(&front.pool, tcp.into(), FrameCodec)).await
+    converse(
+        front,
+        place,
+        &mut Wire::new(&front.pool, tcp.into(), FrameCodec),
+    )
+    .await
 }
 
 /// What one connection has told of its client.
@@ -167,7 +174,9 @@
                 place.uses(Use::Idle, Instant::now());
             }
             wire.rest();
-            if closing && wire.read_buffer().is_empty() && pool::unread(wire.get_ref().tcp()) != Unread::Bytes
+            if closing
+                && wire.read_buffer().is_empty()
+                && pool::unread(wire.get_ref().tcp()) != Unread::Bytes
             {
                 // What the machine has taken its client may not have: a word of that one's would reset the connection. One that
                 // gives way is waited for no longer than another is told beside it.
@@ -175,7 +184,11 @@
                 let spent = since.elapsed();
                 if state != Use::Silent && place.gives_way() && spent < places::LEAVE {
                     wire.part_within(places::LEAVE).await;
-                } else if state != Use::Silent && !place.gives_way() && spent < WRITE && front.may_part() {
+                } else if state != Use::Silent
+                    && !place.gives_way()
+                    && spent < WRITE
+                    && front.may_part()
+                {
                     wire.part().await;
                 }
                 return Ok(());
@@ -266,7 +279,13 @@
         }
     } else {
         let why = e.to_string();
-        wire.put(Send { kind: ANSWER, stream: 0, code: Some(FAILED), fields: &[], body: why.as_bytes() })?;
+        wire.put(Send {
+            kind: ANSWER,
+            stream: 0,
+            code: Some(FAILED),
+            fields: &[],
+            body: why.as_bytes(),
+        })?;
         *fault = Some(e);
     }
     Ok(())
@@ -290,7 +309,13 @@
         Reply::TimedOut { harmless: true } => (REFUSED, b"the time is over"),
         Reply::TimedOut { harmless: false } => (FAILED, b"the time is over; it may have run"),
     };
-    wire.put(Send { kind: ANSWER, stream, code: Some(code), fields, body })
+    wire.put(Send {
+        kind: ANSWER,
+        stream,
+        code: Some(code),
+        fields,
+        body,
+    })
 }
 
 impl<L: Upstream<Work = Work, Output = Buffer>> Client<'_, L> {
@@ -314,14 +339,19 @@
             return Err(FrameError::Kind(frame.kind));
         }
         if self.open.borrow().is_empty() {
-            self.place.uses(self.place.state().0.max(Use::Asked), Instant::now());
+            self.place
+                .uses(self.place.state().0.max(Use::Asked), Instant::now());
         }
         match frame.kind {
-            REQUEST if !self.streams.take(frame.stream) => return Err(FrameError::Stream(frame.stream)),
+            REQUEST if !self.streams.take(frame.stream) => {
+                return Err(FrameError::Stream(frame.stream));
+            }
             LEAVE => self.leaves(frame.stream),
             _ if self.full() => {
                 if self.turned_away.len() >= TURNED_AWAY {
-                    return Err(io::Error::other("more is asked at once than can be answered").into());
+                    return Err(
+                        io::Error::other("more is asked at once than can be answered").into(),
+                    );
                 }
                 self.turned_away.push_back((frame.kind, frame.stream));
                 // One that cannot be read names no class, and is turned away all the same.
@@ -343,7 +373,8 @@
         match left {
             Some(id) => self.front.hub.leave(id),
             None => {
-                self.ahead.retain(|(f, _)| f.kind != REQUEST || f.stream != stream);
+                self.ahead
+                    .retain(|(f, _)| f.kind != REQUEST || f.stream != stream);
                 self.bytes = self.ahead.iter().map(|(f, _)| f.payload.len()).sum();
             }
         }
@@ -352,22 +383,41 @@
     /// Whether the dispatcher is ready, for a client that asks.
     fn state(&self, wire: &mut Wire, stream: u32) -> Result<(), FrameError> {
         // Asked is whether the dispatcher is ready, and that it is with any process.
-        let code = if self.front.hub.ready() || self.front.handed_over.get() { SERVED } else { REFUSED };
-        wire.put(Send { kind: STATE, stream, code: Some(code), fields: &[], body: &[] })
+        let code = if self.front.hub.ready() || self.front.handed_over.get() {
+            SERVED
+        } else {
+            REFUSED
+        };
+        wire.put(Send {
+            kind: STATE,
+            stream,
+            code: Some(code),
+            fields: &[],
+            body: &[],
+        })
     }
 
     /// Answers the first of what was turned away.
     fn turn_away(&mut self, wire: &mut Wire) -> Result<(), FrameError> {
         match self.turned_away.pop_front() {
             Some((ASK, stream)) => self.state(wire, stream),
-            Some((_, stream)) => answer(wire, stream, Reply::Refused { later: Some(LATER), why: TOO_MUCH }),
+            Some((_, stream)) => answer(
+                wire,
+                stream,
+                Reply::Refused {
+                    later: Some(LATER),
+                    why: TOO_MUCH,
+                },
+            ),
             None => Ok(()),
         }
     }
 
     /// Takes the first of what was read up.
     fn take_up(&mut self, wire: &mut Wire) -> Result<(), FrameError> {
-        let Some((frame, arrived)) = self.ahead.pop_front() else { return Ok(()) };
+        let Some((frame, arrived)) = self.ahead.pop_front() else {
+            return Ok(());
+        };
         self.bytes -= frame.payload.len();
         let (front, stream) = (self.front, frame.stream);
         if frame.kind == ASK {
@@ -375,7 +425,12 @@
         }
         let read = request(&front.hub, frame.payload, arrived)?.and_then(|(new, work)| {
             // Two under one id would be one to an engine, and the first may be another client's.
-            let open = || (Some(new.class), "txn: a request of this id is open".to_string());
+            let open = || {
+                (
+                    Some(new.class),
+                    "txn: a request of this id is open".to_string(),
+                )
+            };
             let named = front.ids.take(&work.txn).ok_or_else(open)?;
             Ok((new, work, named))
         });
@@ -383,16 +438,31 @@
             Ok(request) => request,
             Err((class, why)) => {
                 self.useless();
-                class.into_iter().for_each(|c| front.hub.turned_away(c, End::Error));
+                class
+                    .into_iter()
+                    .for_each(|c| front.hub.turned_away(c, End::Error));
                 let body = why.as_bytes();
-                return wire.put(Send { kind: ANSWER, stream, code: Some(FAILED), fields: &[], body });
+                return wire.put(Send {
+                    kind: ANSWER,
+                    stream,
+                    code: Some(FAILED),
+                    fields: &[],
+                    body,
+                });
             }
         };
         let held = front.budget.take(work.statement.len());
         let Some(held) = held.filter(|_| self.open.borrow().len() < STREAMS) else {
             self.useless();
             front.hub.turned_away(new.class, End::Overload);
-            return answer(wire, stream, Reply::Refused { later: Some(LATER), why: TOO_MUCH });
+            return answer(
+                wire,
+                stream,
+                Reply::Refused {
+                    later: Some(LATER),
+                    why: TOO_MUCH,
+                },
+            );
         };
         work.hold(held, named, self.socket.clone());
         self.useless = 0;
--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -118,9 +118,21 @@
         &self.names
     }
 
-    pub fn open(self: &Rc<Self>, r: NewRequest, work: L::Work, answer: Answerer<L::Output>) -> RequestId {
+    pub fn open(
+        self: &Rc<Self>,
+        r: NewRequest,
+        work: L::Work,
+        answer: Answerer<L::Output>,
+    ) -> RequestId {
         let id = self.core.borrow_mut().open(unix_ms(), r);
-        self.open.borrow_mut().insert(id, Open { work: Rc::new(work), output: None, answer });
+        self.open.borrow_mut().insert(
+            id,
+            Open {
+                work: Rc::new(work),
+                output: None,
+                answer,
+            },
+        );
         self.carry_out();
         id
     }
@@ -144,7 +156,9 @@
     }
 
     pub fn ended(self: &Rc<Self>, attempt: AttemptId, outcome: Outcome, report: Vec<f64>) {
-        self.core.borrow_mut().ended(unix_ms(), attempt, outcome, report);
+        self.core
+            .borrow_mut()
+            .ended(unix_ms(), attempt, outcome, report);
         self.carry_out();
     }
 
@@ -185,7 +199,9 @@
         });
         let entries = entries.collect();
         // The module hears of it first, so that connections that drop find it informed.
-        self.core.borrow_mut().engines(unix_ms(), change.update, entries);
+        self.core
+            .borrow_mut()
+            .engines(unix_ms(), change.update, entries);
         self.upstream.change(change);
         self.carry_out();
     }
@@ -202,7 +218,10 @@
             false => self.core.borrow_mut().put_back(unix_ms(), engine),
         };
         if let Some(e) = told {
-            say!("engine {engine}: {} by hand", if out { "taken out" } else { "put back" });
+            say!(
+                "engine {engine}: {} by hand",
+                if out { "taken out" } else { "put back" }
+            );
             // Where it is the upstream knows; connections to the process before lead to nobody.
             let engine = Engine {
                 id: e.engine,
@@ -213,7 +232,10 @@
                 cell: e.cell,
                 started: e.started,
             };
-            self.upstream.change(&Change { update: ListUpdate::Patch, engines: vec![engine] });
+            self.upstream.change(&Change {
+                update: ListUpdate::Patch,
+                engines: vec![engine],
+            });
         }
         self.carry_out();
     }
@@ -221,8 +243,10 @@
     /// Exactly these are out by hand: another process of this dispatcher may have been told so.
     pub fn all_by_hand(self: &Rc<Self>, out: &BTreeSet<String>) {
         let now = self.core.borrow().by_hand().clone();
-        out.difference(&now).for_each(|engine| self.by_hand(engine, true));
-        now.difference(out).for_each(|engine| self.by_hand(engine, false));
+        out.difference(&now)
+            .for_each(|engine| self.by_hand(engine, true));
+        now.difference(out)
+            .for_each(|engine| self.by_hand(engine, false));
     }
 
     /// The engines that are out by hand.
@@ -269,22 +293,44 @@
 
     fn command(self: &Rc<Self>, command: Command) {
         match command {
-            Command::Start { attempt, engine, until, write_by, memory_mb, alone } => {
-                let work = self.open.borrow().get(&attempt.request).map(|o| o.work.clone());
+            Command::Start {
+                attempt,
+                engine,
+                until,
+                write_by,
+                memory_mb,
+                alone,
+            } => {
+                let work = self
+                    .open
+                    .borrow()
+                    .get(&attempt.request)
+                    .map(|o| o.work.clone());
                 if let Some(work) = work {
                     self.upstream.start(
                         self,
-                        Start { attempt, engine, until, write_by, memory_mb, alone },
+                        Start {
+                            attempt,
+                            engine,
+                            until,
+                            write_by,
+                            memory_mb,
+                            alone,
+                        },
                         work,
                     );
                 }
             }
             Command::Drop { attempt } => self.upstream.drop_attempt(attempt),
             Command::Answer { request, answer } => {
-                let Some(open) = self.open.borrow_mut().remove(&request) else { return };
+                let Some(open) = self.open.borrow_mut().remove(&request) else {
+                    return;
+                };
                 let reply = match (answer, open.output) {
                     (Answer::Served(_), Some(output)) => Reply::Served(output),
-                    (Answer::Served(_), None) => Reply::Failed { why: "the result was lost" },
+                    (Answer::Served(_), None) => Reply::Failed {
+                        why: "the result was lost",
+                    },
                     (Answer::Refused { later, why }, _) => Reply::Refused { later, why },
                     (Answer::Failed { why }, _) => Reply::Failed { why },
                     (Answer::TimedOut { harmless }, _) => Reply::TimedOut { harmless },
--- a/src/net/listener.rs
+++ b/src/net/listener.rs
@@ -42,7 +42,11 @@
 /// Listens at this address with a queue for a whole crowd: a client that finds it full is only taken by the machine at
 /// its next try, a second later.
 fn bind(at: SocketAddr) -> io::Result<TcpListener> {
-    let socket = if at.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+    let socket = if at.is_ipv4() {
+        TcpSocket::new_v4()
+    } else {
+        TcpSocket::new_v6()
+    }?;
     socket.set_reuseaddr(true)?;
     socket.bind(at)?;
     socket.listen(QUEUE)
@@ -70,7 +74,9 @@
         Err(e) if refused(&e) => {
             // A system-call filter (such as the fleet bench's) or a kernel before 5.6: the address is bound
             // here instead, which works wherever the holder lets others bind it too.
-            crate::say!("descriptor {number}: pidfd_getfd is refused ({e}); listening on {at} without it");
+            crate::say!(
+                "descriptor {number}: pidfd_getfd is refused ({e}); listening on {at} without it"
+            );
             return bind(at).map_err(|b| ListenError::Fallback(number, e, at, b));
         }
         Err(e) => return Err(failed(e)),
@@ -90,13 +96,22 @@
 /// Closes the listening socket and gives what the machine has accepted on it by now, `most` at most: a client counts
 /// those as accepted, and asks on them. The socket itself is asked, for the runtime may not have heard of the last yet.
 pub fn accepted(listener: TcpListener, most: usize) -> Vec<TcpStream> {
-    let Ok(listener) = listener.into_std() else { return vec![] };
+    let Ok(listener) = listener.into_std() else {
+        return vec![];
+    };
     let mut all = vec![];
     while all.len() < most {
         match listener.accept() {
-            Ok((tcp, _)) => all.extend(tcp.set_nonblocking(true).and_then(|()| TcpStream::from_std(tcp))),
+            Ok((tcp, _)) => all.extend(
+                tcp.set_nonblocking(true)
+                    .and_then(|()| TcpStream::from_std(tcp)),
+            ),
             // One that has gone again meanwhile costs those behind it nothing.
-            Err(e) if matches!(e.kind(), io::ErrorKind::ConnectionAborted | io::ErrorKind::Interrupted) => {}
+            Err(e)
+                if matches!(
+                    e.kind(),
+                    io::ErrorKind::ConnectionAborted | io::ErrorKind::Interrupted
+                ) => {}
             Err(_) => break,
         }
     }
--- a/src/net/members.rs
+++ b/src/net/members.rs
@@ -25,7 +25,10 @@
 const SAVE_ANYWAY: Duration = Duration::from_secs(30);
 /// The snapshot's file, and its longest content in bytes: 20,000 engines need about 6 MB.
 const NAME: &str = "members";
-const KIND: Kind = Kind { tag: *b"MEMB", form: snapshot::FORM };
+const KIND: Kind = Kind {
+    tag: *b"MEMB",
+    form: snapshot::FORM,
+};
 const MOST_FILE: usize = 64 << 20;
 
 /// Sees connections to engines.
@@ -81,7 +84,10 @@
         if let Some(store) = &store {
             match load(store) {
                 Ok(Some(snapshot)) => {
-                    let (age, n) = ((unix_ms() - snapshot.written) / 1000.0, snapshot.engines.len());
+                    let (age, n) = (
+                        (unix_ms() - snapshot.written) / 1000.0,
+                        snapshot.engines.len(),
+                    );
                     say!("members: a snapshot of {n} engines, {age:.0} s old, is at hand");
                     membership.restore(unix_ms(), snapshot);
                 }
@@ -124,13 +130,20 @@
     }
 
     pub fn failed(&self, source: &str, problem: String) {
-        let change = self.membership.borrow_mut().failed(unix_ms(), source, problem);
+        let change = self
+            .membership
+            .borrow_mut()
+            .failed(unix_ms(), source, problem);
         self.tell(change);
     }
 
     /// A new configuration: other servers and rules, the same beliefs.
     pub fn configure(&self, source: &EurekaSource) {
-        let change = self.membership.borrow_mut().configure(unix_ms(), source.rules.clone(), &source.names());
+        let change = self.membership.borrow_mut().configure(
+            unix_ms(),
+            source.rules.clone(),
+            &source.names(),
+        );
         self.tell(change);
     }
 
@@ -138,7 +151,10 @@
     pub fn serve_restored(&self) {
         let change = self.membership.borrow_mut().serve_restored(unix_ms());
         if let Some(change) = &change {
-            say!("members: no registry answers: {} engines of the snapshot are served", change.engines.len());
+            say!(
+                "members: no registry answers: {} engines of the snapshot are served",
+                change.engines.len()
+            );
         }
         self.tell(change);
     }
@@ -176,7 +192,9 @@
     /// Takes in what connections showed, in the order seen.
     fn work_through(&self) {
         loop {
-            let Some((engine, seen)) = self.seen.borrow_mut().pop_front() else { return };
+            let Some((engine, seen)) = self.seen.borrow_mut().pop_front() else {
+                return;
+            };
             let (change, _) = self.membership.borrow_mut().seen(unix_ms(), &engine, seen);
             if change.is_some() {
                 self.tell(change);
@@ -203,12 +221,16 @@
 
     /// Keeps the snapshot; runs for ever. The disk is written beside the runtime.
     pub async fn keep(self: Rc<Self>) {
-        let Some(store) = self.store.clone() else { return };
+        let Some(store) = self.store.clone() else {
+            return;
+        };
         loop {
             let _ = tokio::time::timeout(SAVE_ANYWAY, self.changed.notified()).await;
             // Changes come in bursts: one write for all of them.
             tokio::time::sleep(SAVE).await;
-            let Some(snapshot) = self.membership.borrow().snapshot(unix_ms()) else { continue };
+            let Some(snapshot) = self.membership.borrow().snapshot(unix_ms()) else {
+                continue;
+            };
             let store = store.clone();
             let saved = tokio::task::spawn_blocking(move || {
                 let content = serde_json::to_vec(&snapshot).map_err(std::io::Error::other)?;
@@ -239,7 +261,10 @@
 
     fn opened(&self, engine: &str, at: Millis) -> bool {
         self.work_through();
-        let (change, anew) = self.membership.borrow_mut().seen(unix_ms(), engine, Seen::Opened { at });
+        let (change, anew) =
+            self.membership
+                .borrow_mut()
+                .seen(unix_ms(), engine, Seen::Opened { at });
         if change.is_some() || anew {
             self.tell(change);
         }
@@ -249,5 +274,7 @@
 
 /// The snapshot in the store, if there is one that can be read.
 fn load(store: &Store) -> Result<Option<Snapshot>, LoadError> {
-    store.load(|content| serde_json::from_slice(content).map_err(|e| RecordError::Content(e.to_string())))
+    store.load(|content| {
+        serde_json::from_slice(content).map_err(|e| RecordError::Content(e.to_string()))
+    })
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -30,7 +30,9 @@
 
 /// The machine's Unix clock, in milliseconds: all rules run on it, the module too.
 pub fn unix_ms() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64() * 1000.0)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0.0, |d| d.as_secs_f64() * 1000.0)
 }
 
 /// A span for the runtime's timers; absurd ones are cut.
--- a/src/net/mysql/auth.rs
+++ b/src/net/mysql/auth.rs
@@ -8,7 +8,11 @@
 pub const SHA2: &str = "caching_sha2_password";
 
 fn xor(a: impl AsRef<[u8]>, b: impl AsRef<[u8]>) -> Vec<u8> {
-    a.as_ref().iter().zip(b.as_ref()).map(|(a, b)| a ^ b).collect()
+    a.as_ref()
+        .iter()
+        .zip(b.as_ref())
+        .map(|(a, b)| a ^ b)
+        .collect()
 }
 
 /// What a client sends to prove that it knows the password; none for an unknown plugin.
@@ -19,12 +23,18 @@
     match plugin {
         NATIVE => {
             let once = Sha1::digest(password);
-            let seed = Sha1::new().chain_update(nonce).chain_update(Sha1::digest(once)).finalize();
+            let seed = Sha1::new()
+                .chain_update(nonce)
+                .chain_update(Sha1::digest(once))
+                .finalize();
             Some(xor(once, seed))
         }
         SHA2 => {
             let once = Sha256::digest(password);
-            let seed = Sha256::new().chain_update(Sha256::digest(once)).chain_update(nonce).finalize();
+            let seed = Sha256::new()
+                .chain_update(Sha256::digest(once))
+                .chain_update(nonce)
+                .finalize();
             Some(xor(once, seed))
         }
         _ => None,
@@ -33,7 +43,9 @@
 
 /// Compares without telling by its time how much was right.
 pub fn proves(plugin: &str, password: &str, nonce: &[u8], given: &[u8]) -> bool {
-    let Some(wanted) = proof(plugin, password, nonce) else { return false };
+    let Some(wanted) = proof(plugin, password, nonce) else {
+        return false;
+    };
     wanted.len() == given.len() && wanted.iter().zip(given).fold(0, |d, (a, b)| d | (a ^ b)) == 0
 }
 
@@ -48,11 +60,17 @@
         let nonce = [7u8; 20];
         let given = proof(NATIVE, "secret", &nonce).unwrap();
         let stored = Sha1::digest(Sha1::digest("secret"));
-        let seed = Sha1::new().chain_update(nonce).chain_update(stored).finalize();
+        let seed = Sha1::new()
+            .chain_update(nonce)
+            .chain_update(stored)
+            .finalize();
         assert_eq!(Sha1::digest(xor(&given, seed)), stored);
         let given = proof(SHA2, "secret", &nonce).unwrap();
         let stored = Sha256::digest(Sha256::digest("secret"));
-        let seed = Sha256::new().chain_update(stored).chain_update(nonce).finalize();
+        let seed = Sha256::new()
+            .chain_update(stored)
+            .chain_update(nonce)
+            .finalize();
         assert_eq!(Sha256::digest(xor(&given, seed)), stored);
         for plugin in [NATIVE, SHA2] {
             let given = proof(plugin, "secret", &nonce).unwrap();
--- a/src/net/mysql/cursor.rs
+++ b/src/net/mysql/cursor.rs
@@ -16,18 +16,28 @@
 impl Cursor {
     /// Over a result in hand: its packets from the first row on, its end left out.
     pub fn over(rows: Bytes) -> Self {
-        Cursor { here: rows, reader: None }
+        Cursor {
+            here: rows,
+            reader: None,
+        }
     }
 
     pub fn paged(reader: Reader) -> Self {
-        Cursor { here: Bytes::new(), reader: Some(reader) }
+        Cursor {
+            here: Bytes::new(),
+            reader: Some(reader),
+        }
     }
 
     /// Up to so many rows, each behind its length; true if there are more.
     ///
     /// # Errors
     /// A page cannot be had.
-    pub async fn fetch(&mut self, rows: u32, most_bytes: usize) -> Result<(Vec<Bytes>, bool), SpoolError> {
+    pub async fn fetch(
+        &mut self,
+        rows: u32,
+        most_bytes: usize,
+    ) -> Result<(Vec<Bytes>, bool), SpoolError> {
         let mut out = vec![];
         let (mut left, mut bytes) = (rows, 0);
         while left > 0 && bytes < most_bytes {
@@ -49,7 +59,9 @@
     }
 
     async fn refill(&mut self) -> Result<bool, SpoolError> {
-        let Some(reader) = &mut self.reader else { return Ok(false) };
+        let Some(reader) = &mut self.reader else {
+            return Ok(false);
+        };
         match reader.page().await? {
             Some(page) => {
                 self.here = page;
@@ -79,7 +91,11 @@
         }
     }
     match ends[..] {
-        [head, _] => Some((all.slice(..head), all.slice(head..last), all.slice(last + 4..))),
+        [head, _] => Some((
+            all.slice(..head),
+            all.slice(head..last),
+            all.slice(last + 4..),
+        )),
         _ => None,
     }
 }
--- a/src/net/mysql/downstream.rs
+++ b/src/net/mysql/downstream.rs
@@ -31,7 +31,11 @@
 
 impl Downstream {
     pub fn new(socket: Watch) -> Self {
-        Downstream { socket, killed: Cell::new(false), told: Notify::new() }
+        Downstream {
+            socket,
+            killed: Cell::new(false),
+            told: Notify::new(),
+        }
     }
 
     /// Its next command begins: a kill that has come before was meant for another.
@@ -72,7 +76,9 @@
                 Look::Waits => return Ok(()),
                 Look::Gone => return Err(PacketError::Gone),
                 Look::Unheard if unix_ms() >= until => {
-                    return Err(PacketError::Protocol("what its client has said was not read in time"));
+                    return Err(PacketError::Protocol(
+                        "what its client has said was not read in time",
+                    ));
                 }
                 // The runtime hears of what is unread, and the session's task comes before this one again.
                 Look::Unheard => tokio::task::yield_now().await,
--- a/src/net/mysql/front/mod.rs
+++ b/src/net/mysql/front/mod.rs
@@ -20,7 +20,9 @@
 use crate::net::places::{Place, Places, Taken, Use};
 use crate::net::pool::{Pool, Unread, Wire};
 use crate::net::spools::writer::STATEMENT;
-use crate::net::spools::{Line, Reader as SpoolReader, SpoolError, Spools, Who, packets, put_packet};
+use crate::net::spools::{
+    Line, Reader as SpoolReader, SpoolError, Spools, Who, packets, put_packet,
+};
 use crate::net::statement::{self, Kind};
 use crate::net::stream::Stream;
 use crate::net::tls::{self, Keys};
@@ -209,7 +211,10 @@
     /// So many processes of this dispatcher share the bound on clients.
     pub fn share(&self, processes: u32) {
         self.processes.set(processes.max(1) as usize);
-        let (most, shares) = (self.config().max_clients / self.processes.get(), self.shares());
+        let (most, shares) = (
+            self.config().max_clients / self.processes.get(),
+            self.shares(),
+        );
         self.places.bound(most.min(shares.clients).max(1));
     }
 
@@ -263,7 +268,9 @@
                     front.turned_away.set(front.turned_away.get() + away);
                     spawn_local(async move {
                         let host = peer.ip().to_string();
-                        if let Err(End::Broken(e)) = front.session(tcp, &host, place.as_deref()).await {
+                        if let Err(End::Broken(e)) =
+                            front.session(tcp, &host, place.as_deref()).await
+                        {
                             say!("mysql client {peer}: {e}");
                         }
                         front.turned_away.set(front.turned_away.get() - away);
@@ -281,8 +288,13 @@
         for tcp in listener::accepted(listener, TURNED_AWAY.min(self.shares().last)) {
             let front = self.clone();
             spawn_local(async move {
-                let codec = PacketCodec { most: front.config().max_packet, sequence: 0 };
-                front.shut_down(&mut Wire::new(&front.pool, Stream::from(tcp), codec)).await
+                let codec = PacketCodec {
+                    most: front.config().max_packet,
+                    sequence: 0,
+                };
+                front
+                    .shut_down(&mut Wire::new(&front.pool, Stream::from(tcp), codec))
+                    .await
             });
         }
     }
@@ -294,9 +306,17 @@
         turn_away(wire, code::SHUTDOWN, text).await
     }
 
-    async fn session(self: &Rc<Self>, tcp: TcpStream, host: &str, place: Option<&Place>) -> Result<(), End> {
+    async fn session(
+        self: &Rc<Self>,
+        tcp: TcpStream,
+        host: &str,
+        place: Option<&Place>,
+    ) -> Result<(), End> {
         tcp.set_nodelay(true).map_err(PacketError::from)?;
-        let codec = PacketCodec { most: self.config().max_packet, sequence: 0 };
+        let codec = PacketCodec {
+            most: self.config().max_packet,
+            sequence: 0,
+        };
         let mut wire = Wire::new(&self.pool, Stream::from(tcp), codec);
         let Some(place) = place else {
             return turn_away(&mut wire, code::TOO_MANY, "Too many connections".into()).await;
@@ -307,7 +327,9 @@
             _ = stopping.wait_for(|s| *s) => None,
             () = place.cut.notified() => return Ok(()),
         };
-        let Some(login) = login else { return self.shut_down(&mut wire).await };
+        let Some(login) = login else {
+            return self.shut_down(&mut wire).await;
+        };
         let Some(known) = login.map_err(|e| PacketError::from(io::Error::from(e)))?? else {
             return Ok(());
         };
@@ -335,25 +357,39 @@
     }
 
     /// Greets, and checks the password; none if it was wrong.
-    async fn log_in(&self, wire: &mut Wire<PacketCodec, Stream>, host: &str) -> Result<Option<Known>, End> {
+    async fn log_in(
+        &self,
+        wire: &mut Wire<PacketCodec, Stream>,
+        host: &str,
+    ) -> Result<Option<Known>, End> {
         let connection = self.next.get();
         self.next.set(connection.wrapping_add(1));
         let nonce = nonce()?;
         let keys = self.keys.borrow().clone();
         let capabilities = FRONT | if keys.is_some() { SSL } else { 0 };
-        let greeting =
-            Greeting { connection, nonce: nonce.to_vec(), plugin: auth::NATIVE.into(), capabilities };
-        wire.send(&greeting.write(&self.config().version)[..]).await?;
+        let greeting = Greeting {
+            connection,
+            nonce: nonce.to_vec(),
+            plugin: auth::NATIVE.into(),
+            capabilities,
+        };
+        wire.send(&greeting.write(&self.config().version)[..])
+            .await?;
         let mut first = super::upstream::next(wire).await?;
         if let Some(keys) = &keys {
             if Login::asks_tls(&first) {
                 let ahead = BytesMut::from(&wire.read_buffer()[..]);
                 wire.read_buffer_mut().clear();
-                wire.get_mut().secure(ahead, keys.config()).await.map_err(PacketError::from)?;
+                wire.get_mut()
+                    .secure(ahead, keys.config())
+                    .await
+                    .map_err(PacketError::from)?;
                 first = super::upstream::next(wire).await?;
             } else if keys.required() {
-                let text = "Connections using insecure transport are prohibited: this one is not in TLS";
-                wire.send(&err(&SqlError::new(code::INSECURE, text))[..]).await?;
+                let text =
+                    "Connections using insecure transport are prohibited: this one is not in TLS";
+                wire.send(&err(&SqlError::new(code::INSECURE, text))[..])
+                    .await?;
                 return Ok(None);
             }
         }
@@ -398,8 +434,12 @@
             .filter(|u| u.certificate.is_none() || u.certificate == shown());
         let Some(user) = known else {
             let with = if given.is_empty() { "NO" } else { "YES" };
-            let text = format!("Access denied for user '{}'@'{host}' (using password: {with})", login.user);
-            wire.send(&err(&SqlError::new(code::ACCESS, text))[..]).await?;
+            let text = format!(
+                "Access denied for user '{}'@'{host}' (using password: {with})",
+                login.user
+            );
+            wire.send(&err(&SqlError::new(code::ACCESS, text))[..])
+                .await?;
             return Ok(None);
         };
         if plugin == auth::SHA2 && !given.is_empty() {
@@ -413,12 +453,17 @@
 /// Random bytes for a proof; no zero byte may stand among them: on the wire one ends them.
 fn nonce() -> Result<[u8; 20], PacketError> {
     let mut nonce = [0u8; 20];
-    getrandom::fill(&mut nonce).map_err(|_| PacketError::Protocol("no random numbers are to be had"))?;
+    getrandom::fill(&mut nonce)
+        .map_err(|_| PacketError::Protocol("no random numbers are to be had"))?;
     nonce.iter_mut().for_each(|b| *b = *b % 127 + 1);
     Ok(nonce)
 }
 
-async fn turn_away(wire: &mut Wire<PacketCodec, Stream>, code: code::Code, text: String) -> Result<(), End> {
+async fn turn_away(
+    wire: &mut Wire<PacketCodec, Stream>,
+    code: code::Code,
+    text: String,
+) -> Result<(), End> {
     tokio::time::timeout(WRITE, wire.send(&err(&SqlError::new(code, text))[..]))
         .await
         .map_err(|e| PacketError::from(io::Error::from(e)))??;
@@ -484,7 +529,10 @@
                 Some(Ok(command)) => command,
                 // Gone between two commands, in TLS without a word of farewell.
                 Some(Err(PacketError::Io(e)))
-                    if matches!(e.kind(), io::ErrorKind::ConnectionReset | io::ErrorKind::UnexpectedEof) =>
+                    if matches!(
+                        e.kind(),
+                        io::ErrorKind::ConnectionReset | io::ErrorKind::UnexpectedEof
+                    ) =>
                 {
                     return Ok(());
                 }
@@ -508,14 +556,17 @@
 
     async fn command(&mut self, command: Bytes) -> Result<(), End> {
         let Some(&kind) = command.first() else {
-            return self.say(&SqlError::new(code::MALFORMED, "an empty packet")).await;
+            return self
+                .say(&SqlError::new(code::MALFORMED, "an empty packet"))
+                .await;
         };
         let body = command.slice(1..);
         let answer: Answer = match kind {
             QUIT => return Err(End::Quit),
             PING => Ok(None),
             INIT_DB => {
-                self.state.stand_in(String::from_utf8_lossy(&body).into_owned());
+                self.state
+                    .stand_in(String::from_utf8_lossy(&body).into_owned());
                 Ok(None)
             }
             RESET_CONNECTION => {
@@ -527,7 +578,10 @@
             SET_OPTION if body[..] == [1, 0] => {
                 return self.write([&eof(AUTOCOMMIT)[..]].into_iter()).await;
             }
-            SET_OPTION => Err(SqlError::new(code::NOT_CARRIED, "several statements at once are not carried")),
+            SET_OPTION => Err(SqlError::new(
+                code::NOT_CARRIED,
+                "several statements at once are not carried",
+            )),
             STATISTICS => {
                 let text = format!("Sessions: {}", self.front.sessions.borrow().len());
                 return self.write([text.as_bytes()].into_iter()).await;
@@ -552,7 +606,10 @@
                 None
             }),
             STMT_FETCH => return self.fetch(body).await,
-            other => Err(SqlError::new(code::COMMAND, format!("command {other:#04x} is not known"))),
+            other => Err(SqlError::new(
+                code::COMMAND,
+                format!("command {other:#04x} is not known"),
+            )),
         };
         match answer {
             Ok(_) => {
@@ -584,10 +641,21 @@
         let ask = [&[0xfe][..], auth::NATIVE.as_bytes(), &[0], &nonce, &[0]].concat();
         self.wire.send(&ask[..]).await?;
         let proof = tokio::time::timeout(LOGIN, super::upstream::next(&mut self.wire)).await;
-        let auth = proof.map_err(|e| PacketError::from(io::Error::from(e)))??.to_vec();
-        let login = Login { user, auth, schema, plugin: auth::NATIVE.into(), ends: self.ends };
+        let auth = proof
+            .map_err(|e| PacketError::from(io::Error::from(e)))??
+            .to_vec();
+        let login = Login {
+            user,
+            auth,
+            schema,
+            plugin: auth::NATIVE.into(),
+            ends: self.ends,
+        };
         let front = self.front;
-        let Some(tenant) = front.prove(&mut self.wire, &login, &nonce, "this session").await? else {
+        let Some(tenant) = front
+            .prove(&mut self.wire, &login, &nonce, "this session")
+            .await?
+        else {
             return Err(End::Quit);
         };
         self.forget();
@@ -604,7 +672,9 @@
         let all = match (left, &self.failed) {
             (Some(rows), _) => rows,
             (None, failed) => {
-                let rows = failed.iter().map(|e| vec!["Error".into(), e.code.to_string(), e.message.clone()]);
+                let rows = failed
+                    .iter()
+                    .map(|e| vec!["Error".into(), e.code.to_string(), e.message.clone()]);
                 joined(&table(&["Level", "Code", "Message"], rows, false))
             }
         };
@@ -618,8 +688,14 @@
                 downstream.kill();
                 Ok(())
             }
-            Some(_) => Err(SqlError::new(code::OWNER, format!("You are not owner of thread {number}"))),
-            None => Err(SqlError::new(code::NO_THREAD, format!("Unknown thread id: {number}"))),
+            Some(_) => Err(SqlError::new(
+                code::OWNER,
+                format!("You are not owner of thread {number}"),
+            )),
+            None => Err(SqlError::new(
+                code::NO_THREAD,
+                format!("Unknown thread id: {number}"),
+            )),
         };
         match told {
             Ok(()) => {
@@ -642,13 +718,20 @@
             }
             SinkExt::<&[u8]>::flush(wire).await
         };
-        tokio::time::timeout(WRITE, all).await.map_err(|e| PacketError::from(io::Error::from(e)))??;
+        tokio::time::timeout(WRITE, all)
+            .await
+            .map_err(|e| PacketError::from(io::Error::from(e)))??;
         Ok(())
     }
 
     fn statement(&mut self, body: &Bytes) -> Result<&mut Prepared, SqlError> {
         let id = Reader(body.clone()).u32().unwrap_or(0);
-        let unknown = || SqlError::new(code::NO_STATEMENT, format!("Unknown prepared statement {id}"));
+        let unknown = || {
+            SqlError::new(
+                code::NO_STATEMENT,
+                format!("Unknown prepared statement {id}"),
+            )
+        };
         self.statements.get_mut(&id).ok_or_else(unknown)
     }
 
@@ -665,7 +748,9 @@
         let hint = |name: &str| hints.iter().find(|h| h.0 == name).map(|h| h.1.as_str());
         // A hint out of range is none.
         let number = |name: &str, most: f64| {
-            hint(name).and_then(|v| v.parse::<f64>().ok()).filter(|v| *v > 0.0 && *v <= most)
+            hint(name)
+                .and_then(|v| v.parse::<f64>().ok())
+                .filter(|v| *v > 0.0 && *v <= most)
         };
         let group = statement::group(&sql);
         let class = match job {
@@ -673,7 +758,11 @@
             Job::Prepare => config.rules.read,
             _ => config.rules.class(*kind == Kind::Read, hint("class"), &sql),
         };
-        let ask = Ask { tenant: self.tenant, class, load: *kind != Kind::Read };
+        let ask = Ask {
+            tenant: self.tenant,
+            class,
+            load: *kind != Kind::Read,
+        };
         // Where its result could not be kept, nothing is sent: nothing has run.
         if !matches!(job, Job::Prepare)
             && let Admission::No { why, later } = self.front.spools.admit(ask)
@@ -681,10 +770,25 @@
             self.front.hub.turned_away(class, Figure::Overload);
             return Ok(Reply::Refused { later, why });
         }
-        let statement = String::from_utf8_lossy(&sql).chars().take(STATEMENT).collect();
-        let who = Who { user: self.user.clone(), statement, binary: matches!(job, Job::Execute(_)) };
+        let statement = String::from_utf8_lossy(&sql)
+            .chars()
+            .take(STATEMENT)
+            .collect();
+        let who = Who {
+            user: self.user.clone(),
+            statement,
+            binary: matches!(job, Job::Execute(_)),
+        };
         let downstream = self.downstream.clone();
-        let work = Work { context, sql, job, ask, who, left: self.left.clone(), downstream };
+        let work = Work {
+            context,
+            sql,
+            job,
+            ask,
+            who,
+            left: self.left.clone(),
+            downstream,
+        };
         let limit = config.deadlines.get(class).copied().unwrap_or(10_000.0);
         let new = NewRequest {
             class,
@@ -710,11 +814,18 @@
 
     async fn pass_on(&mut self, reply: Reply<Output>) -> Result<(), End> {
         match (error_of(&reply), reply) {
-            (None, Reply::Served(Output::Short(packets))) => self.hand_over(packets.into_bytes()).await,
-            (None, Reply::Served(Output::Long(spool))) => match self.front.spools.reader(spool, 0) {
-                Some(reader) => self.stream(reader).await,
-                None => self.say(&SqlError::new(code::RESULT, SpoolError::Gone.to_string())).await,
-            },
+            (None, Reply::Served(Output::Short(packets))) => {
+                self.hand_over(packets.into_bytes()).await
+            }
+            (None, Reply::Served(Output::Long(spool))) => {
+                match self.front.spools.reader(spool, 0) {
+                    Some(reader) => self.stream(reader).await,
+                    None => {
+                        self.say(&SqlError::new(code::RESULT, SpoolError::Gone.to_string()))
+                            .await
+                    }
+                }
+            }
             (Some(e), _) => self.say(&e).await,
             (None, _) => Ok(()),
         }
@@ -731,12 +842,22 @@
                 let status = eof_status(&tail).unwrap_or(AUTOCOMMIT);
                 let last = ends.last(status, None);
                 let head = self.columns(&head);
-                let all = head.iter().map(|p| &p[..]).chain(packets(&rows)).chain([&last[..]]);
+                let all = head
+                    .iter()
+                    .map(|p| &p[..])
+                    .chain(packets(&rows))
+                    .chain([&last[..]]);
                 self.write(all).await
             }
             None => {
                 let each: Vec<Vec<u8>> = packets(&all)
-                    .map(|p| if p.first() == Some(&0) { ends.ok(p) } else { p.to_vec() })
+                    .map(|p| {
+                        if p.first() == Some(&0) {
+                            ends.ok(p)
+                        } else {
+                            p.to_vec()
+                        }
+                    })
                     .collect();
                 self.write(each.iter().map(|p| &p[..])).await
             }
@@ -754,7 +875,9 @@
         let spools = self.front.spools.clone();
         let id = reader.id();
         let Some((head, tail)) = spools.look_at(id, |h, _| (h.head.clone(), h.tail.clone())) else {
-            return self.say(&SqlError::new(code::RESULT, SpoolError::Gone.to_string())).await;
+            return self
+                .say(&SqlError::new(code::RESULT, SpoolError::Gone.to_string()))
+                .await;
         };
         let head = self.columns(&head);
         self.write(head.iter().map(|p| &p[..])).await?;
@@ -765,7 +888,10 @@
                 // Rows are out already: the error ends them, and nothing looks whole.
                 Err(e) => {
                     return self
-                        .say(&SqlError::new(code::RESULT, format!("the result breaks off: {e}")))
+                        .say(&SqlError::new(
+                            code::RESULT,
+                            format!("the result breaks off: {e}"),
+                        ))
                         .await;
                 }
             }
@@ -792,7 +918,9 @@
         let tcp = self.wire.get_mut();
         while !chunk.is_empty() {
             let n = tokio::time::timeout(stall, tcp.write(chunk)).await;
-            let n = n.map_err(|e| PacketError::from(io::Error::from(e)))?.map_err(PacketError::from)?;
+            let n = n
+                .map_err(|e| PacketError::from(io::Error::from(e)))?
+                .map_err(PacketError::from)?;
             if n == 0 {
                 return Err(PacketError::from(io::Error::from(io::ErrorKind::WriteZero)).into());
             }
@@ -851,7 +979,9 @@
     fn resumable(&self, id: SpoolId, from: u32, binary: bool) -> Result<SpoolReader, SqlError> {
         let spools = &self.front.spools;
         let gone = || SqlError::new(code::HANDLE, SpoolError::Gone.to_string());
-        let (pages, is_binary) = spools.look_at(id, |h, pages| (pages, h.who.binary)).ok_or_else(gone)?;
+        let (pages, is_binary) = spools
+            .look_at(id, |h, pages| (pages, h.who.binary))
+            .ok_or_else(gone)?;
         if is_binary != binary {
             let text = match is_binary {
                 true => "this result is of a prepared statement: prepare the FETCH as well",
@@ -860,7 +990,10 @@
             return Err(SqlError::new(code::NOT_CARRIED, text));
         }
         if from as usize >= pages.max(1) {
-            return Err(SqlError::new(code::HANDLE, format!("it has {pages} pages, counted from 0")));
+            return Err(SqlError::new(
+                code::HANDLE,
+                format!("it has {pages} pages, counted from 0"),
+            ));
         }
         spools.reader(id, from).ok_or_else(gone)
     }
@@ -875,7 +1008,9 @@
         let why = match kind {
             _ if own.is_some() => None,
             Kind::NotCarried(why) => Some(why),
-            Kind::Set | Kind::Use(_) | Kind::Warnings | Kind::Kill(_) => Some("this is not to be prepared"),
+            Kind::Set | Kind::Use(_) | Kind::Warnings | Kind::Kill(_) => {
+                Some("this is not to be prepared")
+            }
             _ => None,
         };
         if let Some(why) = why {
@@ -892,8 +1027,13 @@
             },
             None => {
                 let context = self.state.context().clone();
-                match self.carry(&kind, context, sql.clone(), Job::Prepare).await? {
-                    Ok(Reply::Served(Output::Short(packets))) => packets.iter().map(<[u8]>::to_vec).collect(),
+                match self
+                    .carry(&kind, context, sql.clone(), Job::Prepare)
+                    .await?
+                {
+                    Ok(Reply::Served(Output::Short(packets))) => {
+                        packets.iter().map(<[u8]>::to_vec).collect()
+                    }
                     Ok(other) => return self.pass_on(other).await,
                     Err(e) => return self.say(&e).await,
                 }
@@ -901,7 +1041,10 @@
         };
         // The id is the session's own: every engine connection has another.
         let id = self.next;
-        if let Some(first) = all.first_mut().filter(|p| p.first() == Some(&0) && p.len() >= 12) {
+        if let Some(first) = all
+            .first_mut()
+            .filter(|p| p.first() == Some(&0) && p.len() >= 12)
+        {
             first[1..5].copy_from_slice(&id.to_le_bytes());
             let parameters = usize::from(u16::from_le_bytes([first[7], first[8]]));
             self.next = self.next.wrapping_add(1).max(1);
@@ -928,13 +1071,17 @@
     /// What preparing a statement of ours brings: no parameters, and the columns of its result.
     async fn prepared_ours(&self, own: &Ours) -> Result<Vec<Vec<u8>>, SqlError> {
         let head: Vec<Vec<u8>> = match own {
-            Ours::Results => listing(&[], true).into_iter().take(COLUMNS.len() + 2).collect(),
+            Ours::Results => listing(&[], true)
+                .into_iter()
+                .take(COLUMNS.len() + 2)
+                .collect(),
             Ours::Fetch { handle, .. } => {
                 let spools = &self.front.spools;
                 let id = spools.resume(&self.user, handle).await;
                 let id = id.map_err(|e| SqlError::new(code::HANDLE, e.to_string()))?;
                 let head = spools.look_at(id, |h, _| h.head.clone());
-                let head = head.ok_or_else(|| SqlError::new(code::HANDLE, SpoolError::Gone.to_string()))?;
+                let head =
+                    head.ok_or_else(|| SqlError::new(code::HANDLE, SpoolError::Gone.to_string()))?;
                 packets(&head).map(<[u8]>::to_vec).collect()
             }
         };
@@ -943,7 +1090,9 @@
         let mut first = vec![0, 0, 0, 0, 0];
         first.extend(columns.to_le_bytes());
         first.extend([0, 0, 0, 0, 0]);
-        Ok(std::iter::once(first).chain(head.into_iter().skip(1)).collect())
+        Ok(std::iter::once(first)
+            .chain(head.into_iter().skip(1))
+            .collect())
     }
 
     async fn execute(&mut self, body: Bytes) -> Result<(), End> {
@@ -951,27 +1100,49 @@
             let long = std::mem::take(&mut s.long);
             s.cursor = None;
             if std::mem::take(&mut s.too_long) {
-                return Err(SqlError::new(code::PACKET, "the long data is above the bound"));
+                return Err(SqlError::new(
+                    code::PACKET,
+                    "the long data is above the bound",
+                ));
             }
             let short = |_| SqlError::new(code::MALFORMED, "the command ends too early");
             let mut r = Reader(body.slice(4..));
             let flags = r.u8().map_err(short)?;
             if flags & !CURSOR_READ_ONLY != 0 {
-                return Err(SqlError::new(code::NOT_CARRIED, "only read-only cursors are carried"));
+                return Err(SqlError::new(
+                    code::NOT_CARRIED,
+                    "only read-only cursors are carried",
+                ));
             }
             if r.u32().map_err(short)? != 1 {
-                return Err(SqlError::new(code::ARGUMENTS, "the number of iterations is not 1"));
+                return Err(SqlError::new(
+                    code::ARGUMENTS,
+                    "the number of iterations is not 1",
+                ));
             }
             let execute = values::complete(s.parameters, r.0, &mut s.bound, &long)?;
             let cursor = flags == CURSOR_READ_ONLY;
-            Ok((s.kind.clone(), s.schema.clone(), s.sql.clone(), execute, s.ours.clone(), cursor))
+            Ok((
+                s.kind.clone(),
+                s.schema.clone(),
+                s.sql.clone(),
+                execute,
+                s.ours.clone(),
+                cursor,
+            ))
         });
         match ready {
             Ok((_, _, _, _, Some(own), _)) => self.answer_ours(own, true).await,
             Ok((kind, schema, sql, execute, None, cursor)) => {
                 // Names as they were, all else as the session stands now.
-                let context = Context { schema, ..self.context_for(&sql) };
-                match self.carry(&kind, context, sql, Job::Execute(execute)).await? {
+                let context = Context {
+                    schema,
+                    ..self.context_for(&sql)
+                };
+                match self
+                    .carry(&kind, context, sql, Job::Execute(execute))
+                    .await?
+                {
                     Ok(Reply::Served(output)) if cursor => self.open_cursor(&body, output).await,
                     Ok(reply) => self.pass_on(reply).await,
                     Err(e) => self.say(&e).await,
@@ -987,13 +1158,17 @@
         let (head, cursor) = match output {
             Output::Short(packets) => {
                 let all = packets.into_bytes();
-                let Some((head, rows, _)) = cut(&all) else { return self.hand_over(all).await };
+                let Some((head, rows, _)) = cut(&all) else {
+                    return self.hand_over(all).await;
+                };
                 (head, Cursor::over(rows))
             }
             Output::Long(id) => {
                 let head = spools.look_at(id, |h, _| h.head.clone());
                 let (Some(head), Some(reader)) = (head, spools.reader(id, 0)) else {
-                    return self.say(&SqlError::new(code::RESULT, SpoolError::Gone.to_string())).await;
+                    return self
+                        .say(&SqlError::new(code::RESULT, SpoolError::Gone.to_string()))
+                        .await;
                 };
                 (head, Cursor::paged(reader))
             }
@@ -1009,26 +1184,42 @@
 
     /// The next rows of a cursor.
     async fn fetch(&mut self, body: Bytes) -> Result<(), End> {
-        let rows = body.get(4..8).map_or(0, |b| u32::from_le_bytes([b[0], b[1], b[2], b[3]]));
+        let rows = body
+            .get(4..8)
+            .map_or(0, |b| u32::from_le_bytes([b[0], b[1], b[2], b[3]]));
         let cursor = match self.statement(&body) {
             Ok(s) => s.cursor.take(),
             Err(e) => return self.say(&e).await,
         };
         let Some(mut cursor) = cursor else {
-            return self.say(&SqlError::new(code::NO_CURSOR, "no cursor is open on this statement")).await;
+            return self
+                .say(&SqlError::new(
+                    code::NO_CURSOR,
+                    "no cursor is open on this statement",
+                ))
+                .await;
         };
         // Whatever number is asked for, what is held at a time is bounded; the rest comes with the next fetch.
         let (pages, more) = match cursor.fetch(rows.max(1), FETCH).await {
             Ok(fetched) => fetched,
             Err(e) => {
-                return self.say(&SqlError::new(code::RESULT, format!("the result breaks off: {e}"))).await;
+                return self
+                    .say(&SqlError::new(
+                        code::RESULT,
+                        format!("the result breaks off: {e}"),
+                    ))
+                    .await;
             }
         };
         let stall = self.front.spools.stall();
         for page in pages {
             self.write_slowly(&page, stall).await?;
         }
-        let status = if more { CURSOR_EXISTS } else { CURSOR_EXISTS | LAST_ROW_SENT };
+        let status = if more {
+            CURSOR_EXISTS
+        } else {
+            CURSOR_EXISTS | LAST_ROW_SENT
+        };
         if more && let Ok(s) = self.statement(&body) {
             s.cursor = Some(cursor);
         }
@@ -1052,12 +1243,22 @@
 }
 
 /// The columns of a listing of results.
-const COLUMNS: [&str; 7] = ["handle", "statement", "pages", "rows", "bytes", "age_s", "expires_in_s"];
+const COLUMNS: [&str; 7] = [
+    "handle",
+    "statement",
+    "pages",
+    "rows",
+    "bytes",
+    "age_s",
+    "expires_in_s",
+];
 
 /// A listing of results, as a result of text columns.
 fn listing(lines: &[Line], binary: bool) -> Vec<Vec<u8>> {
     let rows = lines.iter().map(|l| {
-        let expires = l.expires_in_s.map_or("while it is read".to_string(), |s| format!("{:.1}", s.max(0.0)));
+        let expires = l.expires_in_s.map_or("while it is read".to_string(), |s| {
+            format!("{:.1}", s.max(0.0))
+        });
         vec![
             l.handle.clone(),
             l.statement.clone(),
@@ -1080,9 +1281,16 @@
         p
     };
     let column = |name: &str| {
-        let words: Vec<u8> = ["def", "", "", "", name, name].into_iter().flat_map(text).collect();
+        let words: Vec<u8> = ["def", "", "", "", name, name]
+            .into_iter()
+            .flat_map(text)
+            .collect();
         // 512 bytes of utf8mb4 at most, a string.
-        [&words[..], &[0x0c, UTF8, 0, 0, 2, 0, 0, 0xfd, 0, 0, 0, 0, 0]].concat()
+        [
+            &words[..],
+            &[0x0c, UTF8, 0, 0, 2, 0, 0, 0xfd, 0, 0, 0, 0, 0],
+        ]
+        .concat()
     };
     let mut all = vec![vec![columns.len() as u8]];
     all.extend(columns.iter().map(|c| column(c)));
--- a/src/net/mysql/front/pinned.rs
+++ b/src/net/mysql/front/pinned.rs
@@ -34,8 +34,12 @@
     /// An OK of the front's own, with the session's status.
     pub(super) fn ok(&self) -> Vec<u8> {
         let open = self.hold.as_ref().is_some_and(|h| h.open);
-        let flags =
-            [(AUTOCOMMIT, self.state.autocommit()), (IN_TRANSACTION, open)].into_iter().filter(|f| f.1);
+        let flags = [
+            (AUTOCOMMIT, self.state.autocommit()),
+            (IN_TRANSACTION, open),
+        ]
+        .into_iter()
+        .filter(|f| f.1);
         let [low, high] = flags.fold(0, |all, f| all | f.0).to_le_bytes();
         vec![0, 0, 0, low, high, 0, 0]
     }
@@ -88,7 +92,11 @@
             Kind::Pins(reason) if !matches!(job, Job::Prepare) => Some(*reason),
             _ => None,
         };
-        Step { begins, unlocks: *kind == Kind::UnlockTables, commits }
+        Step {
+            begins,
+            unlocks: *kind == Kind::UnlockTables,
+            commits,
+        }
     }
 
     /// Opens the pin's request: one attempt, at an engine that the module chooses.
@@ -96,14 +104,23 @@
         let (config, front) = (self.front.config(), self.front);
         let terms = config.pins.clone();
         let booked = front.book.borrow_mut().take(&terms, self.tenant);
-        booked.map_err(|e| SqlError::new(code::PINS, format!("{e}; nothing ran, try again later")))?;
+        booked
+            .map_err(|e| SqlError::new(code::PINS, format!("{e}; nothing ran, try again later")))?;
         let booked = Booked(front, self.tenant);
         let class = config.transaction_class;
         let limit = config.deadlines.get(class).copied().unwrap_or(10_000.0);
         let longest = terms.longest;
         let (pinned, orders) = Pinned::new(terms, self.state.next_transaction());
-        let ask = Ask { tenant: self.tenant, class, load: true };
-        let who = Who { user: self.user.clone(), statement: "a transaction".into(), binary: false };
+        let ask = Ask {
+            tenant: self.tenant,
+            class,
+            load: true,
+        };
+        let who = Who {
+            user: self.user.clone(),
+            statement: "a transaction".into(),
+            binary: false,
+        };
         let context = self.state.context().clone();
         let work = Work {
             context,
@@ -123,18 +140,38 @@
             memory_mb: None,
         };
         let (tx, answer) = oneshot::channel();
-        let id = front.hub.open(new, work, Box::new(move |reply| drop(tx.send(reply))));
+        let id = front
+            .hub
+            .open(new, work, Box::new(move |reply| drop(tx.send(reply))));
         let asked = Asked(&front.hub, id);
         let until = tokio::time::Instant::now() + crate::net::span(limit);
-        self.hold = Some(Hold { orders, pinned, answer, until, open: false, _asked: asked, _booked: booked });
+        self.hold = Some(Hold {
+            orders,
+            pinned,
+            answer,
+            until,
+            open: false,
+            _asked: asked,
+            _booked: booked,
+        });
         Ok(())
     }
 
     /// Sends a statement to the session's pin and waits for its answer.
-    async fn order(&mut self, kind: &Kind, context: Context, sql: Bytes, job: Job) -> Result<Came, End> {
+    async fn order(
+        &mut self,
+        kind: &Kind,
+        context: Context,
+        sql: Bytes,
+        job: Job,
+    ) -> Result<Came, End> {
         let config = self.front.config();
         let class = config.rules.class(*kind == Kind::Read, None, &sql);
-        let ask = Ask { tenant: self.tenant, class, load: *kind != Kind::Read };
+        let ask = Ask {
+            tenant: self.tenant,
+            class,
+            load: *kind != Kind::Read,
+        };
         if !matches!(job, Job::Prepare | Job::Enter)
             && let Admission::No { why, later } = self.front.spools.admit(ask)
         {
@@ -147,18 +184,39 @@
         {
             return Ok(Err(e));
         }
-        let statement = String::from_utf8_lossy(&sql).chars().take(STATEMENT).collect();
-        let who = Who { user: self.user.clone(), statement, binary: matches!(job, Job::Execute(_)) };
+        let statement = String::from_utf8_lossy(&sql)
+            .chars()
+            .take(STATEMENT)
+            .collect();
+        let who = Who {
+            user: self.user.clone(),
+            statement,
+            binary: matches!(job, Job::Execute(_)),
+        };
         let downstream = self.downstream.clone();
-        let work = Work { context, sql, job, ask, who, left: self.left.clone(), downstream };
-        let Some(hold) = self.hold.as_mut() else { return Ok(Err(lost(&why(None), fate(None)))) };
+        let work = Work {
+            context,
+            sql,
+            job,
+            ask,
+            who,
+            left: self.left.clone(),
+            downstream,
+        };
+        let Some(hold) = self.hold.as_mut() else {
+            return Ok(Err(lost(&why(None), fate(None))));
+        };
         let (reply, mut carried) = oneshot::channel();
         if hold.orders.send(Order { work, step, reply }).await.is_err() {
             // It ended while nothing was asked of it.
             let over = hold.pinned.over();
             self.hold = None;
             let done = Reply::Served(Output::Short(Packets::one(&self.ok())));
-            return Ok(if rolls_back { Ok(done) } else { Err(lost(&why(over), fate(None))) });
+            return Ok(if rolls_back {
+                Ok(done)
+            } else {
+                Err(lost(&why(over), fate(None)))
+            });
         }
         let came = tokio::select! {
                 biased;
--- a/src/net/mysql/front/settings.rs
+++ b/src/net/mysql/front/settings.rs
@@ -8,7 +8,8 @@
 impl<L: Upstream<Work = Work, Output = Output>> Session<'_, L> {
     pub(super) async fn set(&mut self, sql: Bytes) -> Result<(), End> {
         // On a pin the next transaction begins on its connection, which has to hear of it.
-        if self.hold.is_some() && set::parse(&sql).is_ok_and(|c| matches!(c[..], [Change::Next(_)])) {
+        if self.hold.is_some() && set::parse(&sql).is_ok_and(|c| matches!(c[..], [Change::Next(_)]))
+        {
             let context = self.state.context().clone();
             return match self.carry(&Kind::Within, context, sql, Job::Query).await? {
                 Ok(reply) => self.pass_on(reply).await,
@@ -18,7 +19,10 @@
         match self.taken(&sql).await? {
             Ok((state, false)) => {
                 let context = state.context().clone();
-                match self.carry(&Kind::Read, context, Bytes::new(), Job::Enter).await? {
+                match self
+                    .carry(&Kind::Read, context, Bytes::new(), Job::Enter)
+                    .await?
+                {
                     Ok(reply) if agreed(&reply) => {
                         self.state = state;
                         let ok = self.ok();
@@ -45,7 +49,9 @@
         };
         let asks = match self.state.set(&changes, &[]) {
             Ok(Taken::Asks(asks)) => asks,
-            Ok(Taken::Changed { state, checked }) => return Ok(Ok((state, checked && self.hold.is_none()))),
+            Ok(Taken::Changed { state, checked }) => {
+                return Ok(Ok((state, checked && self.hold.is_none())));
+            }
             Err(e) => return Ok(Err(told(&e))),
         };
         let mut values = vec![];
@@ -66,7 +72,10 @@
         }
         Ok(match self.state.set(&changes, &values) {
             Ok(Taken::Changed { state, checked }) => Ok((state, checked && self.hold.is_none())),
-            Ok(Taken::Asks(_)) => Err(SqlError::new(code::NOT_CARRIED, "a value of SET is not known")),
+            Ok(Taken::Asks(_)) => Err(SqlError::new(
+                code::NOT_CARRIED,
+                "a value of SET is not known",
+            )),
             Err(e) => Err(told(&e)),
         })
     }
@@ -81,12 +90,18 @@
 }
 
 fn told(e: &SetError) -> SqlError {
-    let code = if matches!(e, SetError::Syntax { .. }) { code::SYNTAX } else { code::NOT_CARRIED };
+    let code = if matches!(e, SetError::Syntax { .. }) {
+        code::SYNTAX
+    } else {
+        code::NOT_CARRIED
+    };
     SqlError::new(code, e.to_string())
 }
 
 fn agreed(reply: &Reply<Output>) -> bool {
-    let Reply::Served(Output::Short(packets)) = reply else { return false };
+    let Reply::Served(Output::Short(packets)) = reply else {
+        return false;
+    };
     packets.iter().next().and_then(|p| p.first()) == Some(&0)
 }
 
@@ -96,7 +111,9 @@
         return Err(e);
     }
     let several = || SqlError::new(code::NOT_CARRIED, "SET takes one value that is not long");
-    let Reply::Served(Output::Short(packets)) = reply else { return Err(several()) };
+    let Reply::Served(Output::Short(packets)) = reply else {
+        return Err(several());
+    };
     let all: Vec<Bytes> = packets.iter().map(Bytes::copy_from_slice).collect();
     match &all[..] {
         [e] if e.first() == Some(&0xff) => Err(read_err(e)),
@@ -104,7 +121,11 @@
         [count, column, _, row, _] if count[..] == [1] => {
             let null = row.first() == Some(&0xfb);
             let mut r = Reader(row.clone());
-            let value = if null { None } else { Some(r.lenenc_bytes().map_err(|_| several())?) };
+            let value = if null {
+                None
+            } else {
+                Some(r.lenenc_bytes().map_err(|_| several())?)
+            };
             let numeric = column_type(column).is_some_and(|t| matches!(t, 0..=5 | 8 | 9 | 0xf6));
             Ok(literal(value.as_deref(), numeric))
         }
--- a/src/net/mysql/mod.rs
+++ b/src/net/mysql/mod.rs
@@ -118,7 +118,11 @@
 
 impl SqlError {
     pub fn new((code, state): (u16, &'static str), message: impl Into<String>) -> Self {
-        SqlError { code, state, message: message.into() }
+        SqlError {
+            code,
+            state,
+            message: message.into(),
+        }
     }
 }
 
@@ -180,12 +184,15 @@
     Some(match reply {
         Reply::Served(_) => return None,
         Reply::Refused { later, why } => {
-            let when = later.map_or(String::new(), |ms| format!(" after {} ms", ms.max(0.0).ceil()));
+            let when = later.map_or(String::new(), |ms| {
+                format!(" after {} ms", ms.max(0.0).ceil())
+            });
             SqlError::new(code::REFUSED, format!("refused: {why}; {again}{when}"))
         }
-        Reply::TimedOut { harmless: true } => {
-            SqlError::new(code::TIMED_OUT, format!("the statement's time is over; {again}"))
-        }
+        Reply::TimedOut { harmless: true } => SqlError::new(
+            code::TIMED_OUT,
+            format!("the statement's time is over; {again}"),
+        ),
         Reply::TimedOut { harmless: false } => SqlError::new(
             code::TIMED_OUT,
             "the statement's time is over; it may have run: do not send it again unchecked",
--- a/src/net/mysql/ours.rs
+++ b/src/net/mysql/ours.rs
@@ -34,38 +34,56 @@
 
 fn word<'s>(w: &'static str) -> impl FnMut(&mut &'s str) -> Result<()> {
     move |i: &mut &'s str| {
-        terminated(Caseless(w), alt((multispace1.void(), eof.void(), winnow::combinator::peek(";").void())))
-            .void()
-            .context(StrContext::Expected(StrContextValue::StringLiteral(w)))
-            .parse_next(i)
+        terminated(
+            Caseless(w),
+            alt((
+                multispace1.void(),
+                eof.void(),
+                winnow::combinator::peek(";").void(),
+            )),
+        )
+        .void()
+        .context(StrContext::Expected(StrContextValue::StringLiteral(w)))
+        .parse_next(i)
     }
 }
 
 fn handle<'s>(i: &mut &'s str) -> Result<&'s str> {
     let one = |quote: char| delimited(quote, take_while(0..=64, move |c: char| c != quote), quote);
     terminated(alt((one('\''), one('"'))), multispace0)
-        .context(StrContext::Expected(StrContextValue::Description("a handle in quotes")))
+        .context(StrContext::Expected(StrContextValue::Description(
+            "a handle in quotes",
+        )))
         .parse_next(i)
 }
 
 fn page(i: &mut &str) -> Result<u32> {
     terminated(digit1.try_map(str::parse::<u32>), multispace0)
-        .context(StrContext::Expected(StrContextValue::Description("the number of a page")))
+        .context(StrContext::Expected(StrContextValue::Description(
+            "the number of a page",
+        )))
         .parse_next(i)
 }
 
 fn end(i: &mut &str) -> Result<()> {
     (opt((";", multispace0)), eof)
         .void()
-        .context(StrContext::Expected(StrContextValue::Description("the end of the statement")))
+        .context(StrContext::Expected(StrContextValue::Description(
+            "the end of the statement",
+        )))
         .parse_next(i)
 }
 
 fn statement(i: &mut &str) -> Result<Ours> {
     let results = cut_err((word("RESULTS"), end)).value(Ours::Results);
     let from = preceded((word("FROM"), cut_err(word("PAGE"))), cut_err(page));
-    let fetch = cut_err((preceded(word("RESULT"), handle), opt(from), end))
-        .map(|(handle, from, ())| Ours::Fetch { handle: handle.to_string(), from: from.unwrap_or(0) });
+    let fetch =
+        cut_err((preceded(word("RESULT"), handle), opt(from), end)).map(|(handle, from, ())| {
+            Ours::Fetch {
+                handle: handle.to_string(),
+                from: from.unwrap_or(0),
+            }
+        });
     preceded(
         multispace0,
         alt((
@@ -106,12 +124,26 @@
 
     #[test]
     fn ours_are_read_in_any_case_and_spacing() {
-        let fetch = |handle: &str, from| Some(Ok(Ours::Fetch { handle: handle.into(), from }));
+        let fetch = |handle: &str, from| {
+            Some(Ok(Ours::Fetch {
+                handle: handle.into(),
+                from,
+            }))
+        };
         assert_eq!(parse(b"SHOW HITCHWINCH RESULTS"), Some(Ok(Ours::Results)));
-        assert_eq!(parse(b"  show\n hitchwinch\tresults ; "), Some(Ok(Ours::Results)));
-        assert_eq!(parse(b"fetch hitchwinch result 'ab' from page 12"), fetch("ab", 12));
+        assert_eq!(
+            parse(b"  show\n hitchwinch\tresults ; "),
+            Some(Ok(Ours::Results))
+        );
+        assert_eq!(
+            parse(b"fetch hitchwinch result 'ab' from page 12"),
+            fetch("ab", 12)
+        );
         assert_eq!(parse(b"FETCH HITCHWINCH RESULT \"ab\";"), fetch("ab", 0));
-        assert_eq!(parse(b"FETCH HITCHWINCH RESULT 'ab'FROM PAGE 0"), fetch("ab", 0));
+        assert_eq!(
+            parse(b"FETCH HITCHWINCH RESULT 'ab'FROM PAGE 0"),
+            fetch("ab", 0)
+        );
     }
 
     #[test]
@@ -137,13 +169,23 @@
             ("SHOW HITCHWINCH RESULTS now", 25, "the end"),
             ("FETCH HITCHWINCH RESULT ab", 25, "a handle in quotes"),
             ("FETCH HITCHWINCH RESULT 'ab", 25, "a handle in quotes"),
-            ("FETCH HITCHWINCH RESULT 'ab' FROM PAGE x", 40, "the number of a page"),
-            ("FETCH HITCHWINCH RESULT 'ab' FROM PAGE 99999999999", 40, "the number of a page"),
+            (
+                "FETCH HITCHWINCH RESULT 'ab' FROM PAGE x",
+                40,
+                "the number of a page",
+            ),
+            (
+                "FETCH HITCHWINCH RESULT 'ab' FROM PAGE 99999999999",
+                40,
+                "the number of a page",
+            ),
             ("FETCH HITCHWINCH RESULT 'ab' FROM 3", 35, "PAGE"),
             ("FETCH HITCHWINCH RESULT 'ab' or 1=1", 30, "the end"),
         ];
         for (sql, at, what) in cases {
-            let Some(Err(e)) = parse(sql.as_bytes()) else { panic!("{sql}: {:?}", parse(sql.as_bytes())) };
+            let Some(Err(e)) = parse(sql.as_bytes()) else {
+                panic!("{sql}: {:?}", parse(sql.as_bytes()))
+            };
             assert!(e.what.contains(what), "{sql}: {e}");
             assert_eq!(e.at, at, "{sql}: {e}");
         }
--- a/src/net/mysql/packet.rs
+++ b/src/net/mysql/packet.rs
@@ -83,7 +83,9 @@
     type Error = PacketError;
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Bytes>, PacketError> {
-        let Some((&[a, b, c, sequence], _)) = src.split_first_chunk::<4>() else { return Ok(None) };
+        let Some((&[a, b, c, sequence], _)) = src.split_first_chunk::<4>() else {
+            return Ok(None);
+        };
         let length = u32::from_le_bytes([a, b, c, 0]) as usize;
         if length > self.most {
             return Err(PacketError::Length(length));
@@ -151,7 +153,11 @@
     pub fn lenenc(&mut self) -> Result<u64, PacketError> {
         Ok(match self.u8()? {
             0xfc => self.u16()?.into(),
-            0xfd => self.take(3)?.iter().rev().fold(0, |n, &b| n << 8 | u64::from(b)),
+            0xfd => self
+                .take(3)?
+                .iter()
+                .rev()
+                .fold(0, |n, &b| n << 8 | u64::from(b)),
             0xfe => self.0.try_get_u64_le().map_err(|_| PacketError::Short)?,
             0xfb | 0xff => return Err(PacketError::Protocol("no length stands here")),
             n => n.into(),
@@ -198,10 +204,20 @@
 
 /// Reads an ERR packet.
 pub fn read_err(payload: &Bytes) -> SqlError {
-    let code = payload.get(1..3).map_or(0, |c| u16::from_le_bytes([c[0], c[1]]));
+    let code = payload
+        .get(1..3)
+        .map_or(0, |c| u16::from_le_bytes([c[0], c[1]]));
     let text = payload.get(3..).unwrap_or_default();
-    let text = if text.first() == Some(&b'#') { text.get(6..).unwrap_or_default() } else { text };
-    SqlError { code, state: "HY000", message: String::from_utf8_lossy(text).into_owned() }
+    let text = if text.first() == Some(&b'#') {
+        text.get(6..).unwrap_or_default()
+    } else {
+        text
+    };
+    SqlError {
+        code,
+        state: "HY000",
+        message: String::from_utf8_lossy(text).into_owned(),
+    }
 }
 
 /// The end of columns or rows: its status, if this is one.
@@ -238,7 +254,11 @@
             return eof(status).to_vec();
         }
         let handle = handle.filter(|_| self.tracks);
-        let status = if handle.is_some() { status | STATE_CHANGED } else { status };
+        let status = if handle.is_some() {
+            status | STATE_CHANGED
+        } else {
+            status
+        };
         let mut p = vec![0xfe, 0, 0];
         p.put_u16_le(status);
         p.put_u16_le(0);
@@ -290,7 +310,9 @@
 
 /// How many warnings the end of columns or rows tells of.
 pub fn eof_warnings(payload: &[u8]) -> u16 {
-    payload.get(1..3).map_or(0, |w| u16::from_le_bytes([w[0], w[1]]))
+    payload
+        .get(1..3)
+        .map_or(0, |w| u16::from_le_bytes([w[0], w[1]]))
 }
 
 /// A server's first packet.
@@ -342,7 +364,12 @@
         r.take(10)?;
         let rest = r.take(length.saturating_sub(8).max(13))?;
         nonce.extend_from_slice(rest.strip_suffix(&[0]).unwrap_or(&rest));
-        Ok(Greeting { connection, nonce, plugin: r.text(), capabilities })
+        Ok(Greeting {
+            connection,
+            nonce,
+            plugin: r.text(),
+            capabilities,
+        })
     }
 }
 
@@ -374,7 +401,8 @@
 impl Login {
     /// A client's wish to go on in TLS before it says who it is.
     pub fn asks_tls(payload: &[u8]) -> bool {
-        payload.len() == 32 && u32::from_le_bytes([payload[0], payload[1], payload[2], payload[3]]) & SSL != 0
+        payload.len() == 32
+            && u32::from_le_bytes([payload[0], payload[1], payload[2], payload[3]]) & SSL != 0
     }
 
     pub fn write(&self, most: u32) -> Vec<u8> {
@@ -396,7 +424,9 @@
         let mut r = Reader(payload);
         let capabilities = r.u32()?;
         if capabilities & PROTOCOL_41 == 0 {
-            return Err(PacketError::Protocol("clients before version 4.1 are not served"));
+            return Err(PacketError::Protocol(
+                "clients before version 4.1 are not served",
+            ));
         }
         if r.0.len() < 28 {
             return Err(PacketError::Protocol("encryption is not offered"));
@@ -413,10 +443,24 @@
             }
             () => r.text().into_bytes(),
         };
-        let schema = (capabilities & CONNECT_WITH_DB != 0).then(|| r.text()).filter(|s| !s.is_empty());
-        let plugin = if capabilities & PLUGIN_AUTH != 0 { r.text() } else { String::new() };
-        let ends =
-            Ends { ok_for_eof: capabilities & DEPRECATE_EOF != 0, tracks: capabilities & SESSION_TRACK != 0 };
-        Ok(Login { user, auth, schema, plugin, ends })
+        let schema = (capabilities & CONNECT_WITH_DB != 0)
+            .then(|| r.text())
+            .filter(|s| !s.is_empty());
+        let plugin = if capabilities & PLUGIN_AUTH != 0 {
+            r.text()
+        } else {
+            String::new()
+        };
+        let ends = Ends {
+            ok_for_eof: capabilities & DEPRECATE_EOF != 0,
+            tracks: capabilities & SESSION_TRACK != 0,
+        };
+        Ok(Login {
+            user,
+            auth,
+            schema,
+            plugin,
+            ends,
+        })
     }
 }
--- a/src/net/mysql/pin.rs
+++ b/src/net/mysql/pin.rs
@@ -50,14 +50,24 @@
 
 impl std::fmt::Debug for Pinned {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Pinned").field("over", &self.over).finish_non_exhaustive()
+        f.debug_struct("Pinned")
+            .field("over", &self.over)
+            .finish_non_exhaustive()
     }
 }
 
 impl Pinned {
     pub fn new(terms: Terms, first: Option<String>) -> (Rc<Self>, mpsc::Sender<Order>) {
         let (tx, rx) = mpsc::channel(1);
-        (Rc::new(Pinned { orders: RefCell::new(Some(rx)), over: Cell::new(None), terms, first }), tx)
+        (
+            Rc::new(Pinned {
+                orders: RefCell::new(Some(rx)),
+                over: Cell::new(None),
+                terms,
+                first,
+            }),
+            tx,
+        )
     }
 
     /// An attempt has begun to carry out what is sent: from then on it may have run.
@@ -91,19 +101,33 @@
 
 impl<L: Upstream> Told for Telling<L> {
     fn in_service(&self) -> bool {
-        self.hub.upgrade().is_some_and(|hub| hub.in_service(&self.engine))
+        self.hub
+            .upgrade()
+            .is_some_and(|hub| hub.in_service(&self.engine))
     }
     fn sent(&self) {
-        self.hub.upgrade().into_iter().for_each(|hub| hub.written(1));
+        self.hub
+            .upgrade()
+            .into_iter()
+            .for_each(|hub| hub.written(1));
     }
     fn holds(&self) {
-        self.hub.upgrade().into_iter().for_each(|hub| hub.answering(self.attempt));
+        self.hub
+            .upgrade()
+            .into_iter()
+            .for_each(|hub| hub.answering(self.attempt));
     }
     fn idle(&self) {
-        self.hub.upgrade().into_iter().for_each(|hub| hub.note(self.attempt, Note::Idle));
+        self.hub
+            .upgrade()
+            .into_iter()
+            .for_each(|hub| hub.note(self.attempt, Note::Idle));
     }
     fn works(&self) {
-        self.hub.upgrade().into_iter().for_each(|hub| hub.note(self.attempt, Note::Works));
+        self.hub
+            .upgrade()
+            .into_iter()
+            .for_each(|hub| hub.note(self.attempt, Note::Works));
     }
 }
 
@@ -131,7 +155,9 @@
             downstream.heed(until).await?;
         }
         let Some(mut orders) = pinned.orders.borrow_mut().take() else {
-            return Err(PacketError::Protocol("what was open on another engine is not opened again"));
+            return Err(PacketError::Protocol(
+                "what was open on another engine is not opened again",
+            ));
         };
         told.holds();
         let mut pin = Pin::new(pinned.terms.clone(), unix_ms());
@@ -206,7 +232,9 @@
             told.idle();
             let after = match error_code(&output) {
                 Some(code) => After::Error(code),
-                None => After::Status { open: c.status & IN_TRANSACTION != 0 },
+                None => After::Status {
+                    open: c.status & IN_TRANSACTION != 0,
+                },
             };
             let next = pin.answered(asked, after);
             let open = pin.holds(crate::pins::Reason::Transaction);
@@ -221,7 +249,12 @@
     }
 
     /// A command whose answer is a plain OK.
-    pub(super) async fn settle(&self, c: &mut Connection, kind: u8, text: &str) -> Result<(), PacketError> {
+    pub(super) async fn settle(
+        &self,
+        c: &mut Connection,
+        kind: u8,
+        text: &str,
+    ) -> Result<(), PacketError> {
         let answered = async {
             c.under_way = true;
             command(&mut c.wire, kind, &[text.as_bytes()]).await?;
@@ -230,7 +263,9 @@
             Ok::<_, PacketError>(p)
         };
         let limit = span(4.0 * self.sockets.connect_timeout);
-        let p = tokio::time::timeout(limit, answered).await.map_err(std::io::Error::from)??;
+        let p = tokio::time::timeout(limit, answered)
+            .await
+            .map_err(std::io::Error::from)??;
         match p.first() {
             Some(0) => {
                 c.status = ok_tail(&p)?.0;
@@ -249,12 +284,20 @@
         until: Millis,
     ) -> Result<(), PacketError> {
         let (context, downstream): (&Context, _) = (&work.context, &work.downstream);
-        if let Some(schema) = context.schema.clone().filter(|_| c.context.schema != context.schema) {
+        if let Some(schema) = context
+            .schema
+            .clone()
+            .filter(|_| c.context.schema != context.schema)
+        {
             downstream.heed(until).await?;
             self.settle(c, INIT_DB, &schema).await?;
             c.context.schema = Some(schema);
         }
-        if let Some(names) = context.names.clone().filter(|_| c.context.names != context.names) {
+        if let Some(names) = context
+            .names
+            .clone()
+            .filter(|_| c.context.names != context.names)
+        {
             downstream.heed(until).await?;
             self.settle(c, QUERY, &format!("SET NAMES {names}")).await?;
             c.context.names = Some(names);
@@ -270,27 +313,36 @@
 
 /// The code of an answer that is an error.
 fn error_code(output: &Output) -> Option<u16> {
-    let Output::Short(packets) = output else { return None };
+    let Output::Short(packets) = output else {
+        return None;
+    };
     let p = packets.iter().next().filter(|p| p.first() == Some(&0xff))?;
     Some(read_err(&Bytes::copy_from_slice(p)).code)
 }
 
 /// Why a pin was lost, in words.
 pub fn why(over: Option<Over>) -> String {
-    over.map_or("its engine connection was lost".to_string(), |o| o.to_string())
+    over.map_or("its engine connection was lost".to_string(), |o| {
+        o.to_string()
+    })
 }
 
 /// What a client is told whose pin was lost: whether anything may hold is said plainly.
 pub fn lost(why: &str, fate: Fate) -> SqlError {
     match fate {
         Fate::RolledBack => {
-            let text = format!("the transaction is rolled back, {why}; begin it again from its start");
+            let text =
+                format!("the transaction is rolled back, {why}; begin it again from its start");
             SqlError::new(code::ROLLED_BACK, text)
         }
         Fate::Unknown => {
-            let text =
-                format!("the commit was sent and not answered, {why}: it is not known whether it holds");
-            SqlError::new(code::FAILED, format!("{text}; look before you send it again"))
+            let text = format!(
+                "the commit was sent and not answered, {why}: it is not known whether it holds"
+            );
+            SqlError::new(
+                code::FAILED,
+                format!("{text}; look before you send it again"),
+            )
         }
     }
 }
--- a/src/net/mysql/session/mod.rs
+++ b/src/net/mysql/session/mod.rs
@@ -28,10 +28,16 @@
 
 /// Variables that make an engine speak otherwise than is understood here, or that belong to replication.
 const BARRED: [(&str, &str); 9] = [
-    ("resultset_metadata", "results without their columns are not carried"),
+    (
+        "resultset_metadata",
+        "results without their columns are not carried",
+    ),
     ("sql_log_bin", "replication is the engines' operators' own"),
     ("gtid_next", "replication is the engines' operators' own"),
-    ("pseudo_thread_id", "replication is the engines' operators' own"),
+    (
+        "pseudo_thread_id",
+        "replication is the engines' operators' own",
+    ),
     ("character_set_client", "only Unicode is carried"),
     ("character_set_connection", "only Unicode is carried"),
     ("character_set_results", "only Unicode is carried"),
@@ -63,7 +69,13 @@
 
 impl State {
     pub fn new(schema: Option<String>) -> Self {
-        State { context: Context { schema, ..Context::default() }, ..Self::default() }
+        State {
+            context: Context {
+                schema,
+                ..Context::default()
+            },
+            ..Self::default()
+        }
     }
 
     /// Where statements stand from now on.
@@ -96,7 +108,9 @@
 
     /// The statement that gives the next transaction what was said of it.
     pub fn next_transaction(&self) -> Option<String> {
-        self.next.as_ref().map(|words| format!("SET TRANSACTION {words}"))
+        self.next
+            .as_ref()
+            .map(|words| format!("SET TRANSACTION {words}"))
     }
 
     /// A transaction has begun: what was said of it is spent. One that was refused has not.
@@ -142,7 +156,9 @@
         }
         let s = &state.context.settings;
         if s.len() > MOST || s.iter().map(|(n, v)| n.len() + v.len()).sum::<usize>() > MOST_BYTES {
-            return Err(SetError::NotCarried("a session holds 64 variables and 16 KB of them at most"));
+            return Err(SetError::NotCarried(
+                "a session holds 64 variables and 16 KB of them at most",
+            ));
         }
         Ok(Taken::Changed { state, checked })
     }
@@ -150,7 +166,9 @@
     /// True if no engine need be asked whether this can be.
     fn names(&mut self, words: &str) -> Result<bool, SetError> {
         let plain = |w: &str| w.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'_');
-        let (set, collation) = words.split_once(" COLLATE ").map_or((words, None), |(s, c)| (s, Some(c)));
+        let (set, collation) = words
+            .split_once(" COLLATE ")
+            .map_or((words, None), |(s, c)| (s, Some(c)));
         let set = set.to_ascii_lowercase();
         if !unicode(&set) || !collation.is_none_or(|c| c.starts_with("utf8") && plain(c)) {
             return Err(SetError::NotCarried(CHARSETS));
@@ -168,9 +186,13 @@
             "tx_read_only" => "transaction_read_only",
             other => other,
         };
-        let bare = value.as_deref().map(|v| v.trim_matches(['\'', '"']).to_ascii_lowercase());
+        let bare = value
+            .as_deref()
+            .map(|v| v.trim_matches(['\'', '"']).to_ascii_lowercase());
         if let Some((_, why)) = BARRED.iter().find(|b| b.0 == name) {
-            let speaks = bare.as_deref().is_none_or(|v| unicode(v) || v == "null" || v.starts_with("utf8"));
+            let speaks = bare
+                .as_deref()
+                .is_none_or(|v| unicode(v) || v == "null" || v.starts_with("utf8"));
             if *why != CHARSETS || !speaks {
                 return Err(SetError::NotCarried(why));
             }
@@ -181,7 +203,10 @@
                 None | Some("1" | "on" | "true") => true,
                 Some("0" | "off" | "false") => false,
                 Some(_) => {
-                    return Err(SetError::Syntax { at: 1, what: "autocommit is ON or OFF".into() });
+                    return Err(SetError::Syntax {
+                        at: 1,
+                        what: "autocommit is ON or OFF".into(),
+                    });
                 }
             };
             self.manual = !on;
@@ -214,9 +239,21 @@
         true => format!("{} = {value}", quoted(name)),
         false => format!("SESSION {name} = {value}"),
     };
-    let set = to.iter().filter(|(n, v)| from.get(*n) != Some(v)).map(|(n, v)| one(n, v));
+    let set = to
+        .iter()
+        .filter(|(n, v)| from.get(*n) != Some(v))
+        .map(|(n, v)| one(n, v));
     let gone = from.keys().filter(|n| !to.contains_key(*n));
-    let unset = gone.map(|n| one(n, if n.starts_with('@') { "NULL" } else { "DEFAULT" }));
+    let unset = gone.map(|n| {
+        one(
+            n,
+            if n.starts_with('@') {
+                "NULL"
+            } else {
+                "DEFAULT"
+            },
+        )
+    });
     let all: Vec<String> = unset.chain(set).collect();
     (!all.is_empty()).then(|| format!("SET {}", all.join(", ")))
 }
@@ -232,7 +269,9 @@
 
 /// A value that an engine worked out, as a literal. `numeric` tells its type; none is NULL.
 pub fn literal(value: Option<&[u8]>, numeric: bool) -> String {
-    let Some(value) = value else { return "NULL".into() };
+    let Some(value) = value else {
+        return "NULL".into();
+    };
     let text = String::from_utf8_lossy(value);
     match numeric && text.parse::<f64>().is_ok() {
         true => text.into_owned(),
--- a/src/net/mysql/session/set.rs
+++ b/src/net/mysql/session/set.rs
@@ -66,7 +66,9 @@
 fn name(i: &mut &str) -> Result<String> {
     let bare = take_while(1.., named).map(str::to_string);
     let quoted = delimited('`', take_while(1.., |c| c != '`'), '`').map(str::to_string);
-    terminated(alt((quoted, bare)), space).context(expected("a name")).parse_next(i)
+    terminated(alt((quoted, bare)), space)
+        .context(expected("a name"))
+        .parse_next(i)
 }
 
 /// A string as it stands, quotes included.
@@ -74,7 +76,8 @@
     let one = |q: char| {
         let escaped = ('\\', any).void();
         let doubled = (q, q).void();
-        let inner = repeat::<_, _, (), _, _>(0.., alt((escaped, doubled, none_of([q, '\\']).void())));
+        let inner =
+            repeat::<_, _, (), _, _>(0.., alt((escaped, doubled, none_of([q, '\\']).void())));
         (q, inner, q).take()
     };
     alt((one('\''), one('"'))).parse_next(i)
@@ -82,7 +85,13 @@
 
 fn number<'s>(i: &mut &'s str) -> Result<&'s str> {
     let exponent = (one_of(['e', 'E']), opt(one_of(['+', '-'])), digit1);
-    let decimal = (opt(one_of(['+', '-'])), digit1, opt(('.', digit1)), opt(exponent)).take();
+    let decimal = (
+        opt(one_of(['+', '-'])),
+        digit1,
+        opt(('.', digit1)),
+        opt(exponent),
+    )
+        .take();
     let hex = ("0x", take_while(1.., |c: char| c.is_ascii_hexdigit())).take();
     alt((hex, decimal)).parse_next(i)
 }
@@ -99,9 +108,15 @@
     }
     fn inner(i: &mut &str) -> Result<()> {
         let within = alt((part, one_of([',', ';']).void()));
-        ('(', repeat::<_, _, (), _, _>(0.., within), ')').void().parse_next(i)
+        ('(', repeat::<_, _, (), _, _>(0.., within), ')')
+            .void()
+            .parse_next(i)
     }
-    let text = repeat::<_, _, (), _, _>(1.., part).take().context(expected("a value")).parse_next(i)?.trim();
+    let text = repeat::<_, _, (), _, _>(1.., part)
+        .take()
+        .context(expected("a value"))
+        .parse_next(i)?
+        .trim();
     if text.is_empty() {
         return Err(ErrMode::Cut(ContextError::new()));
     }
@@ -131,19 +146,27 @@
 /// What may be said of a transaction, as the variable that holds it for a session.
 fn characteristic(i: &mut &str) -> Result<(&'static str, &'static str, &'static str)> {
     let level = alt((
-        (word("read"), word("uncommitted")).value(("'READ-UNCOMMITTED'", "ISOLATION LEVEL READ UNCOMMITTED")),
-        (word("read"), word("committed")).value(("'READ-COMMITTED'", "ISOLATION LEVEL READ COMMITTED")),
-        (word("repeatable"), word("read")).value(("'REPEATABLE-READ'", "ISOLATION LEVEL REPEATABLE READ")),
+        (word("read"), word("uncommitted"))
+            .value(("'READ-UNCOMMITTED'", "ISOLATION LEVEL READ UNCOMMITTED")),
+        (word("read"), word("committed"))
+            .value(("'READ-COMMITTED'", "ISOLATION LEVEL READ COMMITTED")),
+        (word("repeatable"), word("read"))
+            .value(("'REPEATABLE-READ'", "ISOLATION LEVEL REPEATABLE READ")),
         word("serializable").value(("'SERIALIZABLE'", "ISOLATION LEVEL SERIALIZABLE")),
     ));
     let level = preceded((word("isolation"), word("level")), level);
     let level = level.map(|(v, l)| ("transaction_isolation", v, l));
     let access = preceded(
         word("read"),
-        alt((word("only").value(("1", "READ ONLY")), word("write").value(("0", "READ WRITE")))),
+        alt((
+            word("only").value(("1", "READ ONLY")),
+            word("write").value(("0", "READ WRITE")),
+        )),
     );
     let access = access.map(|(v, l)| ("transaction_read_only", v, l));
-    alt((level, access)).context(expected("ISOLATION LEVEL or READ ONLY or READ WRITE")).parse_next(i)
+    alt((level, access))
+        .context(expected("ISOLATION LEVEL or READ ONLY or READ WRITE"))
+        .parse_next(i)
 }
 
 /// Where a SET takes hold.
@@ -158,7 +181,12 @@
 fn scope(i: &mut &str) -> Result<Scope> {
     let dotted = |w: &'static str| (Caseless(w), '.', space).void();
     alt((
-        alt((dotted("@@global"), dotted("@@persist_only"), dotted("@@persist"))).value(Scope::Global),
+        alt((
+            dotted("@@global"),
+            dotted("@@persist_only"),
+            dotted("@@persist"),
+        ))
+        .value(Scope::Global),
         alt((dotted("@@session"), dotted("@@local"))).value(Scope::Session),
         ("@@", space).value(Scope::Unsaid),
         alt((word("global"), word("persist_only"), word("persist"))).value(Scope::Global),
@@ -205,7 +233,10 @@
 }
 
 fn assigned(i: &mut &str) -> Result<()> {
-    alt((":=", "=")).void().context(expected("= and a value")).parse_next(i)
+    alt((":=", "="))
+        .void()
+        .context(expected("= and a value"))
+        .parse_next(i)
 }
 
 fn statement(i: &mut &str) -> Result<Vec<(Scope, Change)>> {
@@ -218,13 +249,20 @@
             break;
         }
     }
-    (opt((';', space)), eof).void().context(expected("a comma or the end")).parse_next(i)?;
+    (opt((';', space)), eof)
+        .void()
+        .context(expected("a comma or the end"))
+        .parse_next(i)?;
     Ok(all)
 }
 
 /// What a dump's `/*!40101 SET ... */` holds: MySQL heeds it.
 fn heeded(text: &str) -> Option<&str> {
-    let inner = text.trim().trim_end_matches(';').strip_prefix("/*!")?.strip_suffix("*/")?;
+    let inner = text
+        .trim()
+        .trim_end_matches(';')
+        .strip_prefix("/*!")?
+        .strip_suffix("*/")?;
     Some(inner.trim_start_matches(|c: char| c.is_ascii_digit()))
 }
 
@@ -237,14 +275,22 @@
 /// It cannot be read, or reaches beyond the session: [`SetError`].
 pub fn parse(sql: &[u8]) -> std::result::Result<Vec<Change>, SetError> {
     if sql.len() > LONGEST {
-        return Err(SetError::NotCarried("a SET of more than 16 KB is not carried"));
+        return Err(SetError::NotCarried(
+            "a SET of more than 16 KB is not carried",
+        ));
     }
-    let text = std::str::from_utf8(sql).map_err(|_| SetError::NotCarried("a SET in Unicode only"))?;
+    let text =
+        std::str::from_utf8(sql).map_err(|_| SetError::NotCarried("a SET in Unicode only"))?;
     let text = heeded(text).unwrap_or(text);
     let lower = text.trim_start().to_ascii_lowercase();
     let after = lower.strip_prefix("set").unwrap_or_default().trim_start();
-    if ["password", "role", "default role", "resource group"].iter().any(|w| after.starts_with(w)) {
-        return Err(SetError::NotCarried("users, roles and resource groups are the engines' operators' own"));
+    if ["password", "role", "default role", "resource group"]
+        .iter()
+        .any(|w| after.starts_with(w))
+    {
+        return Err(SetError::NotCarried(
+            "users, roles and resource groups are the engines' operators' own",
+        ));
     }
     let mut rest = text;
     let all = statement.parse_next(&mut rest).map_err(|e| {
@@ -253,10 +299,15 @@
             ErrMode::Incomplete(_) => None,
         };
         let what = context.unwrap_or_else(|| "this is not understood".into());
-        SetError::Syntax { at: text.len() - rest.len() + 1, what }
+        SetError::Syntax {
+            at: text.len() - rest.len() + 1,
+            what,
+        }
     })?;
     if all.iter().any(|(scope, _)| *scope == Scope::Global) {
-        return Err(SetError::NotCarried("engines are not administered through the dispatcher"));
+        return Err(SetError::NotCarried(
+            "engines are not administered through the dispatcher",
+        ));
     }
     Ok(all.into_iter().map(|(_, c)| c).collect())
 }
--- a/src/net/mysql/session/tests.rs
+++ b/src/net/mysql/session/tests.rs
@@ -9,15 +9,23 @@
 }
 
 fn one(sql: &str) -> State {
-    after(&State::default(), sql).unwrap_or_else(|e| panic!("{sql}: {e}")).0
+    after(&State::default(), sql)
+        .unwrap_or_else(|e| panic!("{sql}: {e}"))
+        .0
 }
 
 #[test]
 fn what_connectors_set_at_their_start_is_taken_in() {
     let all = [
         ("SET AUTOCOMMIT = 0", "SET SESSION autocommit = 0"),
-        ("SET @@session.autocommit = OFF", "SET SESSION autocommit = 0"),
-        ("SET SQL_AUTO_IS_NULL = 0", "SET SESSION sql_auto_is_null = 0"),
+        (
+            "SET @@session.autocommit = OFF",
+            "SET SESSION autocommit = 0",
+        ),
+        (
+            "SET SQL_AUTO_IS_NULL = 0",
+            "SET SESSION sql_auto_is_null = 0",
+        ),
         (
             "set session transaction isolation level read committed",
             "SET SESSION transaction_isolation = 'READ-COMMITTED'",
@@ -34,21 +42,46 @@
             "/*!40101 SET @OLD_SQL_MODE = 'x', SQL_MODE='NO_AUTO_VALUE_ON_ZERO' */",
             "SET @old_sql_mode = 'x', SESSION sql_mode = 'NO_AUTO_VALUE_ON_ZERO'",
         ),
-        ("SET @a := -1.5e3, @`b c` = 'it''s; \\' here'", "SET @a = -1.5e3, @`b c` = 'it''s; \\' here'"),
-        ("SET character_set_results = NULL", "SET SESSION character_set_results = null"),
-        ("set /* why */ session wait_timeout = 28800", "SET SESSION wait_timeout = 28800"),
-        ("SET sql_safe_updates=1, sql_select_limit=DEFAULT", "SET SESSION sql_safe_updates = 1"),
-        ("SET default_storage_engine=InnoDB", "SET SESSION default_storage_engine = 'InnoDB'"),
+        (
+            "SET @a := -1.5e3, @`b c` = 'it''s; \\' here'",
+            "SET @a = -1.5e3, @`b c` = 'it''s; \\' here'",
+        ),
+        (
+            "SET character_set_results = NULL",
+            "SET SESSION character_set_results = null",
+        ),
+        (
+            "set /* why */ session wait_timeout = 28800",
+            "SET SESSION wait_timeout = 28800",
+        ),
+        (
+            "SET sql_safe_updates=1, sql_select_limit=DEFAULT",
+            "SET SESSION sql_safe_updates = 1",
+        ),
+        (
+            "SET default_storage_engine=InnoDB",
+            "SET SESSION default_storage_engine = 'InnoDB'",
+        ),
     ];
     for (sql, wanted) in all {
         let s = one(sql);
-        assert_eq!(turn(&Settings::new(), &s.context().settings).as_deref(), Some(wanted), "{sql}");
+        assert_eq!(
+            turn(&Settings::new(), &s.context().settings).as_deref(),
+            Some(wanted),
+            "{sql}"
+        );
     }
     assert_eq!(
-        one("SET NAMES 'utf8mb4' COLLATE 'utf8mb4_0900_ai_ci'").context().names.as_deref(),
+        one("SET NAMES 'utf8mb4' COLLATE 'utf8mb4_0900_ai_ci'")
+            .context()
+            .names
+            .as_deref(),
         Some("utf8mb4 COLLATE utf8mb4_0900_ai_ci")
     );
-    assert_eq!(one("set character set utf8").context().names.as_deref(), Some("utf8"));
+    assert_eq!(
+        one("set character set utf8").context().names.as_deref(),
+        Some("utf8")
+    );
     assert_eq!(one("SET autocommit=1"), State::default());
 }
 
@@ -56,12 +89,19 @@
 fn an_expression_is_asked_for_and_its_value_taken_in() {
     let sql = "SET sql_mode=(SELECT CONCAT(@@sql_mode, ',PIPES_AS_CONCAT')),time_zone='+00:00',NAMES utf8mb4 COLLATE utf8mb4_unicode_ci;";
     let changes = parse(sql.as_bytes()).unwrap();
-    let Ok(Taken::Asks(asks)) = State::default().set(&changes, &[]) else { panic!("nothing is asked") };
+    let Ok(Taken::Asks(asks)) = State::default().set(&changes, &[]) else {
+        panic!("nothing is asked")
+    };
     assert_eq!(asks, ["(SELECT CONCAT(@@sql_mode, ',PIPES_AS_CONCAT'))"]);
     let value = literal(Some(b"STRICT_TRANS_TABLES,PIPES_AS_CONCAT"), false);
-    let Ok(Taken::Changed { state, checked }) = State::default().set(&changes, &[value]) else { panic!() };
+    let Ok(Taken::Changed { state, checked }) = State::default().set(&changes, &[value]) else {
+        panic!()
+    };
     assert!(!checked, "an engine has to agree");
-    assert_eq!(state.context().settings["sql_mode"], "'STRICT_TRANS_TABLES,PIPES_AS_CONCAT'");
+    assert_eq!(
+        state.context().settings["sql_mode"],
+        "'STRICT_TRANS_TABLES,PIPES_AS_CONCAT'"
+    );
     assert_eq!(state.context().settings["time_zone"], "'+00:00'");
     assert!(state.context().names.is_some());
     assert_eq!(literal(Some(b"12"), true), "12");
@@ -121,7 +161,10 @@
     assert!(s.context().settings.is_empty());
     for _ in 0..2 {
         let told = s.next_transaction().unwrap();
-        assert_eq!(told, "SET TRANSACTION ISOLATION LEVEL REPEATABLE READ, READ ONLY");
+        assert_eq!(
+            told,
+            "SET TRANSACTION ISOLATION LEVEL REPEATABLE READ, READ ONLY"
+        );
     }
     s.began();
     assert_eq!(s.next_transaction(), None);
--- a/src/net/mysql/upstream.rs
+++ b/src/net/mysql/upstream.rs
@@ -60,7 +60,11 @@
     fn drop(&mut self) {
         let left = self.open.get().saturating_sub(1);
         self.open.set(left);
-        let seen = if self.broken { Seen::Broken { left } } else { Seen::Closed { left } };
+        let seen = if self.broken {
+            Seen::Broken { left }
+        } else {
+            Seen::Closed { left }
+        };
         if let Some(shared) = self.shared.upgrade() {
             shared.report(&self.engine, seen);
         }
@@ -122,7 +126,9 @@
                 work.downstream.heed(until).await?;
             }
         };
-        tokio::time::timeout(TAKES, write).await.map_err(io::Error::from)?
+        tokio::time::timeout(TAKES, write)
+            .await
+            .map_err(io::Error::from)?
     }
 
     /// Idle, and still of use. One that the engine has closed meanwhile, or has said something on, must not get a
@@ -139,7 +145,8 @@
             return unheard == Unread::Nothing;
         };
         // An engine that is tired of waiting says so, and has not ended.
-        let tired = matches!(&said, Some(Ok(p)) if p.first() == Some(&0xff) && read_err(p).code == TIRED);
+        let tired =
+            matches!(&said, Some(Ok(p)) if p.first() == Some(&0xff) && read_err(p).code == TIRED);
         if !tired && let Some(live) = &mut self.live {
             live.broken = true;
         }
@@ -149,7 +156,8 @@
     /// It can be taken there: what it has set can be set anew, but not unset.
     fn can_enter(&self, context: &Context) -> bool {
         let has = &self.context;
-        (context.schema.is_some() || has.schema.is_none()) && (context.names.is_some() || has.names.is_none())
+        (context.schema.is_some() || has.schema.is_none())
+            && (context.names.is_some() || has.names.is_none())
     }
 }
 
@@ -214,7 +222,9 @@
 impl Drop for Place<'_> {
     fn drop(&mut self) {
         let mut engines = self.shared.engines.borrow_mut();
-        let Some(slot) = engines.get_mut(self.engine) else { return };
+        let Some(slot) = engines.get_mut(self.engine) else {
+            return;
+        };
         slot.pinned = slot.pinned.saturating_sub(usize::from(self.pin));
         if !self.kept {
             slot.open = slot.open.saturating_sub(1);
@@ -264,7 +274,11 @@
         let cut_here = cut.clone();
         let engine = start.engine.clone();
         let task = spawn_local(async move {
-            let told = Telling { hub: weak.clone(), attempt, engine: start.engine.clone() };
+            let told = Telling {
+                hub: weak.clone(),
+                attempt,
+                engine: start.engine.clone(),
+            };
             let end = shared.attempt(&start, &work, &mark, &cut_here, &told).await;
             shared.running.borrow_mut().remove(&attempt);
             let Some(hub) = weak.upgrade() else { return };
@@ -275,14 +289,23 @@
         });
         let address = self.0.engines.borrow().get(&engine).and_then(|s| s.address);
         let opened = unix_ms();
-        let running = Running { task: task.abort_handle(), engine, address, opened, written, cut };
+        let running = Running {
+            task: task.abort_handle(),
+            engine,
+            address,
+            opened,
+            written,
+            cut,
+        };
         self.0.running.borrow_mut().insert(attempt, running);
     }
 
     /// Ends the attempt's connection. An engine goes on with a statement whose client has gone, so a written
     /// one is also killed from beside.
     fn drop_attempt(&self, attempt: AttemptId) {
-        let Some(running) = self.0.running.borrow_mut().remove(&attempt) else { return };
+        let Some(running) = self.0.running.borrow_mut().remove(&attempt) else {
+            return;
+        };
         running.task.abort();
         if let Some((address, number)) = running.written.get() {
             self.0.kill_beside(address, number);
@@ -299,7 +322,10 @@
         let mut taken: HashMap<SocketAddr, &str> = HashMap::new();
         if change.update != ListUpdate::Patch {
             let listed: HashSet<&str> = change.engines.iter().map(|e| e.id.as_str()).collect();
-            for (_, slot) in engines.iter_mut().filter(|(id, _)| !listed.contains(id.as_str())) {
+            for (_, slot) in engines
+                .iter_mut()
+                .filter(|(id, _)| !listed.contains(id.as_str()))
+            {
                 slot.address = None;
                 slot.gone = true;
                 slot.keep(|_| false);
@@ -307,7 +333,10 @@
         }
         // What is open at an engine's address for another leads to nobody, also if the list has named that one
         // gone before.
-        let addressed = change.engines.iter().filter(|e| e.state != EngineState::Gone);
+        let addressed = change
+            .engines
+            .iter()
+            .filter(|e| e.state != EngineState::Gone);
         taken.extend(addressed.filter_map(|e| Some((e.address?, e.id.as_str()))));
         for (id, slot) in engines.iter_mut() {
             let others = |a: &SocketAddr| taken.get(a).is_some_and(|owner| *owner != id);
@@ -325,7 +354,9 @@
                 slot.keep(|c| c.opened >= started);
                 lost.entry(e.id.clone()).or_insert(started);
             }
-            slot.address = (e.state != EngineState::Gone).then(|| e.address.or(slot.address)).flatten();
+            slot.address = (e.state != EngineState::Gone)
+                .then(|| e.address.or(slot.address))
+                .flatten();
             if e.state != EngineState::Ready {
                 slot.keep(|_| false);
             }
@@ -335,7 +366,10 @@
         let running = self.0.running.borrow();
         for r in running.values() {
             let started = lost.get(&r.engine).is_some_and(|t| r.opened < *t);
-            let passed = r.address.and_then(|a| taken.get(&a)).is_some_and(|id| r.engine != *id);
+            let passed = r
+                .address
+                .and_then(|a| taken.get(&a))
+                .is_some_and(|id| r.engine != *id);
             if started || passed {
                 r.cut.notify_one();
             }
@@ -355,7 +389,12 @@
     ) -> Result<Output, Outcome> {
         let idle = self.take(&start.engine, work)?;
         let pin = matches!(work.job, Job::Pin(_));
-        let place = Place { shared: self, engine: &start.engine, pin, kept: false };
+        let place = Place {
+            shared: self,
+            engine: &start.engine,
+            pin,
+            kept: false,
+        };
         let mut c = match idle {
             Some(c) => c,
             None => match self.connect(&start.engine).await {
@@ -370,11 +409,21 @@
                 }
                 Err(e) => {
                     say!("engine {}: {e}", start.engine);
-                    if matches!(&e, PacketError::Io(e) if e.kind() == io::ErrorKind::ConnectionRefused) {
-                        self.report(&start.engine, Seen::Refused { left: self.left(&start.engine) });
+                    if matches!(&e, PacketError::Io(e) if e.kind() == io::ErrorKind::ConnectionRefused)
+                    {
+                        self.report(
+                            &start.engine,
+                            Seen::Refused {
+                                left: self.left(&start.engine),
+                            },
+                        );
                     }
                     let full = matches!(&e, PacketError::Sql(e) if full(e.code));
-                    return Err(if full { Outcome::Full } else { Outcome::Unreachable });
+                    return Err(if full {
+                        Outcome::Full
+                    } else {
+                        Outcome::Unreachable
+                    });
                 }
             },
         };
@@ -382,7 +431,8 @@
             Job::Pin(pinned) => {
                 let held = async {
                     self.enter(&mut c, work, start.until).await?;
-                    self.hold(&mut c, pinned, &work.downstream, written, told, start.until).await
+                    self.hold(&mut c, pinned, &work.downstream, written, told, start.until)
+                        .await
                 };
                 let held = tokio::select! {
                     held = held => held,
@@ -450,8 +500,9 @@
             }
             Err(PacketError::Length(n)) if wrote => {
                 let mut packets = Packets::default();
-                let text =
-                    format!("the statement ran, but its result has a packet of {n} bytes, above max_packet");
+                let text = format!(
+                    "the statement ran, but its result has a packet of {n} bytes, above max_packet"
+                );
                 say!("engine {}: a packet of {n} bytes", start.engine);
                 packets.push(&err(&SqlError::new(code::RESULT, text)));
                 Ok(Output::Short(packets))
@@ -490,7 +541,10 @@
         let key = (work.context.clone(), work.sql.clone());
         // A connection cannot leave all schemas again: a session without one needs a fresh connection.
         let fits = |c: &Connection| c.can_enter(&work.context);
-        let known = slot.idle.iter().rposition(|c| fits(c) && c.statements.contains_key(&key));
+        let known = slot
+            .idle
+            .iter()
+            .rposition(|c| fits(c) && c.statements.contains_key(&key));
         if let Some(i) = known.or_else(|| slot.idle.iter().rposition(fits)) {
             slot.pinned += usize::from(pin);
             return Ok(Some(slot.idle.swap_remove(i)));
@@ -510,7 +564,10 @@
     /// Keeps a connection for later, if its engine is still where it was.
     fn give(&self, mut place: Place<'_>, c: Connection) {
         let mut engines = self.engines.borrow_mut();
-        if let Some(slot) = engines.get_mut(place.engine).filter(|s| s.address == Some(c.address)) {
+        if let Some(slot) = engines
+            .get_mut(place.engine)
+            .filter(|s| s.address == Some(c.address))
+        {
             slot.idle.push(c);
             place.kept = true;
         }
@@ -520,10 +577,20 @@
         let address = self.engines.borrow().get(engine).and_then(|s| s.address);
         let address = address.ok_or(PacketError::Protocol("it has no address"))?;
         let mut c = self.open(address).await?;
-        let open = self.engines.borrow().get(engine).map(|s| s.live.clone()).unwrap_or_default();
+        let open = self
+            .engines
+            .borrow()
+            .get(engine)
+            .map(|s| s.live.clone())
+            .unwrap_or_default();
         open.set(open.get() + 1);
         let shared = self.weak.clone();
-        c.live = Some(Live { shared, engine: engine.to_string(), open, broken: false });
+        c.live = Some(Live {
+            shared,
+            engine: engine.to_string(),
+            open,
+            broken: false,
+        });
         Ok(c)
     }
 
@@ -541,17 +608,24 @@
 
     /// Its connections that are logged in.
     fn left(&self, engine: &str) -> usize {
-        self.engines.borrow().get(engine).map_or(0, |s| s.live.get())
+        self.engines
+            .borrow()
+            .get(engine)
+            .map_or(0, |s| s.live.get())
     }
 
     /// Connects and logs in, each within the time for a connection.
     async fn open(&self, address: SocketAddr) -> Result<Connection, PacketError> {
         let limit = span(self.sockets.connect_timeout);
         let opened = unix_ms();
-        let tcp =
-            tokio::time::timeout(limit, TcpStream::connect(address)).await.map_err(io::Error::from)??;
+        let tcp = tokio::time::timeout(limit, TcpStream::connect(address))
+            .await
+            .map_err(io::Error::from)??;
         tcp.set_nodelay(true)?;
-        let codec = PacketCodec { most: self.access.most_packet, sequence: 0 };
+        let codec = PacketCodec {
+            most: self.access.most_packet,
+            sequence: 0,
+        };
         let mut wire = Wire::new(&self.pool, tcp, codec);
         let login = tokio::time::timeout(limit, self.log_in(&mut wire));
         let number = login.await.map_err(io::Error::from)??;
@@ -582,7 +656,13 @@
                 auth::proof(auth::NATIVE, &a.password, &greeting.nonce).unwrap_or_default(),
             ),
         };
-        let login = Login { user: a.user.clone(), auth: proof, schema: None, plugin, ends: Ends::default() };
+        let login = Login {
+            user: a.user.clone(),
+            auth: proof,
+            schema: None,
+            plugin,
+            ends: Ends::default(),
+        };
         wire.send(&login.write(a.most_packet as u32)[..]).await?;
         loop {
             let p = next(wire).await?;
@@ -593,12 +673,17 @@
                     let mut r = Reader(p.slice(1..));
                     let plugin = r.text();
                     let nonce = r.0.strip_suffix(&[0]).unwrap_or(&r.0);
-                    let proof = auth::proof(&plugin, &a.password, nonce)
-                        .ok_or(PacketError::Protocol("it asks for an unknown way of authentication"))?;
+                    let proof = auth::proof(&plugin, &a.password, nonce).ok_or(
+                        PacketError::Protocol("it asks for an unknown way of authentication"),
+                    )?;
                     wire.send(&proof[..]).await?;
                 }
                 Some(1) if p.get(1) == Some(&3) => {}
-                _ => return Err(PacketError::Protocol("it asks for a password over an open line")),
+                _ => {
+                    return Err(PacketError::Protocol(
+                        "it asks for a password over an open line",
+                    ));
+                }
             }
         }
     }
@@ -609,7 +694,9 @@
     }
 
     fn kill_beside(&self, address: SocketAddr, number: u32) {
-        let Some(shared) = self.weak.upgrade().filter(|s| s.kills.get() < KILLS) else { return };
+        let Some(shared) = self.weak.upgrade().filter(|s| s.kills.get() < KILLS) else {
+            return;
+        };
         shared.kills.set(shared.kills.get() + 1);
         spawn_local(async move {
             let limit = span(4.0 * shared.sockets.connect_timeout);
@@ -640,7 +727,9 @@
         sent: &impl Fn(),
         until: Millis,
     ) -> Result<Output, PacketError> {
-        let result = self.carry_out(c, work, written, in_service, sent, until).await;
+        let result = self
+            .carry_out(c, work, written, in_service, sent, until)
+            .await;
         // Then its last answer is here whole.
         if matches!(result, Ok(_) | Err(PacketError::Sql(_))) {
             c.under_way = false;
@@ -658,7 +747,9 @@
         until: Millis,
     ) -> Result<Output, PacketError> {
         if !c.can_enter(&work.context) {
-            return Err(PacketError::Protocol("the connection stands in another session's place"));
+            return Err(PacketError::Protocol(
+                "the connection stands in another session's place",
+            ));
         }
         self.enter(c, work, until).await?;
         // Statements change it: it is set anew for whoever asks for it next.
@@ -687,7 +778,10 @@
                 sent();
                 self.answered(c, work, until).await
             }
-            Job::Prepare => self.prepare(c, work, until, mark, sent).await.map(Output::Short),
+            Job::Prepare => self
+                .prepare(c, work, until, mark, sent)
+                .await
+                .map(Output::Short),
             Job::Execute(e) => {
                 // An engine that no longer knows the statement has not run it: once more, newly prepared.
                 for again in [false, true] {
@@ -696,20 +790,26 @@
                         Some(&id) => id,
                         None => {
                             let packets = self.prepare(c, work, until, gate, &|| ()).await?;
-                            if let Some(p) = packets.iter().next().filter(|p| p.first() == Some(&0xff)) {
+                            if let Some(p) =
+                                packets.iter().next().filter(|p| p.first() == Some(&0xff))
+                            {
                                 return Err(PacketError::Sql(read_err(&Bytes::copy_from_slice(p))));
                             }
-                            *c.statements.get(&key).ok_or(PacketError::Protocol("not prepared"))?
+                            *c.statements
+                                .get(&key)
+                                .ok_or(PacketError::Protocol("not prepared"))?
                         }
                     };
                     // By these alone nothing runs.
                     for (parameter, data) in &e.long {
                         let head = [&id.to_le_bytes()[..], &parameter.to_le_bytes()].concat();
-                        c.command(work, until, STMT_SEND_LONG_DATA, &[&head, data], || Ok(())).await?;
+                        c.command(work, until, STMT_SEND_LONG_DATA, &[&head, data], || Ok(()))
+                            .await?;
                     }
                     // No cursor, one iteration.
                     let head = [&id.to_le_bytes()[..], &[0, 1, 0, 0, 0]].concat();
-                    c.command(work, until, STMT_EXECUTE, &[&head, &e.body], mark).await?;
+                    c.command(work, until, STMT_EXECUTE, &[&head, &e.body], mark)
+                        .await?;
                     // An engine that no longer knew it was sent the same attempt.
                     if !again {
                         sent();
@@ -737,7 +837,8 @@
         before: impl FnOnce() -> Result<(), PacketError>,
         sent: &impl Fn(),
     ) -> Result<Packets, PacketError> {
-        c.command(work, until, STMT_PREPARE, &[&work.sql], before).await?;
+        c.command(work, until, STMT_PREPARE, &[&work.sql], before)
+            .await?;
         sent();
         let mut packets = Packets::default();
         let first = next(&mut c.wire).await?;
@@ -772,7 +873,12 @@
     }
 
     /// The answer to a statement that has been written.
-    async fn answered(&self, c: &mut Connection, work: &Work, until: Millis) -> Result<Output, PacketError> {
+    async fn answered(
+        &self,
+        c: &mut Connection,
+        work: &Work,
+        until: Millis,
+    ) -> Result<Output, PacketError> {
         let output = self.result(c, work).await?;
         self.warned(c, work, until).await?;
         Ok(output)
@@ -780,12 +886,18 @@
 
     /// Warnings stay on the connection that told of them, and the session may be elsewhere when it asks: they are
     /// taken along at once.
-    async fn warned(&self, c: &mut Connection, work: &Work, until: Millis) -> Result<(), PacketError> {
+    async fn warned(
+        &self,
+        c: &mut Connection,
+        work: &Work,
+        until: Millis,
+    ) -> Result<(), PacketError> {
         if std::mem::take(&mut c.warnings) == 0 {
             return Ok(());
         }
         let show = format!("SHOW WARNINGS LIMIT {WARNINGS}");
-        c.command(work, until, QUERY, &[show.as_bytes()], || Ok(())).await?;
+        c.command(work, until, QUERY, &[show.as_bytes()], || Ok(()))
+            .await?;
         let (mut packets, mut ends) = (Packets::default(), 0);
         while ends < 2 {
             let p = next(&mut c.wire).await?;
@@ -813,7 +925,8 @@
     async fn result(&self, c: &mut Connection, work: &Work) -> Result<Output, PacketError> {
         let (wire, last, warnings) = (&mut c.wire, &mut c.status, &mut c.warnings);
         *warnings = 0;
-        const SEVERAL: PacketError = PacketError::Protocol("several results at once are not carried");
+        const SEVERAL: PacketError =
+            PacketError::Protocol("several results at once are not carried");
         let mut writer: Writer = self.spools.writer(work.ask, work.who.clone());
         let first = next(wire).await?;
         let alone = |payload: &[u8]| {
@@ -873,7 +986,9 @@
 
 /// What an engine's error makes of the attempt; none, if it is the statement's own answer.
 fn verdict(output: &Output) -> Option<Outcome> {
-    let Output::Short(packets) = output else { return None };
+    let Output::Short(packets) = output else {
+        return None;
+    };
     let p = packets.iter().next().filter(|p| p.first() == Some(&0xff))?;
     let number = read_err(&Bytes::copy_from_slice(p)).code;
     match number {
@@ -883,8 +998,12 @@
     }
 }
 
-pub async fn next<S: AsyncRead + Unpin>(wire: &mut Wire<PacketCodec, S>) -> Result<Bytes, PacketError> {
-    wire.next().await.unwrap_or_else(|| Err(io::Error::from(io::ErrorKind::ConnectionReset).into()))
+pub async fn next<S: AsyncRead + Unpin>(
+    wire: &mut Wire<PacketCodec, S>,
+) -> Result<Bytes, PacketError> {
+    wire.next()
+        .await
+        .unwrap_or_else(|| Err(io::Error::from(io::ErrorKind::ConnectionReset).into()))
 }
 
 /// One command, as it is framed.
@@ -896,8 +1015,14 @@
 }
 
 /// Writes one command that no client waits for.
-pub async fn command(wire: &mut Wire<PacketCodec>, kind: u8, parts: &[&[u8]]) -> Result<(), PacketError> {
+pub async fn command(
+    wire: &mut Wire<PacketCodec>,
+    kind: u8,
+    parts: &[&[u8]],
+) -> Result<(), PacketError> {
     wire.codec_mut().sequence = 0;
     let p = payload(kind, parts);
-    tokio::time::timeout(TAKES, wire.send(&p[..])).await.map_err(io::Error::from)?
+    tokio::time::timeout(TAKES, wire.send(&p[..]))
+        .await
+        .map_err(io::Error::from)?
 }
--- a/src/net/mysql/values.rs
+++ b/src/net/mysql/values.rs
@@ -37,12 +37,22 @@
     bound: &mut Option<Vec<Type>>,
     long: &BTreeMap<u16, BytesMut>,
 ) -> Result<Execute, SqlError> {
-    let bad = |e: PacketError| SqlError::new(code::ARGUMENTS, format!("the parameters cannot be read: {e}"));
+    let bad = |e: PacketError| {
+        SqlError::new(
+            code::ARGUMENTS,
+            format!("the parameters cannot be read: {e}"),
+        )
+    };
     if long.keys().any(|&k| usize::from(k) >= count) {
-        return Err(bad(PacketError::Protocol("long data for a parameter that is not there")));
+        return Err(bad(PacketError::Protocol(
+            "long data for a parameter that is not there",
+        )));
     }
     if count == 0 {
-        return Ok(Execute { body: Bytes::new(), long: vec![] });
+        return Ok(Execute {
+            body: Bytes::new(),
+            long: vec![],
+        });
     }
     let mut r = Reader(body);
     let nulls = r.take(count.div_ceil(8)).map_err(bad)?;
@@ -52,7 +62,11 @@
             *bound = Some(types.chunks_exact(2).map(|t| [t[0], t[1]]).collect());
         }
         0 => {}
-        _ => return Err(bad(PacketError::Protocol("the types' flag is neither 0 nor 1"))),
+        _ => {
+            return Err(bad(PacketError::Protocol(
+                "the types' flag is neither 0 nor 1",
+            )));
+        }
     }
     let Some(types) = bound.as_ref().filter(|t| t.len() == count) else {
         return Err(bad(PacketError::Protocol("no types were ever named")));
@@ -73,7 +87,10 @@
     types.iter().for_each(|t| whole.put_slice(t));
     whole.put_slice(&values);
     let long = long.iter().map(|(&k, v)| (k, v.clone().freeze())).collect();
-    Ok(Execute { body: whole.freeze(), long })
+    Ok(Execute {
+        body: whole.freeze(),
+        long,
+    })
 }
 
 #[cfg(test)]
@@ -89,27 +106,61 @@
     #[test]
     fn types_are_remembered_for_engines_that_never_saw_them() {
         let mut bound = None;
-        assert_eq!(run(&[0, 0, 5, 1, b'a'], &mut bound), Err(1210), "no types were ever named");
+        assert_eq!(
+            run(&[0, 0, 5, 1, b'a'], &mut bound),
+            Err(1210),
+            "no types were ever named"
+        );
         let first = [0, 1, 1, 0, 0xfd, 0, 5, 1, b'a'];
         assert_eq!(run(&first, &mut bound), Ok(first.to_vec()));
-        assert_eq!(run(&[2, 0, 7], &mut bound), Ok(vec![2, 1, 1, 0, 0xfd, 0, 7]), "the second is NULL");
+        assert_eq!(
+            run(&[2, 0, 7], &mut bound),
+            Ok(vec![2, 1, 1, 0, 0xfd, 0, 7]),
+            "the second is NULL"
+        );
     }
 
     #[test]
     fn values_that_end_early_or_late_are_turned_away() {
-        for body in [&[0u8, 1, 1, 0, 0xfd, 0, 5][..], &[0, 1, 1, 0, 0xfd, 0, 5, 9, b'a'], &[0, 1, 1], &[]] {
+        for body in [
+            &[0u8, 1, 1, 0, 0xfd, 0, 5][..],
+            &[0, 1, 1, 0, 0xfd, 0, 5, 9, b'a'],
+            &[0, 1, 1],
+            &[],
+        ] {
             assert_eq!(run(body, &mut None), Err(1210), "{body:?}");
         }
-        assert_eq!(run(&[0, 1, 1, 0, 0xfd, 0, 5, 1, b'a', 0], &mut None), Err(1210));
-        assert_eq!(run(&[0, 1, 1, 0, 0x0c, 0, 5, 3, 1, 1, 1], &mut None), Err(1210), "a date of 3 bytes");
+        assert_eq!(
+            run(&[0, 1, 1, 0, 0xfd, 0, 5, 1, b'a', 0], &mut None),
+            Err(1210)
+        );
+        assert_eq!(
+            run(&[0, 1, 1, 0, 0x0c, 0, 5, 3, 1, 1, 1], &mut None),
+            Err(1210),
+            "a date of 3 bytes"
+        );
     }
 
     #[test]
     fn long_data_stands_for_its_value() {
         let long = BTreeMap::from([(1u16, BytesMut::from(&b"long"[..]))]);
-        let e = complete(2, Bytes::from_static(&[0, 1, 1, 0, 0xfc, 0, 5]), &mut None, &long).unwrap();
+        let e = complete(
+            2,
+            Bytes::from_static(&[0, 1, 1, 0, 0xfc, 0, 5]),
+            &mut None,
+            &long,
+        )
+        .unwrap();
         assert_eq!(e.long, vec![(1, Bytes::from_static(b"long"))]);
         let far = BTreeMap::from([(2u16, BytesMut::new())]);
-        assert!(complete(2, Bytes::from_static(&[0, 1, 1, 0, 1, 0, 5, 6]), &mut None, &far).is_err());
+        assert!(
+            complete(
+                2,
+                Bytes::from_static(&[0, 1, 1, 0, 1, 0, 5, 6]),
+                &mut None,
+                &far
+            )
+            .is_err()
+        );
     }
 }
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -19,7 +19,10 @@
         match UdpSocket::bind(peers.listen).await {
             Ok(socket) => break Rc::new(socket),
             Err(e) if !std::mem::replace(&mut told, true) => {
-                say!("peer_listen {}: {e}; no word with the peers until it is free", peers.listen);
+                say!(
+                    "peer_listen {}: {e}; no word with the peers until it is free",
+                    peers.listen
+                );
             }
             Err(_) => {}
         }
--- a/src/net/places.rs
+++ b/src/net/places.rs
@@ -51,7 +51,13 @@
 impl Places {
     pub fn new(most: usize, yields: Use) -> Rc<Self> {
         let (most, taken, door) = (Cell::new(most), RefCell::default(), RefCell::default());
-        Rc::new(Places { most, yields, taken, door, freed: Notify::new() })
+        Rc::new(Places {
+            most,
+            yields,
+            taken,
+            door,
+            freed: Notify::new(),
+        })
     }
 
     /// What is beyond a lower bound gives way at once, as far as it yields.
@@ -63,7 +69,11 @@
 
     /// Connections that were not told to give way.
     fn staying(&self) -> usize {
-        self.taken.borrow().iter().filter(|p| p.leaving.get().is_none()).count()
+        self.taken
+            .borrow()
+            .iter()
+            .filter(|p| p.leaving.get().is_none())
+            .count()
     }
 
     /// A new connection would get a place, if need be that of one that gives way.
@@ -79,8 +89,13 @@
     pub async fn accept(self: &Rc<Self>, listener: &TcpListener) -> io::Result<(TcpStream, Taken)> {
         loop {
             if self.door.borrow().is_none() {
-                let accepted =
-                    poll_fn(|cx| if self.room() { listener.poll_accept(cx) } else { Poll::Pending });
+                let accepted = poll_fn(|cx| {
+                    if self.room() {
+                        listener.poll_accept(cx)
+                    } else {
+                        Poll::Pending
+                    }
+                });
                 tokio::select! {
                     accepted = accepted => *self.door.borrow_mut() = Some(accepted?.0),
                     () = self.freed.notified() => continue,
@@ -139,7 +154,9 @@
         let rank = |(what, since): (Use, Instant)| (what.max(Use::Asked), since);
         let staying = taken.iter().filter(|p| p.leaving.get().is_none());
         let least = staying.min_by_key(|p| rank(p.state.get()));
-        let Some(least) = least.filter(|p| p.state.get().0 <= self.yields) else { return false };
+        let Some(least) = least.filter(|p| p.state.get().0 <= self.yields) else {
+            return false;
+        };
         least.leaving.set(Some(Instant::now()));
         least.cut.notify_one();
         least.told.notify_one();
@@ -189,7 +206,11 @@
 
 impl Drop for Taken {
     fn drop(&mut self) {
-        self.0.home.taken.borrow_mut().retain(|p| !Rc::ptr_eq(p, &self.0));
+        self.0
+            .home
+            .taken
+            .borrow_mut()
+            .retain(|p| !Rc::ptr_eq(p, &self.0));
         self.0.home.freed.notify_one();
     }
 }
--- a/src/net/places/tests.rs
+++ b/src/net/places/tests.rs
@@ -31,7 +31,10 @@
 /// Guards against a connection that is taken off the queue, has no place, and is lost when accepting ends.
 #[test]
 fn without_a_place_a_connection_stays_in_the_queue_for_others() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     runtime.block_on(async {
         let here = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         here.set_nonblocking(true).unwrap();
@@ -49,14 +52,20 @@
         }
         let _c = TcpStream::connect(at).await.unwrap();
         let (free, accepted) = (async { drop(busy) }, places.accept(&here));
-        assert!(tokio::join!(free, accepted).1.is_ok(), "once a place is free");
+        assert!(
+            tokio::join!(free, accepted).1.is_ok(),
+            "once a place is free"
+        );
     });
 }
 
 /// Guards against clients that hold more descriptors than their share: what has to go counts until it has gone.
 #[test]
 fn one_that_goes_holds_its_place_until_it_has_gone_and_another_is_told_beside_it() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     runtime.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (places, at) = (Places::new(2, Use::Idle), listener.local_addr().unwrap());
@@ -66,28 +75,60 @@
             clients.push(TcpStream::connect(at).await.unwrap());
             taken.push(places.accept(&listener).await.unwrap());
         }
-        taken.iter().for_each(|(_, place)| place.uses(Use::Idle, Instant::now()));
+        taken
+            .iter()
+            .for_each(|(_, place)| place.uses(Use::Idle, Instant::now()));
         clients.push(TcpStream::connect(at).await.unwrap());
         clients.push(TcpStream::connect(at).await.unwrap());
         let soon = Duration::from_millis(20);
-        assert!(tokio::time::timeout(soon, places.accept(&listener)).await.is_err(), "it has not gone");
+        assert!(
+            tokio::time::timeout(soon, places.accept(&listener))
+                .await
+                .is_err(),
+            "it has not gone"
+        );
         let told = taken.iter().filter(|t| t.1.leaving.get().is_some()).count();
-        assert_eq!((told, places.taken.borrow().len()), (1, 2), "one is told, and holds its place");
-        assert!(tokio::time::timeout(2 * LEAVE, places.accept(&listener)).await.is_err());
-        assert!(taken.iter().all(|t| t.1.leaving.get().is_some()), "the other is told as well");
+        assert_eq!(
+            (told, places.taken.borrow().len()),
+            (1, 2),
+            "one is told, and holds its place"
+        );
+        assert!(
+            tokio::time::timeout(2 * LEAVE, places.accept(&listener))
+                .await
+                .is_err()
+        );
+        assert!(
+            taken.iter().all(|t| t.1.leaving.get().is_some()),
+            "the other is told as well"
+        );
         drop(taken.pop());
         let (tcp, place) = places.accept(&listener).await.unwrap();
-        assert_eq!(tcp.peer_addr().unwrap(), clients[2].local_addr().unwrap(), "it kept its turn");
+        assert_eq!(
+            tcp.peer_addr().unwrap(),
+            clients[2].local_addr().unwrap(),
+            "it kept its turn"
+        );
         place.uses(Use::Busy, Instant::now());
-        assert!(tokio::time::timeout(soon, places.accept(&listener)).await.is_err());
-        assert!(places.at_the_door().is_some(), "the last was accepted, and is served at the end");
+        assert!(
+            tokio::time::timeout(soon, places.accept(&listener))
+                .await
+                .is_err()
+        );
+        assert!(
+            places.at_the_door().is_some(),
+            "the last was accepted, and is served at the end"
+        );
     });
 }
 
 /// A lower bound, and the place of one that has asked nothing whole: it ends though its client has begun a frame.
 #[test]
 fn a_lower_bound_is_kept_at_once_and_only_the_silent_are_not_waited_for() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     runtime.block_on(async {
         let (places, now) = (Places::new(4, Use::Idle), Instant::now());
         let four: Vec<Taken> = (0..4).map(|_| places.take(now).unwrap()).collect();
@@ -97,7 +138,13 @@
         let told: Vec<_> = four.iter().map(|p| p.leaving.get().is_some()).collect();
         assert_eq!(told, [false, true, true, true]);
         let soon = Duration::from_millis(20);
-        assert!(tokio::time::timeout(soon, four[2].overdue()).await.is_ok(), "silent");
-        assert!(tokio::time::timeout(soon, four[1].overdue()).await.is_err(), "it may owe something");
+        assert!(
+            tokio::time::timeout(soon, four[2].overdue()).await.is_ok(),
+            "silent"
+        );
+        assert!(
+            tokio::time::timeout(soon, four[1].overdue()).await.is_err(),
+            "it may owe something"
+        );
     });
 }
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -28,8 +28,15 @@
 
 impl Pool {
     pub fn take(&self) -> Buffer {
-        let bytes = self.0.borrow_mut().pop().unwrap_or_else(|| BytesMut::with_capacity(SIZE));
-        Buffer { bytes, home: self.clone() }
+        let bytes = self
+            .0
+            .borrow_mut()
+            .pop()
+            .unwrap_or_else(|| BytesMut::with_capacity(SIZE));
+        Buffer {
+            bytes,
+            home: self.clone(),
+        }
     }
 
     fn give(&self, mut bytes: BytesMut) {
@@ -125,7 +132,12 @@
     match socket2::SockRef::from(tcp).peek(&mut byte) {
         Ok(0) => Unread::End,
         Ok(_) => Unread::Bytes,
-        Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {
+        Err(e)
+            if matches!(
+                e.kind(),
+                io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
+            ) =>
+        {
             Unread::Nothing
         }
         Err(_) => Unread::End,
@@ -142,13 +154,20 @@
         parts.read_buf = std::mem::take(&mut pool.take().bytes);
         parts.write_buf = std::mem::take(&mut pool.take().bytes);
         let owed = (0, Instant::now());
-        Wire { framed: Some(Framed::from_parts(parts)), pool: pool.clone(), resting: false, owed }
+        Wire {
+            framed: Some(Framed::from_parts(parts)),
+            pool: pool.clone(),
+            resting: false,
+            owed,
+        }
     }
 
     /// Gives the buffers back while nothing is in them: with a hundred idle connections, each holding what its
     /// largest answer once needed, memory would grow for as long as new ones come.
     pub fn rest(&mut self) {
-        let Some(framed) = self.framed.as_mut().filter(|_| !self.resting) else { return };
+        let Some(framed) = self.framed.as_mut().filter(|_| !self.resting) else {
+            return;
+        };
         if framed.read_buffer().is_empty() && framed.write_buffer().is_empty() {
             self.pool.give(std::mem::take(framed.read_buffer_mut()));
             self.pool.give(std::mem::take(framed.write_buffer_mut()));
@@ -281,7 +300,9 @@
             if !self.written()
                 && let Poll::Ready(out) = self.poll_out(cx)
             {
-                return Poll::Ready(out.map_or_else(|e| Turn::Broken(e.into()), |()| Turn::Written));
+                return Poll::Ready(
+                    out.map_or_else(|e| Turn::Broken(e.into()), |()| Turn::Written),
+                );
             }
             let read = match reads {
                 Reads::Nothing => Poll::Pending,
@@ -297,7 +318,11 @@
                 }),
             };
             match read {
-                Poll::Pending if room => self.get_ref().tcp().poll_write_ready(cx).map(|_| Turn::Room),
+                Poll::Pending if room => self
+                    .get_ref()
+                    .tcp()
+                    .poll_write_ready(cx)
+                    .map(|_| Turn::Room),
                 read => read,
             }
         })
@@ -333,7 +358,10 @@
                 return Ok(());
             }
             // Made anew, it decodes what stands in its buffer before it reads on.
-            self.framed = self.framed.take().map(|f| Framed::from_parts(f.into_parts()));
+            self.framed = self
+                .framed
+                .take()
+                .map(|f| Framed::from_parts(f.into_parts()));
         }
     }
 
@@ -345,7 +373,9 @@
 
     /// The same, within so long.
     pub async fn part_within(&mut self, limit: Duration) {
-        let Some(framed) = &mut self.framed else { return };
+        let Some(framed) = &mut self.framed else {
+            return;
+        };
         let tcp = framed.get_mut();
         let parting = async {
             tcp.shutdown().await?;
--- a/src/net/resp.rs
+++ b/src/net/resp.rs
@@ -71,12 +71,18 @@
 
 /// A number between a mark and the line's end: its value and the place after it.
 fn number(src: &[u8], mark: u8, most: usize) -> Result<Option<(usize, usize)>, RespError> {
-    let Some((first, rest)) = src.split_first() else { return Ok(None) };
+    let Some((first, rest)) = src.split_first() else {
+        return Ok(None);
+    };
     if *first != mark {
         return Err(RespError::Form);
     }
     let Some(end) = rest.iter().take(12).position(|&b| b == b'\r') else {
-        return if rest.len() >= 12 { Err(RespError::Form) } else { Ok(None) };
+        return if rest.len() >= 12 {
+            Err(RespError::Form)
+        } else {
+            Ok(None)
+        };
     };
     let text = std::str::from_utf8(&rest[..end]).map_err(|_| RespError::Form)?;
     let n: usize = text.parse().map_err(|_| RespError::Form)?;
@@ -95,10 +101,14 @@
     type Error = RespError;
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Vec<Bytes>>, RespError> {
-        let Some((words, mut at)) = number(src, b'*', WORDS)? else { return Ok(None) };
+        let Some((words, mut at)) = number(src, b'*', WORDS)? else {
+            return Ok(None);
+        };
         let mut places = [(0, 0); WORDS];
         for place in &mut places[..words] {
-            let Some((size, used)) = number(&src[at..], b'$', WORD)? else { return Ok(None) };
+            let Some((size, used)) = number(&src[at..], b'$', WORD)? else {
+                return Ok(None);
+            };
             at += used;
             if src.len() < at + size + 2 {
                 return Ok(None);
@@ -109,7 +119,9 @@
             *place = (at, size);
             at += size + 2;
         }
-        let array = places[..words].iter().map(|&(at, n)| Bytes::copy_from_slice(&src[at..at + n]));
+        let array = places[..words]
+            .iter()
+            .map(|&(at, n)| Bytes::copy_from_slice(&src[at..at + n]));
         let array = array.collect();
         src.advance(at);
         Ok(Some(array))
@@ -132,7 +144,9 @@
 
 /// The fields of an answer: `name=value,name=value` or `-`.
 fn field<'a>(fields: &'a str, name: &str) -> Option<&'a str> {
-    fields.split(',').find_map(|f| f.split_once('=').filter(|f| f.0 == name).map(|f| f.1))
+    fields
+        .split(',')
+        .find_map(|f| f.split_once('=').filter(|f| f.0 == name).map(|f| f.1))
 }
 
 /// A load report in the order of the settings' names: `inflight:7;util:0.61`.
@@ -150,22 +164,38 @@
         }
         .to_string()
     };
-    let Some(meter) = field(fields, "meter") else { return vec![] };
+    let Some(meter) = field(fields, "meter") else {
+        return vec![];
+    };
     let told: HashMap<&str, f64> = meter
         .split(';')
         .filter_map(|f| f.split_once(':'))
         .filter_map(|(n, v)| Some((n, v.parse().ok()?)))
         .collect();
-    let value = |n: &String| told.get(n.as_str()).or_else(|| told.get(alias(n).as_str())).copied();
+    let value = |n: &String| {
+        told.get(n.as_str())
+            .or_else(|| told.get(alias(n).as_str()))
+            .copied()
+    };
     // A report that lacks a value tells nothing that could be trusted.
-    names.iter().map(value).collect::<Option<Vec<f64>>>().unwrap_or_default()
+    names
+        .iter()
+        .map(value)
+        .collect::<Option<Vec<f64>>>()
+        .unwrap_or_default()
 }
 
 /// Whole rows of three text columns. What is spoilt must not be passed on as served.
 fn is_page(body: &[u8]) -> bool {
-    let Ok(text) = std::str::from_utf8(body) else { return false };
-    let row = |r: &str| r.matches('\t').count() == 2 && !r.contains(|c: char| c.is_control() && c != '\t');
-    body.len() <= PAGE && text.split_terminator('\n').all(row) && (text.is_empty() || text.ends_with('\n'))
+    let Ok(text) = std::str::from_utf8(body) else {
+        return false;
+    };
+    let row = |r: &str| {
+        r.matches('\t').count() == 2 && !r.contains(|c: char| c.is_control() && c != '\t')
+    };
+    body.len() <= PAGE
+        && text.split_terminator('\n').all(row)
+        && (text.is_empty() || text.ends_with('\n'))
 }
 
 fn note(fields: &str) -> Option<Note> {
@@ -329,8 +359,16 @@
         let shared = |c: &Connection| alone || c.pending.borrow().values().any(|p| p.alone);
         let free = |c: &&Rc<Connection>| c.pending.borrow().is_empty() || !shared(c);
         // Those that are up go first: another may come up late, or never.
-        let fitting = |up| slot.connections.iter().filter(fits).filter(move |c| c.up.get() == up);
-        if let Some(c) = fitting(true).find(free).or_else(|| fitting(false).find(free)) {
+        let fitting = |up| {
+            slot.connections
+                .iter()
+                .filter(fits)
+                .filter(move |c| c.up.get() == up)
+        };
+        if let Some(c) = fitting(true)
+            .find(free)
+            .or_else(|| fitting(false).find(free))
+        {
             return Some(c.clone());
         }
         let has = slot.connections.len();
@@ -367,7 +405,10 @@
         let engine = engine.to_string();
         tokio::task::spawn_local(async move {
             let mut connected = false;
-            if let Err(e) = shared.run(&hub, &engine, &mine, inbox, &mut connected).await {
+            if let Err(e) = shared
+                .run(&hub, &engine, &mine, inbox, &mut connected)
+                .await
+            {
                 say!("engine {engine} at {}: {e}", mine.address);
             }
             shared.close(&hub, &engine, &mine, connected);
@@ -387,7 +428,15 @@
         };
         let txn = work.txn.clone();
         let alone = start.alone;
-        let pending = Pending { attempt, alone, stage: Stage::Waiting { start, work, looked: false } };
+        let pending = Pending {
+            attempt,
+            alone,
+            stage: Stage::Waiting {
+                start,
+                work,
+                looked: false,
+            },
+        };
         if c.orders.try_send(Do::Get(txn.clone())).is_err() {
             return hub.ended(attempt, Outcome::Unreachable, vec![]);
         }
@@ -399,15 +448,22 @@
     }
 
     fn drop_attempt(&self, attempt: AttemptId) {
-        let Some((c, txn)) = self.0.attempts.borrow_mut().remove(&attempt) else { return };
+        let Some((c, txn)) = self.0.attempts.borrow_mut().remove(&attempt) else {
+            return;
+        };
         let pending = c.pending.borrow_mut().remove(&txn);
         // It may wait for a descriptor, which nobody needs any more.
         c.look.notify_one();
-        if let Some(Pending { stage: Stage::Written | Stage::Paging { .. }, .. }) = pending {
+        if let Some(Pending {
+            stage: Stage::Written | Stage::Paging { .. },
+            ..
+        }) = pending
+        {
             c.give_up(&txn, f64::INFINITY);
             if c.half.borrow().as_ref() == Some(&txn) {
                 let now = unix_ms();
-                c.unwanted.set(Some(c.unwanted.get().map_or(now, |at| at.min(now))));
+                c.unwanted
+                    .set(Some(c.unwanted.get().map_or(now, |at| at.min(now))));
                 c.look.notify_one();
             }
             if c.orders.try_send(Do::Drop(txn)).is_err() {
@@ -430,15 +486,23 @@
         let mut engines = self.0.engines.borrow_mut();
         if change.update != ListUpdate::Patch {
             let listed: HashSet<&str> = change.engines.iter().map(|e| e.id.as_str()).collect();
-            for (_, slot) in engines.iter_mut().filter(|(id, _)| !listed.contains(id.as_str())) {
+            for (_, slot) in engines
+                .iter_mut()
+                .filter(|(id, _)| !listed.contains(id.as_str()))
+            {
                 slot.address = None;
             }
         }
         for e in &change.engines {
             // By the connections' own address: the list may have named its last owner gone before.
             for (_, slot) in engines.iter_mut().filter(|(id, _)| **id != e.id) {
-                let Some(address) = e.address.filter(|_| e.state != EngineState::Gone) else { break };
-                slot.connections.iter().filter(|c| c.address == address).for_each(|c| c.end());
+                let Some(address) = e.address.filter(|_| e.state != EngineState::Gone) else {
+                    break;
+                };
+                slot.connections
+                    .iter()
+                    .filter(|c| c.address == address)
+                    .for_each(|c| c.end());
                 slot.address = slot.address.filter(|a| *a != address);
             }
             let slot = engines.entry(e.id.clone()).or_default();
@@ -478,8 +542,12 @@
     /// worth a wait, and closing it would end what may not be repeated.
     fn dead(&self, now: Millis, notes: Millis) -> bool {
         let pending = self.pending.borrow();
-        let owes = pending.values().any(|p| !matches!(p.stage, Stage::Waiting { .. }));
-        owes && notes > 0.0 && now > self.heard.get() + NOTES * notes && !pending.values().any(|p| p.alone)
+        let owes = pending
+            .values()
+            .any(|p| !matches!(p.stage, Stage::Waiting { .. }));
+        owes && notes > 0.0
+            && now > self.heard.get() + NOTES * notes
+            && !pending.values().any(|p| p.alone)
     }
 
     /// A result that began does not go on.
@@ -541,7 +609,9 @@
         let engines = self.engines.borrow();
         let rests = engines.values().flat_map(|s| &s.connections);
         let rests = rests.filter(|c| !c.closing.get() && c.pending.borrow().is_empty());
-        rests.min_by(|a, b| a.heard.get().total_cmp(&b.heard.get())).inspect(|c| c.end());
+        rests
+            .min_by(|a, b| a.heard.get().total_cmp(&b.heard.get()))
+            .inspect(|c| c.end());
     }
 
     /// A descriptor, once there is one: one that rests gives way, now or as soon as it does. Its wait ends with the
@@ -578,7 +648,10 @@
                 () = c.look.notified() => if c.pending.borrow().is_empty() { return Ok(()) },
             }
         };
-        let connect = tokio::time::timeout(span(self.sockets.connect_timeout), TcpStream::connect(c.address));
+        let connect = tokio::time::timeout(
+            span(self.sockets.connect_timeout),
+            TcpStream::connect(c.address),
+        );
         let tcp = tokio::select! {
             tcp = connect => tcp.map_err(io::Error::from)??,
             () = c.cut.notified() => return Ok(()),
@@ -614,7 +687,9 @@
                 *c.half.borrow_mut() = None;
                 c.unwanted.set(None);
                 // Only now is the last byte of each written.
-                hub.upgrade().into_iter().for_each(|hub| hub.written(std::mem::take(&mut gets)));
+                hub.upgrade()
+                    .into_iter()
+                    .for_each(|hub| hub.written(std::mem::take(&mut gets)));
             }
             let none = c.pending.borrow().is_empty();
             if c.closing.get() && none && framed.written() {
@@ -694,11 +769,22 @@
             Do::Drop(txn) => return framed.put(&[b"DROP", txn.as_bytes()][..]).map(|()| 0),
             Do::Get(txn) => txn,
         };
-        let Some(hub) = hub.upgrade() else { return Ok(0) };
+        let Some(hub) = hub.upgrade() else {
+            return Ok(0);
+        };
         let mut pending = c.pending.borrow_mut();
         // Given up before a byte of it was written.
-        let Some(p) = pending.get_mut(&txn) else { return Ok(0) };
-        let Stage::Waiting { start, work, looked } = &mut p.stage else { return Ok(0) };
+        let Some(p) = pending.get_mut(&txn) else {
+            return Ok(0);
+        };
+        let Stage::Waiting {
+            start,
+            work,
+            looked,
+        } = &mut p.stage
+        else {
+            return Ok(0);
+        };
         let (now, write_by) = (unix_ms(), start.write_by);
         let left = start.until - now;
         let late = left < 1.0 || now >= write_by;
@@ -708,7 +794,11 @@
             let attempt = start.attempt;
             drop(pending);
             self.forget(c, &txn, attempt);
-            let outcome = if late { Outcome::Moot } else { Outcome::Unreachable };
+            let outcome = if late {
+                Outcome::Moot
+            } else {
+                Outcome::Unreachable
+            };
             hub.ended(attempt, outcome, vec![]);
             return Ok(0);
         }
@@ -716,7 +806,8 @@
         // the machine is asked, and what is unread is read first. Nothing begins for a client that has closed.
         let client = work.client();
         let first = !std::mem::replace(looked, true);
-        let unread = || client == Unread::Bytes || pool::unread(framed.get_ref()) != Unread::Nothing;
+        let unread =
+            || client == Unread::Bytes || pool::unread(framed.get_ref()) != Unread::Nothing;
         if client == Unread::End || first && unread() {
             *waits = Some((Do::Get(txn), For::Reading));
             return Ok(0);
@@ -736,14 +827,17 @@
         if !framed.written() {
             *c.half.borrow_mut() = Some(txn);
             // A repeat that is not whole by its time never comes whole.
-            c.unwanted.set(write_by.is_finite().then_some(write_by - HALF));
+            c.unwanted
+                .set(write_by.is_finite().then_some(write_by - HALF));
         }
         Ok(1)
     }
 
     fn forget(&self, c: &Connection, txn: &str, attempt: AttemptId) {
-        if let Some(Pending { stage: Stage::Written | Stage::Paging { .. }, .. }) =
-            c.pending.borrow_mut().remove(txn)
+        if let Some(Pending {
+            stage: Stage::Written | Stage::Paging { .. },
+            ..
+        }) = c.pending.borrow_mut().remove(txn)
         {
             c.give_up(txn, unix_ms() + ANSWERED);
         }
@@ -758,15 +852,24 @@
         words: &[Bytes],
         framed: &mut Wire,
     ) -> Result<(), RespError> {
-        let Some(hub) = hub.upgrade() else { return Ok(()) };
-        let [id, word, rest @ ..] = words else { return Err(RespError::Form) };
+        let Some(hub) = hub.upgrade() else {
+            return Ok(());
+        };
+        let [id, word, rest @ ..] = words else {
+            return Err(RespError::Form);
+        };
         let (Ok(txn), Ok(word)) = (std::str::from_utf8(id), std::str::from_utf8(word)) else {
             return Err(RespError::Form);
         };
-        let fields = rest.first().map(|f| String::from_utf8_lossy(f)).unwrap_or_default();
+        let fields = rest
+            .first()
+            .map(|f| String::from_utf8_lossy(f))
+            .unwrap_or_default();
         let body = rest.get(1).cloned().unwrap_or_default();
         // Late: nobody waits for it any more.
-        let Some(attempt) = c.pending.borrow().get(txn).map(|p| p.attempt) else { return Ok(()) };
+        let Some(attempt) = c.pending.borrow().get(txn).map(|p| p.attempt) else {
+            return Ok(());
+        };
         let told = || report(&fields, &self.report_fields);
         let outcome = match word {
             "EVENT" => {
@@ -826,9 +929,21 @@
                 pages[0] = Some(body);
                 wanted = total - 1;
                 let report = report(fields, &self.report_fields);
-                *stage = Stage::Paging { pages, missing: wanted, size, at: now, report };
+                *stage = Stage::Paging {
+                    pages,
+                    missing: wanted,
+                    size,
+                    at: now,
+                    report,
+                };
             }
-            Some(Stage::Paging { pages, missing, size, at, .. }) if !first => {
+            Some(Stage::Paging {
+                pages,
+                missing,
+                size,
+                at,
+                ..
+            }) if !first => {
                 let index = number("index").ok_or(RespError::Form)?;
                 let place = pages.get_mut(index).ok_or(RespError::Length(index))?;
                 if place.is_none() {
@@ -862,9 +977,16 @@
         let pending = c.pending.borrow_mut().remove(txn);
         c.give_up(txn, unix_ms() + ANSWERED);
         self.attempts.borrow_mut().remove(&attempt);
-        if let Some(Pending { stage: Stage::Paging { pages, report, .. }, .. }) = pending {
+        if let Some(Pending {
+            stage: Stage::Paging { pages, report, .. },
+            ..
+        }) = pending
+        {
             let mut result = self.pool.take();
-            pages.iter().flatten().for_each(|p| result.extend_from_slice(p));
+            pages
+                .iter()
+                .flatten()
+                .for_each(|p| result.extend_from_slice(p));
             hub.served(attempt, report, result);
         }
     }
@@ -872,7 +994,13 @@
     /// The connection has ended: what was written on it may have run, the rest never did. That says something
     /// of the engine once, not for each request that shared the connection: one bad connection would make a
     /// healthy engine look as if it failed all it is sent. The others only end, by their class's rule.
-    fn close(&self, hub: &Weak<Hub<RespUpstream>>, engine: &str, c: &Rc<Connection>, connected: bool) {
+    fn close(
+        &self,
+        hub: &Weak<Hub<RespUpstream>>,
+        engine: &str,
+        c: &Rc<Connection>,
+        connected: bool,
+    ) {
         c.closing.set(true);
         if let Some(slot) = self.engines.borrow_mut().get_mut(engine) {
             slot.connections.retain(|o| o.number != c.number);
--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -23,15 +23,24 @@
 
 impl Shared {
     pub fn open(folder: Option<&Path>) -> io::Result<Self> {
-        let Some(path) = folder.map(|f| f.join("hitchwinch")) else { return Ok(Shared(None)) };
+        let Some(path) = folder.map(|f| f.join("hitchwinch")) else {
+            return Ok(Shared(None));
+        };
         std::fs::create_dir_all(&path)?;
         // Locked before it has the name that others look for: one without a lock is of a process that ended.
-        let (id, draft) = (std::process::id(), path.join(format!("new-{}", std::process::id())));
+        let (id, draft) = (
+            std::process::id(),
+            path.join(format!("new-{}", std::process::id())),
+        );
         let here = File::create(&draft)?;
         here.try_lock()?;
         let name = OsString::from(format!("here-{id}"));
         std::fs::rename(draft, path.join(&name))?;
-        Ok(Shared(Some(Folder { path, _here: here, name })))
+        Ok(Shared(Some(Folder {
+            path,
+            _here: here,
+            name,
+        })))
     }
 
     /// Processes of this dispatcher that live, this one included.
@@ -56,7 +65,9 @@
 
     /// Kept before the operator gets a yes; to keep it twice changes nothing.
     pub fn hold_out(&self, engine: &str) -> io::Result<()> {
-        let Some(path) = self.path(engine)? else { return Ok(()) };
+        let Some(path) = self.path(engine)? else {
+            return Ok(());
+        };
         if !path.exists() && self.held_out()?.is_some_and(|out| out.len() >= MOST) {
             return Err(io::Error::other("too many engines are out by hand"));
         }
@@ -64,7 +75,9 @@
     }
 
     pub fn put_back(&self, engine: &str) -> io::Result<()> {
-        let Some(path) = self.path(engine)? else { return Ok(()) };
+        let Some(path) = self.path(engine)? else {
+            return Ok(());
+        };
         match std::fs::remove_file(path) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => Err(e),
             _ => Ok(()),
@@ -73,17 +86,25 @@
 
     /// All that are out; none if nothing is shared.
     pub fn held_out(&self) -> io::Result<Option<BTreeSet<String>>> {
-        let Some(Folder { path: folder, .. }) = &self.0 else { return Ok(None) };
+        let Some(Folder { path: folder, .. }) = &self.0 else {
+            return Ok(None);
+        };
         let mut out = BTreeSet::new();
         for entry in std::fs::read_dir(folder)? {
             let name = entry?.file_name();
-            out.extend(name.to_str().and_then(|n| n.strip_prefix("out-")).and_then(decoded));
+            out.extend(
+                name.to_str()
+                    .and_then(|n| n.strip_prefix("out-"))
+                    .and_then(decoded),
+            );
         }
         Ok(Some(out))
     }
 
     fn path(&self, engine: &str) -> io::Result<Option<PathBuf>> {
-        let Some(Folder { path: folder, .. }) = &self.0 else { return Ok(None) };
+        let Some(Folder { path: folder, .. }) = &self.0 else {
+            return Ok(None);
+        };
         let name = format!("out-{}", encoded(engine));
         match name.len() {
             0..=NAME => Ok(Some(folder.join(name))),
@@ -95,7 +116,15 @@
 /// An engine's id as a part of a path: what could be read as anything else is written `%XX`.
 pub fn encoded(id: &str) -> String {
     let plain = |b: &u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-    id.bytes().map(|b| if plain(&b) { char::from(b).to_string() } else { format!("%{b:02X}") }).collect()
+    id.bytes()
+        .map(|b| {
+            if plain(&b) {
+                char::from(b).to_string()
+            } else {
+                format!("%{b:02X}")
+            }
+        })
+        .collect()
 }
 
 /// The id behind it, if it is one.
@@ -104,7 +133,11 @@
     let mut rest = text.as_bytes();
     while let Some((&b, after)) = rest.split_first() {
         let hex = after.get(..2).filter(|_| b == b'%');
-        match hex.map(|h| std::str::from_utf8(h).ok().and_then(|h| u8::from_str_radix(h, 16).ok())) {
+        match hex.map(|h| {
+            std::str::from_utf8(h)
+                .ok()
+                .and_then(|h| u8::from_str_radix(h, 16).ok())
+        }) {
             Some(byte) => {
                 bytes.push(byte?);
                 rest = &after[2..];
@@ -126,19 +159,28 @@
     #[test]
     fn what_is_out_by_hand_outlives_its_process_whatever_its_name() {
         let folder = std::env::temp_dir().join(format!("hitchwinch-shared-{}", std::process::id()));
-        let (a, b) = (Shared::open(Some(&folder)).unwrap(), Shared::open(Some(&folder)).unwrap());
+        let (a, b) = (
+            Shared::open(Some(&folder)).unwrap(),
+            Shared::open(Some(&folder)).unwrap(),
+        );
         let odd = "host/../x:80 %é";
         for (one, other) in [(&a, &b), (&b, &a)] {
             one.hold_out(odd).unwrap();
             one.hold_out("e1").unwrap();
             other.hold_out("e1").unwrap();
-            assert_eq!(other.held_out().unwrap().unwrap(), [odd, "e1"].map(str::to_string).into());
+            assert_eq!(
+                other.held_out().unwrap().unwrap(),
+                [odd, "e1"].map(str::to_string).into()
+            );
             other.put_back("e1").unwrap();
             one.put_back("e1").unwrap();
             one.put_back(odd).unwrap();
             assert!(other.held_out().unwrap().unwrap().is_empty());
         }
-        assert!(a.hold_out(&"x".repeat(300)).is_err(), "it could not be kept, so there is no yes");
+        assert!(
+            a.hold_out(&"x".repeat(300)).is_err(),
+            "it could not be kept, so there is no yes"
+        );
         std::fs::remove_dir_all(folder).unwrap();
         assert_eq!(decoded("%4"), None);
     }
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -57,7 +57,10 @@
     use std::time::Duration;
 
     fn runtime() -> tokio::runtime::Runtime {
-        tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap()
+        tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .unwrap()
     }
 
     #[test]
--- a/src/net/spools/disk.rs
+++ b/src/net/spools/disk.rs
@@ -123,7 +123,10 @@
     /// # Errors
     /// The folder cannot be used.
     pub fn start(dir: &Path, most: u64, first: u64) -> io::Result<Started> {
-        let rules = Rules { segment: SEGMENT.min(most / 4).max(64 << 10), most };
+        let rules = Rules {
+            segment: SEGMENT.min(most / 4).max(64 << 10),
+            most,
+        };
         std::fs::create_dir_all(dir)?;
         let mut owned: Vec<Own> = vec![];
         let mut found = vec![];
@@ -139,7 +142,12 @@
                     continue;
                 }
             };
-            let Recovered { dropped, torn, missing, .. } = recovered;
+            let Recovered {
+                dropped,
+                torn,
+                missing,
+                ..
+            } = recovered;
             if dropped + missing > 0 || torn > 0 {
                 say!(
                     "spools: {}: {dropped} results were not whole, {torn} bytes torn, {missing} segments missing",
@@ -156,7 +164,11 @@
             }
             // The first goes on as ours; of the others only those in which something lies stay.
             if owned.is_empty() || !segments.is_empty() {
-                owned.push(Own { segments, path, _lock: lock });
+                owned.push(Own {
+                    segments,
+                    path,
+                    _lock: lock,
+                });
             } else {
                 let _ = std::fs::remove_dir_all(path);
             }
@@ -166,12 +178,25 @@
             std::fs::create_dir_all(&path)?;
             let lock = lock(&path)?.ok_or_else(|| io::Error::other("a new folder is locked"))?;
             let (segments, _) = Segments::open(Folder::new(&path)?, rules)?;
-            owned.push(Own { segments, path, _lock: lock });
+            owned.push(Own {
+                segments,
+                path,
+                _lock: lock,
+            });
         }
         let (orders, inbox) = mpsc::channel(WAITING);
         let (tell, done) = mpsc::unbounded_channel();
-        let worker = Worker { dir: dir.to_path_buf(), owned, places, local, broken: HashMap::new(), tell };
-        std::thread::Builder::new().name("spool-disk".into()).spawn(move || worker.run(inbox))?;
+        let worker = Worker {
+            dir: dir.to_path_buf(),
+            owned,
+            places,
+            local,
+            broken: HashMap::new(),
+            tell,
+        };
+        std::thread::Builder::new()
+            .name("spool-disk".into())
+            .spawn(move || worker.run(inbox))?;
         Ok((Disk { orders }, done, found))
     }
 
@@ -188,14 +213,21 @@
 
 /// A number that no other start of this process has.
 fn unique() -> u128 {
-    std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).map_or(0, |d| d.as_nanos())
+    std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .map_or(0, |d| d.as_nanos())
 }
 
 fn folders(dir: &Path) -> io::Result<Vec<PathBuf>> {
     let mut all = vec![];
     for entry in std::fs::read_dir(dir)? {
         let entry = entry?;
-        if entry.file_name().to_str().is_some_and(|n| n.starts_with("own-")) && entry.path().is_dir() {
+        if entry
+            .file_name()
+            .to_str()
+            .is_some_and(|n| n.starts_with("own-"))
+            && entry.path().is_dir()
+        {
             all.push(entry.path());
         }
     }
@@ -215,10 +247,17 @@
 }
 
 fn keeps(recovered: Recovered) -> impl Iterator<Item = (u64, Kept)> {
-    recovered
-        .whole
-        .into_iter()
-        .map(|f| (f.spool, Kept { begin: f.begin, end: f.end, pages: f.pages, stored: f.stored }))
+    recovered.whole.into_iter().map(|f| {
+        (
+            f.spool,
+            Kept {
+                begin: f.begin,
+                end: f.end,
+                pages: f.pages,
+                stored: f.stored,
+            },
+        )
+    })
 }
 
 /// A living process's segments are read and never touched.
@@ -270,7 +309,12 @@
         while let Some(order) = inbox.blocking_recv() {
             self.carry_out(order);
             // Room is won back when nothing waits.
-            while inbox.is_empty() && self.owned[0].segments.compact(COMPACT).is_ok_and(|more| more) {}
+            while inbox.is_empty()
+                && self.owned[0]
+                    .segments
+                    .compact(COMPACT)
+                    .is_ok_and(|more| more)
+            {}
         }
     }
 
@@ -287,9 +331,18 @@
                 }
                 self.done(spool, None, false, began, result);
             }
-            Order::Page { spool, page, rows, bytes } => {
+            Order::Page {
+                spool,
+                page,
+                rows,
+                bytes,
+            } => {
                 let size = bytes.len() as u64;
-                if self.broken.get(&spool).is_some_and(|wanted| *wanted != page) {
+                if self
+                    .broken
+                    .get(&spool)
+                    .is_some_and(|wanted| *wanted != page)
+                {
                     return self.skipped(spool, Some((page, size)), false, began);
                 }
                 let local = match self.places.get(&spool) {
@@ -343,13 +396,20 @@
                 });
                 let _ = reply.send(read);
             }
-            Order::Look { spool, wanted, reply } => {
+            Order::Look {
+                spool,
+                wanted,
+                reply,
+            } => {
                 let _ = reply.send(self.look(spool, &*wanted));
             }
             Order::Most { bytes } => {
                 for own in &mut self.owned {
                     let rules = own.segments.rules();
-                    own.segments.configure(Rules { most: bytes, ..rules });
+                    own.segments.configure(Rules {
+                        most: bytes,
+                        ..rules
+                    });
                 }
             }
         }
@@ -358,11 +418,24 @@
     /// Copies a whole spool out of a living process's folder.
     fn look(&mut self, spool: u64, wanted: &dyn Fn(&[u8]) -> bool) -> Option<Kept> {
         let ours: Vec<PathBuf> = self.owned.iter().map(|o| o.path.clone()).collect();
-        for path in folders(&self.dir).ok()?.into_iter().filter(|p| !ours.contains(p)) {
-            let Ok(folder) = Folder::new(&path) else { continue };
-            let rules = Rules { segment: SEGMENT, most: u64::MAX };
-            let Ok((mut there, recovered)) = Segments::open(Looking(folder), rules) else { continue };
-            let Some((number, kept)) = keeps(recovered).find(|(_, k)| wanted(&k.begin)) else { continue };
+        for path in folders(&self.dir)
+            .ok()?
+            .into_iter()
+            .filter(|p| !ours.contains(p))
+        {
+            let Ok(folder) = Folder::new(&path) else {
+                continue;
+            };
+            let rules = Rules {
+                segment: SEGMENT,
+                most: u64::MAX,
+            };
+            let Ok((mut there, recovered)) = Segments::open(Looking(folder), rules) else {
+                continue;
+            };
+            let Some((number, kept)) = keeps(recovered).find(|(_, k)| wanted(&k.begin)) else {
+                continue;
+            };
             let local = self.local;
             self.local += 1;
             let own = &mut self.owned[0].segments;
@@ -397,12 +470,26 @@
         });
         let took_ms = began.elapsed().as_secs_f64() * 1000.0;
         let (page, bytes) = (page.map(|p| p.0), page.map_or(0, |p| p.1));
-        let _ = self.tell.send(Done { spool, page, bytes, ended, took_ms, result });
+        let _ = self.tell.send(Done {
+            spool,
+            page,
+            bytes,
+            ended,
+            took_ms,
+            result,
+        });
     }
 
     fn skipped(&self, spool: u64, page: Option<(u32, u64)>, ended: bool, began: Instant) {
         let took_ms = began.elapsed().as_secs_f64() * 1000.0;
         let (page, bytes) = (page.map(|p| p.0), page.map_or(0, |p| p.1));
-        let _ = self.tell.send(Done { spool, page, bytes, ended, took_ms, result: Err(Failure::Skipped) });
+        let _ = self.tell.send(Done {
+            spool,
+            page,
+            bytes,
+            ended,
+            took_ms,
+            result: Err(Failure::Skipped),
+        });
     }
 }
--- a/src/net/spools/mod.rs
+++ b/src/net/spools/mod.rs
@@ -107,7 +107,10 @@
 fn unframed<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Option<(T, Bytes)> {
     let (length, rest) = bytes.split_first_chunk::<4>()?;
     let (json, rest) = rest.split_at_checked(u32::from_be_bytes(*length) as usize)?;
-    Some((serde_json::from_slice(json).ok()?, Bytes::copy_from_slice(rest)))
+    Some((
+        serde_json::from_slice(json).ok()?,
+        Bytes::copy_from_slice(rest),
+    ))
 }
 
 /// A line of what a user can come back for.
@@ -159,7 +162,8 @@
         tenants: Vec<String>,
     ) -> io::Result<(Rc<Self>, Option<mpsc::UnboundedReceiver<Done>>)> {
         let mut ledger = Ledger::new(source.rules.clone(), classes.len());
-        let (mut handles, mut held, mut disk, mut done) = (Handles::default(), BTreeMap::new(), None, None);
+        let (mut handles, mut held, mut disk, mut done) =
+            (Handles::default(), BTreeMap::new(), None, None);
         if let (Some(dir), Some(most)) = (&source.dir, source.rules.disk) {
             let (started, told, found) = Disk::start(dir, most, 1)?;
             let n = found.len();
@@ -174,7 +178,10 @@
                 }
             }
             if n > 0 {
-                say!("spools: {} results of earlier processes are there", held.len());
+                say!(
+                    "spools: {} results of earlier processes are there",
+                    held.len()
+                );
             }
             (disk, done) = (Some(started), Some(told));
         }
@@ -213,7 +220,11 @@
         let n = u64::from(processes.max(1));
         self.processes.set(n);
         let all = self.rules.borrow().clone();
-        let rules = Rules { memory: all.memory / n, disk: all.disk.map(|d| d / n), ..all };
+        let rules = Rules {
+            memory: all.memory / n,
+            disk: all.disk.map(|d| d / n),
+            ..all
+        };
         if let (Some(disk), Some(bytes)) = (&self.disk, rules.disk) {
             disk.order(disk::Order::Most { bytes });
         }
@@ -248,7 +259,9 @@
             self.ledger.borrow_mut().fail(id);
             return Err(Unfit::Many);
         }
-        self.handles.borrow_mut().give(id, &who.user, u128::from_be_bytes(random));
+        self.handles
+            .borrow_mut()
+            .give(id, &who.user, u128::from_be_bytes(random));
         let held = Held {
             who,
             ask,
@@ -325,7 +338,9 @@
     }
 
     fn drop_pages(&self, id: SpoolId) {
-        let Some(held) = self.held.borrow_mut().remove(&id) else { return };
+        let Some(held) = self.held.borrow_mut().remove(&id) else {
+            return;
+        };
         if let Some(disk) = self.disk.as_ref().filter(|_| held.begun || held.ended)
             && !disk.order(disk::Order::Forget { spool: id })
         {
@@ -346,7 +361,11 @@
             let beginning = Beginning {
                 user: held.who.user.clone(),
                 tenant: held.ask.tenant.and_then(|t| self.tenants.get(t).cloned()),
-                class: self.classes.get(held.ask.class).cloned().unwrap_or_default(),
+                class: self
+                    .classes
+                    .get(held.ask.class)
+                    .cloned()
+                    .unwrap_or_default(),
                 load: held.ask.load,
                 handle,
                 binary: held.who.binary,
@@ -361,9 +380,16 @@
             }
         }
         for (n, page) in (held.stored..).zip(held.pages.iter_mut()) {
-            let Page::Memory { rows, bytes } = page else { continue };
+            let Page::Memory { rows, bytes } = page else {
+                continue;
+            };
             let (rows, bytes) = (*rows, bytes.clone());
-            let order = disk::Order::Page { spool: id, page: n as u32, rows, bytes: bytes.clone() };
+            let order = disk::Order::Page {
+                spool: id,
+                page: n as u32,
+                rows,
+                bytes: bytes.clone(),
+            };
             if !disk.order(order) {
                 // It stays in memory for now.
                 self.stuck.set(true);
@@ -373,8 +399,15 @@
             *page = Page::Writing { rows, bytes };
         }
         if let Some(tail) = held.tail.clone().filter(|_| !held.ended) {
-            let ending = Ending { rows: held.rows, bytes: held.bytes, whole: unix_ms() };
-            held.ended = disk.order(disk::Order::End { spool: id, end: framed(&ending, &tail) });
+            let ending = Ending {
+                rows: held.rows,
+                bytes: held.bytes,
+                whole: unix_ms(),
+            };
+            held.ended = disk.order(disk::Order::End {
+                spool: id,
+                end: framed(&ending, &tail),
+            });
             self.stuck.set(self.stuck.get() || !held.ended);
         }
     }
@@ -401,7 +434,9 @@
             self.handles.borrow_mut().expire(id);
         }
         let Some(disk) = &self.disk else { return };
-        self.unforgotten.borrow_mut().retain(|id| !disk.order(disk::Order::Forget { spool: *id }));
+        self.unforgotten
+            .borrow_mut()
+            .retain(|id| !disk.order(disk::Order::Forget { spool: *id }));
         if self.stuck.get() && self.ledger.borrow().watch.takes(unix_ms()) {
             self.stuck.set(false);
             self.again_to_disk();
@@ -410,8 +445,13 @@
 
     /// Whole results that are not on the disk yet, and spilled ones of which something is still here.
     fn again_to_disk(&self) {
-        let late: Vec<SpoolId> =
-            self.held.borrow().iter().filter(|(_, h)| h.tail.is_some() && !h.ended).map(|h| *h.0).collect();
+        let late: Vec<SpoolId> = self
+            .held
+            .borrow()
+            .iter()
+            .filter(|(_, h)| h.tail.is_some() && !h.ended)
+            .map(|h| *h.0)
+            .collect();
         for id in late {
             let orders = self.ledger.borrow_mut().persist(unix_ms(), id);
             self.carry_out(orders);
@@ -430,7 +470,10 @@
         if let Some(what) = what
             && self.ledger.borrow_mut().wrote(now, d.took_ms, what)
         {
-            say!("spools: the disk is {}", told(self.ledger.borrow().watch.state(), now));
+            say!(
+                "spools: the disk is {}",
+                told(self.ledger.borrow().watch.state(), now)
+            );
         }
         if d.result.is_err() {
             self.stuck.set(true);
@@ -453,7 +496,9 @@
                             h.stored += 1;
                         }
                         Err(_) => {
-                            self.ledger.borrow_mut().returned(d.spool, bytes.len() as u64);
+                            self.ledger
+                                .borrow_mut()
+                                .returned(d.spool, bytes.len() as u64);
                             h.pages[at] = Page::Memory { rows, bytes };
                         }
                     }
@@ -473,7 +518,10 @@
 
     /// Reads a result from a page on. None if it is not there.
     pub fn reader(self: &Rc<Self>, id: SpoolId, from: u32) -> Option<Reader> {
-        self.ledger.borrow_mut().attach(unix_ms(), id).then(|| Reader::new(self.clone(), id, from))
+        self.ledger
+            .borrow_mut()
+            .attach(unix_ms(), id)
+            .then(|| Reader::new(self.clone(), id, from))
     }
 
     /// Finds what a user's handle stands for, also in the folders of other processes.
@@ -487,9 +535,12 @@
         }
         let (user_, handle_) = (user.to_string(), handle.to_ascii_lowercase());
         let wanted = move |begin: &[u8]| {
-            unframed::<Beginning>(begin).is_some_and(|(b, _)| b.user == user_ && b.handle == handle_)
+            unframed::<Beginning>(begin)
+                .is_some_and(|(b, _)| b.user == user_ && b.handle == handle_)
         };
-        self.bring(Box::new(wanted)).await.ok_or(ResumeError::Unknown)
+        self.bring(Box::new(wanted))
+            .await
+            .ok_or(ResumeError::Unknown)
     }
 
     /// What a user can come back for.
@@ -498,7 +549,11 @@
             let user = user.to_string();
             let known: Vec<String> = {
                 let handles = self.handles.borrow();
-                self.held.borrow().keys().filter_map(|id| handles.of(*id).map(str::to_string)).collect()
+                self.held
+                    .borrow()
+                    .keys()
+                    .filter_map(|id| handles.of(*id).map(str::to_string))
+                    .collect()
             };
             let wanted = move |begin: &[u8]| {
                 unframed::<Beginning>(begin)
@@ -509,7 +564,9 @@
             }
         }
         let (now, held) = (unix_ms(), self.held.borrow());
-        let own = held.iter().filter(|(_, h)| h.who.user == user && h.tail.is_some());
+        let own = held
+            .iter()
+            .filter(|(_, h)| h.who.user == user && h.tail.is_some());
         own.filter_map(|(id, h)| {
             let (whole, expires) = self.ledger.borrow().life(*id)?;
             Some(Line {
@@ -533,8 +590,18 @@
         }
         let id = self.ledger.borrow_mut().reserve();
         let (reply, answer) = oneshot::channel();
-        let asked = disk.order_in_turn(disk::Order::Look { spool: id, wanted, reply }).await;
-        let kept = if asked { answer.await.ok().flatten() } else { None };
+        let asked = disk
+            .order_in_turn(disk::Order::Look {
+                spool: id,
+                wanted,
+                reply,
+            })
+            .await;
+        let kept = if asked {
+            answer.await.ok().flatten()
+        } else {
+            None
+        };
         self.looking.set(false);
         let kept = kept?;
         let Some((held, handle, whole)) = again(&kept, &self.classes, &self.tenants) else {
@@ -542,7 +609,9 @@
             return None;
         };
         let bytes = kept.pages.iter().map(|p| u64::from(p.1)).sum();
-        self.ledger.borrow_mut().found(unix_ms(), id, held.ask, bytes, whole);
+        self.ledger
+            .borrow_mut()
+            .found(unix_ms(), id, held.ask, bytes, whole);
         self.handles.borrow_mut().put(id, &held.who.user, &handle);
         self.held.borrow_mut().insert(id, held);
         Some(id)
@@ -565,9 +634,14 @@
         let (memory, on_disk) = ledger.used();
         let rules = ledger.rules();
         let name = |t: &Option<usize>| {
-            t.and_then(|t| self.tenants.get(t).cloned()).unwrap_or_else(|| "(none)".into())
+            t.and_then(|t| self.tenants.get(t).cloned())
+                .unwrap_or_else(|| "(none)".into())
         };
-        let tenants: BTreeMap<String, u64> = ledger.tenants().iter().map(|(t, n)| (name(t), *n)).collect();
+        let tenants: BTreeMap<String, u64> = ledger
+            .tenants()
+            .iter()
+            .map(|(t, n)| (name(t), *n))
+            .collect();
         let page = serde_json::json!({
             "results": ledger.len(), "most_results": rules.most,
             "memory_bytes": memory, "most_memory_bytes": rules.memory,
@@ -624,7 +698,11 @@
         load: b.load,
     };
     let held = Held {
-        who: Who { user: b.user, statement: b.statement, binary: b.binary },
+        who: Who {
+            user: b.user,
+            statement: b.statement,
+            binary: b.binary,
+        },
         ask,
         head,
         tail: Some(tail),
--- a/src/net/spools/reader.rs
+++ b/src/net/spools/reader.rs
@@ -27,7 +27,12 @@
 
 impl Reader {
     pub(super) fn new(spools: Rc<Spools>, id: SpoolId, from: u32) -> Self {
-        Reader { spools, id, next: from, to_the_end: false }
+        Reader {
+            spools,
+            id,
+            next: from,
+            to_the_end: false,
+        }
     }
 
     pub fn id(&self) -> SpoolId {
@@ -40,13 +45,17 @@
     /// The page is torn or cannot be read.
     pub async fn page(&mut self) -> Result<Option<Bytes>, SpoolError> {
         let next = self.next as usize;
-        let page = self.spools.look_at(self.id, |held, _| match next.checked_sub(held.stored) {
-            None => Some(None),
-            Some(here) => match held.pages.get(here) {
-                None => None,
-                Some(Page::Memory { bytes, .. } | Page::Writing { bytes, .. }) => Some(Some(bytes.clone())),
-            },
-        });
+        let page = self
+            .spools
+            .look_at(self.id, |held, _| match next.checked_sub(held.stored) {
+                None => Some(None),
+                Some(here) => match held.pages.get(here) {
+                    None => None,
+                    Some(Page::Memory { bytes, .. } | Page::Writing { bytes, .. }) => {
+                        Some(Some(bytes.clone()))
+                    }
+                },
+            });
         let bytes = match page {
             None => return Err(SpoolError::Gone),
             Some(None) => {
@@ -64,7 +73,14 @@
     async fn ask_disk(&self) -> Result<Bytes, SpoolError> {
         let disk = self.spools.disk.as_ref().ok_or(SpoolError::Gone)?;
         let (reply, answer) = oneshot::channel();
-        if !disk.order_in_turn(Order::Read { spool: self.id, page: self.next, reply }).await {
+        if !disk
+            .order_in_turn(Order::Read {
+                spool: self.id,
+                page: self.next,
+                reply,
+            })
+            .await
+        {
             return Err(SpoolError::Gone);
         }
         match answer.await {
@@ -82,6 +98,9 @@
 
 impl Drop for Reader {
     fn drop(&mut self) {
-        self.spools.ledger.borrow_mut().detach(unix_ms(), self.id, self.to_the_end);
+        self.spools
+            .ledger
+            .borrow_mut()
+            .detach(unix_ms(), self.id, self.to_the_end);
     }
 }
--- a/src/net/spools/writer.rs
+++ b/src/net/spools/writer.rs
@@ -66,7 +66,11 @@
     fn bound(&mut self, more: usize) -> Result<(), Unfit> {
         self.total += more + 4;
         let most = self.spools.ledger.borrow().rules().result;
-        if self.total as u64 > most { Err(Unfit::Result(most)) } else { Ok(()) }
+        if self.total as u64 > most {
+            Err(Unfit::Result(most))
+        } else {
+            Ok(())
+        }
     }
 
     /// A row. Waits where the disk is behind.
@@ -91,7 +95,9 @@
     async fn outgrow(&mut self) -> Result<(), Unfit> {
         let all = self.bytes.split().freeze();
         let (head, rows) = (all.slice(..self.head), all.slice(self.head..));
-        let Some(who) = self.who.take() else { return Err(Unfit::Unknown) };
+        let Some(who) = self.who.take() else {
+            return Err(Unfit::Unknown);
+        };
         self.spool = Some(self.spools.begin(self.ask, who, head)?);
         (self.rows, self.head) = (0, 0);
         for row in packets(&rows) {
@@ -105,7 +111,9 @@
     }
 
     async fn close(&mut self) -> Result<(), Unfit> {
-        let Some(spool) = self.spool else { return Ok(()) };
+        let Some(spool) = self.spool else {
+            return Ok(());
+        };
         let page = Bytes::copy_from_slice(&self.bytes);
         self.bytes.clear();
         let rows = std::mem::take(&mut self.rows);
@@ -132,8 +140,11 @@
         if self.rows > 0 {
             self.close().await?;
         }
-        let Some(spool) = self.spool.take() else { return Err(Unfit::Unknown) };
-        self.spools.whole(spool, Bytes::copy_from_slice(tail.unwrap_or_default()));
+        let Some(spool) = self.spool.take() else {
+            return Err(Unfit::Unknown);
+        };
+        self.spools
+            .whole(spool, Bytes::copy_from_slice(tail.unwrap_or_default()));
         Ok(Whole::Long(spool))
     }
 }
