--- a/src/net/statement.rs
+++ b/src/net/statement.rs
@@ -26,7 +26,11 @@
 }
 
 fn tokens(statement: &[u8]) -> Tokens<'_> {
-    Tokens { s: statement, at: 0, dot: false }
+    Tokens {
+        s: statement,
+        at: 0,
+        dot: false,
+    }
 }
 
 fn word(b: u8) -> bool {
@@ -89,9 +93,16 @@
                 // A string to MySQL, a name elsewhere; only a name has a dot beside it.
                 let text = self.quoted(b, true);
                 let name = dotted || self.s.get(self.at) == Some(&b'.');
-                return Some(if name { Token::Name { text, quoted: true } } else { Token::Text });
+                return Some(if name {
+                    Token::Name { text, quoted: true }
+                } else {
+                    Token::Text
+                });
             } else if b == b'`' {
-                return Some(Token::Name { text: self.quoted(b, false), quoted: true });
+                return Some(Token::Name {
+                    text: self.quoted(b, false),
+                    quoted: true,
+                });
             } else if b.is_ascii_digit() {
                 let n = rest.iter().take_while(|&&b| word(b) || b == b'.').count();
                 self.at += n;
@@ -100,7 +111,10 @@
                 let n = rest.iter().take_while(|&&b| word(b)).count();
                 let text = String::from_utf8_lossy(&rest[..n]).into_owned();
                 self.at += n;
-                return Some(Token::Name { text, quoted: false });
+                return Some(Token::Name {
+                    text,
+                    quoted: false,
+                });
             } else {
                 self.at += 1;
                 self.dot = b == b'.';
@@ -119,8 +133,17 @@
 }
 
 /// Words behind which a table is named.
-const BEFORE_TABLE: [&str; 9] =
-    ["from", "join", "into", "update", "table", "using", "overwrite", "only", "ignore"];
+const BEFORE_TABLE: [&str; 9] = [
+    "from",
+    "join",
+    "into",
+    "update",
+    "table",
+    "using",
+    "overwrite",
+    "only",
+    "ignore",
+];
 
 /// The group of tables: the number in the name of the first schema that stands where a table is named, or
 /// else anywhere before a dot (`sales_17.orders`).
@@ -144,7 +167,11 @@
                 match other {
                     Token::Name { text, quoted } => {
                         let keyword = BEFORE_TABLE.iter().any(|k| k.eq_ignore_ascii_case(&text));
-                        chain = Chain { schema: None, last: Some(text), placed: table_next };
+                        chain = Chain {
+                            schema: None,
+                            last: Some(text),
+                            placed: table_next,
+                        };
                         table_next = keyword && !quoted;
                     }
                     // `from (sales_17.orders ...)`
@@ -236,12 +263,18 @@
 pub fn kind(statement: &[u8]) -> Kind {
     let all: Vec<Token> = tokens(statement).collect();
     let word = |i: usize| match all.get(i) {
-        Some(Token::Name { text, quoted: false }) => text.to_ascii_lowercase(),
+        Some(Token::Name {
+            text,
+            quoted: false,
+        }) => text.to_ascii_lowercase(),
         _ => String::new(),
     };
     let mark = |i: usize, m: u8| all.get(i) == Some(&Token::Mark(m));
     let start = (0..all.len()).find(|&i| !mark(i, b'(')).unwrap_or(0);
-    let end = (0..all.len()).rev().find(|&i| !mark(i, b';')).map_or(0, |i| i + 1);
+    let end = (0..all.len())
+        .rev()
+        .find(|&i| !mark(i, b';'))
+        .map_or(0, |i| i + 1);
     let first = word(start);
     let words: Vec<String> = (0..end).map(word).collect();
     let has = |w: &str| words.iter().any(|x| x == w);
@@ -260,7 +293,9 @@
         "lock" if matches!(word(start + 1).as_str(), "table" | "tables") => {
             return Kind::Pins(Reason::Tables);
         }
-        "unlock" if matches!(word(start + 1).as_str(), "table" | "tables") => return Kind::UnlockTables,
+        "unlock" if matches!(word(start + 1).as_str(), "table" | "tables") => {
+            return Kind::UnlockTables;
+        }
         "lock" | "unlock" | "start" => {
             return Kind::NotCarried("engines are not administered through the dispatcher");
         }
@@ -271,8 +306,10 @@
             return Kind::NotCarried("cursors are not carried");
         }
         "kill" if word(start + 1) == "query" => {
-            let number =
-                String::from_utf8_lossy(statement).split_ascii_whitespace().nth(2).map(str::to_string);
+            let number = String::from_utf8_lossy(statement)
+                .split_ascii_whitespace()
+                .nth(2)
+                .map(str::to_string);
             return match number.and_then(|n| n.trim_end_matches(';').parse().ok()) {
                 Some(n) if end == start + 3 => Kind::Kill(n),
                 _ => Kind::NotCarried("KILL QUERY takes the number of a session"),
@@ -299,7 +336,10 @@
     if has("temporary") && matches!(first.as_str(), "create" | "drop") {
         return Kind::Pins(Reason::Temporary);
     }
-    if ["get_lock", "release_lock", "release_all_locks"].into_iter().any(calls) {
+    if ["get_lock", "release_lock", "release_all_locks"]
+        .into_iter()
+        .any(calls)
+    {
         return Kind::Pins(Reason::UserLock);
     }
     if ["found_rows", "row_count"].into_iter().any(calls) {
@@ -324,18 +364,29 @@
     let calls_unknown = (1..end).any(|i| {
         let name = matches!(all[i], Token::Name { .. }) && mark(i + 1, b'(');
         // A name behind WITH or a comma, with its columns, is a table of the statement's own.
-        let own = words.get(1..i).is_some_and(|w| w.iter().all(|x| x != "select")) && first == "with";
-        name && !own && (words[i].is_empty() || !listed(FUNCTIONS, &words[i]) && !listed(NO_CALL, &words[i]))
+        let own = words
+            .get(1..i)
+            .is_some_and(|w| w.iter().all(|x| x != "select"))
+            && first == "with";
+        name && !own
+            && (words[i].is_empty() || !listed(FUNCTIONS, &words[i]) && !listed(NO_CALL, &words[i]))
     });
     let heeded = all.contains(&Token::Heeded) || all[..end].windows(2).any(|w| w == ASSIGN);
-    if reads && !writes && !calls_unknown && !heeded { Kind::Read } else { Kind::Write }
+    if reads && !writes && !calls_unknown && !heeded {
+        Kind::Read
+    } else {
+        Kind::Write
+    }
 }
 
 /// The statement asks for LAST_INSERT_ID().
 pub fn asks_insert_id(statement: &[u8]) -> bool {
     const NAME: &[u8] = b"last_insert_id";
     // Nearly none does: only those that hold the word are read.
-    if !statement.windows(NAME.len()).any(|w| w.eq_ignore_ascii_case(NAME)) {
+    if !statement
+        .windows(NAME.len())
+        .any(|w| w.eq_ignore_ascii_case(NAME))
+    {
         return false;
     }
     let mut all = tokens(statement).peekable();
@@ -356,7 +407,10 @@
 /// It ends an open transaction with a commit, by the way: what defines tables, users or locks does.
 pub fn commits_by_the_way(statement: &[u8]) -> bool {
     let first = tokens(statement).find_map(|t| match t {
-        Token::Name { text, quoted: false } => Some(text.to_ascii_lowercase()),
+        Token::Name {
+            text,
+            quoted: false,
+        } => Some(text.to_ascii_lowercase()),
         _ => None,
     });
     let reads_or_changes_rows =
@@ -369,7 +423,10 @@
 /// The `name=value` words of a leading comment: `/* class=report limit=1500 */ select ...`.
 pub fn hints(statement: &[u8]) -> Vec<(String, String)> {
     let text = statement.trim_ascii_start();
-    let Some(rest) = text.strip_prefix(b"/*").filter(|r| !matches!(r.first(), Some(b'!' | b'+'))) else {
+    let Some(rest) = text
+        .strip_prefix(b"/*")
+        .filter(|r| !matches!(r.first(), Some(b'!' | b'+')))
+    else {
         return vec![];
     };
     let end = rest.windows(2).position(|w| w == b"*/").unwrap_or(0);
@@ -388,7 +445,10 @@
     #[test]
     fn only_what_plainly_reads_is_a_read() {
         let cases = [
-            ("select a, count(*) from x where b in (1, 2) group by a;", "read"),
+            (
+                "select a, count(*) from x where b in (1, 2) group by a;",
+                "read",
+            ),
             ("(select 1) union (select 2)", "read"),
             ("with w(a) as (select 1) select max(a) from w", "read"),
             ("select replace(a, 'x', 'y'), `update` from t", "read"),
@@ -458,14 +518,24 @@
             assert_eq!(found, wanted, "{text}");
         }
         assert!(asks_insert_id(b"insert into t values (LAST_INSERT_ID())"));
-        assert!(!asks_insert_id(b"select 'last_insert_id()', last_insert_id from t"));
+        assert!(!asks_insert_id(
+            b"select 'last_insert_id()', last_insert_id from t"
+        ));
         assert!(
             commits_by_the_way(b"/* x */ alter table t add a int")
                 && commits_by_the_way(b"lock tables t read")
         );
-        assert!(!commits_by_the_way(b"(select 1)") && !commits_by_the_way(b"insert into t values (1)"));
+        assert!(
+            !commits_by_the_way(b"(select 1)") && !commits_by_the_way(b"insert into t values (1)")
+        );
         let hint = hints(b" /* class=report, limit:1500 */ select 1");
-        assert_eq!(hint, [("class".into(), "report".into()), ("limit".into(), "1500".into())]);
+        assert_eq!(
+            hint,
+            [
+                ("class".into(), "report".into()),
+                ("limit".into(), "1500".into())
+            ]
+        );
         assert!(hints(b"select 1 /* class=report */").is_empty());
     }
 
@@ -475,12 +545,18 @@
             ("select * from sales_17.orders", Some(17)),
             ("SELECT a.x FROM `kit_sales_3`.`o r` AS a", Some(3)),
             ("select 'from a_1.b' from c_2.d", Some(2)),
-            ("select 'it''s a_1.b', 'x\\' from a_9.t' from c_2.d", Some(2)),
+            (
+                "select 'it''s a_1.b', 'x\\' from a_9.t' from c_2.d",
+                Some(2),
+            ),
             ("select 1 -- from a_1.b\nfrom c_2.d", Some(2)),
             ("select /* a_1.b */ 1 from c_2.d", Some(2)),
             ("# a_1.b\nselect 1 from c_2.d", Some(2)),
             ("insert into staging.x select * from c_2.d", Some(2)),
-            ("insert into c_5.t select * from Staging.x join a_2.y on 1", Some(5)),
+            (
+                "insert into c_5.t select * from Staging.x join a_2.y on 1",
+                Some(5),
+            ),
             ("select t_4.id from c_2.d t_4", Some(2)),
             ("select * from (select * from c_2 . d) x", Some(2)),
             ("select * from cat.c_2.d", Some(2)),
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -46,7 +46,9 @@
     pub async fn secure(&mut self, bytes: BytesMut, config: Arc<ServerConfig>) -> io::Result<()> {
         match std::mem::replace(self, Stream::Gone) {
             Stream::Plain(tcp) => {
-                let tls = TlsAcceptor::from(config).accept(Ahead::new(bytes, tcp)).await?;
+                let tls = TlsAcceptor::from(config)
+                    .accept(Ahead::new(bytes, tcp))
+                    .await?;
                 *self = Stream::Tls(Box::new(TlsStream::Server(tls)));
                 Ok(())
             }
@@ -60,7 +62,11 @@
     /// The certificate that the client has shown, and that was checked.
     pub fn certificate(&self) -> Option<&[u8]> {
         let Stream::Tls(tls) = self else { return None };
-        tls.get_ref().1.peer_certificates()?.first().map(|c| c.as_ref())
+        tls.get_ref()
+            .1
+            .peer_certificates()?
+            .first()
+            .map(|c| c.as_ref())
     }
 
     /// A look at its socket, in the clear or not, for whoever acts for its peer.
@@ -94,7 +100,11 @@
 }
 
 impl AsyncWrite for Ahead {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.tcp).poll_write(cx, bytes)
     }
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -120,7 +130,11 @@
 }
 
 impl AsyncWrite for Stream {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         match self.get_mut() {
             Stream::Plain(s) => Pin::new(s).poll_write(cx, bytes),
             Stream::Tls(s) => Pin::new(s).poll_write(cx, bytes),
--- a/src/net/tls.rs
+++ b/src/net/tls.rs
@@ -82,9 +82,17 @@
         let stamp = stamp(source);
         let loaded = load(source, unix_ms())?;
         let notices = RefCell::new(vec![Notice::default(); loaded.ends.len()]);
-        let (loaded, stamp, source) =
-            (RefCell::new(loaded), RefCell::new(stamp), RefCell::new(source.clone()));
-        Ok(Rc::new(Keys { source, loaded, stamp, notices }))
+        let (loaded, stamp, source) = (
+            RefCell::new(loaded),
+            RefCell::new(stamp),
+            RefCell::new(source.clone()),
+        );
+        Ok(Rc::new(Keys {
+            source,
+            loaded,
+            stamp,
+            notices,
+        }))
     }
 
     /// For the next handshake.
@@ -132,7 +140,8 @@
             }
         }
         let loaded = self.loaded.borrow();
-        for ((file, until), notice) in loaded.ends.iter().zip(self.notices.borrow_mut().iter_mut()) {
+        for ((file, until), notice) in loaded.ends.iter().zip(self.notices.borrow_mut().iter_mut())
+        {
             match notice.due(unix_ms(), *until) {
                 Some(left) if left < 0.0 => say!("tls: {}: it has expired", file.display()),
                 Some(left) => say!("tls: {}: it expires in {left:.1} days", file.display()),
@@ -143,7 +152,11 @@
 }
 
 fn stamp(source: &TlsSource) -> Stamp {
-    let one = |p: &Path| std::fs::metadata(p).ok().and_then(|m| Some((m.modified().ok()?, m.len())));
+    let one = |p: &Path| {
+        std::fs::metadata(p)
+            .ok()
+            .and_then(|m| Some((m.modified().ok()?, m.len())))
+    };
     let keys = source.keys.iter().flat_map(|(cert, key)| [cert, key]);
     keys.chain(&source.client_ca).map(|p| one(p)).collect()
 }
@@ -169,20 +182,38 @@
     let (_, x) = X509Certificate::from_der(der).ok()?;
     let mut names: Vec<String> = vec![];
     if let Ok(Some(alternatives)) = x.subject_alternative_name() {
-        names.extend(alternatives.value.general_names.iter().filter_map(|n| match n {
-            GeneralName::DNSName(n) => Some((*n).to_string()),
-            _ => None,
-        }));
+        names.extend(
+            alternatives
+                .value
+                .general_names
+                .iter()
+                .filter_map(|n| match n {
+                    GeneralName::DNSName(n) => Some((*n).to_string()),
+                    _ => None,
+                }),
+        );
     }
     let ms = |t: i64| t as f64 * 1000.0;
     let v = x.validity();
-    Some((names, Validity { from: ms(v.not_before.timestamp()), until: ms(v.not_after.timestamp()) }))
+    Some((
+        names,
+        Validity {
+            from: ms(v.not_before.timestamp()),
+            until: ms(v.not_after.timestamp()),
+        },
+    ))
 }
 
 /// The common name of a certificate's subject.
 pub fn common_name(der: &[u8]) -> Option<String> {
     let (_, x) = X509Certificate::from_der(der).ok()?;
-    let name = x.subject().iter_common_name().next()?.as_str().ok()?.to_string();
+    let name = x
+        .subject()
+        .iter_common_name()
+        .next()?
+        .as_str()
+        .ok()?
+        .to_string();
     Some(name)
 }
 
@@ -194,16 +225,23 @@
         let first = chain.first().ok_or_else(|| TlsError::Empty(cert.clone()))?;
         let (names, validity) = facts(first).ok_or_else(|| TlsError::Certificate(cert.clone()))?;
         keys::fit(now, validity).map_err(|e| TlsError::Unfit(cert.clone(), e))?;
-        let private =
-            PrivateKeyDer::from_pem_slice(&read(key)?).map_err(|e| TlsError::Pem(key.clone(), e))?;
+        let private = PrivateKeyDer::from_pem_slice(&read(key)?)
+            .map_err(|e| TlsError::Pem(key.clone(), e))?;
         // The two belong together, or this fails.
         let certified = CertifiedKey::from_der(chain, private, &provider);
-        all.push((names, Arc::new(certified.map_err(|e| TlsError::Key(key.clone(), e))?)));
+        all.push((
+            names,
+            Arc::new(certified.map_err(|e| TlsError::Key(key.clone(), e))?),
+        ));
         ends.push((cert.clone(), validity.until));
     }
-    let versions: &[&rustls::SupportedProtocolVersion] =
-        if source.only_13 { &[&version::TLS13] } else { &[&version::TLS13, &version::TLS12] };
-    let builder = ServerConfig::builder_with_provider(provider.clone()).with_protocol_versions(versions)?;
+    let versions: &[&rustls::SupportedProtocolVersion] = if source.only_13 {
+        &[&version::TLS13]
+    } else {
+        &[&version::TLS13, &version::TLS12]
+    };
+    let builder =
+        ServerConfig::builder_with_provider(provider.clone()).with_protocol_versions(versions)?;
     let builder = match &source.client_ca {
         Some(path) => {
             let mut roots = RootCertStore::empty();
@@ -218,5 +256,8 @@
         }
         None => builder.with_no_client_auth(),
     };
-    Ok(Loaded { config: Arc::new(builder.with_cert_resolver(Arc::new(Resolver(all)))), ends })
+    Ok(Loaded {
+        config: Arc::new(builder.with_cert_resolver(Arc::new(Resolver(all)))),
+        ends,
+    })
 }
--- a/src/net/vitals.rs
+++ b/src/net/vitals.rs
@@ -22,9 +22,17 @@
 pub fn parse(status: &str) -> Option<Memory> {
     let field = |name: &str| {
         let line = status.lines().find(|l| l.starts_with(name))?;
-        line[name.len()..].trim().strip_suffix("kB")?.trim().parse().ok()
+        line[name.len()..]
+            .trim()
+            .strip_suffix("kB")?
+            .trim()
+            .parse()
+            .ok()
     };
-    Some(Memory { resident_kb: field("VmRSS:")?, peak_kb: field("VmHWM:")? })
+    Some(Memory {
+        resident_kb: field("VmRSS:")?,
+        peak_kb: field("VmHWM:")?,
+    })
 }
 
 /// This process's memory now, if the system tells it.
@@ -40,7 +48,11 @@
     loop {
         every.tick().await;
         if let Some(m) = now() {
-            crate::say!("memory: {} kB resident, {} kB at most", m.resident_kb, m.peak_kb);
+            crate::say!(
+                "memory: {} kB resident, {} kB at most",
+                m.resident_kb,
+                m.peak_kb
+            );
         }
     }
 }
@@ -52,7 +64,13 @@
     #[test]
     fn both_fields_are_read_and_a_missing_one_is_nothing() {
         let status = "Name:\thitchwinch\nVmHWM:\t   14120 kB\nVmRSS:\t   12044 kB\nThreads:\t1\n";
-        assert_eq!(parse(status), Some(Memory { resident_kb: 12044, peak_kb: 14120 }));
+        assert_eq!(
+            parse(status),
+            Some(Memory {
+                resident_kb: 12044,
+                peak_kb: 14120
+            })
+        );
         assert_eq!(parse("VmRSS:\t12044 kB\n"), None, "no peak");
         assert_eq!(parse("VmRSS:\tmany kB\nVmHWM:\t1 kB\n"), None, "no number");
         assert_eq!(parse("VmRSS:\t12044\nVmHWM:\t1 kB\n"), None, "no unit");
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -46,7 +46,12 @@
 
 impl Bulletin {
     pub fn new(terms: Terms) -> Self {
-        Bulletin { terms, known: BTreeMap::new(), told: BTreeMap::new(), account: 0.0 }
+        Bulletin {
+            terms,
+            known: BTreeMap::new(),
+            told: BTreeMap::new(),
+            account: 0.0,
+        }
     }
 
     /// The engines that are listed now. Two of one short name are not told of at all: the news of one would pass
@@ -55,7 +60,10 @@
         self.known.clear();
         for name in engines {
             let twice = |n: &mut Option<String>| *n = None;
-            self.known.entry(words::short(name)).and_modify(twice).or_insert_with(|| Some(name.to_string()));
+            self.known
+                .entry(words::short(name))
+                .and_modify(twice)
+                .or_insert_with(|| Some(name.to_string()));
         }
         self.told.retain(|short, _| self.known.contains_key(short));
     }
@@ -73,7 +81,8 @@
             return None;
         }
         let message = words::encode(short, report, self.terms.fields)?;
-        let cost = self.terms.price * message.len() as f64 / MOST as f64 * f64::from(self.terms.peers - 1);
+        let cost =
+            self.terms.price * message.len() as f64 / MOST as f64 * f64::from(self.terms.peers - 1);
         if cost > self.account {
             return None;
         }
@@ -83,9 +92,15 @@
     }
 
     /// A peer's message: the engine's name and its report. `Ok(None)`: of one that is not listed here.
-    pub fn heard(&mut self, now: Millis, message: &[u8]) -> Result<Option<(String, Vec<f64>)>, WordError> {
+    pub fn heard(
+        &mut self,
+        now: Millis,
+        message: &[u8],
+    ) -> Result<Option<(String, Vec<f64>)>, WordError> {
         let Told { short, report } = words::decode(message, self.terms.fields)?;
-        let Some(Some(engine)) = self.known.get(&short) else { return Ok(None) };
+        let Some(Some(engine)) = self.known.get(&short) else {
+            return Ok(None);
+        };
         self.told.insert(short, now);
         Ok(Some((engine.clone(), report)))
     }
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -3,7 +3,11 @@
 use super::*;
 
 fn terms() -> Terms {
-    Terms { peers: 100, price: 1.0, fields: 2 }
+    Terms {
+        peers: 100,
+        price: 1.0,
+        fields: 2,
+    }
 }
 
 /// A dispatcher that knows these engines and has taken requests enough to speak.
@@ -17,10 +21,20 @@
 #[test]
 fn a_report_reaches_a_peer_as_it_was() {
     let (mut a, mut b) = (rich(&["s-1", "s-2"]), rich(&["s-2", "s-3"]));
-    for (now, report) in [(0.0, [7.0, 0.5]), (1000.0, [0.0, 0.0]), (2000.0, [40.0, 1.0])] {
+    for (now, report) in [
+        (0.0, [7.0, 0.5]),
+        (1000.0, [0.0, 0.0]),
+        (2000.0, [40.0, 1.0]),
+    ] {
         let message = a.learned(now, "s-2", &report).expect("news");
-        assert!(message.is_ascii() && message.len() == 6, "text as well, and short: {message:?}");
-        assert_eq!(b.heard(now + 10.0, &message), Ok(Some(("s-2".to_string(), report.to_vec()))));
+        assert!(
+            message.is_ascii() && message.len() == 6,
+            "text as well, and short: {message:?}"
+        );
+        assert_eq!(
+            b.heard(now + 10.0, &message),
+            Ok(Some(("s-2".to_string(), report.to_vec())))
+        );
     }
 }
 
@@ -32,9 +46,20 @@
         let (count, share) = (f64::from(n) / 7.0, f64::from(n) / 2000.0);
         let now = f64::from(n) * 1000.0;
         (0..100).for_each(|_| a.taken());
-        let (_, got) = b.heard(now, &a.learned(now, "s", &[count, share]).unwrap()).unwrap().unwrap();
-        assert!((got[0] - count).abs() <= (0.05 * count).max(0.5), "{count} became {}", got[0]);
-        assert!((got[1] - share).abs() <= 0.0101, "{share} became {}", got[1]);
+        let (_, got) = b
+            .heard(now, &a.learned(now, "s", &[count, share]).unwrap())
+            .unwrap()
+            .unwrap();
+        assert!(
+            (got[0] - count).abs() <= (0.05 * count).max(0.5),
+            "{count} became {}",
+            got[0]
+        );
+        assert!(
+            (got[1] - share).abs() <= 0.0101,
+            "{share} became {}",
+            got[1]
+        );
     }
 }
 
@@ -43,28 +68,51 @@
 fn an_engine_that_anybody_told_of_a_moment_ago_is_not_told_of_again() {
     let (mut a, mut b) = (rich(&["s-1", "s-2"]), rich(&["s-1", "s-2"]));
     let message = a.learned(0.0, "s-1", &[1.0, 0.1]).expect("the first word");
-    assert_eq!(a.learned(QUIET - 1.0, "s-1", &[9.0, 0.9]), None, "its own word counts");
+    assert_eq!(
+        a.learned(QUIET - 1.0, "s-1", &[9.0, 0.9]),
+        None,
+        "its own word counts"
+    );
     b.heard(10.0, &message).unwrap();
-    assert_eq!(b.learned(QUIET, "s-1", &[9.0, 0.9]), None, "and so does a peer's");
-    assert!(b.learned(QUIET, "s-2", &[9.0, 0.9]).is_some(), "of that engine alone");
-    assert!(b.learned(QUIET + 10.0, "s-1", &[9.0, 0.9]).is_some(), "until it is old");
+    assert_eq!(
+        b.learned(QUIET, "s-1", &[9.0, 0.9]),
+        None,
+        "and so does a peer's"
+    );
+    assert!(
+        b.learned(QUIET, "s-2", &[9.0, 0.9]).is_some(),
+        "of that engine alone"
+    );
+    assert!(
+        b.learned(QUIET + 10.0, "s-1", &[9.0, 0.9]).is_some(),
+        "until it is old"
+    );
 }
 
 /// The price of a word grows with the tier, and small ones would pay it as well as large ones.
 #[test]
 fn words_cost_no_more_than_their_part_of_what_requests_are_worth() {
     for (peers, price) in [(3, 1.0), (100, 1.0), (300, 1.0), (100, 20.0)] {
-        let mut b = Bulletin::new(Terms { peers, price, fields: 2 });
+        let mut b = Bulletin::new(Terms {
+            peers,
+            price,
+            fields: 2,
+        });
         let names: Vec<String> = (0..60).map(|n| format!("s-{n}")).collect();
         b.list(names.iter().map(String::as_str));
         let (mut bytes, requests) = (0, 5000);
         for n in 0..requests {
             b.taken();
             let now = n as f64 * 200.0;
-            bytes += b.learned(now, &names[n % 60], &[1.0, 0.5]).map_or(0, |m| m.len());
+            bytes += b
+                .learned(now, &names[n % 60], &[1.0, 0.5])
+                .map_or(0, |m| m.len());
         }
         let cost = price * bytes as f64 * f64::from(peers - 1) / 256.0 / requests as f64;
-        assert!(cost <= SHARE, "{peers} dispatchers at {price}: {cost} points a request");
+        assert!(
+            cost <= SHARE,
+            "{peers} dispatchers at {price}: {cost} points a request"
+        );
         assert!(bytes > 0 || price > 9.0, "but the usual price is paid");
     }
 }
@@ -75,16 +123,29 @@
     let mut seen = std::collections::HashMap::new();
     let name = |n: u32| format!("s-{n:08x}");
     let (one, other) = (0..)
-        .find_map(|n| seen.insert(words::short(&name(n)), n).map(|before| (name(before), name(n))))
+        .find_map(|n| {
+            seen.insert(words::short(&name(n)), n)
+                .map(|before| (name(before), name(n)))
+        })
         .expect("some two share it");
     let mut alone = rich(&[&one]);
-    let message = alone.learned(0.0, &one, &[1.0, 0.1]).expect("alone it is told of");
+    let message = alone
+        .learned(0.0, &one, &[1.0, 0.1])
+        .expect("alone it is told of");
     let mut both = rich(&[&one, &other]);
     assert_eq!(both.learned(0.0, &one, &[1.0, 0.1]), None);
     assert_eq!(both.heard(0.0, &message), Ok(None), "it could be the other");
-    assert_eq!(rich(&["s-else"]).heard(0.0, &message), Ok(None), "not in this list");
+    assert_eq!(
+        rich(&["s-else"]).heard(0.0, &message),
+        Ok(None),
+        "not in this list"
+    );
     alone.list(["s-else"].into_iter());
-    assert_eq!(alone.learned(1000.0, &one, &[1.0, 0.1]), None, "no longer listed");
+    assert_eq!(
+        alone.learned(1000.0, &one, &[1.0, 0.1]),
+        None,
+        "no longer listed"
+    );
 }
 
 #[test]
@@ -95,19 +156,34 @@
     high[4] = 200;
     assert_eq!(b.heard(0.0, b""), Err(WordError::Length(0, 6)));
     assert_eq!(b.heard(0.0, &good[..5]), Err(WordError::Length(5, 6)));
-    assert_eq!(b.heard(0.0, &[&good[..], b"x"].concat()), Err(WordError::Length(7, 6)));
+    assert_eq!(
+        b.heard(0.0, &[&good[..], b"x"].concat()),
+        Err(WordError::Length(7, 6))
+    );
     assert_eq!(b.heard(0.0, b"x12345"), Err(WordError::Kind(b'x')));
     assert_eq!(b.heard(0.0, &high), Err(WordError::Byte));
     assert_eq!(b.heard(0.0, &[0; 257]), Err(WordError::Kind(0)));
-    assert!(b.learned(0.0, "s", &[1.0, 0.1]).is_some(), "it kept nobody quiet");
-    for bad in [&[1.0][..], &[], &[1.0, f64::NAN], &[1.0, -0.1], &[f64::INFINITY, 0.0]] {
+    assert!(
+        b.learned(0.0, "s", &[1.0, 0.1]).is_some(),
+        "it kept nobody quiet"
+    );
+    for bad in [
+        &[1.0][..],
+        &[],
+        &[1.0, f64::NAN],
+        &[1.0, -0.1],
+        &[f64::INFINITY, 0.0],
+    ] {
         assert_eq!(b.learned(9000.0, "s", bad), None, "{bad:?} is no report");
     }
 }
 
 #[test]
 fn a_dispatcher_alone_says_nothing() {
-    let mut b = Bulletin::new(Terms { peers: 1, ..terms() });
+    let mut b = Bulletin::new(Terms {
+        peers: 1,
+        ..terms()
+    });
     b.list(["s"].into_iter());
     (0..1000).for_each(|_| b.taken());
     assert_eq!(b.learned(0.0, "s", &[1.0, 0.1]), None);
--- a/src/peers/words.rs
+++ b/src/peers/words.rs
@@ -35,7 +35,9 @@
 
 /// 21 bits that stand for an engine's name (FNV-1a, folded).
 pub fn short(engine: &str) -> u32 {
-    let hash = engine.bytes().fold(0x811c_9dc5u32, |h, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193));
+    let hash = engine.bytes().fold(0x811c_9dc5u32, |h, b| {
+        (h ^ u32::from(b)).wrapping_mul(0x0100_0193)
+    });
     (hash ^ hash >> 21) & 0x1f_ffff
 }
 
@@ -61,8 +63,13 @@
         _ if message.iter().any(|b| *b >= 128) => return Err(WordError::Byte),
         _ => {}
     }
-    let short = message[1..HEAD].iter().fold(0, |s, b| s << 7 | u32::from(*b));
-    Ok(Told { short, report: message[HEAD..].iter().map(|b| value(*b)).collect() })
+    let short = message[1..HEAD]
+        .iter()
+        .fold(0, |s, b| s << 7 | u32::from(*b));
+    Ok(Told {
+        short,
+        report: message[HEAD..].iter().map(|b| value(*b)).collect(),
+    })
 }
 
 /// Steps 0 to 63: 0 to 1.26 by 0.02. 64 to 103: 1 to 40 by ones. From there each is a tenth more, to 394.
--- a/src/pins/mod.rs
+++ b/src/pins/mod.rs
@@ -103,7 +103,14 @@
 
 impl Pin {
     pub fn new(terms: Terms, now: Millis) -> Self {
-        Pin { terms, since: now, used: now, drains: None, out: None, reasons: BTreeSet::new() }
+        Pin {
+            terms,
+            since: now,
+            used: now,
+            drains: None,
+            out: None,
+            reasons: BTreeSet::new(),
+        }
     }
 
     /// A statement goes out.
@@ -117,7 +124,8 @@
         let step = self.out.take().unwrap_or_default();
         match after {
             After::Status { open } => {
-                self.reasons.extend(step.begins.filter(|r| *r != Reason::Transaction));
+                self.reasons
+                    .extend(step.begins.filter(|r| *r != Reason::Transaction));
                 if step.unlocks {
                     self.reasons.remove(&Reason::Tables);
                 }
@@ -130,7 +138,11 @@
             // The statement came to nothing; what was open is open still.
             After::Error(_) => {}
         }
-        if self.reasons.is_empty() { Next::Free } else { Next::Keep }
+        if self.reasons.is_empty() {
+            Next::Free
+        } else {
+            Next::Keep
+        }
     }
 
     /// The engine drains, as of now; it is told as often as it is seen.
@@ -141,7 +153,10 @@
     /// When the pin ends if nothing else happens, and why. A statement that runs is not idle.
     pub fn due(&self) -> (Millis, Over) {
         let mut due = (self.since + self.terms.longest, Over::Longest);
-        let idle = self.out.is_none().then_some((self.used + self.terms.idle, Over::Idle));
+        let idle = self
+            .out
+            .is_none()
+            .then_some((self.used + self.terms.idle, Over::Idle));
         let drain = self.drains.map(|at| (at + self.terms.drain, Over::Drains));
         for other in [idle, drain].into_iter().flatten() {
             if other.0 < due.0 {
@@ -202,7 +217,9 @@
     }
 
     pub fn give(&mut self, tenant: Option<usize>) {
-        let Some(of) = self.tenants.get_mut(&tenant) else { return };
+        let Some(of) = self.tenants.get_mut(&tenant) else {
+            return;
+        };
         *of -= 1;
         if *of == 0 {
             self.tenants.remove(&tenant);
--- a/src/pins/tests.rs
+++ b/src/pins/tests.rs
@@ -1,14 +1,23 @@
 use super::*;
 
 fn terms() -> Terms {
-    Terms { idle: 100.0, longest: 1000.0, drain: 50.0, most: 3, most_of_tenant: 2 }
+    Terms {
+        idle: 100.0,
+        longest: 1000.0,
+        drain: 50.0,
+        most: 3,
+        most_of_tenant: 2,
+    }
 }
 
 const OPEN: After = After::Status { open: true };
 const SHUT: After = After::Status { open: false };
 
 fn begins(reason: Reason) -> Step {
-    Step { begins: Some(reason), ..Step::default() }
+    Step {
+        begins: Some(reason),
+        ..Step::default()
+    }
 }
 
 fn says(p: &mut Pin, step: Step, after: After) -> Next {
@@ -21,22 +30,42 @@
     let mut p = Pin::new(terms(), 0.0);
     assert_eq!(says(&mut p, begins(Reason::Transaction), OPEN), Next::Keep);
     assert_eq!(says(&mut p, Step::default(), OPEN), Next::Keep);
-    assert_eq!(says(&mut p, Step::default(), After::Error(1062)), Next::Keep, "a duplicate key ends nothing");
+    assert_eq!(
+        says(&mut p, Step::default(), After::Error(1062)),
+        Next::Keep,
+        "a duplicate key ends nothing"
+    );
     // COMMIT AND CHAIN opens the next one.
-    let commit = Step { commits: true, ..Step::default() };
+    let commit = Step {
+        commits: true,
+        ..Step::default()
+    };
     assert_eq!(says(&mut p, commit, OPEN), Next::Keep);
     assert_eq!(says(&mut p, commit, SHUT), Next::Free);
     // With autocommit off a statement that reads no table opens none.
-    assert_eq!(says(&mut Pin::new(terms(), 0.0), begins(Reason::Transaction), SHUT), Next::Free);
+    assert_eq!(
+        says(
+            &mut Pin::new(terms(), 0.0),
+            begins(Reason::Transaction),
+            SHUT
+        ),
+        Next::Free
+    );
 }
 
 #[test]
 fn a_deadlock_ends_the_transaction_and_nothing_else() {
     let mut p = Pin::new(terms(), 0.0);
     says(&mut p, begins(Reason::Transaction), OPEN);
-    assert_eq!(says(&mut p, Step::default(), After::Error(1213)), Next::Free);
+    assert_eq!(
+        says(&mut p, Step::default(), After::Error(1213)),
+        Next::Free
+    );
     says(&mut p, begins(Reason::Temporary), OPEN);
-    assert_eq!(says(&mut p, Step::default(), After::Error(1213)), Next::Keep);
+    assert_eq!(
+        says(&mut p, Step::default(), After::Error(1213)),
+        Next::Keep
+    );
     assert!(p.holds(Reason::Temporary) && !p.holds(Reason::Transaction));
 }
 
@@ -44,12 +73,40 @@
 fn locks_hold_until_unlocked_and_the_rest_until_the_session_ends() {
     let mut p = Pin::new(terms(), 0.0);
     assert_eq!(says(&mut p, begins(Reason::Tables), SHUT), Next::Keep);
-    assert_eq!(says(&mut p, Step { unlocks: true, ..Step::default() }, SHUT), Next::Free);
+    assert_eq!(
+        says(
+            &mut p,
+            Step {
+                unlocks: true,
+                ..Step::default()
+            },
+            SHUT
+        ),
+        Next::Free
+    );
     for reason in [Reason::Temporary, Reason::UserLock, Reason::Variable] {
         let mut p = Pin::new(terms(), 0.0);
         assert_eq!(says(&mut p, begins(reason), SHUT), Next::Keep, "{reason:?}");
-        assert_eq!(says(&mut p, Step { unlocks: true, ..Step::default() }, SHUT), Next::Keep, "{reason:?}");
-        assert_eq!(says(&mut Pin::new(terms(), 0.0), begins(reason), After::Error(1064)), Next::Free);
+        assert_eq!(
+            says(
+                &mut p,
+                Step {
+                    unlocks: true,
+                    ..Step::default()
+                },
+                SHUT
+            ),
+            Next::Keep,
+            "{reason:?}"
+        );
+        assert_eq!(
+            says(
+                &mut Pin::new(terms(), 0.0),
+                begins(reason),
+                After::Error(1064)
+            ),
+            Next::Free
+        );
     }
 }
 
@@ -70,14 +127,24 @@
     p.sent(0.0, begins(Reason::Transaction));
     p.drains(5.0);
     p.drains(40.0);
-    assert_eq!((p.over(54.0), p.over(55.0)), (None, Some(Over::Drains)), "also while a statement runs");
+    assert_eq!(
+        (p.over(54.0), p.over(55.0)),
+        (None, Some(Over::Drains)),
+        "also while a statement runs"
+    );
 }
 
 #[test]
 fn only_a_commit_on_its_way_leaves_open_what_holds() {
     assert_eq!(fate(None), Fate::RolledBack);
     assert_eq!(fate(Some(Step::default())), Fate::RolledBack);
-    assert_eq!(fate(Some(Step { commits: true, ..Step::default() })), Fate::Unknown);
+    assert_eq!(
+        fate(Some(Step {
+            commits: true,
+            ..Step::default()
+        })),
+        Fate::Unknown
+    );
 }
 
 #[test]
--- a/src/spool/disk.rs
+++ b/src/spool/disk.rs
@@ -50,8 +50,17 @@
 
 impl DiskWatch {
     pub fn new(present: bool) -> Self {
-        let state = if present { DiskState::Well } else { DiskState::Absent };
-        DiskWatch { state, rest_until: f64::MIN, slow_at: None, failures: 0 }
+        let state = if present {
+            DiskState::Well
+        } else {
+            DiskState::Absent
+        };
+        DiskWatch {
+            state,
+            rest_until: f64::MIN,
+            slow_at: None,
+            failures: 0,
+        }
     }
 
     /// Something was written, and took so long in milliseconds. True if the state is another by it.
--- a/src/spool/handles.rs
+++ b/src/spool/handles.rs
@@ -46,7 +46,8 @@
 
     /// A result that was found at the start keeps its handle.
     pub fn put(&mut self, spool: SpoolId, user: &str, handle: &str) {
-        self.live.insert(handle.to_string(), (user.to_string(), spool));
+        self.live
+            .insert(handle.to_string(), (user.to_string(), spool));
         self.of.insert(spool, handle.to_string());
     }
 
@@ -56,8 +57,12 @@
 
     /// The result is there no more.
     pub fn expire(&mut self, spool: SpoolId) {
-        let Some(handle) = self.of.remove(&spool) else { return };
-        let Some((user, _)) = self.live.remove(&handle) else { return };
+        let Some(handle) = self.of.remove(&spool) else {
+            return;
+        };
+        let Some((user, _)) = self.live.remove(&handle) else {
+            return;
+        };
         if self.oldest.len() >= EXPIRED
             && let Some(old) = self.oldest.pop_front()
         {
--- a/src/spool/ledger.rs
+++ b/src/spool/ledger.rs
@@ -197,7 +197,9 @@
         let why = match () {
             // What is short waits nowhere.
             () if expected <= SHORT as u64 => None,
-            () if self.spools.len() >= self.rules.most && self.evictable(ask.load).next().is_none() => {
+            () if self.spools.len() >= self.rules.most
+                && self.evictable(ask.load).next().is_none() =>
+            {
                 no("too many results wait for their readers")
             }
             () if self.tenant_room(ask.tenant, ask.load) < expected => {
@@ -212,7 +214,10 @@
             None => Admission::Yes,
             Some(why) => {
                 self.refused += 1;
-                Admission::No { why, later: self.next_expiry().map(|at| (at - now).max(0.0)) }
+                Admission::No {
+                    why,
+                    later: self.next_expiry().map(|at| (at - now).max(0.0)),
+                }
             }
         }
     }
@@ -222,7 +227,11 @@
     fn room(&self, now: Millis, load: bool) -> u64 {
         let takes = self.watch.takes(now);
         let mut memory = self.rules.memory.saturating_sub(self.memory);
-        let mut disk = self.rules.disk.filter(|_| takes).map_or(0, |d| d.saturating_sub(self.disk));
+        let mut disk = self
+            .rules
+            .disk
+            .filter(|_| takes)
+            .map_or(0, |d| d.saturating_sub(self.disk));
         for s in self.evictable(load).filter_map(|id| self.spools.get(id)) {
             memory += s.memory;
             disk += if takes { s.disk } else { 0 };
@@ -232,13 +241,19 @@
 
     fn tenant_room(&self, tenant: Option<usize>, load: bool) -> u64 {
         let used = self.tenants.get(&tenant).copied().unwrap_or(0);
-        let own = self.evictable(load).filter_map(|id| self.spools.get(id)).filter(|s| s.tenant == tenant);
+        let own = self
+            .evictable(load)
+            .filter_map(|id| self.spools.get(id))
+            .filter(|s| s.tenant == tenant);
         self.rules.per_tenant.saturating_sub(used) + own.map(Spool::bytes).sum::<u64>()
     }
 
     /// What may be thrown away for a result: what is whole and read by nobody; for a report no load's.
     fn evictable(&self, load: bool) -> impl Iterator<Item = &SpoolId> {
-        self.spools.iter().filter(move |(_, s)| s.idle() && (load || !s.load)).map(|(id, _)| id)
+        self.spools
+            .iter()
+            .filter(move |(_, s)| s.idle() && (load || !s.load))
+            .map(|(id, _)| id)
     }
 
     /// A result outgrows what is handed over at once: from now on it is a spool.
@@ -294,7 +309,12 @@
 
     /// A page of so many bytes has come. On an error the whole result is given up: see [`Ledger::fail`]. The orders hold
     /// either way: what was thrown away is gone.
-    pub fn take(&mut self, now: Millis, id: SpoolId, bytes: u64) -> (Result<Taken, Unfit>, Vec<Order>) {
+    pub fn take(
+        &mut self,
+        now: Millis,
+        id: SpoolId,
+        bytes: u64,
+    ) -> (Result<Taken, Unfit>, Vec<Order>) {
         let mut orders = vec![];
         let taken = self.try_take(now, id, bytes, &mut orders);
         (taken, orders)
@@ -307,7 +327,9 @@
         bytes: u64,
         orders: &mut Vec<Order>,
     ) -> Result<Taken, Unfit> {
-        let Some(s) = self.spools.get(&id) else { return Err(Unfit::Unknown) };
+        let Some(s) = self.spools.get(&id) else {
+            return Err(Unfit::Unknown);
+        };
         let (tenant, load) = (s.tenant, s.load);
         if s.bytes() + bytes > self.rules.result {
             return Err(Unfit::Result(self.rules.result));
@@ -321,7 +343,9 @@
         }
         while self.tenants.get(&tenant).copied().unwrap_or(0) + bytes > self.rules.per_tenant {
             let own = self.victim(load, |s| s.tenant == tenant);
-            let Some(own) = own else { return Err(Unfit::Tenant(self.rules.per_tenant)) };
+            let Some(own) = own else {
+                return Err(Unfit::Tenant(self.rules.per_tenant));
+            };
             self.evict(own, orders);
         }
         let place = loop {
@@ -329,7 +353,9 @@
                 break place;
             }
             // Room has to be made: the least missed goes, until it is enough.
-            let Some(victim) = self.victim(load, |_| true) else { return Err(Unfit::Room) };
+            let Some(victim) = self.victim(load, |_| true) else {
+                return Err(Unfit::Room);
+            };
             self.evict(victim, orders);
         };
         *self.tenants.entry(tenant).or_default() += bytes;
@@ -348,10 +374,17 @@
     }
 
     /// Where a page fits as things are; spools move to the disk if that makes room in memory.
-    fn place(&mut self, now: Millis, id: SpoolId, bytes: u64, orders: &mut Vec<Order>) -> Option<Taken> {
+    fn place(
+        &mut self,
+        now: Millis,
+        id: SpoolId,
+        bytes: u64,
+        orders: &mut Vec<Order>,
+    ) -> Option<Taken> {
         let spilled = self.spools.get(&id).is_some_and(|s| s.spilled);
-        let disk_has =
-            |l: &Ledger, n: u64| l.watch.takes(now) && l.rules.disk.is_some_and(|d| l.disk + n <= d);
+        let disk_has = |l: &Ledger, n: u64| {
+            l.watch.takes(now) && l.rules.disk.is_some_and(|d| l.disk + n <= d)
+        };
         if spilled && disk_has(self, bytes) {
             return Some(Taken::Disk);
         }
@@ -361,7 +394,11 @@
         // The one that holds most of memory goes to the disk: it is the one whose reader is furthest behind, and
         // after it memory serves the many small ones again.
         while self.memory + bytes > self.rules.memory {
-            let most = self.spools.iter().filter(|(_, s)| s.memory > 0).max_by_key(|(_, s)| s.memory);
+            let most = self
+                .spools
+                .iter()
+                .filter(|(_, s)| s.memory > 0)
+                .max_by_key(|(_, s)| s.memory);
             let (victim, memory) = most.map(|(id, s)| (*id, s.memory))?;
             if !disk_has(self, memory + bytes) {
                 return None;
@@ -387,10 +424,15 @@
 
     /// The least missed of those that may go: read to its end, then a report, then unused for longest.
     fn victim(&self, load: bool, also: impl Fn(&Spool) -> bool) -> Option<SpoolId> {
-        let ids = self.evictable(load).filter_map(|id| Some((id, self.spools.get(id)?)));
+        let ids = self
+            .evictable(load)
+            .filter_map(|id| Some((id, self.spools.get(id)?)));
         ids.filter(|(_, s)| also(s))
             .min_by(|(_, a), (_, b)| {
-                b.read.cmp(&a.read).then(a.load.cmp(&b.load)).then(a.used.total_cmp(&b.used))
+                b.read
+                    .cmp(&a.read)
+                    .then(a.load.cmp(&b.load))
+                    .then(a.used.total_cmp(&b.used))
             })
             .map(|(id, _)| *id)
     }
@@ -402,7 +444,9 @@
     }
 
     fn remove(&mut self, id: SpoolId) {
-        let Some(s) = self.spools.remove(&id) else { return };
+        let Some(s) = self.spools.remove(&id) else {
+            return;
+        };
         self.memory -= s.memory;
         self.disk -= s.disk;
         if s.disk > 0 {
@@ -436,7 +480,9 @@
 
     /// The last page is here.
     pub fn whole(&mut self, now: Millis, id: SpoolId) {
-        let Some(s) = self.spools.get_mut(&id) else { return };
+        let Some(s) = self.spools.get_mut(&id) else {
+            return;
+        };
         (s.whole, s.used) = (Some(now), now);
         let (class, bytes) = (s.class, s.bytes() as f64);
         self.learn(class, bytes);
@@ -448,7 +494,11 @@
             let keep = KEEP.min(s.seen / (s.seen + 1.0));
             let far = (bytes - s.mean).abs();
             s.mean = keep * s.mean + (1.0 - keep) * bytes;
-            s.spread = if s.seen > 0.0 { keep * s.spread + (1.0 - keep) * far } else { 0.0 };
+            s.spread = if s.seen > 0.0 {
+                keep * s.spread + (1.0 - keep) * far
+            } else {
+                0.0
+            };
             s.seen += 1.0;
         }
     }
@@ -456,7 +506,11 @@
     /// What is whole goes to the disk if that takes it, so that it outlives the process.
     pub fn persist(&mut self, now: Millis, id: SpoolId) -> Vec<Order> {
         let mut orders = vec![];
-        let memory = self.spools.get(&id).filter(|s| s.whole.is_some()).map_or(0, |s| s.memory);
+        let memory = self
+            .spools
+            .get(&id)
+            .filter(|s| s.whole.is_some())
+            .map_or(0, |s| s.memory);
         let fits = self.rules.disk.is_some_and(|d| self.disk + memory <= d);
         if memory > 0 && fits && self.watch.takes(now) {
             self.spill(id, &mut orders);
@@ -478,7 +532,9 @@
 
     /// Somebody reads it; it stays as long as that goes on. False if it is not there.
     pub fn attach(&mut self, now: Millis, id: SpoolId) -> bool {
-        let Some(s) = self.spools.get_mut(&id) else { return false };
+        let Some(s) = self.spools.get_mut(&id) else {
+            return false;
+        };
         (s.readers, s.used) = (s.readers + 1, now);
         true
     }
@@ -506,7 +562,10 @@
     /// Results that nobody came for in time; they are forgotten.
     pub fn expire(&mut self, now: Millis) -> Vec<SpoolId> {
         let keep = self.rules.keep;
-        let over = self.spools.iter().filter(|(_, s)| s.idle() && s.used + keep <= now);
+        let over = self
+            .spools
+            .iter()
+            .filter(|(_, s)| s.idle() && s.used + keep <= now);
         let over: Vec<SpoolId> = over.map(|(id, _)| *id).collect();
         for id in &over {
             self.remove(*id);
@@ -528,7 +587,10 @@
     /// Since when it is whole, and when it expires unless it is read.
     pub fn life(&self, id: SpoolId) -> Option<(Millis, Option<Millis>)> {
         let s = self.spools.get(&id)?;
-        Some((s.whole?, (s.readers == 0).then_some(s.used + self.rules.keep)))
+        Some((
+            s.whole?,
+            (s.readers == 0).then_some(s.used + self.rules.keep),
+        ))
     }
 
     /// Bytes in memory and on the disk.
@@ -554,7 +616,12 @@
         let sum = |f: fn(&Spool) -> u64| self.spools.values().map(f).sum::<u64>();
         let tenants: BTreeSet<_> = self.spools.values().map(|s| s.tenant).collect();
         let by_tenant = tenants.iter().all(|t| {
-            let own = self.spools.values().filter(|s| s.tenant == *t).map(Spool::bytes).sum::<u64>();
+            let own = self
+                .spools
+                .values()
+                .filter(|s| s.tenant == *t)
+                .map(Spool::bytes)
+                .sum::<u64>();
             self.tenants.get(t).copied().unwrap_or(0) == own
         });
         sum(|s| s.memory) == self.memory && sum(|s| s.disk) == self.disk && by_tenant
--- a/src/spool/tests.rs
+++ b/src/spool/tests.rs
@@ -18,11 +18,19 @@
 }
 
 fn report(tenant: usize) -> Ask {
-    Ask { tenant: Some(tenant), class: 0, load: false }
+    Ask {
+        tenant: Some(tenant),
+        class: 0,
+        load: false,
+    }
 }
 
 fn load(tenant: usize) -> Ask {
-    Ask { tenant: Some(tenant), class: 1, load: true }
+    Ask {
+        tenant: Some(tenant),
+        class: 1,
+        load: true,
+    }
 }
 
 /// A whole result of so many pages of 10 KB.
@@ -58,9 +66,18 @@
     let (a, orders) = put(&mut l, 0.0, report(0), 20).unwrap();
     assert_eq!(orders, [Order::Spill(a)]);
     assert_eq!(l.used(), (0, 200 * KB));
-    assert_eq!(put(&mut l, 0.0, report(1), 21), Err(Unfit::Result(200 * KB)));
+    assert_eq!(
+        put(&mut l, 0.0, report(1), 21),
+        Err(Unfit::Result(200 * KB))
+    );
     assert!(l.adds_up() && l.len() == 1, "nothing stays of it");
-    let mut alone = Ledger::new(Rules { disk: None, ..rules() }, 2);
+    let mut alone = Ledger::new(
+        Rules {
+            disk: None,
+            ..rules()
+        },
+        2,
+    );
     assert_eq!(put(&mut alone, 0.0, report(0), 11), Err(Unfit::Room));
     assert_eq!((alone.used(), alone.failed), ((0, 0), 1));
 }
@@ -71,26 +88,46 @@
     let (a, _) = put(&mut l, 0.0, report(0), 20).unwrap();
     let (other, _) = put(&mut l, 0.0, report(1), 5).unwrap();
     let (_, orders) = put(&mut l, 1.0, report(0), 15).unwrap();
-    assert!(orders.contains(&Order::Evict(a)) && l.contains(other), "{orders:?}");
+    assert!(
+        orders.contains(&Order::Evict(a)) && l.contains(other),
+        "{orders:?}"
+    );
     // What is being read is nobody's room.
     let mut l = Ledger::new(rules(), 2);
     let (a, _) = put(&mut l, 0.0, report(0), 20).unwrap();
     assert!(l.attach(0.0, a));
-    assert_eq!(put(&mut l, 1.0, report(0), 15), Err(Unfit::Tenant(300 * KB)));
+    assert_eq!(
+        put(&mut l, 1.0, report(0), 15),
+        Err(Unfit::Tenant(300 * KB))
+    );
     assert!(l.contains(a));
 }
 
 #[test]
 fn when_all_is_full_the_least_missed_goes_and_never_a_load_for_a_report() {
-    let mut l = Ledger::new(Rules { per_tenant: u64::MAX, disk: Some(500 * KB), ..rules() }, 2);
+    let mut l = Ledger::new(
+        Rules {
+            per_tenant: u64::MAX,
+            disk: Some(500 * KB),
+            ..rules()
+        },
+        2,
+    );
     let (kept, _) = put(&mut l, 0.0, load(0), 15).unwrap();
     let (old, _) = put(&mut l, 1.0, report(1), 15).unwrap();
     let (read, _) = put(&mut l, 2.0, report(2), 15).unwrap();
     l.attach(3.0, read);
     l.detach(3.0, read, true);
     let (next, orders) = put(&mut l, 4.0, report(3), 15).unwrap();
-    let gone: Vec<&Order> = orders.iter().filter(|o| matches!(o, Order::Evict(_))).collect();
-    assert_eq!(gone, [&Order::Evict(read)], "what was read to its end goes first");
+    let gone: Vec<&Order> = orders
+        .iter()
+        .filter(|o| matches!(o, Order::Evict(_)))
+        .collect();
+    assert_eq!(
+        gone,
+        [&Order::Evict(read)],
+        "what was read to its end goes first"
+    );
     // A load goes before no load, but reports go for it.
     let (second, orders) = put(&mut l, 5.0, load(4), 15).unwrap();
     assert!(orders.contains(&Order::Evict(old)), "{orders:?}");
@@ -103,8 +140,18 @@
 
 #[test]
 fn what_cannot_fit_is_refused_before_it_is_asked_for() {
-    let mut l = Ledger::new(Rules { per_tenant: 250 * KB, ..rules() }, 2);
-    assert_eq!(l.admit(0.0, report(0)), Admission::Yes, "nothing is known of the class yet");
+    let mut l = Ledger::new(
+        Rules {
+            per_tenant: 250 * KB,
+            ..rules()
+        },
+        2,
+    );
+    assert_eq!(
+        l.admit(0.0, report(0)),
+        Admission::Yes,
+        "nothing is known of the class yet"
+    );
     for n in 0..6 {
         let (id, _) = put(&mut l, f64::from(n), report(9), 15).unwrap();
         l.attach(f64::from(n), id);
@@ -113,16 +160,24 @@
     assert_eq!(l.expected(0), 150 * KB);
     let (a, _) = put(&mut l, 10.0, report(0), 15).unwrap();
     l.attach(10.0, a);
-    let Admission::No { why, .. } = l.admit(11.0, report(0)) else { panic!() };
+    let Admission::No { why, .. } = l.admit(11.0, report(0)) else {
+        panic!()
+    };
     assert!(why.contains("tenant"), "{why}");
-    assert_eq!(l.admit(11.0, report(1)), Admission::Yes, "another tenant has room");
+    assert_eq!(
+        l.admit(11.0, report(1)),
+        Admission::Yes,
+        "another tenant has room"
+    );
     // All is taken and read: nobody has.
     for t in 1..4 {
         if let Ok((id, _)) = put(&mut l, 12.0, report(t), 15) {
             l.attach(12.0, id);
         }
     }
-    let Admission::No { why, later } = l.admit(13.0, report(7)) else { panic!() };
+    let Admission::No { why, later } = l.admit(13.0, report(7)) else {
+        panic!()
+    };
     assert!(why.contains("neither memory nor disk"), "{why}");
     assert_eq!(later, None, "nobody knows when the readers end");
     // One that ends makes room, and tells when it would have by itself.
@@ -140,13 +195,19 @@
     assert!(l.attach(900.0, b));
     assert_eq!(l.next_expiry(), Some(1000.0));
     assert_eq!((l.expire(999.0), l.expire(1000.0)), (vec![], vec![a]));
-    assert!(l.expire(50_000.0).is_empty(), "a slow reader takes its time");
+    assert!(
+        l.expire(50_000.0).is_empty(),
+        "a slow reader takes its time"
+    );
     l.detach(50_000.0, b, false);
     assert_eq!(l.expire(51_000.0), [b]);
     assert!(l.is_empty() && l.used() == (0, 0) && l.adds_up());
     let (filling, _) = l.open(60_000.0, report(0)).unwrap();
     l.take(60_000.0, filling, KB).0.unwrap();
-    assert!(l.expire(1e12).is_empty(), "what its engine still answers does not expire");
+    assert!(
+        l.expire(1e12).is_empty(),
+        "what its engine still answers does not expire"
+    );
 }
 
 #[test]
@@ -162,7 +223,9 @@
     assert!(put(&mut l, 20.0, report(1), 9).is_ok() && l.len() == 2);
     assert!(!l.watch.takes(11.0 + REST - 1.0) && l.watch.takes(11.0 + REST));
     assert!(l.wrote(6000.0, 1.0, Wrote::Failed("read-only".into())));
-    assert!(matches!(l.watch.state(), DiskState::Failing { since: 10.0, why } if why == "read-only"));
+    assert!(
+        matches!(l.watch.state(), DiskState::Failing { since: 10.0, why } if why == "read-only")
+    );
     assert!(l.wrote(12_000.0, 5.0, Wrote::Well));
     assert!(l.wrote(13_000.0, 2_000.0, Wrote::Well));
     assert_eq!(l.watch.state(), &DiskState::Slow { since: 13_000.0 });
@@ -183,11 +246,21 @@
     assert_eq!(one.len(), handles::LENGTH);
     assert_eq!((h.find("ann", &one), h.find("bob", &two)), (Ok(1), Ok(2)));
     assert_eq!(h.find("ann", &one.to_uppercase()), Ok(1));
-    let (others, wrong) = (h.find("ann", &two).unwrap_err(), h.find("ann", &"0".repeat(32)).unwrap_err());
-    assert_eq!(others.to_string(), wrong.to_string(), "whose it is, or whether it is, is not told");
+    let (others, wrong) = (
+        h.find("ann", &two).unwrap_err(),
+        h.find("ann", &"0".repeat(32)).unwrap_err(),
+    );
+    assert_eq!(
+        others.to_string(),
+        wrong.to_string(),
+        "whose it is, or whether it is, is not told"
+    );
     h.expire(1);
     assert_eq!(h.find("ann", &one), Err(ResumeError::Expired));
-    assert_eq!(h.find("bob", &one).unwrap_err().to_string(), wrong.to_string());
+    assert_eq!(
+        h.find("bob", &one).unwrap_err().to_string(),
+        wrong.to_string()
+    );
     assert_eq!(h.find("ann", "'; drop"), Err(ResumeError::Malformed));
     assert_eq!(h.refused, [2, 1, 1], "operators see them apart");
     // What is remembered of expired ones is bounded.
--- a/src/state.rs
+++ b/src/state.rs
@@ -68,7 +68,11 @@
     }
     /// The sum of what was spent after `from`.
     pub fn since(&self, from: Millis) -> f64 {
-        self.0.iter().filter(|(t, _)| *t > from).map(|(_, amount)| amount).sum()
+        self.0
+            .iter()
+            .filter(|(t, _)| *t > from)
+            .map(|(_, amount)| amount)
+            .sum()
     }
 }
 
@@ -83,7 +87,8 @@
 impl Sent {
     /// `part`: 1 if the work was sent, else what its lot would have brought of it on average.
     pub fn charge(&mut self, now: Millis, span: Millis, work: f64, part: f64) {
-        self.work.charge(now, span, if part >= 1.0 { work } else { 0.0 });
+        self.work
+            .charge(now, span, if part >= 1.0 { work } else { 0.0 });
         self.lots.charge(now, span, work * part);
     }
 
--- a/src/store/files.rs
+++ b/src/store/files.rs
@@ -29,7 +29,11 @@
 
 impl Files for Disk {
     fn write(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
-        let mut file = OpenOptions::new().write(true).create(true).truncate(true).open(path)?;
+        let mut file = OpenOptions::new()
+            .write(true)
+            .create(true)
+            .truncate(true)
+            .open(path)?;
         file.write_all(bytes)?;
         file.sync_all()
     }
@@ -44,7 +48,9 @@
 
     fn read(&self, path: &Path, most: usize) -> io::Result<Vec<u8>> {
         let mut bytes = vec![];
-        File::open(path)?.take(most as u64).read_to_end(&mut bytes)?;
+        File::open(path)?
+            .take(most as u64)
+            .read_to_end(&mut bytes)?;
         Ok(bytes)
     }
 
@@ -59,8 +65,15 @@
     fn sweep(&self, folder: &Path, prefix: &str) -> io::Result<()> {
         for entry in std::fs::read_dir(folder)? {
             let entry = entry?;
-            let ours = entry.file_name().to_str().is_some_and(|n| n.starts_with(prefix));
-            let age = entry.metadata().and_then(|m| m.modified()).ok().and_then(|at| at.elapsed().ok());
+            let ours = entry
+                .file_name()
+                .to_str()
+                .is_some_and(|n| n.starts_with(prefix));
+            let age = entry
+                .metadata()
+                .and_then(|m| m.modified())
+                .ok()
+                .and_then(|at| at.elapsed().ok());
             if ours && age.is_some_and(|age| age > ABANDONED) {
                 std::fs::remove_file(entry.path())?;
             }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -27,7 +27,11 @@
     Io { path: PathBuf, error: io::Error },
     /// The file was not what it should be, and now has this name.
     #[error("{path}: {error}; it is set aside as {aside}", path = path.display(), aside = aside.display())]
-    SetAside { path: PathBuf, aside: PathBuf, error: RecordError },
+    SetAside {
+        path: PathBuf,
+        aside: PathBuf,
+        error: RecordError,
+    },
 }
 
 /// One named record in a folder.
@@ -42,7 +46,12 @@
 impl<F: Files> Store<F> {
     /// A record under this name in a folder that exists.
     pub fn new(files: F, folder: &Path, name: &str, kind: Kind, most: usize) -> Self {
-        Store { files, path: folder.join(name), kind, most }
+        Store {
+            files,
+            path: folder.join(name),
+            kind,
+            most,
+        }
     }
 
     pub fn path(&self) -> &Path {
@@ -55,17 +64,25 @@
     /// The disk's, or one of a content that is too long; the record before stands then.
     pub fn save(&self, content: &[u8]) -> io::Result<()> {
         if content.len() > self.most {
-            let text = format!("{} bytes are above the bound of {}", content.len(), self.most);
+            let text = format!(
+                "{} bytes are above the bound of {}",
+                content.len(),
+                self.most
+            );
             return Err(io::Error::new(io::ErrorKind::InvalidInput, text));
         }
         // Two processes of one dispatcher may write at once: each has a draft of its own.
-        let draft = self.path.with_extension(format!("draft-{}", std::process::id()));
+        let draft = self
+            .path
+            .with_extension(format!("draft-{}", std::process::id()));
         let written = self
             .files
             .write(&draft, &record::encode(self.kind, content))
             .and_then(|()| self.files.rename(&draft, &self.path));
         match written {
-            Ok(()) => self.files.sync_folder(self.path.parent().unwrap_or(Path::new("."))),
+            Ok(()) => self
+                .files
+                .sync_folder(self.path.parent().unwrap_or(Path::new("."))),
             Err(e) => {
                 // The disk may be full: what was written of the draft only takes room.
                 let _ = self.files.remove(&draft);
@@ -82,11 +99,15 @@
         &self,
         read: impl FnOnce(&[u8]) -> Result<T, RecordError>,
     ) -> Result<Option<T>, LoadError> {
-        let io = |error| LoadError::Io { path: self.path.clone(), error };
+        let io = |error| LoadError::Io {
+            path: self.path.clone(),
+            error,
+        };
         // Drafts of processes that were killed while they wrote: they only take room.
-        if let (Some(folder), Some(name)) =
-            (self.path.parent(), self.path.file_name().and_then(|n| n.to_str()))
-        {
+        if let (Some(folder), Some(name)) = (
+            self.path.parent(),
+            self.path.file_name().and_then(|n| n.to_str()),
+        ) {
             let _ = self.files.sweep(folder, &format!("{name}.draft-"));
         }
         // One byte more than may be there: a longer file is not read into memory.
@@ -99,7 +120,11 @@
             Ok(content) => Ok(Some(content)),
             Err(error) => {
                 let aside = self.set_aside().map_err(io)?;
-                Err(LoadError::SetAside { path: self.path.clone(), aside, error })
+                Err(LoadError::SetAside {
+                    path: self.path.clone(),
+                    aside,
+                    error,
+                })
             }
         }
     }
@@ -107,7 +132,9 @@
     /// Gives the record the first free name for what cannot be read; the last name is used again.
     fn set_aside(&self) -> io::Result<PathBuf> {
         let name = |n: usize| self.path.with_extension(format!("unread-{n}"));
-        let free = (0..ASIDE).find(|n| !self.files.exists(&name(*n))).unwrap_or(ASIDE - 1);
+        let free = (0..ASIDE)
+            .find(|n| !self.files.exists(&name(*n)))
+            .unwrap_or(ASIDE - 1);
         self.files.rename(&self.path, &name(free))?;
         Ok(name(free))
     }
--- a/src/store/record.rs
+++ b/src/store/record.rs
@@ -65,16 +65,26 @@
     if !bytes.starts_with(&MAGIC[..bytes.len().min(MAGIC.len())]) {
         return Err(RecordError::Foreign);
     }
-    let torn = |wanted: u64| RecordError::Torn { found: bytes.len() as u64, wanted };
-    let Some((head, content)) = bytes.split_first_chunk::<HEAD>() else { return Err(torn(HEAD as u64)) };
+    let torn = |wanted: u64| RecordError::Torn {
+        found: bytes.len() as u64,
+        wanted,
+    };
+    let Some((head, content)) = bytes.split_first_chunk::<HEAD>() else {
+        return Err(torn(HEAD as u64));
+    };
     let word = |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
     let length = u64::from(word(16)) << 32 | u64::from(word(20));
     if head[8..12] != kind.tag {
-        return Err(RecordError::Other(String::from_utf8_lossy(&head[8..12]).into_owned()));
+        return Err(RecordError::Other(
+            String::from_utf8_lossy(&head[8..12]).into_owned(),
+        ));
     }
     // A later form may have another head: it is told apart before anything else is checked.
     if word(12) > kind.form {
-        return Err(RecordError::Future { found: word(12), known: kind.form });
+        return Err(RecordError::Future {
+            found: word(12),
+            known: kind.form,
+        });
     }
     if length > most as u64 {
         return Err(RecordError::Long(length));
--- a/src/store/segments/frame.rs
+++ b/src/store/segments/frame.rs
@@ -75,7 +75,10 @@
         b[..4].copy_from_slice(&MAGIC);
         (b[4], b[5]) = (self.kind as u8, self.packed.into());
         b[8..16].copy_from_slice(&self.spool.to_be_bytes());
-        for (i, n) in [self.page, self.rows, self.raw, self.stored, self.sum].into_iter().enumerate() {
+        for (i, n) in [self.page, self.rows, self.raw, self.stored, self.sum]
+            .into_iter()
+            .enumerate()
+        {
             b[16 + 4 * i..20 + 4 * i].copy_from_slice(&n.to_be_bytes());
         }
         let sum = crc32fast::hash(&b[..36]);
--- a/src/store/segments/mod.rs
+++ b/src/store/segments/mod.rs
@@ -43,7 +43,11 @@
     #[error("spool {0} is not stored")]
     Unknown(u64),
     #[error("page {page} of spool {spool} is torn: {error}")]
-    Torn { spool: u64, page: u32, error: FrameError },
+    Torn {
+        spool: u64,
+        page: u32,
+        error: FrameError,
+    },
     #[error(transparent)]
     Frame(#[from] FrameError),
 }
@@ -86,7 +90,9 @@
 
 impl Stored {
     fn places(&self) -> impl Iterator<Item = &Place> {
-        std::iter::once(&self.begin).chain(&self.pages).chain(&self.end)
+        std::iter::once(&self.begin)
+            .chain(&self.pages)
+            .chain(&self.end)
     }
 
     fn bytes(&self) -> u64 {
@@ -156,8 +162,10 @@
             Some(named) => {
                 let there: Vec<u32> = listed.iter().map(|l| l.0).collect();
                 let newest = named.iter().max().copied();
-                recovered.missing =
-                    named.iter().filter(|n| Some(**n) != newest && !there.contains(n)).count();
+                recovered.missing = named
+                    .iter()
+                    .filter(|n| Some(**n) != newest && !there.contains(n))
+                    .count();
                 for stray in there.iter().filter(|n| !named.contains(n)) {
                     s.volume.remove(*stray)?;
                 }
@@ -166,7 +174,9 @@
             }
             // The manifest comes before the first segment: these are not ours.
             None if !listed.is_empty() => {
-                return Err(io::Error::other("there are segments and no manifest: the folder is not ours"));
+                return Err(io::Error::other(
+                    "there are segments and no manifest: the folder is not ours",
+                ));
             }
             None => s.volume.name(&[])?,
         }
@@ -175,7 +185,13 @@
         for (number, length) in listed {
             let whole = s.scan(number, length, Some(number) == last, &mut begun, &mut found)?;
             recovered.torn += length - whole;
-            s.segments.insert(number, Segment { length: whole, live: 0 });
+            s.segments.insert(
+                number,
+                Segment {
+                    length: whole,
+                    live: 0,
+                },
+            );
             if whole < length {
                 // Nothing may be written behind what is torn.
                 s.volume.truncate(number, whole)?;
@@ -184,11 +200,17 @@
         }
         recovered.dropped = begun.len();
         s.keep_whole(found, &mut recovered);
-        let empty: Vec<u32> = s.segments.iter().filter(|(_, s)| s.live == 0).map(|(n, _)| *n).collect();
+        let empty: Vec<u32> = s
+            .segments
+            .iter()
+            .filter(|(_, s)| s.live == 0)
+            .map(|(n, _)| *n)
+            .collect();
         for number in &empty {
             s.segments.remove(number);
         }
-        s.volume.name(&s.segments.keys().copied().collect::<Vec<_>>())?;
+        s.volume
+            .name(&s.segments.keys().copied().collect::<Vec<_>>())?;
         for number in empty {
             s.volume.remove(number)?;
         }
@@ -207,22 +229,36 @@
         let mut at = 0;
         while at + HEAD as u64 <= length {
             let bytes = self.volume.read(number, at, HEAD)?;
-            let Ok(bytes) = <&[u8; HEAD]>::try_from(&bytes[..]) else { break };
+            let Ok(bytes) = <&[u8; HEAD]>::try_from(&bytes[..]) else {
+                break;
+            };
             let Ok(head) = Head::read(bytes) else { break };
             if at + head.length() > length {
                 break;
             }
             // The newest segment may not have been synced whole: its contents are checked as well.
             if check {
-                let stored = self.volume.read(number, at + HEAD as u64, head.stored as usize)?;
+                let stored = self
+                    .volume
+                    .read(number, at + HEAD as u64, head.stored as usize)?;
                 if head.open(&stored).is_err() {
                     break;
                 }
             }
-            let place = Place { segment: number, at: at as u32, length: head.length() as u32 };
+            let place = Place {
+                segment: number,
+                at: at as u32,
+                length: head.length() as u32,
+            };
             match (head.kind, begun.get_mut(&head.spool)) {
                 // Maybe a copy: the spool as it was counts until the copy is whole.
-                (Kind::Begin, _) => drop(begun.insert(head.spool, Begun { begin: place, pages: vec![] })),
+                (Kind::Begin, _) => drop(begun.insert(
+                    head.spool,
+                    Begun {
+                        begin: place,
+                        pages: vec![],
+                    },
+                )),
                 (Kind::Page, Some(s)) if s.pages.len() == head.page as usize => {
                     s.pages.push((place, head.rows, head.raw));
                 }
@@ -240,13 +276,20 @@
 
     fn keep_whole(&mut self, whole: BTreeMap<u64, (Begun, Place)>, recovered: &mut Recovered) {
         for (spool, (found, last)) in whole {
-            let (begin, end) = (self.content(spool, &found.begin), self.content(spool, &last));
+            let (begin, end) = (
+                self.content(spool, &found.begin),
+                self.content(spool, &last),
+            );
             let (Ok((_, begin)), Ok((_, end))) = (begin, end) else {
                 recovered.dropped += 1;
                 continue;
             };
             let pages: Vec<Place> = found.pages.iter().map(|p| p.0).collect();
-            let stored = Stored { begin: found.begin, pages, end: Some(last) };
+            let stored = Stored {
+                begin: found.begin,
+                pages,
+                end: Some(last),
+            };
             for p in stored.places() {
                 if let Some(s) = self.segments.get_mut(&p.segment) {
                     s.live += u64::from(p.length);
@@ -256,7 +299,11 @@
                 spool,
                 begin,
                 end,
-                pages: found.pages.iter().map(|(_, rows, raw)| (*rows, *raw)).collect(),
+                pages: found
+                    .pages
+                    .iter()
+                    .map(|(_, rows, raw)| (*rows, *raw))
+                    .collect(),
                 stored: stored.bytes(),
             });
             self.spools.insert(spool, stored);
@@ -265,7 +312,9 @@
 
     /// A frame's head and its content, checked.
     fn content(&mut self, spool: u64, p: &Place) -> Result<(Head, Vec<u8>), SegmentError> {
-        let frame = self.volume.read(p.segment, p.at.into(), p.length as usize)?;
+        let frame = self
+            .volume
+            .read(p.segment, p.at.into(), p.length as usize)?;
         let torn = |page, error| SegmentError::Torn { spool, page, error };
         let Some((head, stored)) = frame.split_first_chunk::<HEAD>() else {
             return Err(torn(0, FrameError::Head));
@@ -284,7 +333,14 @@
     /// It was not stored.
     pub fn begin(&mut self, spool: u64, begin: &[u8]) -> Result<(), SegmentError> {
         let place = self.append(Kind::Begin, spool, 0, 0, begin)?;
-        self.spools.insert(spool, Stored { begin: place, pages: vec![], end: None });
+        self.spools.insert(
+            spool,
+            Stored {
+                begin: place,
+                pages: vec![],
+                end: None,
+            },
+        );
         Ok(())
     }
 
@@ -293,7 +349,12 @@
     /// # Errors
     /// It was not stored; the pages before it are.
     pub fn page(&mut self, spool: u64, rows: u32, content: &[u8]) -> Result<(), SegmentError> {
-        let page = self.spools.get(&spool).ok_or(SegmentError::Unknown(spool))?.pages.len() as u32;
+        let page = self
+            .spools
+            .get(&spool)
+            .ok_or(SegmentError::Unknown(spool))?
+            .pages
+            .len() as u32;
         let place = self.append(Kind::Page, spool, page, rows, content)?;
         if let Some(s) = self.spools.get_mut(&spool) {
             s.pages.push(place);
@@ -306,7 +367,12 @@
     /// # Errors
     /// It was not stored, and is not whole.
     pub fn end(&mut self, spool: u64, end: &[u8]) -> Result<(), SegmentError> {
-        let pages = self.spools.get(&spool).ok_or(SegmentError::Unknown(spool))?.pages.len() as u32;
+        let pages = self
+            .spools
+            .get(&spool)
+            .ok_or(SegmentError::Unknown(spool))?
+            .pages
+            .len() as u32;
         let place = self.append(Kind::End, spool, pages, 0, end)?;
         if let Some(s) = self.spools.get_mut(&spool) {
             s.end = Some(place);
@@ -319,13 +385,23 @@
     /// # Errors
     /// It is not there, not to be read, or not what was written.
     pub fn read(&mut self, spool: u64, page: u32) -> Result<Vec<u8>, SegmentError> {
-        let stored = self.spools.get(&spool).ok_or(SegmentError::Unknown(spool))?;
-        let place = *stored.pages.get(page as usize).ok_or(SegmentError::Unknown(spool))?;
+        let stored = self
+            .spools
+            .get(&spool)
+            .ok_or(SegmentError::Unknown(spool))?;
+        let place = *stored
+            .pages
+            .get(page as usize)
+            .ok_or(SegmentError::Unknown(spool))?;
         let (head, content) = self.content(spool, &place)?;
         // A place in the index is never another page's.
         match head.kind == Kind::Page && head.page == page {
             true => Ok(content),
-            false => Err(SegmentError::Torn { spool, page, error: FrameError::Head }),
+            false => Err(SegmentError::Torn {
+                spool,
+                page,
+                error: FrameError::Head,
+            }),
         }
     }
 
@@ -335,7 +411,9 @@
     /// # Errors
     /// The disk's, in removing what is free. The spool is forgotten all the same.
     pub fn forget(&mut self, spool: u64) -> Result<(), SegmentError> {
-        let Some(stored) = self.spools.remove(&spool) else { return Ok(()) };
+        let Some(stored) = self.spools.remove(&spool) else {
+            return Ok(());
+        };
         for p in stored.places() {
             self.died(p);
         }
@@ -350,8 +428,12 @@
 
     /// Removes segments in which nothing lives; the one that grows as well, if it has grown at all.
     fn sweep(&mut self) -> Result<(), SegmentError> {
-        let dead: Vec<u32> =
-            self.segments.iter().filter(|(_, s)| s.live == 0 && s.length > 0).map(|(n, _)| *n).collect();
+        let dead: Vec<u32> = self
+            .segments
+            .iter()
+            .filter(|(_, s)| s.live == 0 && s.length > 0)
+            .map(|(n, _)| *n)
+            .collect();
         if dead.is_empty() {
             return Ok(());
         }
@@ -361,7 +443,8 @@
             }
             self.segments.remove(number);
         }
-        self.volume.name(&self.segments.keys().copied().collect::<Vec<_>>())?;
+        self.volume
+            .name(&self.segments.keys().copied().collect::<Vec<_>>())?;
         for number in dead {
             self.volume.remove(number)?;
         }
@@ -374,12 +457,20 @@
     /// # Errors
     /// The disk's; nothing is lost by it.
     pub fn compact(&mut self, most: u64) -> Result<bool, SegmentError> {
-        let (used, live) = (self.used(), self.segments.values().map(|s| s.live).sum::<u64>());
+        let (used, live) = (
+            self.used(),
+            self.segments.values().map(|s| s.live).sum::<u64>(),
+        );
         if live * 2 >= used || used < self.rules.segment {
             return Ok(false);
         }
-        let old = self.segments.iter().filter(|(n, _)| Some(**n) != self.current);
-        let Some((&number, _)) = old.min_by_key(|(_, s)| s.live) else { return Ok(false) };
+        let old = self
+            .segments
+            .iter()
+            .filter(|(n, _)| Some(**n) != self.current);
+        let Some((&number, _)) = old.min_by_key(|(_, s)| s.live) else {
+            return Ok(false);
+        };
         let mut moved = 0;
         let there: Vec<u64> = self
             .spools
@@ -388,7 +479,9 @@
             .map(|(id, _)| *id)
             .collect();
         for spool in there {
-            let Some(stored) = self.spools.get(&spool).cloned() else { continue };
+            let Some(stored) = self.spools.get(&spool).cloned() else {
+                continue;
+            };
             moved += stored.bytes();
             self.rewrite(spool, &stored)?;
             if moved >= most {
@@ -435,10 +528,11 @@
         if self.used() + bytes.len() as u64 > self.rules.most {
             return Err(SegmentError::Quota(self.rules.most));
         }
-        let number = match self
-            .current
-            .filter(|n| self.segments.get(n).is_some_and(|s| s.length < self.rules.segment))
-        {
+        let number = match self.current.filter(|n| {
+            self.segments
+                .get(n)
+                .is_some_and(|s| s.length < self.rules.segment)
+        }) {
             Some(number) => number,
             None => {
                 if let Some(full) = self.current.take() {
@@ -471,7 +565,11 @@
             s.length += bytes.len() as u64;
             s.live += bytes.len() as u64;
         }
-        Ok(Place { segment: number, at: at as u32, length: head.length() as u32 })
+        Ok(Place {
+            segment: number,
+            at: at as u32,
+            length: head.length() as u32,
+        })
     }
 
     /// What was written is on the disk when it returns.
--- a/src/store/segments/tests.rs
+++ b/src/store/segments/tests.rs
@@ -39,7 +39,11 @@
 impl Faulty {
     fn again(&self) -> Faulty {
         let (files, named) = (self.0.borrow().files.clone(), self.0.borrow().named.clone());
-        Faulty(Rc::new(RefCell::new(Disk { files, named, ..Disk::default() })))
+        Faulty(Rc::new(RefCell::new(Disk {
+            files,
+            named,
+            ..Disk::default()
+        })))
     }
 }
 
@@ -50,9 +54,16 @@
         let used: usize = d.files.values().map(Vec::len).sum();
         let room = d.room.map_or(usize::MAX, |r| r.saturating_sub(used));
         let wanted = (bytes.len() as f64 * part) as usize;
-        d.files.entry(segment).or_default().extend(&bytes[..wanted.min(room)]);
+        d.files
+            .entry(segment)
+            .or_default()
+            .extend(&bytes[..wanted.min(room)]);
         result?;
-        if wanted > room { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
+        if wanted > room {
+            Err(io::ErrorKind::StorageFull.into())
+        } else {
+            Ok(())
+        }
     }
 
     fn read(&mut self, segment: u32, at: u64, length: usize) -> io::Result<Vec<u8>> {
@@ -78,7 +89,10 @@
     fn remove(&mut self, segment: u32) -> io::Result<()> {
         let mut d = self.0.borrow_mut();
         d.step().1?;
-        d.files.remove(&segment).map(|_| ()).ok_or(io::ErrorKind::NotFound.into())
+        d.files
+            .remove(&segment)
+            .map(|_| ())
+            .ok_or(io::ErrorKind::NotFound.into())
     }
 
     fn name(&mut self, segments: &[u32]) -> io::Result<()> {
@@ -96,11 +110,20 @@
     }
 
     fn list(&mut self) -> io::Result<Vec<(u32, u64)>> {
-        Ok(self.0.borrow().files.iter().map(|(n, f)| (*n, f.len() as u64)).collect())
+        Ok(self
+            .0
+            .borrow()
+            .files
+            .iter()
+            .map(|(n, f)| (*n, f.len() as u64))
+            .collect())
     }
 }
 
-const RULES: Rules = Rules { segment: 600, most: 1 << 20 };
+const RULES: Rules = Rules {
+    segment: 600,
+    most: 1 << 20,
+};
 
 fn page(spool: u64, page: u32) -> Vec<u8> {
     format!("spool {spool} page {page} ").repeat(8).into_bytes()
@@ -118,7 +141,10 @@
     for p in 0..pages {
         assert_eq!(s.read(spool, p).unwrap(), page(spool, p), "spool {spool}");
     }
-    assert!(matches!(s.read(spool, pages), Err(SegmentError::Unknown(_))));
+    assert!(matches!(
+        s.read(spool, pages),
+        Err(SegmentError::Unknown(_))
+    ));
 }
 
 #[test]
@@ -133,8 +159,12 @@
         for part in [0.0, 0.4, 0.99, 1.0] {
             let files = Faulty::default();
             (files.0.borrow_mut().kill_at, files.0.borrow_mut().part) = (Some(kill_at), part);
-            let Ok((mut s, _)) = Segments::open(files.clone(), RULES) else { continue };
-            let ended: Vec<u64> = (0..4).take_while(|n| write(&mut s, *n, 5).is_ok()).collect();
+            let Ok((mut s, _)) = Segments::open(files.clone(), RULES) else {
+                continue;
+            };
+            let ended: Vec<u64> = (0..4)
+                .take_while(|n| write(&mut s, *n, 5).is_ok())
+                .collect();
             let (mut s, found) = Segments::open(files.again(), RULES).unwrap();
             let whole: Vec<u64> = found.whole.iter().map(|f| f.spool).collect();
             // The last may have been ended by the very write that was cut off, if all of it was there.
@@ -144,7 +174,10 @@
             );
             assert!(whole.len() == ended.len() || part == 1.0);
             for f in &found.whole {
-                assert_eq!((f.begin.clone(), f.pages.len()), (format!("begin {}", f.spool).into_bytes(), 5));
+                assert_eq!(
+                    (f.begin.clone(), f.pages.len()),
+                    (format!("begin {}", f.spool).into_bytes(), 5)
+                );
                 check(&mut s, f.spool, 5);
             }
             // And it goes on from there.
@@ -156,12 +189,17 @@
 
 #[test]
 fn a_disk_that_fills_or_fails_is_an_error_and_what_was_whole_stays_readable() {
-    for kind in [io::ErrorKind::StorageFull, io::ErrorKind::ReadOnlyFilesystem, io::ErrorKind::Other] {
+    for kind in [
+        io::ErrorKind::StorageFull,
+        io::ErrorKind::ReadOnlyFilesystem,
+        io::ErrorKind::Other,
+    ] {
         for fail_at in 1..40 {
             let files = Faulty::default();
             let (mut s, _) = Segments::open(files.clone(), RULES).unwrap();
             let now = files.0.borrow().steps;
-            (files.0.borrow_mut().fail_at, files.0.borrow_mut().part) = (Some((now + fail_at, kind)), 0.5);
+            (files.0.borrow_mut().fail_at, files.0.borrow_mut().part) =
+                (Some((now + fail_at, kind)), 0.5);
             let mut whole = vec![];
             for n in 0..6 {
                 match write(&mut s, n, 4) {
@@ -171,10 +209,16 @@
                     Err(e) => panic!("{e}"),
                 }
             }
-            assert!(whole.len() >= 5, "one write failed, and one spool with it: {whole:?}");
+            assert!(
+                whole.len() >= 5,
+                "one write failed, and one spool with it: {whole:?}"
+            );
             whole.iter().for_each(|n| check(&mut s, *n, 4));
             let (mut s, found) = Segments::open(files.again(), RULES).unwrap();
-            assert_eq!(found.whole.iter().map(|f| f.spool).collect::<Vec<_>>(), whole);
+            assert_eq!(
+                found.whole.iter().map(|f| f.spool).collect::<Vec<_>>(),
+                whole
+            );
             whole.iter().for_each(|n| check(&mut s, *n, 4));
         }
     }
@@ -185,7 +229,9 @@
     let files = Faulty::default();
     files.0.borrow_mut().room = Some(3000);
     let (mut s, _) = Segments::open(files.clone(), RULES).unwrap();
-    let stored: Vec<u64> = (0..100).take_while(|n| write(&mut s, *n, 4).is_ok()).collect();
+    let stored: Vec<u64> = (0..100)
+        .take_while(|n| write(&mut s, *n, 4).is_ok())
+        .collect();
     assert!((3..20).contains(&stored.len()));
     s.forget(stored.len() as u64).unwrap(); // the one that did not fit
     stored.iter().for_each(|n| s.forget(*n).unwrap());
@@ -207,7 +253,10 @@
     again.0.borrow_mut().files.insert(99, vec![1, 2, 3]);
     again.0.borrow_mut().files.remove(&numbers[0]);
     let (mut s, found) = Segments::open(again.clone(), RULES).unwrap();
-    assert_eq!((found.missing, again.0.borrow().files.contains_key(&99)), (1, false));
+    assert_eq!(
+        (found.missing, again.0.borrow().files.contains_key(&99)),
+        (1, false)
+    );
     assert!(!found.whole.is_empty() && found.whole.len() < 6);
     found.whole.iter().for_each(|f| check(&mut s, f.spool, 5));
     // Without a manifest nothing is ours, and nothing is touched.
@@ -220,7 +269,14 @@
 
 #[test]
 fn the_quota_holds_whatever_the_disk_has() {
-    let (mut s, _) = Segments::open(Faulty::default(), Rules { most: 2000, ..RULES }).unwrap();
+    let (mut s, _) = Segments::open(
+        Faulty::default(),
+        Rules {
+            most: 2000,
+            ..RULES
+        },
+    )
+    .unwrap();
     let mut n = 0;
     let e = loop {
         match write(&mut s, n, 4) {
@@ -242,7 +298,14 @@
     files.0.borrow_mut().files.get_mut(&at.segment).unwrap()[at.at as usize + HEAD + 3] ^= 1;
     let (mut s, found) = Segments::open(files.again(), RULES).unwrap();
     assert_eq!(found.whole.len(), 4);
-    assert!(matches!(s.read(0, 2), Err(SegmentError::Torn { spool: 0, page: 2, .. })));
+    assert!(matches!(
+        s.read(0, 2),
+        Err(SegmentError::Torn {
+            spool: 0,
+            page: 2,
+            ..
+        })
+    ));
     assert_eq!(s.read(0, 1).unwrap(), page(0, 1));
     (1..4).for_each(|n| check(&mut s, n, 5));
 }
@@ -283,8 +346,16 @@
 #[test]
 fn on_a_real_folder_spools_outlive_their_process_and_foreign_files_are_left_alone() {
     let path = std::env::temp_dir().join(format!("hitchwinch-segments-{}", std::process::id()));
-    let open =
-        || Segments::open(Folder::new(&path).unwrap(), Rules { segment: 2000, most: 1 << 20 }).unwrap();
+    let open = || {
+        Segments::open(
+            Folder::new(&path).unwrap(),
+            Rules {
+                segment: 2000,
+                most: 1 << 20,
+            },
+        )
+        .unwrap()
+    };
     let (mut s, _) = open();
     (0..30).for_each(|n| write(&mut s, n, 6).unwrap());
     std::fs::write(path.join("notes"), b"mine").unwrap();
@@ -292,7 +363,11 @@
     assert_eq!((found.whole.len(), found.dropped, found.torn), (30, 0, 0));
     (0..30).for_each(|n| check(&mut s, n, 6));
     (0..30).for_each(|n| s.forget(n).unwrap());
-    assert_eq!(std::fs::read_dir(&path).unwrap().count(), 2, "the notes and the manifest");
+    assert_eq!(
+        std::fs::read_dir(&path).unwrap().count(),
+        2,
+        "the notes and the manifest"
+    );
     std::fs::remove_dir_all(path).unwrap();
 }
 
--- a/src/store/segments/volume.rs
+++ b/src/store/segments/volume.rs
@@ -26,7 +26,10 @@
 
 /// The manifest's file, what it is, and its longest content in bytes.
 const MANIFEST: &str = "manifest";
-const KIND: Kind = Kind { tag: *b"SEGM", form: 1 };
+const KIND: Kind = Kind {
+    tag: *b"SEGM",
+    form: 1,
+};
 const MOST: usize = 1 << 20;
 
 /// Files that are open at a time.
@@ -46,8 +49,14 @@
     /// It cannot be made.
     pub fn new(path: &Path) -> io::Result<Self> {
         use std::os::unix::fs::DirBuilderExt;
-        std::fs::DirBuilder::new().recursive(true).mode(0o700).create(path)?;
-        Ok(Folder { path: path.to_path_buf(), open: VecDeque::new() })
+        std::fs::DirBuilder::new()
+            .recursive(true)
+            .mode(0o700)
+            .create(path)?;
+        Ok(Folder {
+            path: path.to_path_buf(),
+            open: VecDeque::new(),
+        })
     }
 
     fn file_of(&self, segment: u32) -> PathBuf {
@@ -73,7 +82,10 @@
                 self.open.push_back((segment, file));
             }
         }
-        self.open.back_mut().map(|(_, f)| f).ok_or_else(|| io::Error::other("no file is open"))
+        self.open
+            .back_mut()
+            .map(|(_, f)| f)
+            .ok_or_else(|| io::Error::other("no file is open"))
     }
 }
 
@@ -108,7 +120,10 @@
         for entry in std::fs::read_dir(&self.path)? {
             let entry = entry?;
             let name = entry.file_name();
-            let number = name.to_str().and_then(|n| n.strip_prefix("segment-")).and_then(|n| n.parse().ok());
+            let number = name
+                .to_str()
+                .and_then(|n| n.strip_prefix("segment-"))
+                .and_then(|n| n.parse().ok());
             if let Some(number) = number {
                 all.push((number, entry.metadata()?.len()));
             }
@@ -123,9 +138,12 @@
     }
 
     fn named(&mut self) -> io::Result<Option<Vec<u32>>> {
-        let read =
-            |content: &[u8]| serde_json::from_slice(content).map_err(|e| RecordError::Content(e.to_string()));
+        let read = |content: &[u8]| {
+            serde_json::from_slice(content).map_err(|e| RecordError::Content(e.to_string()))
+        };
         // A manifest of a later program, or of another's: nothing here is to be touched.
-        Store::new(Disk, &self.path, MANIFEST, KIND, MOST).load(read).map_err(io::Error::other)
+        Store::new(Disk, &self.path, MANIFEST, KIND, MOST)
+            .load(read)
+            .map_err(io::Error::other)
     }
 }
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -3,7 +3,10 @@
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 
-const KIND: Kind = Kind { tag: *b"TEST", form: 3 };
+const KIND: Kind = Kind {
+    tag: *b"TEST",
+    form: 3,
+};
 
 /// Files in memory that lose power, or fail, at the step that is asked for. What is not synced is lost with the
 /// power: a write keeps any part of its bytes, a rename may or may not have happened.
@@ -38,22 +41,38 @@
     /// The machine starts again.
     fn again(&self) -> Faulty {
         let disk = self.disk.borrow().clone();
-        Faulty { seen: RefCell::new(disk.clone()), disk: RefCell::new(disk), ..Faulty::default() }
+        Faulty {
+            seen: RefCell::new(disk.clone()),
+            disk: RefCell::new(disk),
+            ..Faulty::default()
+        }
     }
 }
 
 impl Files for &Faulty {
     fn write(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
         let cut = self.step()?;
-        let n = if cut { (bytes.len() as f64 * self.part) as usize } else { bytes.len() };
-        self.seen.borrow_mut().insert(path.into(), bytes[..n].to_vec());
-        self.disk.borrow_mut().insert(path.into(), bytes[..n].to_vec());
+        let n = if cut {
+            (bytes.len() as f64 * self.part) as usize
+        } else {
+            bytes.len()
+        };
+        self.seen
+            .borrow_mut()
+            .insert(path.into(), bytes[..n].to_vec());
+        self.disk
+            .borrow_mut()
+            .insert(path.into(), bytes[..n].to_vec());
         if cut { Faulty::off() } else { Ok(()) }
     }
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
         let cut = self.step()?;
-        let bytes = self.seen.borrow_mut().remove(from).ok_or(io::ErrorKind::NotFound)?;
+        let bytes = self
+            .seen
+            .borrow_mut()
+            .remove(from)
+            .ok_or(io::ErrorKind::NotFound)?;
         self.seen.borrow_mut().insert(to.into(), bytes.clone());
         // Cut off here, it may be on the disk or not.
         if !cut || self.part > 0.5 {
@@ -68,14 +87,23 @@
     }
 
     fn read(&self, path: &Path, most: usize) -> io::Result<Vec<u8>> {
-        let mut bytes = self.seen.borrow().get(path).cloned().ok_or(io::ErrorKind::NotFound)?;
+        let mut bytes = self
+            .seen
+            .borrow()
+            .get(path)
+            .cloned()
+            .ok_or(io::ErrorKind::NotFound)?;
         bytes.truncate(most);
         Ok(bytes)
     }
 
     fn remove(&self, path: &Path) -> io::Result<()> {
         self.disk.borrow_mut().remove(path);
-        self.seen.borrow_mut().remove(path).map(|_| ()).ok_or(io::ErrorKind::NotFound.into())
+        self.seen
+            .borrow_mut()
+            .remove(path)
+            .map(|_| ())
+            .ok_or(io::ErrorKind::NotFound.into())
     }
 
     fn sweep(&self, _: &Path, _: &str) -> io::Result<()> {
@@ -108,7 +136,10 @@
             let found = store(&again).load(whole).unwrap().unwrap();
             match saved {
                 Ok(()) => assert_eq!(found, b"the new one", "a yes holds"),
-                Err(_) => assert!(found == b"old" || found == b"the new one", "step {fail_at}, {part}"),
+                Err(_) => assert!(
+                    found == b"old" || found == b"the new one",
+                    "step {fail_at}, {part}"
+                ),
             }
             // And it goes on from there.
             store(&again).save(b"later").unwrap();
@@ -119,7 +150,11 @@
 
 #[test]
 fn a_full_or_read_only_disk_is_an_error_that_leaves_the_record_before() {
-    for kind in [io::ErrorKind::StorageFull, io::ErrorKind::ReadOnlyFilesystem, io::ErrorKind::Other] {
+    for kind in [
+        io::ErrorKind::StorageFull,
+        io::ErrorKind::ReadOnlyFilesystem,
+        io::ErrorKind::Other,
+    ] {
         for fail_at in 1..=2 {
             let mut files = Faulty::default();
             store(&files).save(b"old").unwrap();
@@ -130,7 +165,10 @@
             assert_eq!(files.seen.borrow().len(), 1, "the draft takes no room");
         }
     }
-    assert!(store(&Faulty::default()).save(&[0; 1001]).is_err(), "above its bound");
+    assert!(
+        store(&Faulty::default()).save(&[0; 1001]).is_err(),
+        "above its bound"
+    );
 }
 
 /// What is found is told of, set aside, and the next record is written as if there had been none.
@@ -151,27 +189,61 @@
 #[test]
 fn a_torn_foreign_or_future_record_is_told_of_and_set_aside() {
     let good = record::encode(KIND, b"content");
-    assert_eq!(set_aside(&good[..good.len() - 1]), RecordError::Torn { found: 34, wanted: 35 });
-    assert_eq!(set_aside(&good[..5]), RecordError::Torn { found: 5, wanted: 28 });
-    assert_eq!(set_aside(b""), RecordError::Torn { found: 0, wanted: 28 });
+    assert_eq!(
+        set_aside(&good[..good.len() - 1]),
+        RecordError::Torn {
+            found: 34,
+            wanted: 35
+        }
+    );
+    assert_eq!(
+        set_aside(&good[..5]),
+        RecordError::Torn {
+            found: 5,
+            wanted: 28
+        }
+    );
+    assert_eq!(
+        set_aside(b""),
+        RecordError::Torn {
+            found: 0,
+            wanted: 28
+        }
+    );
     assert_eq!(set_aside(b"<html>"), RecordError::Foreign);
     assert_eq!(set_aside(&[&good[..], b"x"].concat()), RecordError::Foreign);
     let later = record::encode(Kind { form: 4, ..KIND }, b"content");
-    assert_eq!(set_aside(&later), RecordError::Future { found: 4, known: 3 });
-    let other = record::encode(Kind { tag: *b"ELSE", form: 1 }, b"content");
+    assert_eq!(
+        set_aside(&later),
+        RecordError::Future { found: 4, known: 3 }
+    );
+    let other = record::encode(
+        Kind {
+            tag: *b"ELSE",
+            form: 1,
+        },
+        b"content",
+    );
     assert_eq!(set_aside(&other), RecordError::Other("ELSE".into()));
     let mut long = good.clone();
     long[16] = 0xff;
     assert!(matches!(set_aside(&long), RecordError::Long(_)));
     let earlier = record::encode(Kind { form: 2, ..KIND }, b"content");
-    assert_eq!(record::decode(KIND, &earlier, 1000).unwrap(), b"content", "older forms are read");
+    assert_eq!(
+        record::decode(KIND, &earlier, 1000).unwrap(),
+        b"content",
+        "older forms are read"
+    );
 }
 
 #[test]
 fn what_is_set_aside_is_bounded() {
     let files = Faulty::default();
     for i in 0..20u8 {
-        files.seen.borrow_mut().insert("/state/members".into(), vec![i]);
+        files
+            .seen
+            .borrow_mut()
+            .insert("/state/members".into(), vec![i]);
         assert!(store(&files).load(whole).is_err());
     }
     assert_eq!(files.seen.borrow().len(), ASIDE);
@@ -186,14 +258,23 @@
     store().save(b"one").unwrap();
     store().save(b"two").unwrap();
     assert_eq!(store().load(whole).unwrap().unwrap(), b"two");
-    assert_eq!(std::fs::read_dir(&folder).unwrap().count(), 1, "no draft stays");
+    assert_eq!(
+        std::fs::read_dir(&folder).unwrap().count(),
+        1,
+        "no draft stays"
+    );
     // One that another process left is removed when it is old, and not before.
     let draft = folder.join("members.draft-1");
     std::fs::write(&draft, b"half").unwrap();
     store().load(whole).unwrap();
     assert!(draft.exists());
     let old = std::time::SystemTime::now() - std::time::Duration::from_secs(61);
-    std::fs::File::options().write(true).open(&draft).unwrap().set_modified(old).unwrap();
+    std::fs::File::options()
+        .write(true)
+        .open(&draft)
+        .unwrap()
+        .set_modified(old)
+        .unwrap();
     store().load(whole).unwrap();
     assert!(!draft.exists());
     std::fs::remove_dir_all(folder).unwrap();
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -7,8 +7,7 @@
 const TABLE: &str = r#"{"type":"table","list":0,"members":[{"class_of_host":"std","ready_at":null,"az":"a","engine":"engine-a","scale":1,"stripe":0,"state":"IN"}]}"#;
 const MEMBERS: &str =
     r#"{"type":"membership","gateway_id":"gateway/0","how":"stale_copy","revision":1,"list":0}"#;
-const INBOUND: &str =
-    r#"{"type":"inbound","gateway_id":"gateway/0","corr":5,"band":"lookup","time_left":900.0,"odd":[1]}"#;
+const INBOUND: &str = r#"{"type":"inbound","gateway_id":"gateway/0","corr":5,"band":"lookup","time_left":900.0,"odd":[1]}"#;
 const TURN: &str = r#"{"type":"turn","ts":10.0}"#;
 const COMMIT: &str = r#"{"type":"commit"}"#;
 
@@ -21,7 +20,12 @@
         .unwrap();
     let mut input = lines.join("\n");
     input.push('\n');
-    child.stdin.take().unwrap().write_all(input.as_bytes()).unwrap();
+    child
+        .stdin
+        .take()
+        .unwrap()
+        .write_all(input.as_bytes())
+        .unwrap();
     child.wait_with_output().unwrap()
 }
 
@@ -31,30 +35,71 @@
     assert!(!out.status.success(), "{err}");
     assert!(out.stdout.is_empty());
     assert_eq!(err.lines().count(), 1, "{err}");
-    assert!(err.contains(&format!("line {at}:")) && err.contains(fault), "{err}");
+    assert!(
+        err.contains(&format!("line {at}:")) && err.contains(fault),
+        "{err}"
+    );
 }
 
 #[test]
 fn a_good_batch_is_answered_and_input_may_end_between_batches() {
-    let out = run(&[TURN, PROVISION, TABLE, MEMBERS, INBOUND, COMMIT, TURN, COMMIT]);
+    let out = run(&[
+        TURN, PROVISION, TABLE, MEMBERS, INBOUND, COMMIT, TURN, COMMIT,
+    ]);
     let text = String::from_utf8(out.stdout).unwrap();
     assert!(out.status.success() && out.stderr.is_empty());
     assert!(
         text.contains(r#""type":"call_out","gateway_id":"gateway/0","corr":5,"engine":"engine-a""#),
         "{text}"
     );
-    assert_eq!(text.lines().filter(|l| *l == r#"{"type":"end"}"#).count(), 2);
+    assert_eq!(
+        text.lines().filter(|l| *l == r#"{"type":"end"}"#).count(),
+        2
+    );
 }
 
 #[test]
 fn bad_input_ends_with_one_line_that_names_it() {
     fails(&[TURN, "{nonsense"], 2, "");
-    fails(&[TURN, PROVISION, r#"{"type":"ring","gateway_id":"gateway/0"}"#, COMMIT], 3, "nonce");
-    fails(&[TURN, r#"{"type":"ring","gateway_id":3,"nonce":1}"#, COMMIT], 2, "string");
-    fails(&[TURN, r#"{"type":"ring","gateway_id":"gateway/9","nonce":1}"#, COMMIT], 2, "gateway/9");
+    fails(
+        &[
+            TURN,
+            PROVISION,
+            r#"{"type":"ring","gateway_id":"gateway/0"}"#,
+            COMMIT,
+        ],
+        3,
+        "nonce",
+    );
+    fails(
+        &[TURN, r#"{"type":"ring","gateway_id":3,"nonce":1}"#, COMMIT],
+        2,
+        "string",
+    );
+    fails(
+        &[
+            TURN,
+            r#"{"type":"ring","gateway_id":"gateway/9","nonce":1}"#,
+            COMMIT,
+        ],
+        2,
+        "gateway/9",
+    );
     fails(&[TURN, PROVISION, MEMBERS, COMMIT], 3, "table");
     fails(&[TURN, PROVISION], 3, "inside a batch");
-    fails(&[TURN, &PROVISION.replace(r#""step":5.0"#, r#""step":-5.0"#), COMMIT], 2, "step");
+    fails(
+        &[
+            TURN,
+            &PROVISION.replace(r#""step":5.0"#, r#""step":-5.0"#),
+            COMMIT,
+        ],
+        2,
+        "step",
+    );
     let lists = r#""step":5.0,"extra":{"width_by_class":[1,2,3]}"#;
-    fails(&[TURN, &PROVISION.replace(r#""step":5.0"#, lists), COMMIT], 2, "extra.width_by_class");
+    fails(
+        &[TURN, &PROVISION.replace(r#""step":5.0"#, lists), COMMIT],
+        2,
+        "extra.width_by_class",
+    );
 }
--- a/tests/child/mod.rs
+++ b/tests/child/mod.rs
@@ -43,15 +43,27 @@
 
     /// The same, without a wait for it to listen.
     pub fn exec(config: &str, args: &[&str], real: Option<usize>) -> Self {
-        Self::become_it(config, args, &real.map_or(String::new(), |n| format!("ulimit -n {n}; ")))
+        Self::become_it(
+            config,
+            args,
+            &real.map_or(String::new(), |n| format!("ulimit -n {n}; ")),
+        )
     }
 
     /// The same at a limit of 64, on the first core that this process may use; on any where there is no `taskset`.
     pub fn exec_on_one_core(config: &str) -> Self {
         let status = std::fs::read_to_string("/proc/self/status").unwrap();
-        let cores = status.lines().find_map(|l| l.strip_prefix("Cpus_allowed_list:")).unwrap().trim();
+        let cores = status
+            .lines()
+            .find_map(|l| l.strip_prefix("Cpus_allowed_list:"))
+            .unwrap()
+            .trim();
         let first = cores.split([',', '-']).next().unwrap();
-        Self::become_it(config, &[], &format!("taskset -p -c {first} $$ >/dev/null 2>&1; ulimit -n 64; "))
+        Self::become_it(
+            config,
+            &[],
+            &format!("taskset -p -c {first} $$ >/dev/null 2>&1; ulimit -n 64; "),
+        )
     }
 
     /// A shell does this and becomes the program.
@@ -61,9 +73,19 @@
         let path = std::env::temp_dir().join(format!("hitchwinch-child-{id}-{n}.conf"));
         std::fs::write(&path, config).unwrap();
         let mut command = Command::new("sh");
-        command.args(["-c", &format!("{first}exec \"$0\" \"$@\""), env!("CARGO_BIN_EXE_hitchwinch")]);
-        command.args(args).env("PROXY_CONFIG", &path).env("PROXY_ADMIN_ADDR", "127.0.0.1:0");
-        command.env_remove("TMPDIR").env_remove("PROXY_INHERITED_FD").stderr(Stdio::piped());
+        command.args([
+            "-c",
+            &format!("{first}exec \"$0\" \"$@\""),
+            env!("CARGO_BIN_EXE_hitchwinch"),
+        ]);
+        command
+            .args(args)
+            .env("PROXY_CONFIG", &path)
+            .env("PROXY_ADMIN_ADDR", "127.0.0.1:0");
+        command
+            .env_remove("TMPDIR")
+            .env_remove("PROXY_INHERITED_FD")
+            .stderr(Stdio::piped());
         if !args.is_empty() {
             command.arg(&path);
         }
@@ -73,13 +95,23 @@
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
         std::thread::spawn(move || lines.map_while(Result::ok).for_each(|l| drop(say.send(l))));
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
-        Program { child, address: nowhere, admin: nowhere, config: path, began, log }
+        Program {
+            child,
+            address: nowhere,
+            admin: nowhere,
+            config: path,
+            began,
+            log,
+        }
     }
 
     /// Waits until it listens.
     pub fn listens(&mut self) {
         while self.address.port() == 0 {
-            let line = self.log.recv_timeout(Duration::from_secs(10)).expect("it listens");
+            let line = self
+                .log
+                .recv_timeout(Duration::from_secs(10))
+                .expect("it listens");
             if let Some((_, at)) = line.split_once("operators call at ") {
                 self.admin = at.parse().unwrap();
             } else if let Some((_, at)) = line.split_once("listens on ") {
@@ -93,7 +125,10 @@
         let until = Instant::now() + Duration::from_secs(5);
         loop {
             let left = until.saturating_duration_since(Instant::now());
-            let line = self.log.recv_timeout(left).unwrap_or_else(|_| panic!("no {what:?}"));
+            let line = self
+                .log
+                .recv_timeout(left)
+                .unwrap_or_else(|_| panic!("no {what:?}"));
             if line.contains(what) {
                 return line;
             }
@@ -102,13 +137,20 @@
 
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
-        assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
+        assert!(
+            Command::new("kill")
+                .args([name, &id])
+                .status()
+                .unwrap()
+                .success()
+        );
     }
 
     /// What an operator's call comes to.
     pub fn call(&self, path: &str) -> String {
         let mut tcp = connect(self.admin);
-        tcp.write_all(format!("GET {path} HTTP/1.1\r\n\r\n").as_bytes()).unwrap();
+        tcp.write_all(format!("GET {path} HTTP/1.1\r\n\r\n").as_bytes())
+            .unwrap();
         let mut answer = String::new();
         tcp.read_to_string(&mut answer).unwrap();
         answer
@@ -116,14 +158,20 @@
 
     /// Descriptors that it holds now.
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
+            .unwrap()
+            .count()
     }
 
     /// Its processor time so far, in seconds: the kernel's clock ticks a hundred times a second.
     pub fn cpu(&self) -> f64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let fields: Vec<&str> = stat.rsplit(") ").next().unwrap().split(' ').collect();
-        [11, 12].iter().map(|n| fields[*n].parse::<f64>().unwrap()).sum::<f64>() / 100.0
+        [11, 12]
+            .iter()
+            .map(|n| fields[*n].parse::<f64>().unwrap())
+            .sum::<f64>()
+            / 100.0
     }
 
     /// A share of its core over the next second.
@@ -143,7 +191,9 @@
 impl Service {
     pub fn down() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+        socket
+            .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+            .unwrap();
         let at = socket.local_addr().unwrap().as_socket().unwrap();
         Service { socket, at }
     }
@@ -159,7 +209,8 @@
                 let mut tcp = TcpStream::from(tcp);
                 tcp.set_nonblocking(false).unwrap();
                 let _ = tcp.read(&mut [0; 1024]).unwrap();
-                tcp.write_all(format!("HTTP/1.1 200 OK\r\n\r\n: hello\n{events}").as_bytes()).unwrap();
+                tcp.write_all(format!("HTTP/1.1 200 OK\r\n\r\n: hello\n{events}").as_bytes())
+                    .unwrap();
                 return Some((took, tcp));
             }
             std::thread::sleep(Duration::from_millis(1));
@@ -177,7 +228,11 @@
 
 /// A configuration with these engines in its list, or with no list where there are none.
 pub fn config(engines: &[SocketAddr], journal: SocketAddr, sockets: Option<usize>) -> String {
-    let all: Vec<String> = engines.iter().enumerate().map(|(i, at)| told(i, *at, "in_service")).collect();
+    let all: Vec<String> = engines
+        .iter()
+        .enumerate()
+        .map(|(i, at)| told(i, *at, "in_service"))
+        .collect();
     let known = match all.is_empty() {
         true => "null".into(),
         false => format!(
@@ -222,7 +277,11 @@
         Engine { at, got }
     }
 
-    fn serve(mut tcp: TcpStream, got: &Mutex<Vec<Instant>>, after: Duration) -> std::io::Result<()> {
+    fn serve(
+        mut tcp: TcpStream,
+        got: &Mutex<Vec<Instant>>,
+        after: Duration,
+    ) -> std::io::Result<()> {
         let mut lines = BufReader::new(tcp.try_clone()?);
         let mut word = || -> std::io::Result<String> {
             let mut line = String::new();
@@ -269,7 +328,11 @@
     tcp.read_exact(&mut length)?;
     let mut frame = vec![0; u32::from_be_bytes(length) as usize];
     tcp.read_exact(&mut frame)?;
-    Ok((frame[0], u32::from_be_bytes(frame[1..5].try_into().unwrap()), frame[5..].to_vec()))
+    Ok((
+        frame[0],
+        u32::from_be_bytes(frame[1..5].try_into().unwrap()),
+        frame[5..].to_vec(),
+    ))
 }
 
 /// The answer to type 16 is a yes.
@@ -294,7 +357,14 @@
     let txn = format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed));
     let mut payload = vec![3u8];
     for (name, value) in [("verb", "lookup"), ("txn", txn.as_str()), ("limit", "2000")] {
-        payload.extend([&[name.len() as u8][..], name.as_bytes(), &[0, value.len() as u8]].concat());
+        payload.extend(
+            [
+                &[name.len() as u8][..],
+                name.as_bytes(),
+                &[0, value.len() as u8],
+            ]
+            .concat(),
+        );
         payload.extend(value.bytes());
     }
     payload.extend(b"select 1");
--- a/tests/cold_budget.rs
+++ b/tests/cold_budget.rs
@@ -114,17 +114,36 @@
 
 impl<'a> Process<'a> {
     fn new(case: &'a Case, life: &'a Life, demand: &'a Demand, seed: u64) -> Self {
-        let bounds = Bounds { open: 20_000, margin: 0.0, page_wait: 600.0 };
+        let bounds = Bounds {
+            open: 20_000,
+            margin: 0.0,
+            page_wait: 600.0,
+        };
         let rng = Rand64::new(u128::from(seed) << 64 | 0x5eed);
         let core = Core::new(case.settings.clone(), seed, bounds).unwrap();
         let told = life.from >= life.told;
         let (works, out) = (BTreeMap::new(), vec![]);
         let (listed, waiting, shares) = (false, 0, 0);
-        Process { case, life, demand, core, rng, told, listed, works, waiting, out, shares }
+        Process {
+            case,
+            life,
+            demand,
+            core,
+            rng,
+            told,
+            listed,
+            works,
+            waiting,
+            out,
+            shares,
+        }
     }
 
     fn list(&mut self, now: f64) {
-        let engine = |started| EngineEntry { started, ..entry(NAME) };
+        let engine = |started| EngineEntry {
+            started,
+            ..entry(NAME)
+        };
         // Those that know of the start see the engine from then on; the others took it for a warm one before.
         if !self.listed && (now >= START || !self.told) {
             let mut all = vec![engine(self.told.then_some(START))];
@@ -136,7 +155,8 @@
         }
         if !self.told && now >= self.life.told {
             self.told = true;
-            self.core.engines(now, ListUpdate::Patch, vec![engine(Some(START))]);
+            self.core
+                .engines(now, ListUpdate::Patch, vec![engine(Some(START))]);
         }
     }
 
@@ -161,8 +181,14 @@
         let kind = &kinds[class];
         let work = kind.work * (1.0 + kind.spread * (2.0 * self.rng.rand_float() - 1.0));
         let deadline = now + self.demand.patience;
-        let new =
-            NewRequest { class, tenant: None, group: None, deadline, work: Some(work), memory_mb: None };
+        let new = NewRequest {
+            class,
+            tenant: None,
+            group: None,
+            deadline,
+            work: Some(work),
+            memory_mb: None,
+        };
         let id = self.core.open(now, new);
         self.works.insert(id, work);
         self.waiting += 1;
@@ -179,8 +205,17 @@
         for (_, attempt) in due {
             let full = self.rng.rand_float() < self.case.refuses;
             hand.requests = hand.requests.saturating_sub(1);
-            let report = if self.case.reports { vec![hand.requests as f64, 0.1] } else { vec![] };
-            self.core.ended(now, attempt, if full { Outcome::Full } else { Outcome::Served }, report);
+            let report = if self.case.reports {
+                vec![hand.requests as f64, 0.1]
+            } else {
+                vec![]
+            };
+            self.core.ended(
+                now,
+                attempt,
+                if full { Outcome::Full } else { Outcome::Served },
+                report,
+            );
         }
         if self.core.next_wake().is_some_and(|at| at <= now) {
             self.core.tick(now);
@@ -193,21 +228,33 @@
             if commands.is_empty() {
                 break;
             }
-            commands.into_iter().for_each(|c| self.carry_out(now, c, hand, sent));
+            commands
+                .into_iter()
+                .for_each(|c| self.carry_out(now, c, hand, sent));
         }
     }
 
     fn carry_out(&mut self, now: f64, c: Command, hand: &mut Hand, sent: &mut Vec<Sent>) {
         match c {
-            Command::Start { attempt, engine, .. } if engine == NAME => {
+            Command::Start {
+                attempt, engine, ..
+            } if engine == NAME => {
                 let work = self.works.get(&attempt.request).copied().unwrap_or(0.0);
                 self.waiting = self.waiting.saturating_sub(1);
-                sent.push(Sent { at: now, work, told: self.told });
+                sent.push(Sent {
+                    at: now,
+                    work,
+                    told: self.told,
+                });
                 hand.requests += 1;
                 let able = self.case.able(now);
                 hand.left = (hand.left - (now - hand.at) * able).max(0.0) + work;
                 hand.at = now;
-                let took = if self.case.reports { work.max(hand.left / able) } else { 1.0 };
+                let took = if self.case.reports {
+                    work.max(hand.left / able)
+                } else {
+                    1.0
+                };
                 self.out.push((now + took, attempt));
             }
             Command::Drop { attempt } => {
@@ -237,10 +284,19 @@
     /// What all processes send it, in order.
     fn sent(&self, step: f64, seed: u64) -> Vec<Sent> {
         let mut rng = Rand64::new(u128::from(seed));
-        let lives = self.dispatchers.iter().flat_map(|(lives, d)| lives.iter().map(move |l| (l, d)));
+        let lives = self
+            .dispatchers
+            .iter()
+            .flat_map(|(lives, d)| lives.iter().map(move |l| (l, d)));
         // Each looks at its own moment of a step.
-        let mut all: Vec<(f64, Process)> =
-            lives.map(|(l, d)| (rng.rand_float() * step, Process::new(self, l, d, rng.rand_u64()))).collect();
+        let mut all: Vec<(f64, Process)> = lives
+            .map(|(l, d)| {
+                (
+                    rng.rand_float() * step,
+                    Process::new(self, l, d, rng.rand_u64()),
+                )
+            })
+            .collect();
         all.sort_by(|a, b| a.0.total_cmp(&b.0));
         let (mut sent, mut hand) = (vec![], Hand::default());
         let mut now = START - 2200.0;
@@ -287,19 +343,40 @@
 const END: f64 = START + 17_000.0;
 
 fn all_along(told: f64) -> Life {
-    Life { from: START - 2100.0, to: END, closes: END, told, shares: vec![] }
+    Life {
+        from: START - 2100.0,
+        to: END,
+        closes: END,
+        told,
+        shares: vec![],
+    }
 }
 
 /// One class of requests, always of its mean work, as its usual is told to be.
 fn even(work: f64) -> (Class, Work) {
     // An aim that lets it wait for all of the ramp, and the usual work by the settings is `work`.
-    let class = Class { aim_stretch: 60_000.0 / work - 1.0, ..class(1.0, 60_000.0) };
-    (class, Work { share: 1.0, work, spread: 0.0 })
+    let class = Class {
+        aim_stretch: 60_000.0 / work - 1.0,
+        ..class(1.0, 60_000.0)
+    };
+    (
+        class,
+        Work {
+            share: 1.0,
+            work,
+            spread: 0.0,
+        },
+    )
 }
 
 /// More at any time than its part.
 fn always() -> Demand {
-    Demand { from: 0.0, standing: 8, rate: 0.0, patience: 60_000.0 }
+    Demand {
+        from: 0.0,
+        standing: 8,
+        rate: 0.0,
+        patience: 60_000.0,
+    }
 }
 
 fn case(n: u32, work: f64, _: &mut Rand64) -> Case {
@@ -327,7 +404,12 @@
     make: impl Fn(u32, f64, &mut Rand64) -> Case,
 ) -> (usize, usize) {
     let mut all_over = (0, 0);
-    for (n, seeds, step) in [(2u32, 12u64, 125.0), (20, 4, 200.0), (30, 4, 200.0), (300, 1, 400.0)] {
+    for (n, seeds, step) in [
+        (2u32, 12u64, 125.0),
+        (20, 4, 200.0),
+        (30, 4, 200.0),
+        (300, 1, 400.0),
+    ] {
         for work in [950.0, 150.0] {
             if !wanted(n, work) {
                 continue;
@@ -344,7 +426,8 @@
                 broken += usize::from(b);
             }
             let mean = peaks.iter().sum::<f64>() / peaks.len() as f64;
-            let sd = (peaks.iter().map(|p| (p - mean).powi(2)).sum::<f64>() / peaks.len() as f64).sqrt();
+            let sd =
+                (peaks.iter().map(|p| (p - mean).powi(2)).sum::<f64>() / peaks.len() as f64).sqrt();
             let most = peaks.iter().copied().fold(0.0, f64::max);
             println!(
                 "{name:<28} {n:>4} {work:>5} ms  {seeds:>4} seeds  {over:>3} over {broken:>3} broken  largest {most:.3}  mean {mean:.3} sd {sd:.3}  margin {:>5.1}  {} sends {} ms",
@@ -369,7 +452,11 @@
 
 /// The rule is not broken, whatever those send that were not told.
 fn run_told(name: &str, make: impl Fn(u32, f64, &mut Rand64) -> Case) {
-    assert_eq!(play(name, |_, _| true, make).1, 0, "{name}: seeds in which the rule was broken");
+    assert_eq!(
+        play(name, |_, _| true, make).1,
+        0,
+        "{name}: seeds in which the rule was broken"
+    );
 }
 
 /// A moment in the middle of the ramp.
@@ -397,12 +484,19 @@
 fn unequal_shares_of_traffic() {
     run("unequal shares", |n, w, rng| {
         let mut c = case(n, w, rng);
-        let parts: Vec<f64> = (0..n).map(|_| (1.0 - rng.rand_float()).ln().powi(2)).collect();
+        let parts: Vec<f64> = (0..n)
+            .map(|_| (1.0 - rng.rand_float()).ln().powi(2))
+            .collect();
         let all: f64 = parts.iter().sum();
         // One and a half times what makes it fall when it is warm.
         let rate = 1.5 * 4.0 * 8.0 * 1000.0 / w;
         for (d, part) in c.dispatchers.iter_mut().zip(&parts) {
-            d.1 = Demand { from: 0.0, standing: 0, rate: rate * part / all, patience: 150.0 };
+            d.1 = Demand {
+                from: 0.0,
+                standing: 0,
+                rate: rate * part / all,
+                patience: 150.0,
+            };
         }
         c
     });
@@ -417,16 +511,37 @@
     let (d, load) = even(heavy);
     c.settings.classes = vec![
         Class { ..a },
-        Class { worth: 5.0, threads: 3.0, ..b },
-        Class { worth: 4.0, threads: 2.0, effect: Effect::Unsafe, ..d },
+        Class {
+            worth: 5.0,
+            threads: 3.0,
+            ..b
+        },
+        Class {
+            worth: 4.0,
+            threads: 2.0,
+            effect: Effect::Unsafe,
+            ..d
+        },
     ];
     for class in c.settings.classes.iter_mut().skip(1) {
         class.aim_stretch = class.aim * class.threads / heavy - 1.0;
     }
     c.works = vec![
-        Work { share: 13.0, spread: 0.9, ..look_up },
-        Work { share: 2.5, spread: 0.9, ..report },
-        Work { share: 1.0, spread: 0.9, ..load },
+        Work {
+            share: 13.0,
+            spread: 0.9,
+            ..look_up
+        },
+        Work {
+            share: 2.5,
+            spread: 0.9,
+            ..report
+        },
+        Work {
+            share: 1.0,
+            spread: 0.9,
+            ..load
+        },
     ];
     c
 }
@@ -448,7 +563,10 @@
 
 #[test]
 fn refused_by_the_engine_itself() {
-    run("refused by the engine", |n, w, rng| Case { refuses: 0.5, ..case(n, w, rng) });
+    run("refused by the engine", |n, w, rng| Case {
+        refuses: 0.5,
+        ..case(n, w, rng)
+    });
 }
 
 /// What another engine never answers is moved to the cold one.
@@ -543,13 +661,25 @@
 #[test]
 fn twice_as_many_run() {
     let over = play("twice as many run", |n, work| (n, work) != LARGE, twice);
-    assert_eq!(over, (0, 0), "seeds over the line, seeds in which the rule was broken");
+    assert_eq!(
+        over,
+        (0, 0),
+        "seeds over the line, seeds in which the rule was broken"
+    );
 }
 
 #[test]
 fn twice_as_many_run_in_a_large_fleet_with_small_requests() {
-    let over = play("twice as many run, large", |n, work| (n, work) == LARGE, twice);
-    assert_eq!(over, (0, 0), "seeds over the line, seeds in which the rule was broken");
+    let over = play(
+        "twice as many run, large",
+        |n, work| (n, work) == LARGE,
+        twice,
+    );
+    assert_eq!(
+        over,
+        (0, 0),
+        "seeds over the line, seeds in which the rule was broken"
+    );
 }
 
 /// The settings name half as many dispatchers as run.
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -25,7 +25,11 @@
 const AHEAD: f64 = 700.0;
 
 fn now() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs_f64() * 1000.0
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_secs_f64()
+        * 1000.0
 }
 
 /// Takes whole requests down with their time and answers each once its work is done.
@@ -58,7 +62,10 @@
         for (at, id) in due {
             thread::sleep(at.saturating_duration_since(Instant::now()));
             let words = [&id[..], "ACK", "total=1", "a\tb\tc\n"];
-            let bulk: String = words.iter().map(|w| format!("${}\r\n{w}\r\n", w.len())).collect();
+            let bulk: String = words
+                .iter()
+                .map(|w| format!("${}\r\n{w}\r\n", w.len()))
+                .collect();
             if write.write_all(format!("*4\r\n{bulk}").as_bytes()).is_err() {
                 return;
             }
@@ -68,7 +75,10 @@
     while let Some(words) = command(&mut read) {
         if words[0] == "GET" {
             log.lock().unwrap().push(now());
-            let _ = done.send((Instant::now() + Duration::from_secs_f64(WORK / 1000.0), words[1].clone()));
+            let _ = done.send((
+                Instant::now() + Duration::from_secs_f64(WORK / 1000.0),
+                words[1].clone(),
+            ));
         }
     }
 }
@@ -105,7 +115,8 @@
 impl Program {
     /// Starts it and tells its address once it listens.
     fn start(name: &str, config: &str, listens: &Sender<String>) -> Self {
-        let path = std::env::temp_dir().join(format!("hitchwinch-{}-{name}.conf", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("hitchwinch-{}-{name}.conf", std::process::id()));
         std::fs::write(&path, config).unwrap();
         let mut child = Command::new(env!("CARGO_BIN_EXE_hitchwinch"))
             .env("PROXY_CONFIG", &path)
@@ -124,13 +135,18 @@
                 }
             }
         });
-        Program { child, config: path }
+        Program {
+            child,
+            config: path,
+        }
     }
 }
 
 /// Sends a look-up whenever it is time, until it is over or its dispatcher has gone; answers are read and dropped.
 fn ask(address: &str, over: &AtomicBool) {
-    let Ok(mut tcp) = TcpStream::connect(address) else { return };
+    let Ok(mut tcp) = TcpStream::connect(address) else {
+        return;
+    };
     tcp.set_nodelay(true).unwrap();
     let mut read = tcp.try_clone().unwrap();
     thread::spawn(move || {
@@ -138,8 +154,19 @@
         while read.read(&mut buffer).is_ok_and(|n| n > 0) {}
     });
     let mut payload = vec![3u8];
-    for (name, value) in [("verb", "lookup"), ("txn", "0123456789abcdef"), ("limit", "1000")] {
-        payload.extend([&[name.len() as u8][..], name.as_bytes(), &[0, value.len() as u8]].concat());
+    for (name, value) in [
+        ("verb", "lookup"),
+        ("txn", "0123456789abcdef"),
+        ("limit", "1000"),
+    ] {
+        payload.extend(
+            [
+                &[name.len() as u8][..],
+                name.as_bytes(),
+                &[0, value.len() as u8],
+            ]
+            .concat(),
+        );
         payload.extend(value.bytes());
     }
     payload.extend(b"select 1");
@@ -172,14 +199,21 @@
 
 /// The largest window over the line's value, and all requests that came while the engine was cold.
 fn largest(got: &[f64], started: f64) -> (f64, usize) {
-    let cold: Vec<f64> = got.iter().copied().filter(|t| *t < started + WARM_WITHIN).collect();
+    let cold: Vec<f64> = got
+        .iter()
+        .copied()
+        .filter(|t| *t < started + WARM_WITHIN)
+        .collect();
     let of = |(i, end): (usize, &f64)| {
         let count = cold[..=i].iter().filter(|t| **t > end - WINDOW).count();
         let age = ((end - WINDOW - started) / WARM_WITHIN).clamp(0.0, 1.0);
         let n = MULTIPLE * CORES * (COLD_FROM + (1.0 - COLD_FROM) * age) * WINDOW / WORK;
         count as f64 / (n + 2.0 * n.sqrt() + 2.0)
     };
-    (cold.iter().enumerate().map(of).fold(0.0, f64::max), cold.len())
+    (
+        cold.iter().enumerate().map(of).fold(0.0, f64::max),
+        cold.len(),
+    )
 }
 
 /// Requests that it could serve while it warms up, at its capacity and not a multiple of it.
@@ -193,13 +227,19 @@
     let started = (now() + AHEAD).round();
     let (listens, addresses) = channel();
     let over = Arc::new(AtomicBool::new(false));
-    let start =
-        |i: usize| Program::start(&format!("{name}-{i}"), &config(&engine.address, started, i + 1), &listens);
+    let start = |i: usize| {
+        Program::start(
+            &format!("{name}-{i}"),
+            &config(&engine.address, started, i + 1),
+            &listens,
+        )
+    };
     let mut programs: Vec<Program> = (0..DISPATCHERS).map(start).collect();
     let mut clients = vec![];
     let mut follow = |count: usize, from: f64| {
-        let all: Vec<String> =
-            (0..count).map(|_| addresses.recv_timeout(Duration::from_secs(10)).unwrap()).collect();
+        let all: Vec<String> = (0..count)
+            .map(|_| addresses.recv_timeout(Duration::from_secs(10)).unwrap())
+            .collect();
         thread::sleep(Duration::from_secs_f64((from - now()).max(0.0) / 1000.0));
         for address in all {
             let over = over.clone();
@@ -207,7 +247,9 @@
         }
     };
     follow(DISPATCHERS, started);
-    thread::sleep(Duration::from_secs_f64((started + WARM_WITHIN / 2.0 - now()).max(0.0) / 1000.0));
+    thread::sleep(Duration::from_secs_f64(
+        (started + WARM_WITHIN / 2.0 - now()).max(0.0) / 1000.0,
+    ));
     // The old process is gone before the new one begins.
     for i in 0..restarted {
         let old = programs.remove(0);
@@ -215,13 +257,17 @@
         programs.push(start(DISPATCHERS + i));
     }
     follow(restarted, 0.0);
-    thread::sleep(Duration::from_secs_f64((started + WARM_WITHIN - now()).max(0.0) / 1000.0));
+    thread::sleep(Duration::from_secs_f64(
+        (started + WARM_WITHIN - now()).max(0.0) / 1000.0,
+    ));
     over.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|c| c.join().unwrap());
     drop(programs);
     let got = engine.got.lock().unwrap().clone();
     let (most, count) = largest(&got, started);
-    println!("{name}: the largest window is {most:.3} of the line, {count} requests while it was cold");
+    println!(
+        "{name}: the largest window is {most:.3} of the line, {count} requests while it was cold"
+    );
     (most, count)
 }
 
@@ -229,12 +275,18 @@
 fn twenty_processes_together_stay_under_the_line_of_a_cold_engine() {
     let (most, count) = play("fleet", 0);
     assert!(most <= 1.0, "{most} of the line");
-    assert!(count as f64 > could(), "{count} requests are fewer than it could serve: it is left idle");
+    assert!(
+        count as f64 > could(),
+        "{count} requests are fewer than it could serve: it is left idle"
+    );
 }
 
 #[test]
 fn twenty_processes_stay_under_it_with_five_restarted_in_the_middle() {
     let (most, count) = play("restarts", 5);
     assert!(most <= 1.0, "{most} of the line");
-    assert!(count as f64 > could(), "{count} requests are fewer than it could serve: it is left idle");
+    assert!(
+        count as f64 > could(),
+        "{count} requests are fewer than it could serve: it is left idle"
+    );
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -26,7 +26,16 @@
         step: 5.0,
         classes,
         tenants: vec![],
-        kinds: vec![Kind { cores: 8.0, memory_mb: 16384.0 }, Kind { cores: 4.0, memory_mb: 8192.0 }],
+        kinds: vec![
+            Kind {
+                cores: 8.0,
+                memory_mb: 16384.0,
+            },
+            Kind {
+                cores: 4.0,
+                memory_mb: 8192.0,
+            },
+        ],
         over_share_worth: 0.1,
         limits: Limits {
             most_attempts: 3,
@@ -72,7 +81,16 @@
 }
 
 pub fn query(id: QueryId, class: ClassId) -> Query {
-    Query { id, class, tenant: None, key: None, tables: None, time_left: 4000.0, work: None, memory_mb: None }
+    Query {
+        id,
+        class,
+        tenant: None,
+        key: None,
+        tables: None,
+        time_left: 4000.0,
+        work: None,
+        memory_mb: None,
+    }
 }
 
 pub struct Gateway {
@@ -86,8 +104,14 @@
     }
 
     pub fn seeded(s: Settings, engines: Vec<EngineEntry>, seed: u64) -> Self {
-        let mut g = Gateway { c: Controller::new(s, seed).unwrap(), now: 1000.0 };
-        g.does(Event::Engines { update: ListUpdate::Stale, entries: engines });
+        let mut g = Gateway {
+            c: Controller::new(s, seed).unwrap(),
+            now: 1000.0,
+        };
+        g.does(Event::Engines {
+            update: ListUpdate::Stale,
+            entries: engines,
+        });
         g
     }
 
@@ -119,7 +143,16 @@
 
 pub fn ended(id: QueryId, attempt: u32, outcome: Outcome) -> Ended {
     let last = outcome == Outcome::Served;
-    Ended { id, attempt, outcome, last, latency: 1.0, work: None, memory_mb: None, report: vec![] }
+    Ended {
+        id,
+        attempt,
+        outcome,
+        last,
+        latency: 1.0,
+        work: None,
+        memory_mb: None,
+        report: vec![],
+    }
 }
 
 pub fn sends(actions: &[Action]) -> Vec<(QueryId, String)> {
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -14,7 +14,11 @@
     let mut now = 1.79e12;
     let mut settings = settings();
     settings.limits.most_attempts = 2;
-    let bounds = Bounds { open: 3, margin: 20.0, page_wait: 600.0 };
+    let bounds = Bounds {
+        open: 3,
+        margin: 20.0,
+        page_wait: 600.0,
+    };
     let mut core = Core::new(settings, 1, bounds).unwrap();
     assert!(!core.ready(), "no list is in hand");
     let engine = |e: &str| EngineEntry {
@@ -41,13 +45,18 @@
             ["send", name, class, ms] => {
                 let class = usize::from(class == "load");
                 let deadline = now + ms.parse::<f64>().unwrap();
-                let new =
-                    NewRequest { class, tenant: None, group: None, deadline, work: None, memory_mb: None };
+                let new = NewRequest {
+                    class,
+                    tenant: None,
+                    group: None,
+                    deadline,
+                    work: None,
+                    memory_mb: None,
+                };
                 ids.insert(name, core.open(now, new));
             }
             ["start", name] => {
-                let of =
-                    |c: &Command| matches!(c, Command::Start { attempt, .. } if attempt.request == ids[name]);
+                let of = |c: &Command| matches!(c, Command::Start { attempt, .. } if attempt.request == ids[name]);
                 if let Command::Start { attempt, .. } = next(&of) {
                     last.insert(attempt.request, attempt);
                 }
@@ -69,7 +78,9 @@
             }
             ["expect", name, what] => {
                 let of = |c: &Command| matches!(c, Command::Answer { request, .. } if *request == ids[name]);
-                let Command::Answer { answer, .. } = next(&of) else { unreachable!() };
+                let Command::Answer { answer, .. } = next(&of) else {
+                    unreachable!()
+                };
                 let told = match answer {
                     Answer::Served(_) => "served",
                     Answer::Refused { .. } => "refused",
@@ -112,21 +123,35 @@
 
 #[test]
 fn one_answer_each_whatever_races() {
-    play("send a lookup 900\n start a\n end a served\n expect a served\n end a reset\n leave a\n nothing");
+    play(
+        "send a lookup 900\n start a\n end a served\n expect a served\n end a reset\n leave a\n nothing",
+    );
     play("send a lookup 900\n start a\n leave a\n drop a\n end a served\n nothing");
-    play("send a lookup 900\n start a\n begin a\n leave a\n drop a\n end a served\n wait 2000\n nothing");
-    play("send a lookup 900\n start a\n wait 900\n drop a\n expect a late\n end a served\n nothing");
-    play("send a load 900\n start a\n wait 900\n drop a\n expect a late-and-may-have-run\n nothing");
+    play(
+        "send a lookup 900\n start a\n begin a\n leave a\n drop a\n end a served\n wait 2000\n nothing",
+    );
+    play(
+        "send a lookup 900\n start a\n wait 900\n drop a\n expect a late\n end a served\n nothing",
+    );
+    play(
+        "send a load 900\n start a\n wait 900\n drop a\n expect a late-and-may-have-run\n nothing",
+    );
 }
 
 #[test]
 fn what_may_have_run_is_repeated_only_where_that_is_harmless() {
     play("send a lookup 900\n start a\n end a reset\n start a\n end a served\n expect a served");
-    play("send a lookup 900\n start a\n begin a\n end a reset\n start a\n end a served\n expect a served");
+    play(
+        "send a lookup 900\n start a\n begin a\n end a reset\n start a\n end a served\n expect a served",
+    );
     play("send a load 900\n start a\n end a reset\n expect a failed\n wait 2000\n nothing");
-    play("send a load 900\n start a\n begin a\n end a reset\n expect a failed\n wait 2000\n nothing");
+    play(
+        "send a load 900\n start a\n begin a\n end a reset\n expect a failed\n wait 2000\n nothing",
+    );
     play("send a load 900\n start a\n end a unreachable\n start a\n end a reset\n expect a failed");
-    play("send a load 900\n start a\n end a full\n start a\n end a full\n expect a refused\n wait 2000");
+    play(
+        "send a load 900\n start a\n end a full\n start a\n end a full\n expect a refused\n wait 2000",
+    );
 }
 
 #[test]
@@ -173,7 +198,11 @@
     let mut settings = settings();
     settings.limits.most_attempts = 3;
     settings.classes[0].effect = effect;
-    let bounds = Bounds { open: 3, margin: 20.0, page_wait: 600.0 };
+    let bounds = Bounds {
+        open: 3,
+        margin: 20.0,
+        page_wait: 600.0,
+    };
     let mut core = Core::new(settings, 1, bounds).unwrap();
     let engine = |e: &str| EngineEntry {
         engine: e.into(),
@@ -188,7 +217,14 @@
 }
 
 fn lookup(deadline: f64) -> NewRequest {
-    NewRequest { class: 0, tenant: None, group: None, deadline, work: None, memory_mb: None }
+    NewRequest {
+        class: 0,
+        tenant: None,
+        group: None,
+        deadline,
+        work: None,
+        memory_mb: None,
+    }
 }
 
 /// The attempts started and the answers given since the last call.
@@ -196,7 +232,9 @@
     let (mut started, mut answers) = (vec![], vec![]);
     for command in core.commands() {
         match command {
-            Command::Start { attempt, write_by, .. } => started.push((attempt, write_by)),
+            Command::Start {
+                attempt, write_by, ..
+            } => started.push((attempt, write_by)),
             Command::Answer { answer, .. } => answers.push(answer),
             _ => {}
         }
@@ -208,7 +246,10 @@
 #[test]
 fn a_repeat_goes_out_within_the_window_of_the_first_that_may_have_run() {
     for group in [Group::All, Group::Zone, Group::Cell] {
-        let (now, mut core) = keyed(Effect::Keyed { group, window: 100.0 });
+        let (now, mut core) = keyed(Effect::Keyed {
+            group,
+            window: 100.0,
+        });
         core.open(now, lookup(now + 3000.0));
         let (first, _) = done(&mut core);
         assert_eq!(first[0].1, f64::INFINITY);
@@ -230,30 +271,51 @@
     core.open(now, lookup(now + 3000.0));
     let (first, _) = done(&mut core);
     core.ended(now + 40.0, first[0].0, Outcome::Reset, vec![]);
-    assert_eq!(done(&mut core).0[0].1, f64::INFINITY, "safe ones are repeated at any time");
+    assert_eq!(
+        done(&mut core).0[0].1,
+        f64::INFINITY,
+        "safe ones are repeated at any time"
+    );
 }
 
 /// Where only some engines would drop a repeat, no refusal goes out once one may have run, whoever words it.
 #[test]
 fn a_keyed_request_that_may_have_run_is_refused_only_where_all_engines_know_it() {
-    for (group, harmless) in [(Group::All, true), (Group::Zone, false), (Group::Cell, false)] {
+    for (group, harmless) in [
+        (Group::All, true),
+        (Group::Zone, false),
+        (Group::Cell, false),
+    ] {
         for stops in [false, true] {
-            let (now, mut core) = keyed(Effect::Keyed { group, window: 4000.0 });
+            let (now, mut core) = keyed(Effect::Keyed {
+                group,
+                window: 4000.0,
+            });
             core.open(now, lookup(now + 500.0));
             assert_eq!(done(&mut core).0.len(), 1);
             if stops {
                 core.stop(now, now + 200.0);
             }
             core.tick(now + if stops { 200.0 } else { 480.0 });
-            assert_eq!(done(&mut core).1, [Answer::TimedOut { harmless }], "{group:?}");
+            assert_eq!(
+                done(&mut core).1,
+                [Answer::TimedOut { harmless }],
+                "{group:?}"
+            );
         }
-        let (now, mut core) = keyed(Effect::Keyed { group, window: 4000.0 });
+        let (now, mut core) = keyed(Effect::Keyed {
+            group,
+            window: 4000.0,
+        });
         core.open(now, lookup(now + 500.0));
         let (first, _) = done(&mut core);
         core.ended(now + 1.0, first[0].0, Outcome::Unreachable, vec![]);
         let (second, _) = done(&mut core);
         core.ended(now + 480.0, second[0].0, Outcome::Full, vec![]);
         let (_, answers) = done(&mut core);
-        assert!(matches!(answers[..], [Answer::Refused { .. }]), "none ever ran: {answers:?}");
+        assert!(
+            matches!(answers[..], [Answer::Refused { .. }]),
+            "none ever ran: {answers:?}"
+        );
     }
 }
--- a/tests/defences.rs
+++ b/tests/defences.rs
@@ -5,7 +5,13 @@
 use hitchwinch::*;
 
 fn two_classes() -> Vec<Class> {
-    vec![class(1.0, 800.0), Class { threads: 3.0, ..class(4.0, 2000.0) }]
+    vec![
+        class(1.0, 800.0),
+        Class {
+            threads: 3.0,
+            ..class(4.0, 2000.0)
+        },
+    ]
 }
 
 fn fleet(n: usize) -> Vec<EngineEntry> {
@@ -28,9 +34,13 @@
 /// Queries in rounds of so many, all answered in time, until a whole round is sent at once.
 fn grow(g: &mut Gateway, round: u64) {
     for first in (1000..9000).step_by(round as usize) {
-        let mut sent: Vec<_> = (first..first + round).flat_map(|id| sends(&g.take(query(id, 0)))).collect();
+        let mut sent: Vec<_> = (first..first + round)
+            .flat_map(|id| sends(&g.take(query(id, 0))))
+            .collect();
         if sent.len() as u64 == round {
-            return sent.into_iter().for_each(|(id, _)| drop(g.end(id, 0, Outcome::Served)));
+            return sent
+                .into_iter()
+                .for_each(|(id, _)| drop(g.end(id, 0, Outcome::Served)));
         }
         g.now += 10.0;
         while let Some((id, _)) = sent.pop() {
@@ -52,9 +62,18 @@
     let sent = |g: &mut Gateway, ids: std::ops::Range<u64>| -> usize {
         ids.map(|id| sends(&g.take(query(id, 0))).len()).sum()
     };
-    assert_eq!(sent(&mut g, 1000..1100), 16, "one query at a time widens nothing");
-    let more: usize = (1000..1016).map(|id| sends(&g.end(id, 0, Outcome::Served)).len()).sum();
-    assert!(more > 16, "a window in use grows, {more} of those held follow");
+    assert_eq!(
+        sent(&mut g, 1000..1100),
+        16,
+        "one query at a time widens nothing"
+    );
+    let more: usize = (1000..1016)
+        .map(|id| sends(&g.end(id, 0, Outcome::Served)).len())
+        .sum();
+    assert!(
+        more > 16,
+        "a window in use grows, {more} of those held follow"
+    );
 }
 
 #[test]
@@ -68,11 +87,18 @@
         while let Some((_, engine)) = sent.pop() {
             let bad = engine == "e0";
             bad_sends_late += u32::from(bad && id > 100);
-            sent = sends(&g.end(id, attempt, if bad { Outcome::Error } else { Outcome::Served }));
+            sent = sends(&g.end(
+                id,
+                attempt,
+                if bad { Outcome::Error } else { Outcome::Served },
+            ));
             attempt += 1;
         }
     }
-    assert!(bad_sends_late <= 1, "{bad_sends_late} sends to an engine that fails");
+    assert!(
+        bad_sends_late <= 1,
+        "{bad_sends_late} sends to an engine that fails"
+    );
     g.pass(9000.0);
     let mut back = 0;
     for id in 200..260 {
@@ -88,8 +114,15 @@
     let mut g = Gateway::new(settings(vec![class(1.0, 800.0)]), fleet(4));
     for id in 0..100 {
         g.now += 5.0;
-        assert_eq!(sends(&g.take(query(id, 0))).len(), 1, "still served by someone");
-        g.does(Event::Ended(Ended { last: true, ..ended(id, 0, Outcome::Error) }));
+        assert_eq!(
+            sends(&g.take(query(id, 0))).len(),
+            1,
+            "still served by someone"
+        );
+        g.does(Event::Ended(Ended {
+            last: true,
+            ..ended(id, 0, Outcome::Error)
+        }));
     }
 }
 
@@ -112,7 +145,10 @@
             all.extend(out);
             all.extend(g.pass(1.0));
         }
-        let cancels = all.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
+        let cancels = all
+            .iter()
+            .filter(|a| matches!(a, Action::Cancel { .. }))
+            .count();
         assert_eq!(cancels > 0, hang, "{cancels} cancels");
     }
 }
@@ -124,14 +160,21 @@
         let mut s = settings(vec![class(1.0, 8000.0)]);
         s.engines.notes_every = 100.0;
         let mut g = Gateway::new(s, fleet(1));
-        let late = Query { time_left: 8000.0, ..query(1, 0) };
+        let late = Query {
+            time_left: 8000.0,
+            ..query(1, 0)
+        };
         assert_eq!(sends(&g.take(late)).len(), 1);
         let mut all = vec![];
         for id in 2..20 {
             g.take(query(id, 0));
             all.extend(g.pass(100.0));
             if !ceases {
-                g.does(Event::Progress { id: 1, attempt: 0, note: Note::Done(0.1) });
+                g.does(Event::Progress {
+                    id: 1,
+                    attempt: 0,
+                    note: Note::Done(0.1),
+                });
             }
             g.end(id, 0, Outcome::Served);
         }
@@ -142,24 +185,39 @@
 #[test]
 fn the_budget_binds_only_on_an_engine_that_reports_a_crowd() {
     let mut g = Gateway::new(settings(vec![class(1.0, 3000.0)]), fleet(1));
-    let free = (0..16).filter(|&id| !sends(&g.take(query(id, 0))).is_empty()).count();
+    let free = (0..16)
+        .filter(|&id| !sends(&g.take(query(id, 0))).is_empty())
+        .count();
     assert_eq!(free, 16);
     // It holds 40 queries, most of them not ours: our 15 and one more make up the budget of 16 threads.
-    g.does(Event::Ended(Ended { report: vec![40.0, 0.5], ..ended(0, 0, Outcome::Served) }));
+    g.does(Event::Ended(Ended {
+        report: vec![40.0, 0.5],
+        ..ended(0, 0, Outcome::Served)
+    }));
     assert_eq!(sends(&g.take(query(100, 0))).len(), 1);
-    assert!(sends(&g.take(query(101, 0))).is_empty(), "over the budget under pressure");
+    assert!(
+        sends(&g.take(query(101, 0))).is_empty(),
+        "over the budget under pressure"
+    );
 }
 
 #[test]
 fn a_crowd_over_all_engines_cuts_what_the_gateway_has_out_and_good_answers_let_it_grow() {
     let mut g = Gateway::new(settings(vec![class(1.0, 500.0)]), fleet(2));
     for id in 0..20 {
-        assert_eq!(sends(&g.take(query(id, 0))).len(), 1, "nothing held before a sign");
+        assert_eq!(
+            sends(&g.take(query(id, 0))).len(),
+            1,
+            "nothing held before a sign"
+        );
     }
     g.now += 100.0;
     for id in 0..20 {
         let inflight = if id < 6 { 60.0 } else { 1.0 };
-        g.does(Event::Ended(Ended { report: vec![inflight, 0.1], ..ended(id, 0, Outcome::Served) }));
+        g.does(Event::Ended(Ended {
+            report: vec![inflight, 0.1],
+            ..ended(id, 0, Outcome::Served)
+        }));
     }
     let mut id = 1000;
     let mut go = |g: &mut Gateway| {
@@ -177,7 +235,10 @@
         sent
     };
     let cut = go(&mut g);
-    assert!((16..24).contains(&cut), "cut, but not below half the budgets: {cut}");
+    assert!(
+        (16..24).contains(&cut),
+        "cut, but not below half the budgets: {cut}"
+    );
     assert!(go(&mut g) > cut, "grows by answers in time");
 }
 
@@ -185,32 +246,71 @@
 fn a_bad_plan_far_behind_its_peers_is_drawn_anew() {
     let mut g = Gateway::new(settings(two_classes()), fleet(2));
     for id in 0..5 {
-        let q = Query { work: Some(3000.0), time_left: 25000.0, ..query(id, 1) };
+        let q = Query {
+            work: Some(3000.0),
+            time_left: 25000.0,
+            ..query(id, 1)
+        };
         assert_eq!(sends(&g.take(q)).len(), 1);
     }
     g.now += 500.0;
     for id in 0..4 {
-        let out = g.does(Event::Progress { id, attempt: 0, note: Note::Done(0.5) });
-        assert!(!out.iter().any(|a| matches!(a, Action::Cancel { .. })), "a usual pace stays");
+        let out = g.does(Event::Progress {
+            id,
+            attempt: 0,
+            note: Note::Done(0.5),
+        });
+        assert!(
+            !out.iter().any(|a| matches!(a, Action::Cancel { .. })),
+            "a usual pace stays"
+        );
     }
-    let out = g.does(Event::Progress { id: 4, attempt: 0, note: Note::Done(0.03) });
+    let out = g.does(Event::Progress {
+        id: 4,
+        attempt: 0,
+        note: Note::Done(0.03),
+    });
     assert!(out.contains(&Action::Cancel { id: 4, attempt: 0 }));
     assert_eq!(sends(&g.end(4, 0, Outcome::Cancelled)).len(), 1);
 }
 
 #[test]
 fn readers_keep_off_our_own_loads_and_leave_an_engine_where_a_foreign_load_holds_them_up() {
-    let reader = Class { waits_for_loads: true, ..class(1.0, 3000.0) };
-    let load = Class { holds_tables: true, effect: Effect::Unsafe, ..class(7.0, 4000.0) };
+    let reader = Class {
+        waits_for_loads: true,
+        ..class(1.0, 3000.0)
+    };
+    let load = Class {
+        holds_tables: true,
+        effect: Effect::Unsafe,
+        ..class(7.0, 4000.0)
+    };
     let mut g = Gateway::new(settings(vec![reader, load]), fleet(2));
-    let loaded = sends(&g.take(Query { tables: Some(1), ..query(0, 1) }))[0].1.clone();
+    let loaded = sends(&g.take(Query {
+        tables: Some(1),
+        ..query(0, 1)
+    }))[0]
+        .1
+        .clone();
     for id in 1..8 {
-        let sent = sends(&g.take(Query { tables: Some(1), ..query(id, 0) }));
+        let sent = sends(&g.take(Query {
+            tables: Some(1),
+            ..query(id, 0)
+        }));
         assert_ne!(sent[0].1, loaded, "our own load");
     }
     // A load that we do not know shows in a note.
-    let there = sends(&g.take(Query { tables: Some(2), ..query(20, 0) }))[0].1.clone();
-    let out = g.does(Event::Progress { id: 20, attempt: 0, note: Note::WaitsForLoad });
+    let there = sends(&g.take(Query {
+        tables: Some(2),
+        ..query(20, 0)
+    }))[0]
+        .1
+        .clone();
+    let out = g.does(Event::Progress {
+        id: 20,
+        attempt: 0,
+        note: Note::WaitsForLoad,
+    });
     assert!(out.contains(&Action::Cancel { id: 20, attempt: 0 }));
     assert_ne!(sends(&g.end(20, 0, Outcome::Cancelled))[0].1, there);
 }
@@ -220,9 +320,19 @@
     let mut s = settings(vec![class(1.0, 3000.0)]);
     s.tenants = vec![Tenant { quota_per_s: 5.0 }];
     let mut g = Gateway::new(s, vec![]);
-    let refused: Vec<u64> =
-        (0..20).flat_map(|id| finals(&g.take(Query { tenant: Some(0), ..query(id, 0) }))).collect();
-    assert_eq!(refused, (10..20).collect::<Vec<u64>>(), "two seconds of its quota may wait");
+    let refused: Vec<u64> = (0..20)
+        .flat_map(|id| {
+            finals(&g.take(Query {
+                tenant: Some(0),
+                ..query(id, 0)
+            }))
+        })
+        .collect();
+    assert_eq!(
+        refused,
+        (10..20).collect::<Vec<u64>>(),
+        "two seconds of its quota may wait"
+    );
 }
 
 #[test]
@@ -247,16 +357,28 @@
 #[test]
 fn estimates_that_lie_by_class_are_corrected_in_the_memory_granted() {
     let mut g = Gateway::new(settings(vec![class(1.0, 3000.0)]), fleet(1));
-    let asked = |id| Query { memory_mb: Some(100.0), ..query(id, 0) };
+    let asked = |id| Query {
+        memory_mb: Some(100.0),
+        ..query(id, 0)
+    };
     let first = granted(&g.take(asked(0))).unwrap();
-    assert!((110.0..130.0).contains(&first), "somewhat over the estimate: {first}");
+    assert!(
+        (110.0..130.0).contains(&first),
+        "somewhat over the estimate: {first}"
+    );
     for id in 0..10 {
-        g.does(Event::Ended(Ended { memory_mb: Some(300.0), ..ended(id, 0, Outcome::Served) }));
+        g.does(Event::Ended(Ended {
+            memory_mb: Some(300.0),
+            ..ended(id, 0, Outcome::Served)
+        }));
         g.take(asked(id + 1));
     }
     let out = g.take(asked(50));
     let learned = granted(&out).unwrap();
-    assert!((310.0..375.0).contains(&learned), "its class needs three times what it says: {learned}");
+    assert!(
+        (310.0..375.0).contains(&learned),
+        "its class needs three times what it says: {learned}"
+    );
 }
 
 #[test]
@@ -266,14 +388,23 @@
     for id in 0..400u64 {
         // The need takes 1/2, 1 and 2 times the usual, the error 1/4, 1 and 4, in every pair: plain slack
         // would be short a third of the time and grant far more than is needed otherwise.
-        let (need, error) = (100.0 * 2f64.powi((id % 3) as i32 - 1), 4f64.powi((id / 3 % 3) as i32 - 1));
-        let out = g.take(Query { memory_mb: Some(need * error), ..query(id, 0) });
+        let (need, error) = (
+            100.0 * 2f64.powi((id % 3) as i32 - 1),
+            4f64.powi((id / 3 % 3) as i32 - 1),
+        );
+        let out = g.take(Query {
+            memory_mb: Some(need * error),
+            ..query(id, 0)
+        });
         let memory_mb = granted(&out).unwrap();
         if id >= 200 {
             short += u32::from(memory_mb < need);
             (given, needed) = (given + memory_mb, needed + need);
         }
-        g.does(Event::Ended(Ended { memory_mb: Some(need), ..ended(id, 0, Outcome::Served) }));
+        g.does(Event::Ended(Ended {
+            memory_mb: Some(need),
+            ..ended(id, 0, Outcome::Served)
+        }));
     }
     assert!(short <= 50, "{short} of 200 spill");
     assert!(given < 1.5 * needed, "{given} MB granted for {needed}");
@@ -282,33 +413,90 @@
 #[test]
 fn a_query_that_spills_is_sent_anew_once_with_the_memory_that_it_lacked() {
     let mut g = Gateway::new(settings(vec![class(1.0, 3000.0)]), fleet(3));
-    let first = granted(&g.take(Query { memory_mb: Some(100.0), ..query(1, 0) })).unwrap();
+    let first = granted(&g.take(Query {
+        memory_mb: Some(100.0),
+        ..query(1, 0)
+    }))
+    .unwrap();
     g.now += 5.0;
-    let out = g.does(Event::Progress { id: 1, attempt: 0, note: Note::Spills(200.0) });
+    let out = g.does(Event::Progress {
+        id: 1,
+        attempt: 0,
+        note: Note::Spills(200.0),
+    });
     assert!(out.contains(&Action::Cancel { id: 1, attempt: 0 }));
     let out = g.end(1, 0, Outcome::Cancelled);
     assert_eq!(sends(&out).len(), 1);
-    assert_eq!(granted(&out), Some(first + 200.0), "what it had and what it lacked");
-    let out = g.does(Event::Progress { id: 1, attempt: 1, note: Note::Spills(50.0) });
-    assert!(!out.iter().any(|a| matches!(a, Action::Cancel { .. })), "no engine has it: it runs");
-    g.take(Query { memory_mb: Some(100.0), ..query(2, 0) });
-    let out = g.does(Event::Progress { id: 2, attempt: 0, note: Note::Spills(5.0) });
-    assert!(!out.iter().any(|a| matches!(a, Action::Cancel { .. })), "little is lacking");
+    assert_eq!(
+        granted(&out),
+        Some(first + 200.0),
+        "what it had and what it lacked"
+    );
+    let out = g.does(Event::Progress {
+        id: 1,
+        attempt: 1,
+        note: Note::Spills(50.0),
+    });
+    assert!(
+        !out.iter().any(|a| matches!(a, Action::Cancel { .. })),
+        "no engine has it: it runs"
+    );
+    g.take(Query {
+        memory_mb: Some(100.0),
+        ..query(2, 0)
+    });
+    let out = g.does(Event::Progress {
+        id: 2,
+        attempt: 0,
+        note: Note::Spills(5.0),
+    });
+    assert!(
+        !out.iter().any(|a| matches!(a, Action::Cancel { .. })),
+        "little is lacking"
+    );
 }
 
 #[test]
-fn an_attempt_that_will_not_be_done_in_time_is_given_up_and_one_that_must_not_run_twice_fails_for_good() {
+fn an_attempt_that_will_not_be_done_in_time_is_given_up_and_one_that_must_not_run_twice_fails_for_good()
+ {
     for effect in [Effect::Safe, Effect::Unsafe] {
-        let mut g = Gateway::new(settings(vec![Class { effect, ..class(1.0, 900.0) }]), fleet(2));
-        let heavy = |id| Query { work: Some(9000.0), ..query(id, 0) };
+        let mut g = Gateway::new(
+            settings(vec![Class {
+                effect,
+                ..class(1.0, 900.0)
+            }]),
+            fleet(2),
+        );
+        let heavy = |id| Query {
+            work: Some(9000.0),
+            ..query(id, 0)
+        };
         g.does(Event::Query(heavy(1)));
         g.now += 1000.0;
-        let out = g.does(Event::Progress { id: 1, attempt: 0, note: Note::Done(0.3) });
+        let out = g.does(Event::Progress {
+            id: 1,
+            attempt: 0,
+            note: Note::Done(0.3),
+        });
         assert_eq!(finals(&out), [0; 0], "2.3 s to go of 3");
-        let out = g.does(Event::Progress { id: 1, attempt: 0, note: Note::Done(0.05) });
-        assert!(out.contains(&Action::Cancel { id: 1, attempt: 0 }), "19 s to go of 3");
-        let refused = out.contains(&Action::Refuse { id: 1, retry_after: Some(500.0) });
-        assert_eq!(refused, effect == Effect::Safe, "it is still out and may run: {out:?}");
+        let out = g.does(Event::Progress {
+            id: 1,
+            attempt: 0,
+            note: Note::Done(0.05),
+        });
+        assert!(
+            out.contains(&Action::Cancel { id: 1, attempt: 0 }),
+            "19 s to go of 3"
+        );
+        let refused = out.contains(&Action::Refuse {
+            id: 1,
+            retry_after: Some(500.0),
+        });
+        assert_eq!(
+            refused,
+            effect == Effect::Safe,
+            "it is still out and may run: {out:?}"
+        );
         assert_eq!(finals(&out), [1]);
     }
 }
@@ -318,37 +506,76 @@
 fn a_crowded_zone_spills_over_and_does_not_close_the_way_to_another() {
     let mut s = settings(two_classes());
     (s.gateways, s.zone, s.cross_zone_price) = (100, Some(0), 0.04);
-    let engines = (0..8).map(|i| EngineEntry { zone: Some(i / 4), ..entry(&format!("e{i}")) }).collect();
+    let engines = (0..8)
+        .map(|i| EngineEntry {
+            zone: Some(i / 4),
+            ..entry(&format!("e{i}"))
+        })
+        .collect();
     let mut g = Gateway::new(s, engines);
     grow(&mut g, 40);
     let outcome = Outcome::Served;
     for i in [4, 5, 6, 7, 0, 1, 2, 0, 1, 2, 0, 1, 2] {
         let (engine, inflight) = (format!("e{i}"), if i < 4 { 40.0 } else { 2.0 });
-        g.does(Event::Heard { engine, outcome, report: vec![inflight, 0.1] });
+        g.does(Event::Heard {
+            engine,
+            outcome,
+            report: vec![inflight, 0.1],
+        });
     }
-    let sent: Vec<_> = (0..20).flat_map(|id| sends(&g.take(query(id, id as usize % 2)))).collect();
-    assert_eq!(sent.len(), 20, "nothing is held while the other zone has room");
+    let sent: Vec<_> = (0..20)
+        .flat_map(|id| sends(&g.take(query(id, id as usize % 2))))
+        .collect();
+    assert_eq!(
+        sent.len(),
+        20,
+        "nothing is held while the other zone has room"
+    );
     let other = sent.iter().filter(|(_, e)| e.as_str() >= "e4").count();
-    assert!(other >= 12, "{other} of 20 to the four idle engines, the rest to the one that told nothing");
+    assert!(
+        other >= 12,
+        "{other} of 20 to the four idle engines, the rest to the one that told nothing"
+    );
 }
 
 #[test]
 fn under_a_crowd_the_heaviest_of_a_class_are_refused_at_once_and_the_usual_ones_run() {
     let mut g = Gateway::new(settings(vec![class(1.0, 3000.0)]), fleet(2));
-    let of = |id, work| Query { work: Some(work), time_left: 9000.0, ..query(id, 0) };
+    let of = |id, work| Query {
+        work: Some(work),
+        time_left: 9000.0,
+        ..query(id, 0)
+    };
     for id in 0..10 {
         g.take(of(id, 100.0));
-        g.does(Event::Ended(Ended { work: Some(100.0), ..ended(id, 0, Outcome::Served) }));
+        g.does(Event::Ended(Ended {
+            work: Some(100.0),
+            ..ended(id, 0, Outcome::Served)
+        }));
     }
-    assert_eq!(sends(&g.take(of(20, 1000.0))).len(), 1, "no crowd, nothing is too heavy");
+    assert_eq!(
+        sends(&g.take(of(20, 1000.0))).len(),
+        1,
+        "no crowd, nothing is too heavy"
+    );
     for k in 0..20 {
         let (engine, outcome) = (format!("e{}", k % 2), Outcome::Served);
-        g.does(Event::Heard { engine, outcome, report: vec![22.0, 0.1] });
+        g.does(Event::Heard {
+            engine,
+            outcome,
+            report: vec![22.0, 0.1],
+        });
     }
     assert_eq!(sends(&g.take(of(21, 100.0))).len(), 1, "a usual one runs");
     let out = g.take(of(22, 1000.0));
     assert_eq!(finals(&out), [22], "ten times the usual");
-    assert!(out.contains(&Action::Refuse { id: 22, retry_after: Some(500.0) }), "with advice");
+    assert!(
+        out.contains(&Action::Refuse {
+            id: 22,
+            retry_after: Some(500.0)
+        }),
+        "with advice"
+    );
 }
 
 #[test]
@@ -361,18 +588,33 @@
     assert_eq!(field(|_| {}), None);
     assert_eq!(field(|s| s.classes.clear()), Some("classes".into()));
     assert_eq!(field(|s| s.gateways = 0), Some("gateways".into()));
-    assert_eq!(field(|s| s.classes[0].aim = f64::NAN), Some("classes[0].aim".into()));
-    assert_eq!(field(|s| s.rules.fall_window = -1.0), Some("rules.fall_window".into()));
-    assert_eq!(field(|s| s.classes[0].only_kinds = Some(vec![9])), Some("classes[0].only_kinds".into()));
+    assert_eq!(
+        field(|s| s.classes[0].aim = f64::NAN),
+        Some("classes[0].aim".into())
+    );
+    assert_eq!(
+        field(|s| s.rules.fall_window = -1.0),
+        Some("rules.fall_window".into())
+    );
+    assert_eq!(
+        field(|s| s.classes[0].only_kinds = Some(vec![9])),
+        Some("classes[0].only_kinds".into())
+    );
 }
 
 #[test]
 fn a_subscription_is_asked_for_and_renewed_when_it_breaks() {
     let mut s = settings(vec![class(1.0, 800.0)]);
     s.must_subscribe = true;
-    let mut g = Gateway { c: Controller::new(s, 1).unwrap(), now: 0.0 };
+    let mut g = Gateway {
+        c: Controller::new(s, 1).unwrap(),
+        now: 0.0,
+    };
     let asks = |out: &[Action]| out.iter().filter(|a| **a == Action::Subscribe).count();
-    let out = g.does(Event::Engines { update: ListUpdate::Stale, entries: fleet(1) });
+    let out = g.does(Event::Engines {
+        update: ListUpdate::Stale,
+        entries: fleet(1),
+    });
     assert_eq!(asks(&out), 1);
     assert_eq!(asks(&g.pass(5000.0)), 0);
     g.does(Event::DiscoveryFailed);
@@ -383,10 +625,16 @@
 #[test]
 fn an_idle_gateway_asks_for_a_timer_once_a_period_and_a_busy_one_is_awake_at_once() {
     let mut g = Gateway::new(settings(vec![class(1.0, 800.0)]), fleet(1));
-    let timers = |out: &[Action]| out.iter().filter(|a| matches!(a, Action::Timer { .. })).count();
+    let timers = |out: &[Action]| {
+        out.iter()
+            .filter(|a| matches!(a, Action::Timer { .. }))
+            .count()
+    };
     assert!(timers(&g.pass(10_000.0)) <= 6, "idle");
     let out = g.take(query(1, 0));
-    let soon = out.iter().any(|a| matches!(a, Action::Timer { at, .. } if *at <= g.now + 20.0));
+    let soon = out
+        .iter()
+        .any(|a| matches!(a, Action::Timer { at, .. } if *at <= g.now + 20.0));
     assert!(soon, "a query is looked after from its arrival on");
 }
 
@@ -396,12 +644,27 @@
     let mut g = Gateway::new(settings(vec![class(1.0, 3000.0)]), fleet(2));
     let out = g.take(query(1, 0));
     assert_eq!(granted(&out), Some(0.0), "the engine chooses");
-    let out = g.does(Event::Progress { id: 1, attempt: 0, note: Note::Spills(700.0) });
+    let out = g.does(Event::Progress {
+        id: 1,
+        attempt: 0,
+        note: Note::Spills(700.0),
+    });
     assert!(out.contains(&Action::Cancel { id: 1, attempt: 0 }));
     let out = g.end(1, 0, Outcome::Cancelled);
-    assert_eq!(granted(&out), Some(1724.0), "a thread's part of the memory and what it lacked");
-    let out = g.does(Event::Progress { id: 1, attempt: 1, note: Note::Spills(700.0) });
-    assert!(!out.iter().any(|a| matches!(a, Action::Cancel { .. })), "only once");
+    assert_eq!(
+        granted(&out),
+        Some(1724.0),
+        "a thread's part of the memory and what it lacked"
+    );
+    let out = g.does(Event::Progress {
+        id: 1,
+        attempt: 1,
+        note: Note::Spills(700.0),
+    });
+    assert!(
+        !out.iter().any(|a| matches!(a, Action::Cancel { .. })),
+        "only once"
+    );
 }
 
 /// Seen at launceston-hive: only `util` is told, and a jam at the disks leaves cores idle.
@@ -416,10 +679,15 @@
             g.now = now + if id < 20 { 200.0 } else { ms };
             let report = vec![if id < 20 { 0.3 } else { busy }];
             if sent.len() == 1 {
-                g.does(Event::Ended(Ended { report, ..ended(id, 0, Outcome::Served) }));
+                g.does(Event::Ended(Ended {
+                    report,
+                    ..ended(id, 0, Outcome::Served)
+                }));
             }
         }
-        (100..200).map(|id| sends(&g.take(query(id, 0))).len()).sum::<usize>()
+        (100..200)
+            .map(|id| sends(&g.take(query(id, 0))).len())
+            .sum::<usize>()
     };
     let calm = sent_by(0.3, 200.0);
     assert!(sent_by(1.0, 200.0) < calm, "busy cores");
@@ -433,18 +701,34 @@
         let mut s = settings(vec![class(1.0, 800.0)]);
         s.gateways = 4;
         let mut g = Gateway::new(s, fleet(4));
-        let sent: Vec<_> = (0..16).flat_map(|id| sends(&g.take(query(id, 0)))).collect();
+        let sent: Vec<_> = (0..16)
+            .flat_map(|id| sends(&g.take(query(id, 0))))
+            .collect();
         g.now += 3000.0;
         for (id, engine) in sent {
             if spoke {
                 let outcome = Outcome::Served;
-                g.does(Event::Heard { engine, outcome, report: vec![1.0, 0.1] });
+                g.does(Event::Heard {
+                    engine,
+                    outcome,
+                    report: vec![1.0, 0.1],
+                });
             }
-            g.does(Event::Ended(Ended { last: true, ..ended(id, 0, Outcome::TimedOut) }));
+            g.does(Event::Ended(Ended {
+                last: true,
+                ..ended(id, 0, Outcome::TimedOut)
+            }));
         }
-        (100..200).map(|id| sends(&g.take(query(id, 0))).len()).sum::<usize>()
+        (100..200)
+            .map(|id| sends(&g.take(query(id, 0))).len())
+            .sum::<usize>()
     };
-    assert!(left(false) < left(true), "{} beside {}", left(false), left(true));
+    assert!(
+        left(false) < left(true),
+        "{} beside {}",
+        left(false),
+        left(true)
+    );
 }
 
 /// Seen at milano-main: half of the look-ups that stood in an engine's line for memory came too late.
@@ -452,13 +736,21 @@
 fn a_query_that_waits_for_memory_moves_where_another_engine_has_room() {
     let mut g = Gateway::new(settings(vec![class(1.0, 3000.0)]), fleet(2));
     let first = sends(&g.take(query(1, 0)))[0].1.clone();
-    let out = g.does(Event::Progress { id: 1, attempt: 0, note: Note::WaitsForMemory });
+    let out = g.does(Event::Progress {
+        id: 1,
+        attempt: 0,
+        note: Note::WaitsForMemory,
+    });
     assert!(out.contains(&Action::Cancel { id: 1, attempt: 0 }));
     assert_ne!(sends(&g.end(1, 0, Outcome::Cancelled))[0].1, first);
     // The other turns it away: a move would lose the place in line for nothing.
     assert_eq!(sends(&g.take(query(2, 0)))[0].1, first);
     g.end(1, 1, Outcome::Full);
-    let out = g.does(Event::Progress { id: 2, attempt: 0, note: Note::WaitsForMemory });
+    let out = g.does(Event::Progress {
+        id: 2,
+        attempt: 0,
+        note: Note::WaitsForMemory,
+    });
     assert!(!out.contains(&Action::Cancel { id: 2, attempt: 0 }));
 }
 
@@ -470,9 +762,16 @@
     g.take(query(5, 0));
     g.end(5, 0, Outcome::Full);
     (6..16).for_each(|id| assert_eq!(sends(&g.take(query(id, 0))).len(), 0));
-    assert_eq!(sends(&g.pass(1100.0)).len(), 0, "it has as many as when it was full");
+    assert_eq!(
+        sends(&g.pass(1100.0)).len(),
+        0,
+        "it has as many as when it was full"
+    );
     g.end(0, 0, Outcome::Served);
-    assert!((1..=2).contains(&sends(&g.end(1, 0, Outcome::Served)).len()), "as it serves");
+    assert!(
+        (1..=2).contains(&sends(&g.end(1, 0, Outcome::Served)).len()),
+        "as it serves"
+    );
 }
 
 /// Seen on a reload day: an engine that failed fast was the only one with room, and took the attempts of all.
@@ -484,13 +783,21 @@
         let mut sent = sends(&g.take(query(id, 0)));
         let mut attempt = 0;
         while let Some((id, engine)) = sent.pop() {
-            let outcome = if engine == "e0" { Outcome::Error } else { Outcome::Served };
+            let outcome = if engine == "e0" {
+                Outcome::Error
+            } else {
+                Outcome::Served
+            };
             sent = sends(&g.end(id, attempt, outcome));
             attempt += 1;
         }
     }
     assert_eq!(sends(&g.take(query(50, 0)))[0].1, "e1");
-    assert_eq!(sends(&g.end(50, 0, Outcome::Full)).len(), 0, "it waits for the other");
+    assert_eq!(
+        sends(&g.end(50, 0, Outcome::Full)).len(),
+        0,
+        "it waits for the other"
+    );
 }
 
 /// Seen at launceston-hive and milano-main: one report of the window's width shut look-ups out for a second.
@@ -500,7 +807,11 @@
     s.gateways = 100;
     let mut g = Gateway::new(s, fleet(20)); // our budgets: 3.2 threads
     assert_eq!(sends(&g.take(query(1, 1))).len(), 1, "three threads");
-    assert_eq!(sends(&g.take(query(2, 0))).len(), 1, "a look-up goes beside them");
+    assert_eq!(
+        sends(&g.take(query(2, 0))).len(),
+        1,
+        "a look-up goes beside them"
+    );
     assert_eq!(sends(&g.take(query(3, 1))).len(), 0, "no second wide one");
 }
 
@@ -512,10 +823,17 @@
     s.tenants = vec![Tenant { quota_per_s: 0.0 }];
     let mut g = Gateway::new(s, fleet(4));
     for id in 0..2 {
-        let mut out = g.take(Query { tenant: Some(0), ..query(id, 0) });
+        let mut out = g.take(Query {
+            tenant: Some(0),
+            ..query(id, 0)
+        });
         assert_eq!(sends(&out).len(), 0, "its pair is asked first");
         out.extend(g.pass(60.0));
-        assert_eq!((sends(&out).len(), finals(&out).len()), (1, 0), "beyond its share, but nobody waits");
+        assert_eq!(
+            (sends(&out).len(), finals(&out).len()),
+            (1, 0),
+            "beyond its share, but nobody waits"
+        );
         g.end(id, 0, Outcome::Served);
     }
 }
@@ -526,16 +844,27 @@
     let sent = |told: usize| {
         let mut s = settings(vec![class(1.0, 800.0)]);
         s.gateways = 10;
-        let engines = (0..12).map(|i| EngineEntry { zone: Some(i / 4), ..entry(&format!("e{i}")) }).collect();
+        let engines = (0..12)
+            .map(|i| EngineEntry {
+                zone: Some(i / 4),
+                ..entry(&format!("e{i}"))
+            })
+            .collect();
         let mut g = Gateway::new(s, engines);
         grow(&mut g, 40);
         g.now += 1000.0;
         for i in (0..12 * 3).filter(|i| i % 12 / 4 < told) {
             let (engine, outcome) = (format!("e{}", i % 12), Outcome::Served);
-            g.does(Event::Heard { engine, outcome, report: vec![40.0, 0.1] });
+            g.does(Event::Heard {
+                engine,
+                outcome,
+                report: vec![40.0, 0.1],
+            });
         }
         g.now += 600.0; // no report is fresh any more
-        (0..40).map(|id| sends(&g.take(query(id, 0))).len()).sum::<usize>()
+        (0..40)
+            .map(|id| sends(&g.take(query(id, 0))).len())
+            .sum::<usize>()
     };
     let (one, two) = (sent(1), sent(2));
     assert!(one >= 20, "a jam of one zone leaves two others, {one}");
@@ -545,17 +874,40 @@
 /// Seen at ikeja-main: loads stood behind other gateways' loads for their whole aim.
 #[test]
 fn a_keyed_load_behind_another_moves_while_engines_remember_it() {
-    let effect = Effect::Keyed { group: Group::All, window: 4000.0 };
-    let load = Class { effect, holds_tables: true, ..class(10.0, 3000.0) };
+    let effect = Effect::Keyed {
+        group: Group::All,
+        window: 4000.0,
+    };
+    let load = Class {
+        effect,
+        holds_tables: true,
+        ..class(10.0, 3000.0)
+    };
     let mut g = Gateway::new(settings(vec![load]), fleet(4));
-    let q = |id| Query { tables: Some(7), time_left: 20000.0, ..query(id, 0) };
+    let q = |id| Query {
+        tables: Some(7),
+        time_left: 20000.0,
+        ..query(id, 0)
+    };
     for (id, wait, moves) in [(1, 500.0, true), (2, 2500.0, false)] {
         assert_eq!(sends(&g.take(q(id))).len(), 1);
         g.now += wait;
-        let out = g.does(Event::Progress { id, attempt: 0, note: Note::WaitsForLoad });
-        assert_eq!(out.contains(&Action::Cancel { id, attempt: 0 }), moves, "after {wait} ms of 4000");
+        let out = g.does(Event::Progress {
+            id,
+            attempt: 0,
+            note: Note::WaitsForLoad,
+        });
+        assert_eq!(
+            out.contains(&Action::Cancel { id, attempt: 0 }),
+            moves,
+            "after {wait} ms of 4000"
+        );
         if moves {
-            assert_eq!(sends(&g.end(id, 0, Outcome::Cancelled)).len(), 1, "within the window");
+            assert_eq!(
+                sends(&g.end(id, 0, Outcome::Cancelled)).len(),
+                1,
+                "within the window"
+            );
         }
     }
 }
@@ -563,14 +915,27 @@
 /// Loads of one group share one half of the engines, its readers the other, at every gateway alike.
 #[test]
 fn loads_and_readers_of_a_group_keep_apart() {
-    let load = Class { holds_tables: true, effect: Effect::Unsafe, ..class(7.0, 4000.0) };
-    let reader = Class { waits_for_loads: true, ..class(1.0, 1000.0) };
-    let mut used = [std::collections::BTreeSet::new(), std::collections::BTreeSet::new()];
+    let load = Class {
+        holds_tables: true,
+        effect: Effect::Unsafe,
+        ..class(7.0, 4000.0)
+    };
+    let reader = Class {
+        waits_for_loads: true,
+        ..class(1.0, 1000.0)
+    };
+    let mut used = [
+        std::collections::BTreeSet::new(),
+        std::collections::BTreeSet::new(),
+    ];
     for gateway in 0..10 {
         let mut g = Gateway::new(settings(vec![load.clone(), reader.clone()]), fleet(12));
         for id in 0..20 {
             let class = (id + gateway) % 2;
-            let out = g.take(Query { tables: Some(7), ..query(id as u64, class) });
+            let out = g.take(Query {
+                tables: Some(7),
+                ..query(id as u64, class)
+            });
             used[class].extend(sends(&out).into_iter().map(|(_, e)| e));
             g.end(id as u64, 0, Outcome::Served); // while it runs, others may leave their half
         }
@@ -586,12 +951,18 @@
     let mut answer = |id, ms: f64, inflight: f64| {
         assert_eq!(sends(&g.take(query(id, 0))).len(), 1);
         g.now += ms;
-        g.does(Event::Ended(Ended { report: vec![inflight, 0.1], ..ended(id, 0, Outcome::Served) }));
+        g.does(Event::Ended(Ended {
+            report: vec![inflight, 0.1],
+            ..ended(id, 0, Outcome::Served)
+        }));
     };
     (0..20).for_each(|id| answer(id, 100.0, 1.0));
     (20..80).for_each(|id| answer(id, 2000.0, 40.0));
     let out: Vec<_> = (100..130).flat_map(|id| g.take(query(id, 0))).collect();
-    assert!(!finals(&out).is_empty(), "work of 100 ms is due in 1 s, and answers take 2");
+    assert!(
+        !finals(&out).is_empty(),
+        "work of 100 ms is due in 1 s, and answers take 2"
+    );
 }
 
 /// Seen at ikeja-main: with the living engines under pressure a third of all attempts went to dead ones.
@@ -601,21 +972,38 @@
     let (_, dead) = sends(&g.take(query(1, 0))).remove(0);
     let (_, other) = sends(&g.end(1, 0, Outcome::Unreachable)).remove(0);
     assert_ne!(dead, other);
-    assert!(sends(&g.end(1, 1, Outcome::Full)).is_empty(), "the full one rests, and so does the dead one");
+    assert!(
+        sends(&g.end(1, 1, Outcome::Full)).is_empty(),
+        "the full one rests, and so does the dead one"
+    );
     assert_eq!(sends(&g.pass(1100.0)).len(), 1, "both are tried again");
 }
 
 /// Seen at lakaz-main: a hot group's loads had one engine of six, since each engine drew its half alone.
 #[test]
 fn loads_of_any_group_have_half_of_the_engines_and_its_readers_the_rest() {
-    let load = Class { effect: Effect::Unsafe, holds_tables: true, threads: 2.0, ..class(4.0, 4000.0) };
-    let reader = Class { waits_for_loads: true, ..class(1.0, 2000.0) };
+    let load = Class {
+        effect: Effect::Unsafe,
+        holds_tables: true,
+        threads: 2.0,
+        ..class(4.0, 4000.0)
+    };
+    let reader = Class {
+        waits_for_loads: true,
+        ..class(1.0, 2000.0)
+    };
     for group in 0..12u64 {
         let mut g = Gateway::new(settings(vec![load.clone(), reader.clone()]), fleet(6));
-        let mut taken = [std::collections::BTreeSet::new(), std::collections::BTreeSet::new()];
+        let mut taken = [
+            std::collections::BTreeSet::new(),
+            std::collections::BTreeSet::new(),
+        ];
         for id in 0..200 {
             let class = id as usize % 2;
-            let sent = sends(&g.take(Query { tables: Some(group), ..query(id, class) }));
+            let sent = sends(&g.take(Query {
+                tables: Some(group),
+                ..query(id, class)
+            }));
             taken[class].extend(sent.into_iter().map(|s| s.1));
             g.end(id, 0, Outcome::Served);
         }
@@ -628,15 +1016,30 @@
 /// though the first one's note had told.
 #[test]
 fn readers_keep_off_an_engine_for_a_while_after_a_note_of_a_load_on_their_group() {
-    let load = Class { effect: Effect::Unsafe, holds_tables: true, threads: 2.0, ..class(4.0, 4000.0) };
-    let reader = Class { waits_for_loads: true, ..class(1.0, 2000.0) };
+    let load = Class {
+        effect: Effect::Unsafe,
+        holds_tables: true,
+        threads: 2.0,
+        ..class(4.0, 4000.0)
+    };
+    let reader = Class {
+        waits_for_loads: true,
+        ..class(1.0, 2000.0)
+    };
     let mut g = Gateway::new(settings(vec![load, reader]), fleet(6));
     let read = |g: &mut Gateway, id| {
-        let sent = sends(&g.take(Query { tables: Some(5), ..query(id, 1) }));
+        let sent = sends(&g.take(Query {
+            tables: Some(5),
+            ..query(id, 1)
+        }));
         sent[0].1.clone()
     };
     let behind = read(&mut g, 1);
-    g.does(Event::Progress { id: 1, attempt: 0, note: Note::WaitsForLoad });
+    g.does(Event::Progress {
+        id: 1,
+        attempt: 0,
+        note: Note::WaitsForLoad,
+    });
     g.end(1, 0, Outcome::Cancelled);
     g.end(1, 1, Outcome::Served);
     let met = |g: &mut Gateway, ids: std::ops::Range<u64>| {
@@ -649,37 +1052,74 @@
     };
     assert_eq!(met(&mut g, 10..50), 0, "the note still counts");
     g.pass(1100.0);
-    assert!(met(&mut g, 50..90) > 0, "loads end: the engine is back in use");
+    assert!(
+        met(&mut g, 50..90) > 0,
+        "loads end: the engine is back in use"
+    );
 }
 
 /// Seen on a churn day: with few engines the loads of a hot group stood behind each other in their half of them
 /// until their time was over.
 #[test]
 fn a_load_leaves_its_half_when_loads_hold_its_group_on_all_of_it() {
-    let load = Class { effect: Effect::Unsafe, holds_tables: true, threads: 2.0, ..class(4.0, 4000.0) };
-    let reader = Class { waits_for_loads: true, ..class(1.0, 2000.0) };
+    let load = Class {
+        effect: Effect::Unsafe,
+        holds_tables: true,
+        threads: 2.0,
+        ..class(4.0, 4000.0)
+    };
+    let reader = Class {
+        waits_for_loads: true,
+        ..class(1.0, 2000.0)
+    };
     let mut g = Gateway::new(settings(vec![load, reader]), fleet(6));
-    let load = |id| Query { tables: Some(5), ..query(id, 0) };
+    let load = |id| Query {
+        tables: Some(5),
+        ..query(id, 0)
+    };
     let mut sent: Vec<_> = (1..7).flat_map(|id| sends(&g.take(load(id)))).collect();
     sent.extend(sends(&g.pass(3500.0)));
-    assert_eq!(sent.iter().map(|s| &s.1).collect::<std::collections::BTreeSet<_>>().len(), 6, "one on each");
+    assert_eq!(
+        sent.iter()
+            .map(|s| &s.1)
+            .collect::<std::collections::BTreeSet<_>>()
+            .len(),
+        6,
+        "one on each"
+    );
 }
 
 /// Seen on a day with engines out by hand: most late look-ups stood behind a load on their half of the engines,
 /// though loads had seconds to spare.
 #[test]
 fn a_load_with_time_to_spare_waits_for_its_half() {
-    let load = Class { effect: Effect::Unsafe, holds_tables: true, threads: 2.0, ..class(4.0, 4000.0) };
-    let reader = Class { waits_for_loads: true, ..class(1.0, 2000.0) };
+    let load = Class {
+        effect: Effect::Unsafe,
+        holds_tables: true,
+        threads: 2.0,
+        ..class(4.0, 4000.0)
+    };
+    let reader = Class {
+        waits_for_loads: true,
+        ..class(1.0, 2000.0)
+    };
     let mut g = Gateway::new(settings(vec![load, reader]), fleet(6));
     for id in 0..10 {
         serve(&mut g, id, 0, 200.0, 200.0); // so that loads are known to be short
     }
-    let load = |id| Query { tables: Some(5), time_left: 8000.0, ..query(id, 0) };
+    let load = |id| Query {
+        tables: Some(5),
+        time_left: 8000.0,
+        ..query(id, 0)
+    };
     let sent: Vec<_> = (11..17).flat_map(|id| sends(&g.take(load(id)))).collect();
     assert_eq!(sent.len(), 3, "one on each of its half: {sent:?}");
     let sent = sends(&g.pass(3500.0));
-    assert_eq!(sent.len(), 3, "the others leave it before their time is over");
+    assert_eq!(
+        sent.len(),
+        3,
+        "the others leave it before their time is over"
+    );
 }
 
 /// Seen on a day with engines out by hand: those put back got a third of what they bear, for in a jam answers
@@ -693,9 +1133,21 @@
         for id in 0..10 {
             serve(&mut g, id, 0, 2500.0, 300.0);
         }
-        let cold = EngineEntry { started: Some(g.now), ..entry("e0") };
-        g.does(Event::Engines { update: ListUpdate::Patch, entries: vec![cold] });
-        let goes = |id: &u64| !sends(&g.take(Query { work, ..query(*id, 0) })).is_empty();
+        let cold = EngineEntry {
+            started: Some(g.now),
+            ..entry("e0")
+        };
+        g.does(Event::Engines {
+            update: ListUpdate::Patch,
+            entries: vec![cold],
+        });
+        let goes = |id: &u64| {
+            !sends(&g.take(Query {
+                work,
+                ..query(*id, 0)
+            }))
+            .is_empty()
+        };
         (100..200).filter(goes).count()
     };
     let (told, untold) = (sent(Some(300.0)), sent(None));
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -46,7 +46,12 @@
 }
 
 impl Crowd {
-    fn new(engines: &[SocketAddr], sockets: Option<usize>, real: Option<usize>, rest: Rest) -> Self {
+    fn new(
+        engines: &[SocketAddr],
+        sockets: Option<usize>,
+        real: Option<usize>,
+        rest: Rest,
+    ) -> Self {
         let service = Service::down();
         let program = Program::run(&config(engines, service.at, sockets), &[], real);
         let mut clients: Vec<_> = (0..PLACES).map(|_| client(program.address, rest)).collect();
@@ -60,12 +65,19 @@
             clients.push(tcp);
         }
         program.signal("-CONT");
-        Crowd { program, service, _clients: clients }
+        Crowd {
+            program,
+            service,
+            _clients: clients,
+        }
     }
 
     /// Discovery returns; how long it took until it was called, and its stream.
     fn returns(&self, events: &str) -> TcpStream {
-        let (took, tcp) = self.service.returns(Duration::from_secs(4), events).expect("it calls");
+        let (took, tcp) = self
+            .service
+            .returns(Duration::from_secs(4), events)
+            .expect("it calls");
         assert!(took < CALLED, "called after {took:?}");
         tcp
     }
@@ -78,7 +90,11 @@
 
 /// On every limit, and with each way to rest, beside each other.
 fn crowds(engines: &[SocketAddr], test: impl Fn(Crowd, String) + Sync) {
-    let limits = [(Some(LIMIT), None), (Some(LIMIT), Some(LIMIT)), (None, Some(LIMIT))];
+    let limits = [
+        (Some(LIMIT), None),
+        (Some(LIMIT), Some(LIMIT)),
+        (None, Some(LIMIT)),
+    ];
     std::thread::scope(|s| {
         for (sockets, real) in limits {
             for rest in [Rest::Asked, Rest::Half] {
@@ -95,11 +111,19 @@
 /// Beyond what any program is given here.
 #[test]
 fn the_program_itself_holds_what_its_budget_says() {
-    let mut other = Command::new("sh").args(["-c", "exec sleep 9"]).spawn().unwrap();
+    let mut other = Command::new("sh")
+        .args(["-c", "exec sleep 9"])
+        .spawn()
+        .unwrap();
     let service = Service::down();
     let program = Program::run(&config(&[], service.at, Some(LIMIT)), &[], Some(LIMIT));
-    let (_, _stream) = service.returns(Duration::from_secs(4), "").expect("it calls");
-    let given = std::fs::read_dir(format!("/proc/{}/fd", other.id())).unwrap().count() - 3;
+    let (_, _stream) = service
+        .returns(Duration::from_secs(4), "")
+        .expect("it calls");
+    let given = std::fs::read_dir(format!("/proc/{}/fd", other.id()))
+        .unwrap()
+        .count()
+        - 3;
     other.kill().unwrap();
     other.wait().unwrap();
     let held = program.descriptors() - given;
@@ -131,7 +155,13 @@
         }
         crowd.is_within();
         // Other crowds' requests to the same engine may come before their own drain.
-        let all = stays.got.lock().unwrap().iter().filter(|t| **t >= from).count();
+        let all = stays
+            .got
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|t| **t >= from)
+            .count();
         assert!(all >= 40, "{name}: {all} of 40");
     });
 }
@@ -140,7 +170,9 @@
 /// as many are served as with plenty.
 #[test]
 fn engines_are_reached_and_discovery_beside_them() {
-    let engines: Vec<_> = (0..40).map(|_| Engine::slow(Duration::from_millis(100))).collect();
+    let engines: Vec<_> = (0..40)
+        .map(|_| Engine::slow(Duration::from_millis(100)))
+        .collect();
     let at: Vec<_> = engines.iter().map(|e| e.at).collect();
     let rounds = |crowd: &Crowd, few: bool, name: &str| {
         let mut client = connect(crowd.program.address);
@@ -161,13 +193,23 @@
         }
         served
     };
-    let plenty = rounds(&Crowd::new(&at, Some(1024), None, Rest::Asked), false, "plenty");
+    let plenty = rounds(
+        &Crowd::new(&at, Some(1024), None, Rest::Asked),
+        false,
+        "plenty",
+    );
     crowds(&at, |crowd, name| {
         let served = rounds(&crowd, true, &name);
         println!("{name}: {served} of 128 served, {plenty} with plenty");
-        assert!(served + 4 >= plenty, "{name}: {served} of 128 served, {plenty} with plenty");
+        assert!(
+            served + 4 >= plenty,
+            "{name}: {served} of 128 served, {plenty} with plenty"
+        );
     });
-    let reached = engines.iter().filter(|e| !e.got.lock().unwrap().is_empty()).count();
+    let reached = engines
+        .iter()
+        .filter(|e| !e.got.lock().unwrap().is_empty())
+        .count();
     println!("{reached} of 40 engines were reached");
 }
 
@@ -193,9 +235,16 @@
     crowds(&[engine.at], |crowd, name| {
         let _callers: Vec<_> = (0..30).map(|_| connect(crowd.program.admin)).collect();
         let began = Instant::now();
-        assert!(crowd.program.call("/_ready").starts_with("HTTP/1.1 200"), "{name}");
+        assert!(
+            crowd.program.call("/_ready").starts_with("HTTP/1.1 200"),
+            "{name}"
+        );
         // After its answer a call is waited out.
-        assert!(began.elapsed() < Duration::from_millis(700), "{name}: {:?}", began.elapsed());
+        assert!(
+            began.elapsed() < Duration::from_millis(700),
+            "{name}: {:?}",
+            began.elapsed()
+        );
         crowd.is_within();
     });
 }
@@ -208,7 +257,11 @@
         let mut client = connect(crowd.program.address);
         assert!(ready(&mut client).unwrap(), "{name}");
         assert_eq!(lookup(&mut client, 1).unwrap(), 0, "{name}");
-        assert!(began.elapsed() < Duration::from_millis(700), "{name}: {:?}", began.elapsed());
+        assert!(
+            began.elapsed() < Duration::from_millis(700),
+            "{name}: {:?}",
+            began.elapsed()
+        );
         crowd.is_within();
     });
 }
@@ -228,14 +281,20 @@
 #[test]
 fn nothing_spins_while_all_are_busy_and_discovery_is_heard() {
     let engine = Engine::slow(Duration::from_millis(1800));
-    for (sockets, real) in [(Some(LIMIT), None), (Some(LIMIT), Some(LIMIT)), (None, Some(LIMIT))] {
+    for (sockets, real) in [
+        (Some(LIMIT), None),
+        (Some(LIMIT), Some(LIMIT)),
+        (None, Some(LIMIT)),
+    ] {
         let service = Service::down();
         let program = Program::run(&config(&[engine.at], service.at, sockets), &[], real);
         program.signal("-STOP");
         let mut clients: Vec<_> = (0..MORE).map(|_| connect(program.address)).collect();
         clients.iter_mut().for_each(|tcp| ask(tcp, 1).unwrap());
         program.signal("-CONT");
-        let (took, _stream) = service.returns(Duration::from_secs(4), "").expect("it calls");
+        let (took, _stream) = service
+            .returns(Duration::from_secs(4), "")
+            .expect("it calls");
         assert!(took < CALLED, "called after {took:?}");
         assert!(program.descriptors() <= LIMIT);
         let before = program.cpu();
@@ -263,8 +322,16 @@
     std::fs::write(&program.config, &file).unwrap();
     program.signal("-HUP");
     program.says("SIGHUP: the configuration is in force");
-    assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
-    assert!(program.descriptors() <= LIMIT - 10, "{} descriptors", program.descriptors());
+    assert!(
+        began.elapsed() < Duration::from_secs(2),
+        "{:?}",
+        began.elapsed()
+    );
+    assert!(
+        program.descriptors() <= LIMIT - 10,
+        "{} descriptors",
+        program.descriptors()
+    );
     let share = program.share_of_a_second();
     assert!(share < 0.1, "{share} of a core");
 }
