--- a/tests/eureka.rs
+++ b/tests/eureka.rs
@@ -15,8 +15,15 @@
 
 /// Plays on one thread.
 fn play(f: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let timed = async { tokio::time::timeout(Duration::from_secs(60), f).await.expect("it takes too long") };
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
+    let timed = async {
+        tokio::time::timeout(Duration::from_secs(60), f)
+            .await
+            .expect("it takes too long")
+    };
     LocalSet::new().block_on(&runtime, timed)
 }
 
@@ -35,7 +42,14 @@
 /// The program, on this file; its folder for state is `FOLDER` there.
 async fn start(folder: &Folder, name: &str, text: &str) -> Program {
     let text = text.replace("FOLDER", folder.path().to_str().unwrap());
-    Program::start(Path::new(env!("CARGO_BIN_EXE_hitchwinch")), folder, name, &text).await.unwrap()
+    Program::start(
+        Path::new(env!("CARGO_BIN_EXE_hitchwinch")),
+        folder,
+        name,
+        &text,
+    )
+    .await
+    .unwrap()
 }
 
 fn folder(name: &str) -> Folder {
@@ -44,12 +58,20 @@
 
 /// 16 clients, 160 requests a second, one in eight a load.
 fn load(program: &Program) -> Clients {
-    let load = Load { clients: 16, gap: ms(100), loads: 8, prepared: true };
+    let load = Load {
+        clients: 16,
+        gap: ms(100),
+        loads: 8,
+        prepared: true,
+    };
     Clients::start(program.address, load)
 }
 
 fn member<'a>(page: &'a Value, id: &str) -> &'a Value {
-    let all = page["members"].as_array().map(Vec::as_slice).unwrap_or_default();
+    let all = page["members"]
+        .as_array()
+        .map(Vec::as_slice)
+        .unwrap_or_default();
     all.iter().find(|m| m["id"] == id).unwrap_or(&Value::Null)
 }
 
@@ -59,7 +81,11 @@
 
 /// Every request was answered, none failed, and no load ran twice.
 fn sound(account: &lab::client::Account, engines: &[Engine]) {
-    assert!(account.count(End::Served) > 20, "{:?}", account.ends.borrow());
+    assert!(
+        account.count(End::Served) > 20,
+        "{:?}",
+        account.ends.borrow()
+    );
     let bad = [End::Lost, End::Failed, End::Late].map(|e| account.count(e));
     assert_eq!(bad, [0, 0, 0], "{:?}", account.troubles.borrow());
     assert!(loads_once(engines).unwrap() > 0);
@@ -72,10 +98,18 @@
         register(&[&node], &engines);
         let folder = folder("drain");
         let program = start(&folder, "a", &file("", &eureka(&[&node], ""))).await;
-        program.until("five engines", |p| ready(p, 5)).await.unwrap();
+        program
+            .until("five engines", |p| ready(p, 5))
+            .await
+            .unwrap();
         let clients = load(&program);
         pass(500).await;
-        let statuses = [Status::Down, Status::OutOfService, Status::Starting, Status::Unknown];
+        let statuses = [
+            Status::Down,
+            Status::OutOfService,
+            Status::Starting,
+            Status::Unknown,
+        ];
         for (engine, status) in engines.iter().zip(statuses) {
             engine.work(ms(400)); // something runs when the notice comes
             pass(150).await;
@@ -87,11 +121,23 @@
         for engine in &engines[..4] {
             let notice = node.told(engine.name()).expect("it was told");
             drained(engine, notice).unwrap();
-            assert!(engine.ran().iter().all(|r| r.answered), "what ran when it came went on to its end");
+            assert!(
+                engine.ran().iter().all(|r| r.answered),
+                "what ran when it came went on to its end"
+            );
         }
         let page = program.members("").await.unwrap();
-        assert_eq!((&page["counts"]["ready"], &page["counts"]["draining"]), (&1.into(), &4.into()));
-        assert!(member(&page, "engine-0")["why"].as_str().unwrap().contains("DOWN"), "{page}");
+        assert_eq!(
+            (&page["counts"]["ready"], &page["counts"]["draining"]),
+            (&1.into(), &4.into())
+        );
+        assert!(
+            member(&page, "engine-0")["why"]
+                .as_str()
+                .unwrap()
+                .contains("DOWN"),
+            "{page}"
+        );
         sound(&*clients.stop().await, &engines);
         assert!(program.ends().await.unwrap());
     });
@@ -106,7 +152,10 @@
         b.fault(Fault::Stale); // as of now, for ever
         let folder = folder("stale");
         let program = start(&folder, "a", &file("", &eureka(&[&a, &b], ""))).await;
-        program.until("three engines", |p| ready(p, 3)).await.unwrap();
+        program
+            .until("three engines", |p| ready(p, 3))
+            .await
+            .unwrap();
         let clients = load(&program);
         pass(300).await;
         a.watch("engine-1");
@@ -121,7 +170,12 @@
         drained(&engines[1], a.told("engine-1").unwrap()).unwrap();
         // A newer word puts it back.
         b.fault(Fault::None);
-        b.register(Instance::engine("ENGINES", "engine-1", engines[1].address().port(), lab::now() + 1.0));
+        b.register(Instance::engine(
+            "ENGINES",
+            "engine-1",
+            engines[1].address().port(),
+            lab::now() + 1.0,
+        ));
         program.until("it is back", |p| ready(p, 3)).await.unwrap();
         sound(&*clients.stop().await, &engines);
     });
@@ -135,7 +189,10 @@
         register(&[&a, &b], &engines);
         let folder = folder("flap");
         let program = start(&folder, "a", &file("", &eureka(&[&a, &b], ""))).await;
-        program.until("three engines", |p| ready(p, 3)).await.unwrap();
+        program
+            .until("three engines", |p| ready(p, 3))
+            .await
+            .unwrap();
         let clients = load(&program);
         a.watch("engine-0");
         a.set_status("ENGINES", "engine-0", Some(Status::OutOfService));
@@ -144,14 +201,26 @@
             // The one repeats the drain, the other that it is up, each newer than the word before.
             pass(150).await;
             let node = if i % 2 == 0 { &b } else { &a };
-            let status = if i % 2 == 0 { None } else { Some(Status::OutOfService) };
+            let status = if i % 2 == 0 {
+                None
+            } else {
+                Some(Status::OutOfService)
+            };
             node.set_status("ENGINES", "engine-0", status);
         }
         pass(500).await;
         let page = program.members("").await.unwrap();
         let shown = member(&page, "engine-0");
-        assert_eq!((&shown["state"], &shown["contradiction"]), (&"draining".into(), &true.into()), "{page}");
-        assert_eq!(shown["claims"].as_array().unwrap().len(), 2, "both words are shown");
+        assert_eq!(
+            (&shown["state"], &shown["contradiction"]),
+            (&"draining".into(), &true.into()),
+            "{page}"
+        );
+        assert_eq!(
+            shown["claims"].as_array().unwrap().len(),
+            2,
+            "both words are shown"
+        );
         assert_eq!(shown["turns"], 2);
         drained(&engines[0], a.told("engine-0").unwrap()).unwrap();
         sound(&*clients.stop().await, &engines);
@@ -165,9 +234,17 @@
         register(&[&node], &engines);
         let folder = folder("cold");
         let program = start(&folder, "a", &file("", &eureka(&[&node], ""))).await;
-        program.until("three engines", |p| ready(p, 3)).await.unwrap();
+        program
+            .until("three engines", |p| ready(p, 3))
+            .await
+            .unwrap();
         // 90 statements a second, each 400 ms: 12 threads on each of 3 engines.
-        let many = Load { clients: 90, gap: ms(1000), loads: 0, prepared: false };
+        let many = Load {
+            clients: 90,
+            gap: ms(1000),
+            loads: 0,
+            prepared: false,
+        };
         let clients = Clients::start(program.address, many);
         pass(2_500).await;
         node.away();
@@ -179,22 +256,34 @@
         engines[0].again().await.unwrap();
         let page = program
             .until("it is known to have started anew", |p| {
-                member(p, "engine-0")["started_age_ms"].as_f64().is_some_and(|a| a < 3_000.0)
+                member(p, "engine-0")["started_age_ms"]
+                    .as_f64()
+                    .is_some_and(|a| a < 3_000.0)
             })
             .await
             .unwrap();
-        assert_eq!(member(&page, "engine-0")["state"], "ready", "whatever the old list says");
+        assert_eq!(
+            member(&page, "engine-0")["state"],
+            "ready",
+            "whatever the old list says"
+        );
         pass(3_500).await;
         // What it bears at its age, by the settings: 4 times 0.3 of 8 cores over 2 s, at 400 ms a statement, and all
         // of them at 15 s.
-        let bears =
-            |age: f64| (4.0 * (0.3 + 0.7 * (age / 15_000.0).min(1.0)) * 8.0 * 2_000.0 / 400.0) as usize;
+        let bears = |age: f64| {
+            (4.0 * (0.3 + 0.7 * (age / 15_000.0).min(1.0)) * 8.0 * 2_000.0 / 400.0) as usize
+        };
         let (_, all) = spared(&engines[0], 2_000.0, bears).unwrap();
 
         assert!(all > 20, "and it is used: {all}");
         assert!(warm > 60, "it had its share before: {warm}");
         let account = clients.stop().await;
-        assert_eq!(account.count(End::Lost), 0, "{:?}", account.troubles.borrow());
+        assert_eq!(
+            account.count(End::Lost),
+            0,
+            "{:?}",
+            account.troubles.borrow()
+        );
     });
 }
 
@@ -204,26 +293,48 @@
         let (node, engines) = (node().await, stand::engines(200, ms(5)).await.unwrap());
         register(&[&node], &engines);
         let folder = folder("short");
-        let program = start(&folder, "a", &file("", &eureka(&[&node], "[eureka.hold]\nfor_s = 3"))).await;
-        program.until("200 engines", |p| ready(p, 200)).await.unwrap();
+        let program = start(
+            &folder,
+            "a",
+            &file("", &eureka(&[&node], "[eureka.hold]\nfor_s = 3")),
+        )
+        .await;
+        program
+            .until("200 engines", |p| ready(p, 200))
+            .await
+            .unwrap();
         let clients = load(&program);
         pass(300).await;
         node.fault(Fault::Only(1));
-        let page = program.until("199 are held", |p| p["counts"]["held"] == 199).await.unwrap();
+        let page = program
+            .until("199 are held", |p| p["counts"]["held"] == 199)
+            .await
+            .unwrap();
         assert!(ready(&page, 200));
         let held = &member(&page, "engine-7")["held"];
-        assert!(held["why"].as_str().unwrap().contains("199 of 200"), "{held}");
+        assert!(
+            held["why"].as_str().unwrap().contains("199 of 200"),
+            "{held}"
+        );
         // Connections confirm those that are gone indeed, one by one.
         engines[50..].iter().for_each(Engine::end);
-        let refused =
-            program.until("some are gone", |p| p["counts"]["gone"].as_u64() > Some(0)).await.unwrap();
+        let refused = program
+            .until("some are gone", |p| p["counts"]["gone"].as_u64() > Some(0))
+            .await
+            .unwrap();
         assert!(refused["counts"]["held"].as_u64() < Some(199));
         // The list is whole again before the doubt ends: nothing more has happened.
         node.fault(Fault::None);
-        program.until("none is held", |p| p["counts"]["held"] == 0).await.unwrap();
+        program
+            .until("none is held", |p| p["counts"]["held"] == 0)
+            .await
+            .unwrap();
         // And if it is not, the doubt ends.
         node.fault(Fault::Only(1));
-        program.until("held again", |p| p["counts"]["held"].as_u64() > Some(0)).await.unwrap();
+        program
+            .until("held again", |p| p["counts"]["held"].as_u64() > Some(0))
+            .await
+            .unwrap();
         program.until("let go", |p| ready(p, 1)).await.unwrap();
         let account = clients.stop().await;
         let bad = [End::Lost, End::Late].map(|e| account.count(e));
@@ -243,9 +354,18 @@
         let clients = load(&program);
         pass(300).await;
         // The old instance's lease has not ended when the new one registers the same address.
-        node.register(Instance::engine("ENGINES", "engine-new", engines[0].address().port(), lab::now()));
-        let page =
-            program.until("it has passed", |p| member(p, "engine-new")["state"] == "ready").await.unwrap();
+        node.register(Instance::engine(
+            "ENGINES",
+            "engine-new",
+            engines[0].address().port(),
+            lab::now(),
+        ));
+        let page = program
+            .until("it has passed", |p| {
+                member(p, "engine-new")["state"] == "ready"
+            })
+            .await
+            .unwrap();
         let old = member(&page, "engine-0");
         assert_eq!(
             (&old["state"], &old["superseded_by"]),
@@ -254,11 +374,19 @@
         );
         pass(300).await;
         node.cancel("ENGINES", "engine-0");
-        program.until("the old one is gone", |p| member(p, "engine-0").is_null()).await.unwrap();
+        program
+            .until("the old one is gone", |p| member(p, "engine-0").is_null())
+            .await
+            .unwrap();
         pass(300).await;
         assert!(ready(&program.members("").await.unwrap(), 2));
         let account = clients.stop().await;
-        assert_eq!(account.count(End::Lost), 0, "{:?}", account.troubles.borrow());
+        assert_eq!(
+            account.count(End::Lost),
+            0,
+            "{:?}",
+            account.troubles.borrow()
+        );
         loads_once(&engines).unwrap();
     });
 }
@@ -275,7 +403,12 @@
         pass(300).await;
         node.watch("engine-0");
         // One instant: it registers itself as up, newer than before, and operators take it out of service.
-        let mut last = Instance::engine("ENGINES", "engine-0", engines[0].address().port(), lab::now() + 5.0);
+        let mut last = Instance::engine(
+            "ENGINES",
+            "engine-0",
+            engines[0].address().port(),
+            lab::now() + 5.0,
+        );
         last.renewed = lab::now();
         node.register(last);
         node.set_status("ENGINES", "engine-0", Some(Status::OutOfService));
@@ -304,7 +437,10 @@
         node.away();
         let program = start(&folder, "b", &text).await;
         program.says("a snapshot of 3 engines").await.unwrap();
-        let page = program.until("two engines", |p| p["serving"] == true && ready(p, 2)).await.unwrap();
+        let page = program
+            .until("two engines", |p| p["serving"] == true && ready(p, 2))
+            .await
+            .unwrap();
         assert!(page["snapshot_age_ms"].as_f64().unwrap() > 0.0);
         assert_eq!(page["counts"]["unproven"], 3);
         assert_eq!(program.call("GET", "/_ready").await.unwrap().0, 200);
@@ -313,22 +449,31 @@
         assert_eq!(engines[2].count(), 0, "it drained when it was last known");
         // The registry is back, and proves them.
         node.back().await.unwrap();
-        program.until("proven", |p| p["counts"]["unproven"] == 0).await.unwrap();
+        program
+            .until("proven", |p| p["counts"]["unproven"] == 0)
+            .await
+            .unwrap();
         sound(&*clients.stop().await, &engines);
         program.kill().await.unwrap();
         // What cannot be read is told of and set aside, and never fatal.
         let good = std::fs::read(&kept).unwrap();
         let future = [&good[..12], &9u32.to_be_bytes(), &good[16..]].concat();
-        for (i, (bytes, what)) in
-            [(&good[..good.len() / 2], "torn"), (b"#!/bin/sh", "no record"), (&future, "later program")]
-                .into_iter()
-                .enumerate()
+        for (i, (bytes, what)) in [
+            (&good[..good.len() / 2], "torn"),
+            (b"#!/bin/sh", "no record"),
+            (&future, "later program"),
+        ]
+        .into_iter()
+        .enumerate()
         {
             std::fs::write(&kept, bytes).unwrap();
             let program = start(&folder, &format!("c{i}"), &text).await;
             let line = program.says("set aside").await.unwrap();
             assert!(line.contains(what), "{line}");
-            assert_eq!(std::fs::read(kept.with_extension(format!("unread-{i}"))).unwrap(), bytes);
+            assert_eq!(
+                std::fs::read(kept.with_extension(format!("unread-{i}"))).unwrap(),
+                bytes
+            );
             program.until("two engines", |p| ready(p, 2)).await.unwrap();
             program.kill().await.unwrap();
         }
@@ -347,8 +492,20 @@
         let clients = load(&program);
         let faults = [
             (Fault::Html, "neither JSON nor XML"),
-            (Fault::Huge { bytes: 3 << 30, told: true }, "above the bound"),
-            (Fault::Huge { bytes: 3 << 30, told: false }, "above the bound"),
+            (
+                Fault::Huge {
+                    bytes: 3 << 30,
+                    told: true,
+                },
+                "above the bound",
+            ),
+            (
+                Fault::Huge {
+                    bytes: 3 << 30,
+                    told: false,
+                },
+                "above the bound",
+            ),
             (Fault::Drip(ms(1000)), "no whole answer within"),
             (Fault::Torn, "eureka"),
             (Fault::Status(500), "status 500"),
@@ -372,10 +529,18 @@
             assert!(ready(&page, 2), "{fault:?}: {page}");
             a.fault(Fault::None);
             let whole = page["sources"][0]["whole_lists"].as_u64();
-            program.until("answered", |p| p["sources"][0]["whole_lists"].as_u64() > whole).await.unwrap();
+            program
+                .until("answered", |p| {
+                    p["sources"][0]["whole_lists"].as_u64() > whole
+                })
+                .await
+                .unwrap();
         }
         assert!(program.memory().1 < 100.0, "{:?} MB", program.memory());
-        assert!(b.calls().is_empty(), "nothing went where the configuration does not lead");
+        assert!(
+            b.calls().is_empty(),
+            "nothing went where the configuration does not lead"
+        );
         sound(&*clients.stop().await, &engines);
     });
 }
@@ -385,7 +550,9 @@
     play(async {
         let (node, engines) = (node().await, stand::engines(2, ms(10)).await.unwrap());
         register(&[&node], &engines);
-        let decoy = Engine::start("decoy", "127.9.9.9:0".parse().unwrap(), ms(1)).await.unwrap();
+        let decoy = Engine::start("decoy", "127.9.9.9:0".parse().unwrap(), ms(1))
+            .await
+            .unwrap();
         let folder = folder("poison");
         let text = file("", &eureka(&[&node], "networks = [\"127.0.0.0/24\"]"));
         let program = start(&folder, "a", &text).await;
@@ -396,9 +563,18 @@
             ..Instance::engine("ENGINES", id, decoy.address().port(), now)
         };
         node.register(poisoned("engine-x", lab::now()));
-        let page = program.until("rejected", |p| p["counts"]["rejections"].as_u64() > Some(0)).await.unwrap();
+        let page = program
+            .until("rejected", |p| p["counts"]["rejections"].as_u64() > Some(0))
+            .await
+            .unwrap();
         assert_eq!(page["rejected"][0]["address"], decoy.address().to_string());
-        assert!(program.says("is rejected").await.unwrap().contains("engine-x"));
+        assert!(
+            program
+                .says("is rejected")
+                .await
+                .unwrap()
+                .contains("engine-x")
+        );
         // A known engine that is led there takes nothing more.
         node.register(poisoned("engine-1", lab::now() + 1.0));
         program.until("led astray", |p| ready(p, 1)).await.unwrap();
@@ -424,11 +600,19 @@
             near.url()
         );
         let program = start(&folder, "a", &file("zone = \"home\"", &zoned)).await;
-        program.until("three engines", |p| ready(p, 3)).await.unwrap();
+        program
+            .until("three engines", |p| ready(p, 3))
+            .await
+            .unwrap();
         assert!(far.calls().is_empty(), "the own zone goes first");
         let clients = load(&program);
         near.away();
-        program.until("fail-over", |p| p["sources"].as_array().is_some_and(|s| s.len() == 2)).await.unwrap();
+        program
+            .until("fail-over", |p| {
+                p["sources"].as_array().is_some_and(|s| s.len() == 2)
+            })
+            .await
+            .unwrap();
         far.away();
         pass(3_000).await;
         assert!(ready(&program.members("").await.unwrap(), 3));
@@ -453,20 +637,38 @@
         register(&[&a, &b], &engines);
         let folder = folder("swap");
         let program = start(&folder, "a", &file("", &eureka(&[&a], ""))).await;
-        program.until("three engines", |p| ready(p, 3)).await.unwrap();
+        program
+            .until("three engines", |p| ready(p, 3))
+            .await
+            .unwrap();
         let clients = load(&program);
-        program.configure(&file("", &eureka(&[&b], "networks = [\"x\"]"))).await.unwrap();
-        assert!(program.says("SIGHUP").await.unwrap().contains("eureka.networks[0]"));
+        program
+            .configure(&file("", &eureka(&[&b], "networks = [\"x\"]")))
+            .await
+            .unwrap();
+        assert!(
+            program
+                .says("SIGHUP")
+                .await
+                .unwrap()
+                .contains("eureka.networks[0]")
+        );
         b.fault(Fault::Delay(ms(800))); // the list in hand stays until the new one is here
         let (asked, seen) = (a.calls().len(), b.calls().len());
-        program.configure(&file("", &eureka(&[&b], ""))).await.unwrap();
+        program
+            .configure(&file("", &eureka(&[&b], "")))
+            .await
+            .unwrap();
         program.says("in force").await.unwrap();
         pass(400).await;
         assert!(ready(&program.members("").await.unwrap(), 3));
         b.fault(Fault::None);
         pass(1_200).await;
         assert!(ready(&program.members("").await.unwrap(), 3));
-        assert!(b.calls().len() > seen && a.calls().len() <= asked + 2, "the old one is asked no more");
+        assert!(
+            b.calls().len() > seen && a.calls().len() <= asked + 2,
+            "the old one is asked no more"
+        );
         sound(&*clients.stop().await, &engines);
     });
 }
@@ -491,7 +693,10 @@
             pass(20).await;
         }
         let us = node.instance("HITCHWINCH", "us").unwrap();
-        assert_eq!((us.port, us.metadata["zone"].as_str(), us.vip.as_str()), (3390, "depot", "hitchwinch"));
+        assert_eq!(
+            (us.port, us.metadata["zone"].as_str(), us.vip.as_str()),
+            (3390, "depot", "hitchwinch")
+        );
         // The registry forgets it: a heartbeat finds that out, and it registers again.
         node.cancel("HITCHWINCH", "us");
         while status() != Some(Status::Up) {
@@ -501,13 +706,22 @@
         node.set_status("HITCHWINCH", "us", Some(Status::OutOfService));
         program
             .until("the override is shown", |p| {
-                p["registration"].as_str().is_some_and(|t| t.contains("shows OUT_OF_SERVICE"))
+                p["registration"]
+                    .as_str()
+                    .is_some_and(|t| t.contains("shows OUT_OF_SERVICE"))
             })
             .await
             .unwrap();
         node.set_status("HITCHWINCH", "us", None);
-        let clients =
-            Clients::start(program.address, Load { clients: 4, gap: ms(100), loads: 0, prepared: false });
+        let clients = Clients::start(
+            program.address,
+            Load {
+                clients: 4,
+                gap: ms(100),
+                loads: 0,
+                prepared: false,
+            },
+        );
         pass(300).await;
         program.signal("TERM").await.unwrap();
         while status() == Some(Status::Up) {
@@ -517,7 +731,11 @@
         while status().is_some() {
             pass(10).await;
         }
-        assert!(node.calls().iter().any(|c| c.starts_with("DELETE /eureka/apps/HITCHWINCH/us")));
+        assert!(
+            node.calls()
+                .iter()
+                .any(|c| c.starts_with("DELETE /eureka/apps/HITCHWINCH/us"))
+        );
         drop(clients);
     });
 }
@@ -536,11 +754,17 @@
             pass(20).await;
         }
         let new = start(&folder, "new", &text).await;
-        new.until("one engine", |p| p["serving"] == true && ready(p, 1)).await.unwrap();
+        new.until("one engine", |p| p["serving"] == true && ready(p, 1))
+            .await
+            .unwrap();
         old.says("2 processes").await.unwrap();
         assert!(old.ends().await.unwrap());
         pass(700).await;
-        assert_eq!(status(), Some(Status::Up), "whoever looks for it finds the new one");
+        assert_eq!(
+            status(),
+            Some(Status::Up),
+            "whoever looks for it finds the new one"
+        );
         assert!(!node.calls().iter().any(|c| c.starts_with("DELETE")));
         assert!(new.ends().await.unwrap());
         assert_eq!(status(), None);
@@ -557,17 +781,36 @@
         let folder = folder("forms");
         let forms = [
             ("app = \"engines\"\nformat = \"xml\"", "GET /eureka/apps"),
-            ("app = \"engines\"\nfetch = \"app\"", "GET /eureka/apps/engines"),
+            (
+                "app = \"engines\"\nfetch = \"app\"",
+                "GET /eureka/apps/engines",
+            ),
             ("vip = \"engines\"", "GET /eureka/vips/engines"),
-            ("vip = \"engines\"\nformat = \"xml\"", "GET /eureka/vips/engines"),
-            ("app = \"engines\"\nregions = [\"north\", \"south\"]", "GET /eureka/apps?regions=north,south"),
+            (
+                "vip = \"engines\"\nformat = \"xml\"",
+                "GET /eureka/vips/engines",
+            ),
+            (
+                "app = \"engines\"\nregions = [\"north\", \"south\"]",
+                "GET /eureka/apps?regions=north,south",
+            ),
         ];
         for (i, (form, call)) in forms.into_iter().enumerate() {
             let section = format!("[eureka]\nservers = [{with:?}]\nperiod_s = 0.1\n{form}");
             let program = start(&folder, &format!("f{i}"), &file("", &section)).await;
-            let page = program.until("four engines", |p| ready(p, 4)).await.unwrap();
-            assert!(!page.to_string().contains("cret"), "the password is shown nowhere");
-            assert!(node.calls().contains(&call.to_string()), "{call}: {:?}", node.calls().last());
+            let page = program
+                .until("four engines", |p| ready(p, 4))
+                .await
+                .unwrap();
+            assert!(
+                !page.to_string().contains("cret"),
+                "the password is shown nowhere"
+            );
+            assert!(
+                node.calls().contains(&call.to_string()),
+                "{call}: {:?}",
+                node.calls().last()
+            );
             // A drain comes by each of them.
             node.set_status("ENGINES", "engine-3", Some(Status::Down));
             program.until("it drains", |p| ready(p, 3)).await.unwrap();
@@ -590,8 +833,13 @@
         // Sessions that have their statements prepared, and more requests than engines bear.
         let mut sessions = vec![];
         for n in 0..16u32 {
-            let mut c = mysql_async::Conn::new(lab::client::opts(program.address)).await.unwrap();
-            let s = c.prep("select engine from stock where n = ?").await.unwrap();
+            let mut c = mysql_async::Conn::new(lab::client::opts(program.address))
+                .await
+                .unwrap();
+            let s = c
+                .prep("select engine from stock where n = ?")
+                .await
+                .unwrap();
             sessions.push((n, c, s));
         }
         node.watch("engine-0");
@@ -602,7 +850,10 @@
                 for k in 0..12u32 {
                     // More than engines bear is refused, and comes again.
                     let row = loop {
-                        match c.exec_first::<(String, String), _, _>(&s, (1000 * n + k,)).await {
+                        match c
+                            .exec_first::<(String, String), _, _>(&s, (1000 * n + k,))
+                            .await
+                        {
                             Ok(row) => break row,
                             Err(mysql_async::Error::Server(e)) if e.code == 3168 => pass(100).await,
                             Err(e) => panic!("{e}"),
@@ -620,7 +871,11 @@
         }
         assert!(last.iter().all(|e| e == "engine-1"), "{last:?}");
         drained(&engines[0], node.told("engine-0").unwrap()).unwrap();
-        let answered = engines.iter().flat_map(Engine::ran).filter(|r| r.answered).count();
+        let answered = engines
+            .iter()
+            .flat_map(Engine::ran)
+            .filter(|r| r.answered)
+            .count();
         assert!(answered >= 16 * 12);
     });
 }
@@ -630,7 +885,12 @@
     play(async {
         let (node, engines) = (node().await, stand::engines(12, ms(2)).await.unwrap());
         let folder = folder("churn");
-        let program = start(&folder, "a", &file("", &eureka(&[&node], "[eureka.hold]\nfor_s = 0"))).await;
+        let program = start(
+            &folder,
+            "a",
+            &file("", &eureka(&[&node], "[eureka.hold]\nfor_s = 0")),
+        )
+        .await;
         let name = |i: usize| format!("c{i}");
         let add = |i: usize| {
             let port = engines[i % 12].address().port();
@@ -649,7 +909,12 @@
         let page = program.until("six engines", |p| ready(p, 6)).await.unwrap();
         assert!(page["counts"]["gone"].as_u64() <= Some(54), "{page}");
         let account = clients.stop().await;
-        assert_eq!(account.count(End::Lost), 0, "{:?}", account.troubles.borrow());
+        assert_eq!(
+            account.count(End::Lost),
+            0,
+            "{:?}",
+            account.troubles.borrow()
+        );
         loads_once(&engines).unwrap();
     });
 }
--- a/tests/external_interface.rs
+++ b/tests/external_interface.rs
@@ -30,9 +30,20 @@
 #[test]
 fn every_key_of_the_deployed_file_is_accepted() {
     let both = read_mysql_text(&deployed_file()).unwrap_err();
-    assert_eq!(both, "eureka: engines are listed too: only one of both can be");
-    for without in [["eureka", "max_result"], ["engine", "max_result"], ["eureka", "spool"]] {
-        assert_eq!(read_mysql(&mysql_document(&without)), Ok(()), "without {without:?}");
+    assert_eq!(
+        both,
+        "eureka: engines are listed too: only one of both can be"
+    );
+    for without in [
+        ["eureka", "max_result"],
+        ["engine", "max_result"],
+        ["eureka", "spool"],
+    ] {
+        assert_eq!(
+            read_mysql(&mysql_document(&without)),
+            Ok(()),
+            "without {without:?}"
+        );
     }
     assert_eq!(read_platform(&platform_document()), Ok(()));
 }
@@ -40,19 +51,32 @@
 #[test]
 fn messages_about_the_operators_file() {
     let document = mysql_document(&["eureka", "max_result"]);
-    assert_recorded("external/mysql-keys.txt", &broken_keys(&document, read_mysql));
-    assert_recorded("external/mysql-faults.txt", &faults(&document, read_mysql, &mysql_faults()));
+    assert_recorded(
+        "external/mysql-keys.txt",
+        &broken_keys(&document, read_mysql),
+    );
+    assert_recorded(
+        "external/mysql-faults.txt",
+        &faults(&document, read_mysql, &mysql_faults()),
+    );
 }
 
 /// The lines of a table that begin so.
 fn lines_of(table: &str, start: &str) -> String {
-    table.lines().filter(|line| line.starts_with(start)).map(|line| format!("{line}\n")).collect()
+    table
+        .lines()
+        .filter(|line| line.starts_with(start))
+        .map(|line| format!("{line}\n"))
+        .collect()
 }
 
 #[test]
 fn messages_about_the_bound_of_results_without_spools() {
     let table = broken_keys(&mysql_document(&["eureka", "spool"]), read_mysql);
-    assert_recorded("external/mysql-max-result.txt", &lines_of(&table, "/max_result"));
+    assert_recorded(
+        "external/mysql-max-result.txt",
+        &lines_of(&table, "/max_result"),
+    );
 }
 
 #[test]
@@ -60,14 +84,23 @@
     let document = mysql_document(&["engine", "max_result"]);
     let keys = lines_of(&broken_keys(&document, read_mysql), "/eureka");
     assert_recorded("external/eureka-keys.txt", &keys);
-    assert_recorded("external/eureka-faults.txt", &faults(&document, read_mysql, &eureka_faults()));
+    assert_recorded(
+        "external/eureka-faults.txt",
+        &faults(&document, read_mysql, &eureka_faults()),
+    );
 }
 
 #[test]
 fn messages_about_the_platforms_configuration() {
     let document = platform_document();
-    assert_recorded("external/platform-keys.txt", &broken_keys(&document, read_platform));
-    assert_recorded("external/platform-faults.txt", &faults(&document, read_platform, &platform_faults()));
+    assert_recorded(
+        "external/platform-keys.txt",
+        &broken_keys(&document, read_platform),
+    );
+    assert_recorded(
+        "external/platform-faults.txt",
+        &faults(&document, read_platform, &platform_faults()),
+    );
 }
 
 // ---- the operators' address ------------------------------------------------------------------------
@@ -98,7 +131,10 @@
 
 fn responses(admin: SocketAddr) -> String {
     let response = |(method, path): &(&str, &str)| {
-        format!("> {method} {path}\n{}\n", call(admin, method, path).replace("\r\n", "\\r\\n\n"))
+        format!(
+            "> {method} {path}\n{}\n",
+            call(admin, method, path).replace("\r\n", "\\r\\n\n")
+        )
     };
     CALLS.iter().map(response).collect()
 }
@@ -163,9 +199,14 @@
 fn background_engine() -> SocketAddr {
     let (tell, told) = mpsc::channel();
     std::thread::spawn(move || {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .unwrap();
         tokio::task::LocalSet::new().block_on(&runtime, async {
-            let engine = lab::engine::Engine::start("e0", lab::stand::free(), Duration::ZERO).await.unwrap();
+            let engine = lab::engine::Engine::start("e0", lab::stand::free(), Duration::ZERO)
+                .await
+                .unwrap();
             tell.send(engine.address()).unwrap();
             std::future::pending::<()>().await;
         });
@@ -195,9 +236,18 @@
     let greeting = MysqlClient::connect(program.address).greeting;
     let mut told = format!("greeting: {}\n", printable(&masked_greeting(&greeting)));
     let capabilities = PROTOCOL_41 | SECURE_CONNECTION;
-    for (user, proof) in [("nobody", &[][..]), ("locked", &[]), ("locked", &[7; 20]), (USER, &[7; 20])] {
+    for (user, proof) in [
+        ("nobody", &[][..]),
+        ("locked", &[]),
+        ("locked", &[7; 20]),
+        (USER, &[7; 20]),
+    ] {
         let answer = MysqlClient::connect(program.address).authenticate(capabilities, user, proof);
-        told += &format!("log-in of {user}, {} bytes of proof:\n{}", proof.len(), answer.text());
+        told += &format!(
+            "log-in of {user}, {} bytes of proof:\n{}",
+            proof.len(),
+            answer.text()
+        );
     }
     let accepted = MysqlClient::connect(program.address).authenticate(capabilities, USER, &[]);
     told += &format!("log-in of {USER}:\n{}", accepted.text());
@@ -216,7 +266,10 @@
         told += &format!("command {name}\n{}", text(&client.command(kind, body)));
     }
     told += &format!("an empty packet\n{}", text(&client.raw(&[])));
-    told += &format!("a packet above the bound\n{}", text(&client.raw(&[b'x'; 5000])));
+    told += &format!(
+        "a packet above the bound\n{}",
+        text(&client.raw(&[b'x'; 5000]))
+    );
     assert_recorded("external/mysql-answers.txt", &told);
 }
 
@@ -230,7 +283,10 @@
         told += &format!("> {statement}\n{}", text(&client.query(statement)));
     }
     let mut other = MysqlClient::log_in(program.address, "other");
-    told += &format!("> KILL QUERY 1, by another user\n{}", text(&other.query("KILL QUERY 1")));
+    told += &format!(
+        "> KILL QUERY 1, by another user\n{}",
+        text(&other.query("KILL QUERY 1"))
+    );
     assert_recorded("external/mysql-no-engine.txt", &told);
 }
 
@@ -242,7 +298,11 @@
     const REPORT: [f64; 5] = [7.0, 0.0, 0.61, 41.0, 1000.0];
     /// Requests that pay for one message.
     const REQUESTS: usize = 50;
-    let terms = peers::Terms { peers: 2, price: 1.0, fields: REPORT.len() };
+    let terms = peers::Terms {
+        peers: 2,
+        price: 1.0,
+        fields: REPORT.len(),
+    };
     let mut bulletin = peers::Bulletin::new(terms);
     bulletin.list([ENGINE].into_iter());
     (0..REQUESTS).for_each(|_| bulletin.taken());
@@ -255,7 +315,9 @@
         ("no text", [&message[..message.len() - 1], &[0x80]].concat()),
         ("nothing", vec![]),
     ] {
-        let heard = bulletin.heard(0.0, &message).map_err(|error| error.to_string());
+        let heard = bulletin
+            .heard(0.0, &message)
+            .map_err(|error| error.to_string());
         told += &format!("{what}: {heard:?}\n");
     }
     assert_recorded("external/peers.txt", &told);
@@ -276,7 +338,9 @@
     // The length of the word before depends on the number of digits: a time of three or four digits is meant.
     let length = command.len() - digits - rest.len();
     assert!((3..=4).contains(&length), "{command}");
-    format!("{}#{rest}", &command[..digits]).replace("$20\\r", "$#\\r").replace("$21\\r", "$#\\r")
+    format!("{}#{rest}", &command[..digits])
+        .replace("$20\\r", "$#\\r")
+        .replace("$21\\r", "$#\\r")
 }
 
 /// Streams of a connection count from here.
@@ -285,7 +349,10 @@
 /// The answer of an engine, as an array of strings.
 fn engine_answer() -> Vec<u8> {
     let words = [TRANSACTION, "ACK", "total=1", "a\tb\tc\n"];
-    let words: String = words.iter().map(|word| format!("${}\r\n{word}\r\n", word.len())).collect();
+    let words: String = words
+        .iter()
+        .map(|word| format!("${}\r\n{word}\r\n", word.len()))
+        .collect();
     format!("*4\r\n{words}").into_bytes()
 }
 
@@ -293,16 +360,46 @@
 fn frames_of_clients_and_commands_to_engines() {
     let engine = FarEnd::start(b"select 1\r\n", engine_answer());
     let journal = Service::down();
-    let program = Program::run(&child::config(&[engine.address], journal.at, None), &[], None);
-    let good = [("verb", "lookup"), ("txn", TRANSACTION), ("limit", "2000"), ("cpu", "12"), ("mem", "64")];
+    let program = Program::run(
+        &child::config(&[engine.address], journal.at, None),
+        &[],
+        None,
+    );
+    let good = [
+        ("verb", "lookup"),
+        ("txn", TRANSACTION),
+        ("limit", "2000"),
+        ("cpu", "12"),
+        ("mem", "64"),
+    ];
     let requests = [
-        ("a look-up", FIRST_STREAM, REQUEST, request(&good, STATEMENT)),
-        ("no class", 2, REQUEST, request(&[("verb", "none"), ("txn", TRANSACTION)], STATEMENT)),
+        (
+            "a look-up",
+            FIRST_STREAM,
+            REQUEST,
+            request(&good, STATEMENT),
+        ),
+        (
+            "no class",
+            2,
+            REQUEST,
+            request(&[("verb", "none"), ("txn", TRANSACTION)], STATEMENT),
+        ),
         ("no verb", 3, REQUEST, request(&good[1..], STATEMENT)),
         ("no id", 4, REQUEST, request(&[good[0], good[2]], STATEMENT)),
-        ("an id that is none", 5, REQUEST, request(&[good[0], ("txn", "a1"), good[2]], STATEMENT)),
+        (
+            "an id that is none",
+            5,
+            REQUEST,
+            request(&[good[0], ("txn", "a1"), good[2]], STATEMENT),
+        ),
         ("no limit", 6, REQUEST, request(&good[..2], STATEMENT)),
-        ("a limit that is none", 7, REQUEST, request(&[good[0], good[1], ("limit", "x")], STATEMENT)),
+        (
+            "a limit that is none",
+            7,
+            REQUEST,
+            request(&[good[0], good[1], ("limit", "x")], STATEMENT),
+        ),
         ("no statement", 8, REQUEST, request(&good, "")),
         ("a question of its state", 9, ASK, vec![0]),
         ("fields that end early", 10, REQUEST, vec![3, 4, b'v']),
@@ -314,16 +411,28 @@
         let answer = read_frame(&mut connection).expect("an answer");
         told += &format!("{name}: {}\n", printable(&answer));
     }
-    told += &format!("to the engine: {}\n", masked_limit(&printable(&engine.received())));
-    for (name, kind, stream) in [("a kind that is none", 99, 1), ("a stream that is not new", REQUEST, 0)] {
+    told += &format!(
+        "to the engine: {}\n",
+        masked_limit(&printable(&engine.received()))
+    );
+    for (name, kind, stream) in [
+        ("a kind that is none", 99, 1),
+        ("a stream that is not new", REQUEST, 0),
+    ] {
         let mut connection = connect(program.address);
         child::send(&mut connection, LEAVE, 1, &[]).unwrap();
         child::send(&mut connection, kind, stream, &[0]).unwrap();
-        told += &format!("{name}: {}\n", printable(&read_frame(&mut connection).expect("an answer")));
+        told += &format!(
+            "{name}: {}\n",
+            printable(&read_frame(&mut connection).expect("an answer"))
+        );
     }
     let mut connection = connect(program.address);
     connection.write_all(&[0, 0, 0, 1]).unwrap();
-    told += &format!("a length that is none: {}\n", printable(&read_frame(&mut connection).unwrap()));
+    told += &format!(
+        "a length that is none: {}\n",
+        printable(&read_frame(&mut connection).unwrap())
+    );
     assert_recorded("external/platform-frames.txt", &told);
 }
 
@@ -333,9 +442,14 @@
     let news = event(2, &told(1, engine.at, "in_service"));
     let stream = format!("HTTP/1.1 200 OK\r\n\r\n: hello\n{news}");
     let journal = FarEnd::start(b"\r\n\r\n", stream.into_bytes());
-    let program = Program::run(&child::config(&[engine.at], journal.address, None), &[], None);
+    let program = Program::run(
+        &child::config(&[engine.at], journal.address, None),
+        &[],
+        None,
+    );
     let head = printable(&journal.received()).replace(&journal.address.to_string(), "(address)");
-    let targets = |count: &str| call(program.admin, "GET", "/_vars").contains(&format!("targets={count}\n"));
+    let targets =
+        |count: &str| call(program.admin, "GET", "/_vars").contains(&format!("targets={count}\n"));
     while !targets("2") {
         std::thread::sleep(Duration::from_millis(2));
     }
--- a/tests/frames.rs
+++ b/tests/frames.rs
@@ -141,7 +141,10 @@
     async fn next(&mut self, stream: u32) -> Option<Vec<u8>> {
         while !self.early.contains_key(&stream) {
             let (_, s, payload) = self.answers.recv().await?;
-            assert!(self.early.insert(s, payload).is_none(), "a second answer on stream {s}");
+            assert!(
+                self.early.insert(s, payload).is_none(),
+                "a second answer on stream {s}"
+            );
         }
         self.early.remove(&stream)
     }
@@ -152,8 +155,14 @@
         let stream = self.streams.len() as u32 + 1;
         self.streams.insert(name.into(), stream);
         let (txn, limit) = (format!("{stream:016x}"), ms.to_string());
-        let fields = [("verb", class), ("txn", &txn), ("limit", &limit), ("team", "acme")];
-        self.request(stream, &fields, "select * from sales_17.orders").await;
+        let fields = [
+            ("verb", class),
+            ("txn", &txn),
+            ("limit", &limit),
+            ("team", "acme"),
+        ];
+        self.request(stream, &fields, "select * from sales_17.orders")
+            .await;
     }
 
     async fn answer(&mut self, name: &str) -> &'static str {
@@ -189,8 +198,12 @@
     }
 }
 
-type SetUp =
-    (std::rc::Rc<Hub<RespUpstream>>, FramesClient, Vec<std::net::SocketAddr>, mpsc::UnboundedReceiver<Seen>);
+type SetUp = (
+    std::rc::Rc<Hub<RespUpstream>>,
+    FramesClient,
+    Vec<std::net::SocketAddr>,
+    mpsc::UnboundedReceiver<Seen>,
+);
 
 async fn set_up() -> SetUp {
     set_up_with_notes(0.0).await
@@ -202,12 +215,26 @@
     let (core, names, mut sockets) = core();
     sockets.notes = notes;
     let pool = Pool::default();
-    let hub = Hub::new(core, names, RespUpstream::new(sockets, vec![], pool.clone()));
+    let hub = Hub::new(
+        core,
+        names,
+        RespUpstream::new(sockets, vec![], pool.clone()),
+    );
     hub.change(&change(&addresses, None));
     spawn_local(hub.clone().clock());
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    spawn_local(Front::new(hub.clone(), pool, &Machine { memory_mb: 4, sockets: 20 }).accept(listener));
+    spawn_local(
+        Front::new(
+            hub.clone(),
+            pool,
+            &Machine {
+                memory_mb: 4,
+                sockets: 20,
+            },
+        )
+        .accept(listener),
+    );
     (hub, FramesClient::new(address).await, addresses, seen)
 }
 
@@ -252,9 +279,18 @@
     on_one_thread(async {
         let (_hub, mut c, _, _seen) = set_up().await;
         let txn = "0123456789abcdef";
-        let good = [("verb", "lookup"), ("txn", txn), ("limit", "500"), ("team", "acme")];
-        let with =
-            |name, value| good.into_iter().filter(|f| f.0 != name).chain([(name, value)]).collect::<Vec<_>>();
+        let good = [
+            ("verb", "lookup"),
+            ("txn", txn),
+            ("limit", "500"),
+            ("team", "acme"),
+        ];
+        let with = |name, value| {
+            good.into_iter()
+                .filter(|f| f.0 != name)
+                .chain([(name, value)])
+                .collect::<Vec<_>>()
+        };
         let absurd = [
             with("cpu", "1e300"),
             with("mem", "-4"),
@@ -268,17 +304,32 @@
             (&absurd[2], "cpu"),
             (&absurd[3], "limit"),
             (&absurd[4], "nobody"),
-            (&[("verb", "lookup"), ("txn", txn), ("limit", "500")], "team"),
-            (&[("verb", "lookup"), ("txn", txn), ("limit", "soon")], "limit"),
-            (&[("verb", "nonsense"), ("txn", txn), ("limit", "500")], "nonsense"),
+            (
+                &[("verb", "lookup"), ("txn", txn), ("limit", "500")],
+                "team",
+            ),
+            (
+                &[("verb", "lookup"), ("txn", txn), ("limit", "soon")],
+                "limit",
+            ),
+            (
+                &[("verb", "nonsense"), ("txn", txn), ("limit", "500")],
+                "nonsense",
+            ),
             (&[("txn", txn), ("limit", "500")], "verb"),
-            (&[("verb", "lookup"), ("txn", "12"), ("limit", "500")], "txn"),
+            (
+                &[("verb", "lookup"), ("txn", "12"), ("limit", "500")],
+                "txn",
+            ),
             (&[("verb", "lookup"), ("txn", txn)], "limit"),
         ];
         for (i, (fields, message)) in cases.into_iter().enumerate() {
             c.request(i as u32 + 1, fields, "select 1").await;
             let payload = c.next(i as u32 + 1).await.unwrap();
-            assert!(payload[0] == 2 && String::from_utf8_lossy(&payload).contains(message), "{payload:?}");
+            assert!(
+                payload[0] == 2 && String::from_utf8_lossy(&payload).contains(message),
+                "{payload:?}"
+            );
         }
         c.request(70, &good, "\0").await;
         assert_eq!(c.next(70).await.unwrap()[0], 2, "no text");
@@ -300,9 +351,17 @@
 fn connections_that_ask_nothing_or_were_used_once_make_room() {
     on_one_thread(async {
         let (hub, mut client, addresses, mut seen) = set_up().await;
-        let once = "again\n send x lookup\n engine lookup\n reply rows\n expect x served\n".repeat(10);
+        let once =
+            "again\n send x lookup\n engine lookup\n reply rows\n expect x served\n".repeat(10);
         play(&hub, &mut client, &addresses, &mut seen, &once).await;
-        play(&hub, &mut client, &addresses, &mut seen, "crowd 5\n crowd closed").await;
+        play(
+            &hub,
+            &mut client,
+            &addresses,
+            &mut seen,
+            "crowd 5\n crowd closed",
+        )
+        .await;
     });
 }
 
@@ -312,7 +371,12 @@
         let (_hub, mut c, _, _seen) = set_up().await;
         c.frame(16, 1, &[0]).await;
         assert_eq!(c.next(1).await.unwrap(), [0, 0]);
-        c.write.as_mut().unwrap().write_all(&[0, 0, 1, 0, 2]).await.unwrap();
+        c.write
+            .as_mut()
+            .unwrap()
+            .write_all(&[0, 0, 1, 0, 2])
+            .await
+            .unwrap();
         assert_eq!(c.next(0).await.unwrap()[0], 2);
         assert!(c.next(1).await.is_none(), "and the connection ends");
     });
--- a/tests/many_gateways.rs
+++ b/tests/many_gateways.rs
@@ -11,13 +11,23 @@
 }
 
 fn probed(actions: &[Action]) -> Vec<String> {
-    let name = |a: &Action| if let Action::Probe { engine } = a { Some(engine.clone()) } else { None };
+    let name = |a: &Action| {
+        if let Action::Probe { engine } = a {
+            Some(engine.clone())
+        } else {
+            None
+        }
+    };
     actions.iter().filter_map(name).collect()
 }
 
 fn answer(engine: &str, inflight: f64) -> Event {
     let report = vec![inflight, 0.1];
-    Event::Heard { engine: engine.into(), outcome: Outcome::Served, report }
+    Event::Heard {
+        engine: engine.into(),
+        outcome: Outcome::Served,
+        report,
+    }
 }
 
 fn fleet(n: usize) -> Vec<EngineEntry> {
@@ -37,8 +47,12 @@
             own.insert(sent[0].1.clone());
             g.end(id, 0, Outcome::Served);
         }
-        assert!((2..=6).contains(&own.len()), "gateway {seed} keeps to {own:?}");
-        own.into_iter().for_each(|e| *used.entry(e).or_default() += 1);
+        assert!(
+            (2..=6).contains(&own.len()),
+            "gateway {seed} keeps to {own:?}"
+        );
+        own.into_iter()
+            .for_each(|e| *used.entry(e).or_default() += 1);
     }
     assert_eq!(used.len(), 30, "every engine has its gateways");
     assert!(used.values().all(|n| (2..=20).contains(n)), "{used:?}");
@@ -54,10 +68,16 @@
     };
     let own: std::collections::BTreeSet<String> = (0..40).map(|id| turn(&mut g, id)).collect();
     // As many again as there were: in the gateway's order some of them come before what it has.
-    g.does(Event::Engines { update: ListUpdate::Whole, entries: fleet(40) });
+    g.does(Event::Engines {
+        update: ListUpdate::Whole,
+        entries: fleet(40),
+    });
     for id in 40..120 {
         let engine = turn(&mut g, id);
-        assert!(own.contains(&engine), "{engine} is new, and {own:?} have room");
+        assert!(
+            own.contains(&engine),
+            "{engine} is new, and {own:?} have room"
+        );
     }
 }
 
@@ -68,9 +88,13 @@
     for n in [3u32, 30, 100] {
         let s = one_of(n, false);
         let (r, cores) = (s.rules.clone(), s.kinds[0].cores);
-        let cold = EngineEntry { started: Some(1000.0), ..entry("new") };
-        let mut all: Vec<Gateway> =
-            (0..n).map(|seed| Gateway::seeded(s.clone(), vec![cold.clone()], u64::from(seed) + 7)).collect();
+        let cold = EngineEntry {
+            started: Some(1000.0),
+            ..entry("new")
+        };
+        let mut all: Vec<Gateway> = (0..n)
+            .map(|seed| Gateway::seeded(s.clone(), vec![cold.clone()], u64::from(seed) + 7))
+            .collect();
         let mut sent: Vec<(f64, f64)> = vec![];
         for step in 0..300u64 {
             let now = 1000.0 + step as f64 * 20.0;
@@ -80,7 +104,11 @@
                 if !(step + g as u64).is_multiple_of(5) {
                     continue;
                 }
-                let q = Query { work: Some(500.0), time_left: 200.0, ..query(step, 0) };
+                let q = Query {
+                    work: Some(500.0),
+                    time_left: 200.0,
+                    ..query(step, 0)
+                };
                 for (id, _) in sends(&x.take(q)) {
                     sent.push((now, 500.0));
                     x.end(id, 0, Outcome::Served);
@@ -89,11 +117,17 @@
         }
         assert!(sent.len() > 20, "{n} gateways use it, {} sends", sent.len());
         for (start, _) in &sent {
-            let able = r.cold_from + (1.0 - r.cold_from) * ((start - 1000.0) / r.warm_within).min(1.0);
+            let able =
+                r.cold_from + (1.0 - r.cold_from) * ((start - 1000.0) / r.warm_within).min(1.0);
             let bound = r.fall_multiple * able * cores * r.fall_window;
-            let window = sent.iter().filter(|(t, _)| t >= start && *t < start + r.fall_window);
+            let window = sent
+                .iter()
+                .filter(|(t, _)| t >= start && *t < start + r.fall_window);
             let sum: f64 = window.map(|(_, w)| w).sum();
-            assert!(sum <= bound, "{n} gateways: {sum} of {bound} in the window from {start}");
+            assert!(
+                sum <= bound,
+                "{n} gateways: {sum} of {bound} in the window from {start}"
+            );
         }
     }
 }
@@ -104,8 +138,16 @@
     let mut full = std::collections::BTreeSet::new();
     for id in 0..12 {
         let sent = sends(&g.take(query(id, 0)));
-        assert_eq!(sent.len(), 1, "the next in its order takes the place of those that are full");
-        assert!(full.insert(sent[0].1.clone()), "{} was full a moment ago", sent[0].1);
+        assert_eq!(
+            sent.len(),
+            1,
+            "the next in its order takes the place of those that are full"
+        );
+        assert!(
+            full.insert(sent[0].1.clone()),
+            "{} was full a moment ago",
+            sent[0].1
+        );
         let moved = sends(&g.end(id, 0, Outcome::Full));
         assert!(!full.contains(&moved[0].1));
         g.end(id, 1, Outcome::Served);
@@ -133,7 +175,11 @@
         }
         g.now += 600.0;
         let out = g.take(query(1, 0));
-        assert_eq!(sends(&out).is_empty(), asks, "reports of {inflight} queries an engine");
+        assert_eq!(
+            sends(&out).is_empty(),
+            asks,
+            "reports of {inflight} queries an engine"
+        );
         assert_eq!(probed(&out).len() >= 2, asks);
     }
 }
@@ -145,7 +191,11 @@
     g.does(answer("unknown", 1.0));
     g.does(answer(&pair[0], f64::NAN));
     g.does(answer(&pair[0], -4.0));
-    assert_eq!(sends(&g.pass(60.0)).len(), 1, "sent once the wait for probes is over");
+    assert_eq!(
+        sends(&g.pass(60.0)).len(),
+        1,
+        "sent once the wait for probes is over"
+    );
     for _ in 0..3 {
         assert_eq!(sends(&g.does(answer(&pair[1], 3.0))), vec![]);
     }
@@ -161,8 +211,14 @@
 fn all_send(s: &Settings, entries: &[EngineEntry], inflight: f64) -> usize {
     let mut total = 0;
     for seed in 0..u64::from(s.gateways) {
-        let mut g = Gateway { c: Controller::new(s.clone(), seed).unwrap(), now: 1000.0 };
-        g.does(Event::Engines { update: ListUpdate::Stale, entries: entries.to_vec() });
+        let mut g = Gateway {
+            c: Controller::new(s.clone(), seed).unwrap(),
+            now: 1000.0,
+        };
+        g.does(Event::Engines {
+            update: ListUpdate::Stale,
+            entries: entries.to_vec(),
+        });
         g.pass(2100.0); // one sampling period: the draws are made
         let mut out = vec![];
         for id in 0..3 {
@@ -171,7 +227,10 @@
         for _ in 0..60 {
             total += sends(&out).len();
             let asked = probed(&out);
-            out = asked.iter().flat_map(|e| g.does(answer(e, inflight))).collect();
+            out = asked
+                .iter()
+                .flat_map(|e| g.does(answer(e, inflight)))
+                .collect();
             out.extend(g.pass(20.0));
         }
     }
@@ -181,19 +240,28 @@
 #[test]
 fn under_pressure_all_gateways_together_keep_near_an_engines_budget() {
     let sent = all_send(&one_of(100, true), &fleet(4), 40.0);
-    assert!((16..=80).contains(&sent), "{sent} sends for budgets of 4 x 16 threads");
+    assert!(
+        (16..=80).contains(&sent),
+        "{sent} sends for budgets of 4 x 16 threads"
+    );
 }
 
 #[test]
 fn a_cold_engine_gets_a_useful_part_of_its_budget_from_all_gateways_and_no_more() {
     let s = one_of(200, false);
-    let cold = EngineEntry { started: Some(1000.0), ..entry("cold") };
+    let cold = EngineEntry {
+        started: Some(1000.0),
+        ..entry("cold")
+    };
     let r = &s.rules;
     let usual = s.classes[0].aim / (1.0 + s.classes[0].aim_stretch);
     let stands = r.fall_multiple * r.cold_from * s.kinds[0].cores * r.fall_window / usual;
     let sent = all_send(&s, &[cold], 0.0) as f64;
     assert!(sent <= stands, "{sent} sends, it stands {stands}");
-    assert!(sent > 0.1 * stands, "{sent} sends leave it idle, it stands {stands}");
+    assert!(
+        sent > 0.1 * stands,
+        "{sent} sends leave it idle, it stands {stands}"
+    );
 }
 
 /// What a fleet of its own, played against one gateway, has seen: each query's end, and who got what when.
@@ -213,7 +281,11 @@
     for step in 0..steps + 100 {
         let mut todo = g.pass(10.0);
         if step < steps {
-            todo.extend(g.take(Query { work: Some(100.0), time_left: 600.0, ..query(first + step, 0) }));
+            todo.extend(g.take(Query {
+                work: Some(100.0),
+                time_left: 600.0,
+                ..query(first + step, 0)
+            }));
         }
         loop {
             for (id, engine) in sends(&todo) {
@@ -222,9 +294,13 @@
                 out.push((g.now + 40.0, id, *attempt, engine));
                 *attempt += 1;
             }
-            finals(&todo).into_iter().for_each(|id| *p.ends.entry(id).or_default() += 1);
+            finals(&todo)
+                .into_iter()
+                .for_each(|id| *p.ends.entry(id).or_default() += 1);
             todo.clear();
-            let Some(i) = out.iter().position(|o| o.0 <= g.now) else { break };
+            let Some(i) = out.iter().position(|o| o.0 <= g.now) else {
+                break;
+            };
             let (_, id, attempt, engine) = out.swap_remove(i);
             let outcome = answers(g.now, &engine);
             if outcome == Outcome::Served {
@@ -235,13 +311,22 @@
         }
     }
     assert_eq!(p.ends.len() as u64, steps, "every query came to an end");
-    assert!(p.ends.values().all(|n| *n == 1), "one final answer each: {:?}", p.ends);
+    assert!(
+        p.ends.values().all(|n| *n == 1),
+        "one final answer each: {:?}",
+        p.ends
+    );
     p
 }
 
 /// Most work that was sent to one engine in any window of the settings.
 fn most_in_a_window(p: &Played, engine: &str, window: f64) -> f64 {
-    let of: Vec<f64> = p.sent.iter().filter(|s| s.1 == engine).map(|s| s.0).collect();
+    let of: Vec<f64> = p
+        .sent
+        .iter()
+        .filter(|s| s.1 == engine)
+        .map(|s| s.0)
+        .collect();
     let from = |t: &f64| of.iter().filter(|u| *u >= t && **u < t + window).count();
     of.iter().map(from).max().unwrap_or(0) as f64 * 100.0
 }
@@ -251,16 +336,29 @@
     let mut s = one_of(1, false);
     s.kinds[0].cores = 2.0;
     let r = s.rules.clone();
-    let cold = |i| EngineEntry { started: Some(1000.0), ..entry(&format!("e{i}")) };
+    let cold = |i| EngineEntry {
+        started: Some(1000.0),
+        ..entry(&format!("e{i}"))
+    };
     let mut g = Gateway::new(s, (0..3).map(cold).collect());
     let p = play(&mut g, 150, |_, _| Outcome::Served);
     for e in ["e0", "e1", "e2"] {
         let able = r.cold_from + (1.0 - r.cold_from) * 1500.0 / r.warm_within;
-        let (most, bound) = (most_in_a_window(&p, e, r.fall_window), r.fall_multiple * able * 2.0 * 1500.0);
+        let (most, bound) = (
+            most_in_a_window(&p, e, r.fall_window),
+            r.fall_multiple * able * 2.0 * 1500.0,
+        );
         assert!(most <= bound, "{e}: {most} of {bound}");
-        assert!(most > 0.5 * bound, "{e} is cold, not closed: {most} of {bound}");
+        assert!(
+            most > 0.5 * bound,
+            "{e} is cold, not closed: {most} of {bound}"
+        );
     }
-    assert!(p.served >= 60 && p.ends.len() as u32 > p.served, "{} served, the rest refused", p.served);
+    assert!(
+        p.served >= 60 && p.ends.len() as u32 > p.served,
+        "{} served, the rest refused",
+        p.served
+    );
 }
 
 #[test]
@@ -269,34 +367,69 @@
     play(&mut g, 40, |_, _| Outcome::Served);
     // Queries are out on the old ones when they go: their connections break with them.
     let held: Vec<QueryId> = (1..=6).collect();
-    let out: Vec<_> = held.iter().flat_map(|&id| sends(&g.take(query(id, 0)))).collect();
+    let out: Vec<_> = held
+        .iter()
+        .flat_map(|&id| sends(&g.take(query(id, 0))))
+        .collect();
     assert_eq!(out.len(), 6);
     let at = g.now;
-    let gone = fleet(4).into_iter().map(|e| EngineEntry { state: EngineState::Gone, ..e });
-    let new = (0..4).map(|i| EngineEntry { started: Some(at), ..entry(&format!("new{i}")) });
-    let mut again = g.does(Event::Engines { update: ListUpdate::Patch, entries: gone.chain(new).collect() });
-    held.iter().for_each(|&id| again.extend(g.end(id, 0, Outcome::Reset)));
+    let gone = fleet(4).into_iter().map(|e| EngineEntry {
+        state: EngineState::Gone,
+        ..e
+    });
+    let new = (0..4).map(|i| EngineEntry {
+        started: Some(at),
+        ..entry(&format!("new{i}"))
+    });
+    let mut again = g.does(Event::Engines {
+        update: ListUpdate::Patch,
+        entries: gone.chain(new).collect(),
+    });
+    held.iter()
+        .for_each(|&id| again.extend(g.end(id, 0, Outcome::Reset)));
     again.extend(g.pass(100.0));
     let moved = sends(&again);
-    assert_eq!(moved.len(), 6, "what is harmless to repeat goes on: {again:?}");
+    assert_eq!(
+        moved.len(),
+        6,
+        "what is harmless to repeat goes on: {again:?}"
+    );
     assert!(moved.iter().all(|(_, e)| e.starts_with("new")), "{moved:?}");
-    held.iter().for_each(|&id| drop(g.end(id, 1, Outcome::Served)));
+    held.iter()
+        .for_each(|&id| drop(g.end(id, 1, Outcome::Served)));
     let p = play(&mut g, 100, |_, _| Outcome::Served);
     assert!(p.sent.iter().all(|(_, e)| e.starts_with("new")));
     assert!(p.served > 80, "{} of 100", p.served);
 }
 
 #[test]
-fn an_engine_that_refuses_connections_for_want_of_room_is_asked_once_a_second_by_each_and_costs_no_query() {
+fn an_engine_that_refuses_connections_for_want_of_room_is_asked_once_a_second_by_each_and_costs_no_query()
+ {
     let mut asked = 0;
     for seed in 0..30 {
         let mut g = Gateway::seeded(one_of(30, false), fleet(6), seed);
-        let p = play(&mut g, 500, |_, e| if e == "e0" { Outcome::Unreachable } else { Outcome::Served });
-        assert_eq!(p.served, 500, "gateway {seed}: the next engine serves what was refused");
+        let p = play(&mut g, 500, |_, e| {
+            if e == "e0" {
+                Outcome::Unreachable
+            } else {
+                Outcome::Served
+            }
+        });
+        assert_eq!(
+            p.served, 500,
+            "gateway {seed}: the next engine serves what was refused"
+        );
         let at: Vec<f64> = p.sent.iter().filter(|s| s.1 == "e0").map(|s| s.0).collect();
         // One is at work on the connection while others may be sent: a try is what begins a second later.
-        let rounds = at.iter().zip(std::iter::once(&f64::MIN).chain(&at)).filter(|(t, u)| **t > **u + 900.0);
-        assert!(rounds.count() <= 6 && at.len() <= 30, "gateway {seed}: {} connections in 5 s", at.len());
+        let rounds = at
+            .iter()
+            .zip(std::iter::once(&f64::MIN).chain(&at))
+            .filter(|(t, u)| **t > **u + 900.0);
+        assert!(
+            rounds.count() <= 6 && at.len() <= 30,
+            "gateway {seed}: {} connections in 5 s",
+            at.len()
+        );
         asked += at.len();
     }
     assert!(asked > 0, "nobody met it: the test tells nothing");
@@ -307,22 +440,48 @@
     let mut g = Gateway::new(one_of(1, false), fleet(3));
     let out = sends(&g.take(query(1, 0)));
     for update in [ListUpdate::Patch, ListUpdate::Whole, ListUpdate::Patch] {
-        let repeated = g.does(Event::Engines { update, entries: fleet(3) });
-        assert_eq!((sends(&repeated), finals(&repeated)), (vec![], vec![]), "what is out stays out");
+        let repeated = g.does(Event::Engines {
+            update,
+            entries: fleet(3),
+        });
+        assert_eq!(
+            (sends(&repeated), finals(&repeated)),
+            (vec![], vec![]),
+            "what is out stays out"
+        );
     }
-    let gone = EngineEntry { state: EngineState::Gone, ..entry("never") };
-    g.does(Event::Engines { update: ListUpdate::Patch, entries: vec![gone.clone(), gone] });
+    let gone = EngineEntry {
+        state: EngineState::Gone,
+        ..entry("never")
+    };
+    g.does(Event::Engines {
+        update: ListUpdate::Patch,
+        entries: vec![gone.clone(), gone],
+    });
     let p = play(&mut g, 60, |_, _| Outcome::Served);
     assert!(p.sent.iter().all(|(_, e)| e != "never"));
     assert_eq!((out.len(), p.served), (1, 60));
     // The id of one that has gone comes back as a new process: it is cold, and what was known of it is forgotten.
-    let gone = EngineEntry { state: EngineState::Gone, ..entry("e0") };
-    g.does(Event::Engines { update: ListUpdate::Patch, entries: vec![gone] });
-    let new = EngineEntry { started: Some(g.now), ..entry("e0") };
-    g.does(Event::Engines { update: ListUpdate::Patch, entries: vec![new] });
+    let gone = EngineEntry {
+        state: EngineState::Gone,
+        ..entry("e0")
+    };
+    g.does(Event::Engines {
+        update: ListUpdate::Patch,
+        entries: vec![gone],
+    });
+    let new = EngineEntry {
+        started: Some(g.now),
+        ..entry("e0")
+    };
+    g.does(Event::Engines {
+        update: ListUpdate::Patch,
+        entries: vec![new],
+    });
     let p = play(&mut g, 100, |_, _| Outcome::Served);
     let r = settings(vec![class(1.0, 1.0)]).rules;
-    let bound = r.fall_multiple * (r.cold_from + 0.7 * 1500.0 / r.warm_within) * 8.0 * r.fall_window;
+    let bound =
+        r.fall_multiple * (r.cold_from + 0.7 * 1500.0 / r.warm_within) * 8.0 * r.fall_window;
     assert!(most_in_a_window(&p, "e0", r.fall_window) <= bound);
 }
 
@@ -330,8 +489,17 @@
 #[test]
 fn an_engine_met_once_in_many_seconds_is_not_judged_by_what_it_was_then() {
     let mut g = Gateway::new(one_of(1, false), fleet(2));
-    let p = play(&mut g, 60, |_, e| if e == "e0" { Outcome::Error } else { Outcome::Served });
-    assert!(p.sent.iter().filter(|s| s.1 == "e0").count() < 30, "left while it fails");
+    let p = play(&mut g, 60, |_, e| {
+        if e == "e0" {
+            Outcome::Error
+        } else {
+            Outcome::Served
+        }
+    });
+    assert!(
+        p.sent.iter().filter(|s| s.1 == "e0").count() < 30,
+        "left while it fails"
+    );
     g.does(answer("e0", 60.0));
     g.pass(30_000.0);
     let p = play(&mut g, 100, |_, _| Outcome::Served);
--- a/tests/moments.rs
+++ b/tests/moments.rs
@@ -44,31 +44,70 @@
 }
 
 /// A dispatcher before one engine that this test plays itself.
-async fn stand(engine: TcpListener, keyed: (Group, f64), tweak: impl FnOnce(&mut Sockets)) -> Stand {
+async fn stand(
+    engine: TcpListener,
+    keyed: (Group, f64),
+    tweak: impl FnOnce(&mut Sockets),
+) -> Stand {
     let (_, mut names, mut sockets) = scenario::core();
     tweak(&mut sockets);
     let mut settings = scenario::settings();
-    let effect = Effect::Keyed { group: keyed.0, window: keyed.1 };
-    settings.classes.push(hitchwinch::Class { effect, ..settings.classes[LOOKUP].clone() });
+    let effect = Effect::Keyed {
+        group: keyed.0,
+        window: keyed.1,
+    };
+    settings.classes.push(hitchwinch::Class {
+        effect,
+        ..settings.classes[LOOKUP].clone()
+    });
     names.classes = CLASSES.map(String::from).to_vec();
-    let bounds = Bounds { open: 100, margin: 20.0, page_wait: 600.0 };
+    let bounds = Bounds {
+        open: 100,
+        margin: 20.0,
+        page_wait: 600.0,
+    };
     let core = Core::new(settings, 1, bounds).unwrap();
     let pool = Pool::default();
-    let hub = Hub::new(core, names, RespUpstream::new(sockets, vec![], pool.clone()));
+    let hub = Hub::new(
+        core,
+        names,
+        RespUpstream::new(sockets, vec![], pool.clone()),
+    );
     let engines = vec![engine.local_addr().unwrap()];
     hub.change(&change(&engines, None));
     spawn_local(hub.clone().clock());
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     // The machine takes any answer whole, whether or not its client does.
-    SockRef::from(&listener).set_send_buffer_size(256 * 1024).unwrap();
+    SockRef::from(&listener)
+        .set_send_buffer_size(256 * 1024)
+        .unwrap();
     let at = listener.local_addr().unwrap();
-    let front = Front::new(hub.clone(), pool, &Machine { memory_mb: 64, sockets: 64 });
+    let front = Front::new(
+        hub.clone(),
+        pool,
+        &Machine {
+            memory_mb: 64,
+            sockets: 64,
+        },
+    );
     spawn_local(front.clone().accept(listener));
-    Stand { hub, front, at, engine, engines, answers: Rc::default() }
+    Stand {
+        hub,
+        front,
+        at,
+        engine,
+        engines,
+        answers: Rc::default(),
+    }
 }
 
 async fn plain() -> Stand {
-    stand(TcpListener::bind("127.0.0.1:0").await.unwrap(), (Group::All, 0.0), |_| {}).await
+    stand(
+        TcpListener::bind("127.0.0.1:0").await.unwrap(),
+        (Group::All, 0.0),
+        |_| {},
+    )
+    .await
 }
 
 /// An engine that keeps little of what it does not read.
@@ -88,7 +127,14 @@
     /// The same with its deadline and the size of its statement.
     fn ask_for(&self, txn: u64, class: usize, ms: f64, size: usize) {
         let deadline = unix_ms() + ms;
-        let new = NewRequest { class, tenant: Some(0), group: None, deadline, work: None, memory_mb: None };
+        let new = NewRequest {
+            class,
+            tenant: Some(0),
+            group: None,
+            deadline,
+            work: None,
+            memory_mb: None,
+        };
         let statement = Bytes::from(format!("select '{}'", "x".repeat(size)));
         let answers = self.answers.clone();
         let told = move |reply| {
@@ -101,7 +147,11 @@
             };
             answers.borrow_mut().push((txn, told));
         };
-        self.hub.open(new, Work::free(&name(txn), CLASSES[class], statement), Box::new(told));
+        self.hub.open(
+            new,
+            Work::free(&name(txn), CLASSES[class], statement),
+            Box::new(told),
+        );
     }
 
     /// Each has one answer, and it is this.
@@ -117,7 +167,10 @@
 
     /// The engine's next connection.
     async fn dialled(&self) -> TcpStream {
-        within("a connection", self.engine.accept()).await.unwrap().0
+        within("a connection", self.engine.accept())
+            .await
+            .unwrap()
+            .0
     }
 
     /// Nothing more comes up at the engine.
@@ -134,13 +187,26 @@
 fn fields(all: &[(&str, &str)]) -> Vec<u8> {
     let mut p = vec![all.len() as u8];
     for (n, v) in all {
-        p.extend([&[n.len() as u8], n.as_bytes(), &(v.len() as u16).to_be_bytes(), v.as_bytes()].concat());
+        p.extend(
+            [
+                &[n.len() as u8],
+                n.as_bytes(),
+                &(v.len() as u16).to_be_bytes(),
+                v.as_bytes(),
+            ]
+            .concat(),
+        );
     }
     p
 }
 
 fn request(stream: u32, txn: u64, class: &str) -> Vec<u8> {
-    let mut p = fields(&[("verb", class), ("txn", &name(txn)), ("limit", "5000"), ("team", "acme")]);
+    let mut p = fields(&[
+        ("verb", class),
+        ("txn", &name(txn)),
+        ("limit", "5000"),
+        ("team", "acme"),
+    ]);
     p.extend(b"select a from t");
     frame(2, stream, &p)
 }
@@ -154,12 +220,18 @@
 // ---- repeats, against the window in which engines know them
 
 /// By group: what a client is told of a request that may have run and can't be sent again.
-const GROUPS: [(Group, &str); 3] =
-    [(Group::All, "refused"), (Group::Zone, "failed"), (Group::Cell, "failed")];
+const GROUPS: [(Group, &str); 3] = [
+    (Group::All, "refused"),
+    (Group::Zone, "failed"),
+    (Group::Cell, "failed"),
+];
 
 /// Its connection breaks, and the repeat waits for another that comes up a second later.
 async fn repeat_before_a_late_connection(group: Group, told: &'static str) {
-    let s = stand(tight(), (group, 300.0), |sockets| sockets.connect_timeout = 4000.0).await;
+    let s = stand(tight(), (group, 300.0), |sockets| {
+        sockets.connect_timeout = 4000.0
+    })
+    .await;
     s.ask(1, KEYED);
     let mut engine = s.dialled().await;
     assert_eq!(get(&mut engine).await, name(1));
@@ -170,7 +242,11 @@
     drop((s.dialled().await, filler));
     let mut late = s.dialled().await;
     s.ask(2, LOOKUP);
-    assert_eq!(get(&mut late).await, name(2), "the first that it carries is another's");
+    assert_eq!(
+        get(&mut late).await,
+        name(2),
+        "the first that it carries is another's"
+    );
     serve(&mut late, &name(2), 1).await;
     s.owes(0).await;
     s.answered(&[(1, told), (2, "served")]);
@@ -203,7 +279,11 @@
     assert_eq!(get(&mut stalled).await, name(3), "it was begun before");
     serve(&mut stalled, &name(3), 1).await;
     s.ask(4, LOOKUP);
-    assert_eq!(get(&mut stalled).await, name(4), "nothing else stood behind it");
+    assert_eq!(
+        get(&mut stalled).await,
+        name(4),
+        "nothing else stood behind it"
+    );
     serve(&mut stalled, &name(4), 1).await;
     s.owes(0).await;
     s.answered(&[(1, "served"), (2, told), (3, "served"), (4, "served")]);
@@ -230,7 +310,8 @@
         within("a byte", again.read_exact(&mut [0])).await.unwrap();
         pass(1050).await;
         let mut all = vec![];
-        let end = tokio::time::timeout(Duration::from_millis(500), again.read_to_end(&mut all)).await;
+        let end =
+            tokio::time::timeout(Duration::from_millis(500), again.read_to_end(&mut all)).await;
         assert!(all.len() < 100_000, "{} bytes came ({end:?})", all.len());
         s.owes(0).await;
         s.answered(&[(1, "failed")]);
@@ -244,7 +325,12 @@
     on_one_thread(async {
         for (group, told) in GROUPS {
             for window in [0.0, 5.0, 20.0] {
-                let s = stand(TcpListener::bind("127.0.0.1:0").await.unwrap(), (group, window), |_| {}).await;
+                let s = stand(
+                    TcpListener::bind("127.0.0.1:0").await.unwrap(),
+                    (group, window),
+                    |_| {},
+                )
+                .await;
                 s.ask(1, KEYED);
                 let mut engine = s.dialled().await;
                 get(&mut engine).await;
@@ -266,7 +352,12 @@
             (Group::Zone, "failed as late"),
             (Group::Cell, "failed as late"),
         ] {
-            let s = stand(TcpListener::bind("127.0.0.1:0").await.unwrap(), (group, 100.0), |_| {}).await;
+            let s = stand(
+                TcpListener::bind("127.0.0.1:0").await.unwrap(),
+                (group, 100.0),
+                |_| {},
+            )
+            .await;
             s.ask_for(1, KEYED, 150.0, 1);
             let mut engine = s.dialled().await;
             get(&mut engine).await;
@@ -334,7 +425,9 @@
         drop(rests);
         until("none", || s.front.connections() == 0).await;
         assert!(
-            tokio::time::timeout(Duration::from_millis(50), engine.read_u8()).await.is_err(),
+            tokio::time::timeout(Duration::from_millis(50), engine.read_u8())
+                .await
+                .is_err(),
             "one reached it"
         );
     });
@@ -377,28 +470,45 @@
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let at = listener.local_addr().unwrap();
             let shared = Rc::new(Shared::open(None).unwrap());
-            let admin = Admin::new(s.hub.clone(), Pool::default(), shared, Watched::default(), 24);
+            let admin = Admin::new(
+                s.hub.clone(),
+                Pool::default(),
+                shared,
+                Watched::default(),
+                24,
+            );
             spawn_local(admin.accept(listener));
             let mut callers = vec![];
             for _ in 0..24 {
                 callers.push(TcpStream::connect(at).await.unwrap());
             }
             pass(10).await;
-            let newcomers: Vec<_> =
-                callers.iter().map(|_| std::net::TcpStream::connect(at).unwrap()).collect();
+            let newcomers: Vec<_> = callers
+                .iter()
+                .map(|_| std::net::TcpStream::connect(at).unwrap())
+                .collect();
             for _ in 0..turns {
                 tokio::task::yield_now().await;
             }
             // Those that have been closed by now have been closed with nothing unread.
-            let open = |c: &TcpStream| SockRef::from(c).peek(&mut [std::mem::MaybeUninit::uninit()]).is_err();
+            let open = |c: &TcpStream| {
+                SockRef::from(c)
+                    .peek(&mut [std::mem::MaybeUninit::uninit()])
+                    .is_err()
+            };
             callers.retain(open);
             for caller in &callers {
-                caller.try_write(b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n").unwrap();
+                caller
+                    .try_write(b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n")
+                    .unwrap();
             }
             for caller in &mut callers {
                 let mut answer = String::new();
                 let read = within("an answer", caller.read_to_string(&mut answer)).await;
-                assert!(read.is_ok() && answer.starts_with("HTTP/1.1 200 "), "{turns}: {read:?} {answer}");
+                assert!(
+                    read.is_ok() && answer.starts_with("HTTP/1.1 200 "),
+                    "{turns}: {read:?} {answer}"
+                );
             }
             drop(newcomers);
         }
@@ -432,7 +542,9 @@
                 pass(10).await;
                 if reset {
                     for engine in [&first, &second] {
-                        SockRef::from(engine).set_linger(Some(Duration::ZERO)).unwrap();
+                        SockRef::from(engine)
+                            .set_linger(Some(Duration::ZERO))
+                            .unwrap();
                     }
                 }
                 drop((first, second));
@@ -493,7 +605,10 @@
         s.owes(0).await;
         s.answered(&[(1, "refused as late"), (2, "served")]);
         let end = tokio::time::timeout(Duration::from_millis(1500), engine.read_u8()).await;
-        assert!(matches!(end, Ok(Err(_))), "and the one that stands in the middle is closed");
+        assert!(
+            matches!(end, Ok(Err(_))),
+            "and the one that stands in the middle is closed"
+        );
     });
 }
 
@@ -525,8 +640,13 @@
 fn a_request_takes_the_connection_that_is_up_not_the_one_that_is_coming() {
     on_one_thread(async {
         let engine = tight();
-        let filler = TcpStream::connect(engine.local_addr().unwrap()).await.unwrap();
-        let s = stand(engine, (Group::All, 0.0), |sockets| sockets.connect_timeout = 4000.0).await;
+        let filler = TcpStream::connect(engine.local_addr().unwrap())
+            .await
+            .unwrap();
+        let s = stand(engine, (Group::All, 0.0), |sockets| {
+            sockets.connect_timeout = 4000.0
+        })
+        .await;
         s.ask(1, LOOKUP);
         pass(50).await;
         drop((s.dialled().await, filler));
@@ -555,18 +675,24 @@
         let engine = tight();
         let at = engine.local_addr().unwrap();
         let filler = TcpStream::connect(at).await.unwrap();
-        let s = stand(engine, (Group::Cell, 50.0), |sockets| sockets.connect_timeout = 150.0).await;
+        let s = stand(engine, (Group::Cell, 50.0), |sockets| {
+            sockets.connect_timeout = 150.0
+        })
+        .await;
         let healthy = TcpListener::bind("127.0.0.1:0").await.unwrap();
         (0..3).for_each(|class| s.ask(class as u64, class));
         pass(50).await;
-        s.hub.change(&change(&[at, healthy.local_addr().unwrap()], None));
+        s.hub
+            .change(&change(&[at, healthy.local_addr().unwrap()], None));
         let mut served = 0;
         let serving = async {
             let mut open = vec![];
             while served < 3 {
                 let mut tcp = healthy.accept().await.unwrap().0;
                 // On one connection or several: each is read until nothing more comes.
-                while let Ok(id) = tokio::time::timeout(Duration::from_millis(30), get(&mut tcp)).await {
+                while let Ok(id) =
+                    tokio::time::timeout(Duration::from_millis(30), get(&mut tcp)).await
+                {
                     serve(&mut tcp, &id, 1).await;
                     served += 1;
                 }
@@ -587,7 +713,10 @@
     let engine = tight();
     let at = engine.local_addr().unwrap();
     let filler = TcpStream::connect(at).await.unwrap();
-    let s = stand(engine, (Group::All, 0.0), |sockets| sockets.connect_timeout = 4000.0).await;
+    let s = stand(engine, (Group::All, 0.0), |sockets| {
+        sockets.connect_timeout = 4000.0
+    })
+    .await;
     s.ask_for(1, LOAD, if how == "over" { 400.0 } else { 2000.0 }, 1);
     pass(50).await;
     drop((s.dialled().await, filler));
@@ -655,8 +784,9 @@
         }
     };
     let next = tokio::time::timeout(Duration::from_secs(1), next).await;
-    let next =
-        next.unwrap_or_else(|_| panic!("something is held after {told} in {ms} ms, promises: {promises}"));
+    let next = next.unwrap_or_else(|_| {
+        panic!("something is held after {told} in {ms} ms, promises: {promises}")
+    });
     assert!([name(2), String::new()].contains(&next));
 }
 
@@ -713,7 +843,13 @@
             team,
             ("Verb", "load"),
         ]),
-        fields(&[("verb", "lookup"), ("txn", &txn(4)), ("limit", "5000"), team, (&"n".repeat(255), "v")]),
+        fields(&[
+            ("verb", "lookup"),
+            ("txn", &txn(4)),
+            ("limit", "5000"),
+            team,
+            (&"n".repeat(255), "v"),
+        ]),
     ];
     let mut all = vec![];
     // Asked with no fields, with none at all, and with some; left on a stream that nobody knows, with a payload.
@@ -728,7 +864,12 @@
         all.extend(frame(2, 100 - i as u32, &payload));
     }
     // As large as a frame may be.
-    let mut largest = fields(&[("verb", "lookup"), ("txn", &txn(5)), ("limit", "5000"), team]);
+    let mut largest = fields(&[
+        ("verb", "lookup"),
+        ("txn", &txn(5)),
+        ("limit", "5000"),
+        team,
+    ]);
     largest.resize(262_144 - 5, b'x');
     all.extend(frame(2, 1000, &largest));
     (all, n + 1)
@@ -779,10 +920,19 @@
             seen.sort_unstable();
             let largest = 262_144
                 - 5
-                - fields(&[("verb", "lookup"), ("txn", &name(5)), ("limit", "5000"), ("team", "acme")]).len();
+                - fields(&[
+                    ("verb", "lookup"),
+                    ("txn", &name(5)),
+                    ("limit", "5000"),
+                    ("team", "acme"),
+                ])
+                .len();
             let ids = [1, 2, 3, 4].map(|n| (name(n), 20));
             assert_eq!(seen[..4], ids);
-            assert_eq!(seen[4..], [(name(5), largest), ("ABCDEFABCDEFABCD".into(), 20)]);
+            assert_eq!(
+                seen[4..],
+                [(name(5), largest), ("ABCDEFABCDEFABCD".into(), 20)]
+            );
         }
     });
 }
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -27,12 +27,24 @@
 type Wire = Framed<TcpStream, PacketCodec>;
 
 fn wire(tcp: TcpStream) -> Wire {
-    Framed::new(tcp, PacketCodec { most: 1 << 20, sequence: 0 })
+    Framed::new(
+        tcp,
+        PacketCodec {
+            most: 1 << 20,
+            sequence: 0,
+        },
+    )
 }
 
 /// A result of one column and one row.
 fn rows(row: &[u8], end: bool) -> Vec<Vec<u8>> {
-    let column = [&[3][..], b"def", &[0, 0, 0, 1], b"n", &[0, 0x0c, 45, 0, 9, 0, 0, 0, 0xfd, 0, 0, 0, 0, 0]];
+    let column = [
+        &[3][..],
+        b"def",
+        &[0, 0, 0, 1],
+        b"n",
+        &[0, 0x0c, 45, 0, 9, 0, 0, 0, 0xfd, 0, 0, 0, 0, 0],
+    ];
     let eof = vec![0xfe, 0, 0, 2, 0];
     let mut all = vec![vec![1], column.concat(), eof.clone(), row.to_vec()];
     all.extend(end.then_some(eof));
@@ -46,12 +58,24 @@
 async fn engine(number: usize, tcp: TcpStream, seen: mpsc::UnboundedSender<Seen>) {
     let mut w = wire(tcp);
     let nonce = vec![number as u8 + 1; 20];
-    let greeting = Greeting { connection: 7, nonce, plugin: auth::SHA2.into(), capabilities: CAPABILITIES };
+    let greeting = Greeting {
+        connection: 7,
+        nonce,
+        plugin: auth::SHA2.into(),
+        capabilities: CAPABILITIES,
+    };
     w.send(&greeting.write("8.0.0")[..]).await.unwrap();
-    let Some(Ok(login)) = w.next().await else { return };
+    let Some(Ok(login)) = w.next().await else {
+        return;
+    };
     let login = Login::read(login).unwrap();
     assert_eq!(login.user, "engine");
-    assert!(auth::proves(&login.plugin, "inner", &greeting.nonce, &login.auth));
+    assert!(auth::proves(
+        &login.plugin,
+        "inner",
+        &greeting.nonce,
+        &login.auth
+    ));
     w.send(&[1u8, 3][..]).await.unwrap();
     w.send(&ok()[..]).await.unwrap();
     let (orders, mut inbox) = mpsc::unbounded_channel::<&'static str>();
@@ -70,7 +94,9 @@
                 w.feed(&head[..]).await.unwrap();
                 let column = &rows(&ROW, false)[1];
                 let eof: &[u8] = &[0xfe, 0, 0, 2, 0];
-                for p in std::iter::repeat_n(&column[..], params.into()).chain((params > 0).then_some(eof)) {
+                for p in std::iter::repeat_n(&column[..], params.into())
+                    .chain((params > 0).then_some(eof))
+                {
                     w.feed(p).await.unwrap();
                 }
                 w.feed(&column[..]).await.unwrap();
@@ -83,7 +109,9 @@
                 continue;
             }
             STMT_CLOSE => {
-                statements.remove(&id()).expect("a statement of this connection is closed");
+                statements
+                    .remove(&id())
+                    .expect("a statement of this connection is closed");
                 continue;
             }
             INIT_DB => {
@@ -91,11 +119,17 @@
                 continue;
             }
             STMT_EXECUTE => {
-                let sql = statements.get(&id()).expect("a statement of this very connection").clone();
+                let sql = statements
+                    .get(&id())
+                    .expect("a statement of this very connection")
+                    .clone();
                 if sql.contains('?') {
                     assert_eq!(&p[11..13], [1, 0xfd], "types are named to every connection");
-                    let sent =
-                        if long.is_empty() { text[13..].to_string() } else { std::mem::take(&mut long) };
+                    let sent = if long.is_empty() {
+                        text[13..].to_string()
+                    } else {
+                        std::mem::take(&mut long)
+                    };
                     assert!(sent.ends_with("par"), "the parameter came along: {sent:?}");
                 }
                 sql
@@ -113,7 +147,12 @@
             () if sql.contains("select") => "lookup",
             () => "load",
         };
-        seen.send(Seen { engine: number, class: class.into(), orders: orders.clone() }).unwrap();
+        seen.send(Seen {
+            engine: number,
+            class: class.into(),
+            orders: orders.clone(),
+        })
+        .unwrap();
         if class == "dropped" {
             w.send(&ok()[..]).await.unwrap();
             continue;
@@ -165,12 +204,18 @@
     };
     w.send(&login.write(1 << 20)[..]).await.unwrap();
     let p = w.next().await.unwrap().unwrap();
-    if p[0] == 0xff { Err(read_err(&p)) } else { Ok(w) }
+    if p[0] == 0xff {
+        Err(read_err(&p))
+    } else {
+        Ok(w)
+    }
 }
 
 async fn command(w: &mut Wire, kind: u8, parts: &[&[u8]]) {
     w.codec_mut().sequence = 0;
-    w.send(&[&[kind], &parts.concat()[..]].concat()[..]).await.unwrap();
+    w.send(&[&[kind], &parts.concat()[..]].concat()[..])
+        .await
+        .unwrap();
 }
 
 async fn packet(w: &mut Wire) -> Bytes {
@@ -210,7 +255,12 @@
 /// With types only the first time: later ones are remembered for the session.
 async fn execute(w: &mut Wire, id: u32, typed: bool) {
     let types: &[u8] = if typed { &[1, 0xfd, 0] } else { &[0] };
-    command(w, STMT_EXECUTE, &[&id.to_le_bytes(), &[0, 1, 0, 0, 0], &[0], types, b"\x03par"]).await;
+    command(
+        w,
+        STMT_EXECUTE,
+        &[&id.to_le_bytes(), &[0, 1, 0, 0, 0], &[0], types, b"\x03par"],
+    )
+    .await;
 }
 
 impl Client for MysqlClient {
@@ -219,10 +269,18 @@
             self.wire = Some(log_in(self.address, "ann", "secret").await.unwrap());
         }
         let w = self.wire.as_mut().unwrap();
-        let verb = if class == "lookup" { "select n from" } else { "insert into" };
+        let verb = if class == "lookup" {
+            "select n from"
+        } else {
+            "insert into"
+        };
         let sql = format!("{verb} sales_17.orders /* ? */ where x = ?").replace(" /* ? */", "");
         // The limit stands in the leading comment, so a limited one is another statement.
-        let sql = if ms == 5000 { sql } else { format!("/* limit={ms} */ {sql}") };
+        let sql = if ms == 5000 {
+            sql
+        } else {
+            format!("/* limit={ms} */ {sql}")
+        };
         let typed = !self.prepared.contains_key(&sql);
         if typed {
             let id = prepare(w, &sql).await.unwrap();
@@ -267,26 +325,51 @@
     (hub, client, addresses, seen)
 }
 
-async fn set_up_front() -> (Rc<Hub<MysqlUpstream>>, Rc<Front<MysqlUpstream>>, MysqlClient, Seens) {
+async fn set_up_front() -> (
+    Rc<Hub<MysqlUpstream>>,
+    Rc<Front<MysqlUpstream>>,
+    MysqlClient,
+    Seens,
+) {
     let (hub, front, client, _, seen) = set_up_all().await;
     (hub, front, client, seen)
 }
 
-async fn set_up_all()
--> (Rc<Hub<MysqlUpstream>>, Rc<Front<MysqlUpstream>>, MysqlClient, Vec<SocketAddr>, Seens) {
+async fn set_up_all() -> (
+    Rc<Hub<MysqlUpstream>>,
+    Rc<Front<MysqlUpstream>>,
+    MysqlClient,
+    Vec<SocketAddr>,
+    Seens,
+) {
     let (addresses, seen) = engines(engine).await;
     let (core, names, sockets) = core();
     let pool = Pool::default();
-    let (spools, done) = Spools::open(&spools(), names.classes.clone(), names.tenants.clone()).unwrap();
+    let (spools, done) =
+        Spools::open(&spools(), names.classes.clone(), names.tenants.clone()).unwrap();
     spawn_local(spools.clone().attend(done));
-    let hub = Hub::new(core, names, MysqlUpstream::new(access(), sockets, pool.clone(), spools.clone()));
+    let hub = Hub::new(
+        core,
+        names,
+        MysqlUpstream::new(access(), sockets, pool.clone(), spools.clone()),
+    );
     hub.change(&change(&addresses, None));
     spawn_local(hub.clone().clock());
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let front = Front::new(hub.clone(), pool, mysql_front(), spools);
     spawn_local(front.clone().accept(listener));
-    (hub, front, MysqlClient { address, wire: None, prepared: HashMap::new() }, addresses, seen)
+    (
+        hub,
+        front,
+        MysqlClient {
+            address,
+            wire: None,
+            prepared: HashMap::new(),
+        },
+        addresses,
+        seen,
+    )
 }
 
 #[test]
@@ -330,41 +413,106 @@
         let (_hub, client, _, mut seen) = set_up().await;
         let wrong = log_in(client.address, "ann", "wrong").await.err().unwrap();
         assert_eq!(wrong.code, 1045);
-        assert_eq!(log_in(client.address, "bob", "").await.err().unwrap().code, 1045);
+        assert_eq!(
+            log_in(client.address, "bob", "").await.err().unwrap().code,
+            1045
+        );
         let mut w = log_in(client.address, "ann", "secret").await.unwrap();
-        for sql in ["xa start 'x'", "set names latin1", "load data local infile 'x' into table t", "call p()"]
-        {
+        for sql in [
+            "xa start 'x'",
+            "set names latin1",
+            "load data local infile 'x' into table t",
+            "call p()",
+        ] {
             command(&mut w, QUERY, &[sql.as_bytes()]).await;
             assert_eq!(result(&mut w).await.unwrap_err().code, 1235, "{sql}");
         }
-        for (kind, code) in [(STMT_FETCH, 1243), (0x77, 1047), (STMT_RESET, 1243), (STMT_EXECUTE, 1243)] {
+        for (kind, code) in [
+            (STMT_FETCH, 1243),
+            (0x77, 1047),
+            (STMT_RESET, 1243),
+            (STMT_EXECUTE, 1243),
+        ] {
             command(&mut w, kind, &[&[9, 0, 0, 0]]).await;
-            assert_eq!(result(&mut w).await.unwrap_err().code, code, "command {kind}");
+            assert_eq!(
+                result(&mut w).await.unwrap_err().code,
+                code,
+                "command {kind}"
+            );
         }
-        for (kind, body) in [(PING, ""), (INIT_DB, "sales_17"), (QUERY, "set names utf8mb4")] {
+        for (kind, body) in [
+            (PING, ""),
+            (INIT_DB, "sales_17"),
+            (QUERY, "set names utf8mb4"),
+        ] {
             command(&mut w, kind, &[body.as_bytes()]).await;
             assert!(result(&mut w).await.is_ok(), "command {kind}");
         }
-        let id = prepare(&mut w, "select n from t where x = ?").await.unwrap();
-        command(&mut w, STMT_EXECUTE, &[&id.to_le_bytes(), &[2, 1, 0, 0, 0, 0, 1, 0xfd, 0], b"\x03par"])
-            .await;
-        assert_eq!(result(&mut w).await.unwrap_err().code, 1235, "a cursor that writes");
-        command(&mut w, STMT_EXECUTE, &[&id.to_le_bytes(), &[0, 1, 0, 0, 0, 0, 1, 0xfd, 0], b"\x09par"])
-            .await;
-        assert_eq!(result(&mut w).await.unwrap_err().code, 1210, "a parameter that ends early");
+        let id = prepare(&mut w, "select n from t where x = ?")
+            .await
+            .unwrap();
+        command(
+            &mut w,
+            STMT_EXECUTE,
+            &[
+                &id.to_le_bytes(),
+                &[2, 1, 0, 0, 0, 0, 1, 0xfd, 0],
+                b"\x03par",
+            ],
+        )
+        .await;
+        assert_eq!(
+            result(&mut w).await.unwrap_err().code,
+            1235,
+            "a cursor that writes"
+        );
+        command(
+            &mut w,
+            STMT_EXECUTE,
+            &[
+                &id.to_le_bytes(),
+                &[0, 1, 0, 0, 0, 0, 1, 0xfd, 0],
+                b"\x09par",
+            ],
+        )
+        .await;
+        assert_eq!(
+            result(&mut w).await.unwrap_err().code,
+            1210,
+            "a parameter that ends early"
+        );
         // Long data in two pieces, then one that has to be forgotten.
         for piece in [&b"long "[..], b"par"] {
-            command(&mut w, STMT_SEND_LONG_DATA, &[&id.to_le_bytes(), &[0, 0], piece]).await;
+            command(
+                &mut w,
+                STMT_SEND_LONG_DATA,
+                &[&id.to_le_bytes(), &[0, 0], piece],
+            )
+            .await;
         }
         let execute = [&id.to_le_bytes()[..], &[0, 1, 0, 0, 0, 0, 1, 0xfd, 0]].concat();
         command(&mut w, STMT_EXECUTE, &[&execute]).await;
         let asked = seen.recv().await.unwrap();
         asked.orders.send("rows").unwrap();
         assert_eq!(result(&mut w).await.unwrap()[3][..], ROW);
-        command(&mut w, STMT_SEND_LONG_DATA, &[&id.to_le_bytes(), &[0, 0], &[b'x'; 70_000][..65_000]]).await;
-        command(&mut w, STMT_SEND_LONG_DATA, &[&id.to_le_bytes(), &[0, 0], &[b'x'; 1000]]).await;
+        command(
+            &mut w,
+            STMT_SEND_LONG_DATA,
+            &[&id.to_le_bytes(), &[0, 0], &[b'x'; 70_000][..65_000]],
+        )
+        .await;
+        command(
+            &mut w,
+            STMT_SEND_LONG_DATA,
+            &[&id.to_le_bytes(), &[0, 0], &[b'x'; 1000]],
+        )
+        .await;
         command(&mut w, STMT_EXECUTE, &[&execute]).await;
-        assert_eq!(result(&mut w).await.unwrap_err().code, 1153, "long data above the bound");
+        assert_eq!(
+            result(&mut w).await.unwrap_err().code,
+            1153,
+            "long data above the bound"
+        );
         prepare(&mut w, "select 2").await.unwrap();
         let third = prepare(&mut w, "select 3").await.unwrap();
         assert_eq!(prepare(&mut w, "select 4").await.unwrap_err().code, 1461);
@@ -372,7 +520,11 @@
         prepare(&mut w, "select 4").await.unwrap();
         assert!(seen.try_recv().is_err(), "nothing of that ran");
         command(&mut w, QUERY, &[&[b' '; 70_000]]).await;
-        assert_eq!(result(&mut w).await.unwrap_err().code, 1153, "a packet above the bound");
+        assert_eq!(
+            result(&mut w).await.unwrap_err().code,
+            1153,
+            "a packet above the bound"
+        );
         assert!(w.next().await.is_none(), "and the session ends");
     });
 }
@@ -385,7 +537,10 @@
         for how in ["quit", "early and closed", "closed", "reset"] {
             let (hub, client, addresses, mut seen) = set_up().await;
             let mut w = log_in(client.address, "ann", "secret").await.unwrap();
-            hub.change(&Change { update: ListUpdate::Whole, engines: vec![] });
+            hub.change(&Change {
+                update: ListUpdate::Whole,
+                engines: vec![],
+            });
             command(&mut w, QUERY, &[b"insert into sales_17.orders values (1)"]).await;
             while hub.owed() == 0 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
@@ -401,7 +556,9 @@
                     None
                 }
                 "reset" => {
-                    socket2::SockRef::from(w.get_ref()).set_linger(Some(Duration::ZERO)).unwrap();
+                    socket2::SockRef::from(w.get_ref())
+                        .set_linger(Some(Duration::ZERO))
+                        .unwrap();
                     drop(w);
                     None
                 }
--- a/tests/mysql_gone.rs
+++ b/tests/mysql_gone.rs
@@ -51,13 +51,27 @@
 const LEAVERS: &str = "insert into sales_17.leaver values (1)";
 
 fn wire<S: AsyncRead + AsyncWrite>(io: S) -> Wire<S> {
-    Framed::new(io, PacketCodec { most: 1 << 20, sequence: 0 })
+    Framed::new(
+        io,
+        PacketCodec {
+            most: 1 << 20,
+            sequence: 0,
+        },
+    )
 }
 
 /// Packets as they stand on the wire, counted from `sequence`.
 fn framed<'a>(sequence: u8, packets: impl IntoIterator<Item = &'a [u8]>) -> Vec<u8> {
-    let (mut codec, mut bytes) = (PacketCodec { most: 1 << 20, sequence }, BytesMut::new());
-    packets.into_iter().for_each(|p| codec.encode(p, &mut bytes).unwrap());
+    let (mut codec, mut bytes) = (
+        PacketCodec {
+            most: 1 << 20,
+            sequence,
+        },
+        BytesMut::new(),
+    );
+    packets
+        .into_iter()
+        .for_each(|p| codec.encode(p, &mut bytes).unwrap());
     bytes.to_vec()
 }
 
@@ -88,7 +102,10 @@
 
 impl Engines {
     fn holds(&self, what: &str) -> bool {
-        let holds = self.hold.get().is_some_and(|h| what.to_ascii_lowercase().starts_with(h));
+        let holds = self
+            .hold
+            .get()
+            .is_some_and(|h| what.to_ascii_lowercase().starts_with(h));
         if holds {
             self.hold.set(None);
         }
@@ -122,7 +139,10 @@
     }
     w.get_mut().write_all(&word).await.unwrap();
     if engines.holds("silent") {
-        *engines.held.borrow_mut() = Some(Held { wire: w, word: vec![] });
+        *engines.held.borrow_mut() = Some(Held {
+            wire: w,
+            word: vec![],
+        });
         return;
     }
     serve(engines, w).await;
@@ -154,9 +174,14 @@
         let done = [0, 0, 0, status as u8, 0, 0, 0];
         let word = match &what[..] {
             // Number 1, without columns, of as many parameters as it names (one at most).
-            prepare if prepare.contains('?') => {
-                framed(1, [&[0, 1, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0][..], &column(), &eof(AUTOCOMMIT)])
-            }
+            prepare if prepare.contains('?') => framed(
+                1,
+                [
+                    &[0, 1, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0][..],
+                    &column(),
+                    &eof(AUTOCOMMIT),
+                ],
+            ),
             prepare if prepare.starts_with("prepare") => {
                 framed(1, [&[0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0][..]])
             }
@@ -175,7 +200,14 @@
 }
 
 fn column() -> Vec<u8> {
-    [&[3][..], b"def", &[0, 0, 0, 1], b"n", &[0, 0x0c, 45, 0, 9, 0, 0, 0, 0xfd, 0, 0, 0, 0, 0]].concat()
+    [
+        &[3][..],
+        b"def",
+        &[0, 0, 0, 1],
+        b"n",
+        &[0, 0x0c, 45, 0, 9, 0, 0, 0, 0xfd, 0, 0, 0, 0, 0],
+    ]
+    .concat()
 }
 
 /// More than the machine keeps unread and unsent of one connection.
@@ -183,7 +215,13 @@
     let (column, end) = (column(), eof(AUTOCOMMIT));
     let row = [&[0xfc][..], &60_000u16.to_le_bytes(), &[b'x'; 60_000]].concat();
     let rows = std::iter::repeat_n(&row[..], 200);
-    framed(1, [&[1][..], &column, &end].into_iter().chain(rows).chain([&end[..]]))
+    framed(
+        1,
+        [&[1][..], &column, &end]
+            .into_iter()
+            .chain(rows)
+            .chain([&end[..]]),
+    )
 }
 
 struct Stand {
@@ -214,22 +252,59 @@
         });
     }
     let (_, names, sockets) = core();
-    let core = Core::new(settings(), 1, Bounds { open: 1000, margin: 20.0, page_wait: 600.0 }).unwrap();
+    let core = Core::new(
+        settings(),
+        1,
+        Bounds {
+            open: 1000,
+            margin: 20.0,
+            page_wait: 600.0,
+        },
+    )
+    .unwrap();
     let pool = Pool::default();
     let large = SpoolSource::plain(64 << 20);
-    let (spools, done) = Spools::open(&large, names.classes.clone(), names.tenants.clone()).unwrap();
+    let (spools, done) =
+        Spools::open(&large, names.classes.clone(), names.tenants.clone()).unwrap();
     spawn_local(spools.clone().attend(done));
-    let access = Access { connections: 1, ..access() };
-    let hub = Hub::new(core, names, MysqlUpstream::new(access, sockets, pool.clone(), spools.clone()));
+    let access = Access {
+        connections: 1,
+        ..access()
+    };
+    let hub = Hub::new(
+        core,
+        names,
+        MysqlUpstream::new(access, sockets, pool.clone(), spools.clone()),
+    );
     hub.change(&change(&at, None));
     spawn_local(hub.clone().clock());
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let config = mysql_front();
-    let pins = Terms { most: 1, most_of_tenant: 1, ..config.pins.clone() };
-    let front = Front::new(hub.clone(), pool, MysqlFront { max_clients: 400, pins, ..config }, spools);
+    let pins = Terms {
+        most: 1,
+        most_of_tenant: 1,
+        ..config.pins.clone()
+    };
+    let front = Front::new(
+        hub.clone(),
+        pool,
+        MysqlFront {
+            max_clients: 400,
+            pins,
+            ..config
+        },
+        spools,
+    );
     spawn_local(front.clone().accept(listener));
-    Stand { hub, front, address, engines: all, at, before: Cell::new(0) }
+    Stand {
+        hub,
+        front,
+        address,
+        engines: all,
+        at,
+        before: Cell::new(0),
+    }
 }
 
 impl Stand {
@@ -250,8 +325,13 @@
 
     fn since(&self) -> Vec<String> {
         let came = self.engines.came.borrow();
-        let others = |w: &&String| !w.starts_with("KILL") && !w.to_ascii_lowercase().starts_with("set ");
-        came[self.before.get()..].iter().filter(others).cloned().collect()
+        let others =
+            |w: &&String| !w.starts_with("KILL") && !w.to_ascii_lowercase().starts_with("set ");
+        came[self.before.get()..]
+            .iter()
+            .filter(others)
+            .cloned()
+            .collect()
     }
 
     /// The engine's word and the leave are with the machine before the runtime hears of either, and it hears late.
@@ -277,7 +357,11 @@
             let p = packet(&mut other).await;
             assert_eq!(p[0], 0, "{tells}: another's {sql}: {:?}", read_err(&p));
         }
-        assert_eq!(self.since(), ["begin", "insert into sales_17.other values (1)", "commit"], "{tells}");
+        assert_eq!(
+            self.since(),
+            ["begin", "insert into sales_17.other values (1)", "commit"],
+            "{tells}"
+        );
     }
 }
 
@@ -289,7 +373,10 @@
 }
 
 /// Reads the greeting and logs in; in TLS the caller has read the greeting.
-async fn prove<S: AsyncRead + AsyncWrite + Unpin>(w: &mut Wire<S>, greeting: Option<Greeting>) -> u32 {
+async fn prove<S: AsyncRead + AsyncWrite + Unpin>(
+    w: &mut Wire<S>,
+    greeting: Option<Greeting>,
+) -> u32 {
     let flags = if greeting.is_some() { SSL } else { 0 };
     let greeting = match greeting {
         Some(greeting) => greeting,
@@ -298,7 +385,14 @@
     let proof = auth::proof(auth::NATIVE, "secret", &greeting.nonce).unwrap();
     let ends = Ends::default();
     let plugin = auth::NATIVE.into();
-    let mut login = Login { user: "ann".into(), auth: proof, schema: None, plugin, ends }.write(1 << 20);
+    let mut login = Login {
+        user: "ann".into(),
+        auth: proof,
+        schema: None,
+        plugin,
+        ends,
+    }
+    .write(1 << 20);
     let flags = u32::from_le_bytes(login[..4].try_into().unwrap()) | flags;
     login[..4].copy_from_slice(&flags.to_le_bytes());
     w.send(&login[..]).await.unwrap();
@@ -312,26 +406,41 @@
 
 async fn ask<S: AsyncRead + AsyncWrite + Unpin>(w: &mut Wire<S>, kind: u8, text: &str) {
     w.codec_mut().sequence = 0;
-    w.send(&[&[kind], text.as_bytes()].concat()[..]).await.unwrap();
+    w.send(&[&[kind], text.as_bytes()].concat()[..])
+        .await
+        .unwrap();
 }
 
 async fn told(w: &mut Wire) -> Result<(), SqlError> {
     let p = packet(w).await;
-    if p[0] == 0xff { Err(read_err(&p)) } else { Ok(()) }
+    if p[0] == 0xff {
+        Err(read_err(&p))
+    } else {
+        Ok(())
+    }
 }
 
 fn command(kind: u8, text: &str) -> Vec<u8> {
     framed(0, [&[&[kind], text.as_bytes()].concat()[..]])
 }
 
-const WAYS: [&str; 6] =
-    ["quit", "closed", "reset", "a ping and closed", "a ping and quit", "a statement, a ping and quit"];
+const WAYS: [&str; 6] = [
+    "quit",
+    "closed",
+    "reset",
+    "a ping and closed",
+    "a ping and quit",
+    "a statement, a ping and quit",
+];
 
 /// A client leaves in one of these ways; what is kept of it stays open.
 fn leave(w: Wire, way: &str) -> Option<Wire> {
     let tcp = w.get_ref();
     if way.starts_with("a statement") {
-        send_now(tcp, &command(QUERY, "insert into sales_17.leaver values (2)"));
+        send_now(
+            tcp,
+            &command(QUERY, "insert into sales_17.leaver values (2)"),
+        );
     }
     if way.contains("ping") {
         send_now(tcp, &command(PING, ""));
@@ -402,7 +511,9 @@
         ask(&mut w, QUERY, LEAVERS).await;
         let more = command(QUERY, &format!("{LEAVERS} /* {} */", "x".repeat(4_000)));
         let leave = || {
-            let said = (0..25).filter(|_| SockRef::from(w.get_ref()).send(&more).is_ok()).count();
+            let said = (0..25)
+                .filter(|_| SockRef::from(w.get_ref()).send(&more).is_ok())
+                .count();
             assert!(said * more.len() > 64 * 1024, "{said}");
             drop(w);
         };
@@ -414,8 +525,9 @@
 #[test]
 fn nothing_runs_behind_settings_or_a_prepare_that_end_in_the_turn_of_the_leave() {
     on_one_thread(async {
-        for (hold, way) in
-            ["set ", "prepare"].into_iter().flat_map(|h| ["quit", "closed", "reset"].map(|w| (h, w)))
+        for (hold, way) in ["set ", "prepare"]
+            .into_iter()
+            .flat_map(|h| ["quit", "closed", "reset"].map(|w| (h, w)))
         {
             let stand = stand(1).await;
             let mut w = stand.session().await;
@@ -436,7 +548,9 @@
                     w.send(&execute[..]).await.unwrap();
                 }
             }
-            stand.in_one_turn(&format!("{hold}: {way}"), || leave(w, way)).await;
+            stand
+                .in_one_turn(&format!("{hold}: {way}"), || leave(w, way))
+                .await;
         }
     });
 }
@@ -525,14 +639,20 @@
             send_now(tcp, &command(PING, ""));
             match way {
                 "quit" => send_now(tcp, &command(QUIT, "")),
-                _ => SockRef::from(tcp).shutdown(std::net::Shutdown::Write).unwrap(),
+                _ => SockRef::from(tcp)
+                    .shutdown(std::net::Shutdown::Write)
+                    .unwrap(),
             }
             tokio::time::sleep(TERM).await;
             assert_eq!(stand.front.busy(), 1, "it has not taken its answer");
             SockRef::from(tcp).set_recv_buffer_size(1 << 20).unwrap();
             let mut all = vec![];
             drop(w.get_mut().read_to_end(&mut all).await);
-            assert!(all.len() > 200 * 60_000, "the answer came whole: {}", all.len());
+            assert!(
+                all.len() > 200 * 60_000,
+                "the answer came whole: {}",
+                all.len()
+            );
             stand.nothing_more(way).await;
         }
     });
@@ -551,7 +671,14 @@
                 if first != "silent" {
                     match first {
                         "begin" => ask(&mut w, QUERY, "begin").await,
-                        _ => ask(&mut w, STMT_PREPARE, "insert into sales_17.leaver values (?)").await,
+                        _ => {
+                            ask(
+                                &mut w,
+                                STMT_PREPARE,
+                                "insert into sales_17.leaver values (?)",
+                            )
+                            .await
+                        }
                     }
                     let Held { wire, word } = stand.engines.held().await;
                     send_now(wire.get_ref(), &word);
@@ -563,7 +690,12 @@
                     "prepare" => {
                         packet(&mut w).await;
                         packet(&mut w).await;
-                        ask(&mut w, STMT_SEND_LONG_DATA, &format!("\u{1}\0\0\0\0\0{much}")).await;
+                        ask(
+                            &mut w,
+                            STMT_SEND_LONG_DATA,
+                            &format!("\u{1}\0\0\0\0\0{much}"),
+                        )
+                        .await;
                         w.codec_mut().sequence = 0;
                         let execute = [STMT_EXECUTE, 1, 0, 0, 0, 0, 1, 0, 0, 0, 0, 1, 0xfd, 0];
                         w.send(&execute[..]).await.unwrap();
@@ -588,11 +720,19 @@
 fn nothing_of_hundreds_that_leave_in_one_turn_begins() {
     on_one_thread(async {
         let stand = stand(1).await;
-        stand.hub.change(&Change { update: ListUpdate::Whole, engines: vec![] });
+        stand.hub.change(&Change {
+            update: ListUpdate::Whole,
+            engines: vec![],
+        });
         let mut all = vec![];
         for way in WAYS.iter().cycle().take(200) {
             let mut w = stand.session().await;
-            ask(&mut w, QUERY, &format!("insert into sales_17.leaver values ('{way}')")).await;
+            ask(
+                &mut w,
+                QUERY,
+                &format!("insert into sales_17.leaver values ('{way}')"),
+            )
+            .await;
             all.push((w, way));
         }
         while stand.hub.owed() < all.len() {
@@ -601,7 +741,11 @@
         let kept: Vec<_> = all.into_iter().map(|(w, way)| leave(w, way)).collect();
         stand.hub.change(&change(&stand.at, None));
         tokio::time::sleep(TERM).await;
-        assert_eq!(stand.hub.owed(), 0, "the last of them is heeded within the term");
+        assert_eq!(
+            stand.hub.owed(),
+            0,
+            "the last of them is heeded within the term"
+        );
         stand.nothing_more("hundreds").await;
         drop(kept);
     });
@@ -621,7 +765,10 @@
                 ask(&mut victim, QUERY, sql).await;
                 let held = stand.engines.held().await;
                 stand.leaves();
-                send_now(killer.get_ref(), &command(QUERY, &format!("KILL QUERY {number}")));
+                send_now(
+                    killer.get_ref(),
+                    &command(QUERY, &format!("KILL QUERY {number}")),
+                );
                 killer.codec_mut().sequence = 1;
                 if !one_turn {
                     told(&mut killer).await.unwrap();
@@ -634,7 +781,9 @@
                 let e = told(&mut victim).await.unwrap_err();
                 assert_eq!(e.code, code, "{}", e.message);
                 assert!(e.message.contains("KILL QUERY"), "{}", e.message);
-                stand.nothing_more(&format!("{sql}, in one turn: {one_turn}")).await;
+                stand
+                    .nothing_more(&format!("{sql}, in one turn: {one_turn}"))
+                    .await;
                 ask(&mut victim, PING, "").await;
                 told(&mut victim).await.unwrap();
             }
@@ -650,9 +799,16 @@
     let (cert, key) = (folder.path().join("a.pem"), folder.path().join("a.key"));
     std::fs::write(&cert, own.cert.pem()).unwrap();
     std::fs::write(&key, own.signing_key.serialize_pem()).unwrap();
-    let source = TlsSource { only_13: false, required: false, client_ca: None, keys: vec![(cert, key)] };
+    let source = TlsSource {
+        only_13: false,
+        required: false,
+        client_ca: None,
+        keys: vec![(cert, key)],
+    };
     let mut roots = RootCertStore::empty();
-    roots.add(CertificateDer::from(own.cert.der().to_vec())).unwrap();
+    roots
+        .add(CertificateDer::from(own.cert.der().to_vec()))
+        .unwrap();
     let config = ClientConfig::builder_with_provider(Arc::new(ring::default_provider()))
         .with_safe_default_protocol_versions()
         .unwrap()
--- a/tests/mysql_sessions.rs
+++ b/tests/mysql_sessions.rs
@@ -13,8 +13,15 @@
 use tokio::task::LocalSet;
 
 fn play(f: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let timed = async { tokio::time::timeout(Duration::from_secs(60), f).await.expect("it takes too long") };
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
+    let timed = async {
+        tokio::time::timeout(Duration::from_secs(60), f)
+            .await
+            .expect("it takes too long")
+    };
     LocalSet::new().block_on(&runtime, timed)
 }
 
@@ -30,19 +37,32 @@
 }
 
 async fn stand(name: &str, engines: usize, top: &str, more: &str) -> Stand {
-    let engines = stand::engines(engines, Duration::from_millis(1)).await.unwrap();
-    let list =
-        engines.iter().map(|e| format!("[[engine]]\nid = {:?}\naddress = \"{}\"\n", e.name(), e.address()));
+    let engines = stand::engines(engines, Duration::from_millis(1))
+        .await
+        .unwrap();
+    let list = engines.iter().map(|e| {
+        format!(
+            "[[engine]]\nid = {:?}\naddress = \"{}\"\n",
+            e.name(),
+            e.address()
+        )
+    });
     let text = stand::file(top, &format!("{}{more}", list.collect::<String>()));
     let folder = Folder::new(&format!("sessions-{name}")).unwrap();
     let binary = Path::new(env!("CARGO_BIN_EXE_hitchwinch"));
     let program = Program::start(binary, &folder, "a", &text).await.unwrap();
-    Stand { engines, program, _folder: folder }
+    Stand {
+        engines,
+        program,
+        _folder: folder,
+    }
 }
 
 impl Stand {
     async fn session(&self) -> Session {
-        Session::log_in(self.program.address, "guest", "guest", Wants::default()).await.unwrap()
+        Session::log_in(self.program.address, "guest", "guest", Wants::default())
+            .await
+            .unwrap()
     }
 
     fn lasting(&self) -> Vec<String> {
@@ -52,14 +72,24 @@
     }
 
     fn ran(&self, sql: &str) -> usize {
-        self.engines.iter().flat_map(Engine::ran).filter(|r| r.sql == sql).count()
+        self.engines
+            .iter()
+            .flat_map(Engine::ran)
+            .filter(|r| r.sql == sql)
+            .count()
     }
 
     /// The engine that has run this, and the others.
     fn parted(&self, sql: &str) -> (&Engine, Vec<&Engine>) {
         let ran = |e: &&Engine| e.ran().iter().any(|r| r.sql == sql);
         let one = self.engines.iter().find(ran).unwrap();
-        (one, self.engines.iter().filter(|e| e.name() != one.name()).collect())
+        (
+            one,
+            self.engines
+                .iter()
+                .filter(|e| e.name() != one.name())
+                .collect(),
+        )
     }
 
     async fn by_hand(&self, what: &str, engine: &Engine) {
@@ -98,9 +128,15 @@
         let mut t = c.start_transaction(TxOpts::new()).await.unwrap();
         t.query_drop("insert into t values (3)").await.unwrap();
         t.rollback().await.unwrap();
-        assert_eq!(stand.lasting(), ["insert into t values (1)", "insert into t values (?)"]);
-        c.query_drop("SET time_zone = '+04:00', @depot := 'Curepipe'").await.unwrap();
-        let row: Option<(String, String)> = c.query_first("select @@time_zone, @depot").await.unwrap();
+        assert_eq!(
+            stand.lasting(),
+            ["insert into t values (1)", "insert into t values (?)"]
+        );
+        c.query_drop("SET time_zone = '+04:00', @depot := 'Curepipe'")
+            .await
+            .unwrap();
+        let row: Option<(String, String)> =
+            c.query_first("select @@time_zone, @depot").await.unwrap();
         assert_eq!(row, Some(("+04:00".into(), "Curepipe".into())));
         c.reset().await.unwrap();
         let row: Option<(String, Option<String>)> =
@@ -120,14 +156,22 @@
             says(&mut b, "insert into u values (1)").await;
         }
         says(&mut a, "update t set a = 2").await;
-        assert_eq!(stand.lasting().len(), 5, "only what the other session has changed");
+        assert_eq!(
+            stand.lasting().len(),
+            5,
+            "only what the other session has changed"
+        );
         says(&mut a, "set autocommit = 1").await;
         assert_eq!(stand.lasting().len(), 7, "which commits what is open");
         let of = |word: &str| {
-            let all =
-                stand.engines.iter().flat_map(|e| e.ran().into_iter().map(|r| (e.name().to_string(), r)));
-            let mut of: Vec<_> =
-                all.filter(|(_, r)| r.sql.contains(word)).map(|(e, r)| (e, r.connection)).collect();
+            let all = stand
+                .engines
+                .iter()
+                .flat_map(|e| e.ran().into_iter().map(|r| (e.name().to_string(), r)));
+            let mut of: Vec<_> = all
+                .filter(|(_, r)| r.sql.contains(word))
+                .map(|(e, r)| (e, r.connection))
+                .collect();
             of.sort();
             of.dedup();
             of
@@ -156,13 +200,22 @@
         .await;
         let look = "select engine(), @@sql_mode, @@time_zone, @@autocommit";
         let first = says(&mut a, look).await.remove(0);
-        assert!(first[1].ends_with(",PIPES_AS_CONCAT") && first[2] == "+00:00", "{first:?}");
+        assert!(
+            first[1].ends_with(",PIPES_AS_CONCAT") && first[2] == "+00:00",
+            "{first:?}"
+        );
         let other = says(&mut b, look).await.remove(0);
-        assert!(!other[1].contains("PIPES") && other[2] == "SYSTEM", "{other:?}");
+        assert!(
+            !other[1].contains("PIPES") && other[2] == "SYSTEM",
+            "{other:?}"
+        );
         let on = stand.engines.iter().find(|e| e.name() == first[0]).unwrap();
         stand.by_hand("detach", on).await;
         let moved = says(&mut a, look).await.remove(0);
-        assert!(moved[0] != first[0] && moved[1..] == first[1..], "{moved:?} after {first:?}");
+        assert!(
+            moved[0] != first[0] && moved[1..] == first[1..],
+            "{moved:?} after {first:?}"
+        );
     });
 }
 
@@ -177,7 +230,12 @@
         let first = told(&s.execute(id, false).await.unwrap());
         assert_eq!(first[1], "SYSTEM");
         says(&mut s, "SET time_zone = '+04:00'").await;
-        stand.by_hand("detach", stand.engines.iter().find(|e| e.name() == first[0]).unwrap()).await;
+        stand
+            .by_hand(
+                "detach",
+                stand.engines.iter().find(|e| e.name() == first[0]).unwrap(),
+            )
+            .await;
         let moved = told(&s.execute(id, false).await.unwrap());
         assert!(moved[0] != first[0] && moved[1] == "+04:00", "{moved:?}");
     });
@@ -199,9 +257,19 @@
         says(&mut a, "commit").await;
         pass(1500).await;
         let (number, text) = code(&mut b, "insert into t values (4)").await;
-        assert!(number == 1213 && text.contains("rolled back") && text.contains("drains"), "{number} {text}");
-        assert_eq!(stand.lasting(), ["insert into t values (1)", "insert into t values (3)"]);
-        assert_eq!(code(&mut b, "begin").await.0, 3168, "no engine takes anything new");
+        assert!(
+            number == 1213 && text.contains("rolled back") && text.contains("drains"),
+            "{number} {text}"
+        );
+        assert_eq!(
+            stand.lasting(),
+            ["insert into t values (1)", "insert into t values (3)"]
+        );
+        assert_eq!(
+            code(&mut b, "begin").await.0,
+            3168,
+            "no engine takes anything new"
+        );
         stand.by_hand("attach", &stand.engines[0]).await;
         stand.by_hand("attach", &stand.engines[1]).await;
         says(&mut b, "begin").await;
@@ -218,10 +286,20 @@
         says(&mut s, "insert into t values (1)").await;
         stand.engines.iter().for_each(Engine::loses_commit_once);
         let (number, text) = code(&mut s, "commit").await;
-        assert!(number == 1317 && text.contains("not known whether"), "{number} {text}");
+        assert!(
+            number == 1317 && text.contains("not known whether"),
+            "{number} {text}"
+        );
         pass(300).await;
-        assert_eq!(stand.lasting(), ["insert into t values (1)"], "it holds, as it happens");
-        assert_eq!((stand.ran("insert into t values (1)"), stand.ran("begin")), (1, 1));
+        assert_eq!(
+            stand.lasting(),
+            ["insert into t values (1)"],
+            "it holds, as it happens"
+        );
+        assert_eq!(
+            (stand.ran("insert into t values (1)"), stand.ran("begin")),
+            (1, 1)
+        );
         says(&mut s, "select 1 from t").await;
     });
 }
@@ -235,7 +313,10 @@
         says(&mut s, "insert into t values (1)").await;
         stand.parted("begin").0.end();
         let (number, text) = code(&mut s, "insert into t values (2)").await;
-        assert!(number == 1213 && text.contains("rolled back"), "{number} {text}");
+        assert!(
+            number == 1213 && text.contains("rolled back"),
+            "{number} {text}"
+        );
         says(&mut s, "begin").await;
         says(&mut s, "insert into t values (3)").await;
         says(&mut s, "commit").await;
@@ -257,11 +338,17 @@
         says(&mut s, "insert into t values (1)").await;
         let mut other = stand.session().await;
         let (number, text) = code(&mut other, "begin").await;
-        assert!(number == 1203 && text.contains("too many sessions"), "{number} {text}");
+        assert!(
+            number == 1203 && text.contains("too many sessions"),
+            "{number} {text}"
+        );
         says(&mut other, "select 1 from t").await;
         pass(1200).await;
         let (number, text) = code(&mut s, "commit").await;
-        assert!(number == 1213 && text.contains("too long"), "{number} {text}");
+        assert!(
+            number == 1213 && text.contains("too long"),
+            "{number} {text}"
+        );
         says(&mut s, "begin").await;
         says(&mut s, "insert into t values (2)").await;
         drop(s);
@@ -286,18 +373,34 @@
             says(&mut s, begins).await;
             let number = says(&mut s, "select engine(), connection_id()").await;
             for _ in 0..4 {
-                assert_eq!(says(&mut s, "select engine(), connection_id()").await, number, "{begins}");
+                assert_eq!(
+                    says(&mut s, "select engine(), connection_id()").await,
+                    number,
+                    "{begins}"
+                );
             }
             match ends {
                 "" => {
                     s.send(RESET_CONNECTION, &[]).await.unwrap();
                     s.answer().await.unwrap();
                     pass(50).await;
-                    assert_ne!(says(&mut s, "select engine(), connection_id()").await, number, "{begins}");
+                    assert_ne!(
+                        says(&mut s, "select engine(), connection_id()").await,
+                        number,
+                        "{begins}"
+                    );
                 }
                 sql => drop(says(&mut s, sql).await),
             }
-            assert_eq!(stand.program.log().iter().filter(|l| l.contains("panicked")).count(), 0);
+            assert_eq!(
+                stand
+                    .program
+                    .log()
+                    .iter()
+                    .filter(|l| l.contains("panicked"))
+                    .count(),
+                0
+            );
         }
     });
 }
@@ -307,7 +410,13 @@
     play(async {
         let stand = stand("early", 2, "", "").await;
         let mut s = stand.session().await;
-        let all = ["begin", "insert into t values (1)", "select a from t", "commit", "select engine()"];
+        let all = [
+            "begin",
+            "insert into t values (1)",
+            "select a from t",
+            "commit",
+            "select engine()",
+        ];
         for sql in all {
             s.send(QUERY, &[sql.as_bytes()]).await.unwrap();
         }
@@ -336,9 +445,15 @@
             says(s, "commit").await;
         }
         assert_eq!(stand.lasting().len(), 256);
-        let connections: u32 =
-            stand.engines.iter().map(|e| e.ran().iter().map(|r| r.connection).max().unwrap_or(0)).sum();
-        assert!(connections <= 8, "{connections} connections for sessions that take turns");
+        let connections: u32 = stand
+            .engines
+            .iter()
+            .map(|e| e.ran().iter().map(|r| r.connection).max().unwrap_or(0))
+            .sum();
+        assert!(
+            connections <= 8,
+            "{connections} connections for sessions that take turns"
+        );
     });
 }
 
--- a/tests/mysql_tls.rs
+++ b/tests/mysql_tls.rs
@@ -18,8 +18,15 @@
 use tokio_rustls::rustls::{ClientConfig, RootCertStore, version};
 
 fn play(f: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let timed = async { tokio::time::timeout(Duration::from_secs(60), f).await.expect("it takes too long") };
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
+    let timed = async {
+        tokio::time::timeout(Duration::from_secs(60), f)
+            .await
+            .expect("it takes too long")
+    };
     LocalSet::new().block_on(&runtime, timed)
 }
 
@@ -39,7 +46,10 @@
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
         let key = KeyPair::generate().unwrap();
         let pem = params.self_signed(&key).unwrap().pem();
-        Authority { issuer: Issuer::new(params, key), pem }
+        Authority {
+            issuer: Issuer::new(params, key),
+            pem,
+        }
     }
 
     /// A certificate and its key, in PEM.
@@ -57,8 +67,14 @@
     /// A client that trusts it, in these versions, with a certificate of its own or none.
     fn client(&self, old: bool, own: Option<&(String, String)>) -> Arc<ClientConfig> {
         let mut roots = RootCertStore::empty();
-        roots.add(CertificateDer::from_pem_slice(self.pem.as_bytes()).unwrap()).unwrap();
-        let versions = if old { vec![&version::TLS12] } else { vec![&version::TLS13] };
+        roots
+            .add(CertificateDer::from_pem_slice(self.pem.as_bytes()).unwrap())
+            .unwrap();
+        let versions = if old {
+            vec![&version::TLS12]
+        } else {
+            vec![&version::TLS13]
+        };
         let builder = ClientConfig::builder_with_provider(Arc::new(ring::default_provider()))
             .with_protocol_versions(&versions)
             .unwrap()
@@ -91,20 +107,42 @@
 
 /// A dispatcher with keys `a` and `b`; `tls` are further keys of its table.
 async fn stand(name: &str, tls: &str, users: &str) -> Stand {
-    let (authority, folder) = (Authority::new(), Folder::new(&format!("tls-{name}")).unwrap());
+    let (authority, folder) = (
+        Authority::new(),
+        Folder::new(&format!("tls-{name}")).unwrap(),
+    );
     write(&folder, "a", &authority.signs(&["a.example"], "a", FAR));
     write(&folder, "b", &authority.signs(&["*.b.example"], "b", FAR));
     std::fs::write(folder.path().join("ca.pem"), &authority.pem).unwrap();
     let engines = stand::engines(1, Duration::from_millis(1)).await.unwrap();
-    let list =
-        engines.iter().map(|e| format!("[[engine]]\nid = {:?}\naddress = \"{}\"\n", e.name(), e.address()));
+    let list = engines.iter().map(|e| {
+        format!(
+            "[[engine]]\nid = {:?}\naddress = \"{}\"\n",
+            e.name(),
+            e.address()
+        )
+    });
     let at = folder.path().to_str().unwrap();
     let keys = "[[tls.key]]\ncert = \"AT/a.pem\"\nkey = \"AT/a.key\"\n[[tls.key]]\ncert = \"AT/b.pem\"\nkey = \"AT/b.key\"\n";
-    let text = stand::file("", &format!("{}{users}[tls]\n{tls}\n{keys}", list.collect::<String>()));
+    let text = stand::file(
+        "",
+        &format!("{}{users}[tls]\n{tls}\n{keys}", list.collect::<String>()),
+    );
     let binary = Path::new(env!("CARGO_BIN_EXE_hitchwinch"));
-    let program =
-        Program::start(binary, &folder, "front", &text.replace("AT/", &format!("{at}/"))).await.unwrap();
-    Stand { authority, folder, program, _engines: engines }
+    let program = Program::start(
+        binary,
+        &folder,
+        "front",
+        &text.replace("AT/", &format!("{at}/")),
+    )
+    .await
+    .unwrap();
+    Stand {
+        authority,
+        folder,
+        program,
+        _engines: engines,
+    }
 }
 
 impl Stand {
@@ -130,12 +168,18 @@
             shown.push(s.certificate().unwrap());
         }
         assert_ne!(shown[0], shown[1]);
-        assert!(stand.tls("elsewhere.example").await.is_err(), "no key covers it, and the client says no");
-        let mut plain =
-            Session::log_in(stand.program.address, "guest", "guest", Wants::default()).await.unwrap();
+        assert!(
+            stand.tls("elsewhere.example").await.is_err(),
+            "no key covers it, and the client says no"
+        );
+        let mut plain = Session::log_in(stand.program.address, "guest", "guest", Wants::default())
+            .await
+            .unwrap();
         plain.query("select a from t").await.unwrap();
         let old = stand.authority.client(true, None);
-        Session::log_in_tls(stand.program.address, "guest", "guest", old, "a.example").await.unwrap();
+        Session::log_in_tls(stand.program.address, "guest", "guest", old, "a.example")
+            .await
+            .unwrap();
     });
 }
 
@@ -143,17 +187,25 @@
 fn a_downgrade_is_refused_to_the_clear_to_an_older_version_and_by_bytes_slipped_in_ahead() {
     play(async {
         let stand = stand("downgrade", "required = true\nmin_version = \"1.3\"", "").await;
-        let plain = Session::log_in(stand.program.address, "guest", "guest", Wants::default()).await;
+        let plain =
+            Session::log_in(stand.program.address, "guest", "guest", Wants::default()).await;
         assert_eq!(error(plain).unwrap().code, 3159);
         let old = stand.authority.client(true, None);
         assert!(
-            Session::log_in_tls(stand.program.address, "guest", "guest", old, "a.example").await.is_err()
+            Session::log_in_tls(stand.program.address, "guest", "guest", old, "a.example")
+                .await
+                .is_err()
         );
         // A request for TLS with a login in the clear right behind it.
         let mut tcp = TcpStream::connect(stand.program.address).await.unwrap();
         let mut greeting = [0; 256];
         assert!(tcp.read(&mut greeting).await.unwrap() > 0);
-        let request = [&[32, 0, 0, 1, 0, 0x8a, 0x20, 0][..], &[0; 28], b"\x05\0\0\x02guest"].concat();
+        let request = [
+            &[32, 0, 0, 1, 0, 0x8a, 0x20, 0][..],
+            &[0; 28],
+            b"\x05\0\0\x02guest",
+        ]
+        .concat();
         tcp.write_all(&request).await.unwrap();
         // They are taken for TLS, which they are not.
         stand.says("corrupt message").await;
@@ -168,7 +220,9 @@
         let stand = stand("users", "client_ca = \"AT/ca.pem\"", users).await;
         let log_in = async |own: Option<(String, String)>, password: &str| {
             let config = stand.authority.client(false, own.as_ref());
-            let s = Session::log_in_tls(stand.program.address, "till", password, config, "a.example").await;
+            let s =
+                Session::log_in_tls(stand.program.address, "till", password, config, "a.example")
+                    .await;
             s.map(drop)
         };
         let own = || Some(stand.authority.signs(&[], "till-7", FAR));
@@ -178,7 +232,10 @@
         let other = Some(stand.authority.signs(&[], "till-8", FAR));
         assert_eq!(error(log_in(other, "till").await).unwrap().code, 1045);
         let stranger = Some(Authority::new().signs(&[], "till-7", FAR));
-        assert!(log_in(stranger, "till").await.is_err(), "signed by somebody else");
+        assert!(
+            log_in(stranger, "till").await.is_err(),
+            "signed by somebody else"
+        );
         let plain = Session::log_in(stand.program.address, "till", "till", Wants::default()).await;
         assert_eq!(error(plain).unwrap().code, 1045);
     });
@@ -193,11 +250,23 @@
         let (began, mut handshakes, mut since) = (Instant::now(), 0, 0);
         let mut written = false;
         while since < 50 {
-            assert!(began.elapsed() < Duration::from_secs(20), "the new key is never shown");
-            let shown = stand.tls("a.example").await.expect("no handshake fails").certificate().unwrap();
+            assert!(
+                began.elapsed() < Duration::from_secs(20),
+                "the new key is never shown"
+            );
+            let shown = stand
+                .tls("a.example")
+                .await
+                .expect("no handshake fails")
+                .certificate()
+                .unwrap();
             (handshakes, since) = (handshakes + 1, since + u32::from(shown != before));
             if handshakes == 50 && !std::mem::replace(&mut written, true) {
-                write(&stand.folder, "a", &stand.authority.signs(&["a.example"], "a", FAR));
+                write(
+                    &stand.folder,
+                    "a",
+                    &stand.authority.signs(&["a.example"], "a", FAR),
+                );
             }
             pass(5).await;
         }
@@ -213,18 +282,36 @@
         let before = stand.tls("a.example").await.unwrap().certificate().unwrap();
         let good = stand.authority.signs(&["a.example"], "a", FAR);
         for (pair, told) in [
-            (("no certificate".to_string(), good.1.clone()), "a.pem: no certificate stands in it"),
-            (stand.authority.signs(&["a.example"], "a", PAST), "a.pem: it has expired"),
-            ((good.0.clone(), stand.authority.signs(&["a.example"], "a", FAR).1), "a.key: "),
+            (
+                ("no certificate".to_string(), good.1.clone()),
+                "a.pem: no certificate stands in it",
+            ),
+            (
+                stand.authority.signs(&["a.example"], "a", PAST),
+                "a.pem: it has expired",
+            ),
+            (
+                (
+                    good.0.clone(),
+                    stand.authority.signs(&["a.example"], "a", FAR).1,
+                ),
+                "a.key: ",
+            ),
         ] {
             write(&stand.folder, "a", &pair);
             let line = stand.program.says(told).await.unwrap();
             assert!(line.contains("the keys before stay in force"), "{line}");
-            assert_eq!(stand.tls("a.example").await.unwrap().certificate().unwrap(), before);
+            assert_eq!(
+                stand.tls("a.example").await.unwrap().certificate().unwrap(),
+                before
+            );
         }
         write(&stand.folder, "a", &good);
         stand.says("the keys have changed and are in force").await;
-        assert_ne!(stand.tls("a.example").await.unwrap().certificate().unwrap(), before);
+        assert_ne!(
+            stand.tls("a.example").await.unwrap().certificate().unwrap(),
+            before
+        );
         std::fs::remove_file(stand.folder.path().join("b.pem")).unwrap();
         stand.program.signal("HUP").await.unwrap();
         stand.says("b.pem").await;
@@ -247,13 +334,22 @@
             stalled.push(tcp);
         }
         let began = Instant::now();
-        stand.tls("a.example").await.unwrap().query("select a from t").await.unwrap();
+        stand
+            .tls("a.example")
+            .await
+            .unwrap()
+            .query("select a from t")
+            .await
+            .unwrap();
         assert!(began.elapsed() < Duration::from_secs(1));
         for mut tcp in stalled {
             let mut all = vec![];
             tcp.read_to_end(&mut all).await.unwrap();
         }
         let took = began.elapsed();
-        assert!((Duration::from_secs(8)..Duration::from_secs(15)).contains(&took), "{took:?}");
+        assert!(
+            (Duration::from_secs(8)..Duration::from_secs(15)).contains(&took),
+            "{took:?}"
+        );
     });
 }
--- a/tests/platform_calls.rs
+++ b/tests/platform_calls.rs
@@ -13,7 +13,10 @@
     ("UnixListener", "a Unix socket"),
     ("UnixDatagram", "a Unix socket"),
     ("socketpair", "a Unix socket"),
-    ("tokio::signal", "tokio's signal driver makes a Unix socket pair"),
+    (
+        "tokio::signal",
+        "tokio's signal driver makes a Unix socket pair",
+    ),
     ("io_uring", "io_uring"),
     ("std::io::copy", "may be done by splice or sendfile"),
     ("io::copy_bidirectional", "a copy past the pool's buffers"),
@@ -43,7 +46,9 @@
 
 /// Files of tests alone (`tests.rs`, `*_tests.rs`), declared under `#[cfg(test)]` by their module.
 fn only_tests(file: &Path) -> bool {
-    file.file_stem().and_then(|s| s.to_str()).is_some_and(|s| s == "tests" || s.ends_with("_tests"))
+    file.file_stem()
+        .and_then(|s| s.to_str())
+        .is_some_and(|s| s == "tests" || s.ends_with("_tests"))
 }
 
 fn offences(root: &Path) -> Vec<String> {
@@ -68,26 +73,43 @@
 fn the_program_takes_up_nothing_that_the_filter_refuses() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let found = offences(&root);
-    assert!(found.is_empty(), "refused on the fleet bench:\n{}", found.join("\n"));
+    assert!(
+        found.is_empty(),
+        "refused on the fleet bench:\n{}",
+        found.join("\n")
+    );
 }
 
 #[test]
 fn the_check_finds_what_it_looks_for() {
     let folder = std::env::temp_dir().join(format!("hitchwinch-calls-{}", std::process::id()));
     std::fs::create_dir_all(folder.join("inner")).unwrap();
-    let bad =
-        "use tokio::signal::unix::signal;\n// std::process::Command in a comment is no call\nfn f() {}\n";
+    let bad = "use tokio::signal::unix::signal;\n// std::process::Command in a comment is no call\nfn f() {}\n";
     std::fs::write(folder.join("inner/bad.rs"), bad).unwrap();
-    let tested = "fn g() {}\n#[cfg(test)]\nmod tests { fn h() { std::process::Command::new(\"x\"); } }\n";
+    let tested =
+        "fn g() {}\n#[cfg(test)]\nmod tests { fn h() { std::process::Command::new(\"x\"); } }\n";
     std::fs::write(folder.join("tested.rs"), tested).unwrap();
-    std::fs::write(folder.join("inner/tests.rs"), "fn t() { std::process::Command::new(\"x\"); }\n").unwrap();
+    std::fs::write(
+        folder.join("inner/tests.rs"),
+        "fn t() { std::process::Command::new(\"x\"); }\n",
+    )
+    .unwrap();
     // A module whose tests are in a file of their own is read to its end.
     let declared = "#[cfg(test)]\nmod tests;\nfn spawn() { std::process::Command::new(\"x\"); }\n";
     std::fs::write(folder.join("declared.rs"), declared).unwrap();
     let found = offences(&folder);
     std::fs::remove_dir_all(&folder).unwrap();
     assert_eq!(found.len(), 3, "{found:?}");
-    assert!(found[0].ends_with("declared.rs:3: `process::Command`: starts another program"), "{found:?}");
-    assert!(found[1].ends_with("declared.rs:3: `Command::new`: starts another program"), "{found:?}");
-    assert!(found[2].ends_with("bad.rs:1: `tokio::signal`: tokio's signal driver makes a Unix socket pair"));
+    assert!(
+        found[0].ends_with("declared.rs:3: `process::Command`: starts another program"),
+        "{found:?}"
+    );
+    assert!(
+        found[1].ends_with("declared.rs:3: `Command::new`: starts another program"),
+        "{found:?}"
+    );
+    assert!(
+        found[2]
+            .ends_with("bad.rs:1: `tokio::signal`: tokio's signal driver makes a Unix socket pair")
+    );
 }
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -33,17 +33,28 @@
 
 impl Program {
     fn run(test: &str, config: &str, args: &[&str]) -> Self {
-        let path = std::env::temp_dir().join(format!("hitchwinch-{}-{test}.conf", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("hitchwinch-{}-{test}.conf", std::process::id()));
         std::fs::write(&path, config).unwrap();
         Self::start(Command::new(env!("CARGO_BIN_EXE_hitchwinch")), path, args)
     }
 
     /// One of several processes that share a folder and inherit the clients' socket as descriptor 7.
-    fn beside(test: &str, config: &str, args: &[&str], folder: &Path, socket: &TcpListener) -> Self {
+    fn beside(
+        test: &str,
+        config: &str,
+        args: &[&str],
+        folder: &Path,
+        socket: &TcpListener,
+    ) -> Self {
         let path = folder.join(format!("{test}.conf"));
         std::fs::write(&path, config.replace("FOLDER", folder.to_str().unwrap())).unwrap();
         let mut command = Command::new("sh");
-        command.args(["-c", "exec \"$0\" \"$@\" 7<&0", env!("CARGO_BIN_EXE_hitchwinch")]);
+        command.args([
+            "-c",
+            "exec \"$0\" \"$@\" 7<&0",
+            env!("CARGO_BIN_EXE_hitchwinch"),
+        ]);
         command
             .stdin(OwnedFd::from(socket.try_clone().unwrap()))
             .env("TMPDIR", folder)
@@ -52,7 +63,10 @@
     }
 
     fn start(mut command: Command, path: PathBuf, args: &[&str]) -> Self {
-        command.args(args).env("PROXY_CONFIG", &path).stderr(Stdio::piped());
+        command
+            .args(args)
+            .env("PROXY_CONFIG", &path)
+            .stderr(Stdio::piped());
         command.env("PROXY_ADMIN_ADDR", "127.0.0.1:0");
         if !args.is_empty() {
             command.arg(&path);
@@ -62,7 +76,13 @@
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
         std::thread::spawn(move || lines.for_each(|l| drop(say.send(l.unwrap()))));
         let (address, admin) = (String::new(), String::new());
-        let mut program = Program { child, address, admin, config: path, log };
+        let mut program = Program {
+            child,
+            address,
+            admin,
+            config: path,
+            log,
+        };
         while program.address.is_empty() {
             let line = program.says(" ");
             if let Some((_, at)) = line.split_once("operators call at ") {
@@ -77,7 +97,8 @@
     /// What an operator's call comes to.
     fn call(&self, method: &str, path: &str) -> String {
         let mut tcp = connect(&self.admin);
-        tcp.write_all(format!("{method} {path} HTTP/1.1\r\n\r\n").as_bytes()).unwrap();
+        tcp.write_all(format!("{method} {path} HTTP/1.1\r\n\r\n").as_bytes())
+            .unwrap();
         let mut answer = String::new();
         tcp.read_to_string(&mut answer).unwrap();
         answer
@@ -86,14 +107,19 @@
     /// Engines that get nothing now, as this process tells.
     fn disabled(&self) -> String {
         let told = self.call("GET", "/_vars");
-        told.lines().find_map(|l| l.strip_prefix("targets_disabled=")).unwrap().to_string()
+        told.lines()
+            .find_map(|l| l.strip_prefix("targets_disabled="))
+            .unwrap()
+            .to_string()
     }
 
     /// The next line of its log that holds this.
     fn says(&self, what: &str) -> String {
         loop {
-            let line =
-                self.log.recv_timeout(Duration::from_secs(5)).unwrap_or_else(|_| panic!("no {what:?}"));
+            let line = self
+                .log
+                .recv_timeout(Duration::from_secs(5))
+                .unwrap_or_else(|_| panic!("no {what:?}"));
             if line.contains(what) {
                 return line;
             }
@@ -102,7 +128,13 @@
 
     fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
-        assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
+        assert!(
+            Command::new("kill")
+                .args([name, &id])
+                .status()
+                .unwrap()
+                .success()
+        );
     }
 
     /// A new configuration is in its place, and it is told.
@@ -144,7 +176,8 @@
 
 fn send(tcp: &mut TcpStream, kind: u8, stream: u32, payload: &[u8]) {
     let length = (payload.len() as u32 + 5).to_be_bytes();
-    tcp.write_all(&[&length[..], &[kind], &stream.to_be_bytes(), payload].concat()).unwrap();
+    tcp.write_all(&[&length[..], &[kind], &stream.to_be_bytes(), payload].concat())
+        .unwrap();
 }
 
 /// Type, stream and payload.
@@ -153,7 +186,11 @@
     tcp.read_exact(&mut length).unwrap();
     let mut frame = vec![0; u32::from_be_bytes(length) as usize];
     tcp.read_exact(&mut frame).unwrap();
-    (frame[0], u32::from_be_bytes(frame[1..5].try_into().unwrap()), frame[5..].to_vec())
+    (
+        frame[0],
+        u32::from_be_bytes(frame[1..5].try_into().unwrap()),
+        frame[5..].to_vec(),
+    )
 }
 
 fn ready(tcp: &mut TcpStream) -> bool {
@@ -166,8 +203,19 @@
 /// A look-up that its client waits for so many milliseconds.
 fn lookup(limit: &str) -> Vec<u8> {
     let mut payload = vec![3u8];
-    for (name, value) in [("verb", "lookup"), ("txn", "0123456789abcdef"), ("limit", limit)] {
-        payload.extend([&[name.len() as u8][..], name.as_bytes(), &[0, value.len() as u8]].concat());
+    for (name, value) in [
+        ("verb", "lookup"),
+        ("txn", "0123456789abcdef"),
+        ("limit", limit),
+    ] {
+        payload.extend(
+            [
+                &[name.len() as u8][..],
+                name.as_bytes(),
+                &[0, value.len() as u8],
+            ]
+            .concat(),
+        );
         payload.extend(value.bytes());
     }
     payload.extend(b"select 1");
@@ -184,11 +232,22 @@
     assert!(ready(&mut a), "and so the request before is taken");
     program.signal("-TERM");
     while ready(&mut a) {}
-    assert!(!ready(&mut connect(&program.address)), "new connections are still accepted");
+    assert!(
+        !ready(&mut connect(&program.address)),
+        "new connections are still accepted"
+    );
     let (kind, stream, payload) = expect(&mut a);
-    assert_eq!((kind, stream, payload), (64, 0, vec![]), "goodbye, without a payload");
+    assert_eq!(
+        (kind, stream, payload),
+        (64, 0, vec![]),
+        "goodbye, without a payload"
+    );
     let (kind, stream, payload) = expect(&mut a);
-    assert_eq!((kind, stream, payload[0]), (4, 1, 14), "the long request is refused before the end");
+    assert_eq!(
+        (kind, stream, payload[0]),
+        (4, 1, 14),
+        "the long request is refused before the end"
+    );
     program.ends_well();
 }
 
@@ -203,10 +262,15 @@
     let told = r#""feedback":{"fields":["rif","x0"]},"ceilings":{"peer_messages":true,"#;
     let config = config(Some(&engine), "127.0.0.1:1")
         .replace(r#""ceilings":{"#, told)
-        .replace(r#""fleet_size":1"#, r#""fleet_size":2,"deductions":{"peer":0.01}"#)
+        .replace(
+            r#""fleet_size":1"#,
+            r#""fleet_size":2,"deductions":{"peer":0.01}"#,
+        )
         .replace(
             r#""seed":"7""#,
-            &format!(r#""seed":"7","peer_listen":"127.0.0.1:0","peers":["{at}"],"peers_all":"{at}""#),
+            &format!(
+                r#""seed":"7","peer_listen":"127.0.0.1:0","peers":["{at}"],"peers_all":"{at}""#
+            ),
         );
     let program = Program::run("peers", &config, &[]);
     let mut client = connect(&program.address);
@@ -216,8 +280,16 @@
     on.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
     let mut asked = [0; 1024];
     assert!(on.read(&mut asked).unwrap() > 0);
-    let answer = ["0123456789abcdef", "ACK", "total=1,meter=inflight:7;x0:0.5", "a\tb\tc\n"];
-    let words: String = answer.iter().map(|w| format!("${}\r\n{w}\r\n", w.len())).collect();
+    let answer = [
+        "0123456789abcdef",
+        "ACK",
+        "total=1,meter=inflight:7;x0:0.5",
+        "a\tb\tc\n",
+    ];
+    let words: String = answer
+        .iter()
+        .map(|w| format!("${}\r\n{w}\r\n", w.len()))
+        .collect();
     on.write_all(format!("*4\r\n{words}").as_bytes()).unwrap();
     assert_eq!(expect(&mut client).2[0], 0, "served");
     let mut word = [0; 300];
@@ -230,18 +302,32 @@
     // Back to it: a word that it can read says nothing, one that it can't is told of, and so is a stranger's.
     peer.send_to(&word[..size], from).unwrap();
     peer.send_to(b"?", from).unwrap();
-    assert!(program.says("passed over").contains("of kind 63"), "the first line is that of the second word");
+    assert!(
+        program.says("passed over").contains("of kind 63"),
+        "the first line is that of the second word"
+    );
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     stranger.send_to(&word[..size], from).unwrap();
     assert!(program.says("passed over").contains("not listed"));
-    assert!(program.call("GET", "/_vars").contains("\npeer_messages_refused=2\n"), "both are counted");
+    assert!(
+        program
+            .call("GET", "/_vars")
+            .contains("\npeer_messages_refused=2\n"),
+        "both are counted"
+    );
     assert!(ready(&mut client), "and it goes on");
     program.ends_well();
 }
 
 /// A new process beside the old: both follow an operator's call to either, no client is refused, what the old
 /// one has is answered, and it takes no more.
-fn takes_over(test: &str, config: &str, args: &[&str], engine: &str, greets: impl Fn(&str) -> bool) {
+fn takes_over(
+    test: &str,
+    config: &str,
+    args: &[&str],
+    engine: &str,
+    greets: impl Fn(&str) -> bool,
+) {
     let folder = std::env::temp_dir().join(format!("hitchwinch-{}-{test}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -252,9 +338,16 @@
     let new = beside("new");
     old.says("2 processes");
     for (one, other, what, then) in [(&old, &new, "detach", "1"), (&new, &old, "attach", "0")] {
-        assert!(one.call("POST", &format!("/_engines/{what}/{engine}")).starts_with("HTTP/1.1 200"));
+        assert!(
+            one.call("POST", &format!("/_engines/{what}/{engine}"))
+                .starts_with("HTTP/1.1 200")
+        );
         std::thread::sleep(Duration::from_millis(900));
-        assert_eq!((one.disabled().as_str(), other.disabled().as_str()), (then, then), "{what}");
+        assert_eq!(
+            (one.disabled().as_str(), other.disabled().as_str()),
+            (then, then),
+            "{what}"
+        );
     }
     old.call("POST", &format!("/_engines/detach/{engine}"));
     old.signal("-TERM");
@@ -264,14 +357,24 @@
     new.says("1 processes");
     assert_eq!(new.disabled(), "1", "still out");
     new.ends_well();
-    assert_eq!(beside("third").disabled(), "1", "with no process in between");
+    assert_eq!(
+        beside("third").disabled(),
+        "1",
+        "with no process in between"
+    );
     std::fs::remove_dir_all(folder).unwrap();
 }
 
 #[test]
 fn a_new_process_takes_over_from_the_old() {
     let engine = TcpListener::bind("127.0.0.1:0").unwrap();
-    takes_over("over", &config(Some(&engine), "127.0.0.1:1"), &[], "e", |at| ready(&mut connect(at)));
+    takes_over(
+        "over",
+        &config(Some(&engine), "127.0.0.1:1"),
+        &[],
+        "e",
+        |at| ready(&mut connect(at)),
+    );
 }
 
 #[test]
@@ -294,14 +397,19 @@
 
 #[test]
 fn a_new_configuration_moves_the_journal_and_a_faulty_one_changes_nothing() {
-    let (engine, journal) =
-        (TcpListener::bind("127.0.0.1:0").unwrap(), TcpListener::bind("127.0.0.1:0").unwrap());
+    let (engine, journal) = (
+        TcpListener::bind("127.0.0.1:0").unwrap(),
+        TcpListener::bind("127.0.0.1:0").unwrap(),
+    );
     let program = start("reload", Some(&engine));
     let mut client = connect(&program.address);
     assert!(ready(&mut client));
     let moved = config(None, &journal.local_addr().unwrap().to_string());
     program.configure(&moved.replace("127.0.0.1:0", "nowhere"));
-    assert!(program.says("SIGHUP").contains("listen: "), "the faulty key is named");
+    assert!(
+        program.says("SIGHUP").contains("listen: "),
+        "the faulty key is named"
+    );
     program.configure(&moved);
     let (mut asked, _) = journal.accept().unwrap();
     let mut head = [0; 512];
@@ -327,10 +435,19 @@
     };
     assert!(!greets("9.9.9"));
     program.configure(&file.replace("read_class = \"lookup\"", "read_class = \"look\""));
-    assert!(program.says("SIGHUP").contains("read_class"), "the faulty key is named");
+    assert!(
+        program.says("SIGHUP").contains("read_class"),
+        "the faulty key is named"
+    );
     program.configure(&file.replace("threads = 3", "threads = 2"));
-    assert!(program.says("SIGHUP").contains("restart"), "what learned state rests on stays as it was");
-    program.configure(&format!("server_version = \"9.9.9\"\n{}", file.replace("server_version", "# ")));
+    assert!(
+        program.says("SIGHUP").contains("restart"),
+        "what learned state rests on stays as it was"
+    );
+    program.configure(&format!(
+        "server_version = \"9.9.9\"\n{}",
+        file.replace("server_version", "# ")
+    ));
     program.says("in force");
     assert!(greets("9.9.9"));
     program.ends_well();
@@ -346,7 +463,11 @@
 #[test]
 fn a_connection_in_the_machines_queue_at_the_end_of_accepting_is_answered() {
     let engine = TcpListener::bind("127.0.0.1:0").unwrap(); // takes connections and says nothing
-    let program = Program::run("queue", &waits(&config(Some(&engine), "127.0.0.1:1"), 1000), &[]);
+    let program = Program::run(
+        "queue",
+        &waits(&config(Some(&engine), "127.0.0.1:1"), 1000),
+        &[],
+    );
     assert!(ready(&mut connect(&program.address)));
     program.signal("-TERM");
     program.says("SIGTERM");
@@ -365,7 +486,11 @@
 #[test]
 fn a_request_that_is_unread_when_nothing_is_owed_is_answered_before_the_end() {
     let engine = TcpListener::bind("127.0.0.1:0").unwrap();
-    let program = Program::run("unread", &waits(&config(Some(&engine), "127.0.0.1:1"), 1000), &[]);
+    let program = Program::run(
+        "unread",
+        &waits(&config(Some(&engine), "127.0.0.1:1"), 1000),
+        &[],
+    );
     let mut client = connect(&program.address);
     assert!(ready(&mut client));
     program.signal("-TERM");
@@ -421,7 +546,9 @@
     let program = Program::beside("slow", &config, &[], &folder, &socket);
     let client = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     client.set_recv_buffer_size(4096).unwrap();
-    client.connect(&socket.local_addr().unwrap().into()).unwrap();
+    client
+        .connect(&socket.local_addr().unwrap().into())
+        .unwrap();
     let mut client = TcpStream::from(client);
     send(&mut client, 2, 1, &lookup("2000"));
     let (mut on, _) = engine.accept().unwrap();
@@ -440,13 +567,18 @@
     program.signal("-TERM");
     program.says("SIGTERM");
     std::thread::sleep(Duration::from_millis(1400));
-    client.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+    client
+        .set_read_timeout(Some(Duration::from_secs(5)))
+        .unwrap();
     let mut whole = vec![];
     while whole.len() < 2 {
         whole.push(expect(&mut client));
     }
     let answer = whole.iter().find(|f| f.0 == 4).unwrap();
-    assert_eq!((answer.1, answer.2[0], answer.2.len()), (1, 0, 2 + 9 * 5005));
+    assert_eq!(
+        (answer.1, answer.2[0], answer.2.len()),
+        (1, 0, 2 + 9 * 5005)
+    );
     program.ends_well();
     std::fs::remove_dir_all(folder).unwrap();
 }
@@ -458,8 +590,14 @@
     };
     let more = [
         class("load", r#""effect":"fragile""#),
-        class("cell", r#""effect":"dedup","group":"cell","dedup_window":100.0"#),
-        class("all", r#""effect":"dedup","group":"all","dedup_window":100.0"#),
+        class(
+            "cell",
+            r#""effect":"dedup","group":"cell","dedup_window":100.0"#,
+        ),
+        class(
+            "all",
+            r#""effect":"dedup","group":"all","dedup_window":100.0"#,
+        ),
     ];
     let lookup = r#""effect":"retryable","worth":1.0}"#;
     // An engine with room for all of them.
@@ -472,8 +610,19 @@
 
 fn asks(class: &str, txn: u64) -> Vec<u8> {
     let mut payload = vec![3u8];
-    for (name, value) in [("verb", class), ("txn", &format!("{txn:016x}")), ("limit", "16000")] {
-        payload.extend([&[name.len() as u8][..], name.as_bytes(), &[0, value.len() as u8]].concat());
+    for (name, value) in [
+        ("verb", class),
+        ("txn", &format!("{txn:016x}")),
+        ("limit", "16000"),
+    ] {
+        payload.extend(
+            [
+                &[name.len() as u8][..],
+                name.as_bytes(),
+                &[0, value.len() as u8],
+            ]
+            .concat(),
+        );
         payload.extend(value.bytes());
     }
     payload.extend(b"select 1");
@@ -486,7 +635,11 @@
 #[test]
 fn what_hangs_under_long_deadlines_is_answered_whole_before_the_kill_can_come() {
     let engine = TcpListener::bind("127.0.0.1:0").unwrap();
-    let program = Program::run("hang", &long_deadlines(&config(Some(&engine), "127.0.0.1:1")), &[]);
+    let program = Program::run(
+        "hang",
+        &long_deadlines(&config(Some(&engine), "127.0.0.1:1")),
+        &[],
+    );
     let (mut client, mut rests) = (connect(&program.address), connect(&program.address));
     assert!(ready(&mut client) && ready(&mut rests));
     let classes = [("lookup", 14), ("load", 2), ("cell", 2), ("all", 14)];
@@ -523,13 +676,19 @@
             }
         }
         let took = began.elapsed();
-        assert!(client.read(&mut [0]).is_ok_and(|n| n == 0), "and nothing more");
+        assert!(
+            client.read(&mut [0]).is_ok_and(|n| n == 0),
+            "and nothing more"
+        );
         (answers, took)
     });
     assert_eq!(expect(&mut rests).0, 64, "goodbye");
     assert_eq!(rests.read(&mut [0]).unwrap(), 0, "it is ended");
     let _ = rests.write_all(&asks("lookup", 10));
-    assert!(!rests.read(&mut [0]).is_ok_and(|n| n > 0), "nobody answers there");
+    assert!(
+        !rests.read(&mut [0]).is_ok_and(|n| n > 0),
+        "nobody answers there"
+    );
     std::thread::sleep(Duration::from_millis(2900).saturating_sub(began.elapsed()));
     for tcp in &mut open {
         tcp.write_all(b"*4\r\n$16\r\n0000000000").unwrap();
@@ -541,13 +700,20 @@
     assert_eq!(answers, wanted);
     assert!(took < Duration::from_millis(3700), "{took:?}");
     program.ends_well();
-    assert!(began.elapsed() < Duration::from_millis(3700), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_millis(3700),
+        "{:?}",
+        began.elapsed()
+    );
     for tcp in &mut open {
         let (mut bytes, mut all) = ([0; 4096], vec![]);
         tcp.set_nonblocking(false).unwrap();
         while let Ok(n @ 1..) = tcp.read(&mut bytes) {
             all.extend_from_slice(&bytes[..n]);
         }
-        assert!(!String::from_utf8_lossy(&all).contains("00000000000a"), "what came too late is not sent on");
+        assert!(
+            !String::from_utf8_lossy(&all).contains("00000000000a"),
+            "what came too late is not sent on"
+        );
     }
 }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -22,17 +22,36 @@
 const SPAN: f64 = 3000.0;
 
 fn world() -> Settings {
-    let keyed = Effect::Keyed { group: Group::Cell, window: KEYED_WINDOW };
+    let keyed = Effect::Keyed {
+        group: Group::Cell,
+        window: KEYED_WINDOW,
+    };
     let mut s = settings(vec![
         class(1.0, 500.0),
-        Class { effect: Effect::Unsafe, threads: 2.0, ..class(5.0, 2000.0) },
-        Class { effect: keyed, only_kinds: Some(vec![1]), ..class(2.0, 800.0) },
-        Class { in_order: true, only_zones: Some(vec![0]), ..class(3.0, 900.0) },
+        Class {
+            effect: Effect::Unsafe,
+            threads: 2.0,
+            ..class(5.0, 2000.0)
+        },
+        Class {
+            effect: keyed,
+            only_kinds: Some(vec![1]),
+            ..class(2.0, 800.0)
+        },
+        Class {
+            in_order: true,
+            only_zones: Some(vec![0]),
+            ..class(3.0, 900.0)
+        },
     ]);
     // Our part of a budget is below one query, so that pairs are probed.
     (s.gateways, s.limits.probes) = (50, true);
     s.rules.cold_from = 1.0; // and cold engines still get their draws
-    s.rules.attempt_budget = Some(AttemptBudget { free: 2.0, share: 0.3, span: SPAN });
+    s.rules.attempt_budget = Some(AttemptBudget {
+        free: 2.0,
+        share: 0.3,
+        span: SPAN,
+    });
     s
 }
 
@@ -50,10 +69,16 @@
 
 fn play(steps: &[(u8, u8, u16)]) -> Result<Vec<Action>, TestCaseError> {
     let s = world();
-    let mut g = Gateway::new(s.clone(), (0..5).map(|i| engine(i, EngineState::Ready, None)).collect());
+    let mut g = Gateway::new(
+        s.clone(),
+        (0..5)
+            .map(|i| engine(i, EngineState::Ready, None))
+            .collect(),
+    );
     let mut seen: BTreeMap<QueryId, Seen> = BTreeMap::new();
-    let mut states: BTreeMap<String, EngineEntry> =
-        (0..5).map(|i| (format!("e{i}"), engine(i, EngineState::Ready, None))).collect();
+    let mut states: BTreeMap<String, EngineEntry> = (0..5)
+        .map(|i| (format!("e{i}"), engine(i, EngineState::Ready, None)))
+        .collect();
     let (mut taken, mut further): (Vec<f64>, Vec<f64>) = (vec![], vec![]);
     let mut rests: BTreeMap<String, (QueryId, f64)> = BTreeMap::new();
     let mut all = vec![];
@@ -69,7 +94,10 @@
         let mut events: Vec<Event> = vec![];
         for (id, attempt) in due {
             let last = seen[&id].over;
-            events.push(Event::Ended(Ended { last, ..ended(id, attempt, Outcome::TimedOut) }));
+            events.push(Event::Ended(Ended {
+                last,
+                ..ended(id, attempt, Outcome::TimedOut)
+            }));
         }
         let flying: Vec<(QueryId, u32)> = seen
             .iter()
@@ -120,26 +148,39 @@
                 }));
             }
             4 => {
-                let state =
-                    [EngineState::Ready, EngineState::Draining, EngineState::Gone][usize::from(x % 3)];
+                let state = [EngineState::Ready, EngineState::Draining, EngineState::Gone]
+                    [usize::from(x % 3)];
                 let e = engine(pick, state, (x % 5 == 0).then_some(g.now));
-                events.push(Event::Engines { update: ListUpdate::Patch, entries: vec![e] });
+                events.push(Event::Engines {
+                    update: ListUpdate::Patch,
+                    entries: vec![e],
+                });
             }
             5 => {
                 let id = u64::from(pick);
                 // Odd but harmless: unknown ids, attempts never made, queries long over.
                 events.push(match x % 3 {
                     0 => Event::Ended(ended(id + 100_000, 3, Outcome::Served)),
-                    1 => Event::Progress { id, attempt: 9, note: Note::Done(f64::NAN) },
+                    1 => Event::Progress {
+                        id,
+                        attempt: 9,
+                        note: Note::Done(f64::NAN),
+                    },
                     _ => Event::ClientLeft(id),
                 });
             }
             6 => {
                 // Answers of probes, asked or not: unknown engines, garbage, failures, crowds.
-                let report = [vec![], vec![f64::NAN, 0.1], vec![f64::from(pick), 0.4], vec![-1.0]];
+                let report = [
+                    vec![],
+                    vec![f64::NAN, 0.1],
+                    vec![f64::from(pick), 0.4],
+                    vec![-1.0],
+                ];
                 events.push(Event::Heard {
                     engine: format!("e{}", pick % 7),
-                    outcome: [Outcome::Served, Outcome::Unreachable, Outcome::Full][usize::from(x % 3)],
+                    outcome: [Outcome::Served, Outcome::Unreachable, Outcome::Full]
+                        [usize::from(x % 3)],
                     report: report[usize::from(x % 4)].clone(),
                 });
             }
@@ -167,7 +208,8 @@
                     if !proven && q.first_run.is_none() {
                         q.first_run = Some((sent, states[&name].cell));
                     }
-                    if let (Some(key), false, true) = (&q.key, proven, e.outcome != Outcome::Served) {
+                    if let (Some(key), false, true) = (&q.key, proven, e.outcome != Outcome::Served)
+                    {
                         rests.insert(key.clone(), (e.id, g.now + s.rules.order_rest));
                     }
                 }
@@ -184,8 +226,16 @@
                         prop_assert!(q.out.is_empty(), "two attempts out");
                         prop_assert!(q.attempts < s.limits.most_attempts);
                         prop_assert_eq!(e.state, EngineState::Ready);
-                        prop_assert!(c.only_kinds.as_ref().is_none_or(|k| k.contains(&e.kind.unwrap())));
-                        prop_assert!(c.only_zones.as_ref().is_none_or(|z| z.contains(&e.zone.unwrap())));
+                        prop_assert!(
+                            c.only_kinds
+                                .as_ref()
+                                .is_none_or(|k| k.contains(&e.kind.unwrap()))
+                        );
+                        prop_assert!(
+                            c.only_zones
+                                .as_ref()
+                                .is_none_or(|z| z.contains(&e.zone.unwrap()))
+                        );
                         if let Some((sent, cell)) = q.first_run {
                             prop_assert!(c.effect != Effect::Unsafe, "an effect may happen twice");
                             if let Effect::Keyed { .. } = c.effect {
@@ -203,7 +253,8 @@
                         }
                         if q.attempts > 0 {
                             further.push(g.now);
-                            let used = further.iter().filter(|t| **t >= g.now - SPAN).count() as f64;
+                            let used =
+                                further.iter().filter(|t| **t >= g.now - SPAN).count() as f64;
                             let base = taken.iter().filter(|t| **t > g.now - SPAN).count() as f64;
                             prop_assert!(used <= 2.0 + 0.3 * base, "over the ration");
                         }
@@ -216,7 +267,10 @@
                         prop_assert!(!q.over, "a second final answer");
                         if matches!(a, Action::Refuse { .. }) {
                             let safe = s.classes[q.class].effect == Effect::Safe;
-                            prop_assert!(safe || q.first_run.is_none(), "a refusal that promises too much");
+                            prop_assert!(
+                                safe || q.first_run.is_none(),
+                                "a refusal that promises too much"
+                            );
                         }
                         q.over = true;
                     }
@@ -226,7 +280,8 @@
             all.extend(actions);
         }
         for (id, q) in &seen {
-            let answered = q.over || g.now <= q.deadline + s.rules.answer_grace + 50.0 || !q.out.is_empty();
+            let answered =
+                q.over || g.now <= q.deadline + s.rules.answer_grace + 50.0 || !q.out.is_empty();
             prop_assert!(answered, "query {} was lost", id);
         }
     }
@@ -235,7 +290,11 @@
 
 #[test]
 fn the_rules_hold_for_random_legal_events_and_the_same_events_give_the_same_actions() {
-    let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases: 300,
+        failure_persistence: None,
+        ..Config::default()
+    };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let steps = prop::collection::vec((any::<u8>(), any::<u8>(), any::<u16>()), 1..250);
     TestRunner::new_with_rng(config, rng)
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -47,22 +47,49 @@
 ) -> Stand {
     tweak(&mut sockets);
     let pool = Pool::default();
-    let hub = Hub::new(core, names, RespUpstream::new(sockets, vec![], pool.clone()));
+    let hub = Hub::new(
+        core,
+        names,
+        RespUpstream::new(sockets, vec![], pool.clone()),
+    );
     let engines = vec![engine.local_addr().unwrap()];
     hub.change(&change(&engines, None));
     spawn_local(hub.clone().clock());
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    SockRef::from(&listener).set_send_buffer_size(SMALL).unwrap();
+    SockRef::from(&listener)
+        .set_send_buffer_size(SMALL)
+        .unwrap();
     let at = listener.local_addr().unwrap();
-    let front = Front::new(hub.clone(), pool, &Machine { memory_mb: 64, sockets: 64 });
+    let front = Front::new(
+        hub.clone(),
+        pool,
+        &Machine {
+            memory_mb: 64,
+            sockets: 64,
+        },
+    );
     spawn_local(front.clone().accept(listener));
-    Stand { hub, front, at, engine, engines }
+    Stand {
+        hub,
+        front,
+        at,
+        engine,
+        engines,
+    }
 }
 
 /// One with room for hundreds of clients.
 async fn large() -> Stand {
-    let s = stand_with(core_with(1000), TcpListener::bind("127.0.0.1:0").await.unwrap(), |_| {}).await;
-    s.front.limit(&Machine { memory_mb: 64, sockets: 1024 });
+    let s = stand_with(
+        core_with(1000),
+        TcpListener::bind("127.0.0.1:0").await.unwrap(),
+        |_| {},
+    )
+    .await;
+    s.front.limit(&Machine {
+        memory_mb: 64,
+        sockets: 1024,
+    });
     s
 }
 
@@ -95,7 +122,10 @@
 
     /// The engine's next connection.
     async fn dialled(&self) -> TcpStream {
-        within("a connection", self.engine.accept()).await.unwrap().0
+        within("a connection", self.engine.accept())
+            .await
+            .unwrap()
+            .0
     }
 
     /// A request that nobody else has sent reaches the engine next: what waited before it never comes.
@@ -109,8 +139,21 @@
 
 fn request(stream: u32, txn: u64, class: &str, more: &str) -> Vec<u8> {
     let mut p = vec![4];
-    for (n, v) in [("verb", class), ("txn", &name(txn)), ("limit", "5000"), ("team", "acme")] {
-        p.extend([&[n.len() as u8], n.as_bytes(), &(v.len() as u16).to_be_bytes(), v.as_bytes()].concat());
+    for (n, v) in [
+        ("verb", class),
+        ("txn", &name(txn)),
+        ("limit", "5000"),
+        ("team", "acme"),
+    ] {
+        p.extend(
+            [
+                &[n.len() as u8],
+                n.as_bytes(),
+                &(v.len() as u16).to_be_bytes(),
+                v.as_bytes(),
+            ]
+            .concat(),
+        );
     }
     p.extend(format!("select a from t where b = '{more}'").bytes());
     frame(2, stream, &p)
@@ -118,7 +161,9 @@
 
 /// Requests of no class, which are failed one by one, and their client made to wait.
 fn useless(from: u32, n: u32) -> Vec<u8> {
-    (from..from + n).flat_map(|s| request(s, s.into(), "nonsense", "")).collect()
+    (from..from + n)
+        .flat_map(|s| request(s, s.into(), "nonsense", ""))
+        .collect()
 }
 
 /// A request straight at the hub, in the same turn as what the test does before; its answer is pushed there.
@@ -131,7 +176,11 @@
         work: None,
         memory_mb: None,
     };
-    let work = Work::free(&name(txn), ["lookup", "load"][class], Bytes::from_static(b"select 1"));
+    let work = Work::free(
+        &name(txn),
+        ["lookup", "load"][class],
+        Bytes::from_static(b"select 1"),
+    );
     let answers = answers.clone();
     let told = move |reply| {
         answers.borrow_mut().push(match reply {
@@ -162,7 +211,11 @@
     before(&mut client).await;
     let kept = leaves(client).await;
     tokio::time::sleep(TERM).await;
-    assert_eq!(s.hub.owed(), 0, "it is left by now, and what it held is free");
+    assert_eq!(
+        s.hub.owed(),
+        0,
+        "it is left by now, and what it held is free"
+    );
     s.lets_go();
     s.nothing_but(1).await;
     drop(kept);
@@ -228,7 +281,9 @@
     on_one_thread(async {
         let junk = async |c: &mut Client| {
             let large = "x".repeat(60_000);
-            let all: Vec<u8> = (100..120).flat_map(|s| request(s, s.into(), "nonsense", &large)).collect();
+            let all: Vec<u8> = (100..120)
+                .flat_map(|s| request(s, s.into(), "nonsense", &large))
+                .collect();
             c.say(&all).await;
         };
         left_while_it_waits(junk, 1, by_type_8).await;
@@ -245,23 +300,34 @@
         let mut client = Client::new(s.at).await;
         // Four fill what may be kept; others are turned away meanwhile.
         let large = "x".repeat(20_000);
-        let all: Vec<u8> = (1..=100).flat_map(|n| request(n, n.into(), "nonsense", &large)).collect();
+        let all: Vec<u8> = (1..=100)
+            .flat_map(|n| request(n, n.into(), "nonsense", &large))
+            .collect();
         client.say(&[all, frame(16, 101, &[0])].concat()).await;
         let mut told = std::collections::BTreeMap::new();
         while told.len() < 101 {
             let (kind, stream, payload) = client.hear().await.expect("every answer");
-            assert!(told.insert(stream, (kind, payload[0])).is_none(), "one answer each");
+            assert!(
+                told.insert(stream, (kind, payload[0])).is_none(),
+                "one answer each"
+            );
         }
         assert_eq!(told.remove(&101), Some((32, 0)));
         let failed = told.values().filter(|a| **a == (4, 2)).count();
         let refused = told.values().filter(|a| **a == (4, 14)).count();
         assert_eq!(failed + refused, 100);
-        assert!(failed >= 4 && refused > 50, "{failed} failed, {refused} refused");
+        assert!(
+            failed >= 4 && refused > 50,
+            "{failed} failed, {refused} refused"
+        );
         client.say(&request(1000, 1, "lookup", "")).await;
         let mut engine = s.dialled().await;
         let id = get(&mut engine).await;
         serve(&mut engine, &id, 1).await;
-        assert_eq!(client.hear().await.map(|f| (f.0, f.1, f.2[0])), Some((4, 1000, 0)));
+        assert_eq!(
+            client.hear().await.map(|f| (f.0, f.1, f.2[0])),
+            Some((4, 1000, 0))
+        );
     });
 }
 
@@ -292,8 +358,14 @@
         let mut crowd = vec![];
         for n in 0..200u64 {
             let mut c = Client::new(s.at).await;
-            c.say(&[request(1, 2 * n + 10, "lookup", ""), request(2, 2 * n + 11, "lookup", "")].concat())
-                .await;
+            c.say(
+                &[
+                    request(1, 2 * n + 10, "lookup", ""),
+                    request(2, 2 * n + 11, "lookup", ""),
+                ]
+                .concat(),
+            )
+            .await;
             crowd.push(c);
         }
         s.owes(400).await;
@@ -302,7 +374,8 @@
             .by_ref()
             .filter_map(|(n, c)| match n % 3 {
                 0 => {
-                    c.0.try_write(&[frame(8, 1, &[]), frame(8, 2, &[])].concat()).unwrap();
+                    c.0.try_write(&[frame(8, 1, &[]), frame(8, 2, &[])].concat())
+                        .unwrap();
                     Some(c)
                 }
                 1 => {
@@ -381,7 +454,10 @@
 #[test]
 fn the_end_of_a_client_is_seen_after_a_fault_on_its_connection() {
     on_one_thread(async {
-        let fault = async |c: &mut Client| c.say(&[&frame(99, 1, &[])[..], &[7; 100_000]].concat()).await;
+        let fault = async |c: &mut Client| {
+            c.say(&[&frame(99, 1, &[])[..], &[7; 100_000]].concat())
+                .await
+        };
         left_while_it_waits(fault, 1, by_closing).await;
         left_while_it_waits(fault, 1, by_reset).await;
     });
@@ -436,7 +512,11 @@
     std::thread::sleep(TERM * 3 / 2);
     s.lets_go();
     other.say(&request(2, 3, "lookup", "")).await;
-    assert_eq!(get(&mut engine).await, name(3), "nothing of the one that has gone");
+    assert_eq!(
+        get(&mut engine).await,
+        name(3),
+        "nothing of the one that has gone"
+    );
     drop(kept);
 }
 
@@ -476,7 +556,11 @@
                     read = async { first.peek(&mut [0]).await } => read.is_ok(),
                     read = async { second.peek(&mut [0]).await } => read.is_err(),
                 };
-                let (mut busy, mut rests) = if on_first { (first, second) } else { (second, first) };
+                let (mut busy, mut rests) = if on_first {
+                    (first, second)
+                } else {
+                    (second, first)
+                };
                 assert_eq!(get(&mut busy).await, name(3));
                 let leave = |c: Client| if by_reset { c.resets() } else { drop(c) };
                 if client_first {
@@ -489,7 +573,11 @@
                 std::thread::sleep(TERM * 3 / 2);
                 s.owes(0).await;
                 two.say(&request(2, 4, "lookup", "")).await;
-                assert_eq!(get(&mut rests).await, name(4), "nothing of the one that has gone");
+                assert_eq!(
+                    get(&mut rests).await,
+                    name(4),
+                    "nothing of the one that has gone"
+                );
             }
         }
     });
@@ -500,7 +588,9 @@
 fn a_late_connection_carries_nothing_for_a_client_that_has_left() {
     on_one_thread(async {
         let engine = tight();
-        let filler = TcpStream::connect(engine.local_addr().unwrap()).await.unwrap();
+        let filler = TcpStream::connect(engine.local_addr().unwrap())
+            .await
+            .unwrap();
         let s = stand(engine, |sockets| sockets.connect_timeout = 4000.0).await;
         let mut client = Client::new(s.at).await;
         client.say(&request(1, 1, "lookup", "")).await;
@@ -511,7 +601,11 @@
         let mut late = s.dialled().await;
         let mut other = Client::new(s.at).await;
         other.say(&request(1, 2, "lookup", "")).await;
-        assert_eq!(get(&mut late).await, name(2), "it is up, and the first that it carries is another's");
+        assert_eq!(
+            get(&mut late).await,
+            name(2),
+            "it is up, and the first that it carries is another's"
+        );
     });
 }
 
@@ -521,17 +615,25 @@
     on_one_thread(async {
         let s = narrow().await;
         let mut client = Client::new(s.at).await;
-        client.say(&request(1, 1, "lookup", &"x".repeat(250_000))).await;
+        client
+            .say(&request(1, 1, "lookup", &"x".repeat(250_000)))
+            .await;
         let mut engine = s.dialled().await;
         let mut first = [0; 1];
-        within("a byte", engine.read_exact(&mut first)).await.unwrap();
+        within("a byte", engine.read_exact(&mut first))
+            .await
+            .unwrap();
         SockRef::from(&engine).set_recv_buffer_size(SMALL).unwrap();
         client.say(&frame(8, 1, &[])).await;
         s.owes(0).await;
         tokio::time::sleep(TERM).await;
         let mut all = vec![];
         let end = within("an end", engine.read_to_end(&mut all)).await;
-        assert!(end.is_err() || all.len() < 250_000, "{} bytes came", all.len());
+        assert!(
+            end.is_err() || all.len() < 250_000,
+            "{} bytes came",
+            all.len()
+        );
     });
 }
 
@@ -551,13 +653,19 @@
     tokio::time::sleep(TERM).await;
     assert_eq!(get(&mut engine).await, name(1), "it was begun before");
     client.say(&frame(8, 1, &[])).await;
-    assert_eq!(command(&mut engine).await.unwrap(), ["DROP", &name(1)], "nothing but its end");
+    assert_eq!(
+        command(&mut engine).await.unwrap(),
+        ["DROP", &name(1)],
+        "nothing but its end"
+    );
 }
 
 #[test]
 fn what_stands_behind_a_stalled_write_is_called_back_when_its_client_leaves() {
     on_one_thread(behind_a_stalled_write(async |s, client| {
-        client.say(&[frame(8, 2, &[]), frame(8, 3, &[])].concat()).await;
+        client
+            .say(&[frame(8, 2, &[]), frame(8, 3, &[])].concat())
+            .await;
         s.owes(1).await;
     }));
 }
@@ -718,7 +826,9 @@
             reply(&mut engine, [&ids[0], "ACK", "total=3", "a\tb\tc\n"]).await;
             command(&mut engine).await.expect("a page is asked for");
             match how {
-                "reset" => SockRef::from(&engine).set_linger(Some(Duration::ZERO)).unwrap(),
+                "reset" => SockRef::from(&engine)
+                    .set_linger(Some(Duration::ZERO))
+                    .unwrap(),
                 "endless" => engine.write_all(b"*4\r\n$16\r\n00000000").await.unwrap(),
                 _ => reply(&mut engine, [&ids[0], "BLOCK", "index=1", "no rows"]).await,
             }
@@ -759,9 +869,16 @@
         let mut engine = s.dialled().await;
         let id = get(&mut engine).await;
         serve(&mut engine, &id, 1).await;
-        assert_eq!(client.hear().await.map(|f| (f.0, f.1, f.2[0])), Some((4, 1, 0)), "and served");
+        assert_eq!(
+            client.hear().await.map(|f| (f.0, f.1, f.2[0])),
+            Some((4, 1, 0)),
+            "and served"
+        );
         let refused = TcpStream::connect(s.at).await.map_err(|e| e.kind());
-        assert!(matches!(refused, Err(ErrorKind::ConnectionRefused)), "later ones go elsewhere");
+        assert!(
+            matches!(refused, Err(ErrorKind::ConnectionRefused)),
+            "later ones go elsewhere"
+        );
     });
 }
 
@@ -784,7 +901,11 @@
         let id = get(&mut engine).await;
         serve(&mut engine, &id, 9).await;
         s.owes(0).await;
-        assert_eq!(s.front.connections(), 1, "the answer is given, and not taken");
+        assert_eq!(
+            s.front.connections(),
+            1,
+            "the answer is given, and not taken"
+        );
         assert_eq!(client.hear().await.unwrap().0, 64);
         let (kind, stream, payload) = client.hear().await.unwrap();
         assert_eq!((kind, stream, payload.len()), (4, 1, 2 + 9 * 5005));
@@ -829,7 +950,8 @@
         let mut crowd = vec![];
         for n in 0..20 {
             let mut c = Client::new(s.at).await;
-            let mine = (1..=5).flat_map(|k| request(1000 + k, u64::from(1000 * (n + 1) + k), "lookup", ""));
+            let mine = (1..=5)
+                .flat_map(|k| request(1000 + k, u64::from(1000 * (n + 1) + k), "lookup", ""));
             c.say(&[useless(1, 40), mine.collect()].concat()).await;
             crowd.push(c);
         }
--- a/tests/recorded/mod.rs
+++ b/tests/recorded/mod.rs
@@ -5,7 +5,9 @@
 
 /// A file or folder below `tests/data`.
 pub fn data(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/data")
+        .join(name)
 }
 
 /// Fails unless `given` equals the recorded file byte for byte. What was given instead is left in the folder for the
@@ -15,7 +17,9 @@
     if expected == given {
         return;
     }
-    let actual = Path::new(env!("CARGO_TARGET_TMPDIR")).join("recorded").join(name);
+    let actual = Path::new(env!("CARGO_TARGET_TMPDIR"))
+        .join("recorded")
+        .join(name);
     std::fs::create_dir_all(actual.parent().unwrap()).unwrap();
     std::fs::write(&actual, given).unwrap();
     let (line, old, new) = first_difference(&expected, given);
@@ -26,7 +30,10 @@
 }
 
 /// The first line that differs, counted from 1, as recorded and as given.
-fn first_difference<'text>(expected: &'text str, given: &'text str) -> (usize, &'text str, &'text str) {
+fn first_difference<'text>(
+    expected: &'text str,
+    given: &'text str,
+) -> (usize, &'text str, &'text str) {
     const NO_LINE: &str = "(the end)";
     let (mut old, mut new) = (expected.lines(), given.lines());
     for line in 1.. {
@@ -48,13 +55,18 @@
 
 /// Replaces the number behind each of these JSON keys by `#`: ages and counts that depend on the moment.
 pub fn mask_numbers(json: &str, keys: &[&str]) -> String {
-    let masked = json.lines().map(|line| match line.trim_start().split_once("\": ") {
-        Some((key, value)) if keys.contains(&key.trim_start_matches('"')) => {
-            let comma = if value.ends_with(',') { "," } else { "" };
-            format!("{}\": #{comma}\n", &line[..line.len() - value.len() - "\": ".len()])
-        }
-        _ => format!("{line}\n"),
-    });
+    let masked = json
+        .lines()
+        .map(|line| match line.trim_start().split_once("\": ") {
+            Some((key, value)) if keys.contains(&key.trim_start_matches('"')) => {
+                let comma = if value.ends_with(',') { "," } else { "" };
+                format!(
+                    "{}\": #{comma}\n",
+                    &line[..line.len() - value.len() - "\": ".len()]
+                )
+            }
+            _ => format!("{line}\n"),
+        });
     masked.collect()
 }
 
@@ -63,7 +75,8 @@
 
 impl TemporaryFolder {
     pub fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("hitchwinch-recorded-{}-{name}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("hitchwinch-recorded-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
         std::fs::create_dir_all(&path).unwrap();
         TemporaryFolder(path)
@@ -101,7 +114,9 @@
 
 /// The names of all files in a folder, sorted.
 pub fn file_names(folder: &Path) -> Vec<String> {
-    let names = std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().file_name());
+    let names = std::fs::read_dir(folder)
+        .unwrap()
+        .map(|entry| entry.unwrap().file_name());
     let mut names: Vec<String> = names.map(|name| name.into_string().unwrap()).collect();
     names.sort();
     names
--- a/tests/recorded/mysql_client.rs
+++ b/tests/recorded/mysql_client.rs
@@ -48,7 +48,10 @@
 impl MysqlClient {
     /// Connects and reads the greeting.
     pub fn connect(address: SocketAddr) -> Self {
-        let mut client = MysqlClient { connection: connect(address), greeting: vec![] };
+        let mut client = MysqlClient {
+            connection: connect(address),
+            greeting: vec![],
+        };
         client.greeting = client.read().payload;
         client
     }
@@ -75,7 +78,9 @@
     fn write(&mut self, sequence: u8, payload: &[u8]) {
         let length = (payload.len() as u32).to_le_bytes();
         let head = [length[0], length[1], length[2], sequence];
-        self.connection.write_all(&[&head[..], payload].concat()).unwrap();
+        self.connection
+            .write_all(&[&head[..], payload].concat())
+            .unwrap();
     }
 
     fn read(&mut self) -> Packet {
@@ -83,7 +88,10 @@
         self.connection.read_exact(&mut head).unwrap();
         let mut payload = vec![0; u32::from_le_bytes([head[0], head[1], head[2], 0]) as usize];
         self.connection.read_exact(&mut payload).unwrap();
-        Packet { sequence: head[3], payload }
+        Packet {
+            sequence: head[3],
+            payload,
+        }
     }
 
     /// A text statement and all packets of its answer.
--- a/tests/recorded/program.rs
+++ b/tests/recorded/program.rs
@@ -13,7 +13,10 @@
     let mut program = Program::exec(file, &["--mysql"], None);
     let mut lines = vec![];
     while program.address.port() == 0 {
-        let line = program.log.recv_timeout(START).unwrap_or_else(|_| panic!("it does not start: {lines:?}"));
+        let line = program
+            .log
+            .recv_timeout(START)
+            .unwrap_or_else(|_| panic!("it does not start: {lines:?}"));
         if let Some((_, address)) = line.split_once("operators call at ") {
             program.admin = address.parse().unwrap();
         } else if let Some((_, address)) = line.split_once("listens on ") {
@@ -28,7 +31,9 @@
 /// One HTTP call at the operators' address: the whole response.
 pub fn call(admin: SocketAddr, method: &str, path: &str) -> String {
     let mut connection = connect(admin);
-    connection.write_all(format!("{method} {path} HTTP/1.1\r\nHost: test\r\n\r\n").as_bytes()).unwrap();
+    connection
+        .write_all(format!("{method} {path} HTTP/1.1\r\nHost: test\r\n\r\n").as_bytes())
+        .unwrap();
     let mut response = String::new();
     connection.read_to_string(&mut response).unwrap();
     response
--- a/tests/recorded_decisions.rs
+++ b/tests/recorded_decisions.rs
@@ -90,7 +90,12 @@
     hedging_in_places,
 );
 
-const CORE: CoreTraffic = CoreTraffic { open: 1000, peers: 0, operators: false, stops: false };
+const CORE: CoreTraffic = CoreTraffic {
+    open: 1000,
+    peers: 0,
+    operators: false,
+    stops: false,
+};
 
 #[test]
 fn core_alone() {
@@ -100,18 +105,34 @@
 #[test]
 fn core_with_few_open_requests() {
     let traffic = CoreTraffic { open: 12, ..CORE };
-    check_core("core_with_few_open_requests", "memory_overcommitted", traffic);
+    check_core(
+        "core_with_few_open_requests",
+        "memory_overcommitted",
+        traffic,
+    );
 }
 
 #[test]
 fn core_with_peers_and_operators() {
-    let traffic = CoreTraffic { peers: 3, operators: true, ..CORE };
-    check_core("core_with_peers_and_operators", "three_gateways_in_zones", traffic);
+    let traffic = CoreTraffic {
+        peers: 3,
+        operators: true,
+        ..CORE
+    };
+    check_core(
+        "core_with_peers_and_operators",
+        "three_gateways_in_zones",
+        traffic,
+    );
 }
 
 #[test]
 fn core_with_loads_that_stops() {
-    let traffic = CoreTraffic { operators: true, stops: true, ..CORE };
+    let traffic = CoreTraffic {
+        operators: true,
+        stops: true,
+        ..CORE
+    };
     check_core("core_with_loads_that_stops", "loads_hold_tables", traffic);
 }
 
@@ -120,10 +141,20 @@
 fn check_scenario(file: &str) {
     let path = format!("{}/lab/scenarios/{file}.json5", env!("CARGO_MANIFEST_DIR"));
     let whole = Scenario::read(path.as_ref()).expect("a scenario");
-    let scenario = Scenario { seconds: SCENARIO_S, ..whole };
+    let scenario = Scenario {
+        seconds: SCENARIO_S,
+        ..whole
+    };
     let day = play(&scenario, Policy::Module, SCENARIO_SEED);
-    let counts = format!("simulated-events={} simulated-attempts={}", day.events, day.attempts);
-    compare_texts(&format!("scenario {file}"), &counts, &format!("{:016x}", day.hash));
+    let counts = format!(
+        "simulated-events={} simulated-attempts={}",
+        day.events, day.attempts
+    );
+    compare_texts(
+        &format!("scenario {file}"),
+        &counts,
+        &format!("{:016x}", day.hash),
+    );
 }
 
 #[test]
@@ -190,9 +221,17 @@
 #[test]
 fn every_kind_of_event_and_action_is_exercised() {
     for (kind, least) in EXERCISED {
-        let pairs = EXPECTED.iter().flat_map(|row| row.counts.split_whitespace());
-        let of_kind = pairs.filter_map(|pair| pair.split_once('=').filter(|(name, _)| *name == kind));
-        let total: u64 = of_kind.map(|(_, count)| count.parse::<u64>().expect("a count")).sum();
-        assert!(total >= least, "{kind}: {total} in all profiles, at least {least} are due");
+        let pairs = EXPECTED
+            .iter()
+            .flat_map(|row| row.counts.split_whitespace());
+        let of_kind =
+            pairs.filter_map(|pair| pair.split_once('=').filter(|(name, _)| *name == kind));
+        let total: u64 = of_kind
+            .map(|(_, count)| count.parse::<u64>().expect("a count"))
+            .sum();
+        assert!(
+            total >= least,
+            "{kind}: {total} in all profiles, at least {least} are due"
+        );
     }
 }
