--- a/tests/recorded_decisions/controller_stream.rs
+++ b/tests/recorded_decisions/controller_stream.rs
@@ -13,12 +13,28 @@
 
 enum Step {
     Arrive,
-    End { request: u64, attempt: usize, outcome: Ending },
-    Note { request: u64, attempt: usize },
-    Stream { request: u64, attempt: usize },
-    Leave { request: u64 },
-    Wake { token: u64 },
-    ProbeAnswer { engine: usize },
+    End {
+        request: u64,
+        attempt: usize,
+        outcome: Ending,
+    },
+    Note {
+        request: u64,
+        attempt: usize,
+    },
+    Stream {
+        request: u64,
+        attempt: usize,
+    },
+    Leave {
+        request: u64,
+    },
+    Wake {
+        token: u64,
+    },
+    ProbeAnswer {
+        engine: usize,
+    },
     LoadReport,
     ListChange,
     WholeList,
@@ -58,8 +74,9 @@
 impl<'a> Stream<'a> {
     pub fn new(settings: AllSettings, traffic: Traffic, seed: u64, record: &'a mut Record) -> Self {
         let controller = Controller::new(settings.clone(), seed).expect("the settings are sound");
-        let engines =
-            (0..traffic.engines + SPARE_ENGINES).map(|number| toy_engine(number, traffic)).collect();
+        let engines = (0..traffic.engines + SPARE_ENGINES)
+            .map(|number| toy_engine(number, traffic))
+            .collect();
         Stream {
             settings,
             traffic,
@@ -84,8 +101,16 @@
     fn plan_start(&mut self) {
         let listed = self.engines[..self.traffic.engines].to_vec();
         self.tell(list_event(Update::Stale, &listed));
-        let first = [Step::Arrive, Step::LoadReport, Step::ListChange, Step::Survey, Step::Nonsense];
-        first.into_iter().for_each(|step| self.agenda.plan(1001.0, step));
+        let first = [
+            Step::Arrive,
+            Step::LoadReport,
+            Step::ListChange,
+            Step::Survey,
+            Step::Nonsense,
+        ];
+        first
+            .into_iter()
+            .for_each(|step| self.agenda.plan(1001.0, step));
         for (from, to, step) in [
             (1500.0, 4000.0, Step::Share),
             (1500.0, 5500.0, Step::WholeList),
@@ -99,7 +124,11 @@
     fn step(&mut self, step: Step) {
         match step {
             Step::Arrive => self.arrive(),
-            Step::End { request, attempt, outcome } => self.end(request, attempt, outcome),
+            Step::End {
+                request,
+                attempt,
+                outcome,
+            } => self.end(request, attempt, outcome),
             Step::Note { request, attempt } => self.note(request, attempt),
             Step::Stream { request, attempt } => {
                 if self.is_out(request, attempt) {
@@ -132,7 +161,9 @@
     /// Gives the module one event and does what its actions ask for.
     fn tell(&mut self, event: ControllerEvent) {
         // A clock that jumps back or is none at all must change nothing.
-        let clock = self.random.weighted(&[(self.now, 200), (self.now - 30.0, 1), (f64::NAN, 1)]);
+        let clock = self
+            .random
+            .weighted(&[(self.now, 200), (self.now - 30.0, 1), (f64::NAN, 1)]);
         self.record.line(event_word(&event), &bits(clock));
         let mut actions = vec![];
         self.controller.handle(clock, event, &mut actions);
@@ -149,7 +180,14 @@
             Observed::CancelAsked { request, attempt } => {
                 let at = self.now + self.random.between(0.5, 6.0);
                 let attempt = attempt as usize;
-                self.agenda.plan(at, Step::End { request, attempt, outcome: Ending::Cancelled });
+                self.agenda.plan(
+                    at,
+                    Step::End {
+                        request,
+                        attempt,
+                        outcome: Ending::Cancelled,
+                    },
+                );
             }
             Observed::Closed { request } => {
                 if let Some(toy) = self.requests.get_mut(&request) {
@@ -161,14 +199,19 @@
                 let at = self.now + self.random.between(1.0, 40.0);
                 self.agenda.plan(at, Step::ProbeAnswer { engine });
             }
-            Observed::WakeAsked { at, token } => self.agenda.plan(at.max(self.now), Step::Wake { token }),
+            Observed::WakeAsked { at, token } => {
+                self.agenda.plan(at.max(self.now), Step::Wake { token })
+            }
             Observed::ListAsked => self.repeat(10.0, Step::WholeList),
             Observed::NothingToDo => {}
         }
     }
 
     fn engine_number(&self, name: &str) -> usize {
-        self.engines.iter().position(|engine| engine.name == name).expect("only listed engines are named")
+        self.engines
+            .iter()
+            .position(|engine| engine.name == name)
+            .expect("only listed engines are named")
     }
 
     fn sent(&mut self, request: u64, engine: &str) {
@@ -179,7 +222,9 @@
         let usual_end = self.now + toy.work * crowd * self.engines[engine].slowness;
         let deadline = toy.deadline;
         let outcome = match self.engines[engine].dead {
-            true => self.random.pick(&[Ending::Unreachable, Ending::Reset, Ending::TimedOut]),
+            true => self
+                .random
+                .pick(&[Ending::Unreachable, Ending::Reset, Ending::TimedOut]),
             false => draw_outcome(&mut self.random, self.traffic.trouble),
         };
         let at = match outcome {
@@ -187,7 +232,14 @@
             Ending::Served => usual_end * self.random.between(1.0, 1.02),
             _ => self.random.between(self.now, self.now + 40.0),
         };
-        self.agenda.plan(at.max(self.now), Step::End { request, attempt, outcome });
+        self.agenda.plan(
+            at.max(self.now),
+            Step::End {
+                request,
+                attempt,
+                outcome,
+            },
+        );
         if self.random.chance(self.traffic.notes) {
             self.repeat(60.0, Step::Note { request, attempt });
         }
@@ -196,8 +248,16 @@
         }
         self.engines[engine].running += 1;
         let sent = self.now;
-        let toy = self.requests.get_mut(&request).expect("the request is known");
-        toy.attempts.push(ToyAttempt { engine, sent, usual_end, out: true });
+        let toy = self
+            .requests
+            .get_mut(&request)
+            .expect("the request is known");
+        toy.attempts.push(ToyAttempt {
+            engine,
+            sent,
+            usual_end,
+            out: true,
+        });
     }
 
     fn is_out(&self, request: u64, attempt: usize) -> bool {
@@ -210,10 +270,20 @@
         let memory_mb = self.random.between(50.0, 3000.0);
         let time_left = self.random.pick(&[30.0, 400.0, 1200.0, 2500.0]);
         let deadline = self.now + time_left;
-        let toy = ToyRequest { closed: false, deadline, work, memory_mb, attempts: vec![] };
+        let toy = ToyRequest {
+            closed: false,
+            deadline,
+            work,
+            memory_mb,
+            attempts: vec![],
+        };
         self.requests.insert(request, toy);
         let arrival = self.draw_arrival(request, work, memory_mb, time_left);
-        let gives_up = if self.random.chance(0.05) { self.now + time_left / 4.0 } else { deadline };
+        let gives_up = if self.random.chance(0.05) {
+            self.now + time_left / 4.0
+        } else {
+            deadline
+        };
         self.agenda.plan(gives_up, Step::Leave { request });
         self.tell(arrival_event(arrival));
         self.repeat(1000.0 / self.traffic.arrivals_per_s, Step::Arrive);
@@ -229,11 +299,16 @@
         Arrival {
             request,
             class: self.random.below(self.settings.classes.len()),
-            tenant: named(&mut self.random, self.settings.tenants.len()).map(|tenant| tenant as usize),
+            tenant: named(&mut self.random, self.settings.tenants.len())
+                .map(|tenant| tenant as usize),
             key: named(&mut self.random, self.traffic.keys).map(|key| format!("key-{key}")),
             tables: named(&mut self.random, self.traffic.tables),
             time_left,
-            work: if self.random.chance(0.01) { Some(f64::NAN) } else { estimate(work, told) },
+            work: if self.random.chance(0.01) {
+                Some(f64::NAN)
+            } else {
+                estimate(work, told)
+            },
             memory_mb: estimate(memory_mb, told),
         }
     }
@@ -242,13 +317,19 @@
         if !self.is_out(request, attempt) {
             return;
         }
-        let toy = self.requests.get_mut(&request).expect("the request is known");
+        let toy = self
+            .requests
+            .get_mut(&request)
+            .expect("the request is known");
         toy.attempts[attempt].out = false;
         toy.closed |= outcome == Ending::Served;
         let (engine, sent) = (toy.attempts[attempt].engine, toy.attempts[attempt].sent);
         self.engines[engine].running -= 1;
         let told = outcome == Ending::Served && self.settings.engines.tells_cost;
-        let silent = matches!(outcome, Ending::TimedOut | Ending::Unreachable | Ending::Reset);
+        let silent = matches!(
+            outcome,
+            Ending::TimedOut | Ending::Unreachable | Ending::Reset
+        );
         let end = AttemptEnd {
             request,
             attempt: attempt as u32,
@@ -257,13 +338,21 @@
             latency: self.now - sent,
             work: told.then_some(toy.work),
             memory_mb: told.then_some(toy.memory_mb),
-            report: if silent { vec![] } else { self.draw_report(engine) },
+            report: if silent {
+                vec![]
+            } else {
+                self.draw_report(engine)
+            },
         };
         self.tell(end_event(end));
     }
 
     fn draw_report(&mut self, engine: usize) -> Vec<f64> {
-        draw_report(&mut self.random, &self.settings, self.engines[engine].running)
+        draw_report(
+            &mut self.random,
+            &self.settings,
+            self.engines[engine].running,
+        )
     }
 
     fn note(&mut self, request: u64, attempt: usize) {
@@ -279,15 +368,26 @@
     }
 
     fn leave(&mut self, request: u64) {
-        let toy = self.requests.get_mut(&request).expect("the request is known");
+        let toy = self
+            .requests
+            .get_mut(&request)
+            .expect("the request is known");
         if !std::mem::replace(&mut toy.closed, true) {
             self.tell(client_left_event(request));
         }
     }
 
     fn load_report(&mut self, engine: usize) {
-        let outcome = if self.engines[engine].dead { Ending::Unreachable } else { Ending::Served };
-        let report = if self.engines[engine].dead { vec![] } else { self.draw_report(engine) };
+        let outcome = if self.engines[engine].dead {
+            Ending::Unreachable
+        } else {
+            Ending::Served
+        };
+        let report = if self.engines[engine].dead {
+            vec![]
+        } else {
+            self.draw_report(engine)
+        };
         let name = self.engines[engine].name.clone();
         self.tell(load_event(&name, outcome, report));
     }
@@ -301,7 +401,10 @@
         match self.random.below(8) {
             0 => engine.standing = Standing::Draining,
             1 => engine.standing = Standing::Gone,
-            2 | 3 => (engine.standing, engine.started, engine.dead) = (Standing::Ready, Some(started), false),
+            2 | 3 => {
+                (engine.standing, engine.started, engine.dead) =
+                    (Standing::Ready, Some(started), false)
+            }
             4 | 5 => (engine.standing, engine.dead) = (Standing::Ready, false),
             6 => engine.dead = true,
             _ => (engine.zone, engine.slowness) = (zone, [1.0, 6.0][zone % 2]),
@@ -312,9 +415,17 @@
     }
 
     fn whole_list(&mut self) {
-        let update = if self.random.chance(0.3) { Update::Stale } else { Update::Whole };
-        let listed: Vec<ToyEngine> =
-            self.engines.iter().filter(|engine| engine.standing != Standing::Gone).cloned().collect();
+        let update = if self.random.chance(0.3) {
+            Update::Stale
+        } else {
+            Update::Whole
+        };
+        let listed: Vec<ToyEngine> = self
+            .engines
+            .iter()
+            .filter(|engine| engine.standing != Standing::Gone)
+            .cloned()
+            .collect();
         let absent = self.random.below(listed.len().max(1));
         let kept: Vec<ToyEngine> = listed
             .into_iter()
@@ -374,7 +485,11 @@
     let spare = number >= traffic.engines;
     ToyEngine {
         name: format!("e{number}"),
-        standing: if spare { Standing::Gone } else { Standing::Ready },
+        standing: if spare {
+            Standing::Gone
+        } else {
+            Standing::Ready
+        },
         started: (number % 4 == 3).then_some(900.0),
         kind: number % 2,
         zone: number % traffic.zones,
--- a/tests/recorded_decisions/core_stream.rs
+++ b/tests/recorded_decisions/core_stream.rs
@@ -26,10 +26,21 @@
 
 enum Step {
     Open,
-    Leave { request: u64 },
-    End { attempt: AttemptId, engine: usize, outcome: Ending },
-    Begin { attempt: AttemptId, engine: usize },
-    Note { attempt: AttemptId },
+    Leave {
+        request: u64,
+    },
+    End {
+        attempt: AttemptId,
+        engine: usize,
+        outcome: Ending,
+    },
+    Begin {
+        attempt: AttemptId,
+        engine: usize,
+    },
+    Note {
+        attempt: AttemptId,
+    },
     Written,
     ListChange,
     WholeList,
@@ -64,14 +75,23 @@
         seed: u64,
         record: &'a mut Record,
     ) -> Self {
-        let mut core = Core::new(settings.clone(), seed, core_bounds(core_traffic.open)).expect("sound");
+        let mut core =
+            Core::new(settings.clone(), seed, core_bounds(core_traffic.open)).expect("sound");
         if core_traffic.peers > 0 {
             let fields = settings.report_fields.len();
-            core.join(Terms { peers: core_traffic.peers, price: 0.2, fields });
+            core.join(Terms {
+                peers: core_traffic.peers,
+                price: 0.2,
+                fields,
+            });
         }
         CoreStream {
-            class_names: (0..settings.classes.len()).map(|class| format!("class-{class}")).collect(),
-            engines: (0..traffic.engines + 1).map(|number| toy_engine(number, traffic)).collect(),
+            class_names: (0..settings.classes.len())
+                .map(|class| format!("class-{class}"))
+                .collect(),
+            engines: (0..traffic.engines + 1)
+                .map(|number| toy_engine(number, traffic))
+                .collect(),
             settings,
             traffic,
             core_traffic,
@@ -101,13 +121,25 @@
 
     fn next_time(&self) -> Option<f64> {
         let times = [self.core.next_wake(), self.agenda.next_time()];
-        times.into_iter().flatten().reduce(f64::min).map(|at| at.max(self.now))
+        times
+            .into_iter()
+            .flatten()
+            .reduce(f64::min)
+            .map(|at| at.max(self.now))
     }
 
     fn plan_start(&mut self) {
         self.agenda.plan(BEGIN, Step::WholeList);
-        let first = [Step::Open, Step::ListChange, Step::Share, Step::Figures, Step::PeerMessage];
-        first.into_iter().for_each(|step| self.agenda.plan(BEGIN + 1.0, step));
+        let first = [
+            Step::Open,
+            Step::ListChange,
+            Step::Share,
+            Step::Figures,
+            Step::PeerMessage,
+        ];
+        first
+            .into_iter()
+            .for_each(|step| self.agenda.plan(BEGIN + 1.0, step));
         if self.core_traffic.operators {
             self.agenda.plan(BEGIN + 200.0, Step::Operator);
         }
@@ -121,10 +153,15 @@
         match step {
             Step::Open => self.open(),
             Step::Leave { request } => {
-                self.record.line("leave", &format!("{request} {}", bits(self.now)));
+                self.record
+                    .line("leave", &format!("{request} {}", bits(self.now)));
                 self.core.leave(self.now, request);
             }
-            Step::End { attempt, engine, outcome } => self.end(attempt, engine, outcome),
+            Step::End {
+                attempt,
+                engine,
+                outcome,
+            } => self.end(attempt, engine, outcome),
             Step::Begin { attempt, engine } => self.begin(attempt, engine),
             Step::Note { attempt } => self.note(attempt),
             Step::Written => self.core.written(),
@@ -172,19 +209,27 @@
         let group_count = self.traffic.tables.max(1);
         let time_left = self.random.pick(&[10.0, 200.0, 900.0, 2000.0]);
         let no_deadline = self.random.chance(0.01);
-        let class =
-            if self.random.chance(0.01) { 99 } else { self.random.below(self.settings.classes.len()) };
+        let class = if self.random.chance(0.01) {
+            99
+        } else {
+            self.random.below(self.settings.classes.len())
+        };
         let told = self.random.chance(0.7);
         let new_request = NewRequest {
             class,
             tenant: Some(self.random.below(3)),
             group: (self.traffic.tables > 0).then(|| self.random.below(group_count) as u64),
-            deadline: if no_deadline { f64::INFINITY } else { self.now + time_left },
+            deadline: if no_deadline {
+                f64::INFINITY
+            } else {
+                self.now + time_left
+            },
             work: told.then(|| self.random.between(10.0, 400.0)),
             memory_mb: told.then(|| self.random.between(50.0, 3000.0)),
         };
         let request = self.core.open(self.now, new_request);
-        self.record.line("open", &format!("{request} {}", bits(self.now)));
+        self.record
+            .line("open", &format!("{request} {}", bits(self.now)));
         if self.random.chance(0.08) {
             self.repeat(60.0, Step::Leave { request });
         }
@@ -192,7 +237,11 @@
     }
 
     fn started(&mut self, attempt: AttemptId, engine: &str) {
-        let engine = self.engines.iter().position(|toy| toy.name == engine).expect("a listed engine");
+        let engine = self
+            .engines
+            .iter()
+            .position(|toy| toy.name == engine)
+            .expect("a listed engine");
         self.running.insert(attempt);
         self.agenda.plan(self.now, Step::Written);
         let outcome = draw_outcome(&mut self.random, self.traffic.trouble);
@@ -201,9 +250,17 @@
             // It never ends by itself: the core's own time limits must end it.
             Ending::TimedOut => {}
             Ending::Served if self.random.chance(0.4) => {
-                self.agenda.plan(self.now + takes / 2.0, Step::Begin { attempt, engine });
+                self.agenda
+                    .plan(self.now + takes / 2.0, Step::Begin { attempt, engine });
             }
-            _ => self.agenda.plan(self.now + takes, Step::End { attempt, engine, outcome }),
+            _ => self.agenda.plan(
+                self.now + takes,
+                Step::End {
+                    attempt,
+                    engine,
+                    outcome,
+                },
+            ),
         }
         if self.random.chance(self.traffic.notes) {
             self.repeat(60.0, Step::Note { attempt });
@@ -213,15 +270,33 @@
     fn begin(&mut self, attempt: AttemptId, engine: usize) {
         self.record.line("answering", &bits(self.now));
         self.core.answering(self.now, attempt);
-        let outcome = if self.random.chance(0.9) { Ending::Served } else { Ending::Reset };
-        self.repeat(150.0, Step::End { attempt, engine, outcome });
+        let outcome = if self.random.chance(0.9) {
+            Ending::Served
+        } else {
+            Ending::Reset
+        };
+        self.repeat(
+            150.0,
+            Step::End {
+                attempt,
+                engine,
+                outcome,
+            },
+        );
     }
 
     fn end(&mut self, attempt: AttemptId, engine: usize, outcome: Ending) {
         self.running.remove(&attempt);
-        let report = draw_report(&mut self.random, &self.settings, self.running.len() / 4 + engine % 2);
+        let report = draw_report(
+            &mut self.random,
+            &self.settings,
+            self.running.len() / 4 + engine % 2,
+        );
         let counted = self.core.ended(self.now, attempt, outcome, report);
-        self.record.line(outcome_word(outcome), &format!("{counted} {}", bits(self.now)));
+        self.record.line(
+            outcome_word(outcome),
+            &format!("{counted} {}", bits(self.now)),
+        );
     }
 
     fn note(&mut self, attempt: AttemptId) {
@@ -238,9 +313,17 @@
     fn list_change(&mut self) {
         let number = self.random.below(self.engines.len());
         let engine = &mut self.engines[number];
-        engine.standing =
-            self.random.pick(&[Standing::Ready, Standing::Ready, Standing::Draining, Standing::Gone]);
-        engine.started = if self.random.chance(0.3) { Some(self.now - 5.0) } else { engine.started };
+        engine.standing = self.random.pick(&[
+            Standing::Ready,
+            Standing::Ready,
+            Standing::Draining,
+            Standing::Gone,
+        ]);
+        engine.started = if self.random.chance(0.3) {
+            Some(self.now - 5.0)
+        } else {
+            engine.started
+        };
         let entries = vec![entry(engine)];
         self.record.line("list-patch", &bits(self.now));
         self.core.engines(self.now, Update::Patch, entries);
@@ -248,11 +331,22 @@
     }
 
     fn whole_list(&mut self) {
-        let entries: Vec<_> =
-            self.engines.iter().filter(|engine| engine.standing != Standing::Gone).map(entry).collect();
+        let entries: Vec<_> = self
+            .engines
+            .iter()
+            .filter(|engine| engine.standing != Standing::Gone)
+            .map(entry)
+            .collect();
         let first = self.now == BEGIN;
-        self.record.line(if first { "list-stale" } else { "list-whole" }, &bits(self.now));
-        self.core.engines(self.now, if first { Update::Stale } else { Update::Whole }, entries);
+        self.record.line(
+            if first { "list-stale" } else { "list-whole" },
+            &bits(self.now),
+        );
+        self.core.engines(
+            self.now,
+            if first { Update::Stale } else { Update::Whole },
+            entries,
+        );
         self.repeat(1000.0, Step::WholeList);
     }
 
@@ -264,7 +358,10 @@
         };
         let (serves, known) = (self.core.in_service(&name), self.core.knows(&name));
         let held_out = self.core.by_hand().len();
-        self.record.line(word, &format!("{name} {serves} {known} {held_out} {}", entry_text(entry)));
+        self.record.line(
+            word,
+            &format!("{name} {serves} {known} {held_out} {}", entry_text(entry)),
+        );
         self.repeat(150.0, Step::Operator);
     }
 
@@ -285,7 +382,8 @@
             _ => message[last] = self.random.below(128) as u8,
         }
         let accepted = self.core.heard(self.now, &message).is_ok();
-        self.record.line("peer-message", &format!("{accepted} {}", bits(self.now)));
+        self.record
+            .line("peer-message", &format!("{accepted} {}", bits(self.now)));
         if self.random.chance(0.1) {
             self.core.stranger();
         }
--- a/tests/recorded_decisions/profiles.rs
+++ b/tests/recorded_decisions/profiles.rs
@@ -56,7 +56,10 @@
 }
 
 fn keyed(group: Group) -> Effect {
-    Effect::Keyed { group, window: 900.0 }
+    Effect::Keyed {
+        group,
+        window: 900.0,
+    }
 }
 
 fn base() -> Settings {
@@ -69,10 +72,22 @@
             class(3.0, 900.0, keyed(Group::All)),
             class(2.0, 800.0, keyed(Group::Zone)),
             class(2.5, 700.0, keyed(Group::Cell)),
-            Class { threads: 2.0, ..class(5.0, 1500.0, Effect::Unsafe) },
+            Class {
+                threads: 2.0,
+                ..class(5.0, 1500.0, Effect::Unsafe)
+            },
         ],
         tenants: vec![],
-        kinds: vec![Kind { cores: 8.0, memory_mb: 16384.0 }, Kind { cores: 4.0, memory_mb: 8192.0 }],
+        kinds: vec![
+            Kind {
+                cores: 8.0,
+                memory_mb: 16384.0,
+            },
+            Kind {
+                cores: 4.0,
+                memory_mb: 8192.0,
+            },
+        ],
         over_share_worth: 0.1,
         limits: Limits {
             most_attempts: 3,
@@ -124,41 +139,82 @@
         "three_gateways_in_zones" => {
             settings.gateways = 3;
             settings.cross_zone_price = 0.5;
-            traffic = Traffic { engines: 9, zones: 3, ..traffic };
+            traffic = Traffic {
+                engines: 9,
+                zones: 3,
+                ..traffic
+            };
         }
         "fifty_gateways_with_probes" => {
             (settings.gateways, settings.limits.probes) = (50, true);
             settings.report_fields = ALL_FIELDS.to_vec();
-            traffic = Traffic { engines: 10, arrivals_per_s: 30.0, ..traffic };
+            traffic = Traffic {
+                engines: 10,
+                arrivals_per_s: 30.0,
+                ..traffic
+            };
         }
         "three_hundred_gateways_and_restarts" => {
             (settings.gateways, settings.limits.probes) = (300, true);
             settings.rules.cold_from = 0.6;
             settings.report_fields = vec![ReportField::CpuBusy];
-            traffic = Traffic { engines: 12, arrivals_per_s: 25.0, list_change_every: 100.0, ..traffic };
+            traffic = Traffic {
+                engines: 12,
+                arrivals_per_s: 25.0,
+                list_change_every: 100.0,
+                ..traffic
+            };
         }
         "loads_hold_tables" => loads_hold_tables(&mut settings, &mut traffic),
         "keys_in_order" => {
-            settings.classes.iter_mut().for_each(|class| class.in_order = true);
-            traffic = Traffic { keys: 12, trouble: 5, ..traffic };
+            settings
+                .classes
+                .iter_mut()
+                .for_each(|class| class.in_order = true);
+            traffic = Traffic {
+                keys: 12,
+                trouble: 5,
+                ..traffic
+            };
         }
         "tenants_and_retry_budget" => {
             settings.gateways = 3;
-            settings.tenants = [4.0, 15.0, 60.0].map(|quota_per_s| Tenant { quota_per_s }).to_vec();
-            settings.rules.attempt_budget = Some(AttemptBudget { free: 2.0, share: 0.1, span: 1000.0 });
-            traffic = Traffic { trouble: 10, ..traffic };
+            settings.tenants = [4.0, 15.0, 60.0]
+                .map(|quota_per_s| Tenant { quota_per_s })
+                .to_vec();
+            settings.rules.attempt_budget = Some(AttemptBudget {
+                free: 2.0,
+                share: 0.1,
+                span: 1000.0,
+            });
+            traffic = Traffic {
+                trouble: 10,
+                ..traffic
+            };
         }
         "memory_overcommitted" => {
             settings.engines.overcommits = true;
-            (settings.engines.takes_grants, settings.engines.takes_priority) = (true, true);
-            traffic = Traffic { engines: 4, arrivals_per_s: 80.0, notes: 0.6, ..traffic };
+            (
+                settings.engines.takes_grants,
+                settings.engines.takes_priority,
+            ) = (true, true);
+            traffic = Traffic {
+                engines: 4,
+                arrivals_per_s: 80.0,
+                notes: 0.6,
+                ..traffic
+            };
         }
         "list_by_subscription" => {
             settings.must_subscribe = true;
             settings.engines.takes_grants = true;
             settings.report_fields = vec![];
             settings.engines.tells_cost = false;
-            traffic = Traffic { list_change_every: 60.0, estimates: false, ..traffic };
+            traffic = Traffic {
+                list_change_every: 60.0,
+                estimates: false,
+                ..traffic
+            };
         }
         "hedging_in_places" => hedging_in_places(&mut settings, &mut traffic),
         other => panic!("no profile {other}"),
@@ -168,12 +224,23 @@
 
 fn loads_hold_tables(settings: &mut Settings, traffic: &mut Traffic) {
     settings.gateways = 3;
-    (settings.engines.takes_grants, settings.engines.takes_priority) = (true, true);
+    (
+        settings.engines.takes_grants,
+        settings.engines.takes_priority,
+    ) = (true, true);
     settings.engines.notes_every = 80.0;
     settings.classes[0].waits_for_loads = true;
     settings.classes[1].waits_for_loads = true;
-    settings.classes[4] = Class { holds_tables: true, ..class(8.0, 1500.0, keyed(Group::All)) };
-    *traffic = Traffic { engines: 8, tables: 4, notes: 0.9, ..*traffic };
+    settings.classes[4] = Class {
+        holds_tables: true,
+        ..class(8.0, 1500.0, keyed(Group::All))
+    };
+    *traffic = Traffic {
+        engines: 8,
+        tables: 4,
+        notes: 0.9,
+        ..*traffic
+    };
 }
 
 fn hedging_in_places(settings: &mut Settings, traffic: &mut Traffic) {
@@ -182,10 +249,19 @@
     settings.classes[0].only_zones = Some(vec![0, 2]);
     settings.classes[1].only_kinds = Some(vec![1]);
     settings.classes[2].only_zones = Some(vec![1]);
-    *traffic = Traffic { engines: 9, zones: 3, trouble: 6, ..*traffic };
+    *traffic = Traffic {
+        engines: 9,
+        zones: 3,
+        trouble: 6,
+        ..*traffic
+    };
 }
 
 /// What the request core may hold open, and its margins.
 pub fn core_bounds(open: usize) -> Bounds {
-    Bounds { open, margin: 20.0, page_wait: 300.0 }
+    Bounds {
+        open,
+        margin: 20.0,
+        page_wait: 300.0,
+    }
 }
--- a/tests/recorded_decisions/random.rs
+++ b/tests/recorded_decisions/random.rs
@@ -47,7 +47,10 @@
 
 impl<Step> Agenda<Step> {
     pub fn new() -> Self {
-        Agenda { steps: BTreeMap::new(), planned: 0 }
+        Agenda {
+            steps: BTreeMap::new(),
+            planned: 0,
+        }
     }
 
     /// Plans a step; the time must not be negative, so that times sort like their bits.
@@ -57,10 +60,14 @@
     }
 
     pub fn next_time(&self) -> Option<f64> {
-        self.steps.first_key_value().map(|(key, _)| f64::from_bits(key.0))
+        self.steps
+            .first_key_value()
+            .map(|(key, _)| f64::from_bits(key.0))
     }
 
     pub fn pop(&mut self) -> Option<(f64, Step)> {
-        self.steps.pop_first().map(|(key, step)| (f64::from_bits(key.0), step))
+        self.steps
+            .pop_first()
+            .map(|(key, step)| (f64::from_bits(key.0), step))
     }
 }
--- a/tests/recorded_decisions/record.rs
+++ b/tests/recorded_decisions/record.rs
@@ -18,8 +18,17 @@
 
     /// The counts as `kind=count`, by kind, and the digest in hexadecimal.
     pub fn finish(self) -> (String, String) {
-        let counts: Vec<String> = self.counts.iter().map(|(kind, count)| format!("{kind}={count}")).collect();
-        let digest = self.hasher.finalize().iter().map(|byte| format!("{byte:02x}")).collect();
+        let counts: Vec<String> = self
+            .counts
+            .iter()
+            .map(|(kind, count)| format!("{kind}={count}"))
+            .collect();
+        let digest = self
+            .hasher
+            .finalize()
+            .iter()
+            .map(|byte| format!("{byte:02x}"))
+            .collect();
         (counts.join(" "), digest)
     }
 }
--- a/tests/recorded_decisions/vocabulary.rs
+++ b/tests/recorded_decisions/vocabulary.rs
@@ -5,7 +5,8 @@
 use crate::record::{bits, optional_bits};
 use hitchwinch::core::{Answer, AttemptId, Command};
 use hitchwinch::{
-    Action, Ended, EngineEntry, EngineState, Event, ListUpdate, Note, Outcome, Query, ReportField, Settings,
+    Action, Ended, EngineEntry, EngineState, Event, ListUpdate, Note, Outcome, Query, ReportField,
+    Settings,
 };
 
 pub use hitchwinch::core::{Core, NewRequest};
@@ -78,7 +79,10 @@
 }
 
 pub fn list_event(update: Update, engines: &[ToyEngine]) -> Event {
-    Event::Engines { update, entries: engines.iter().map(entry).collect() }
+    Event::Engines {
+        update,
+        entries: engines.iter().map(entry).collect(),
+    }
 }
 
 pub fn list_failure_event() -> Event {
@@ -112,15 +116,26 @@
 }
 
 pub fn load_event(engine: &str, outcome: Ending, report: Vec<f64>) -> Event {
-    Event::Heard { engine: engine.to_string(), outcome, report }
+    Event::Heard {
+        engine: engine.to_string(),
+        outcome,
+        report,
+    }
 }
 
 pub fn note_event(request: u64, attempt: u32, note: ProgressNote) -> Event {
-    Event::Progress { id: request, attempt, note }
+    Event::Progress {
+        id: request,
+        attempt,
+        note,
+    }
 }
 
 pub fn streaming_event(request: u64, attempt: u32) -> Event {
-    Event::Streaming { id: request, attempt }
+    Event::Streaming {
+        id: request,
+        attempt,
+    }
 }
 
 pub fn client_left_event(request: u64) -> Event {
@@ -134,9 +149,18 @@
 /// The word for an event in the record.
 pub fn event_word(event: &Event) -> &'static str {
     match event {
-        Event::Engines { update: ListUpdate::Patch, .. } => "list-patch",
-        Event::Engines { update: ListUpdate::Whole, .. } => "list-whole",
-        Event::Engines { update: ListUpdate::Stale, .. } => "list-stale",
+        Event::Engines {
+            update: ListUpdate::Patch,
+            ..
+        } => "list-patch",
+        Event::Engines {
+            update: ListUpdate::Whole,
+            ..
+        } => "list-whole",
+        Event::Engines {
+            update: ListUpdate::Stale,
+            ..
+        } => "list-stale",
         Event::DiscoveryFailed => "list-failure",
         Event::Query(_) => "arrival",
         Event::Ended(ended) => outcome_word(ended.outcome),
@@ -175,14 +199,20 @@
 /// An action as its word and its details.
 pub fn action_text(action: &Action) -> (&'static str, String) {
     match action {
-        Action::Send { id, engine, timeout } => {
-            ("send", format!("{id} {engine} {}", optional_bits(*timeout)))
-        }
-        Action::Terms { id, priority, memory_mb } => {
-            ("terms", format!("{id} {priority} {}", bits(*memory_mb)))
-        }
+        Action::Send {
+            id,
+            engine,
+            timeout,
+        } => ("send", format!("{id} {engine} {}", optional_bits(*timeout))),
+        Action::Terms {
+            id,
+            priority,
+            memory_mb,
+        } => ("terms", format!("{id} {priority} {}", bits(*memory_mb))),
         Action::Cancel { id, attempt } => ("cancel", format!("{id} {attempt}")),
-        Action::Refuse { id, retry_after } => ("refuse", format!("{id} {}", optional_bits(*retry_after))),
+        Action::Refuse { id, retry_after } => {
+            ("refuse", format!("{id} {}", optional_bits(*retry_after)))
+        }
         Action::Fail { id } => ("fail", id.to_string()),
         Action::Probe { engine } => ("probe", engine.clone()),
         Action::Timer { at, token } => ("wake", format!("{} {token}", bits(*at))),
@@ -193,11 +223,22 @@
 
 pub fn observe(action: &Action) -> Observed {
     match action {
-        Action::Send { id, engine, .. } => Observed::Sent { request: *id, engine: engine.clone() },
-        Action::Cancel { id, attempt } => Observed::CancelAsked { request: *id, attempt: *attempt },
+        Action::Send { id, engine, .. } => Observed::Sent {
+            request: *id,
+            engine: engine.clone(),
+        },
+        Action::Cancel { id, attempt } => Observed::CancelAsked {
+            request: *id,
+            attempt: *attempt,
+        },
         Action::Refuse { id, .. } | Action::Fail { id } => Observed::Closed { request: *id },
-        Action::Probe { engine } => Observed::ProbeAsked { engine: engine.clone() },
-        Action::Timer { at, token } => Observed::WakeAsked { at: *at, token: *token },
+        Action::Probe { engine } => Observed::ProbeAsked {
+            engine: engine.clone(),
+        },
+        Action::Timer { at, token } => Observed::WakeAsked {
+            at: *at,
+            token: *token,
+        },
         Action::Subscribe => Observed::ListAsked,
         Action::Terms { .. } | Action::Log(_) => Observed::NothingToDo,
     }
@@ -206,9 +247,19 @@
 /// A command of the request core as its word and its details.
 pub fn command_text(command: &Command) -> (&'static str, String) {
     match command {
-        Command::Start { attempt, engine, until, write_by, memory_mb, alone } => {
+        Command::Start {
+            attempt,
+            engine,
+            until,
+            write_by,
+            memory_mb,
+            alone,
+        } => {
             let numbers = [*until, *write_by, *memory_mb].map(bits).join(" ");
-            ("start", format!("{} {engine} {numbers} {alone}", attempt_text(*attempt)))
+            (
+                "start",
+                format!("{} {engine} {numbers} {alone}", attempt_text(*attempt)),
+            )
         }
         Command::Drop { attempt } => ("drop", attempt_text(*attempt)),
         Command::Answer { request, answer } => {
@@ -227,7 +278,9 @@
 fn answer_text(answer: &Answer) -> (&'static str, String) {
     match answer {
         Answer::Served(attempt) => ("answer-served", attempt_text(*attempt)),
-        Answer::Refused { later, why } => ("answer-refused", format!("{} {why}", optional_bits(*later))),
+        Answer::Refused { later, why } => {
+            ("answer-refused", format!("{} {why}", optional_bits(*later)))
+        }
         Answer::Failed { why } => ("answer-failed", (*why).to_string()),
         Answer::TimedOut { harmless } => ("answer-timed-out", harmless.to_string()),
     }
@@ -243,7 +296,11 @@
                 EngineState::Gone => "gone",
             };
             let place = format!("{:?} {:?} {}", entry.kind, entry.zone, entry.cell);
-            format!("{} {state} {} {place}", entry.engine, optional_bits(entry.started))
+            format!(
+                "{} {state} {} {place}",
+                entry.engine,
+                optional_bits(entry.started)
+            )
         },
     )
 }
@@ -251,7 +308,9 @@
 /// What the core wants started or dropped: the attempt, and the engine if it starts.
 pub fn attempt_of(command: &Command) -> Option<(AttemptId, Option<String>)> {
     match command {
-        Command::Start { attempt, engine, .. } => Some((*attempt, Some(engine.clone()))),
+        Command::Start {
+            attempt, engine, ..
+        } => Some((*attempt, Some(engine.clone()))),
         Command::Drop { attempt } => Some((*attempt, None)),
         _ => None,
     }
@@ -294,7 +353,9 @@
 /// An engine's load report, in the order of the settings; now and then one that makes no sense.
 pub fn draw_report(random: &mut Random, settings: &Settings, running: usize) -> Vec<f64> {
     if random.chance(0.04) {
-        return random.pick(&[[f64::NAN, 1.0], [-1.0, 0.5], [f64::INFINITY, 0.0]]).to_vec();
+        return random
+            .pick(&[[f64::NAN, 1.0], [-1.0, 0.5], [f64::INFINITY, 0.0]])
+            .to_vec();
     }
     if random.chance(0.05) {
         return vec![];
--- a/tests/recorded_state/gossip.rs
+++ b/tests/recorded_state/gossip.rs
@@ -1,6 +1,8 @@
 //! Streams of events for the gossip: a few dispatchers with lists that differ, requests, reports and bad messages.
 
-use super::expected::{GOSSIP_ALL_FIELDS, GOSSIP_MALFORMED, GOSSIP_SAVED_BUDGET, GOSSIP_TIGHT_BUDGET};
+use super::expected::{
+    GOSSIP_ALL_FIELDS, GOSSIP_MALFORMED, GOSSIP_SAVED_BUDGET, GOSSIP_TIGHT_BUDGET,
+};
 use super::gossip_adapter::{Gossip, LONGEST_MESSAGE, Options};
 use super::random::Random;
 use super::recording::{Recording, assert_exercised};
@@ -12,7 +14,17 @@
 const MOST_COLLIDING: usize = 4;
 const QUIET_AFTER_MESSAGE: f64 = 300.0;
 const LARGEST_VALUE: f64 = 450.0;
-const ODD_VALUES: [f64; 9] = [0.0, -0.0, 1.26, 1.27, 40.0, 40.5, f64::NAN, f64::INFINITY, -0.1];
+const ODD_VALUES: [f64; 9] = [
+    0.0,
+    -0.0,
+    1.26,
+    1.27,
+    40.0,
+    40.5,
+    f64::NAN,
+    f64::INFINITY,
+    -0.1,
+];
 
 struct Profile {
     seed: u64,
@@ -34,7 +46,11 @@
     malformed: 0,
     odd_values: 5,
     requests: 70,
-    options: Options { dispatchers: 100, message_price: 1.0, report_fields: 2 },
+    options: Options {
+        dispatchers: 100,
+        message_price: 1.0,
+        report_fields: 2,
+    },
 };
 
 const MALFORMED: Profile = Profile {
@@ -44,7 +60,11 @@
     malformed: 60,
     odd_values: 5,
     requests: 30,
-    options: Options { dispatchers: 3, message_price: 0.1, report_fields: 4 },
+    options: Options {
+        dispatchers: 3,
+        message_price: 0.1,
+        report_fields: 4,
+    },
 };
 
 const ALL_FIELDS: Profile = Profile {
@@ -54,7 +74,11 @@
     malformed: 5,
     odd_values: 2,
     requests: 20,
-    options: Options { dispatchers: 2, message_price: 0.0, report_fields: 16 },
+    options: Options {
+        dispatchers: 2,
+        message_price: 0.0,
+        report_fields: 16,
+    },
 };
 
 /// Most of the time too few reports to spend the budget on: it reaches its bound.
@@ -65,7 +89,11 @@
     malformed: 0,
     odd_values: 0,
     requests: 97,
-    options: Options { dispatchers: 100, message_price: 2.0, report_fields: 2 },
+    options: Options {
+        dispatchers: 100,
+        message_price: 2.0,
+        report_fields: 2,
+    },
 };
 
 const REQUIRED: [&str; 7] = [
@@ -91,10 +119,18 @@
 
 /// Names of one short hash: a dispatcher that lists both sends nothing of them, however often it may.
 fn colliding_names() -> Vec<String> {
-    let names: Vec<String> = (0..HASHED_NAMES).map(|number| format!("s-{number:08x}")).collect();
-    let mut gossip = Gossip::new(Options { dispatchers: 2, message_price: 0.0, report_fields: 1 });
+    let names: Vec<String> = (0..HASHED_NAMES)
+        .map(|number| format!("s-{number:08x}"))
+        .collect();
+    let mut gossip = Gossip::new(Options {
+        dispatchers: 2,
+        message_price: 0.0,
+        report_fields: 1,
+    });
     gossip.list(&names);
-    let silent = names.into_iter().filter(|name| gossip.learned(0.0, name, &[1.0]).is_none());
+    let silent = names
+        .into_iter()
+        .filter(|name| gossip.learned(0.0, name, &[1.0]).is_none());
     silent.take(MOST_COLLIDING).collect()
 }
 
@@ -108,10 +144,20 @@
 
 impl<'profile> Stream<'profile> {
     fn new(profile: &'profile Profile, number: u64, colliding: &[String]) -> Self {
-        let mut names: Vec<String> = (0..ENGINES).map(|engine| format!("engine-{engine}")).collect();
+        let mut names: Vec<String> = (0..ENGINES)
+            .map(|engine| format!("engine-{engine}"))
+            .collect();
         names.extend_from_slice(colliding);
-        let dispatchers = (0..DISPATCHERS).map(|_| Gossip::new(profile.options)).collect();
-        Stream { profile, random: Random::of_stream(profile.seed, number), names, dispatchers, now: 0.0 }
+        let dispatchers = (0..DISPATCHERS)
+            .map(|_| Gossip::new(profile.options))
+            .collect();
+        Stream {
+            profile,
+            random: Random::of_stream(profile.seed, number),
+            names,
+            dispatchers,
+            now: 0.0,
+        }
     }
 
     fn play(&mut self, recording: &mut Recording) {
@@ -131,14 +177,20 @@
 
     /// The dispatcher's list becomes most of the names.
     fn list(&mut self, dispatcher: usize) {
-        let listed: Vec<String> = self.names.iter().filter(|_| self.random.percent(80)).cloned().collect();
+        let listed: Vec<String> = self
+            .names
+            .iter()
+            .filter(|_| self.random.percent(80))
+            .cloned()
+            .collect();
         self.dispatchers[dispatcher].list(&listed);
     }
 
     fn report(&mut self, dispatcher: usize, recording: &mut Recording) {
         let engine = self.random.choose(&self.names).clone();
         let report = self.values();
-        let sent = self.dispatchers[dispatcher].record_learned(self.now, &engine, &report, recording);
+        let sent =
+            self.dispatchers[dispatcher].record_learned(self.now, &engine, &report, recording);
         let Some(message) = sent else { return };
         for peer in (0..DISPATCHERS).filter(|peer| *peer != dispatcher) {
             let message = self.on_its_way(&message);
@@ -207,6 +259,11 @@
 fn gossip_streams_bring_every_kind_of_output() {
     assert_exercised(
         &REQUIRED,
-        &[&GOSSIP_TIGHT_BUDGET, &GOSSIP_MALFORMED, &GOSSIP_ALL_FIELDS, &GOSSIP_SAVED_BUDGET],
+        &[
+            &GOSSIP_TIGHT_BUDGET,
+            &GOSSIP_MALFORMED,
+            &GOSSIP_ALL_FIELDS,
+            &GOSSIP_SAVED_BUDGET,
+        ],
     );
 }
--- a/tests/recorded_state/gossip_adapter.rs
+++ b/tests/recorded_state/gossip_adapter.rs
@@ -44,7 +44,11 @@
         recording: &mut Recording,
     ) -> Option<Vec<u8>> {
         let message = self.learned(now, engine, report);
-        recording.count(if message.is_some() { "message sent" } else { "nothing sent" });
+        recording.count(if message.is_some() {
+            "message sent"
+        } else {
+            "nothing sent"
+        });
         recording.state(&message.as_deref().map_or("nothing".into(), hexadecimal));
         message
     }
--- a/tests/recorded_state/random.rs
+++ b/tests/recorded_state/random.rs
@@ -9,7 +9,9 @@
 
 impl Random {
     pub fn of_stream(profile_seed: u64, stream: u64) -> Self {
-        Random(Rand64::new(u128::from(profile_seed * SEEDS_PER_PROFILE + stream)))
+        Random(Rand64::new(u128::from(
+            profile_seed * SEEDS_PER_PROFILE + stream,
+        )))
     }
 
     /// A whole number below `bound`.
--- a/tests/recorded_state/recording.rs
+++ b/tests/recorded_state/recording.rs
@@ -63,8 +63,12 @@
 /// Asserts that each of these kinds of output occurs in some profile.
 pub fn assert_exercised(required: &[&str], profiles: &[&Expected]) {
     for kind in required {
-        let occurs =
-            |profile: &&Expected| profile.counts.iter().any(|(name, count)| name == kind && *count > 0);
+        let occurs = |profile: &&Expected| {
+            profile
+                .counts
+                .iter()
+                .any(|(name, count)| name == kind && *count > 0)
+        };
         assert!(profiles.iter().any(occurs), "no stream gives out {kind:?}");
     }
 }
--- a/tests/recorded_state/registry.rs
+++ b/tests/recorded_state/registry.rs
@@ -2,7 +2,9 @@
 
 use super::random::Random;
 use super::recording::Recording;
-use super::registry_adapter::{AllowedNetworks, Answer, Connection, Instance, Options, RegistryView};
+use super::registry_adapter::{
+    AllowedNetworks, Answer, Connection, Instance, Options, RegistryView,
+};
 use std::net::SocketAddr;
 
 pub const USUAL: Options = Options {
@@ -114,7 +116,12 @@
 impl<'profile> Stream<'profile> {
     fn new(profile: &'profile Profile, number: u64) -> Self {
         let random = Random::of_stream(profile.seed, number);
-        Stream { profile, random, view: RegistryView::new(profile.options), now: START }
+        Stream {
+            profile,
+            random,
+            view: RegistryView::new(profile.options),
+            now: START,
+        }
     }
 
     fn play(&mut self, recording: &mut Recording) {
@@ -122,8 +129,10 @@
             self.now += self.random.float_below(1_000.0);
             let action = ACTIONS[self.random.weighted(&self.profile.weights)];
             self.act(action, recording);
-            recording
-                .state(&format!("wake {}", super::recording::optional_float(self.view.next_wake(self.now))));
+            recording.state(&format!(
+                "wake {}",
+                super::recording::optional_float(self.view.next_wake(self.now))
+            ));
             if event % EVENTS_PER_FULL_RECORD == 0 {
                 self.view.record_all(self.now, recording);
             }
@@ -159,7 +168,10 @@
     }
 
     fn source(&mut self) -> String {
-        format!("http://registry-{}/eureka", self.random.below(self.profile.sources))
+        format!(
+            "http://registry-{}/eureka",
+            self.random.below(self.profile.sources)
+        )
     }
 
     fn engine(&mut self) -> String {
@@ -172,7 +184,11 @@
 
     fn full_list(&mut self, recording: &mut Recording) {
         let short = self.random.percent(self.profile.short_lists);
-        let share = if short { LOST_LIST_SHARE } else { self.profile.listed };
+        let share = if short {
+            LOST_LIST_SHARE
+        } else {
+            self.profile.listed
+        };
         let mut listed = vec![];
         for number in 0..self.profile.instances {
             if self.random.percent(share) {
@@ -180,7 +196,8 @@
             }
         }
         let (source, asked) = (self.source(), self.asked());
-        self.view.answered(self.now, &source, asked, Answer::Full(listed), recording);
+        self.view
+            .answered(self.now, &source, asked, Answer::Full(listed), recording);
     }
 
     fn delta(&mut self, recording: &mut Recording) {
@@ -191,9 +208,17 @@
                 self.instance(number)
             })
             .collect();
-        let deleted = (0..deletions).map(|_| (self.engine(), self.version())).collect();
+        let deleted = (0..deletions)
+            .map(|_| (self.engine(), self.version()))
+            .collect();
         let (source, asked) = (self.source(), self.asked());
-        self.view.answered(self.now, &source, asked, Answer::Delta { changed, deleted }, recording);
+        self.view.answered(
+            self.now,
+            &source,
+            asked,
+            Answer::Delta { changed, deleted },
+            recording,
+        );
     }
 
     fn instance(&mut self, number: u64) -> Instance {
@@ -204,10 +229,19 @@
             status: if not_up { self.status_not_up() } else { "UP" },
             overridden: overridden.then(|| *self.random.choose(&["UP", "DOWN", "OUT_OF_SERVICE"])),
             address: self.address(number),
-            zone: self.random.percent(60).then(|| format!("zone-{}", number % 3)),
-            kind: self.random.percent(60).then(|| format!("kind-{}", number % 2)),
+            zone: self
+                .random
+                .percent(60)
+                .then(|| format!("zone-{}", number % 3)),
+            kind: self
+                .random
+                .percent(60)
+                .then(|| format!("kind-{}", number % 2)),
             version: self.version(),
-            started: self.random.percent(30).then_some(START + number as f64 * 0.5),
+            started: self
+                .random
+                .percent(30)
+                .then_some(START + number as f64 * 0.5),
         }
     }
 
@@ -219,7 +253,9 @@
     fn address(&mut self, number: u64) -> Option<SocketAddr> {
         if self.random.percent(self.profile.bad_addresses) {
             let position = self.random.below(BAD_ADDRESSES.len() as u64 + 1) as usize;
-            return BAD_ADDRESSES.get(position).map(|address| address.parse().unwrap());
+            return BAD_ADDRESSES
+                .get(position)
+                .map(|address| address.parse().unwrap());
         }
         let port = 9_000 + (number % self.profile.addresses) as u16;
         Some(SocketAddr::from(([127, 0, 0, 1], port)))
@@ -228,7 +264,10 @@
     fn version(&mut self) -> (u64, u64) {
         match self.random.percent(self.profile.unversioned) {
             true => (0, 0),
-            false => (1 + self.random.below(6), 1 + CLOCK_SKEW_STEP * self.random.below(5)),
+            false => (
+                1 + self.random.below(6),
+                1 + CLOCK_SKEW_STEP * self.random.below(5),
+            ),
         }
     }
 
@@ -254,7 +293,9 @@
 
     /// Another process takes over from a snapshot, sometimes before any source answers it.
     fn restart(&mut self, recording: &mut Recording) {
-        let Some(snapshot) = self.view.snapshot(self.now, recording) else { return };
+        let Some(snapshot) = self.view.snapshot(self.now, recording) else {
+            return;
+        };
         self.now += self.random.float_below(self.profile.longest_pause);
         self.view = RegistryView::new(self.profile.options);
         self.view.restore(self.now, &snapshot, recording);
--- a/tests/recorded_state/registry_adapter.rs
+++ b/tests/recorded_state/registry_adapter.rs
@@ -5,7 +5,8 @@
 use hitchwinch::membership::book::{Member, version};
 use hitchwinch::membership::report::Query;
 use hitchwinch::membership::{
-    Change, Content, Fact, HoldRules, Membership, Networks, Rules, Seen, Snapshot, Status, Version, View,
+    Change, Content, Fact, HoldRules, Membership, Networks, Rules, Seen, Snapshot, Status, Version,
+    View,
 };
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -26,7 +27,10 @@
 
 pub enum Answer {
     Full(Vec<Instance>),
-    Delta { changed: Vec<Instance>, deleted: Vec<(String, (u64, u64))> },
+    Delta {
+        changed: Vec<Instance>,
+        deleted: Vec<(String, (u64, u64))>,
+    },
 }
 
 #[derive(Clone, Copy)]
@@ -61,9 +65,12 @@
     match allowed {
         AllowedNetworks::Any => Networks::any(),
         AllowedNetworks::Private => Networks::private(),
-        AllowedNetworks::Only(list) => {
-            Networks::only(&list.iter().map(|network| network.parse().unwrap()).collect::<Vec<_>>())
-        }
+        AllowedNetworks::Only(list) => Networks::only(
+            &list
+                .iter()
+                .map(|network| network.parse().unwrap())
+                .collect::<Vec<_>>(),
+        ),
     }
 }
 
@@ -101,9 +108,10 @@
     let named = |(id, version): (String, (u64, u64))| (id, Version::new(version.0, version.1));
     match answer {
         Answer::Full(listed) => Content::Whole(facts(listed)),
-        Answer::Delta { changed, deleted } => {
-            Content::Delta { told: facts(changed), deleted: deleted.into_iter().map(named).collect() }
-        }
+        Answer::Delta { changed, deleted } => Content::Delta {
+            told: facts(changed),
+            deleted: deleted.into_iter().map(named).collect(),
+        },
     }
 }
 
@@ -117,7 +125,13 @@
         RegistryView(Membership::new(rules(options)))
     }
 
-    pub fn configure(&mut self, now: f64, options: Options, sources: &[String], recording: &mut Recording) {
+    pub fn configure(
+        &mut self,
+        now: f64,
+        options: Options,
+        sources: &[String],
+        recording: &mut Recording,
+    ) {
         let change = self.0.configure(now, rules(options), sources);
         self.record_change(change, recording);
     }
@@ -130,7 +144,12 @@
         answer: Answer,
         recording: &mut Recording,
     ) {
-        let view = View { source: source.into(), asked, arrived: now, content: content(answer) };
+        let view = View {
+            source: source.into(),
+            asked,
+            arrived: now,
+            content: content(answer),
+        };
         let change = self.0.view(now, view);
         self.record_change(change, recording);
     }
@@ -140,7 +159,13 @@
         self.record_change(change, recording);
     }
 
-    pub fn connection(&mut self, now: f64, engine: &str, event: Connection, recording: &mut Recording) {
+    pub fn connection(
+        &mut self,
+        now: f64,
+        engine: &str,
+        event: Connection,
+        recording: &mut Recording,
+    ) {
         let seen = match event {
             Connection::Opened { at } => Seen::Opened { at },
             Connection::Broken { open } => Seen::Broken { left: open },
@@ -175,7 +200,10 @@
         };
         recording.count("snapshot taken");
         recording.state(&format!("snapshot {}", float(snapshot.written)));
-        snapshot.engines.iter().for_each(|kept| recording.state(&kept_text(kept)));
+        snapshot
+            .engines
+            .iter()
+            .for_each(|kept| recording.state(&kept_text(kept)));
         let text = serde_json::to_string(&snapshot).unwrap();
         recording.wording(&text);
         Some(SnapshotText(text))
@@ -201,7 +229,11 @@
             Ok(query) => {
                 recording.count("report");
                 let only = query.only.map(only_text);
-                recording.state(&format!("query {} {:?} {only:?}", optional(query.limit), query.after));
+                recording.state(&format!(
+                    "query {} {:?} {only:?}",
+                    optional(query.limit),
+                    query.after
+                ));
                 recording.wording(&serde_json::to_string(&self.0.report(now, &query)).unwrap());
             }
             Err(error) => {
@@ -215,7 +247,11 @@
     /// Everything that the view shows of itself.
     pub fn record_all(&self, now: f64, recording: &mut Recording) {
         for source in self.0.sources() {
-            recording.state(&format!("{} {}", source_text(source), self.0.source_answers(source, now)));
+            recording.state(&format!(
+                "{} {}",
+                source_text(source),
+                self.0.source_answers(source, now)
+            ));
         }
         for (id, member) in self.0.members() {
             self.record_member(id, member, recording);
@@ -236,14 +272,23 @@
             recording.count("beyond instance limit");
         }
         let (overflow, gone, held) = (self.0.overflow(), self.0.gone(), self.0.held());
-        recording.state(&format!("totals {rejections} {overflow} {gone} {held} {}", self.0.rules().most));
+        recording.state(&format!(
+            "totals {rejections} {overflow} {gone} {held} {}",
+            self.0.rules().most
+        ));
         recording.state(&format!("restored {}", optional_float(self.0.restored())));
         self.record_counts(recording);
     }
 
     fn record_counts(&self, recording: &mut Recording) {
         let counts = self.0.counts();
-        let states = [counts.ready, counts.draining, counts.held, counts.contradicted, counts.unproven];
+        let states = [
+            counts.ready,
+            counts.draining,
+            counts.held,
+            counts.contradicted,
+            counts.unproven,
+        ];
         let others = [counts.by_hand, counts.gone];
         let totals = [counts.rejections, counts.beyond_bound, counts.passed_over];
         recording.state(&format!("counts {states:?} {others:?} {totals:?}"));
@@ -264,7 +309,11 @@
         if member.unproven.is_some() {
             recording.count("unconfirmed since snapshot");
         }
-        recording.state(&format!("member {id} {} {}", state_text(member.state()), member_text(member)));
+        recording.state(&format!(
+            "member {id} {} {}",
+            state_text(member.state()),
+            member_text(member)
+        ));
         recording.state(&format!("claims {} {claims:?}", member.claims.passed_over));
         recording.state(&format!("out by operator {}", self.0.is_by_hand(id)));
         recording.wording(&self.0.explain(member.belief.why));
@@ -277,7 +326,10 @@
                 let kind = update_kind(change.update);
                 recording.count(kind);
                 recording.state(kind);
-                change.engines.iter().for_each(|engine| record_engine(engine, recording));
+                change
+                    .engines
+                    .iter()
+                    .for_each(|engine| record_engine(engine, recording));
             }
         }
         for line in self.0.news() {
@@ -305,6 +357,10 @@
 /// The version that two timestamps of a registry's answer make.
 pub fn record_version(dirty: Option<f64>, updated: Option<f64>, recording: &mut Recording) {
     let version = version(dirty, updated);
-    recording.count(if version.untold() { "version absent" } else { "version present" });
+    recording.count(if version.untold() {
+        "version absent"
+    } else {
+        "version present"
+    });
     recording.state(&version_text(version));
 }
--- a/tests/recorded_state/registry_profiles.rs
+++ b/tests/recorded_state/registry_profiles.rs
@@ -99,7 +99,10 @@
     unversioned: 0,
     addresses: 2,
     longest_pause: 12_000.0,
-    options: Options { source_timeout: 4_000.0, ..USUAL },
+    options: Options {
+        source_timeout: 4_000.0,
+        ..USUAL
+    },
 };
 
 const REQUIRED: [&str; 30] = [
@@ -143,8 +146,16 @@
     AllowedNetworks::Only(&["10.1.0.0/16", "2001:db8::/32"]),
 ];
 const FIRST_BYTES: [u8; 8] = [0, 10, 127, 172, 192, 198, 224, 255];
-const TIMESTAMPS: [Option<f64>; 8] =
-    [None, Some(0.0), Some(-1.0), Some(1.5), Some(8e15), Some(9e15), Some(f64::NAN), Some(f64::INFINITY)];
+const TIMESTAMPS: [Option<f64>; 8] = [
+    None,
+    Some(0.0),
+    Some(-1.0),
+    Some(1.5),
+    Some(8e15),
+    Some(9e15),
+    Some(f64::NAN),
+    Some(f64::INFINITY),
+];
 
 /// Addresses and timestamps as any registry may write them.
 fn play_admissions() -> Recording {
@@ -164,7 +175,16 @@
 fn random_address(random: &mut Random) -> SocketAddr {
     let [_, second, third, fourth] = (random.bits() as u32).to_be_bytes();
     let short = Ipv4Addr::new(*random.choose(&FIRST_BYTES), second % 20, third, fourth);
-    let long = Ipv6Addr::new(*random.choose(&[0x2001, 0xfd00, 0xff02, 0]), 0xdb8, 0, 0, 0, 0, 0, 1);
+    let long = Ipv6Addr::new(
+        *random.choose(&[0x2001, 0xfd00, 0xff02, 0]),
+        0xdb8,
+        0,
+        0,
+        0,
+        0,
+        0,
+        1,
+    );
     let ip = *random.choose(&[
         IpAddr::V4(short),
         IpAddr::V4(Ipv4Addr::BROADCAST),
--- a/tests/recorded_state/registry_text.rs
+++ b/tests/recorded_state/registry_text.rs
@@ -49,30 +49,67 @@
 }
 
 pub fn source_text(source: &Source) -> String {
-    let failed = source.failed.as_ref().map(|(at, problem)| format!("{} {problem}", float(*at)));
+    let failed = source
+        .failed
+        .as_ref()
+        .map(|(at, problem)| format!("{} {problem}", float(*at)));
     let answered = optional_float(source.answered);
     let totals = [source.failures, source.whole, source.deltas];
-    format!("source {} {} {answered} {failed:?} {totals:?} {}", source.id, source.name, source.listed)
+    format!(
+        "source {} {} {answered} {failed:?} {totals:?} {}",
+        source.id, source.name, source.listed
+    )
 }
 
 pub fn member_text(member: &Member) -> String {
-    let particulars =
-        [optional(member.address), optional(member.zone.as_ref()), optional(member.kind.as_ref())];
-    let times =
-        [member.listed_start, member.unproven, member.started(), Some(member.since)].map(optional_float);
-    let claims = [version_text(member.claims.newest), member.claims.floor.map_or("none".into(), floor_text)];
-    let (liveness, held) = (proof_text(&member.proof), member.held.as_ref().map(held_text));
-    let (belief, superseded) = (belief_text(&member.belief), optional(member.superseded.as_ref()));
-    format!("{particulars:?} {times:?} {claims:?} {liveness} {held:?} {belief} {superseded} {}", member.turns)
+    let particulars = [
+        optional(member.address),
+        optional(member.zone.as_ref()),
+        optional(member.kind.as_ref()),
+    ];
+    let times = [
+        member.listed_start,
+        member.unproven,
+        member.started(),
+        Some(member.since),
+    ]
+    .map(optional_float);
+    let claims = [
+        version_text(member.claims.newest),
+        member.claims.floor.map_or("none".into(), floor_text),
+    ];
+    let (liveness, held) = (
+        proof_text(&member.proof),
+        member.held.as_ref().map(held_text),
+    );
+    let (belief, superseded) = (
+        belief_text(&member.belief),
+        optional(member.superseded.as_ref()),
+    );
+    format!(
+        "{particulars:?} {times:?} {claims:?} {liveness} {held:?} {belief} {superseded} {}",
+        member.turns
+    )
 }
 
 pub fn proof_text(proof: &Proof) -> String {
     let times = [proof.lost, proof.unwatched, proof.started].map(optional_float);
-    format!("liveness {times:?} {} {} {}", proof.seen, proof.refused, proof.dead())
+    format!(
+        "liveness {times:?} {} {} {}",
+        proof.seen,
+        proof.refused,
+        proof.dead()
+    )
 }
 
 pub fn held_text(held: &Held) -> String {
-    format!("{} {} {} {}", float(held.since), float(held.until), held.vanished, held.of)
+    format!(
+        "{} {} {} {}",
+        float(held.since),
+        float(held.until),
+        held.vanished,
+        held.of
+    )
 }
 
 pub fn belief_text(belief: &Belief) -> String {
@@ -82,7 +119,11 @@
         Stand::Gone => "gone",
     };
     let until = optional_float(belief.until);
-    format!("{stand} {} {} {until}", reason_text(belief.why), belief.why.contradicts())
+    format!(
+        "{stand} {} {} {until}",
+        reason_text(belief.why),
+        belief.why.contradicts()
+    )
 }
 
 pub fn reason_kind(reason: Why) -> &'static str {
@@ -116,18 +157,29 @@
     };
     let times = [float(claim.asked), float(claim.since)];
     let (version, address) = (version_text(claim.version), optional(claim.address));
-    format!("{} {said} {version} {address} {times:?} {}", claim.source, claim.round)
+    format!(
+        "{} {said} {version} {address} {times:?} {}",
+        claim.source, claim.round
+    )
 }
 
 pub fn floor_text(floor: Floor) -> String {
-    format!("{} {} {}", version_text(floor.version), floor.source, float(floor.asked))
+    format!(
+        "{} {} {}",
+        version_text(floor.version),
+        floor.source,
+        float(floor.asked)
+    )
 }
 
 pub fn kept_text(kept: &Kept) -> String {
     let particulars = [optional(kept.zone.as_ref()), optional(kept.kind.as_ref())];
     let versions = [Some(kept.newest), kept.drained].map(|version| version.map(version_text));
     let times = [Some(kept.since), kept.started].map(optional_float);
-    format!("kept {} {} {particulars:?} {} {times:?} {versions:?}", kept.id, kept.address, kept.serves)
+    format!(
+        "kept {} {} {particulars:?} {} {times:?} {versions:?}",
+        kept.id, kept.address, kept.serves
+    )
 }
 
 pub fn only_text(only: Only) -> &'static str {
--- a/tests/recorded_state/spool.rs
+++ b/tests/recorded_state/spool.rs
@@ -89,7 +89,13 @@
     longest_step: 120.0,
     weights: [6, 12, 40, 12, 1, 0, 1, 0, 6, 5, 1, 2, 0, 5, 2],
     good_writes: 90,
-    options: Options { disk: None, memory: 300 * KIB, time_to_live: 9_000.0, spool_limit: 8, ..DISK.options },
+    options: Options {
+        disk: None,
+        memory: 300 * KIB,
+        time_to_live: 9_000.0,
+        spool_limit: 8,
+        ..DISK.options
+    },
 };
 
 const BAD_DISK: Profile = Profile {
@@ -171,10 +177,12 @@
             self.act(action, recording);
             if event % EVENTS_PER_FULL_RECORD == 0 {
                 let recent = &self.spools[self.spools.len().saturating_sub(RECENT_SPOOLS)..];
-                self.index.record_all(self.now, recent, CLASSES as usize, recording);
+                self.index
+                    .record_all(self.now, recent, CLASSES as usize, recording);
             }
         }
-        self.index.record_all(self.now, &self.spools, CLASSES as usize, recording);
+        self.index
+            .record_all(self.now, &self.spools, CLASSES as usize, recording);
     }
 
     fn act(&mut self, action: Action, recording: &mut Recording) {
@@ -206,7 +214,10 @@
             Action::Configure => self.configure(),
             Action::Resume => self.resume(recording),
             Action::Learn => {
-                let (class, bytes) = (self.random.below(CLASSES), self.random.float_below(200_000.0));
+                let (class, bytes) = (
+                    self.random.below(CLASSES),
+                    self.random.float_below(200_000.0),
+                );
                 self.index.learn_size(class as usize, bytes);
             }
         }
@@ -240,7 +251,11 @@
 
     fn page(&mut self, recording: &mut Recording) {
         let unknown = self.open.is_empty() || self.random.percent(2);
-        let spool = if unknown { NO_SPOOL } else { *self.random.choose(&self.open) };
+        let spool = if unknown {
+            NO_SPOOL
+        } else {
+            *self.random.choose(&self.open)
+        };
         let bytes = 1 + self.random.below(LARGEST_PAGE);
         if !self.index.page(self.now, spool, bytes, recording) {
             self.index.fail(spool);
@@ -255,14 +270,19 @@
         let position = self.random.below(self.open.len() as u64) as usize;
         let spool = self.open.swap_remove(position);
         let random = u128::from(self.random.bits()) << 64 | u128::from(self.random.bits());
-        self.handles.push(self.index.complete(self.now, spool, USERS[0], random, recording));
+        self.handles.push(
+            self.index
+                .complete(self.now, spool, USERS[0], random, recording),
+        );
     }
 
     fn find(&mut self) {
         let (request, bytes) = (self.request(), 1 + self.random.below(LARGEST_PAGE));
         let completed = self.now - 1_000.0 + self.random.float_below(1_500.0);
         let handle = format!("{:032x}", self.random.bits());
-        let spool = self.index.found(self.now, request, bytes, completed, USERS[0], &handle);
+        let spool = self
+            .index
+            .found(self.now, request, bytes, completed, USERS[0], &handle);
         self.spools.push(spool);
         self.handles.push(handle);
     }
@@ -284,20 +304,30 @@
 
     fn disk_write(&mut self, recording: &mut Recording) {
         let bad = *self.random.choose(&[DiskWrite::Full, DiskWrite::Failed]);
-        let write = if self.random.percent(self.profile.good_writes) { DiskWrite::Well } else { bad };
+        let write = if self.random.percent(self.profile.good_writes) {
+            DiskWrite::Well
+        } else {
+            bad
+        };
         let took = self.random.float_below(LONGEST_WRITE);
         self.index.disk_write(self.now, took, write, recording);
     }
 
     fn configure(&mut self) {
         let disk = self.random.percent(70).then_some(300 * KIB);
-        self.index.configure(Options { disk, ..self.profile.options });
+        self.index.configure(Options {
+            disk,
+            ..self.profile.options
+        });
     }
 
     fn resume(&mut self, recording: &mut Recording) {
         let wrong = self.handles.is_empty() || self.random.percent(20);
         let handle = match wrong {
-            true => self.random.choose(&["short", "0123456789abcdef0123456789abcdef"]).to_string(),
+            true => self
+                .random
+                .choose(&["short", "0123456789abcdef0123456789abcdef"])
+                .to_string(),
             false => self.random.choose(&self.handles).to_uppercase(),
         };
         let user = *self.random.choose(&USERS);
@@ -322,5 +352,8 @@
 
 #[test]
 fn spool_streams_bring_every_kind_of_output() {
-    assert_exercised(&REQUIRED, &[&SPOOL_WITH_DISK, &SPOOL_IN_MEMORY, &SPOOL_WITH_BAD_DISK]);
+    assert_exercised(
+        &REQUIRED,
+        &[&SPOOL_WITH_DISK, &SPOOL_IN_MEMORY, &SPOOL_WITH_BAD_DISK],
+    );
 }
--- a/tests/recorded_state/spool_adapter.rs
+++ b/tests/recorded_state/spool_adapter.rs
@@ -42,7 +42,11 @@
 }
 
 fn ask(request: Request) -> Ask {
-    Ask { tenant: request.tenant, class: request.class, load: request.is_load }
+    Ask {
+        tenant: request.tenant,
+        class: request.class,
+        load: request.is_load,
+    }
 }
 
 /// The account of spools together with the handles that clients resume by.
@@ -53,7 +57,10 @@
 
 impl SpoolIndex {
     pub fn new(options: Options, classes: usize) -> Self {
-        SpoolIndex { ledger: Ledger::new(rules(options), classes), handles: Handles::default() }
+        SpoolIndex {
+            ledger: Ledger::new(rules(options), classes),
+            handles: Handles::default(),
+        }
     }
 
     pub fn configure(&mut self, options: Options) {
@@ -158,14 +165,19 @@
         handle: &str,
     ) -> u64 {
         let spool = self.ledger.reserve();
-        self.ledger.found(now, spool, ask(request), bytes, completed);
+        self.ledger
+            .found(now, spool, ask(request), bytes, completed);
         self.handles.put(spool, user, handle);
         spool
     }
 
     pub fn attach(&mut self, now: f64, spool: u64, recording: &mut Recording) -> bool {
         let attached = self.ledger.attach(now, spool);
-        recording.count(if attached { "reader attached" } else { "reader without spool" });
+        recording.count(if attached {
+            "reader attached"
+        } else {
+            "reader without spool"
+        });
         recording.state(&format!("attached {attached}"));
         attached
     }
@@ -217,26 +229,56 @@
     pub fn record_all(&self, now: f64, spools: &[u64], classes: usize, recording: &mut Recording) {
         let ledger = &self.ledger;
         assert!(ledger.adds_up(), "the account of all spools adds up");
-        let totals = [ledger.refused, ledger.failed, ledger.evicted, ledger.expired, ledger.spilled];
+        let totals = [
+            ledger.refused,
+            ledger.failed,
+            ledger.evicted,
+            ledger.expired,
+            ledger.spilled,
+        ];
         let expected: Vec<u64> = (0..classes).map(|class| ledger.expected(class)).collect();
-        recording.state(&format!("used {:?} {} {}", ledger.used(), ledger.len(), ledger.is_empty()));
+        recording.state(&format!(
+            "used {:?} {} {}",
+            ledger.used(),
+            ledger.len(),
+            ledger.is_empty()
+        ));
         recording.state(&format!("totals {totals:?} expected {expected:?}"));
-        recording.state(&format!("next expiry {}", optional_float(ledger.next_expiry())));
+        recording.state(&format!(
+            "next expiry {}",
+            optional_float(ledger.next_expiry())
+        ));
         for (tenant, bytes) in ledger.tenants() {
             recording.state(&format!("tenant {} {bytes}", optional(*tenant)));
         }
-        let disk = [disk_text(ledger.watch.state()), ledger.watch.takes(now).to_string()];
+        let disk = [
+            disk_text(ledger.watch.state()),
+            ledger.watch.takes(now).to_string(),
+        ];
         recording.count(disk_kind(ledger.watch.state()));
         recording.state(&format!("disk {disk:?} {}", ledger.watch.failures));
         let handles = &self.handles;
-        recording.state(&format!("handles {} {} {:?}", handles.len(), handles.is_empty(), handles.refused));
-        spools.iter().for_each(|spool| self.record_spool(*spool, recording));
+        recording.state(&format!(
+            "handles {} {} {:?}",
+            handles.len(),
+            handles.is_empty(),
+            handles.refused
+        ));
+        spools
+            .iter()
+            .for_each(|spool| self.record_spool(*spool, recording));
     }
 
     fn record_spool(&self, spool: u64, recording: &mut Recording) {
-        let life = self.ledger.life(spool).map(|(whole, until)| [float(whole), optional_float(until)]);
+        let life = self
+            .ledger
+            .life(spool)
+            .map(|(whole, until)| [float(whole), optional_float(until)]);
         let (present, spilled) = (self.ledger.contains(spool), self.ledger.is_spilled(spool));
-        recording.state(&format!("spool {spool} {present} {spilled} {life:?} {:?}", self.handles.of(spool)));
+        recording.state(&format!(
+            "spool {spool} {present} {spilled} {life:?} {:?}",
+            self.handles.of(spool)
+        ));
     }
 }
 
--- a/tests/recorded_state/sticky.rs
+++ b/tests/recorded_state/sticky.rs
@@ -93,7 +93,13 @@
 impl<'profile> Stream<'profile> {
     fn new(profile: &'profile Profile, number: u64) -> Self {
         let random = Random::of_stream(profile.seed, number);
-        Stream { profile, random, limits: SessionLimits::default(), clients: vec![], now: 0.0 }
+        Stream {
+            profile,
+            random,
+            limits: SessionLimits::default(),
+            clients: vec![],
+            now: 0.0,
+        }
     }
 
     fn play(&mut self, recording: &mut Recording) {
@@ -112,7 +118,11 @@
         let tenant = (tenant > 0).then_some(tenant);
         if self.limits.acquire(self.profile.options, tenant, recording) {
             let session = StickySession::new(self.profile.options, self.now);
-            self.clients.push(Client { tenant, session, sent: None });
+            self.clients.push(Client {
+                tenant,
+                session,
+                sent: None,
+            });
         } else {
             self.limits.release(UNKNOWN_TENANT, recording);
         }
@@ -134,8 +144,11 @@
 
     fn send(&mut self, position: usize) {
         let begins = self.random.percent(60).then(|| *self.random.choose(&HOLDS));
-        let statement =
-            Statement { begins, unlocks: self.random.percent(15), commits: self.random.percent(30) };
+        let statement = Statement {
+            begins,
+            unlocks: self.random.percent(15),
+            commits: self.random.percent(30),
+        };
         let client = &mut self.clients[position];
         client.session.sent(self.now, statement);
         client.sent = Some(statement);
@@ -144,7 +157,9 @@
     fn answer(&mut self, position: usize, recording: &mut Recording) {
         let answer = match self.random.percent(self.profile.errors) {
             true => Answer::Error(*self.random.choose(&ERROR_CODES)),
-            false => Answer::Status { transaction_open: self.random.percent(50) },
+            false => Answer::Status {
+                transaction_open: self.random.percent(50),
+            },
         };
         let client = &mut self.clients[position];
         client.sent = None;
@@ -160,7 +175,10 @@
 
     fn end_what_is_due(&mut self, recording: &mut Recording) {
         for position in (0..self.clients.len()).rev() {
-            if self.clients[position].session.record_end(self.now, recording) {
+            if self.clients[position]
+                .session
+                .record_end(self.now, recording)
+            {
                 self.end(position, recording);
             }
         }
--- a/tests/recorded_state/sticky_adapter.rs
+++ b/tests/recorded_state/sticky_adapter.rs
@@ -21,8 +21,13 @@
     Variable,
 }
 
-pub const HOLDS: [Hold; 5] =
-    [Hold::Transaction, Hold::TableLock, Hold::TemporaryTable, Hold::UserLock, Hold::Variable];
+pub const HOLDS: [Hold; 5] = [
+    Hold::Transaction,
+    Hold::TableLock,
+    Hold::TemporaryTable,
+    Hold::UserLock,
+    Hold::Variable,
+];
 
 #[derive(Clone, Copy)]
 pub struct Statement {
@@ -58,7 +63,11 @@
 }
 
 fn step(statement: Statement) -> Step {
-    Step { begins: statement.begins.map(reason), unlocks: statement.unlocks, commits: statement.commits }
+    Step {
+        begins: statement.begins.map(reason),
+        unlocks: statement.unlocks,
+        commits: statement.commits,
+    }
 }
 
 #[derive(Clone)]
@@ -76,7 +85,9 @@
     /// True if the session is free again.
     pub fn answered(&mut self, now: f64, answer: Answer, recording: &mut Recording) -> bool {
         let after = match answer {
-            Answer::Status { transaction_open } => After::Status { open: transaction_open },
+            Answer::Status { transaction_open } => After::Status {
+                open: transaction_open,
+            },
             Answer::Error(code) => After::Error(code),
         };
         let next = self.0.answered(now, after);
@@ -130,7 +141,12 @@
 pub struct SessionLimits(Book);
 
 impl SessionLimits {
-    pub fn acquire(&mut self, options: Options, tenant: Option<usize>, recording: &mut Recording) -> bool {
+    pub fn acquire(
+        &mut self,
+        options: Options,
+        tenant: Option<usize>,
+        recording: &mut Recording,
+    ) -> bool {
         let result = self.0.take(&terms(options), tenant);
         let kind = match result {
             Ok(()) => "session begun",
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -23,7 +23,12 @@
 fn told_within(what: &str, mut all: Vec<Duration>, bound: Duration) {
     all.sort();
     let at = |share: f64| all[((all.len() as f64 * share).ceil() as usize).max(1) - 1];
-    println!("{what}: p50 {:?}, p90 {:?} of {}", at(0.5), at(0.9), all.len());
+    println!(
+        "{what}: p50 {:?}, p90 {:?} of {}",
+        at(0.5),
+        at(0.9),
+        all.len()
+    );
     assert!(at(0.9) < bound, "{what}: {all:?}");
 }
 
@@ -31,9 +36,17 @@
 fn it_is_ready_with_its_list_while_discovery_is_down() {
     let engine = Engine::new();
     let one = || {
-        until_ready(&mut Program::exec(&config(&[engine.at], Service::down().at, Some(64)), &[], Some(64)))
+        until_ready(&mut Program::exec(
+            &config(&[engine.at], Service::down().at, Some(64)),
+            &[],
+            Some(64),
+        ))
     };
-    told_within("discovery down, a list known", (0..10).map(|_| one()).collect(), Duration::from_secs(1));
+    told_within(
+        "discovery down, a list known",
+        (0..10).map(|_| one()).collect(),
+        Duration::from_secs(1),
+    );
 }
 
 /// Nothing is known, and discovery comes up 300 ms after the exec.
@@ -48,7 +61,9 @@
         std::thread::scope(|s| {
             let up = s.spawn(|| {
                 std::thread::sleep(Duration::from_millis(300));
-                service.returns(Duration::from_secs(4), whole).expect("it calls")
+                service
+                    .returns(Duration::from_secs(4), whole)
+                    .expect("it calls")
             });
             let took = until_ready(&mut program);
             drop(up.join().unwrap());
@@ -59,7 +74,11 @@
         let all: Vec<_> = (0..10).map(|_| s.spawn(one)).collect();
         all.into_iter().map(|t| t.join().unwrap()).collect()
     });
-    told_within("nothing known, discovery up after 300 ms", all, Duration::from_millis(1500));
+    told_within(
+        "nothing known, discovery up after 300 ms",
+        all,
+        Duration::from_millis(1500),
+    );
 }
 
 /// Three hundred clients are in the queue of the socket that it inherits before it starts: some rest in the middle of a
@@ -69,7 +88,9 @@
     let engine = Engine::new();
     let one = || {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+        socket
+            .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+            .unwrap();
         socket.listen(1024).unwrap();
         let socket = TcpListener::from(socket);
         let at = socket.local_addr().unwrap();
@@ -89,7 +110,11 @@
         std::fs::write(&path, config(&[engine.at], service.at, Some(64))).unwrap();
         let began = Instant::now();
         let mut child = Command::new("sh")
-            .args(["-c", "ulimit -n 64; exec \"$0\" 7<&0", env!("CARGO_BIN_EXE_hitchwinch")])
+            .args([
+                "-c",
+                "ulimit -n 64; exec \"$0\" 7<&0",
+                env!("CARGO_BIN_EXE_hitchwinch"),
+            ])
             .stdin(OwnedFd::from(socket))
             .stderr(Stdio::null())
             .env("PROXY_CONFIG", &path)
@@ -106,7 +131,11 @@
         assert_eq!((kind, payload[0]), (32, 0));
         took
     };
-    told_within("three hundred in the queue", (0..5).map(|_| one()).collect(), Duration::from_secs(1));
+    told_within(
+        "three hundred in the queue",
+        (0..5).map(|_| one()).collect(),
+        Duration::from_secs(1),
+    );
 }
 
 /// All start in the same moment, without a list, and call the one service, which comes up with them.
@@ -115,7 +144,9 @@
     let engine = Engine::new();
     let service = Service::down();
     let config = config(&[engine.at], service.at, Some(64));
-    let mut all: Vec<_> = (0..20).map(|_| Program::exec_on_one_core(&config)).collect();
+    let mut all: Vec<_> = (0..20)
+        .map(|_| Program::exec_on_one_core(&config))
+        .collect();
     let all: Vec<_> = std::thread::scope(|s| {
         let all: Vec<_> = all.iter_mut().map(|p| s.spawn(|| until_ready(p))).collect();
         all.into_iter().map(|t| t.join().unwrap()).collect()
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -5,14 +5,23 @@
 use hitchwinch::*;
 
 fn draining(engine: &str) -> Event {
-    let entries = vec![EngineEntry { state: EngineState::Draining, ..entry(engine) }];
-    Event::Engines { update: ListUpdate::Patch, entries }
+    let entries = vec![EngineEntry {
+        state: EngineState::Draining,
+        ..entry(engine)
+    }];
+    Event::Engines {
+        update: ListUpdate::Patch,
+        entries,
+    }
 }
 
 #[test]
 fn rule_1_a_query_that_arrives_with_no_time_to_wait_is_answered_at_once() {
     let mut g = Gateway::new(settings(vec![class(1.0, 800.0)]), vec![]);
-    let out = g.take(Query { time_left: 30.0, ..query(1, 0) });
+    let out = g.take(Query {
+        time_left: 30.0,
+        ..query(1, 0)
+    });
     assert_eq!(finals(&out), [1]);
 }
 
@@ -22,7 +31,10 @@
     assert!(finals(&g.take(query(1, 0))).is_empty());
     let out = g.pass(4000.0);
     assert_eq!(finals(&out), [1]);
-    let out = g.does(Event::Engines { update: ListUpdate::Whole, entries: vec![entry("a")] });
+    let out = g.does(Event::Engines {
+        update: ListUpdate::Whole,
+        entries: vec![entry("a")],
+    });
     assert!(sends(&out).is_empty());
 }
 
@@ -37,32 +49,63 @@
 
 #[test]
 fn rule_2_an_unsafe_query_that_may_have_run_is_neither_resent_nor_refused() {
-    let unsafe_class = Class { effect: Effect::Unsafe, ..class(1.0, 800.0) };
+    let unsafe_class = Class {
+        effect: Effect::Unsafe,
+        ..class(1.0, 800.0)
+    };
     let mut g = Gateway::new(settings(vec![unsafe_class]), vec![entry("a"), entry("b")]);
     g.take(query(1, 0));
     let out = g.end(1, 0, Outcome::Reset);
     assert!(sends(&out).is_empty());
     assert!(out.contains(&Action::Fail { id: 1 }));
     g.take(query(2, 0));
-    assert_eq!(sends(&g.end(2, 0, Outcome::Unreachable)).len(), 1, "proven unrun: free to go elsewhere");
+    assert_eq!(
+        sends(&g.end(2, 0, Outcome::Unreachable)).len(),
+        1,
+        "proven unrun: free to go elsewhere"
+    );
 }
 
 #[test]
 fn rule_2_a_keyed_query_is_resent_only_in_its_group_and_window() {
-    let keyed = Effect::Keyed { group: Group::Cell, window: 500.0 };
-    let keyed_class = Class { effect: keyed, ..class(1.0, 3000.0) };
-    let cells =
-        || vec![entry("a"), EngineEntry { cell: 1, ..entry("b") }, EngineEntry { cell: 1, ..entry("c") }];
+    let keyed = Effect::Keyed {
+        group: Group::Cell,
+        window: 500.0,
+    };
+    let keyed_class = Class {
+        effect: keyed,
+        ..class(1.0, 3000.0)
+    };
+    let cells = || {
+        vec![
+            entry("a"),
+            EngineEntry {
+                cell: 1,
+                ..entry("b")
+            },
+            EngineEntry {
+                cell: 1,
+                ..entry("c")
+            },
+        ]
+    };
     for id in 0..20 {
         let mut g = Gateway::new(settings(vec![keyed_class.clone()]), cells());
         let first = sends(&g.take(query(id, 0)))[0].1.clone();
         let again = sends(&g.end(id, 0, Outcome::Reset));
         assert_eq!(again.len(), 1);
-        assert_eq!(again[0].1 == "a", first == "a", "another cell does not know the repeat");
+        assert_eq!(
+            again[0].1 == "a",
+            first == "a",
+            "another cell does not know the repeat"
+        );
         g.now += 600.0;
         let out = g.end(id, 1, Outcome::Reset);
         assert!(sends(&out).is_empty(), "the window is over");
-        assert!(out.contains(&Action::Fail { id }), "a refusal would promise too much");
+        assert!(
+            out.contains(&Action::Fail { id }),
+            "a refusal would promise too much"
+        );
     }
 }
 
@@ -70,7 +113,13 @@
 #[test]
 fn a_keyed_query_that_waits_for_room_is_answered_once_its_window_is_over() {
     for group in [Group::All, Group::Zone, Group::Cell] {
-        let keyed = Class { effect: Effect::Keyed { group, window: 100.0 }, ..class(1.0, 3000.0) };
+        let keyed = Class {
+            effect: Effect::Keyed {
+                group,
+                window: 100.0,
+            },
+            ..class(1.0, 3000.0)
+        };
         let mut g = Gateway::new(settings(vec![keyed, class(1.0, 3000.0)]), vec![entry("a")]);
         assert_eq!(sends(&g.take(query(1, 0))).len(), 1);
         assert_eq!(sends(&g.take(query(2, 1))).len(), 1);
@@ -89,7 +138,10 @@
 
 #[test]
 fn rule_2_no_second_attempt_while_one_is_out_where_copies_are_forbidden() {
-    let mut g = Gateway::new(settings(vec![class(1.0, 800.0)]), vec![entry("a"), entry("b")]);
+    let mut g = Gateway::new(
+        settings(vec![class(1.0, 800.0)]),
+        vec![entry("a"), entry("b")],
+    );
     let mut out = g.take(query(1, 0));
     out.extend(g.pass(3900.0));
     assert_eq!(sends(&out).len(), 1);
@@ -97,12 +149,18 @@
 
 #[test]
 fn rule_3_nothing_goes_to_an_engine_that_drains_or_left_the_list() {
-    let mut g = Gateway::new(settings(vec![class(1.0, 800.0)]), vec![entry("a"), entry("b")]);
+    let mut g = Gateway::new(
+        settings(vec![class(1.0, 800.0)]),
+        vec![entry("a"), entry("b")],
+    );
     g.does(draining("a"));
     for id in 0..10 {
         assert_eq!(sends(&g.take(query(id, 0)))[0].1, "b");
     }
-    g.does(Event::Engines { update: ListUpdate::Whole, entries: vec![entry("a")] });
+    g.does(Event::Engines {
+        update: ListUpdate::Whole,
+        entries: vec![entry("a")],
+    });
     assert_eq!(sends(&g.take(query(99, 0)))[0].1, "a");
 }
 
@@ -111,7 +169,10 @@
     let mut s = settings(vec![class(1.0, 300.0)]);
     s.gateways = 2;
     let r = s.rules.clone();
-    let cold = EngineEntry { started: Some(1000.0), ..entry("a") };
+    let cold = EngineEntry {
+        started: Some(1000.0),
+        ..entry("a")
+    };
     let mut g = Gateway::new(s, vec![cold]);
     let mut work: Vec<(f64, f64)> = vec![];
     for id in 0..600 {
@@ -131,23 +192,45 @@
         // It warms evenly: what it can do by its age when the window begins.
         let able = r.cold_from + (1.0 - r.cold_from) * ((start - 1000.0) / r.warm_within).min(1.0);
         let part = r.fall_multiple * able * 8.0 * r.fall_window / 2.0;
-        let sum: f64 =
-            work.iter().filter(|(t, _)| t >= start && *t <= start + r.fall_window).map(|(_, w)| w).sum();
+        let sum: f64 = work
+            .iter()
+            .filter(|(t, _)| t >= start && *t <= start + r.fall_window)
+            .map(|(_, w)| w)
+            .sum();
         assert!(sum <= part, "{sum} of {part} from {start}");
     }
 }
 
 #[test]
 fn rule_5_queries_of_one_key_take_turns_and_the_key_rests() {
-    let mut s = settings(vec![Class { in_order: true, ..class(1.0, 3000.0) }]);
+    let mut s = settings(vec![Class {
+        in_order: true,
+        ..class(1.0, 3000.0)
+    }]);
     s.limits.cancel = false;
     let mut g = Gateway::new(s, vec![entry("a"), entry("b")]);
-    let keyed = |id| Query { key: Some("k".into()), ..query(id, 0) };
+    let keyed = |id| Query {
+        key: Some("k".into()),
+        ..query(id, 0)
+    };
     assert_eq!(sends(&g.take(keyed(1))).len(), 1);
     assert!(sends(&g.take(keyed(2))).is_empty());
-    assert_eq!(sends(&g.take(Query { key: Some("other".into()), ..query(3, 0) })).len(), 1);
-    assert!(sends(&g.does(Event::ClientLeft(1))).is_empty(), "its attempt is still out");
-    let out = g.does(Event::Ended(Ended { last: true, ..ended(1, 0, Outcome::TimedOut) }));
+    assert_eq!(
+        sends(&g.take(Query {
+            key: Some("other".into()),
+            ..query(3, 0)
+        }))
+        .len(),
+        1
+    );
+    assert!(
+        sends(&g.does(Event::ClientLeft(1))).is_empty(),
+        "its attempt is still out"
+    );
+    let out = g.does(Event::Ended(Ended {
+        last: true,
+        ..ended(1, 0, Outcome::TimedOut)
+    }));
     assert!(sends(&out).is_empty(), "the key rests");
     assert!(sends(&g.pass(280.0)).is_empty());
     assert_eq!(sends(&g.pass(60.0)), [(2, sends_engine(&mut g))]);
@@ -156,17 +239,32 @@
 fn sends_engine(g: &mut Gateway) -> String {
     // Where query 2 went shows in its own retry: the other engine is taken then.
     let again = sends(&g.end(2, 0, Outcome::Unreachable));
-    if again[0].1 == "a" { "b".into() } else { "a".into() }
+    if again[0].1 == "a" {
+        "b".into()
+    } else {
+        "a".into()
+    }
 }
 
 #[test]
 fn rule_6_a_bound_class_stays_in_its_zone_and_kind_even_when_that_is_down() {
-    let bound = Class { only_zones: Some(vec![1]), only_kinds: Some(vec![0]), ..class(1.0, 800.0) };
+    let bound = Class {
+        only_zones: Some(vec![1]),
+        only_kinds: Some(vec![0]),
+        ..class(1.0, 800.0)
+    };
     let engines = || {
         vec![
             entry("wrong-zone"),
-            EngineEntry { zone: Some(1), kind: Some(1), ..entry("wrong-kind") },
-            EngineEntry { zone: Some(1), ..entry("right") },
+            EngineEntry {
+                zone: Some(1),
+                kind: Some(1),
+                ..entry("wrong-kind")
+            },
+            EngineEntry {
+                zone: Some(1),
+                ..entry("right")
+            },
         ]
     };
     let mut g = Gateway::new(settings(vec![bound]), engines());
@@ -180,7 +278,11 @@
 #[test]
 fn rule_7_further_attempts_stay_within_the_ration() {
     let mut s = settings(vec![class(1.0, 3000.0)]);
-    s.rules.attempt_budget = Some(AttemptBudget { free: 2.0, share: 0.1, span: 10000.0 });
+    s.rules.attempt_budget = Some(AttemptBudget {
+        free: 2.0,
+        share: 0.1,
+        span: 10000.0,
+    });
     let mut g = Gateway::new(s, vec![entry("a"), entry("b"), entry("c")]);
     let (mut taken, mut further) = (0.0, 0.0);
     for id in 0..60 {
@@ -202,7 +304,11 @@
 /// keep everybody else off, 8 of them off 8 cores.
 #[test]
 fn an_attempt_that_its_client_holds_idle_leaves_its_threads_to_others() {
-    let wide = Class { threads: 4.0, effect: Effect::Unsafe, ..class(1.0, 2000.0) };
+    let wide = Class {
+        threads: 4.0,
+        effect: Effect::Unsafe,
+        ..class(1.0, 2000.0)
+    };
     for idle in [false, true] {
         let mut g = Gateway::new(settings(vec![wide.clone()]), vec![entry("e")]);
         let mut held = 0;
@@ -210,12 +316,26 @@
             held += sends(&g.take(query(id, 0))).len();
             g.does(Event::Streaming { id, attempt: 0 });
             let note = if idle { Note::Idle } else { Note::Works };
-            g.does(Event::Progress { id, attempt: 0, note });
+            g.does(Event::Progress {
+                id,
+                attempt: 0,
+                note,
+            });
         }
-        assert_eq!(held == 12, idle, "{held} of 12 on an engine that bears 16 threads");
+        assert_eq!(
+            held == 12,
+            idle,
+            "{held} of 12 on an engine that bears 16 threads"
+        );
         if idle {
             // Once they ask again, all of them count.
-            (0..12).for_each(|id| drop(g.does(Event::Progress { id, attempt: 0, note: Note::Works })));
+            (0..12).for_each(|id| {
+                drop(g.does(Event::Progress {
+                    id,
+                    attempt: 0,
+                    note: Note::Works,
+                }))
+            });
             assert_eq!(sends(&g.take(query(12, 0))), vec![]);
         }
     }
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -61,9 +61,18 @@
 
 /// A safe class and an unsafe one; engines that heed no grants and tell no load.
 pub fn settings() -> Settings {
-    let load = Class { effect: Effect::Unsafe, threads: 2.0, ..common::class(4.0, 5000.0) };
+    let load = Class {
+        effect: Effect::Unsafe,
+        threads: 2.0,
+        ..common::class(4.0, 5000.0)
+    };
     let mut s = common::settings(vec![common::class(1.0, 5000.0), load]);
-    s.engines = EngineFacts { takes_grants: false, takes_priority: false, tells_cost: false, ..s.engines };
+    s.engines = EngineFacts {
+        takes_grants: false,
+        takes_priority: false,
+        tells_cost: false,
+        ..s.engines
+    };
     s.report_fields = vec![];
     s
 }
@@ -90,7 +99,11 @@
         most_open: 100,
         longest: 5000.0,
     };
-    let bounds = Bounds { open, margin: 20.0, page_wait: 600.0 };
+    let bounds = Bounds {
+        open,
+        margin: 20.0,
+        page_wait: 600.0,
+    };
     (Core::new(settings(), 1, bounds).unwrap(), names, sockets)
 }
 
@@ -101,18 +114,30 @@
         Engine {
             id: format!("{}{i}", if is("takeover") { "new" } else { "e" }),
             address: Some(*a),
-            state: if is("drain") { EngineState::Draining } else { EngineState::Ready },
+            state: if is("drain") {
+                EngineState::Draining
+            } else {
+                EngineState::Ready
+            },
             zone: None,
             kind: Some("std".into()),
             cell: 0,
             started: is("restart").then(|| hitchwinch::net::unix_ms() + 1.0),
         }
     };
-    Change { update: ListUpdate::Whole, engines: addresses.iter().enumerate().map(engine).collect() }
+    Change {
+        update: ListUpdate::Whole,
+        engines: addresses.iter().enumerate().map(engine).collect(),
+    }
 }
 
 pub fn access() -> Access {
-    Access { user: "engine".into(), password: "inner".into(), connections: 4, most_packet: 65_536 }
+    Access {
+        user: "engine".into(),
+        password: "inner".into(),
+        connections: 4,
+        most_packet: 65_536,
+    }
 }
 
 /// Results of up to 64 KB, in memory.
@@ -128,8 +153,15 @@
         max_statements: 3,
         idle: Duration::from_secs(60),
         version: "8.0.0-test".into(),
-        users: [("ann".to_string(), User { password: "secret".into(), certificate: None, tenant: Some(0) })]
-            .into(),
+        users: [(
+            "ann".to_string(),
+            User {
+                password: "secret".into(),
+                certificate: None,
+                tenant: Some(0),
+            },
+        )]
+        .into(),
         rules: ClassRules::new(1, 0, classes, vec![]),
         deadlines: vec![5000.0, 5000.0],
         transaction_class: 1,
@@ -145,8 +177,15 @@
 
 /// Runs a future on one thread, as the program does.
 pub fn on_one_thread<T>(f: impl Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let timed = async { tokio::time::timeout(Duration::from_secs(20), f).await.expect("it takes too long") };
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
+    let timed = async {
+        tokio::time::timeout(Duration::from_secs(20), f)
+            .await
+            .expect("it takes too long")
+    };
     LocalSet::new().block_on(&runtime, timed)
 }
 
@@ -172,7 +211,9 @@
 /// One call of an operator: its answer, as text.
 async fn call(at: SocketAddr, method: &str, path: &str) -> String {
     let mut tcp = TcpStream::connect(at).await.unwrap();
-    tcp.write_all(format!("{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes()).await.unwrap();
+    tcp.write_all(format!("{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes())
+        .await
+        .unwrap();
     let mut answer = String::new();
     let read = tokio::time::timeout(Duration::from_secs(1), tcp.read_to_string(&mut answer));
     read.await.expect("an operator waits 1 s").unwrap();
@@ -211,7 +252,9 @@
             ["expect", name, what] => assert_eq!(client.answer(name).await, what, "{line}"),
             ["engine", class] => {
                 let next = tokio::time::timeout(Duration::from_secs(4), seen.recv()).await;
-                let next = next.unwrap_or_else(|_| panic!("{line}: nothing came")).unwrap();
+                let next = next
+                    .unwrap_or_else(|_| panic!("{line}: nothing came"))
+                    .unwrap();
                 assert_eq!(next.class, class, "{line}");
                 if class != "dropped" {
                     ran += 1;
@@ -220,7 +263,9 @@
                 }
             }
             ["reply", what] => {
-                let known = ["rows", "full", "error", "half", "spoilt", "cut", "word", "more"];
+                let known = [
+                    "rows", "full", "error", "half", "spoilt", "cut", "word", "more",
+                ];
                 let what = known.into_iter().find(|w| *w == what).unwrap();
                 last.as_ref().unwrap().orders.send(what).unwrap();
             }
@@ -234,13 +279,19 @@
                 for mut tcp in crowd.drain(..) {
                     let mut byte = [0];
                     let end = tokio::io::AsyncReadExt::read(&mut tcp, &mut byte);
-                    let end = tokio::time::timeout(Duration::from_secs(3), end).await.expect("a close");
+                    let end = tokio::time::timeout(Duration::from_secs(3), end)
+                        .await
+                        .expect("a close");
                     assert!(matches!(end, Ok(0) | Err(_)), "{line}");
                 }
             }
             ["crowd", n] => {
                 for _ in 0..n.parse().unwrap() {
-                    crowd.push(tokio::net::TcpStream::connect(client.address()).await.unwrap());
+                    crowd.push(
+                        tokio::net::TcpStream::connect(client.address())
+                            .await
+                            .unwrap(),
+                    );
                 }
             }
             ["callers", n] => {
@@ -250,7 +301,10 @@
             }
             ["call", code, method, path] => {
                 let answer = call(at, method, path).await;
-                assert!(answer.starts_with(&format!("HTTP/1.1 {code} ")), "{line}: {answer}");
+                assert!(
+                    answer.starts_with(&format!("HTTP/1.1 {code} ")),
+                    "{line}: {answer}"
+                );
             }
             [what @ ("detach" | "attach")] => {
                 let answer = call(at, "POST", &format!("/_engines/{what}/e{}", engine())).await;
@@ -258,7 +312,9 @@
             }
             ["figures", ref wanted @ ..] => {
                 let told = call(at, "GET", "/_vars").await;
-                wanted.iter().for_each(|w| assert!(told.lines().any(|l| l == *w), "{w}: {told}"));
+                wanted
+                    .iter()
+                    .for_each(|w| assert!(told.lines().any(|l| l == *w), "{w}: {told}"));
             }
             ["again"] => client.again().await,
             ["wait", ms] => tokio::time::sleep(Duration::from_millis(ms.parse().unwrap())).await,
--- a/tests/stored/members.rs
+++ b/tests/stored/members.rs
@@ -9,7 +9,16 @@
 const MOST_BYTES: usize = 64 << 20;
 
 fn store(folder: &Path) -> Store {
-    Store::new(Disk, folder, FILE, Kind { tag: *b"MEMB", form: FORM }, MOST_BYTES)
+    Store::new(
+        Disk,
+        folder,
+        FILE,
+        Kind {
+            tag: *b"MEMB",
+            form: FORM,
+        },
+        MOST_BYTES,
+    )
 }
 
 /// What the stored file holds: every field with and without a value.
@@ -34,7 +43,11 @@
         ..engine("engine-1", 4001, true)
     };
     let drained = Version::new(1_700_000_000_789, 1_700_000_000_790);
-    let draining = Kept { newest: drained, drained: Some(drained), ..engine("engine-3", 4003, false) };
+    let draining = Kept {
+        newest: drained,
+        drained: Some(drained),
+        ..engine("engine-3", 4003, false)
+    };
     let odd = engine("host/../x:80 %\u{e9}", 4004, true);
     Snapshot {
         written: 1_700_000_001_000.25,
@@ -43,7 +56,9 @@
 }
 
 pub fn save_snapshot(folder: &Path, snapshot: &Snapshot) {
-    store(folder).save(&serde_json::to_vec(snapshot).unwrap()).unwrap();
+    store(folder)
+        .save(&serde_json::to_vec(snapshot).unwrap())
+        .unwrap();
 }
 
 /// The snapshot in this folder, or the message that tells why there is none.
--- a/tests/stored/segments.rs
+++ b/tests/stored/segments.rs
@@ -3,7 +3,10 @@
 use hitchwinch::store::segments::{Folder, Rules, Segments};
 use std::path::Path;
 
-const RULES: Rules = Rules { segment: 1 << 16, most: 1 << 20 };
+const RULES: Rules = Rules {
+    segment: 1 << 16,
+    most: 1 << 20,
+};
 /// The first never ends, the others are whole; the second is packed, the third has no page.
 const UNFINISHED: u64 = 3;
 const PACKED: u64 = 7;
@@ -13,15 +16,27 @@
 
 /// A page that packing makes shorter, with some bytes of every value.
 fn long_page() -> Vec<u8> {
-    (0..LONG_PAGE).map(|index| if index % 3 == 0 { (index / 3) as u8 } else { b'a' }).collect()
+    (0..LONG_PAGE)
+        .map(|index| {
+            if index % 3 == 0 {
+                (index / 3) as u8
+            } else {
+                b'a'
+            }
+        })
+        .collect()
 }
 
 /// Writes the fixed spools.
 pub fn write_fixed(folder: &Path) {
     let (mut segments, _) = Segments::open(Folder::new(folder).unwrap(), RULES).unwrap();
-    segments.begin(UNFINISHED, b"the beginning of a spool that does not end").unwrap();
+    segments
+        .begin(UNFINISHED, b"the beginning of a spool that does not end")
+        .unwrap();
     segments.page(UNFINISHED, 1, b"its page").unwrap();
-    segments.begin(PACKED, b"the beginning of a whole one").unwrap();
+    segments
+        .begin(PACKED, b"the beginning of a whole one")
+        .unwrap();
     segments.page(PACKED, 2, b"a short page").unwrap();
     segments.page(PACKED, 600, &long_page()).unwrap();
     segments.end(PACKED, b"its end").unwrap();
@@ -36,13 +51,20 @@
         Ok(opened) => opened,
         Err(error) => return format!("  {error}\n"),
     };
-    let mut told = format!("  dropped {}, torn {}, missing {}\n", found.dropped, found.torn, found.missing);
+    let mut told = format!(
+        "  dropped {}, torn {}, missing {}\n",
+        found.dropped, found.torn, found.missing
+    );
     for spool in found.whole {
         let (begin, end) = (spool.begin.escape_ascii(), spool.end.escape_ascii());
-        told +=
-            &format!("  spool {}: {} bytes stored, \"{begin}\" to \"{end}\"\n", spool.spool, spool.stored);
+        told += &format!(
+            "  spool {}: {} bytes stored, \"{begin}\" to \"{end}\"\n",
+            spool.spool, spool.stored
+        );
         for (page, (rows, length)) in spool.pages.iter().enumerate() {
-            let content = segments.read(spool.spool, page as u32).map_err(|error| error.to_string());
+            let content = segments
+                .read(spool.spool, page as u32)
+                .map_err(|error| error.to_string());
             let content = content.map(|content| content.escape_ascii().to_string());
             told += &format!("    page {page}, {rows} rows, {length} bytes: {content:?}\n");
         }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -63,7 +63,11 @@
     let fresh = TemporaryFolder::new("members-fresh");
     save_snapshot(fresh.path(), &fixed_snapshot());
     let read = |folder: &Path| std::fs::read(folder.join(MEMBERS)).unwrap();
-    assert_eq!(read(fresh.path()), read(&data("stored/members")), "other bytes are written");
+    assert_eq!(
+        read(fresh.path()),
+        read(&data("stored/members")),
+        "other bytes are written"
+    );
     assert_eq!(file_names(fresh.path()), [MEMBERS]);
 }
 
@@ -75,7 +79,10 @@
         cut(&folder.path().join(MEMBERS), length);
         let error = load_snapshot(folder.path()).unwrap_err();
         let error = error.replace(folder.path().to_str().unwrap(), "(folder)");
-        told += &format!("{length} bytes: {error}; files {:?}\n", file_names(folder.path()));
+        told += &format!(
+            "{length} bytes: {error}; files {:?}\n",
+            file_names(folder.path())
+        );
     }
     assert_recorded("stored/members-cut.txt", &told);
 }
@@ -120,7 +127,11 @@
     let body = page.split_once("\r\n\r\n").unwrap().1;
     let body = body.replace(&registry.at.to_string(), "(registry)");
     assert_recorded("stored/state-members.txt", &mask_numbers(&body, &MOMENTARY));
-    assert!(log.iter().any(|line| line.starts_with("members: a snapshot of 4 engines, ")), "{log:?}");
+    assert!(
+        log.iter()
+            .any(|line| line.starts_with("members: a snapshot of 4 engines, ")),
+        "{log:?}"
+    );
 }
 
 #[test]
@@ -129,10 +140,18 @@
     let file = folder.path().join(STATE).join(MEMBERS);
     std::fs::copy(data("stored/cut").join(MEMBERS), &file).unwrap();
     let (_program, log) = start_mysql(&registry_file(&registry, folder.path()));
-    let log = log.join("\n").replace(folder.path().to_str().unwrap(), "(folder)");
+    let log = log
+        .join("\n")
+        .replace(folder.path().to_str().unwrap(), "(folder)");
     let names = file_names(&folder.path().join(STATE));
-    let names = names.iter().filter(|name| !name.starts_with("here-")).map(|name| format!("{name}\n"));
-    assert_recorded("stored/state-cut.txt", &format!("{log}\n{}", names.collect::<String>()));
+    let names = names
+        .iter()
+        .filter(|name| !name.starts_with("here-"))
+        .map(|name| format!("{name}\n"));
+    assert_recorded(
+        "stored/state-cut.txt",
+        &format!("{log}\n{}", names.collect::<String>()),
+    );
 }
 
 // ---- engines that are out by hand ------------------------------------------------------------------
@@ -147,8 +166,12 @@
     let fresh = TemporaryFolder::new("shared-fresh");
     stored::shared::hold_out(fresh.path(), &OUT_BY_HAND);
     let outs = |folder: &Path| {
-        let names = file_names(&folder.join(STATE)).into_iter().filter(|name| name.starts_with("out-"));
-        names.map(|name| (length(&folder.join(STATE).join(&name)), name)).collect::<Vec<_>>()
+        let names = file_names(&folder.join(STATE))
+            .into_iter()
+            .filter(|name| name.starts_with("out-"));
+        names
+            .map(|name| (length(&folder.join(STATE).join(&name)), name))
+            .collect::<Vec<_>>()
     };
     assert_eq!(outs(fresh.path()), outs(&data("stored/state")));
     stored::shared::put_back(fresh.path(), &OUT_BY_HAND);
@@ -164,7 +187,11 @@
         let folder = TemporaryFolder::new("shared-cut");
         std::fs::create_dir(folder.path().join(STATE)).unwrap();
         std::fs::write(folder.path().join(STATE).join(&WHOLE[..length]), []).unwrap();
-        told += &format!("{:?}: {:?}\n", &WHOLE[..length], stored::shared::held_out(folder.path()));
+        told += &format!(
+            "{:?}: {:?}\n",
+            &WHOLE[..length],
+            stored::shared::held_out(folder.path())
+        );
     }
     assert_recorded("stored/shared-cut.txt", &told);
 }
@@ -179,7 +206,10 @@
     write_fixed(fresh.path());
     for name in [MANIFEST, SEGMENT] {
         let read = |folder: &Path| std::fs::read(folder.join(name)).unwrap();
-        assert!(read(fresh.path()) == read(&data("stored/segments")), "{name}: other bytes are written");
+        assert!(
+            read(fresh.path()) == read(&data("stored/segments")),
+            "{name}: other bytes are written"
+        );
     }
     assert_eq!(file_names(fresh.path()), [MANIFEST, SEGMENT]);
 }
@@ -189,10 +219,15 @@
     let mut told = String::new();
     for name in [SEGMENT, MANIFEST] {
         for length in cuts(length(&data("stored/segments").join(name))) {
-            let folder = TemporaryFolder::copy_of("stored/segments", &format!("segments-{name}-{length}"));
+            let folder =
+                TemporaryFolder::copy_of("stored/segments", &format!("segments-{name}-{length}"));
             cut(&folder.path().join(name), length);
-            let read = read_folder(folder.path()).replace(folder.path().to_str().unwrap(), "(folder)");
-            told += &format!("{name}, {length} bytes: files {:?}\n{read}", file_names(folder.path()));
+            let read =
+                read_folder(folder.path()).replace(folder.path().to_str().unwrap(), "(folder)");
+            told += &format!(
+                "{name}, {length} bytes: files {:?}\n{read}",
+                file_names(folder.path())
+            );
         }
     }
     assert_recorded("stored/segments-cut.txt", &told);
@@ -202,7 +237,10 @@
 fn spool_file(folder: &Path) -> String {
     let engine = "[[engine]]\nid = \"engine-1\"\naddress = \"127.0.0.1:1\"\n";
     let user = "[[user]]\nname = \"empty\"\npassword = \"\"\n";
-    let spool = format!("[spool]\ndir = {:?}\nkeep_s = 604800\n", folder.join("spool"));
+    let spool = format!(
+        "[spool]\ndir = {:?}\nkeep_s = 604800\n",
+        folder.join("spool")
+    );
     lab::stand::file("", &format!("{user}{engine}{spool}"))
 }
 
@@ -211,7 +249,10 @@
     let packets = client.query("SHOW HITCHWINCH RESULTS");
     const COLUMNS: usize = 7;
     let rows = &packets[COLUMNS + 2..packets.len() - 1];
-    let mut rows: Vec<_> = rows.iter().map(|row| texts(&row.payload)[..COLUMNS - 2].to_vec()).collect();
+    let mut rows: Vec<_> = rows
+        .iter()
+        .map(|row| texts(&row.payload)[..COLUMNS - 2].to_vec())
+        .collect();
     rows.sort();
     rows
 }
@@ -231,20 +272,29 @@
 fn summary(packets: &[Packet]) -> String {
     match packets {
         [only] => only.text().trim().to_string(),
-        all => format!("{} packets, CRC-32 {:08x}", all.len(), crc32fast::hash(text(all).as_bytes())),
+        all => format!(
+            "{} packets, CRC-32 {:08x}",
+            all.len(),
+            crc32fast::hash(text(all).as_bytes())
+        ),
     }
 }
 
 /// All results that the program gives back from a folder: the log of its start, the listing and the packets of each.
 fn results_of(folder: &TemporaryFolder) -> String {
     let (program, log) = start_mysql(&spool_file(folder.path()));
-    let mut told = log.join("\n").replace(folder.path().to_str().unwrap(), "(folder)") + "\n";
+    let mut told = log
+        .join("\n")
+        .replace(folder.path().to_str().unwrap(), "(folder)")
+        + "\n";
     let mut client = MysqlClient::log_in(program.address, USER);
     for row in listed(&mut client) {
         told += &format!("{row:?}\n");
         let (handle, pages) = (&row[0], row[2].parse::<u32>().unwrap());
         for page in 0..=pages {
-            let packets = client.query(&format!("FETCH HITCHWINCH RESULT '{handle}' FROM PAGE {page}"));
+            let packets = client.query(&format!(
+                "FETCH HITCHWINCH RESULT '{handle}' FROM PAGE {page}"
+            ));
             told += &format!("  from page {page}: {}\n", summary(&packets));
         }
     }
--- a/tests/wire/mod.rs
+++ b/tests/wire/mod.rs
@@ -11,7 +11,9 @@
 pub const SMALL: usize = 4096;
 
 pub async fn within<T>(what: &str, f: impl Future<Output = T>) -> T {
-    tokio::time::timeout(Duration::from_secs(6), f).await.unwrap_or_else(|_| panic!("no {what}"))
+    tokio::time::timeout(Duration::from_secs(6), f)
+        .await
+        .unwrap_or_else(|_| panic!("no {what}"))
 }
 
 pub async fn until(what: &str, holds: impl Fn() -> bool) {
@@ -58,7 +60,11 @@
             let n = self.0.read_u32().await.ok()?;
             let mut f = vec![0; n as usize];
             self.0.read_exact(&mut f).await.ok()?;
-            Some((f[0], u32::from_be_bytes(f[1..5].try_into().unwrap()), f[5..].to_vec()))
+            Some((
+                f[0],
+                u32::from_be_bytes(f[1..5].try_into().unwrap()),
+                f[5..].to_vec(),
+            ))
         };
         within("frame", read).await
     }
@@ -71,7 +77,9 @@
 
     /// Its connection is reset.
     pub fn resets(self) {
-        SockRef::from(&self.0).set_linger(Some(Duration::ZERO)).unwrap();
+        SockRef::from(&self.0)
+            .set_linger(Some(Duration::ZERO))
+            .unwrap();
     }
 }
 
@@ -104,7 +112,10 @@
 }
 
 pub fn array(words: [&str; 4]) -> Vec<u8> {
-    let bulk: String = words.iter().map(|w| format!("${}\r\n{w}\r\n", w.len())).collect();
+    let bulk: String = words
+        .iter()
+        .map(|w| format!("${}\r\n{w}\r\n", w.len()))
+        .collect();
     format!("*4\r\n{bulk}").into_bytes()
 }
 
@@ -119,7 +130,11 @@
     for _ in 1..pages {
         let asked = command(engine).await.expect("a page is asked for");
         assert_eq!(asked[0], "PAGE");
-        reply(engine, [txn, "BLOCK", &format!("index={}", asked[2]), &page]).await;
+        reply(
+            engine,
+            [txn, "BLOCK", &format!("index={}", asked[2]), &page],
+        )
+        .await;
     }
 }
 
