--- a/crates/conformance/src/lib.rs
+++ b/crates/mysql-conformance/src/lib.rs
@@ -4,22 +4,22 @@
 pub mod cases;
 
 use cases::{CASES, Case, Engine as Against, Step, UNTESTED, Want};
-use hitchwinch::config::{Mysql, Source};
-use hitchwinch::core::{Bounds, Core};
-use hitchwinch::net::discovery::{Change, Engine as Listed};
-use hitchwinch::net::hub::Hub;
-use hitchwinch::net::mysql::front::Front;
-use hitchwinch::net::mysql::packet::{PacketError, QUERY, Reader, eof_status, ok_tail};
-use hitchwinch::net::mysql::upstream::MysqlUpstream;
-use hitchwinch::net::pool::Pool;
-use hitchwinch::net::spools::Spools;
-use hitchwinch::{EngineState, ListUpdate};
-use lab::engine::Engine;
-use lab::raw::{Answer, Session, Wants};
-use lab::stand;
+use query_dispatcher::config::{Mysql, Source};
+use query_dispatcher::core::{Bounds, Core};
+use query_dispatcher::net::discovery::{Change, Engine as Listed};
+use query_dispatcher::net::hub::Hub;
+use query_dispatcher::net::mysql::front::Front;
+use query_dispatcher::net::mysql::packet::{PacketError, QUERY, Reader, eof_status, ok_tail};
+use query_dispatcher::net::mysql::upstream::MysqlUpstream;
+use query_dispatcher::net::pool::Pool;
+use query_dispatcher::net::spools::Spools;
+use query_dispatcher::{EngineState, ListUpdate};
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::time::Duration;
+use testbed::engine::Engine;
+use testbed::raw::{Answer, Session, Wants};
+use testbed::stand;
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
@@ -268,7 +268,7 @@
     let at_engine = Target {
         address,
         user: "lab",
-        password: lab::engine::PASSWORD,
+        password: testbed::engine::PASSWORD,
         engines: &engines,
     };
     let mut all = vec![];
@@ -285,7 +285,7 @@
 /// The page, as `docs/MYSQL-CONFORMANCE.md` holds it.
 pub fn page(lines: &[Line]) -> String {
     let mut text = String::from(
-        "# MySQL conformance\n\nWritten by `cargo run -p hitchwinch-conformance -- --write docs/MYSQL-CONFORMANCE.md`; a test \
+        "# MySQL conformance\n\nWritten by `cargo run -p mysql-conformance -- --write docs/MYSQL-CONFORMANCE.md`; a test \
          compares the two.\nEach line is a script of `crates/conformance/src/cases.rs`, played against the front and, for \
          calibration, straight\nagainst the stand-in engine.\n\n",
     );
--- a/crates/conformance/src/main.rs
+++ b/crates/mysql-conformance/src/main.rs
@@ -1,7 +1,7 @@
 //! Plays the conformance scripts and prints, or writes, their table.
 
 use clap::Parser;
-use conformance::{Came, Error, page, play};
+use mysql_conformance::{Came, Error, page, play};
 use std::path::PathBuf;
 use tokio::task::LocalSet;
 
--- a/crates/conformance/tests/conformance.rs
+++ b/crates/mysql-conformance/tests/conformance.rs
@@ -1,6 +1,6 @@
 //! The suite comes out as wanted, and the page tells what it found.
 
-use conformance::{Came, page, play};
+use mysql_conformance::{Came, page, play};
 use tokio::task::LocalSet;
 
 #[test]
--- a/crates/lab/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -19,5 +19,5 @@
 
 /// The machine's Unix clock, in milliseconds: the stand-ins' logs and the checkers run on it.
 pub fn now() -> f64 {
-    hitchwinch::net::unix_ms()
+    query_dispatcher::net::unix_ms()
 }
--- a/crates/lab/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,14 +1,14 @@
 //! The laboratory's program: stand-ins to try a dispatcher with, and measurements.
 
 use clap::{Args, Parser, Subcommand};
-use lab::measure::{self, Subject};
-use lab::measure_sessions;
-use lab::measure_spool::{self, Spooling};
-use lab::registry::{Instance, Node, Rules};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
+use testbed::measure::{self, Subject};
+use testbed::measure_sessions;
+use testbed::measure_spool::{self, Spooling};
+use testbed::registry::{Instance, Node, Rules};
 use tokio::task::LocalSet;
 
 #[derive(Parser)]
@@ -175,7 +175,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("hitchwinch-lab: {e}");
+            eprintln!("testbed: {e}");
             ExitCode::FAILURE
         }
     }
@@ -202,10 +202,10 @@
             }
             for e in engines {
                 let (name, port) = e.split_once('=').ok_or(format!("{e:?} is not NAME=PORT"))?;
-                let instance = Instance::engine("ENGINES", name, port.parse()?, lab::now());
+                let instance = Instance::engine("ENGINES", name, port.parse()?, testbed::now());
                 let forever = Instance {
                     duration: f64::MAX,
-                    up: lab::now() - 60_000.0,
+                    up: testbed::now() - 60_000.0,
                     ..instance
                 };
                 all.iter().for_each(|node| node.register(forever.clone()));
--- a/crates/lab/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -8,7 +8,7 @@
 use crate::registry::{Fault, Instance, Node, Rules};
 use crate::stand::{self, free};
 use hdrhistogram::Histogram;
-use hitchwinch::membership::Status;
+use query_dispatcher::membership::Status;
 use serde::Serialize;
 use serde_json::{Value, json};
 use std::path::PathBuf;
--- a/crates/lab/src/model/engine.rs
+++ b/crates/testbed/src/model/engine.rs
@@ -1,7 +1,7 @@
 //! The engine itself.
 
 use super::params::Params;
-use hitchwinch::Note;
+use query_dispatcher::Note;
 use std::collections::{BTreeMap, VecDeque};
 
 /// The caller's own number of a query on this engine.
--- a/crates/lab/src/model/tests.rs
+++ b/crates/testbed/src/model/tests.rs
@@ -220,11 +220,11 @@
     );
     let notes = e.notes(1200.0);
     assert!(
-        notes.contains(&(8, hitchwinch::Note::WaitsForMemory)),
+        notes.contains(&(8, query_dispatcher::Note::WaitsForMemory)),
         "{notes:?}"
     );
     assert!(
-        notes.contains(&(7, hitchwinch::Note::Spills(60.0))),
+        notes.contains(&(7, query_dispatcher::Note::Spills(60.0))),
         "{notes:?}"
     );
 }
@@ -274,7 +274,7 @@
         Some(&300.0),
         "also one that had begun before"
     );
-    use hitchwinch::Note;
+    use query_dispatcher::Note;
 }
 
 #[test]
--- a/crates/lab/src/raw.rs
+++ b/crates/testbed/src/raw.rs
@@ -2,9 +2,9 @@
 
 use bytes::{BufMut, Bytes, BytesMut};
 use futures_util::SinkExt;
-use hitchwinch::net::mysql::packet::*;
-use hitchwinch::net::mysql::{SqlError, auth};
-use hitchwinch::net::stream::{Ahead, Stream};
+use query_dispatcher::net::mysql::packet::*;
+use query_dispatcher::net::mysql::{SqlError, auth};
+use query_dispatcher::net::stream::{Ahead, Stream};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/lab/src/registry/document.rs
+++ b/crates/testbed/src/registry/document.rs
@@ -2,7 +2,7 @@
 //! in the reader must not be repeated here.
 
 use super::leases::Instance;
-use hitchwinch::membership::Status;
+use query_dispatcher::membership::Status;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
--- a/crates/lab/src/registry/leases.rs
+++ b/crates/testbed/src/registry/leases.rs
@@ -1,6 +1,6 @@
 //! What one registry holds: instances and their leases. Pure; times are milliseconds on the Unix clock.
 
-use hitchwinch::membership::Status;
+use query_dispatcher::membership::Status;
 use std::collections::{BTreeMap, VecDeque};
 
 /// How a registry keeps leases.
--- a/crates/lab/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -1,7 +1,9 @@
 //! A day as a JSON5 file: the fleet, the load and the trouble. `lab/scenarios/` holds ready ones.
 
 use crate::model::Params;
-use hitchwinch::{Class, Effect, EngineFacts, Kind, Limits, ReportField, Rules, Settings, Tenant};
+use query_dispatcher::{
+    Class, Effect, EngineFacts, Kind, Limits, ReportField, Rules, Settings, Tenant,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/lab/src/world/policy.rs
+++ b/crates/testbed/src/world/policy.rs
@@ -1,8 +1,8 @@
 //! Who decides at a gateway: the real core, or one of the plain ways that it is measured beside.
 
 use crate::random::Stream;
-use hitchwinch::core::{Answer, AttemptId, Command, Core, NewRequest, RequestId};
-use hitchwinch::{EngineEntry, EngineState, ListUpdate, Note, Outcome};
+use query_dispatcher::core::{Answer, AttemptId, Command, Core, NewRequest, RequestId};
+use query_dispatcher::{EngineEntry, EngineState, ListUpdate, Note, Outcome};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/examples/toy/main.rs
+++ b/examples/toy/main.rs
@@ -2,8 +2,8 @@
 //! answers with its own name; what it runs is shown. `cargo run --example toy`, then
 //! `hitchwinch --mysql examples/toy/toy.toml`.
 
-use lab::measure::{MeasureError, serve_engines};
 use std::time::Duration;
+use testbed::measure::{MeasureError, serve_engines};
 use tokio::task::LocalSet;
 
 const WORK: Duration = Duration::from_millis(50);
--- a/src/bin/hitchwinch-simhost/main.rs
+++ b/src/bin/hitchwinch-simhost/main.rs
@@ -2,9 +2,9 @@
 
 mod wire;
 
-use hitchwinch::config::Names;
-use hitchwinch::peers::Bulletin;
-use hitchwinch::{Action, Controller, EngineState, Event, ListUpdate, Outcome};
+use query_dispatcher::config::Names;
+use query_dispatcher::peers::Bulletin;
+use query_dispatcher::{Action, Controller, EngineState, Event, ListUpdate, Outcome};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io::{BufRead, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
--- a/src/bin/hitchwinch-simhost/wire.rs
+++ b/src/bin/hitchwinch-simhost/wire.rs
@@ -1,7 +1,7 @@
 //! The wire's types and their translation; no decision is made here.
 
-use hitchwinch::config::{Names, Profile, find};
-use hitchwinch::*;
+use query_dispatcher::config::{Names, Profile, find};
+use query_dispatcher::*;
 use serde::{Deserialize, Serialize};
 
 #[derive(Deserialize)]
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,7 +3,7 @@
 //! socket, reads no clock and keeps no state outside itself.
 //!
 //! ```
-//! use hitchwinch::*;
+//! use query_dispatcher::*;
 //!
 //! let class = Class {
 //!     worth: 1.0, aim: 500.0, aim_stretch: 2.0, late_share: 0.0, effect: Effect::Safe,
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,25 +1,25 @@
 //! The real dispatcher: wiring and signals. Without arguments it serves the platform; with `--mysql FILE` it
 //! serves the MySQL protocol as that file says.
 
-use hitchwinch::config::{ConfigError, EurekaSource, Mysql, Platform, Source};
-use hitchwinch::core::{Bounds, Core};
-use hitchwinch::net::admin::{Admin, Watched};
-use hitchwinch::net::descriptors::Shares;
-use hitchwinch::net::discovery::eureka::{self, lease::Lease, lease::Stand};
-use hitchwinch::net::discovery::{Discovery, fixed, journal::Journal};
-use hitchwinch::net::frames::{self, Front};
-use hitchwinch::net::hub::{Hub, Upstream};
-use hitchwinch::net::members::Members;
-use hitchwinch::net::peers;
-use hitchwinch::net::pool::Pool;
-use hitchwinch::net::resp::RespUpstream;
-use hitchwinch::net::shared::Shared;
-use hitchwinch::net::signals::{SIGHUP, SIGTERM, Signals};
-use hitchwinch::net::spools::Spools;
-use hitchwinch::net::tls::Keys;
-use hitchwinch::net::unix_ms;
-use hitchwinch::net::{descriptors, listener, mysql, vitals};
-use hitchwinch::say;
+use query_dispatcher::config::{ConfigError, EurekaSource, Mysql, Platform, Source};
+use query_dispatcher::core::{Bounds, Core};
+use query_dispatcher::net::admin::{Admin, Watched};
+use query_dispatcher::net::descriptors::Shares;
+use query_dispatcher::net::discovery::eureka::{self, lease::Lease, lease::Stand};
+use query_dispatcher::net::discovery::{Discovery, fixed, journal::Journal};
+use query_dispatcher::net::frames::{self, Front};
+use query_dispatcher::net::hub::{Hub, Upstream};
+use query_dispatcher::net::members::Members;
+use query_dispatcher::net::peers;
+use query_dispatcher::net::pool::Pool;
+use query_dispatcher::net::resp::RespUpstream;
+use query_dispatcher::net::shared::Shared;
+use query_dispatcher::net::signals::{SIGHUP, SIGTERM, Signals};
+use query_dispatcher::net::spools::Spools;
+use query_dispatcher::net::tls::Keys;
+use query_dispatcher::net::unix_ms;
+use query_dispatcher::net::{descriptors, listener, mysql, vitals};
+use query_dispatcher::say;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/tests/cold_budget.rs
+++ b/tests/cold_budget.rs
@@ -10,9 +10,9 @@
 mod common;
 
 use common::{class, entry};
-use hitchwinch::core::{Answer, AttemptId, Bounds, Command, Core, NewRequest, RequestId};
-use hitchwinch::*;
 use oorandom::Rand64;
+use query_dispatcher::core::{Answer, AttemptId, Bounds, Command, Core, NewRequest, RequestId};
+use query_dispatcher::*;
 use std::collections::BTreeMap;
 
 /// A Unix time: what is wrong with large numbers shows here.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Scripted events for one gateway.
 #![allow(dead_code)]
 
-use hitchwinch::*;
+use query_dispatcher::*;
 
 pub fn class(worth: f64, aim: f64) -> Class {
     Class {
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -4,8 +4,8 @@
 
 mod scenario;
 
-use hitchwinch::core::{Answer, AttemptId, Bounds, Command, Core, NewRequest, RequestId};
-use hitchwinch::*;
+use query_dispatcher::core::{Answer, AttemptId, Bounds, Command, Core, NewRequest, RequestId};
+use query_dispatcher::*;
 use scenario::settings;
 use std::collections::BTreeMap;
 
--- a/tests/defences.rs
+++ b/tests/defences.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use hitchwinch::*;
+use query_dispatcher::*;
 
 fn two_classes() -> Vec<Class> {
     vec![
--- a/tests/eureka.rs
+++ b/tests/eureka.rs
@@ -1,16 +1,16 @@
 //! The program against stand-in registries, engines and clients on loopback: the hard cases of membership, each by
 //! name. Clients are a driver that others wrote; what engines were sent is checked by the engines' own account.
 
-use hitchwinch::membership::Status;
-use lab::client::{Clients, End, Load};
-use lab::engine::Engine;
-use lab::program::{Folder, Program};
-use lab::registry::{Fault, Instance, Node, Rules};
-use lab::stand::{self, drained, eureka, file, free, loads_once, register, spared};
 use mysql_async::prelude::Queryable;
+use query_dispatcher::membership::Status;
 use serde_json::Value;
 use std::path::Path;
 use std::time::Duration;
+use testbed::client::{Clients, End, Load};
+use testbed::engine::Engine;
+use testbed::program::{Folder, Program};
+use testbed::registry::{Fault, Instance, Node, Rules};
+use testbed::stand::{self, drained, eureka, file, free, loads_once, register, spared};
 use tokio::task::LocalSet;
 
 /// Plays on one thread.
@@ -80,7 +80,7 @@
 }
 
 /// Every request was answered, none failed, and no load ran twice.
-fn sound(account: &lab::client::Account, engines: &[Engine]) {
+fn sound(account: &testbed::client::Account, engines: &[Engine]) {
     assert!(
         account.count(End::Served) > 20,
         "{:?}",
@@ -174,7 +174,7 @@
             "ENGINES",
             "engine-1",
             engines[1].address().port(),
-            lab::now() + 1.0,
+            testbed::now() + 1.0,
         ));
         program.until("it is back", |p| ready(p, 3)).await.unwrap();
         sound(&*clients.stop().await, &engines);
@@ -358,7 +358,7 @@
             "ENGINES",
             "engine-new",
             engines[0].address().port(),
-            lab::now(),
+            testbed::now(),
         ));
         let page = program
             .until("it has passed", |p| {
@@ -407,9 +407,9 @@
             "ENGINES",
             "engine-0",
             engines[0].address().port(),
-            lab::now() + 5.0,
+            testbed::now() + 5.0,
         );
-        last.renewed = lab::now();
+        last.renewed = testbed::now();
         node.register(last);
         node.set_status("ENGINES", "engine-0", Some(Status::OutOfService));
         program.until("it drains", |p| ready(p, 1)).await.unwrap();
@@ -562,7 +562,7 @@
             ip: "127.9.9.9".into(),
             ..Instance::engine("ENGINES", id, decoy.address().port(), now)
         };
-        node.register(poisoned("engine-x", lab::now()));
+        node.register(poisoned("engine-x", testbed::now()));
         let page = program
             .until("rejected", |p| p["counts"]["rejections"].as_u64() > Some(0))
             .await
@@ -576,7 +576,7 @@
                 .contains("engine-x")
         );
         // A known engine that is led there takes nothing more.
-        node.register(poisoned("engine-1", lab::now() + 1.0));
+        node.register(poisoned("engine-1", testbed::now() + 1.0));
         program.until("led astray", |p| ready(p, 1)).await.unwrap();
         pass(500).await;
         assert_eq!(decoy.count(), 0);
@@ -833,7 +833,7 @@
         // Sessions that have their statements prepared, and more requests than engines bear.
         let mut sessions = vec![];
         for n in 0..16u32 {
-            let mut c = mysql_async::Conn::new(lab::client::opts(program.address))
+            let mut c = mysql_async::Conn::new(testbed::client::opts(program.address))
                 .await
                 .unwrap();
             let s = c
@@ -894,7 +894,7 @@
         let name = |i: usize| format!("c{i}");
         let add = |i: usize| {
             let port = engines[i % 12].address().port();
-            node.register(Instance::engine("ENGINES", &name(i), port, lab::now()));
+            node.register(Instance::engine("ENGINES", &name(i), port, testbed::now()));
         };
         (0..6).for_each(add);
         program.until("six engines", |p| ready(p, 6)).await.unwrap();
--- a/tests/external/configuration.rs
+++ b/tests/external/configuration.rs
@@ -1,7 +1,7 @@
 //! Every key of both configurations, broken in every way that its type allows, and the message that each gives.
 
 use crate::recorded::data;
-use hitchwinch::config::{Mysql, Platform};
+use query_dispatcher::config::{Mysql, Platform};
 use serde_json::{Value, json};
 
 const UNKNOWN_KEY: &str = "unknown_key";
--- a/tests/frames.rs
+++ b/tests/frames.rs
@@ -2,11 +2,11 @@
 
 mod scenario;
 
-use hitchwinch::config::Machine;
-use hitchwinch::net::frames::Front;
-use hitchwinch::net::hub::Hub;
-use hitchwinch::net::pool::Pool;
-use hitchwinch::net::resp::RespUpstream;
+use query_dispatcher::config::Machine;
+use query_dispatcher::net::frames::Front;
+use query_dispatcher::net::hub::Hub;
+use query_dispatcher::net::pool::Pool;
+use query_dispatcher::net::resp::RespUpstream;
 use scenario::*;
 use std::collections::HashMap;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
--- a/tests/many_gateways.rs
+++ b/tests/many_gateways.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use hitchwinch::*;
+use query_dispatcher::*;
 
 fn one_of(gateways: u32, probes: bool) -> Settings {
     let mut s = settings(vec![class(1.0, 2000.0)]);
--- a/tests/moments.rs
+++ b/tests/moments.rs
@@ -6,16 +6,16 @@
 mod wire;
 
 use bytes::Bytes;
-use hitchwinch::config::{Machine, Sockets};
-use hitchwinch::core::{Bounds, Core, NewRequest};
-use hitchwinch::net::admin::{Admin, Watched};
-use hitchwinch::net::frames::{Front, Work};
-use hitchwinch::net::hub::{Hub, Reply};
-use hitchwinch::net::pool::Pool;
-use hitchwinch::net::resp::RespUpstream;
-use hitchwinch::net::shared::Shared;
-use hitchwinch::net::unix_ms;
-use hitchwinch::{Effect, Group};
+use query_dispatcher::config::{Machine, Sockets};
+use query_dispatcher::core::{Bounds, Core, NewRequest};
+use query_dispatcher::net::admin::{Admin, Watched};
+use query_dispatcher::net::frames::{Front, Work};
+use query_dispatcher::net::hub::{Hub, Reply};
+use query_dispatcher::net::pool::Pool;
+use query_dispatcher::net::resp::RespUpstream;
+use query_dispatcher::net::shared::Shared;
+use query_dispatcher::net::unix_ms;
+use query_dispatcher::{Effect, Group};
 use scenario::{change, on_one_thread};
 use socket2::SockRef;
 use std::cell::RefCell;
@@ -56,7 +56,7 @@
         group: keyed.0,
         window: keyed.1,
     };
-    settings.classes.push(hitchwinch::Class {
+    settings.classes.push(query_dispatcher::Class {
         effect,
         ..settings.classes[LOOKUP].clone()
     });
--- a/tests/mysql_sessions.rs
+++ b/tests/mysql_sessions.rs
@@ -1,15 +1,15 @@
 //! Sessions as drivers open them, on the program itself: settings that move with the session, transactions and what
 //! else keeps it on one engine connection. Engines are stand-ins that keep account of what became lasting.
 
-use hitchwinch::net::mysql::packet::{QUERY, RESET_CONNECTION};
-use lab::engine::Engine;
-use lab::program::{Folder, Program};
-use lab::raw::{Session, Wants, error, texts};
-use lab::stand;
 use mysql_async::prelude::Queryable;
 use mysql_async::{Conn, IsolationLevel, OptsBuilder, TxOpts};
+use query_dispatcher::net::mysql::packet::{QUERY, RESET_CONNECTION};
 use std::path::Path;
 use std::time::Duration;
+use testbed::engine::Engine;
+use testbed::program::{Folder, Program};
+use testbed::raw::{Session, Wants, error, texts};
+use testbed::stand;
 use tokio::task::LocalSet;
 
 fn play(f: impl Future<Output = ()>) {
@@ -226,7 +226,7 @@
         let mut s = stand.session().await;
         let look = "select engine(), @@time_zone";
         let (id, _) = s.prepare(look).await.unwrap();
-        let told = |a: &lab::raw::Answer| -> Vec<String> { texts(&a.rows[0].slice(2..)) };
+        let told = |a: &testbed::raw::Answer| -> Vec<String> { texts(&a.rows[0].slice(2..)) };
         let first = told(&s.execute(id, false).await.unwrap());
         assert_eq!(first[1], "SYSTEM");
         says(&mut s, "SET time_zone = '+04:00'").await;
--- a/tests/mysql_tls.rs
+++ b/tests/mysql_tls.rs
@@ -1,14 +1,14 @@
 //! TLS of the MySQL front on the program itself: names, clients' certificates, keys that change in service, handshakes
 //! that stall. The tests are their own authority.
 
-use lab::engine::Engine;
-use lab::program::{Folder, Program};
-use lab::raw::{Session, Wants, error};
-use lab::stand;
 use rcgen::{BasicConstraints, CertificateParams, DnType, IsCa, Issuer, KeyPair};
 use std::path::Path;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use testbed::engine::Engine;
+use testbed::program::{Folder, Program};
+use testbed::raw::{Session, Wants, error};
+use testbed::stand;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::task::LocalSet;
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -2,9 +2,9 @@
 
 mod common;
 use common::*;
-use hitchwinch::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
+use query_dispatcher::*;
 use std::collections::BTreeMap;
 
 /// What an outside observer knows of a query.
--- a/tests/recorded_decisions.rs
+++ b/tests/recorded_decisions.rs
@@ -19,10 +19,10 @@
 use controller_stream::Stream;
 use core_stream::{CoreStream, CoreTraffic};
 use expected::EXPECTED;
-use lab::scenario::Scenario;
-use lab::world::{play, policy::Policy};
 use profiles::profile;
 use record::Record;
+use testbed::scenario::Scenario;
+use testbed::world::{play, policy::Policy};
 
 /// Streams of each profile, each with its own seed.
 const CONTROLLER_SEEDS: std::ops::Range<u64> = 0..16;
--- a/tests/recorded_decisions/core_stream.rs
+++ b/tests/recorded_decisions/core_stream.rs
@@ -5,7 +5,7 @@
 use crate::random::{Agenda, Random};
 use crate::record::{Record, bits, optional_bits};
 use crate::vocabulary::*;
-use hitchwinch::core::AttemptId;
+use query_dispatcher::core::AttemptId;
 use std::collections::BTreeSet;
 
 /// Virtual time that a stream lasts, in milliseconds, and the moment at which it begins.
--- a/tests/recorded_decisions/profiles.rs
+++ b/tests/recorded_decisions/profiles.rs
@@ -1,8 +1,8 @@
 //! The settings and the traffic of each profile.
 
 use crate::vocabulary::AllSettings as Settings;
-use hitchwinch::core::Bounds;
-use hitchwinch::{
+use query_dispatcher::core::Bounds;
+use query_dispatcher::{
     AttemptBudget, Class, Effect, EngineFacts, Group, Kind, Limits, ReportField, Rules, Tenant,
 };
 
--- a/tests/recorded_decisions/vocabulary.rs
+++ b/tests/recorded_decisions/vocabulary.rs
@@ -3,15 +3,15 @@
 
 use crate::random::Random;
 use crate::record::{bits, optional_bits};
-use hitchwinch::core::{Answer, AttemptId, Command};
-use hitchwinch::{
+use query_dispatcher::core::{Answer, AttemptId, Command};
+use query_dispatcher::{
     Action, Ended, EngineEntry, EngineState, Event, ListUpdate, Note, Outcome, Query, ReportField,
     Settings,
 };
 
-pub use hitchwinch::core::{Core, NewRequest};
-pub use hitchwinch::peers::Terms;
-pub use hitchwinch::{
+pub use query_dispatcher::core::{Core, NewRequest};
+pub use query_dispatcher::peers::Terms;
+pub use query_dispatcher::{
     Controller, EngineState as Standing, Event as ControllerEvent, ListUpdate as Update,
     Note as ProgressNote, Outcome as Ending, Settings as AllSettings,
 };
--- a/tests/recorded_state/registry_adapter.rs
+++ b/tests/recorded_state/registry_adapter.rs
@@ -2,9 +2,9 @@
 
 use super::recording::{Recording, float, optional, optional_float};
 use super::registry_text::*;
-use hitchwinch::membership::book::{Member, version};
-use hitchwinch::membership::report::Query;
-use hitchwinch::membership::{
+use query_dispatcher::membership::book::{Member, version};
+use query_dispatcher::membership::report::Query;
+use query_dispatcher::membership::{
     Change, Content, Fact, HoldRules, Membership, Networks, Rules, Seen, Snapshot, Status, Version,
     View,
 };
--- a/tests/recorded_state/registry_text.rs
+++ b/tests/recorded_state/registry_text.rs
@@ -1,14 +1,14 @@
 //! The text form of what the registry view gives out. With its adapter the only file that names the machine's items.
 
 use super::recording::{Recording, float, optional, optional_float};
-use hitchwinch::membership::book::{Member, Source};
-use hitchwinch::membership::claims::{Belief, Claim, Floor, Said, Stand, Why};
-use hitchwinch::membership::hold::Held;
-use hitchwinch::membership::proof::Proof;
-use hitchwinch::membership::report::{Only, QueryError};
-use hitchwinch::membership::snapshot::Kept;
-use hitchwinch::membership::{Engine, Version};
-use hitchwinch::{EngineState, ListUpdate};
+use query_dispatcher::membership::book::{Member, Source};
+use query_dispatcher::membership::claims::{Belief, Claim, Floor, Said, Stand, Why};
+use query_dispatcher::membership::hold::Held;
+use query_dispatcher::membership::proof::Proof;
+use query_dispatcher::membership::report::{Only, QueryError};
+use query_dispatcher::membership::snapshot::Kept;
+use query_dispatcher::membership::{Engine, Version};
+use query_dispatcher::{EngineState, ListUpdate};
 
 pub fn record_engine(engine: &Engine, recording: &mut Recording) {
     recording.count(match engine.state {
--- a/tests/recorded_state/spool_adapter.rs
+++ b/tests/recorded_state/spool_adapter.rs
@@ -1,8 +1,8 @@
 //! The spool index as the streams use it. The only file of this test that names the machine's own items.
 
 use super::recording::{Recording, float, optional, optional_float};
-use hitchwinch::spool::disk::Wrote;
-use hitchwinch::spool::{
+use query_dispatcher::spool::disk::Wrote;
+use query_dispatcher::spool::{
     Admission, Ask, DiskState, Handles, Ledger, Order, ResumeError, Rules, Taken, Unfit,
 };
 
--- a/tests/recorded_state/sticky_adapter.rs
+++ b/tests/recorded_state/sticky_adapter.rs
@@ -1,7 +1,9 @@
 //! Sticky sessions as the streams use them. The only file of this test that names the machine's own items.
 
 use super::recording::{Recording, float};
-use hitchwinch::pins::{After, Book, BookError, Fate, Next, Over, Pin, Reason, Step, Terms, fate};
+use query_dispatcher::pins::{
+    After, Book, BookError, Fate, Next, Over, Pin, Reason, Step, Terms, fate,
+};
 
 #[derive(Clone, Copy)]
 pub struct Options {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use hitchwinch::*;
+use query_dispatcher::*;
 
 fn draining(engine: &str) -> Event {
     let entries = vec![EngineEntry {
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -25,14 +25,14 @@
 #[path = "../common/mod.rs"]
 mod common;
 
-use hitchwinch::config::{Access, ClassRules, MysqlFront, Names, Sockets, SpoolSource, User};
-use hitchwinch::core::{Bounds, Core};
-use hitchwinch::net::admin::{Admin, Watched};
-use hitchwinch::net::discovery::{Change, Engine};
-use hitchwinch::net::hub::{Hub, Upstream};
-use hitchwinch::net::pool::Pool;
-use hitchwinch::net::shared::Shared;
-use hitchwinch::*;
+use query_dispatcher::config::{Access, ClassRules, MysqlFront, Names, Sockets, SpoolSource, User};
+use query_dispatcher::core::{Bounds, Core};
+use query_dispatcher::net::admin::{Admin, Watched};
+use query_dispatcher::net::discovery::{Change, Engine};
+use query_dispatcher::net::hub::{Hub, Upstream};
+use query_dispatcher::net::pool::Pool;
+use query_dispatcher::net::shared::Shared;
+use query_dispatcher::*;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -122,7 +122,7 @@
             zone: None,
             kind: Some("std".into()),
             cell: 0,
-            started: is("restart").then(|| hitchwinch::net::unix_ms() + 1.0),
+            started: is("restart").then(|| query_dispatcher::net::unix_ms() + 1.0),
         }
     };
     Change {
@@ -165,7 +165,7 @@
         rules: ClassRules::new(1, 0, classes, vec![]),
         deadlines: vec![5000.0, 5000.0],
         transaction_class: 1,
-        pins: hitchwinch::pins::Terms {
+        pins: query_dispatcher::pins::Terms {
             idle: 60_000.0,
             longest: 60_000.0,
             drain: 500.0,
--- a/tests/spool.rs
+++ b/tests/spool.rs
@@ -1,15 +1,15 @@
 //! Results that wait for their readers, on the program itself: slow, gone and returning clients, quotas, kills, torn
 //! pages. Engines are stand-ins that keep account of how long each result held them.
 
-use hitchwinch::net::mysql::packet::{CURSOR_EXISTS, HANDLE, LAST_ROW_SENT, eof_status};
-use lab::client::{Clients, End, Load};
-use lab::engine::{Engine, filled};
-use lab::program::{Folder, Program};
-use lab::raw::{Session, Wants, error, text, texts};
-use lab::stand;
+use query_dispatcher::net::mysql::packet::{CURSOR_EXISTS, HANDLE, LAST_ROW_SENT, eof_status};
 use serde_json::Value;
 use std::path::Path;
 use std::time::Duration;
+use testbed::client::{Clients, End, Load};
+use testbed::engine::{Engine, filled};
+use testbed::program::{Folder, Program};
+use testbed::raw::{Session, Wants, error, text, texts};
+use testbed::stand;
 use tokio::task::{LocalSet, spawn_local};
 
 fn play(f: impl Future<Output = ()>) {
--- a/tests/stored/members.rs
+++ b/tests/stored/members.rs
@@ -1,8 +1,8 @@
 //! The snapshot of membership as a record.
 
-use hitchwinch::membership::Version;
-use hitchwinch::membership::snapshot::{FORM, Kept, Snapshot};
-use hitchwinch::store::{Disk, Kind, RecordError, Store};
+use query_dispatcher::membership::Version;
+use query_dispatcher::membership::snapshot::{FORM, Kept, Snapshot};
+use query_dispatcher::store::{Disk, Kind, RecordError, Store};
 use std::path::Path;
 
 const FILE: &str = "members";
--- a/tests/stored/segments.rs
+++ b/tests/stored/segments.rs
@@ -1,6 +1,6 @@
 //! Segments of spools.
 
-use hitchwinch::store::segments::{Folder, Rules, Segments};
+use query_dispatcher::store::segments::{Folder, Rules, Segments};
 use std::path::Path;
 
 const RULES: Rules = Rules {
