--- a/Makefile
+++ b/Makefile
@@ -14,7 +14,7 @@
 # The decision module stays small enough to be read in one sitting: lines that are not blank, columns.
 module:
 	@awk 'NF {n++} length($$0) > 110 {wide++; print FILENAME ":" FNR ": wider than 110 columns"} \
-	  END {print FILENAME ": " n " non-blank lines (1070 at most)"; exit n > 1070 || wide}' src/controller.rs
+	  END {print FILENAME ": " n " non-blank lines (1070 at most)"; exit n > 1070 || wide}' src/decision/controller.rs
 
 # The whole verdict, as CI asks for it: tests run the programs of the dev profile, so that nothing is built twice. What
 # moves gigabytes through the spool runs beside the rest, which mostly waits.
--- a/crates/mysql-conformance/src/cases.rs
+++ b/crates/mysql-conformance/src/cases.rs
@@ -1,6 +1,6 @@
 //! The scripts: what a client sends, in the order of the public protocol description, and what has to come back.
 
-use query_dispatcher::net::mysql::packet::*;
+use query_dispatcher::protocol::mysql::packet::*;
 
 /// One thing that a client does, and what it wants to see.
 #[derive(Clone, Copy, Debug)]
--- a/crates/mysql-conformance/src/tests.rs
+++ b/crates/mysql-conformance/src/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use query_dispatcher::net::mysql::SqlError;
+use query_dispatcher::protocol::mysql::error::SqlError;
 
 fn answer(rows: &[&'static [u8]], last: &'static [u8]) -> Result<Answer, PacketError> {
     let rows: Vec<_> = rows.iter().map(|r| bytes::Bytes::from_static(r)).collect();
--- a/crates/testbed/src/measure_sessions.rs
+++ b/crates/testbed/src/measure_sessions.rs
@@ -6,7 +6,7 @@
 use crate::raw::{Session, Wants};
 use crate::stand;
 use hdrhistogram::Histogram;
-use query_dispatcher::net::mysql::packet::PacketError;
+use query_dispatcher::protocol::mysql::packet::PacketError;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/testbed/src/raw.rs
+++ b/crates/testbed/src/raw.rs
@@ -2,9 +2,10 @@
 
 use bytes::{BufMut, Bytes, BytesMut};
 use futures_util::SinkExt;
-use query_dispatcher::net::mysql::packet::*;
-use query_dispatcher::net::mysql::{SqlError, auth};
-use query_dispatcher::net::stream::{Ahead, Stream};
+use query_dispatcher::protocol::mysql::auth;
+use query_dispatcher::protocol::mysql::error::SqlError;
+use query_dispatcher::protocol::mysql::packet::*;
+use query_dispatcher::transport::stream::{Ahead, Stream};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
--- a/src/net/admin.rs
+++ b/src/admin/mod.rs
@@ -1,13 +1,13 @@
 //! Where operators call: HTTP/1.1, one call a connection, at an address of its own. Its places are its own as
 //! well, so that clients' load takes none of them and a caller who completes no call delays nobody.
 
-use crate::net::hub::{Hub, Upstream};
-use crate::net::members::Members;
-use crate::net::places::{Places, Taken, Use};
-use crate::net::pool::{self, Pool, Unread, Wire};
-use crate::net::shared::{self, Shared};
-use crate::net::spools::Spools;
+use crate::discovery::membership_driver::Members;
+use crate::dispatch::request_router::{Hub, Upstream};
 use crate::say;
+use crate::server::instance_registry::{self, Shared};
+use crate::spool_io::Spools;
+use crate::transport::connection_limiter::{Places, Taken, Use};
+use crate::transport::framed::{self, Pool, Unread, Wire};
 use bytes::{BufMut, BytesMut};
 use futures_util::SinkExt;
 use std::cell::RefCell;
@@ -169,7 +169,7 @@
                 call = tokio::time::timeout_at(by, wire.heard()) => break call,
                 () = place.cut.notified(), if !yields => yields = true,
                 // What the machine holds of its call is read first.
-                () = std::future::ready(()), if yields && pool::unread(wire.get_ref()) != Unread::Bytes => {
+                () = std::future::ready(()), if yields && framed::unread(wire.get_ref()) != Unread::Bytes => {
                     return Ok(());
                 }
             }
@@ -252,7 +252,7 @@
     /// Kept first, so that a yes holds whatever becomes of this process.
     fn by_hand(&self, engine: Option<&str>, out: bool) -> Answer {
         let Some(id) = engine
-            .and_then(shared::decoded)
+            .and_then(instance_registry::decoded)
             .filter(|id| self.hub.knows(id))
         else {
             return answer(404, "no engine has this id\n");
--- a/src/bin/hitchwinch-simhost/main.rs
+++ b/src/bin/hitchwinch-simhost/main.rs
@@ -3,7 +3,7 @@
 mod wire;
 
 use query_dispatcher::config::Names;
-use query_dispatcher::peers::Bulletin;
+use query_dispatcher::gossip::Bulletin;
 use query_dispatcher::{Action, Controller, EngineState, Event, ListUpdate, Outcome};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io::{BufRead, Write};
--- a/src/keys/mod.rs
+++ b/src/certificates/mod.rs
@@ -1,7 +1,7 @@
 //! Which keys are taken into use, which one a client is shown, and when their end is told ahead. Pure: the clock is
 //! passed in, and what stands in a certificate.
 
-use crate::interface::Millis;
+use crate::decision::model::Millis;
 
 /// From when until when a certificate holds, in Unix milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/src/net/mod.rs
+++ b/src/clock.rs
@@ -1,25 +1,4 @@
-//! The adapters: fronts, upstreams and discovery, on tokio, round the core. All run on one thread.
-
-pub mod admin;
-pub mod client;
-pub mod descriptors;
-pub mod discovery;
-pub mod frames;
-pub mod hub;
-pub mod listener;
-pub mod members;
-pub mod mysql;
-pub mod peers;
-pub mod places;
-pub mod pool;
-pub mod resp;
-pub mod shared;
-pub mod signals;
-pub mod spools;
-pub mod statement;
-pub mod stream;
-pub mod tls;
-pub mod vitals;
+//! The wall clock of the process and conversions to the runtime's timers.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -3,10 +3,10 @@
 
 pub mod eureka;
 mod mysql;
-mod pins;
 mod platform;
 mod profile;
 pub mod spool;
+mod sticky_sessions;
 pub mod tls;
 
 pub use eureka::EurekaSource;
@@ -15,7 +15,7 @@
 pub use profile::Profile;
 pub use spool::SpoolSource;
 
-use crate::interface::*;
+use crate::decision::model::*;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
--- a/src/config/mysql.rs
+++ b/src/config/mysql.rs
@@ -1,12 +1,12 @@
 //! The operators' file of the MySQL front.
 
 use super::eureka::RawEureka;
-use super::pins::RawPins;
 use super::spool::RawSpool;
+use super::sticky_sessions::RawPins;
 use super::tls::RawTls;
 use super::tls::TlsSource;
 use super::*;
-use crate::pins::Terms;
+use crate::sticky_sessions::Terms;
 use std::collections::HashMap;
 use std::path::PathBuf;
 use std::time::Duration;
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,7 +1,7 @@
 //! What the platform tells one dispatcher: its variables and its JSON.
 
 use super::*;
-use crate::peers::Terms;
+use crate::gossip::Terms;
 use std::path::PathBuf;
 
 #[derive(Deserialize)]
--- a/src/config/profile.rs
+++ b/src/config/profile.rs
@@ -1,7 +1,7 @@
 //! The settings' own form, shared by the platform and the simulator.
 
 use super::*;
-use crate::peers::Terms;
+use crate::gossip::Terms;
 
 /// The settings as the simulator's first message and the platform's `settings` hold them.
 #[derive(Deserialize)]
--- a/src/config/pins.rs
+++ b/src/config/sticky_sessions.rs
@@ -1,7 +1,7 @@
 //! `[pins]`: how long sessions may hold engine connections, and how many.
 
 use super::{ConfigError, bad};
-use crate::pins::Terms;
+use crate::sticky_sessions::Terms;
 use serde::Deserialize;
 
 #[derive(Default, Deserialize)]
--- a/src/core/figures.rs
+++ b/src/core/metrics.rs
@@ -1,6 +1,6 @@
 //! What operators are told: counts since the process started, and what stands now.
 
-use crate::interface::ClassId;
+use crate::decision::model::ClassId;
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -5,8 +5,8 @@
 //! answer for each request, in time; no attempt of an unsafe query after one that may have run; nothing out
 //! once nobody waits.
 
-mod figures;
+mod metrics;
 mod requests;
 
-pub use figures::{End, Figures};
+pub use metrics::{End, Figures};
 pub use requests::{Answer, AttemptId, Bounds, Command, Core, NewRequest, RequestId};
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -1,7 +1,7 @@
-use super::figures::{End, Figures};
-use crate::facade::{Decision, Facade, Report};
-use crate::interface::*;
-use crate::peers::{Bulletin, Terms, WordError};
+use crate::core::metrics::{End, Figures};
+use crate::decision::facade::{Decision, Facade, Report};
+use crate::decision::model::*;
+use crate::gossip::{Bulletin, Terms, WordError};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 pub type RequestId = QueryId;
--- a/src/controller.rs
+++ b/src/decision/controller.rs
@@ -2,8 +2,8 @@
 //! Integral feedback for proportional slowdown differentiation: classifier and queues, rate predictor (4),
 //! integral controller (3), rate allocator; then what the paper leaves open, as `docs/design.md` tells.
 
-use crate::interface::*;
-use crate::state::*;
+use crate::decision::model::*;
+use crate::decision::model::state::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const G: f64 = 1.0; // Control factor g of formula (3); the paper's value.
@@ -1140,5 +1140,4 @@
 }
 
 #[cfg(test)]
-#[path = "controller_tests.rs"]
-mod controller_tests;
+mod tests;
--- a/src/facade.rs
+++ b/src/decision/facade.rs
@@ -2,8 +2,8 @@
 //! [`Facade::tick`]. Each takes the time, returns what to do now and keeps nothing waiting, so that nothing
 //! outside ever meets the module's events and actions.
 
-use crate::controller::Controller;
-use crate::interface::*;
+use crate::decision::controller::Controller;
+use crate::decision::model::*;
 
 /// What the module wants done.
 #[derive(Clone, Debug, PartialEq)]
--- a/src/interface.rs
+++ b/src/decision/model/mod.rs
@@ -1,6 +1,8 @@
 //! What a gateway and its [`Controller`](crate::Controller) say to each other: settings, events, actions.
 //! Plain data; it holds no decision. Times are milliseconds on the gateway's one clock.
 
+pub(crate) mod state;
+
 /// A moment or a span, in milliseconds.
 pub type Millis = f64;
 /// The gateway's own number for a query; never reused.
--- a/src/state.rs
+++ b/src/decision/model/state.rs
@@ -1,6 +1,6 @@
 //! What the module remembers. Plain state and its sums; no decision is made here.
 
-use crate::interface::*;
+use crate::decision::model::*;
 use std::collections::{BTreeMap, VecDeque};
 
 /// A mean that forgets.
--- a/src/net/discovery/eureka/format.rs
+++ b/src/discovery/eureka/format.rs
@@ -1,7 +1,7 @@
 //! The two formats of a registry's documents, JSON and XML, as its public API words them. Both read the same
 //! [`Document`]; what is not known is passed over, what is missing and needed is an error.
 
-use super::model::{Application, Document, Instance, Port};
+use crate::discovery::eureka::model::{Application, Document, Instance, Port};
 use serde::de::{self, Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
 use std::collections::BTreeMap;
 use std::fmt;
--- a/src/net/discovery/eureka/lease.rs
+++ b/src/discovery/eureka/lease.rs
@@ -1,13 +1,14 @@
 //! Registers this dispatcher, so that proxies find it: `registration` decides, here it is sent.
 
-use super::http::{Answer, Call, Client, HttpError};
-use super::registration::{Outcome, Registration, Step};
-use super::servers::Servers;
-use super::{format, random};
+use crate::clock::span;
+use crate::clock::unix_ms;
 use crate::config::EurekaSource;
 use crate::config::eureka::Register;
+use crate::discovery::eureka::http::{Answer, Call, Client, HttpError};
+use crate::discovery::eureka::registration::{Outcome, Registration, Step};
+use crate::discovery::eureka::servers::Servers;
+use crate::discovery::eureka::{format, random};
 use crate::membership::Status;
-use crate::net::{span, unix_ms};
 use crate::say;
 use bytes::Bytes;
 use hyper::Method;
--- a/src/net/discovery/eureka/mod.rs
+++ b/src/discovery/eureka/mod.rs
@@ -14,11 +14,11 @@
 #[cfg(test)]
 mod tests;
 
+use crate::clock::unix_ms;
 use crate::config::EurekaSource;
 use crate::config::eureka::Format;
+use crate::discovery::membership_driver::Members;
 use crate::membership::{Content, View};
-use crate::net::members::Members;
-use crate::net::unix_ms;
 use crate::say;
 use format::FormatError;
 use futures_util::StreamExt;
--- a/src/net/discovery/eureka/model.rs
+++ b/src/discovery/eureka/model.rs
@@ -1,7 +1,7 @@
 //! A registry's documents, whatever format they came in, and the facts that they tell.
 
 use crate::config::eureka::Listing;
-use crate::membership::book::version;
+use crate::membership::registry_view::version;
 use crate::membership::{Fact, Status};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
--- a/src/net/discovery/eureka/registration.rs
+++ b/src/discovery/eureka/registration.rs
@@ -1,6 +1,6 @@
 //! Our own lease at a registry: what is to be sent next, and what its answer means. Pure.
 
-use crate::interface::Millis;
+use crate::decision::model::Millis;
 use crate::membership::Status;
 
 /// The pause after a failure, in milliseconds: a lease is worth a few tries.
--- a/src/net/discovery/eureka/replica.rs
+++ b/src/discovery/eureka/replica.rs
@@ -1,8 +1,8 @@
 //! What one registry has told so far: the whole list, then changes, checked by the registry's hash code. Pure.
 
-use super::model::{Application, Document};
 use crate::config::eureka::Listing;
-use crate::membership::{Content, Status, book::version};
+use crate::discovery::eureka::model::{Application, Document};
+use crate::membership::{Content, Status, registry_view::version};
 use std::collections::{BTreeMap, HashMap};
 
 /// Instances of all applications of one registry that are kept count of.
--- a/src/net/discovery/eureka/servers.rs
+++ b/src/discovery/eureka/servers.rs
@@ -1,7 +1,7 @@
 //! Which registries are asked next: the nearest first, failed ones after a back-off, and back to the nearest when
 //! they answer again. Pure: time and random numbers are passed in.
 
-use crate::interface::Millis;
+use crate::decision::model::Millis;
 
 /// The first pause after a failure, and the longest, in milliseconds.
 const FIRST: Millis = 1_000.0;
--- a/src/net/discovery/eureka/tests.rs
+++ b/src/discovery/eureka/tests.rs
@@ -3,17 +3,17 @@
 use super::model::*;
 use super::replica::Replica;
 use crate::config::eureka::Listing;
-use crate::membership::claims::Said;
+use crate::membership::source_records::Said;
 use crate::membership::{Content, Status, Version};
 use bytes::Bytes;
 use hyper::StatusCode;
 use proptest::prelude::*;
 use std::io::Write;
 
-const APPS_JSON: &[u8] = include_bytes!("../../../../tests/data/eureka/apps.json");
-const APPS_XML: &[u8] = include_bytes!("../../../../tests/data/eureka/apps.xml");
-const APP_JSON: &[u8] = include_bytes!("../../../../tests/data/eureka/app.json");
-const INSTANCE_XML: &[u8] = include_bytes!("../../../../tests/data/eureka/instance.xml");
+const APPS_JSON: &[u8] = include_bytes!("../../../tests/data/eureka/apps.json");
+const APPS_XML: &[u8] = include_bytes!("../../../tests/data/eureka/apps.xml");
+const APP_JSON: &[u8] = include_bytes!("../../../tests/data/eureka/app.json");
+const INSTANCE_XML: &[u8] = include_bytes!("../../../tests/data/eureka/instance.xml");
 
 #[test]
 fn both_formats_tell_the_same() {
--- a/src/net/discovery/journal.rs
+++ b/src/discovery/journal.rs
@@ -1,8 +1,8 @@
 //! The platform's journal service: server-sent events over HTTP, in order, from where the list in hand ends.
 
-use super::pause::Pauses;
-use super::{Change, Discovery, Engine, Sink};
-use crate::interface::{EngineState, ListUpdate};
+use crate::decision::model::{EngineState, ListUpdate};
+use crate::discovery::backoff::Pauses;
+use crate::discovery::{Change, Discovery, Engine, Sink};
 use crate::say;
 use serde::Deserialize;
 use std::net::SocketAddr;
--- a/src/net/members.rs
+++ b/src/discovery/membership_driver.rs
@@ -1,14 +1,15 @@
 //! Joins membership with what stands round it: the hub that takes its changes, the upstream that sees
 //! connections, the store that outlives the process, and operators.
 
+use crate::clock::span;
+use crate::clock::unix_ms;
 use crate::config::EurekaSource;
-use crate::interface::Millis;
+use crate::decision::model::Millis;
+use crate::discovery::Sink;
 use crate::membership::report::{Query, QueryError, Report};
 use crate::membership::{Change, Membership, Seen, Snapshot, View, snapshot};
-use crate::net::discovery::Sink;
-use crate::net::{span, unix_ms};
 use crate::say;
-use crate::store::{Disk, Kind, LoadError, RecordError, Store};
+use crate::storage::{Disk, Kind, LoadError, RecordError, Store};
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, VecDeque};
--- a/src/net/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,12 +1,13 @@
 //! Where the list of engines comes from: the platform's journal or a Eureka registry. Both tell the same
 //! changes, in order, through one trait.
 
+mod backoff;
 pub mod eureka;
 pub mod journal;
-mod pause;
+pub mod membership_driver;
 
 use crate::config::FixedEngine;
-use crate::interface::{EngineState, ListUpdate};
+use crate::decision::model::{EngineState, ListUpdate};
 pub use crate::membership::{Change, Engine};
 
 /// Takes changes as they come.
--- a/src/net/peers.rs
+++ b/src/dispatch/gossip_driver.rs
@@ -1,8 +1,8 @@
-//! The way between the dispatchers of a tier: UDP datagrams, late or lost. What they say is [`crate::peers`]'s.
+//! The way between the dispatchers of a tier: UDP datagrams, late or lost. What they say is [`crate::gossip`]'s.
 
 use crate::config::Peers;
-use crate::net::hub::{Hub, Upstream};
-use crate::peers::MOST;
+use crate::dispatch::request_router::{Hub, Upstream};
+use crate::gossip::MOST;
 use crate::say;
 use std::collections::HashSet;
 use std::rc::{Rc, Weak};
--- a/src/net/hub.rs
+++ b/src/dispatch/request_router.rs
@@ -1,11 +1,12 @@
 //! Joins the core to its adapters: carries the core's commands out and keeps its clock.
 
+use crate::clock::span;
+use crate::clock::unix_ms;
 use crate::config::{Names, find};
 use crate::core::{Answer, AttemptId, Command, Core, End, NewRequest, RequestId};
-use crate::interface::*;
-use crate::net::discovery::{Change, Engine};
-use crate::net::{span, unix_ms};
-use crate::peers::{Terms, WordError};
+use crate::decision::model::*;
+use crate::discovery::{Change, Engine};
+use crate::gossip::{Terms, WordError};
 use crate::say;
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::{BTreeSet, HashMap};
--- a/src/net/frames/talk.rs
+++ b/src/frontend/frames/connection.rs
@@ -2,16 +2,18 @@
 //! it takes what is written, is made to wait for useless frames, or has sent what cannot be read; so that its leave, its
 //! close and its reset are seen at once, behind any number of frames, and what it waits for is not sent on after them.
 
-use super::codec::{Frame, FrameCodec, FrameError, Send};
-use super::request::{Work, class, request};
-use super::{ANSWER, ASK, FAILED, Front, GOODBYE, LEAVE, Phase, REFUSED, REQUEST, SERVED, STATE};
+use crate::clock::unix_ms;
 use crate::core::{End, RequestId};
-use crate::interface::Millis;
-use crate::net::client::{ClientSocket, Watch};
-use crate::net::hub::{Reply, Upstream};
-use crate::net::places::{self, Place, Use};
-use crate::net::pool::{self, Buffer, Reads, Socket, Turn, Unread};
-use crate::net::unix_ms;
+use crate::decision::model::Millis;
+use crate::dispatch::request_router::{Reply, Upstream};
+use crate::frontend::frames::request::{Work, class, request};
+use crate::frontend::frames::{
+    ANSWER, ASK, FAILED, Front, GOODBYE, LEAVE, Phase, REFUSED, REQUEST, SERVED, STATE,
+};
+use crate::protocol::frames::{Frame, FrameCodec, FrameError, Send};
+use crate::transport::client_socket::{ClientSocket, Watch};
+use crate::transport::connection_limiter::{self, Place, Use};
+use crate::transport::framed::{self, Buffer, Reads, Socket, Turn, Unread};
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
 use std::io;
@@ -38,7 +40,7 @@
 /// Frames, and bytes in them, that are read ahead: all that may be open, twice. While the client has to wait, requests
 /// beyond are refused unread, and so are no reason to stop reading.
 const AHEAD: usize = 2 * STREAMS;
-const AHEAD_BYTES: usize = 4 * pool::SIZE;
+const AHEAD_BYTES: usize = 4 * framed::SIZE;
 /// Frames that are turned away so and not answered yet. A client that sends more, and takes no answers, is cut off: by that
 /// it has left as well.
 const TURNED_AWAY: usize = 8192;
@@ -51,10 +53,10 @@
 /// many bytes a millisecond, where a frame counts for `FRAME` at least. At that pace all that the machine holds unread
 /// for a connection (6 MB), and all that may be turned away, is through in half of the 0.1 s after which nothing may
 /// begin for a client that has gone; and others have their share of the processor.
-const PACE: usize = 16 * pool::SIZE;
+const PACE: usize = 16 * framed::SIZE;
 const FRAME: usize = 1024;
 
-pub(super) type Wire = pool::Wire<FrameCodec, ClientSocket>;
+pub(super) type Wire = framed::Wire<FrameCodec, ClientSocket>;
 
 type Open = Rc<RefCell<HashMap<u32, RequestId>>>;
 
@@ -176,14 +178,14 @@
             wire.rest();
             if closing
                 && wire.read_buffer().is_empty()
-                && pool::unread(wire.get_ref().tcp()) != Unread::Bytes
+                && framed::unread(wire.get_ref().tcp()) != Unread::Bytes
             {
                 // What the machine has taken its client may not have: a word of that one's would reset the connection. One that
                 // gives way is waited for no longer than another is told beside it.
                 let (state, since) = place.state();
                 let spent = since.elapsed();
-                if state != Use::Silent && place.gives_way() && spent < places::LEAVE {
-                    wire.part_within(places::LEAVE).await;
+                if state != Use::Silent && place.gives_way() && spent < connection_limiter::LEAVE {
+                    wire.part_within(connection_limiter::LEAVE).await;
                 } else if state != Use::Silent
                     && !place.gives_way()
                     && spent < WRITE
@@ -194,7 +196,7 @@
                 return Ok(());
             }
         }
-        let room = wire.write_buffer().len() < pool::SIZE;
+        let room = wire.write_buffer().len() < framed::SIZE;
         let takes_up = room && !client.ahead.is_empty() && client.pause <= Instant::now();
         let reads = match &fault {
             _ if useless >= PACE || burst >= BURST || client.full() && takes_up => Reads::Nothing,
--- a/src/net/frames/mod.rs
+++ b/src/frontend/frames/mod.rs
@@ -1,20 +1,19 @@
 //! The platform's front: its frames, read and written, and nothing decided.
 
-mod codec;
+mod connection;
 mod request;
-mod talk;
 
-pub use codec::{Frame, FrameCodec, FrameError, Send, fields};
+pub use crate::protocol::frames::{Frame, FrameCodec, FrameError, Send, fields};
 pub use request::{Budget, Work};
 
+use crate::clock::span;
 use crate::config::Machine;
-use crate::net::descriptors::Shares;
-use crate::net::hub::{Hub, Upstream};
-use crate::net::listener;
-use crate::net::places::{Places, Taken, Use};
-use crate::net::pool::{Buffer, Pool};
-use crate::net::span;
+use crate::dispatch::request_router::{Hub, Upstream};
 use crate::say;
+use crate::transport::connection_limiter::{Places, Taken, Use};
+use crate::transport::descriptors::Shares;
+use crate::transport::framed::{Buffer, Pool};
+use crate::transport::listener;
 use request::Ids;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -161,7 +160,7 @@
         tokio::task::spawn_local(async move {
             let ended = tokio::select! {
                 biased;
-                ended = talk::connection(&self, &place, tcp) => ended,
+                ended = connection::connection(&self, &place, tcp) => ended,
                 () = place.overdue() => Ok(()),
             };
             if let Err(e) = ended {
--- a/src/net/frames/request.rs
+++ b/src/frontend/frames/request.rs
@@ -1,13 +1,15 @@
 //! Requests as clients' frames bring them, and what they hold while they are open.
 
-use super::codec::{Frame, FrameError, fields};
+use crate::clock::MOST_MB;
+use crate::clock::MOST_MS;
 use crate::config::find;
 use crate::core::NewRequest;
-use crate::interface::{ClassId, Millis};
-use crate::net::client::Watch;
-use crate::net::hub::{Hub, Upstream};
-use crate::net::pool::Unread;
-use crate::net::{MOST_MB, MOST_MS, statement};
+use crate::decision::model::{ClassId, Millis};
+use crate::dispatch::request_router::{Hub, Upstream};
+use crate::protocol::frames::{Frame, FrameError, fields};
+use crate::protocol::statement;
+use crate::transport::client_socket::Watch;
+use crate::transport::framed::Unread;
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
--- a/src/net/mysql/cursor.rs
+++ b/src/frontend/mysql/cursor.rs
@@ -1,8 +1,8 @@
 //! Rows one by one, for server-side cursors: from a result that was handed over at once, or page by page from its
 //! spool.
 
-use super::packet::eof_status;
-use crate::net::spools::{Reader, SpoolError, packets};
+use crate::protocol::mysql::packet::eof_status;
+use crate::spool_io::{Reader, SpoolError, packets};
 use bytes::Bytes;
 
 /// The rows of one result, from where the last fetch ended.
--- a/src/net/mysql/front/mod.rs
+++ b/src/frontend/mysql/mod.rs
@@ -2,34 +2,38 @@
 //! data) is kept here, so that each statement can run on any engine; what an engine connection alone can hold keeps
 //! the session there for a while.
 
-mod pinned;
+pub mod administrative_statements;
+pub mod cursor;
 mod settings;
+mod sticky;
 
-use super::cursor::{Cursor, cut};
-use super::downstream::Downstream;
-use super::ours::{self, Ours};
-use super::packet::*;
-use super::session::{Context, State};
-use super::values::{self, Type};
-use super::{Job, Left, Output, Packets, SqlError, Work, auth, code, error_of};
+use crate::clock::MOST_MB;
+use crate::clock::MOST_MS;
+use crate::clock::unix_ms;
 use crate::config::MysqlFront;
 use crate::core::{End as Figure, NewRequest, RequestId};
-use crate::net::descriptors::Shares;
-use crate::net::hub::{Hub, Reply, Upstream};
-use crate::net::listener;
-use crate::net::places::{Place, Places, Taken, Use};
-use crate::net::pool::{Pool, Unread, Wire};
-use crate::net::spools::writer::STATEMENT;
-use crate::net::spools::{
-    Line, Reader as SpoolReader, SpoolError, Spools, Who, packets, put_packet,
-};
-use crate::net::statement::{self, Kind};
-use crate::net::stream::Stream;
-use crate::net::tls::{self, Keys};
-use crate::net::{MOST_MB, MOST_MS, unix_ms};
-use crate::pins::Book;
+use crate::dispatch::request_router::{Hub, Reply, Upstream};
+use crate::frontend::mysql::administrative_statements::Ours;
+use crate::frontend::mysql::cursor::{Cursor, cut};
+use crate::protocol::mysql::auth;
+use crate::protocol::mysql::error::{SqlError, code};
+use crate::protocol::mysql::packet::*;
+use crate::protocol::mysql::session::{Context, State};
+use crate::protocol::mysql::values::{self, Type};
+use crate::protocol::statement::{self, Kind};
 use crate::say;
 use crate::spool::{Admission, Ask, SpoolId};
+use crate::spool_io::writer::STATEMENT;
+use crate::spool_io::{Line, Reader as SpoolReader, SpoolError, Spools, Who, packets, put_packet};
+use crate::sticky_sessions::Book;
+use crate::transport::connection_limiter::{Place, Places, Taken, Use};
+use crate::transport::descriptors::Shares;
+use crate::transport::framed::{Pool, Unread, Wire};
+use crate::transport::listener;
+use crate::transport::stream::Stream;
+use crate::transport::tls::{self, Keys};
+use crate::upstream::mysql::downstream::Downstream;
+use crate::upstream::mysql::work::{Job, Left, Output, Packets, Work, error_of};
 use bytes::{Buf, Bytes, BytesMut};
 use futures_util::SinkExt;
 use std::cell::{Cell, RefCell};
@@ -375,7 +379,7 @@
         };
         wire.send(&greeting.write(&self.config().version)[..])
             .await?;
-        let mut first = super::upstream::next(wire).await?;
+        let mut first = crate::upstream::mysql::next(wire).await?;
         if let Some(keys) = &keys {
             if Login::asks_tls(&first) {
                 let ahead = BytesMut::from(&wire.read_buffer()[..]);
@@ -384,7 +388,7 @@
                     .secure(ahead, keys.config())
                     .await
                     .map_err(PacketError::from)?;
-                first = super::upstream::next(wire).await?;
+                first = crate::upstream::mysql::next(wire).await?;
             } else if keys.required() {
                 let text =
                     "Connections using insecure transport are prohibited: this one is not in TLS";
@@ -422,7 +426,7 @@
             plugin = auth::NATIVE.into();
             let ask = [&[0xfe][..], auth::NATIVE.as_bytes(), &[0], nonce, &[0]].concat();
             wire.send(&ask[..]).await?;
-            proof = super::upstream::next(wire).await?.to_vec();
+            proof = crate::upstream::mysql::next(wire).await?.to_vec();
         }
         let config = self.config();
         let user = config.users.get(&login.user);
@@ -486,7 +490,7 @@
     left: Left,
     failed: Option<SqlError>,
     /// The engine connection that it keeps to.
-    hold: Option<pinned::Hold<'a, L>>,
+    hold: Option<sticky::Hold<'a, L>>,
     statements: BTreeMap<u32, Prepared>,
     next: u32,
 }
@@ -640,7 +644,7 @@
         // Whatever it has sent was made for the nonce of its log-in: it is asked for a new one.
         let ask = [&[0xfe][..], auth::NATIVE.as_bytes(), &[0], &nonce, &[0]].concat();
         self.wire.send(&ask[..]).await?;
-        let proof = tokio::time::timeout(LOGIN, super::upstream::next(&mut self.wire)).await;
+        let proof = tokio::time::timeout(LOGIN, crate::upstream::mysql::next(&mut self.wire)).await;
         let auth = proof
             .map_err(|e| PacketError::from(io::Error::from(e)))??
             .to_vec();
@@ -930,7 +934,7 @@
     }
 
     async fn query(&mut self, sql: Bytes) -> Result<(), End> {
-        match ours::parse(&sql) {
+        match administrative_statements::parse(&sql) {
             Some(Ok(statement)) => return self.answer_ours(statement, false).await,
             Some(Err(e)) => return self.say(&SqlError::new(code::SYNTAX, e.to_string())).await,
             None => {}
@@ -999,7 +1003,7 @@
     }
 
     async fn prepare(&mut self, sql: Bytes) -> Result<(), End> {
-        let own = match ours::parse(&sql) {
+        let own = match administrative_statements::parse(&sql) {
             Some(Err(e)) => return self.say(&SqlError::new(code::SYNTAX, e.to_string())).await,
             Some(Ok(own)) => Some(own),
             None => None,
--- a/src/net/mysql/front/settings.rs
+++ b/src/frontend/mysql/settings.rs
@@ -1,9 +1,9 @@
 //! SET: what a session sets is taken in as data, after an engine has agreed where it may say no.
 
-use super::super::session::Taken;
-use super::super::session::set::{self, Change, SetError};
-use super::super::session::{State, literal};
-use super::*;
+use crate::frontend::mysql::*;
+use crate::protocol::mysql::session::Taken;
+use crate::protocol::mysql::session::set::{self, Change, SetError};
+use crate::protocol::mysql::session::{State, literal};
 
 impl<L: Upstream<Work = Work, Output = Output>> Session<'_, L> {
     pub(super) async fn set(&mut self, sql: Bytes) -> Result<(), End> {
--- a/src/net/mysql/front/pinned.rs
+++ b/src/frontend/mysql/sticky.rs
@@ -1,8 +1,8 @@
 //! The client's end of a pin: statements of a session that keeps to one engine connection for a while.
 
-use super::super::pin::{Carried, Order, Pinned, lost, why};
-use super::*;
-use crate::pins::{Next, Step, fate};
+use crate::frontend::mysql::*;
+use crate::sticky_sessions::{Next, Step, fate};
+use crate::upstream::mysql::sticky::{Carried, Order, Pinned, lost, why};
 use tokio::sync::mpsc;
 
 /// A place among the pins, given back when it is dropped.
@@ -144,7 +144,7 @@
             .hub
             .open(new, work, Box::new(move |reply| drop(tx.send(reply))));
         let asked = Asked(&front.hub, id);
-        let until = tokio::time::Instant::now() + crate::net::span(limit);
+        let until = tokio::time::Instant::now() + crate::clock::span(limit);
         self.hold = Some(Hold {
             orders,
             pinned,
--- a/src/peers/mod.rs
+++ b/src/gossip/mod.rs
@@ -6,11 +6,11 @@
 //! another, so that the whole tier says no more than a few words a second of each engine, however many they are.
 //! What the words cost is paid from an account that each request adds a little to.
 
-mod words;
+mod message;
 
-pub use words::{MOST, Told, WordError};
+pub use message::{MOST, Told, WordError};
 
-use crate::interface::Millis;
+use crate::decision::model::Millis;
 use std::collections::BTreeMap;
 
 /// An engine of which somebody told within this, in ms, is not told of again. Engines refresh their reports every
@@ -61,7 +61,7 @@
         for name in engines {
             let twice = |n: &mut Option<String>| *n = None;
             self.known
-                .entry(words::short(name))
+                .entry(message::short(name))
                 .and_modify(twice)
                 .or_insert_with(|| Some(name.to_string()));
         }
@@ -75,12 +75,12 @@
 
     /// An answer brought this report of its engine: the message for all peers, if it is worth one.
     pub fn learned(&mut self, now: Millis, engine: &str, report: &[f64]) -> Option<Vec<u8>> {
-        let short = words::short(engine);
+        let short = message::short(engine);
         let news = self.told.get(&short).is_none_or(|at| now >= at + QUIET);
         if !news || self.terms.peers < 2 || !self.known.get(&short).is_some_and(Option::is_some) {
             return None;
         }
-        let message = words::encode(short, report, self.terms.fields)?;
+        let message = message::encode(short, report, self.terms.fields)?;
         let cost =
             self.terms.price * message.len() as f64 / MOST as f64 * f64::from(self.terms.peers - 1);
         if cost > self.account {
@@ -97,7 +97,7 @@
         now: Millis,
         message: &[u8],
     ) -> Result<Option<(String, Vec<f64>)>, WordError> {
-        let Told { short, report } = words::decode(message, self.terms.fields)?;
+        let Told { short, report } = message::decode(message, self.terms.fields)?;
         let Some(Some(engine)) = self.known.get(&short) else {
             return Ok(None);
         };
--- a/src/peers/tests.rs
+++ b/src/gossip/tests.rs
@@ -124,7 +124,7 @@
     let name = |n: u32| format!("s-{n:08x}");
     let (one, other) = (0..)
         .find_map(|n| {
-            seen.insert(words::short(&name(n)), n)
+            seen.insert(message::short(&name(n)), n)
                 .map(|before| (name(before), name(n)))
         })
         .expect("some two share it");
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -38,21 +38,26 @@
 //! # Ok::<(), SettingsError>(())
 //! ```
 
+pub mod admin;
+pub mod certificates;
+pub mod clock;
 pub mod config;
-#[rustfmt::skip] // Formatted once it is split by concern: the policy files hold a bounded number of lines.
-mod controller;
 pub mod core;
-pub mod facade;
-mod interface;
-pub mod keys;
+pub mod decision;
+pub mod discovery;
+pub mod dispatch;
+pub mod frontend;
+pub mod gossip;
 pub mod log;
 pub mod membership;
-pub mod net;
-pub mod peers;
-pub mod pins;
+pub mod protocol;
+pub mod server;
 pub mod spool;
-mod state;
-pub mod store;
+pub mod spool_io;
+pub mod sticky_sessions;
+pub mod storage;
+pub mod transport;
+pub mod upstream;
 
-pub use controller::Controller;
-pub use interface::*;
+pub use decision::Controller;
+pub use decision::model::*;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,25 +1,30 @@
 //! The real dispatcher: wiring and signals. Without arguments it serves the platform; with `--mysql FILE` it
 //! serves the MySQL protocol as that file says.
 
+use query_dispatcher::admin::{Admin, Watched};
+use query_dispatcher::clock::unix_ms;
 use query_dispatcher::config::{ConfigError, EurekaSource, Mysql, Platform, Source};
 use query_dispatcher::core::{Bounds, Core};
-use query_dispatcher::net::admin::{Admin, Watched};
-use query_dispatcher::net::descriptors::Shares;
-use query_dispatcher::net::discovery::eureka::{self, lease::Lease, lease::Stand};
-use query_dispatcher::net::discovery::{Discovery, fixed, journal::Journal};
-use query_dispatcher::net::frames::{self, Front};
-use query_dispatcher::net::hub::{Hub, Upstream};
-use query_dispatcher::net::members::Members;
-use query_dispatcher::net::peers;
-use query_dispatcher::net::pool::Pool;
-use query_dispatcher::net::resp::RespUpstream;
-use query_dispatcher::net::shared::Shared;
-use query_dispatcher::net::signals::{SIGHUP, SIGTERM, Signals};
-use query_dispatcher::net::spools::Spools;
-use query_dispatcher::net::tls::Keys;
-use query_dispatcher::net::unix_ms;
-use query_dispatcher::net::{descriptors, listener, mysql, vitals};
+use query_dispatcher::discovery::eureka::{self, lease::Lease, lease::Stand};
+use query_dispatcher::discovery::membership_driver::Members;
+use query_dispatcher::discovery::{Discovery, fixed, journal::Journal};
+use query_dispatcher::dispatch::gossip_driver;
+use query_dispatcher::dispatch::request_router::{Hub, Upstream};
+use query_dispatcher::frontend::frames::{self, Front};
+use query_dispatcher::frontend::mysql;
+use query_dispatcher::server::instance_registry::Shared;
+use query_dispatcher::server::signals::{SIGHUP, SIGTERM, Signals};
+use query_dispatcher::spool_io::Spools;
+use query_dispatcher::transport::descriptors;
+use query_dispatcher::transport::descriptors::Shares;
+use query_dispatcher::transport::framed::Pool;
+use query_dispatcher::transport::listener;
+use query_dispatcher::transport::tls::Keys;
+use query_dispatcher::upstream::mysql::MysqlUpstream;
+use query_dispatcher::upstream::resp::RespUpstream;
+
 use query_dispatcher::say;
+use query_dispatcher::server::process_metrics;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -107,11 +112,11 @@
 
     let sink = hub.clone();
     if let Some(tier) = config.peers.clone() {
-        spawn_local(peers::attend(Rc::downgrade(&hub), tier));
+        spawn_local(gossip_driver::attend(Rc::downgrade(&hub), tier));
     }
     spawn_local(journal.run(Box::new(move |change| sink.change(&change))));
     spawn_local(hub.clone().clock());
-    spawn_local(vitals::tell());
+    spawn_local(process_metrics::tell());
     let accepting = spawn_local(front.clone().accept(listener));
     say!("{} listens on {listen}", config.name);
     let (longest, handed_over) = (config.sockets.longest, config.inherited.is_some());
@@ -153,16 +158,11 @@
         .map_err(|e| format!("spool.dir ({:?}): {e}", config.spool.dir))?;
     spawn_local(spools.clone().attend(done));
     let access = config.access.clone();
-    let upstream = mysql::upstream::MysqlUpstream::new(
-        access,
-        config.sockets.clone(),
-        pool.clone(),
-        spools.clone(),
-    );
+    let upstream = MysqlUpstream::new(access, config.sockets.clone(), pool.clone(), spools.clone());
     let hub = Hub::new(core, config.names.clone(), upstream);
     let listener = listener::listen(config.listen, config.inherited).await?;
     let listen = listener.local_addr()?;
-    let front = mysql::front::Front::new(
+    let front = mysql::Front::new(
         hub.clone(),
         pool.clone(),
         config.front.clone(),
@@ -211,7 +211,7 @@
     let following = Rc::new(RefCell::new(following));
     following.borrow_mut().follow(&config.source, &stand);
     spawn_local(hub.clone().clock());
-    spawn_local(vitals::tell());
+    spawn_local(process_metrics::tell());
     let accepting = spawn_local(front.clone().accept(listener));
     say!("the MySQL front listens on {listen}");
     let (longest, handed_over) = (config.sockets.longest, config.inherited.is_some());
@@ -324,7 +324,7 @@
 
 /// Where the engines of the MySQL front come from now.
 struct Following {
-    hub: Rc<Hub<mysql::upstream::MysqlUpstream>>,
+    hub: Rc<Hub<MysqlUpstream>>,
     state: Option<PathBuf>,
     /// What is believed of engines that a registry lists; operators look at it.
     members: Rc<RefCell<Option<Rc<Members>>>>,
--- a/src/membership/proof.rs
+++ b/src/membership/liveness.rs
@@ -6,7 +6,7 @@
 //! had a connection to, while no registry answered, for longer than a process needs to restart
 //! ([`UNWATCHED`]) may have started anew unseen, and is taken as if it had.
 
-use crate::interface::Millis;
+use crate::decision::model::Millis;
 
 /// In milliseconds: no engine restarts in less.
 pub const UNWATCHED: Millis = 5_000.0;
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -13,24 +13,24 @@
 //! | addresses outside the networks are rejected | [`networks`] |
 //! | an address belongs to one engine; every map is bounded | [`book`] |
 
-pub mod book;
-pub mod claims;
-pub mod hold;
+pub mod liveness;
 pub mod networks;
-pub mod proof;
+pub mod registry_view;
 pub mod report;
+pub mod self_preservation;
 pub mod snapshot;
+pub mod source_records;
 #[cfg(test)]
 mod tests;
 
-pub use book::{Membership, Rules};
-pub use claims::{Fact, Status, Version};
-pub use hold::HoldRules;
+pub use liveness::Seen;
 pub use networks::Networks;
-pub use proof::Seen;
+pub use registry_view::{Membership, Rules};
+pub use self_preservation::HoldRules;
 pub use snapshot::Snapshot;
+pub use source_records::{Fact, Status, Version};
 
-use crate::interface::{EngineState, ListUpdate, Millis};
+use crate::decision::model::{EngineState, ListUpdate, Millis};
 use std::net::SocketAddr;
 
 /// One engine as a source lists it.
--- a/src/membership/book.rs
+++ b/src/membership/registry_view.rs
@@ -1,11 +1,13 @@
 //! The book of all engines: takes what is told and seen, and gives what changes by it.
 
-use super::claims::{Belief, Claim, Claims, Fact, Said, SourceId, Stand, Version, Why, earlier};
-use super::hold::{Held, HoldRules, Vanished};
-use super::networks::{Networks, Rejection};
-use super::proof::{Proof, Seen};
-use super::{Change, Content, Engine, View};
-use crate::interface::{EngineState, ListUpdate, Millis};
+use crate::decision::model::{EngineState, ListUpdate, Millis};
+use crate::membership::liveness::{Proof, Seen};
+use crate::membership::networks::{Networks, Rejection};
+use crate::membership::self_preservation::{Held, HoldRules, Vanished};
+use crate::membership::source_records::{
+    Belief, Claim, Claims, Fact, Said, SourceId, Stand, Version, Why, earlier,
+};
+use crate::membership::{Change, Content, Engine, View};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
@@ -808,7 +810,7 @@
 
     /// Takes up what an earlier process knew, before anything is told: its drains hold against older lists from
     /// the start. The engines themselves are told only by [`Membership::serve_restored`].
-    pub fn restore(&mut self, now: Millis, snapshot: super::Snapshot) {
+    pub fn restore(&mut self, now: Millis, snapshot: crate::membership::Snapshot) {
         self.restored = Some(snapshot.written);
         for e in snapshot.engines.into_iter().take(self.rules.most) {
             let Ok(address) = self.rules.networks.admit(e.address) else {
@@ -819,14 +821,13 @@
             (m.zone, m.kind, m.listed_start) = (e.zone, e.kind, e.started);
             m.unproven = Some(snapshot.written);
             m.claims.newest = e.newest;
-            m.claims.floor =
-                e.drained
-                    .filter(|v| !v.untold())
-                    .map(|version| super::claims::Floor {
-                        version,
-                        source: 0,
-                        asked: snapshot.written,
-                    });
+            m.claims.floor = e.drained.filter(|v| !v.untold()).map(|version| {
+                crate::membership::source_records::Floor {
+                    version,
+                    source: 0,
+                    asked: snapshot.written,
+                }
+            });
             m.since = e.since;
             let stand = if e.serves {
                 Stand::Serves
--- a/src/membership/report.rs
+++ b/src/membership/report.rs
@@ -1,8 +1,8 @@
 //! What operators are shown of membership: the JSON of `GET /_members`. Ages are milliseconds before the call.
 
-use super::book::{Membership, Source};
-use super::claims::{Said, Version};
-use crate::interface::{EngineState, Millis};
+use crate::decision::model::{EngineState, Millis};
+use crate::membership::registry_view::{Membership, Source};
+use crate::membership::source_records::{Said, Version};
 use serde::Serialize;
 use std::net::SocketAddr;
 
--- a/src/membership/hold.rs
+++ b/src/membership/self_preservation.rs
@@ -6,7 +6,7 @@
 //! clients (self-preservation). The doubt has a size ([`HoldRules::share`], [`HoldRules::least`]), a time
 //! ([`HoldRules::span`]) and an end: connections that are refused confirm a disappearance at once.
 
-use crate::interface::Millis;
+use crate::decision::model::Millis;
 use std::collections::VecDeque;
 
 /// When a disappearance is doubted, and for how long.
--- a/src/membership/snapshot.rs
+++ b/src/membership/snapshot.rs
@@ -1,9 +1,9 @@
 //! What one process leaves for the next: enough to serve while every registry is away, and to know the drains
 //! that an older list must not undo. Connections, holds and claims are not kept: they are another process's.
 
-use super::book::Membership;
-use super::claims::{Stand, Version};
-use crate::interface::{EngineState, Millis};
+use crate::decision::model::{EngineState, Millis};
+use crate::membership::registry_view::Membership;
+use crate::membership::source_records::{Stand, Version};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
--- a/src/membership/claims.rs
+++ b/src/membership/source_records.rs
@@ -11,7 +11,7 @@
 //! both be right, and the price of a wrong drain is capacity, that of a wrong return is statements lost. Only a
 //! newer `lastDirtyTimestamp`, the instance's own word, settles it for service at once.
 
-use crate::interface::Millis;
+use crate::decision::model::Millis;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -1,7 +1,7 @@
-use super::claims::{Said, Why};
 use super::report::{Only, Query};
+use super::source_records::{Said, Why};
 use super::*;
-use crate::interface::EngineState::{Draining, Gone, Ready};
+use crate::decision::model::EngineState::{Draining, Gone, Ready};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- /dev/null
+++ b/src/protocol/mod.rs
@@ -0,0 +1,5 @@
+//! Bytes to typed messages and back: no sockets and no policy.
+
+pub mod frames;
+pub mod mysql;
+pub mod statement;
--- /dev/null
+++ b/src/protocol/mysql/mod.rs
@@ -0,0 +1,7 @@
+//! The MySQL client/server protocol: packets, authentication, binary values, session state and errors.
+
+pub mod auth;
+pub mod error;
+pub mod packet;
+pub mod session;
+pub mod values;
--- a/src/net/mysql/packet.rs
+++ b/src/protocol/mysql/packet.rs
@@ -1,6 +1,6 @@
 //! Packets of the MySQL protocol: the codec, and the few that both sides build or read.
 
-use super::SqlError;
+use crate::protocol::mysql::error::SqlError;
 use crate::spool::Unfit;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::io;
--- a/src/net/mysql/session/mod.rs
+++ b/src/protocol/mysql/session/mod.rs
@@ -1,5 +1,5 @@
 //! What a client's session is, as data: where it stands, what it has set. All of it can be set anew on any engine
-//! connection, so that sessions move; what cannot is for [`crate::pins`]. Pure.
+//! connection, so that sessions move; what cannot is for [`crate::sticky_sessions`]. Pure.
 
 pub mod set;
 
--- a/src/net/mysql/values.rs
+++ b/src/protocol/mysql/values.rs
@@ -1,11 +1,20 @@
 //! The binary parameters of COM_STMT_EXECUTE: checked, and completed so that any engine connection can run
 //! them without having seen earlier ones.
 
-use super::packet::{PacketError, Reader};
-use super::{Execute, SqlError, code};
+use crate::protocol::mysql::error::{SqlError, code};
+use crate::protocol::mysql::packet::{PacketError, Reader};
 use bytes::{BufMut, Bytes, BytesMut};
 use std::collections::BTreeMap;
 
+/// The body of COM_STMT_EXECUTE, with what is needed to run it for the first time on a connection.
+#[derive(Debug)]
+pub struct Execute {
+    /// Null bitmap, `new types` flag, types and values.
+    pub body: Bytes,
+    /// Parameters sent ahead in pieces.
+    pub long: Vec<(u16, Bytes)>,
+}
+
 /// The two bytes of a parameter's type: its code, and whether it is unsigned.
 pub type Type = [u8; 2];
 
--- a/src/net/statement.rs
+++ b/src/protocol/statement.rs
@@ -1,7 +1,7 @@
 //! What a statement tells of itself without a parser: the group of tables that it names, whether it plainly
 //! reads, and a hint in its leading comment. Words inside strings and comments never count.
 
-use crate::pins::Reason;
+use crate::sticky_sessions::Reason;
 
 /// What stands in a statement.
 #[derive(Clone, Debug, PartialEq)]
@@ -211,7 +211,7 @@
     Write,
     /// `use schema`
     Use(String),
-    /// Changes what the session is; read by [`crate::net::mysql::session::set`].
+    /// Changes what the session is; read by [`crate::protocol::mysql::session::set`].
     Set,
     /// COMMIT or ROLLBACK.
     Ends,
--- a/src/spool/disk.rs
+++ b/src/spool/disk_health.rs
@@ -1,6 +1,6 @@
 //! How the disk does, as its answers tell: a disk that is full, slow, read-only or broken is a state, not an end.
 
-use crate::interface::Millis;
+use crate::decision::model::Millis;
 
 /// After a failure the disk is tried again in this time, in milliseconds.
 pub const REST: Millis = 5_000.0;
--- a/src/spool/handles.rs
+++ b/src/spool/handles.rs
@@ -4,7 +4,7 @@
 //! user there is no such result, in the very words that a handle nobody ever had gets, so that trying handles tells
 //! nothing. Only its owner is told that a result has expired.
 
-use super::ledger::SpoolId;
+use crate::spool::index::SpoolId;
 use std::collections::{HashMap, VecDeque};
 
 /// Handles of expired results that their owners are still told of.
--- a/src/spool/ledger.rs
+++ b/src/spool/index.rs
@@ -1,7 +1,7 @@
 //! The account of all spools, and what is to be done with them.
 
-use super::disk::{DiskWatch, Wrote};
-use crate::interface::Millis;
+use crate::decision::model::Millis;
+use crate::spool::disk_health::{DiskWatch, Wrote};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub type SpoolId = u64;
--- a/src/spool/mod.rs
+++ b/src/spool/mod.rs
@@ -9,12 +9,12 @@
 //!   failed; what was taken of it is forgotten, so that no half result looks whole.
 //! - A load's result is never thrown away to make room for a report.
 
-pub mod disk;
+pub mod disk_health;
 pub mod handles;
-pub mod ledger;
+pub mod index;
 #[cfg(test)]
 mod tests;
 
-pub use disk::{DiskState, DiskWatch};
+pub use disk_health::{DiskState, DiskWatch};
 pub use handles::{Handles, ResumeError};
-pub use ledger::{Admission, Ask, Ledger, Order, Rules, SpoolId, Taken, Unfit};
+pub use index::{Admission, Ask, Ledger, Order, Rules, SpoolId, Taken, Unfit};
--- a/src/spool/tests.rs
+++ b/src/spool/tests.rs
@@ -1,6 +1,6 @@
-use super::disk::{REST, SLOW_FOR, Wrote};
+use super::disk_health::{REST, SLOW_FOR, Wrote};
 use super::*;
-use crate::interface::Millis;
+use crate::decision::model::Millis;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/net/spools/disk.rs
+++ b/src/spool_io/disk.rs
@@ -5,7 +5,7 @@
 //! are taken over at the start; those of living processes are only read.
 
 use crate::say;
-use crate::store::segments::{Folder, Recovered, Rules, SegmentError, Segments, Volume};
+use crate::storage::segments::{Folder, Recovered, Rules, SegmentError, Segments, Volume};
 use bytes::Bytes;
 use std::collections::HashMap;
 use std::fs::{File, TryLockError};
--- a/src/net/spools/mod.rs
+++ b/src/spool_io/mod.rs
@@ -8,11 +8,11 @@
 pub use reader::{Reader, SpoolError};
 pub use writer::{Who, Writer};
 
+use crate::clock::unix_ms;
 use crate::config::SpoolSource;
-use crate::interface::Millis;
-use crate::net::unix_ms;
+use crate::decision::model::Millis;
 use crate::say;
-use crate::spool::disk::Wrote;
+use crate::spool::disk_health::Wrote;
 use crate::spool::{
     Admission, Ask, DiskState, Handles, Ledger, Order, ResumeError, Rules, SpoolId, Taken, Unfit,
 };
@@ -26,7 +26,7 @@
 use std::time::Duration;
 use tokio::sync::{Notify, mpsc, oneshot};
 
-pub use crate::spool::ledger::SHORT;
+pub use crate::spool::index::SHORT;
 /// A page is closed at this, in bytes, if not before by its rows. One row may be longer. Each slow reader holds
 /// a page, and each page on the disk has its place in the index.
 pub const PAGE: usize = 64 << 10;
--- a/src/net/spools/reader.rs
+++ b/src/spool_io/reader.rs
@@ -1,9 +1,9 @@
 //! A result page by page, at its reader's pace.
 
-use super::disk::{Order, ReadError};
-use super::{Page, Spools};
-use crate::net::unix_ms;
+use crate::clock::unix_ms;
 use crate::spool::SpoolId;
+use crate::spool_io::disk::{Order, ReadError};
+use crate::spool_io::{Page, Spools};
 use bytes::Bytes;
 use std::rc::Rc;
 use tokio::sync::oneshot;
--- a/src/net/spools/writer.rs
+++ b/src/spool_io/writer.rs
@@ -1,7 +1,7 @@
 //! The result of one attempt as it comes from its engine.
 
-use super::{PAGE, SHORT, Spools, packets, put_packet};
 use crate::spool::{Ask, SpoolId, Unfit};
+use crate::spool_io::{PAGE, SHORT, Spools, packets, put_packet};
 use bytes::{Bytes, BytesMut};
 use std::rc::Rc;
 
--- a/src/pins/mod.rs
+++ b/src/sticky_sessions/mod.rs
@@ -7,7 +7,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::interface::Millis;
+use crate::decision::model::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What keeps a session on its connection.
--- a/src/store/segments/volume.rs
+++ b/src/storage/segments/volume.rs
@@ -1,6 +1,6 @@
 //! Where segments lie: numbered files that are only ever written at their end.
 
-use crate::store::{Disk, Kind, RecordError, Store};
+use crate::storage::{Disk, Kind, RecordError, Store};
 use std::collections::VecDeque;
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
--- a/src/net/client.rs
+++ b/src/transport/client_socket.rs
@@ -2,7 +2,7 @@
 //! has closed its connection, or has said something that is not read yet. The task that reads the socket may not have
 //! had its turn since.
 
-use super::pool::{self, Socket, Unread};
+use crate::transport::framed::{self, Socket, Unread};
 use std::io;
 use std::pin::Pin;
 use std::rc::{Rc, Weak};
@@ -34,7 +34,7 @@
     pub fn unread(&self) -> Unread {
         self.0
             .upgrade()
-            .map_or(Unread::End, |tcp| pool::unread(&tcp))
+            .map_or(Unread::End, |tcp| framed::unread(&tcp))
     }
 }
 
--- a/src/net/stream.rs
+++ b/src/transport/stream.rs
@@ -1,7 +1,7 @@
 //! A client's connection, in the clear or in TLS.
 
-use super::client::{ClientSocket, Watch};
-use super::pool::Unread;
+use crate::transport::client_socket::{ClientSocket, Watch};
+use crate::transport::framed::Unread;
 use bytes::BytesMut;
 use std::io;
 use std::pin::Pin;
--- a/src/net/tls.rs
+++ b/src/transport/tls.rs
@@ -1,9 +1,9 @@
 //! The keys of the MySQL front: read whole from their files, changed in service without touching open sessions. What
-//! is taken and what is told of it decides [`crate::keys`].
+//! is taken and what is told of it decides [`crate::certificates`].
 
+use crate::certificates::{self, Notice, Unfit, Validity};
+use crate::clock::unix_ms;
 use crate::config::tls::TlsSource;
-use crate::keys::{self, Notice, Unfit, Validity};
-use crate::net::unix_ms;
 use crate::say;
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
@@ -52,7 +52,7 @@
 
 impl ResolvesServerCert for Resolver {
     fn resolve(&self, hello: ClientHello<'_>) -> Option<Arc<CertifiedKey>> {
-        let at = keys::choose(self.0.iter().map(|k| k.0.as_slice()), hello.server_name());
+        let at = certificates::choose(self.0.iter().map(|k| k.0.as_slice()), hello.server_name());
         self.0.get(at).map(|k| k.1.clone())
     }
 }
@@ -224,7 +224,7 @@
         let chain = certificates(cert)?;
         let first = chain.first().ok_or_else(|| TlsError::Empty(cert.clone()))?;
         let (names, validity) = facts(first).ok_or_else(|| TlsError::Certificate(cert.clone()))?;
-        keys::fit(now, validity).map_err(|e| TlsError::Unfit(cert.clone(), e))?;
+        certificates::fit(now, validity).map_err(|e| TlsError::Unfit(cert.clone(), e))?;
         let private = PrivateKeyDer::from_pem_slice(&read(key)?)
             .map_err(|e| TlsError::Pem(key.clone(), e))?;
         // The two belong together, or this fails.
--- a/src/net/mysql/downstream.rs
+++ b/src/upstream/mysql/downstream.rs
@@ -1,11 +1,11 @@
 //! A session's client, as whoever writes to an engine on its behalf sees it at that very moment. The session's task hears
 //! of its client's end when the runtime does, which may be a long turn later; the machine knows at once.
 
-use super::packet::PacketError;
-use crate::interface::Millis;
-use crate::net::client::Watch;
-use crate::net::pool::Unread;
-use crate::net::unix_ms;
+use crate::clock::unix_ms;
+use crate::decision::model::Millis;
+use crate::protocol::mysql::packet::PacketError;
+use crate::transport::client_socket::Watch;
+use crate::transport::framed::Unread;
 use std::cell::Cell;
 use tokio::sync::Notify;
 
--- a/src/net/mysql/upstream.rs
+++ b/src/upstream/mysql/mod.rs
@@ -1,22 +1,29 @@
 //! The upstream of MySQL: pooled connections that carry one command at a time. Statements are prepared on
 //! each connection when it first needs them.
 
-use super::packet::*;
-use super::pin::{Ended, Telling, Told};
-use super::session::{Context, INSERT_ID};
-use super::{Job, Output, Packets, SqlError, Work, auth, code};
+pub mod downstream;
+pub mod sticky;
+pub mod work;
+
+use crate::clock::span;
+use crate::clock::unix_ms;
 use crate::config::{Access, Sockets};
 use crate::core::AttemptId;
-use crate::interface::*;
+use crate::decision::model::*;
+use crate::discovery::Change;
+use crate::discovery::membership_driver::Witness;
+use crate::dispatch::request_router::{Hub, Start, Upstream};
 use crate::membership::Seen;
-use crate::net::discovery::Change;
-use crate::net::hub::{Hub, Start, Upstream};
-use crate::net::members::Witness;
-use crate::net::pool::{self, Pool, Unread, Wire};
-use crate::net::spools::writer::Whole;
-use crate::net::spools::{Spools, Writer};
-use crate::net::{span, unix_ms};
+use crate::protocol::mysql::auth;
+use crate::protocol::mysql::error::{SqlError, code};
+use crate::protocol::mysql::packet::*;
+use crate::protocol::mysql::session::{Context, INSERT_ID};
 use crate::say;
+use crate::spool_io::writer::Whole;
+use crate::spool_io::{Spools, Writer};
+use crate::transport::framed::{self, Pool, Unread, Wire};
+use crate::upstream::mysql::sticky::{Ended, Telling, Told};
+use crate::upstream::mysql::work::{Job, Output, Packets, Work};
 use bytes::{BufMut, Bytes};
 use futures_util::{FutureExt, SinkExt};
 use std::cell::{Cell, RefCell};
@@ -135,7 +142,7 @@
     /// statement: what breaks after the write may have run.
     fn rests(&mut self) -> bool {
         // The machine is asked as well: the runtime may not have heard yet of what came in this very turn.
-        let unheard = pool::unread(self.wire.get_ref());
+        let unheard = framed::unread(self.wire.get_ref());
         let Some(said) = self.wire.next().now_or_never() else {
             if unheard == Unread::End
                 && let Some(live) = &mut self.live
--- a/src/net/mysql/pin.rs
+++ b/src/upstream/mysql/sticky.rs
@@ -1,16 +1,18 @@
 //! The engine's end of a pin: one attempt that holds a connection and carries out what its session sends, until
-//! nothing holds it there, a bound ends it, or the connection breaks. When it ends is [`crate::pins`]'s to say.
+//! nothing holds it there, a bound ends it, or the connection breaks. When it ends is [`crate::sticky_sessions`]'s to say.
 
-use super::downstream::Downstream;
-use super::packet::*;
-use super::session::Context;
-use super::upstream::{Connection, Shared, command, next};
-use super::{Output, Packets, SqlError, Work, code};
+use crate::clock::span;
+use crate::clock::unix_ms;
 use crate::core::AttemptId;
-use crate::interface::{Millis, Note};
-use crate::net::hub::{Hub, Upstream};
-use crate::net::{span, unix_ms};
-use crate::pins::{After, Fate, Next, Over, Pin, Step, Terms};
+use crate::decision::model::{Millis, Note};
+use crate::dispatch::request_router::{Hub, Upstream};
+use crate::protocol::mysql::error::{SqlError, code};
+use crate::protocol::mysql::packet::*;
+use crate::protocol::mysql::session::Context;
+use crate::sticky_sessions::{After, Fate, Next, Over, Pin, Step, Terms};
+use crate::upstream::mysql::downstream::Downstream;
+use crate::upstream::mysql::work::{Output, Packets, Work};
+use crate::upstream::mysql::{Connection, Shared, command, next};
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -237,7 +239,7 @@
                 },
             };
             let next = pin.answered(asked, after);
-            let open = pin.holds(crate::pins::Reason::Transaction);
+            let open = pin.holds(crate::sticky_sessions::Reason::Transaction);
             let carried = Carried { output, next, open };
             if next == Next::Free {
                 written.set(None);
@@ -302,7 +304,9 @@
             self.settle(c, QUERY, &format!("SET NAMES {names}")).await?;
             c.context.names = Some(names);
         }
-        if let Some(set) = super::session::turn(&c.context.settings, &context.settings) {
+        if let Some(set) =
+            crate::protocol::mysql::session::turn(&c.context.settings, &context.settings)
+        {
             downstream.heed(until).await?;
             self.settle(c, QUERY, &set).await?;
             c.context.settings = context.settings.clone();
--- a/src/net/resp.rs
+++ b/src/upstream/resp.rs
@@ -1,15 +1,16 @@
 //! The upstream on the platform: RESP over pooled connections, results page by page, notes.
 
+use crate::clock::span;
+use crate::clock::unix_ms;
 use crate::config::Sockets;
 use crate::core::AttemptId;
-use crate::interface::*;
-use crate::net::descriptors::Shares;
-use crate::net::discovery::Change;
-use crate::net::frames::Work;
-use crate::net::hub::{Hub, Start, Upstream};
-use crate::net::pool::{self, Buffer, Pool, Reads, Turn, Unread};
-use crate::net::{span, unix_ms};
+use crate::decision::model::*;
+use crate::discovery::Change;
+use crate::dispatch::request_router::{Hub, Start, Upstream};
+use crate::frontend::frames::Work;
 use crate::say;
+use crate::transport::descriptors::Shares;
+use crate::transport::framed::{self, Buffer, Pool, Reads, Turn, Unread};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -572,7 +573,7 @@
     }
 }
 
-type Wire = pool::Wire<RespCodec>;
+type Wire = framed::Wire<RespCodec>;
 
 /// A descriptor for a connection to an engine.
 struct Held<'a>(&'a Shared);
@@ -659,7 +660,7 @@
         tcp.set_nodelay(true)?;
         // What the machine holds unsent can't be called back, so that it holds little. Where that can't be said, it
         // holds what it likes.
-        let _ = socket2::SockRef::from(&tcp).set_send_buffer_size(pool::SIZE);
+        let _ = socket2::SockRef::from(&tcp).set_send_buffer_size(framed::SIZE);
         *connected = true;
         c.up.set(true);
         let mut framed = Wire::new(&self.pool, tcp, RespCodec);
@@ -807,7 +808,7 @@
         let client = work.client();
         let first = !std::mem::replace(looked, true);
         let unread =
-            || client == Unread::Bytes || pool::unread(framed.get_ref()) != Unread::Nothing;
+            || client == Unread::Bytes || framed::unread(framed.get_ref()) != Unread::Nothing;
         if client == Unread::End || first && unread() {
             *waits = Some((Do::Get(txn), For::Reading));
             return Ok(0);
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -5,7 +5,7 @@
 mod child;
 
 use child::*;
-use query_dispatcher::net::descriptors::OWN;
+use query_dispatcher::transport::descriptors::OWN;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::Command;
--- a/tests/external_interface.rs
+++ b/tests/external_interface.rs
@@ -16,7 +16,7 @@
 use external::statements::{COMMANDS, STATEMENTS};
 use mysql_client::{MysqlClient, text};
 use program::{call, start_mysql};
-use query_dispatcher::peers;
+use query_dispatcher::gossip;
 use recorded::{assert_recorded, printable};
 use std::io::Write;
 use std::net::SocketAddr;
@@ -299,12 +299,12 @@
     const REPORT: [f64; 5] = [7.0, 0.0, 0.61, 41.0, 1000.0];
     /// Requests that pay for one message.
     const REQUESTS: usize = 50;
-    let terms = peers::Terms {
+    let terms = gossip::Terms {
         peers: 2,
         price: 1.0,
         fields: REPORT.len(),
     };
-    let mut bulletin = peers::Bulletin::new(terms);
+    let mut bulletin = gossip::Bulletin::new(terms);
     bulletin.list([ENGINE].into_iter());
     (0..REQUESTS).for_each(|_| bulletin.taken());
     let message = bulletin.learned(0.0, ENGINE, &REPORT).unwrap();
--- a/tests/frames.rs
+++ b/tests/frames.rs
@@ -3,10 +3,10 @@
 mod scenario;
 
 use query_dispatcher::config::Machine;
-use query_dispatcher::net::frames::Front;
-use query_dispatcher::net::hub::Hub;
-use query_dispatcher::net::pool::Pool;
-use query_dispatcher::net::resp::RespUpstream;
+use query_dispatcher::dispatch::request_router::Hub;
+use query_dispatcher::frontend::frames::Front;
+use query_dispatcher::transport::framed::Pool;
+use query_dispatcher::upstream::resp::RespUpstream;
 use scenario::*;
 use std::collections::HashMap;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
--- a/tests/mysql_sessions.rs
+++ b/tests/mysql_sessions.rs
@@ -3,7 +3,7 @@
 
 use mysql_async::prelude::Queryable;
 use mysql_async::{Conn, IsolationLevel, OptsBuilder, TxOpts};
-use query_dispatcher::net::mysql::packet::{QUERY, RESET_CONNECTION};
+use query_dispatcher::protocol::mysql::packet::{QUERY, RESET_CONNECTION};
 use std::path::Path;
 use std::time::Duration;
 use testbed::engine::Engine;
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -5,13 +5,13 @@
 mod wire;
 
 use bytes::Bytes;
+use query_dispatcher::clock::unix_ms;
 use query_dispatcher::config::{Machine, Names, Sockets};
 use query_dispatcher::core::{Core, NewRequest};
-use query_dispatcher::net::frames::{Front, Work};
-use query_dispatcher::net::hub::{Hub, Reply};
-use query_dispatcher::net::pool::Pool;
-use query_dispatcher::net::resp::RespUpstream;
-use query_dispatcher::net::unix_ms;
+use query_dispatcher::dispatch::request_router::{Hub, Reply};
+use query_dispatcher::frontend::frames::{Front, Work};
+use query_dispatcher::transport::framed::Pool;
+use query_dispatcher::upstream::resp::RespUpstream;
 use scenario::{change, core, core_with, on_one_thread};
 use socket2::SockRef;
 use std::cell::RefCell;
--- a/tests/recorded_decisions/vocabulary.rs
+++ b/tests/recorded_decisions/vocabulary.rs
@@ -10,7 +10,7 @@
 };
 
 pub use query_dispatcher::core::{Core, NewRequest};
-pub use query_dispatcher::peers::Terms;
+pub use query_dispatcher::gossip::Terms;
 pub use query_dispatcher::{
     Controller, EngineState as Standing, Event as ControllerEvent, ListUpdate as Update,
     Note as ProgressNote, Outcome as Ending, Settings as AllSettings,
--- a/tests/recorded_state/gossip_adapter.rs
+++ b/tests/recorded_state/gossip_adapter.rs
@@ -1,9 +1,9 @@
 //! The gossip between dispatchers as the streams use it. The only file of this test that names the machine's own items.
 
 use super::recording::{Recording, float, hexadecimal};
-use query_dispatcher::peers::{Bulletin, Terms, WordError};
+use query_dispatcher::gossip::{Bulletin, Terms, WordError};
 
-pub const LONGEST_MESSAGE: usize = query_dispatcher::peers::MOST;
+pub const LONGEST_MESSAGE: usize = query_dispatcher::gossip::MOST;
 
 #[derive(Clone, Copy)]
 pub struct Options {
--- a/tests/recorded_state/registry_adapter.rs
+++ b/tests/recorded_state/registry_adapter.rs
@@ -2,7 +2,7 @@
 
 use super::recording::{Recording, float, optional, optional_float};
 use super::registry_text::*;
-use query_dispatcher::membership::book::{Member, version};
+use query_dispatcher::membership::registry_view::{Member, version};
 use query_dispatcher::membership::report::Query;
 use query_dispatcher::membership::{
     Change, Content, Fact, HoldRules, Membership, Networks, Rules, Seen, Snapshot, Status, Version,
--- a/tests/recorded_state/registry_text.rs
+++ b/tests/recorded_state/registry_text.rs
@@ -1,12 +1,12 @@
 //! The text form of what the registry view gives out. With its adapter the only file that names the machine's items.
 
 use super::recording::{Recording, float, optional, optional_float};
-use query_dispatcher::membership::book::{Member, Source};
-use query_dispatcher::membership::claims::{Belief, Claim, Floor, Said, Stand, Why};
-use query_dispatcher::membership::hold::Held;
-use query_dispatcher::membership::proof::Proof;
+use query_dispatcher::membership::liveness::Proof;
+use query_dispatcher::membership::registry_view::{Member, Source};
 use query_dispatcher::membership::report::{Only, QueryError};
+use query_dispatcher::membership::self_preservation::Held;
 use query_dispatcher::membership::snapshot::Kept;
+use query_dispatcher::membership::source_records::{Belief, Claim, Floor, Said, Stand, Why};
 use query_dispatcher::membership::{Engine, Version};
 use query_dispatcher::{EngineState, ListUpdate};
 
--- a/tests/recorded_state/spool_adapter.rs
+++ b/tests/recorded_state/spool_adapter.rs
@@ -1,7 +1,7 @@
 //! The spool index as the streams use it. The only file of this test that names the machine's own items.
 
 use super::recording::{Recording, float, optional, optional_float};
-use query_dispatcher::spool::disk::Wrote;
+use query_dispatcher::spool::disk_health::Wrote;
 use query_dispatcher::spool::{
     Admission, Ask, DiskState, Handles, Ledger, Order, ResumeError, Rules, Taken, Unfit,
 };
--- a/tests/recorded_state/sticky_adapter.rs
+++ b/tests/recorded_state/sticky_adapter.rs
@@ -1,7 +1,7 @@
 //! Sticky sessions as the streams use them. The only file of this test that names the machine's own items.
 
 use super::recording::{Recording, float};
-use query_dispatcher::pins::{
+use query_dispatcher::sticky_sessions::{
     After, Book, BookError, Fate, Next, Over, Pin, Reason, Step, Terms, fate,
 };
 
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -25,13 +25,13 @@
 #[path = "../common/mod.rs"]
 mod common;
 
+use query_dispatcher::admin::{Admin, Watched};
 use query_dispatcher::config::{Access, ClassRules, MysqlFront, Names, Sockets, SpoolSource, User};
 use query_dispatcher::core::{Bounds, Core};
-use query_dispatcher::net::admin::{Admin, Watched};
-use query_dispatcher::net::discovery::{Change, Engine};
-use query_dispatcher::net::hub::{Hub, Upstream};
-use query_dispatcher::net::pool::Pool;
-use query_dispatcher::net::shared::Shared;
+use query_dispatcher::discovery::{Change, Engine};
+use query_dispatcher::dispatch::request_router::{Hub, Upstream};
+use query_dispatcher::server::instance_registry::Shared;
+use query_dispatcher::transport::framed::Pool;
 use query_dispatcher::*;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -122,7 +122,7 @@
             zone: None,
             kind: Some("std".into()),
             cell: 0,
-            started: is("restart").then(|| query_dispatcher::net::unix_ms() + 1.0),
+            started: is("restart").then(|| query_dispatcher::clock::unix_ms() + 1.0),
         }
     };
     Change {
@@ -165,7 +165,7 @@
         rules: ClassRules::new(1, 0, classes, vec![]),
         deadlines: vec![5000.0, 5000.0],
         transaction_class: 1,
-        pins: query_dispatcher::pins::Terms {
+        pins: query_dispatcher::sticky_sessions::Terms {
             idle: 60_000.0,
             longest: 60_000.0,
             drain: 500.0,
--- a/tests/spool.rs
+++ b/tests/spool.rs
@@ -1,7 +1,7 @@
 //! Results that wait for their readers, on the program itself: slow, gone and returning clients, quotas, kills, torn
 //! pages. Engines are stand-ins that keep account of how long each result held them.
 
-use query_dispatcher::net::mysql::packet::{CURSOR_EXISTS, HANDLE, LAST_ROW_SENT, eof_status};
+use query_dispatcher::protocol::mysql::packet::{CURSOR_EXISTS, HANDLE, LAST_ROW_SENT, eof_status};
 use serde_json::Value;
 use std::path::Path;
 use std::time::Duration;
--- a/tests/stored/members.rs
+++ b/tests/stored/members.rs
@@ -2,7 +2,7 @@
 
 use query_dispatcher::membership::Version;
 use query_dispatcher::membership::snapshot::{FORM, Kept, Snapshot};
-use query_dispatcher::store::{Disk, Kind, RecordError, Store};
+use query_dispatcher::storage::{Disk, Kind, RecordError, Store};
 use std::path::Path;
 
 const FILE: &str = "members";
--- a/tests/stored/segments.rs
+++ b/tests/stored/segments.rs
@@ -1,6 +1,6 @@
 //! Segments of spools.
 
-use query_dispatcher::store::segments::{Folder, Rules, Segments};
+use query_dispatcher::storage::segments::{Folder, Rules, Segments};
 use std::path::Path;
 
 const RULES: Rules = Rules {
--- a/tests/stored/shared.rs
+++ b/tests/stored/shared.rs
@@ -1,6 +1,6 @@
 //! Engines that operators took out by hand.
 
-use query_dispatcher::net::shared::Shared;
+use query_dispatcher::server::instance_registry::Shared;
 use std::path::Path;
 
 fn open(folder: &Path) -> Shared {
