--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -21,7 +21,8 @@
     pub seeds: u64,
     /// Numbers of gateways to play each day with; empty: as it says. Load and engines grow along.
     #[serde(default)]
-    pub gateways: Vec<usize>,
+    #[serde(rename = "gateways")]
+    pub dispatchers: Vec<usize>,
     /// Days are cut to so many seconds, if that is said.
     pub seconds: Option<f64>,
 }
@@ -55,9 +56,9 @@
             if let Some(seconds) = self.seconds {
                 s.seconds = s.seconds.min(seconds);
             }
-            match self.gateways.is_empty() {
+            match self.dispatchers.is_empty() {
                 true => days.push(s),
-                false => days.extend(self.gateways.iter().map(|n| scaled(&s, *n))),
+                false => days.extend(self.dispatchers.iter().map(|n| scaled(&s, *n))),
             }
         }
         Ok(days)
@@ -66,11 +67,11 @@
 
 /// The day with another number of gateways: engines, load and areas in proportion, so that each gateway meets what it
 /// met before and only the number of them differs.
-pub fn scaled(s: &Scenario, gateways: usize) -> Scenario {
-    let times = gateways as f64 / s.gateways as f64;
+pub fn scaled(s: &Scenario, dispatchers: usize) -> Scenario {
+    let times = dispatchers as f64 / s.dispatchers as f64;
     let mut out = s.clone();
-    out.name = format!("{} x {gateways}", s.name);
-    out.gateways = gateways;
+    out.name = format!("{} x {dispatchers}", s.name);
+    out.dispatchers = dispatchers;
     for set in &mut out.engines {
         set.count = ((set.count as f64 * times).round() as usize).max(1);
     }
@@ -260,7 +261,7 @@
         let big = scaled(&s, 30);
         assert_eq!(
             (
-                big.gateways,
+                big.dispatchers,
                 big.engines[0].count,
                 big.load.per_s,
                 big.load.areas
--- a/crates/testbed/src/model/engine.rs
+++ b/crates/testbed/src/model/engine.rs
@@ -1,7 +1,7 @@
 //! The engine itself.
 
 use super::params::Params;
-use query_dispatcher::Note;
+use query_dispatcher::ProgressNote;
 use std::collections::{BTreeMap, VecDeque};
 
 /// The caller's own number of a query on this engine.
@@ -102,7 +102,7 @@
     /// A process that starts now; `warm` from the beginning, as one that started long ago.
     pub fn new(params: Params, now: f64, warm: bool) -> Self {
         let started = if warm {
-            now - params.warm_within - params.fall_window - 1.0
+            now - params.warm_up_period - params.overload_window - 1.0
         } else {
             now
         };
@@ -152,15 +152,18 @@
     /// The part of its full work that it can do at this moment.
     pub fn capacity_part(&self, now: f64) -> f64 {
         let age = now - self.started;
-        let warm = match self.params.warm_within {
+        let warm = match self.params.warm_up_period {
             w if w <= 0.0 || age >= w => 1.0,
-            w => self.params.cold_from + (1.0 - self.params.cold_from) * (age / w).max(0.0),
+            w => {
+                self.params.initial_warm_up_capacity
+                    + (1.0 - self.params.initial_warm_up_capacity) * (age / w).max(0.0)
+            }
         };
         warm * (1.0 - self.taken)
     }
 
     fn cold(&self, now: f64) -> bool {
-        now < self.started + self.params.warm_within
+        now < self.started + self.params.warm_up_period
     }
 
     /// Another program takes this part of the machine from now on.
@@ -250,11 +253,11 @@
         }
         let p = &self.params;
         if self.cold(now) {
-            self.sent.retain(|(t, _)| *t > now - p.fall_window);
+            self.sent.retain(|(t, _)| *t > now - p.overload_window);
             self.sent.push_back((now, job.work));
             let sent: f64 = self.sent.iter().map(|s| s.1).sum();
-            let can = p.cores * p.speed * self.capacity_part(now) * p.fall_window;
-            if sent > p.fall_multiple * can {
+            let can = p.cores * p.speed * self.capacity_part(now) * p.overload_window;
+            if sent > p.overload_multiple * can {
                 self.fallen = true;
             }
         }
@@ -410,7 +413,7 @@
     }
 
     /// The notes that are due: how far each query is, and what it waits for.
-    pub fn notes(&mut self, now: f64) -> Vec<(JobId, Note)> {
+    pub fn notes(&mut self, now: f64) -> Vec<(JobId, ProgressNote)> {
         self.advance(now);
         let every = self.params.note_every;
         if every <= 0.0 || self.hung || self.fallen {
@@ -425,12 +428,12 @@
             r.noted = now;
             let short = r.job.need_mb - r.granted;
             notes.push(match r.state {
-                State::InLine => (*id, Note::WaitsForMemory),
-                State::Stands(_) => (*id, Note::WaitsForLoad),
-                State::Runs => (*id, Note::Done(r.done / r.total)),
+                State::InLine => (*id, ProgressNote::WaitsForMemory),
+                State::Stands(_) => (*id, ProgressNote::WaitsForLoad),
+                State::Runs => (*id, ProgressNote::Done(r.done / r.total)),
             });
             if r.state == State::Runs && short > 0.5 {
-                notes.push((*id, Note::Spills(short)));
+                notes.push((*id, ProgressNote::Spills(short)));
             }
         }
         notes
--- a/crates/testbed/src/model/params.rs
+++ b/crates/testbed/src/model/params.rs
@@ -27,12 +27,16 @@
     /// Areas that stay warm, and the part of reading that this saves.
     pub warm_areas: usize,
     pub warm_saves: f64,
-    /// Right after its start it does this part of its work, and all of it after `warm_within`.
-    pub cold_from: f64,
-    pub warm_within: f64,
-    /// Sent more than so many times what it can do within `fall_window`, while it is cold, it falls over.
-    pub fall_multiple: f64,
-    pub fall_window: f64,
+    /// Right after its start it does this part of its work, and all of it after `warm_up_period`.
+    #[serde(rename = "cold_from")]
+    pub initial_warm_up_capacity: f64,
+    #[serde(rename = "warm_within")]
+    pub warm_up_period: f64,
+    /// Sent more than so many times what it can do within `overload_window`, while it is cold, it falls over.
+    #[serde(rename = "fall_multiple")]
+    pub overload_multiple: f64,
+    #[serde(rename = "fall_window")]
+    pub overload_window: f64,
     /// Between two looks at itself: what it reports is so old at most.
     pub report_every: f64,
     /// Between two notes on a query; 0: none.
@@ -54,10 +58,10 @@
             own_grant: 1.0,
             warm_areas: 4,
             warm_saves: 0.5,
-            cold_from: 0.3,
-            warm_within: 15_000.0,
-            fall_multiple: 4.0,
-            fall_window: 2_000.0,
+            initial_warm_up_capacity: 0.3,
+            warm_up_period: 15_000.0,
+            overload_multiple: 4.0,
+            overload_window: 2_000.0,
             report_every: 500.0,
             note_every: 500.0,
         }
@@ -83,22 +87,22 @@
             ("floor", self.floor),
             ("disks", self.disks),
             ("memory_mb", self.memory_mb),
-            ("cold_from", self.cold_from),
-            ("fall_multiple", self.fall_multiple),
-            ("fall_window", self.fall_window),
+            ("cold_from", self.initial_warm_up_capacity),
+            ("fall_multiple", self.overload_multiple),
+            ("fall_window", self.overload_window),
         ];
         let not_below = [
             ("fall", self.fall, 0.0),
             ("spill", self.spill, 1.0),
             ("own_grant", self.own_grant, 0.0),
             ("warm_saves", self.warm_saves, 0.0),
-            ("warm_within", self.warm_within, 0.0),
+            ("warm_within", self.warm_up_period, 0.0),
             ("report_every", self.report_every, 0.0),
             ("note_every", self.note_every, 0.0),
         ];
         let parts = [
             ("floor", self.floor),
-            ("cold_from", self.cold_from),
+            ("cold_from", self.initial_warm_up_capacity),
             ("warm_saves", self.warm_saves),
         ];
         let bad = |key, problem: String| Err(ParamsError { key, problem });
--- a/crates/testbed/src/model/tests.rs
+++ b/crates/testbed/src/model/tests.rs
@@ -220,11 +220,11 @@
     );
     let notes = e.notes(1200.0);
     assert!(
-        notes.contains(&(8, query_dispatcher::Note::WaitsForMemory)),
+        notes.contains(&(8, query_dispatcher::ProgressNote::WaitsForMemory)),
         "{notes:?}"
     );
     assert!(
-        notes.contains(&(7, query_dispatcher::Note::Spills(60.0))),
+        notes.contains(&(7, query_dispatcher::ProgressNote::Spills(60.0))),
         "{notes:?}"
     );
 }
@@ -253,7 +253,10 @@
     assert!(e.send(0.0, 1, reader(5)) && e.send(10.0, 2, load) && e.send(20.0, 3, reader(5)));
     assert!(e.send(20.0, 4, reader(6)));
     let notes = e.notes(150.0);
-    assert!(notes.contains(&(3, Note::WaitsForLoad)) && notes.contains(&(1, Note::WaitsForLoad)));
+    assert!(
+        notes.contains(&(3, ProgressNote::WaitsForLoad))
+            && notes.contains(&(1, ProgressNote::WaitsForLoad))
+    );
     assert_eq!(
         e.ended(150.0).iter().map(|e| e.0).collect::<Vec<_>>(),
         [4],
@@ -274,7 +277,7 @@
         Some(&300.0),
         "also one that had begun before"
     );
-    use query_dispatcher::Note;
+    use query_dispatcher::ProgressNote;
 }
 
 #[test]
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -2,7 +2,7 @@
 
 use crate::model::Params;
 use query_dispatcher::{
-    Class, Effect, EngineFacts, Kind, Limits, ReportField, Rules, Settings, Tenant,
+    Class, EngineCapabilities, Idempotency, Kind, Limits, ReportField, Rules, Settings, Tenant,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -33,7 +33,8 @@
     pub about: String,
     /// Requests come for so long.
     pub seconds: f64,
-    pub gateways: usize,
+    #[serde(rename = "gateways")]
+    pub dispatchers: usize,
     #[serde(default = "one_zone")]
     pub zones: Vec<String>,
     pub engines: Vec<EngineSet>,
@@ -80,12 +81,15 @@
     pub io: [f64; 2],
     /// Memory that it needs, on average.
     pub memory_mb: f64,
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub priority_weight: f64,
     pub aim_ms: f64,
     #[serde(default)]
-    pub aim_stretch: f64,
+    #[serde(rename = "aim_stretch")]
+    pub latency_objective_slowdown: f64,
     #[serde(default)]
-    pub late_share: f64,
+    #[serde(rename = "late_share")]
+    pub late_answer_weight: f64,
     pub deadline_ms: f64,
     /// Running it twice would do harm.
     #[serde(default, rename = "unsafe")]
@@ -112,9 +116,9 @@
                  threads,
                  io,
                  memory_mb,
-                 worth,
+                 priority_weight,
                  aim_ms,
-                 aim_stretch,
+                 latency_objective_slowdown,
                  deadline_ms| {
         ClassSet {
             name: name.into(),
@@ -124,10 +128,10 @@
             threads,
             io,
             memory_mb,
-            worth,
+            priority_weight,
             aim_ms,
-            aim_stretch,
-            late_share: 0.25,
+            latency_objective_slowdown,
+            late_answer_weight: 0.25,
             deadline_ms,
             fragile: name == "load",
             holds: name == "load",
@@ -315,13 +319,15 @@
     },
     /// Nothing passes between these gateways and these engines.
     Partition {
-        gateways: Vec<usize>,
+        #[serde(rename = "gateways")]
+        dispatchers: Vec<usize>,
         engines: Which,
         for_s: f64,
     },
     /// Messages of these gateways take so much longer.
     SlowLink {
-        gateways: Vec<usize>,
+        #[serde(rename = "gateways")]
+        dispatchers: Vec<usize>,
         extra_ms: f64,
         for_s: f64,
     },
@@ -371,10 +377,10 @@
         if !(1..=5000).contains(&total) {
             return Err(bad("engines", format!("{total} engines are not 1 to 5000")));
         }
-        if !(1..=5000).contains(&self.gateways) {
+        if !(1..=5000).contains(&self.dispatchers) {
             return Err(bad(
                 "gateways",
-                format!("{} is not in 1 to 5000", self.gateways),
+                format!("{} is not in 1 to 5000", self.dispatchers),
             ));
         }
         if !(self.seconds > 0.0 && self.seconds <= 86_400.0) {
@@ -407,7 +413,7 @@
             let ok = c.share >= 0.0
                 && c.work_ms > 0.0
                 && c.deadline_ms > 0.0
-                && c.worth > 0.0
+                && c.priority_weight > 0.0
                 && c.threads >= 1.0;
             if !ok {
                 return Err(bad(
@@ -452,14 +458,16 @@
             {
                 return Err(bad(key, format!("{class:?} is no class")));
             }
-            let gateways = match &t.what {
-                What::Partition { gateways, .. } | What::SlowLink { gateways, .. } => &gateways[..],
+            let dispatchers = match &t.what {
+                What::Partition { dispatchers, .. } | What::SlowLink { dispatchers, .. } => {
+                    &dispatchers[..]
+                }
                 _ => &[],
             };
-            if gateways.iter().any(|g| *g >= self.gateways) {
+            if dispatchers.iter().any(|g| *g >= self.dispatchers) {
                 return Err(bad(
                     key,
-                    format!("there are {} gateways, counted from 0", self.gateways),
+                    format!("there are {} gateways, counted from 0", self.dispatchers),
                 ));
             }
         }
@@ -488,24 +496,24 @@
             memory_mb: p.memory_mb,
         });
         let class = |c: &ClassSet| Class {
-            worth: c.worth,
-            aim: c.aim_ms,
-            aim_stretch: c.aim_stretch,
-            late_share: c.late_share,
-            effect: if c.fragile {
-                Effect::Unsafe
+            priority_weight: c.priority_weight,
+            latency_objective: c.aim_ms,
+            latency_objective_slowdown: c.latency_objective_slowdown,
+            late_answer_weight: c.late_answer_weight,
+            idempotency: if c.fragile {
+                Idempotency::NonIdempotent
             } else {
-                Effect::Safe
+                Idempotency::Idempotent
             },
             in_order: false,
-            only_zones: None,
-            only_kinds: None,
+            allowed_zones: None,
+            allowed_kinds: None,
             threads: c.threads,
             holds_tables: c.holds,
             waits_for_loads: c.stands,
         };
         Settings {
-            gateways: self.gateways as u32,
+            dispatchers: self.dispatchers as u32,
             zone: Some(zone),
             step: 5.0,
             classes: self.classes.iter().map(class).collect(),
@@ -517,36 +525,36 @@
                 })
                 .collect(),
             kinds: kinds.collect(),
-            over_share_worth: 0.05,
+            over_quota_weight: 0.05,
             limits: Limits {
-                most_attempts: 3,
-                second_copies: true,
+                max_attempts: 3,
+                hedging: true,
                 cancel: true,
                 probes: false,
-                retry_advice: true,
+                sends_retry_after: true,
                 max_retry_after: 500.0,
             },
-            engines: EngineFacts {
-                takes_grants: true,
-                takes_priority: false,
-                most_grant: 0.4,
-                tells_cost: false,
-                overcommits: false,
-                notes_every: first.note_every,
+            engines: EngineCapabilities {
+                accepts_memory_grants: true,
+                accepts_priority: false,
+                max_grant_share: 0.4,
+                reports_cost: false,
+                overcommits_memory: false,
+                progress_interval: first.note_every,
             },
             rules: Rules {
                 answer_grace: 20.0,
                 drain_grace: 1000.0,
-                cold_from: first.cold_from,
-                warm_within: first.warm_within,
-                fall_multiple: first.fall_multiple,
-                fall_window: first.fall_window,
-                order_rest: 0.0,
-                attempt_budget: None,
+                initial_warm_up_capacity: first.initial_warm_up_capacity,
+                warm_up_period: first.warm_up_period,
+                overload_multiple: first.overload_multiple,
+                overload_window: first.overload_window,
+                order_quiet_period: 0.0,
+                retry_budget: None,
             },
             report_fields: vec![ReportField::Inflight, ReportField::MemoryGranted],
             must_subscribe: false,
-            cross_zone_price: 0.0,
+            cross_zone_cost: 0.0,
         }
     }
 }
--- a/crates/testbed/src/world/day.rs
+++ b/crates/testbed/src/world/day.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug)]
 pub struct ClassDay {
     pub name: String,
-    pub worth: Worth,
+    pub priority_weight: Worth,
     pub ends: Ends,
     /// From the moment a request was due, in microseconds.
     pub latency: Histogram<u64>,
@@ -92,7 +92,8 @@
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Window {
     pub from_s: f64,
-    pub worth: Worth,
+    #[serde(rename = "worth")]
+    pub priority_weight: Worth,
     /// The part of all cores that worked, and engines in service.
     pub occupied: f64,
     pub serving: usize,
@@ -122,11 +123,11 @@
 pub const WINDOW_S: f64 = 10.0;
 
 impl Day {
-    pub fn worth(&self) -> Worth {
+    pub fn priority_weight(&self) -> Worth {
         let mut all = Worth::default();
         for c in &self.classes {
-            all.asked += c.worth.asked;
-            all.earned += c.worth.earned;
+            all.asked += c.priority_weight.asked;
+            all.earned += c.priority_weight.earned;
         }
         all
     }
@@ -142,13 +143,23 @@
 
     /// The same, whether or not a rule was broken.
     pub fn service(&self) -> f64 {
-        let whole = self.worth().part();
+        let whole = self.priority_weight().part();
         // A window in which next to nothing was asked tells nothing.
-        let usual = self.worth().asked / self.windows.len().max(1) as f64;
-        let windows = self.windows.iter().filter(|w| w.worth.asked > 0.2 * usual);
-        let window = windows.map(|w| w.worth.part()).fold(1.0, f64::min);
-        let classes = self.classes.iter().filter(|c| c.worth.asked > 0.0);
-        let class = classes.map(|c| c.worth.part()).fold(1.0, f64::min);
+        let usual = self.priority_weight().asked / self.windows.len().max(1) as f64;
+        let windows = self
+            .windows
+            .iter()
+            .filter(|w| w.priority_weight.asked > 0.2 * usual);
+        let window = windows
+            .map(|w| w.priority_weight.part())
+            .fold(1.0, f64::min);
+        let classes = self
+            .classes
+            .iter()
+            .filter(|c| c.priority_weight.asked > 0.0);
+        let class = classes
+            .map(|c| c.priority_weight.part())
+            .fold(1.0, f64::min);
         let tenants = self.tenants.iter().filter(|t| t.1.asked > 0.0);
         let tenant = tenants.map(|t| t.1.part()).fold(1.0, f64::min);
         0.3 * whole + 0.4 * window + 0.2 * class + 0.1 * tenant
--- a/crates/testbed/src/world/mod.rs
+++ b/crates/testbed/src/world/mod.rs
@@ -14,7 +14,7 @@
 use hdrhistogram::Histogram;
 use policy::{Dispatch, Plain, Policy};
 use query_dispatcher::core::{Answer, AttemptId, Bounds, Command, Core, NewRequest};
-use query_dispatcher::{EngineEntry, EngineState, ListUpdate, Note, Outcome};
+use query_dispatcher::{EngineEntry, EngineState, ListUpdate, Outcome, ProgressNote};
 use rules::Checker;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -39,8 +39,8 @@
     /// When its first try came, which its service is counted from.
     born: f64,
     gives_up: f64,
-    aim: f64,
-    worth: f64,
+    latency_objective: f64,
+    priority_weight: f64,
     again: u32,
     /// Where the time of its attempts went.
     waits: Waits,
@@ -81,7 +81,7 @@
     },
     Noted {
         attempt: Attempt,
-        note: Note,
+        note: ProgressNote,
     },
     Tick {
         gateway: usize,
@@ -178,7 +178,7 @@
     seq: u64,
     queue: BinaryHeap<Reverse<Due>>,
     engines: Vec<Engine>,
-    gateways: Vec<Gateway>,
+    dispatchers: Vec<Gateway>,
     checker: Checker,
     arrivals: Stream,
     mix: Stream,
@@ -284,7 +284,7 @@
                 });
             }
         }
-        let gateways = (0..scenario.gateways).map(|g| {
+        let dispatchers = (0..scenario.dispatchers).map(|g| {
             let zone = g % scenario.zones.len();
             Gateway {
                 zone,
@@ -298,7 +298,7 @@
         });
         let classes = scenario.classes.iter().map(|c| ClassDay {
             name: c.name.clone(),
-            worth: Worth::default(),
+            priority_weight: Worth::default(),
             ends: Ends::default(),
             latency: histogram(),
         });
@@ -332,7 +332,7 @@
             seq: 0,
             queue: BinaryHeap::new(),
             engines,
-            gateways: gateways.collect(),
+            dispatchers: dispatchers.collect(),
             checker: Checker::default(),
             arrivals: streams.stream("arrivals"),
             mix: streams.stream("mix"),
@@ -378,7 +378,7 @@
 
     fn run(&mut self) {
         let list: Vec<EngineEntry> = (0..self.engines.len()).map(|e| self.entry(e)).collect();
-        for g in 0..self.gateways.len() {
+        for g in 0..self.dispatchers.len() {
             let entries = list.clone();
             self.decide(g, |d, now| d.engines(now, ListUpdate::Stale, entries));
         }
@@ -435,7 +435,7 @@
         } else {
             self.mix.weighted(&tenants)
         };
-        let gateway = self.mix.below(self.gateways.len());
+        let gateway = self.mix.below(self.dispatchers.len());
         let c = &s.classes[class];
         let mut work = self.sizes.lognormal(c.work_ms, c.sigma);
         let mut need = self.sizes.lognormal(c.memory_mb, c.sigma * 0.7);
@@ -466,13 +466,13 @@
             from: gateway as u32,
         };
         let over = self.over_quota(tenant);
-        let worth = c.worth * if over { 0.05 } else { 1.0 };
-        let aim = c.aim_ms + c.aim_stretch * work / c.threads;
+        let priority_weight = c.priority_weight * if over { 0.05 } else { 1.0 };
+        let latency_objective = c.aim_ms + c.latency_objective_slowdown * work / c.threads;
         let gives_up = self.now + c.deadline_ms * patience;
         self.day.requests += 1;
-        self.day.classes[class].worth.asked += worth;
-        self.day.tenants[tenant].1.asked += worth;
-        self.window().worth.asked += worth;
+        self.day.classes[class].priority_weight.asked += priority_weight;
+        self.day.tenants[tenant].1.asked += priority_weight;
+        self.window().priority_weight.asked += priority_weight;
         let t = Try {
             gateway,
             class,
@@ -482,8 +482,8 @@
             memory_told: told_mb,
             born: self.now,
             gives_up,
-            aim,
-            worth,
+            latency_objective,
+            priority_weight,
             again: 0,
             waits: Waits::default(),
             first_sent: None,
@@ -545,14 +545,14 @@
         let gives_up = t.gives_up;
         // The core gives the request its number and may answer at once: it is known before its commands are looked at.
         let began = std::time::Instant::now();
-        let request = self.gateways[g].decides.open(self.now, new);
+        let request = self.dispatchers[g].decides.open(self.now, new);
         self.day.decided_s += began.elapsed().as_secs_f64();
         self.day.calls += 1;
         self.mark(1, g as u64, request);
         self.checker.took((g, request), fragile, gives_up);
-        self.gateways[g].tries.insert(request, t);
+        self.dispatchers[g].tries.insert(request, t);
         self.carry_out(g);
-        self.gateways[g]
+        self.dispatchers[g]
             .tries
             .contains_key(&request)
             .then_some(request)
@@ -562,7 +562,7 @@
 
     fn decide(&mut self, g: usize, f: impl FnOnce(&mut dyn Dispatch, f64)) {
         let began = std::time::Instant::now();
-        f(&mut *self.gateways[g].decides, self.now);
+        f(&mut *self.dispatchers[g].decides, self.now);
         self.day.decided_s += began.elapsed().as_secs_f64();
         self.day.calls += 1;
         self.carry_out(g);
@@ -570,7 +570,7 @@
 
     fn carry_out(&mut self, g: usize) {
         loop {
-            let commands = self.gateways[g].decides.commands();
+            let commands = self.dispatchers[g].decides.commands();
             if commands.is_empty() {
                 break;
             }
@@ -578,14 +578,14 @@
                 self.command(g, c);
             }
         }
-        let wake = self.gateways[g].decides.next_wake();
+        let wake = self.dispatchers[g].decides.next_wake();
         if let Some(at) = wake
-            && self.gateways[g]
+            && self.dispatchers[g]
                 .tick_at
                 .is_none_or(|t| at < t || t <= self.now)
         {
             let at = at.max(self.now + 0.01);
-            self.gateways[g].tick_at = Some(at);
+            self.dispatchers[g].tick_at = Some(at);
             self.at(
                 at,
                 Event::Tick {
@@ -605,7 +605,7 @@
                 ..
             } => self.start(g, attempt, &engine, memory_mb),
             Command::Drop { attempt } => {
-                if let Some((engine, _)) = self.gateways[g].out.remove(&attempt) {
+                if let Some((engine, _)) = self.dispatchers[g].out.remove(&attempt) {
                     let at = self.now + self.delay(g, engine);
                     self.at(
                         at,
@@ -631,8 +631,8 @@
         };
         let attempt = Attempt { gateway: g, id };
         // As the program does: looked at again right before it is written.
-        if !self.gateways[g].decides.in_service(engine) {
-            self.gateways[g].out.insert(id, (e, self.now));
+        if !self.dispatchers[g].decides.in_service(engine) {
+            self.dispatchers[g].out.insert(id, (e, self.now));
             return self.at(
                 self.now,
                 Event::Back {
@@ -649,8 +649,8 @@
             id.request << 8 | u64::from(id.index),
         );
         self.checker.sent(self.now, (g, id.request), id.index, e);
-        self.gateways[g].out.insert(id, (e, self.now));
-        let Some(t) = self.gateways[g].tries.get_mut(&id.request) else {
+        self.dispatchers[g].out.insert(id, (e, self.now));
+        let Some(t) = self.dispatchers[g].tries.get_mut(&id.request) else {
             return;
         };
         t.first_sent.get_or_insert(self.now);
@@ -672,7 +672,7 @@
 
     fn delay(&mut self, g: usize, e: usize) -> f64 {
         let net = &self.scenario.net;
-        let gateway = &mut self.gateways[g];
+        let gateway = &mut self.dispatchers[g];
         let across = gateway.delay.between(net.across_ms[0], net.across_ms[1]);
         let span = if gateway.zone == self.engines[e].zone {
             net.within_ms
@@ -700,7 +700,7 @@
 
     fn answer(&mut self, g: usize, request: u64, answer: Answer) {
         self.checker.answered(self.now, (g, request));
-        let Some(t) = self.gateways[g].tries.get_mut(&request) else {
+        let Some(t) = self.dispatchers[g].tries.get_mut(&request) else {
             return;
         };
         if std::mem::replace(&mut t.over, true) {
@@ -730,15 +730,15 @@
         }
         let class = &mut self.day.classes[t.class];
         let took = self.now - t.born;
-        let late_share = self.scenario.classes[t.class].late_share;
+        let late_answer_weight = self.scenario.classes[t.class].late_answer_weight;
         let earned = match answer {
             Answer::Served(_) => {
                 class.ends.served += 1;
                 class.latency.saturating_record((took * 1000.0) as u64 + 1);
-                if took <= t.aim {
-                    t.worth
+                if took <= t.latency_objective {
+                    t.priority_weight
                 } else {
-                    t.worth * late_share
+                    t.priority_weight * late_answer_weight
                 }
             }
             Answer::Refused { .. } => {
@@ -754,11 +754,11 @@
                 0.0
             }
         };
-        class.worth.earned += earned;
+        class.priority_weight.earned += earned;
         self.day.tenants[t.tenant].1.earned += earned;
-        self.window_of(t.born).worth.earned += earned;
+        self.window_of(t.born).priority_weight.earned += earned;
         // What look-ups that missed their aim waited for: their attempts' times are still being added.
-        if t.class == 0 && earned < t.worth {
+        if t.class == 0 && earned < t.priority_weight {
             let late = self.day.late.entry(g as u32).or_default();
             late.requests += 1;
             late.held += t.first_sent.unwrap_or(self.now) - t.born;
@@ -770,7 +770,7 @@
 
     /// Forgets a request that is answered and has nothing out.
     fn close(&mut self, g: usize, request: u64) {
-        let gateway = &mut self.gateways[g];
+        let gateway = &mut self.dispatchers[g];
         let first = AttemptId { request, index: 0 };
         let last = AttemptId {
             request,
@@ -837,7 +837,7 @@
         x.next_job += 1;
         if !x.model.send(self.now, id, job) {
             let report = x.model.report().to_vec();
-            return self.back(attempt, e, Outcome::Full, report);
+            return self.back(attempt, e, Outcome::Rejected, report);
         }
         x.jobs.insert(id, attempt);
         x.ids.insert(attempt, id);
@@ -847,7 +847,7 @@
     }
 
     fn spent(&mut self, attempt: Attempt, waits: &Waits) {
-        if let Some(t) = self.gateways[attempt.gateway]
+        if let Some(t) = self.dispatchers[attempt.gateway]
             .tries
             .get_mut(&attempt.id.request)
         {
@@ -911,7 +911,7 @@
         self.engines[e].listed = state;
         let entry = self.entry(e);
         let net = &self.scenario.net;
-        for g in 0..self.gateways.len() {
+        for g in 0..self.dispatchers.len() {
             let lag = self.lists.between(net.list_ms[0], net.list_ms[1]) + self.list_extra;
             if self.list_away {
                 self.held_news.push((g, e, entry.clone()));
@@ -1019,22 +1019,22 @@
                 self.at(self.now + for_s * s, Event::Over(i, vec![class]));
             }
             What::Partition {
-                gateways,
+                dispatchers,
                 engines,
                 for_s,
             } => {
                 let engines = self.which(&engines);
-                for g in &gateways {
+                for g in &dispatchers {
                     self.cut.extend(engines.iter().map(|e| (*g, *e)));
                 }
                 self.at(self.now + for_s * s, Event::Over(i, engines));
             }
             What::SlowLink {
-                gateways,
+                dispatchers,
                 extra_ms,
                 for_s,
             } => {
-                gateways
+                dispatchers
                     .iter()
                     .for_each(|g| *self.slow.entry(*g).or_default() += extra_ms);
                 self.at(self.now + for_s * s, Event::Over(i, vec![]));
@@ -1064,7 +1064,7 @@
                 restart_after_s,
             } => {
                 for e in self.which(&engines) {
-                    for g in 0..self.gateways.len() {
+                    for g in 0..self.dispatchers.len() {
                         // Operators call one gateway after the other.
                         let at = self.now + 50.0 * g as f64;
                         self.at(
@@ -1122,16 +1122,18 @@
                     self.heavy.remove(n);
                 }
             }
-            What::Partition { gateways, .. } => {
-                for g in gateways {
+            What::Partition { dispatchers, .. } => {
+                for g in dispatchers {
                     self.cut
                         .retain(|(cut, e)| *cut != g || !engines.contains(e));
                 }
             }
             What::SlowLink {
-                gateways, extra_ms, ..
+                dispatchers,
+                extra_ms,
+                ..
             } => {
-                for g in gateways {
+                for g in dispatchers {
                     *self.slow.entry(g).or_default() -= extra_ms;
                 }
             }
@@ -1156,7 +1158,7 @@
                 self.list(e, EngineState::Ready);
             }
             Step::HandIn(e) => {
-                for g in 0..self.gateways.len() {
+                for g in 0..self.dispatchers.len() {
                     let at = self.now + 50.0 * g as f64;
                     self.at(
                         at,
@@ -1184,7 +1186,7 @@
             }
             Event::Again(t) => drop(self.ask(*t)),
             Event::Leave { gateway, request } => {
-                let Some(t) = self.gateways[gateway]
+                let Some(t) = self.dispatchers[gateway]
                     .tries
                     .get_mut(&request)
                     .filter(|t| !t.over)
@@ -1231,11 +1233,11 @@
                 report,
             } => {
                 let Attempt { gateway, id } = attempt;
-                let Some((_, sent)) = self.gateways[gateway].out.remove(&id) else {
+                let Some((_, sent)) = self.dispatchers[gateway].out.remove(&id) else {
                     return;
                 };
                 if matches!(outcome, Outcome::Reset | Outcome::Unreachable)
-                    && let Some(t) = self.gateways[gateway].tries.get_mut(&id.request)
+                    && let Some(t) = self.dispatchers[gateway].tries.get_mut(&id.request)
                 {
                     t.lost += self.now - sent;
                 }
@@ -1244,13 +1246,16 @@
                 self.close(gateway, id.request);
             }
             Event::Noted { attempt, note } => {
-                if self.gateways[attempt.gateway].out.contains_key(&attempt.id) {
+                if self.dispatchers[attempt.gateway]
+                    .out
+                    .contains_key(&attempt.id)
+                {
                     self.decide(attempt.gateway, |d, now| d.note(now, attempt.id, note));
                 }
             }
             Event::Tick { gateway, at } => {
-                if self.gateways[gateway].tick_at.map(f64::to_bits) == Some(at) {
-                    self.gateways[gateway].tick_at = None;
+                if self.dispatchers[gateway].tick_at.map(f64::to_bits) == Some(at) {
+                    self.dispatchers[gateway].tick_at = None;
                     self.decide(gateway, |d, now| d.tick(now));
                 }
             }
@@ -1261,9 +1266,9 @@
                 at,
             } => {
                 // Messages may overtake each other; the news of a moment never go behind later ones.
-                let known = self.gateways[gateway].news.insert(engine, at);
+                let known = self.dispatchers[gateway].news.insert(engine, at);
                 if let Some(known) = known.filter(|k| *k > at) {
-                    self.gateways[gateway].news.insert(engine, known);
+                    self.dispatchers[gateway].news.insert(engine, known);
                     return;
                 }
                 self.mark(9, gateway as u64, engine as u64);
--- a/crates/testbed/src/world/policy.rs
+++ b/crates/testbed/src/world/policy.rs
@@ -2,7 +2,7 @@
 
 use crate::random::Stream;
 use query_dispatcher::core::{Answer, AttemptId, Command, Core, NewRequest, RequestId};
-use query_dispatcher::{EngineEntry, EngineState, ListUpdate, Note, Outcome};
+use query_dispatcher::{EngineEntry, EngineState, ListUpdate, Outcome, ProgressNote};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,7 +11,7 @@
     fn open(&mut self, now: f64, r: NewRequest) -> RequestId;
     fn leave(&mut self, now: f64, request: RequestId);
     fn ended(&mut self, now: f64, attempt: AttemptId, outcome: Outcome, report: Vec<f64>);
-    fn note(&mut self, now: f64, attempt: AttemptId, note: Note);
+    fn note(&mut self, now: f64, attempt: AttemptId, note: ProgressNote);
     fn engines(&mut self, now: f64, update: ListUpdate, entries: Vec<EngineEntry>);
     fn by_hand(&mut self, now: f64, engine: &str, out: bool);
     fn tick(&mut self, now: f64);
@@ -31,7 +31,7 @@
     fn ended(&mut self, now: f64, attempt: AttemptId, outcome: Outcome, report: Vec<f64>) {
         Core::ended(self, now, attempt, outcome, report);
     }
-    fn note(&mut self, now: f64, attempt: AttemptId, note: Note) {
+    fn note(&mut self, now: f64, attempt: AttemptId, note: ProgressNote) {
         Core::note(self, now, attempt, note);
     }
     fn engines(&mut self, now: f64, update: ListUpdate, entries: Vec<EngineEntry>) {
@@ -285,7 +285,7 @@
         let engine = a.0;
         r.may_have_run |= !matches!(
             outcome,
-            Outcome::Full | Outcome::Unreachable | Outcome::Moot
+            Outcome::Rejected | Outcome::Unreachable | Outcome::NeverStarted
         );
         self.out[engine] -= 1;
         match outcome {
@@ -294,7 +294,7 @@
         }
     }
 
-    fn note(&mut self, _: f64, _: AttemptId, _: Note) {}
+    fn note(&mut self, _: f64, _: AttemptId, _: ProgressNote) {}
 
     fn engines(&mut self, _: f64, update: ListUpdate, entries: Vec<EngineEntry>) {
         if update != ListUpdate::Patch {
--- a/crates/testbed/src/world/tests.rs
+++ b/crates/testbed/src/world/tests.rs
@@ -81,7 +81,7 @@
             d.requests,
             d.classes
                 .iter()
-                .map(|c| c.worth.asked.to_bits())
+                .map(|c| c.priority_weight.asked.to_bits())
                 .collect::<Vec<_>>(),
         )
     };
@@ -197,7 +197,7 @@
         };
         self.sound.ended(now, attempt, outcome, report);
     }
-    fn note(&mut self, _: f64, _: AttemptId, _: Note) {}
+    fn note(&mut self, _: f64, _: AttemptId, _: ProgressNote) {}
     fn engines(&mut self, now: f64, update: ListUpdate, entries: Vec<EngineEntry>) {
         if !self.deaf || update != ListUpdate::Patch {
             self.sound.engines(now, update, entries);
@@ -310,7 +310,7 @@
         let mut s = Scenario::read(&path).unwrap();
         names.push(path.file_stem().unwrap().to_str().unwrap().to_string());
         // Large days are for `make lab`.
-        if s.gateways > 10 {
+        if s.dispatchers > 10 {
             continue;
         }
         s.seconds = s.seconds.min(45.0);
--- a/src/bin/hitchwinch-simhost/main.rs
+++ b/src/bin/hitchwinch-simhost/main.rs
@@ -35,7 +35,7 @@
         };
         match event {
             Event::Query(_) => bulletin.taken(),
-            Event::Engines { update, entries } => {
+            Event::EngineList { update, entries } => {
                 if *update != ListUpdate::Patch {
                     self.listed.clear();
                 }
@@ -150,7 +150,7 @@
                 let report = metrics.unwrap_or_default();
                 (
                     gateway_id,
-                    Event::Heard {
+                    Event::EngineReport {
                         engine,
                         outcome: how.outcome(),
                         report,
@@ -190,7 +190,7 @@
                 };
                 (
                     gateway_id,
-                    Event::Heard {
+                    Event::EngineReport {
                         engine,
                         outcome: Outcome::Served,
                         report,
--- a/src/bin/hitchwinch-simhost/wire.rs
+++ b/src/bin/hitchwinch-simhost/wire.rs
@@ -144,12 +144,12 @@
         match self {
             Status::Pass => Outcome::Served,
             Status::Fault => Outcome::Error,
-            Status::NoRoom => Outcome::Full,
+            Status::NoRoom => Outcome::Rejected,
             Status::TooSlow => Outcome::TimedOut,
             Status::NoRoute => Outcome::Unreachable,
             Status::Cut => Outcome::Reset,
             Status::Undone => Outcome::Cancelled,
-            Status::StaleSend => Outcome::Moot,
+            Status::StaleSend => Outcome::NeverStarted,
         }
     }
 }
@@ -175,8 +175,8 @@
 
 pub fn ended(names: &Names, e: EndedIn) -> Event {
     // A bill is 4096 x work in milliseconds + memory in steps of 4 MB.
-    let bill = e.bill.filter(|b| names.tells_cost && *b > 0);
-    Event::Ended(Ended {
+    let bill = e.bill.filter(|b| names.reports_cost && *b > 0);
+    Event::AttemptEnded(Ended {
         id: e.corr.into(),
         attempt: e.go,
         outcome: e.how.outcome(),
@@ -214,15 +214,15 @@
             cell: m.stripe.unwrap_or(0),
         })
         .collect();
-    Event::Engines { update, entries }
+    Event::EngineList { update, entries }
 }
 
-pub fn note(kind: u32, x: Option<f64>) -> Option<Note> {
+pub fn note(kind: u32, x: Option<f64>) -> Option<ProgressNote> {
     match kind {
-        1 => x.map(Note::Done),
-        2 => x.map(Note::Spills),
-        3 if x == Some(2.0) => Some(Note::WaitsForLoad),
-        3 => Some(Note::WaitsForMemory),
+        1 => x.map(ProgressNote::Done),
+        2 => x.map(ProgressNote::Spills),
+        3 if x == Some(2.0) => Some(ProgressNote::WaitsForLoad),
+        3 => Some(ProgressNote::WaitsForMemory),
         _ => None,
     }
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -115,7 +115,7 @@
     pub kinds: Vec<String>,
     pub zones: Vec<String>,
     pub tenants: Vec<String>,
-    pub tells_cost: bool,
+    pub reports_cost: bool,
     /// The names of a load report's values, as the settings list them.
     pub report_fields: Vec<String>,
 }
--- a/src/config/mysql.rs
+++ b/src/config/mysql.rs
@@ -138,7 +138,8 @@
     inherited_fd: Option<i32>,
     state_dir: Option<PathBuf>,
     #[serde(default = "one")]
-    gateways: u32,
+    #[serde(rename = "gateways")]
+    dispatchers: u32,
     zone: Option<String>,
     max_clients: Option<usize>,
     max_packet: Option<usize>,
@@ -193,13 +194,16 @@
 #[serde(deny_unknown_fields)]
 struct RawClass {
     name: String,
-    worth: f64,
+    #[serde(rename = "worth")]
+    priority_weight: f64,
     aim_ms: f64,
     deadline_ms: f64,
     #[serde(default)]
-    aim_stretch: f64,
+    #[serde(rename = "aim_stretch")]
+    latency_objective_slowdown: f64,
     #[serde(default)]
-    late_share: f64,
+    #[serde(rename = "late_share")]
+    late_answer_weight: f64,
     #[serde(default = "one")]
     threads: u32,
     /// True: running it twice would do harm.
@@ -397,25 +401,25 @@
             }
         };
         let settings = Settings {
-            gateways: raw.gateways,
+            dispatchers: raw.dispatchers,
             zone: raw.zone.as_ref().and_then(|z| find(&zones, z)),
             step: 5.0,
             classes: raw
                 .class
                 .iter()
                 .map(|c| Class {
-                    worth: c.worth,
-                    aim: c.aim_ms,
-                    aim_stretch: c.aim_stretch,
-                    late_share: c.late_share,
-                    effect: if c.fragile {
-                        Effect::Unsafe
+                    priority_weight: c.priority_weight,
+                    latency_objective: c.aim_ms,
+                    latency_objective_slowdown: c.latency_objective_slowdown,
+                    late_answer_weight: c.late_answer_weight,
+                    idempotency: if c.fragile {
+                        Idempotency::NonIdempotent
                     } else {
-                        Effect::Safe
+                        Idempotency::Idempotent
                     },
                     in_order: false,
-                    only_zones: None,
-                    only_kinds: None,
+                    allowed_zones: None,
+                    allowed_kinds: None,
                     threads: f64::from(c.threads),
                     holds_tables: c.holds_tables,
                     waits_for_loads: c.waits_for_loads,
@@ -429,37 +433,37 @@
                 })
                 .collect(),
             kinds: kind_facts,
-            over_share_worth: 0.05,
+            over_quota_weight: 0.05,
             limits: Limits {
-                most_attempts: 3,
-                second_copies: false,
+                max_attempts: 3,
+                hedging: false,
                 cancel: true,
                 probes: false,
-                retry_advice: true,
+                sends_retry_after: true,
                 max_retry_after: 500.0,
             },
             // MySQL takes no grants, and its answers tell nothing of load.
-            engines: EngineFacts {
-                takes_grants: false,
-                takes_priority: false,
-                most_grant: 0.4,
-                tells_cost: false,
-                overcommits: false,
-                notes_every: 0.0,
+            engines: EngineCapabilities {
+                accepts_memory_grants: false,
+                accepts_priority: false,
+                max_grant_share: 0.4,
+                reports_cost: false,
+                overcommits_memory: false,
+                progress_interval: 0.0,
             },
             rules: Rules {
                 answer_grace: 20.0,
                 drain_grace: 1000.0,
-                cold_from: 0.3,
-                warm_within: 15_000.0,
-                fall_multiple: 4.0,
-                fall_window: 2000.0,
-                order_rest: 0.0,
-                attempt_budget: None,
+                initial_warm_up_capacity: 0.3,
+                warm_up_period: 15_000.0,
+                overload_multiple: 4.0,
+                overload_window: 2000.0,
+                order_quiet_period: 0.0,
+                retry_budget: None,
             },
             report_fields: vec![],
             must_subscribe: false,
-            cross_zone_price: 0.0,
+            cross_zone_cost: 0.0,
         };
         settings.check().map_err(|e| bad(&e.field, e.problem))?;
         let deadlines: Vec<Millis> = raw.class.iter().map(|c| c.deadline_ms).collect();
@@ -518,7 +522,7 @@
                 kinds,
                 zones,
                 tenants,
-                tells_cost: false,
+                reports_cost: false,
                 report_fields: vec![],
             },
             settings,
--- a/src/config/profile.rs
+++ b/src/config/profile.rs
@@ -15,7 +15,8 @@
     grades: Vec<Grade>,
     locality: Option<String>,
     machine_types: Vec<String>,
-    over_share_worth: Option<f64>,
+    #[serde(rename = "over_share_worth")]
+    over_quota_weight: Option<f64>,
     rules: RulesIn,
     step: f64,
     tenants: Option<Vec<TenantIn>>,
@@ -33,7 +34,8 @@
     peer_messages: Option<bool>,
     probes: Option<bool>,
     retry_after: Option<bool>,
-    second_copies: Option<bool>,
+    #[serde(rename = "second_copies")]
+    hedging: Option<bool>,
     streams_per_conn: Option<usize>,
 }
 
@@ -52,13 +54,16 @@
     cost_in_answers: Option<bool>,
     #[serde(default)]
     holds_tables: Vec<bool>,
-    most_grant: Option<f64>,
+    #[serde(rename = "most_grant")]
+    max_grant_share: Option<f64>,
     on_shortage: Option<String>,
     progress: Option<f64>,
     #[serde(default)]
     ram_of_kind_mb: Vec<f64>,
-    takes_grants: Option<bool>,
-    takes_priority: Option<bool>,
+    #[serde(rename = "takes_grants")]
+    accepts_memory_grants: Option<bool>,
+    #[serde(rename = "takes_priority")]
+    accepts_priority: Option<bool>,
     #[serde(default)]
     width_by_class: Vec<f64>,
 }
@@ -71,31 +76,39 @@
 #[derive(Deserialize)]
 struct Grade {
     name: String,
-    aim: f64,
-    aim_stretch: Option<f64>,
+    #[serde(rename = "aim")]
+    latency_objective: f64,
+    #[serde(rename = "aim_stretch")]
+    latency_objective_slowdown: Option<f64>,
     dedup_window: Option<f64>,
-    effect: String,
+    #[serde(rename = "effect")]
+    idempotency: String,
     hard_limit: Option<f64>,
     group: Option<String>,
-    late_share: Option<f64>,
+    #[serde(rename = "late_share")]
+    late_answer_weight: Option<f64>,
     one_at_a_time: Option<bool>,
     confined_to: Option<Vec<String>>,
     machine_types_only: Option<Vec<String>>,
-    worth: f64,
+    #[serde(rename = "worth")]
+    priority_weight: f64,
 }
 
 #[derive(Deserialize)]
 struct RulesIn {
     budget_span: Option<f64>,
-    cold_from: f64,
+    #[serde(rename = "cold_from")]
+    initial_warm_up_capacity: f64,
     drain_grace: f64,
     extra_per_request: Option<f64>,
-    fall_multiple: f64,
+    #[serde(rename = "fall_multiple")]
+    overload_multiple: f64,
     grace_to_answer: f64,
     overload_for: f64,
     spare_attempts: Option<f64>,
     turn_gap: Option<f64>,
-    warm_within: f64,
+    #[serde(rename = "warm_within")]
+    warm_up_period: f64,
 }
 
 #[derive(Deserialize)]
@@ -157,14 +170,14 @@
         let n = self.grades.len();
         let mut classes = Vec::with_capacity(n);
         for (i, g) in self.grades.iter().enumerate() {
-            let effect = match g.effect.as_str() {
-                "retryable" => Effect::Safe,
-                "fragile" => Effect::Unsafe,
-                "dedup" => Effect::Keyed {
+            let idempotency = match g.idempotency.as_str() {
+                "retryable" => Idempotency::Idempotent,
+                "fragile" => Idempotency::NonIdempotent,
+                "dedup" => Idempotency::Keyed {
                     group: match g.group.as_deref() {
-                        Some("all") => Group::All,
-                        Some("zone") => Group::Zone,
-                        Some("cell") | None => Group::Cell,
+                        Some("all") => DeduplicationScope::All,
+                        Some("zone") => DeduplicationScope::Zone,
+                        Some("cell") | None => DeduplicationScope::Cell,
                         Some(other) => {
                             return Err(format!("grades[{i}].group: unknown word {other:?}"));
                         }
@@ -180,14 +193,14 @@
                     .map(|v| v.iter().filter_map(|s| find(list, s)).collect())
             };
             classes.push(Class {
-                worth: g.worth,
-                aim: g.aim,
-                aim_stretch: g.aim_stretch.unwrap_or(0.0),
-                late_share: g.late_share.unwrap_or(0.0),
-                effect,
+                priority_weight: g.priority_weight,
+                latency_objective: g.latency_objective,
+                latency_objective_slowdown: g.latency_objective_slowdown.unwrap_or(0.0),
+                late_answer_weight: g.late_answer_weight.unwrap_or(0.0),
+                idempotency,
                 in_order: g.one_at_a_time.unwrap_or(false),
-                only_zones: numbers(&g.confined_to, &zones),
-                only_kinds: numbers(&g.machine_types_only, &kinds),
+                allowed_zones: numbers(&g.confined_to, &zones),
+                allowed_kinds: numbers(&g.machine_types_only, &kinds),
                 threads: at(&x.width_by_class, i, 1.0, n, "extra.width_by_class")?,
                 holds_tables: at(&x.holds_tables, i, false, n, "extra.holds_tables")?,
                 waits_for_loads: at(&x.class_waits, i, false, n, "extra.class_waits")?,
@@ -207,9 +220,9 @@
         let budget = (r.budget_span, r.spare_attempts, r.extra_per_request);
         let c = self.ceilings;
         let fields = self.feedback.and_then(|f| f.fields).unwrap_or_default();
-        let tells_cost = x.cost_in_answers.unwrap_or(false);
+        let reports_cost = x.cost_in_answers.unwrap_or(false);
         let settings = Settings {
-            gateways: self.fleet_size,
+            dispatchers: self.fleet_size,
             zone: self.locality.and_then(|z| find(&zones, &z)),
             step: self.step,
             classes,
@@ -220,34 +233,34 @@
                 })
                 .collect(),
             kinds: kind_facts,
-            over_share_worth: self.over_share_worth.unwrap_or(1.0),
+            over_quota_weight: self.over_quota_weight.unwrap_or(1.0),
             limits: Limits {
-                most_attempts: c.most_tries.unwrap_or(1),
-                second_copies: c.second_copies.unwrap_or(false),
+                max_attempts: c.most_tries.unwrap_or(1),
+                hedging: c.hedging.unwrap_or(false),
                 cancel: c.cancel.unwrap_or(false),
                 probes: c.probes.unwrap_or(false),
-                retry_advice: c.retry_after.unwrap_or(false),
+                sends_retry_after: c.retry_after.unwrap_or(false),
                 max_retry_after: c.max_retry_after.unwrap_or(0.0),
             },
-            engines: EngineFacts {
-                takes_grants: x.takes_grants.unwrap_or(false),
-                takes_priority: x.takes_priority.unwrap_or(false),
-                most_grant: x.most_grant.unwrap_or(0.0),
-                tells_cost,
-                overcommits: x.on_shortage.as_deref() == Some("overcommit"),
-                notes_every: x.progress.unwrap_or(0.0),
+            engines: EngineCapabilities {
+                accepts_memory_grants: x.accepts_memory_grants.unwrap_or(false),
+                accepts_priority: x.accepts_priority.unwrap_or(false),
+                max_grant_share: x.max_grant_share.unwrap_or(0.0),
+                reports_cost,
+                overcommits_memory: x.on_shortage.as_deref() == Some("overcommit"),
+                progress_interval: x.progress.unwrap_or(0.0),
             },
             rules: Rules {
                 answer_grace: r.grace_to_answer,
                 drain_grace: r.drain_grace,
-                cold_from: r.cold_from,
-                warm_within: r.warm_within,
-                fall_multiple: r.fall_multiple,
-                fall_window: r.overload_for,
-                order_rest: r.turn_gap.unwrap_or(0.0),
-                attempt_budget: match budget {
+                initial_warm_up_capacity: r.initial_warm_up_capacity,
+                warm_up_period: r.warm_up_period,
+                overload_multiple: r.overload_multiple,
+                overload_window: r.overload_for,
+                order_quiet_period: r.turn_gap.unwrap_or(0.0),
+                retry_budget: match budget {
                     (None, None, None) => None,
-                    (span, free, share) => Some(AttemptBudget {
+                    (span, free, share) => Some(RetryBudget {
                         span: span.unwrap_or(0.0),
                         free: free.unwrap_or(0.0),
                         share: share.unwrap_or(0.0),
@@ -266,14 +279,14 @@
                 })
                 .collect(),
             must_subscribe: self.discovery.as_deref() == Some("subscribe"),
-            cross_zone_price: self.deductions.and_then(|d| d.cross_zone).unwrap_or(0.0),
+            cross_zone_cost: self.deductions.and_then(|d| d.cross_zone).unwrap_or(0.0),
         };
         let names = Names {
             classes: self.grades.into_iter().map(|g| g.name).collect(),
             kinds,
             zones,
             tenants: tenants.into_iter().map(|t| t.name).collect(),
-            tells_cost,
+            reports_cost,
             report_fields: fields,
         };
         Ok((settings, names))
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -102,24 +102,27 @@
 
 impl Request {
     /// A refusal promises that a repeat does no harm: from another client's word, it may go to any engine.
-    fn harmless(&self, effect: Effect) -> bool {
-        match effect {
-            Effect::Safe
-            | Effect::Keyed {
-                group: Group::All, ..
+    fn harmless(&self, idempotency: Idempotency) -> bool {
+        match idempotency {
+            Idempotency::Idempotent
+            | Idempotency::Keyed {
+                group: DeduplicationScope::All,
+                ..
             } => true,
-            Effect::Keyed { .. } | Effect::Unsafe => self.attempts.iter().all(|a| !a.may_have_run),
+            Idempotency::Keyed { .. } | Idempotency::NonIdempotent => {
+                self.attempts.iter().all(|a| !a.may_have_run)
+            }
         }
     }
 
     /// Another attempt may be written until then: engines drop a repeat for their window from the first that may have
     /// run.
-    fn repeats_until(&self, effect: Effect) -> Millis {
+    fn repeats_until(&self, idempotency: Idempotency) -> Millis {
         let first = self.attempts.iter().find(|a| a.may_have_run);
-        first.map_or(f64::INFINITY, |a| match effect {
-            Effect::Safe => f64::INFINITY,
-            Effect::Keyed { window, .. } => a.sent + window,
-            Effect::Unsafe => f64::MIN,
+        first.map_or(f64::INFINITY, |a| match idempotency {
+            Idempotency::Idempotent => f64::INFINITY,
+            Idempotency::Keyed { window, .. } => a.sent + window,
+            Idempotency::NonIdempotent => f64::MIN,
         })
     }
 }
@@ -130,8 +133,8 @@
 pub struct Core {
     facade: Facade,
     /// By class: what running it twice would do.
-    effects: Vec<Effect>,
-    most_attempts: usize,
+    idempotencies: Vec<Idempotency>,
+    max_attempts: usize,
     bounds: Bounds,
     requests: BTreeMap<RequestId, Request>,
     due: Due,
@@ -166,8 +169,8 @@
             ..Figures::default()
         };
         Ok(Core {
-            effects: settings.classes.iter().map(|c| c.effect).collect(),
-            most_attempts: settings.limits.most_attempts as usize,
+            idempotencies: settings.classes.iter().map(|c| c.idempotency).collect(),
+            max_attempts: settings.limits.max_attempts as usize,
             facade: Facade::new(settings, seed)?,
             bounds,
             requests: BTreeMap::new(),
@@ -225,7 +228,7 @@
         let id = self.next_id;
         self.next_id += 1;
         let due = (r.deadline - self.bounds.margin).min(self.stop_by.unwrap_or(f64::INFINITY));
-        let out_of_range = r.class >= self.effects.len() || !due.is_finite();
+        let out_of_range = r.class >= self.idempotencies.len() || !due.is_finite();
         let refusal = match () {
             // Held beyond this, requests would outgrow the memory that the machine gives.
             () if self.requests.len() >= self.bounds.open / self.processes => {
@@ -317,7 +320,7 @@
         }
         a.may_have_run = !matches!(
             outcome,
-            Outcome::Full | Outcome::Unreachable | Outcome::Moot
+            Outcome::Rejected | Outcome::Unreachable | Outcome::NeverStarted
         );
         let latency = now - a.sent;
         if outcome == Outcome::Served && !r.answered {
@@ -343,7 +346,7 @@
         true
     }
 
-    pub fn note(&mut self, now: Millis, attempt: AttemptId, note: Note) {
+    pub fn note(&mut self, now: Millis, attempt: AttemptId, note: ProgressNote) {
         if self.attempt(attempt).is_some() {
             self.report(
                 now,
@@ -524,7 +527,7 @@
                     memory_mb,
                     timeout,
                 } => self.run(now, query, engine, memory_mb, timeout),
-                Decision::Drop { query, attempt } => self.call_off(
+                Decision::Cancel { query, attempt } => self.call_off(
                     now,
                     AttemptId {
                         request: query,
@@ -546,7 +549,7 @@
                         why: "no engine answered it",
                     },
                 ),
-                Decision::Say(text) => self.commands.push(Command::Say(text)),
+                Decision::Log(text) => self.commands.push(Command::Say(text)),
             }
         }
         while let Some(report) = self.pending.pop_front() {
@@ -568,9 +571,9 @@
             return;
         };
         let index = r.attempts.len() as u32;
-        let write_by = r.repeats_until(self.effects[r.class]);
+        let write_by = r.repeats_until(self.idempotencies[r.class]);
         let allowed =
-            !r.answered && r.attempts.len() < self.most_attempts && now < r.due && now < write_by;
+            !r.answered && r.attempts.len() < self.max_attempts && now < r.due && now < write_by;
         let until = timeout.map_or(r.due, |t| r.due.min(now + t));
         r.attempts.push(Attempt {
             engine: engine.clone(),
@@ -585,7 +588,7 @@
                 self.due.insert((bits(until), id));
             }
             let attempt = AttemptId { request: id, index };
-            let alone = self.effects[r.class] == Effect::Unsafe;
+            let alone = self.idempotencies[r.class] == Idempotency::NonIdempotent;
             self.commands.push(Command::Start {
                 attempt,
                 engine,
@@ -598,7 +601,7 @@
             self.pending.push_back(Report::Ended(Ended {
                 id,
                 attempt: index,
-                outcome: Outcome::Moot,
+                outcome: Outcome::NeverStarted,
                 last: r.answered,
                 latency: 0.0,
                 work: None,
@@ -653,7 +656,7 @@
             r.answered = true;
             self.touched.push(id);
             // Guards the rule whatever the module says: only what cannot have run twice is called harmless.
-            let harmless = r.harmless(self.effects[r.class]);
+            let harmless = r.harmless(self.idempotencies[r.class]);
             let answer = match answer {
                 Answer::Refused { .. } | Answer::Failed { .. } if r.expired => {
                     Answer::TimedOut { harmless }
--- a/src/decision/controller.rs
+++ b/src/decision/controller.rs
@@ -122,11 +122,11 @@
             (self.began, self.period_end) = (self.now, self.now + PERIOD);
         }
         match event {
-            Event::Engines { update, entries } => self.list(update, entries),
+            Event::EngineList { update, entries } => self.list(update, entries),
             Event::DiscoveryFailed => self.ask_at = self.now + PERIOD,
             Event::Query(q) => self.take(q, out),
-            Event::Ended(e) => self.ended(e, out),
-            Event::Heard { engine, outcome, report } => {
+            Event::AttemptEnded(e) => self.ended(e, out),
+            Event::EngineReport { engine, outcome, report } => {
                 if let Some(&e) = self.names.get(&engine) {
                     self.report(e, &report);
                     if outcome == Outcome::Unreachable {
@@ -209,7 +209,7 @@
     }
 
     fn cold(&self, e: &Engine) -> bool {
-        e.started.is_some_and(|t| self.now < t + self.s.rules.warm_within + self.s.rules.fall_window)
+        e.started.is_some_and(|t| self.now < t + self.s.rules.warm_up_period + self.s.rules.overload_window)
     }
 
     // ---- classifier and queues -------------------------------------------------------------------
@@ -229,13 +229,13 @@
         {
             self.lines.entry(key.clone()).or_default().ids.push_back(id);
         }
-        let over_share = self.over_share(q.tenant);
-        self.mean_worth.add(self.s.classes[class].worth, KEEP_CLASS);
+        let over_quota = self.over_quota(q.tenant);
+        self.mean_worth.add(self.s.classes[class].priority_weight, KEEP_CLASS);
         self.mean_work.add(self.work(&q), KEEP_CLASS);
         let c = &mut self.classes[class];
         c.arrivals += 1.0;
         c.queue.push_back(id);
-        self.held.insert(id, Held { over_share, ..Held::new(q, self.now) });
+        self.held.insert(id, Held { over_quota, ..Held::new(q, self.now) });
         self.release(out);
         // One that comes with too little time to wait (a stalled gateway) is answered before the next look.
         let Some(h) = self.held.get(&id).filter(|h| !h.over && h.attempts.is_empty()) else { return };
@@ -245,9 +245,9 @@
         }
     }
 
-    fn over_share(&mut self, tenant: Option<usize>) -> bool {
+    fn over_quota(&mut self, tenant: Option<usize>) -> bool {
         let Some(t) = tenant.filter(|&t| t < self.buckets.len()) else { return false };
-        let rate = self.s.tenants[t].quota_per_s / f64::from(self.s.gateways);
+        let rate = self.s.tenants[t].quota_per_s / f64::from(self.s.dispatchers);
         let b = &mut self.buckets[t];
         let grown = b.tokens + rate * (self.now - b.at) / 1000.0;
         (b.tokens, b.at) = (grown.min((rate * QUOTA_BURST).max(1.0)), self.now);
@@ -285,18 +285,18 @@
     /// The class's mean work; before any answer, what its aim suggests.
     fn usual_work(&self, class: ClassId) -> f64 {
         let c = &self.s.classes[class];
-        let guess = c.aim * c.threads / (1.0 + c.aim_stretch);
+        let guess = c.latency_objective * c.threads / (1.0 + c.latency_objective_slowdown);
         self.classes[class].work.after(BELIEVE, guess).max(1.0)
     }
 
     /// Memory to ask for it there, MB; 0: the engine's own choice.
     fn grant(&self, h: &Held, e: usize) -> f64 {
-        let most = self.memory(&self.engines[e]) * self.s.engines.most_grant;
+        let most = self.memory(&self.engines[e]) * self.s.engines.max_grant_share;
         let likely = h.q.memory_mb.map(|m| {
             let (middle, scatter) = Self::read(&self.classes[h.q.class].read_memory, m);
             (middle + GRANT_SIGMAS * scatter.sqrt()).exp()
         });
-        h.need_mb.or(likely).filter(|_| self.s.engines.takes_grants).map_or(0.0, |m| m.min(most))
+        h.need_mb.or(likely).filter(|_| self.s.engines.accepts_memory_grants).map_or(0.0, |m| m.min(most))
     }
 
     /// No line for memory there, by a fresh report and what we sent since.
@@ -309,7 +309,7 @@
     /// Its work for a cold engine: its class's usual or more, or what answers took if nothing else tells.
     fn cold_work(&self, q: &Query) -> f64 {
         let took = self.classes[q.class].latency.or(0.0) * self.s.classes[q.class].threads;
-        let told = self.s.engines.tells_cost || q.work.is_some();
+        let told = self.s.engines.reports_cost || q.work.is_some();
         self.usual_work(q.class).max(self.work(q)).max(if told { 0.0 } else { took })
     }
 
@@ -321,9 +321,9 @@
     }
 
     /// Time within which a query of this work earns its full worth.
-    fn aim(&self, class: ClassId, work: f64) -> Millis {
+    fn latency_objective(&self, class: ClassId, work: f64) -> Millis {
         let c = &self.s.classes[class];
-        c.aim + c.aim_stretch * work / c.threads
+        c.latency_objective + c.latency_objective_slowdown * work / c.threads
     }
 
     // ---- rate predictor and integral controller ----------------------------------------------------
@@ -333,7 +333,7 @@
     }
 
     fn budget(&self, e: &Engine) -> f64 {
-        self.bears(e) / f64::from(self.s.gateways)
+        self.bears(e) / f64::from(self.s.dispatchers)
     }
 
     fn total_budget(&self) -> f64 {
@@ -343,9 +343,9 @@
     fn sample(&mut self) {
         let total = self.total_budget();
         let first = (0..self.classes.len())
-            .max_by(|&a, &b| self.s.classes[a].worth.total_cmp(&self.s.classes[b].worth).then(b.cmp(&a)))
+            .max_by(|&a, &b| self.s.classes[a].priority_weight.total_cmp(&self.s.classes[b].priority_weight).then(b.cmp(&a)))
             .unwrap_or(0);
-        let worth = |i: usize| self.s.classes[i].worth;
+        let priority_weight = |i: usize| self.s.classes[i].priority_weight;
         for c in self.classes.iter_mut().filter(|c| c.served > 0.0) {
             c.service = c.service_sum / c.served;
         }
@@ -354,7 +354,7 @@
         if self.classes.iter().all(|c| c.held) && slowdown[first] > 0.0 {
             for (i, c) in self.classes.iter_mut().enumerate() {
                 // δ(i)/δ(1) − S(i)/S(1), with δ = 1/worth.
-                c.error_sum += worth(first) / worth(i) - slowdown[i] / slowdown[first];
+                c.error_sum += priority_weight(first) / priority_weight(i) - slowdown[i] / slowdown[first];
             }
         }
         // λ(i)E[X] in threads over the budget; formula (4).
@@ -367,10 +367,10 @@
         let in_hand: f64 = self.classes.iter().map(|c| c.arrivals * c.service).sum();
         let width = (0..n).map(load).sum::<f64>() * total * PERIOD / in_hand.max(1e-9);
         let surplus = (1.0 - (0..n).map(load).sum::<f64>()).max(0.0);
-        let weighted: f64 = (0..n).map(|i| self.classes[i].arrivals * worth(i)).sum();
+        let weighted: f64 = (0..n).map(|i| self.classes[i].arrivals * priority_weight(i)).sum();
         let u: Vec<f64> = (0..n)
             .map(|i| {
-                let part = if weighted > 0.0 { self.classes[i].arrivals * worth(i) / weighted } else { 0.0 };
+                let part = if weighted > 0.0 { self.classes[i].arrivals * priority_weight(i) / weighted } else { 0.0 };
                 let p = (load(i) + part * surplus).max(P_MIN);
                 (1.0 / p + G * self.classes[i].error_sum).max(U_FLOOR / p)
             })
@@ -396,7 +396,7 @@
 
     /// Classes by worth for thread-time, best first: the order in which queues are scanned.
     fn scan_order(&self) -> Vec<ClassId> {
-        let gain = |i: usize| self.s.classes[i].worth / self.usual_work(i);
+        let gain = |i: usize| self.s.classes[i].priority_weight / self.usual_work(i);
         let mut order: Vec<ClassId> = (0..self.classes.len()).collect();
         order.sort_by(|&a, &b| gain(b).total_cmp(&gain(a)).then(a.cmp(&b)));
         order
@@ -426,7 +426,7 @@
                 for &i in &order {
                     let under = running[i] < self.classes[i].share * total;
                     held += running[i];
-                    let held = if self.s.engines.overcommits { running.iter().sum() } else { held };
+                    let held = if self.s.engines.overcommits_memory { running.iter().sum() } else { held };
                     let free = held + self.s.classes[i].threads <= self.window;
                     if under == by_share && free && self.release_one(i, out) {
                         running[i] += self.s.classes[i].threads;
@@ -509,7 +509,7 @@
                 let half = |e: usize| (self.engines[e].rank(t) < middle) == c.holds_tables;
                 // A load waits for one there in part of its spare time, so that no reader stands behind it.
                 let (k, work) = (h.q.class, self.work(&h.q));
-                let spare = self.aim(k, work).min(h.deadline - h.arrived) - self.expected(k, work);
+                let spare = self.latency_objective(k, work).min(h.deadline - h.arrived) - self.expected(k, work);
                 let own = |&e: &usize| half(e) && free(&self.engines[e]);
                 let waits = c.holds_tables && self.stalls() && self.now < h.arrived + PATIENCE * spare;
                 if waits && !found.iter().any(own) {
@@ -521,7 +521,7 @@
             // The first few of its own order: cold ones, for a draw left unused leaves them idle; those it
             // has met, for each has few connections. Before all its own zone's, unless crossing costs little
             // of a query's worth, or that zone is crowded and another not (lost racks). Harm: less choice.
-            let calm = self.s.cross_zone_price * self.mean_worth.or(0.0) > CHEAP * c.worth
+            let calm = self.s.cross_zone_cost * self.mean_worth.or(0.0) > CHEAP * c.priority_weight
                 && self.crowd_of(self.s.zone) <= self.least_crowd().max(HOME_FULL);
             let away = |x: &Engine| !calm || x.zone != self.s.zone;
             let order = |x: &Engine| (away(x), !self.cold(x), x.heard == f64::MIN, x.rank(self.key));
@@ -640,7 +640,7 @@
         // it is told; idle cores do not, for queries that lack memory or disks leave them idle too.
         let told = |f| self.s.report_fields.contains(&f);
         let by_memory = self.stalls() && told(ReportField::MemoryGranted);
-        let full = if self.s.engines.overcommits { MEMORY_FULL } else { 1.0 };
+        let full = if self.s.engines.overcommits_memory { MEMORY_FULL } else { 1.0 };
         // Where nothing tells of memory, what is in hand stands for it.
         let unseen = if told(ReportField::MemoryGranted) { 1.0 } else { full * full };
         let in_hand = (e.inflight + since) * self.width / (bears * unseen);
@@ -697,7 +697,7 @@
 
     /// Its notes have ceased though its engine speaks on. Harm: where only notes get lost, a repeat in vain.
     fn lost(&self, e: &Engine, r: &Running) -> bool {
-        let every = self.s.engines.notes_every;
+        let every = self.s.engines.progress_interval;
         every > 0.0 && self.least_crowd() <= HOME_FULL && e.heard > r.heard.max(e.speaks) + LOST * every
     }
 
@@ -734,7 +734,7 @@
         let Some(h) = self.held.get_mut(&e.id) else { return };
         let Some(a) = h.attempts.get_mut(e.attempt as usize).filter(|a| a.out) else { return };
         a.out = false;
-        let proven = matches!(e.outcome, Outcome::Full | Outcome::Unreachable | Outcome::Moot);
+        let proven = matches!(e.outcome, Outcome::Rejected | Outcome::Unreachable | Outcome::NeverStarted);
         a.may_have_run = !proven;
         let (engine, sent) = (a.engine, a.sent);
         let over = e.last || e.outcome == Outcome::Served;
@@ -750,8 +750,8 @@
         let void = x.started.is_some_and(|t| sent < t);
         let stood = x.out.iter().any(|r| (r.id, r.attempt) == (e.id, e.attempt) && r.stood);
         x.out.retain(|r| (r.id, r.attempt) != (e.id, e.attempt));
-        if !matches!(e.outcome, Outcome::TimedOut | Outcome::Cancelled | Outcome::Moot) {
-            self.heard = x.hear(now, LOST * self.s.engines.notes_every);
+        if !matches!(e.outcome, Outcome::TimedOut | Outcome::Cancelled | Outcome::NeverStarted) {
+            self.heard = x.hear(now, LOST * self.s.engines.progress_interval);
         }
         let stretch = (now - sent) * threads / self.usual_work(class);
         if e.outcome == Outcome::Served {
@@ -769,7 +769,7 @@
         let x = &self.engines[engine];
         let idle = self.crowding(x).is_none_or(|c| c * THREADS_PER_CORE <= 1.0);
         let calm = idle && self.crowd_of(x.zone) <= HOME_FULL;
-        if matches!(e.outcome, Outcome::Full | Outcome::Unreachable) && !void {
+        if matches!(e.outcome, Outcome::Rejected | Outcome::Unreachable) && !void {
             self.engines[engine].full_until = now + FULL_FOR;
             self.cut(engine, 0.0);
         }
@@ -794,9 +794,9 @@
                 c.read_memory.add(est.ln(), m.ln(), KEEP_CLASS);
             }
         }
-        self.judge(engine, if void { Outcome::Moot } else { e.outcome });
-        let aim = self.aim(class, e.work.unwrap_or(self.usual_work(class)));
-        let in_time = e.outcome == Outcome::Served && now - sent <= aim;
+        self.judge(engine, if void { Outcome::NeverStarted } else { e.outcome });
+        let latency_objective = self.latency_objective(class, e.work.unwrap_or(self.usual_work(class)));
+        let in_time = e.outcome == Outcome::Served && now - sent <= latency_objective;
         // Only a window in use grows: one that was never filled says nothing of what engines bear.
         if in_time && 2.0 * (self.running() + threads) >= self.window {
             self.window += GROW * threads / self.window.max(1.0);
@@ -824,16 +824,16 @@
         }
     }
 
-    fn progress(&mut self, id: QueryId, attempt: u32, note: Note, out: &mut Vec<Action>) {
+    fn progress(&mut self, id: QueryId, attempt: u32, note: ProgressNote, out: &mut Vec<Action>) {
         let Some(h) = self.held.get(&id) else { return };
         let Some(a) = h.attempts.get(attempt as usize).filter(|a| a.out) else { return };
         let (engine, class) = (a.engine, h.q.class);
         let threads = self.s.classes[class].threads;
         let x = &mut self.engines[engine];
-        self.heard = x.hear(self.now, LOST * self.s.engines.notes_every);
+        self.heard = x.hear(self.now, LOST * self.s.engines.progress_interval);
         let Some(r) = x.out.iter_mut().find(|r| (r.id, r.attempt) == (id, attempt)) else { return };
-        (r.heard, r.threads) = (self.now, if note == Note::Idle { 0.0 } else { threads });
-        if note == Note::WaitsForMemory {
+        (r.heard, r.threads) = (self.now, if note == ProgressNote::Idle { 0.0 } else { threads });
+        if note == ProgressNote::WaitsForMemory {
             // It stands in the engine's line and nothing has run: a full refusal in other words, and a move
             // is free. Harm: an attempt and its place in line, in vain where every engine has a line.
             self.cut(engine, self.budget(&self.engines[engine]));
@@ -845,7 +845,7 @@
                 self.rescue(id, attempt, out)
             };
         }
-        if note == Note::WaitsForLoad {
+        if note == ProgressNote::WaitsForLoad {
             // A load of another gateway holds what this one reads: elsewhere it need not wait.
             // Harm: a short hold costs an attempt and the work of a restart.
             r.stood = true;
@@ -855,13 +855,13 @@
             return self.rescue(id, attempt, out);
         }
         let (granted, threads) = (r.granted, r.threads);
-        if let Note::Spills(short) = note {
+        if let ProgressNote::Spills(short) = note {
             // Its need is known now, at its start: elsewhere it gets that (an engine's own choice is taken
             // for its threads' part). Guards against estimates far too low or none; harm: an attempt and a
             // restart, in vain where no engine has the memory, so only once.
             let chosen = self.memory(&self.engines[engine]) / self.bears(&self.engines[engine]) * threads;
             let need = if granted > 0.0 { granted } else { chosen } + short;
-            if self.s.engines.takes_grants && need.is_finite() && h.need_mb.is_none() {
+            if self.s.engines.accepts_memory_grants && need.is_finite() && h.need_mb.is_none() {
                 self.held.get_mut(&id).into_iter().for_each(|h| h.need_mb = Some(need));
                 if short > SPILL * need {
                     self.rescue(id, attempt, out);
@@ -869,7 +869,7 @@
             }
             return;
         }
-        let Note::Done(done) = note else { return };
+        let ProgressNote::Done(done) = note else { return };
         r.done = if done.is_finite() { done.clamp(0.0, 1.0) } else { return };
         let elapsed = self.now - r.sent;
         let (work, done) = (r.work, r.done.max(1e-3));
@@ -892,12 +892,12 @@
     /// Calls an attempt off to send its query elsewhere, where that is harmless and stops the work.
     fn rescue(&mut self, id: QueryId, attempt: u32, out: &mut Vec<Action>) {
         let Some(h) = self.held.get_mut(&id).filter(|h| !h.over && !h.streaming) else { return };
-        let spare = (h.attempts.len() as u32) < self.s.limits.most_attempts;
+        let spare = (h.attempts.len() as u32) < self.s.limits.max_attempts;
         // A keyed one may run again while engines remember it; half of that is left for the move.
-        let until = match self.s.classes[h.q.class].effect {
-            Effect::Safe => f64::INFINITY,
-            Effect::Keyed { window, .. } => h.attempts[0].sent + window / 2.0,
-            Effect::Unsafe => f64::MIN,
+        let until = match self.s.classes[h.q.class].idempotency {
+            Idempotency::Idempotent => f64::INFINITY,
+            Idempotency::Keyed { window, .. } => h.attempts[0].sent + window / 2.0,
+            Idempotency::NonIdempotent => f64::MIN,
         };
         if self.s.limits.cancel && spare && self.now < until {
             out.push(Action::Cancel { id, attempt });
@@ -943,11 +943,11 @@
     /// A held query that can no longer meet its aim or be repeated, or is beyond its tenant's share.
     fn hopeless(&self, h: &Held) -> bool {
         let work = self.work(&h.q);
-        let aim = h.arrived + self.aim(h.q.class, work);
-        let repeats = h.repeats_until(self.s.classes[h.q.class].effect) - TICK;
+        let latency_objective = h.arrived + self.latency_objective(h.q.class, work);
+        let repeats = h.repeats_until(self.s.classes[h.q.class].idempotency) - TICK;
         let answer_by = (h.deadline - 2.0 * TICK.max(self.s.step)).min(repeats);
-        let late = self.now + self.expected(h.q.class, work) > aim.min(h.deadline);
-        self.now >= answer_by || !self.asking(h) && (late || h.over_share || self.too_heavy(&h.q))
+        let late = self.now + self.expected(h.q.class, work) > latency_objective.min(h.deadline);
+        self.now >= answer_by || !self.asking(h) && (late || h.over_quota || self.too_heavy(&h.q))
     }
 
     /// Engines are crowded and it earns little for its work beside the mean of all: a few such hold what many
@@ -955,7 +955,7 @@
     /// heavy tails that push engines past their knee; harm: a heavy query is refused that would have run.
     fn too_heavy(&self, q: &Query) -> bool {
         let over = || (self.least_crowd() - HEAVY_FROM) / (HOME_FULL - HEAVY_FROM);
-        let gain = self.s.classes[q.class].worth / self.work(q);
+        let gain = self.s.classes[q.class].priority_weight / self.work(q);
         q.work.is_some() && gain < over() * self.mean_worth.or(1.0) / self.mean_work.or(1.0)
     }
 
@@ -963,13 +963,13 @@
     fn give_up(&mut self, id: QueryId, out: &mut Vec<Action>) {
         let Some(h) = self.held.get_mut(&id).filter(|h| !h.over) else { return };
         let ran = h.attempts.iter().any(|a| a.out || a.may_have_run);
-        let harmless = match self.s.classes[h.q.class].effect {
-            Effect::Safe => true,
-            Effect::Keyed { group, .. } => !ran || group == Group::All,
-            Effect::Unsafe => !ran,
+        let harmless = match self.s.classes[h.q.class].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed { group, .. } => !ran || group == DeduplicationScope::All,
+            Idempotency::NonIdempotent => !ran,
         };
         let l = &self.s.limits;
-        let retry_after = l.retry_advice.then_some(l.max_retry_after.min(PERIOD));
+        let retry_after = l.sends_retry_after.then_some(l.max_retry_after.min(PERIOD));
         out.push(if harmless { Action::Refuse { id, retry_after } } else { Action::Fail { id } });
         self.left(id, out);
     }
@@ -1008,7 +1008,7 @@
     }
 
     fn rest(&mut self, id: QueryId) {
-        let until = self.now + self.s.rules.order_rest;
+        let until = self.now + self.s.rules.order_quiet_period;
         if let Some(key) = self.held.get(&id).and_then(|h| h.q.key.as_ref())
             && let Some(line) = self.lines.get_mut(key)
         {
@@ -1028,18 +1028,18 @@
         !h.over
             && !h.streaming
             && self.now < h.deadline
-            && (h.attempts.len() as u32) < self.s.limits.most_attempts
+            && (h.attempts.len() as u32) < self.s.limits.max_attempts
             // 2: no double effect.
-            && (out == 0 || self.s.limits.second_copies)
-            && first.is_none_or(|a| match c.effect {
-                Effect::Safe => true,
-                Effect::Unsafe => false,
-                Effect::Keyed { group, .. } => {
-                    self.now + TICK < h.repeats_until(c.effect)
+            && (out == 0 || self.s.limits.hedging)
+            && first.is_none_or(|a| match c.idempotency {
+                Idempotency::Idempotent => true,
+                Idempotency::NonIdempotent => false,
+                Idempotency::Keyed { group, .. } => {
+                    self.now + TICK < h.repeats_until(c.idempotency)
                         && match group {
-                            Group::All => true,
-                            Group::Zone => self.engines[a.engine].zone == x.zone,
-                            Group::Cell => self.engines[a.engine].cell == x.cell,
+                            DeduplicationScope::All => true,
+                            DeduplicationScope::Zone => self.engines[a.engine].zone == x.zone,
+                            DeduplicationScope::Cell => self.engines[a.engine].cell == x.cell,
                         }
                 }
             })
@@ -1050,8 +1050,8 @@
             // 5: the key's turn.
             && self.turn(h)
             // 6: placement.
-            && c.only_zones.as_ref().is_none_or(|z| x.zone.is_some_and(|v| z.contains(&v)))
-            && c.only_kinds.as_ref().is_none_or(|k| x.kind.is_some_and(|v| k.contains(&v)))
+            && c.allowed_zones.as_ref().is_none_or(|z| x.zone.is_some_and(|v| z.contains(&v)))
+            && c.allowed_kinds.as_ref().is_none_or(|k| x.kind.is_some_and(|v| k.contains(&v)))
             // 7: further attempts within their budget.
             && (h.attempts.is_empty() || self.further_left())
     }
@@ -1060,14 +1060,14 @@
     /// window; a part below one is drawn: the mean of all gateways stays four standard deviations below.
     fn cold_chance(&self, x: &Engine, work: f64) -> f64 {
         let Some(started) = x.started.filter(|_| self.cold(x)) else { return 1.0 };
-        let (r, from) = (&self.s.rules, self.now - self.s.rules.fall_window);
+        let (r, from) = (&self.s.rules, self.now - self.s.rules.overload_window);
         // The part of a process that ended within the window is not ours yet.
         let shared = if from < self.shared.1 { self.shared.0 } else { 1.0 };
-        let n = f64::from(self.s.gateways) * self.processes.max(shared);
+        let n = f64::from(self.s.dispatchers) * self.processes.max(shared);
         // It warms evenly, as far as answers tell: held to its first share of capacity for all its cold
         // time, it stood nearly idle while the warm ones were jammed. Harm: one that warms late gets more.
-        let warm = r.cold_from + (1.0 - r.cold_from) * ((self.now - started) / r.warm_within).clamp(0.0, 1.0);
-        let stands = r.fall_multiple * self.cores(x) * warm * r.fall_window / work;
+        let warm = r.initial_warm_up_capacity + (1.0 - r.initial_warm_up_capacity) * ((self.now - started) / r.warm_up_period).clamp(0.0, 1.0);
+        let stands = r.overload_multiple * self.cores(x) * warm * r.overload_window / work;
         let (part, mean) = (COLD_SAFETY * stands / n, ((4.0 + stands).sqrt() - 2.0).powi(2) / n);
         let (sent, lots) = x.sent.since(from, work);
         // Before our process began another may have had its part: as much of what it left. Harm: slow starts.
@@ -1084,7 +1084,7 @@
         let chance = self.cold_chance(&self.engines[e], work);
         let drawn = chance >= 1.0 || self.rng.rand_float() < chance;
         let part = if drawn { 1.0 } else { chance };
-        self.engines[e].sent.charge(self.now, self.s.rules.fall_window, work, part);
+        self.engines[e].sent.charge(self.now, self.s.rules.overload_window, work, part);
         drawn
     }
 
@@ -1096,7 +1096,7 @@
     }
 
     fn further_left(&self) -> bool {
-        let Some(b) = self.s.rules.attempt_budget else { return true };
+        let Some(b) = self.s.rules.retry_budget else { return true };
         let used = self.further.since((self.now - b.span).next_down());
         let taken = self.taken.iter().filter(|&&t| t > self.now - b.span).count() as f64;
         used + 1.0 <= b.free + b.share * taken
@@ -1111,12 +1111,12 @@
         let threads = self.s.classes[class].threads;
         let facts = &self.s.engines;
         let mut granted = 0.0;
-        if facts.takes_grants || facts.takes_priority {
+        if facts.accepts_memory_grants || facts.accepts_priority {
             granted = self.grant(h, e);
             // The best class first, then loads, since readers wait for them. Where memory that runs out slows
             // all, a query put back only holds its memory for longer.
             let priority = match self.s.classes[class].holds_tables {
-                _ if facts.overcommits => 1,
+                _ if facts.overcommits_memory => 1,
                 true => 2,
                 false if self.classes.len() > 1 && self.scan_order()[0] == class => 3,
                 false => 1,
@@ -1124,7 +1124,7 @@
             out.push(Action::Terms { id, priority, memory_mb: granted });
         }
         let now = self.now;
-        let horizon = self.s.rules.attempt_budget.map_or(0.0, |b| b.span);
+        let horizon = self.s.rules.retry_budget.map_or(0.0, |b| b.span);
         let Some(h) = self.held.get_mut(&id) else { return false };
         let attempt = h.attempts.len() as u32;
         self.further.charge(now, horizon, f64::from(attempt.min(1)));
--- a/src/decision/controller/tests.rs
+++ b/src/decision/controller/tests.rs
@@ -3,62 +3,62 @@
 use super::*;
 
 fn gateway() -> Controller {
-    let class = |worth, threads| Class {
-        worth,
-        aim: 1000.0,
-        aim_stretch: 2.0,
-        late_share: 0.0,
-        effect: Effect::Safe,
+    let class = |priority_weight, threads| Class {
+        priority_weight,
+        latency_objective: 1000.0,
+        latency_objective_slowdown: 2.0,
+        late_answer_weight: 0.0,
+        idempotency: Idempotency::Idempotent,
         in_order: false,
-        only_zones: None,
-        only_kinds: None,
+        allowed_zones: None,
+        allowed_kinds: None,
         threads,
         holds_tables: false,
         waits_for_loads: false,
     };
     let settings = Settings {
-        gateways: 1,
+        dispatchers: 1,
         zone: None,
         step: 5.0,
         classes: vec![class(1.0, 1.0), class(8.0, 2.0)],
         tenants: vec![],
         kinds: vec![Kind { cores: 8.0, memory_mb: 1024.0 }],
-        over_share_worth: 1.0,
+        over_quota_weight: 1.0,
         limits: Limits {
-            most_attempts: 1,
-            second_copies: false,
+            max_attempts: 1,
+            hedging: false,
             cancel: false,
             probes: false,
-            retry_advice: false,
+            sends_retry_after: false,
             max_retry_after: 0.0,
         },
-        engines: EngineFacts {
-            takes_grants: false,
-            takes_priority: false,
-            most_grant: 0.0,
-            tells_cost: false,
-            overcommits: false,
-            notes_every: 0.0,
+        engines: EngineCapabilities {
+            accepts_memory_grants: false,
+            accepts_priority: false,
+            max_grant_share: 0.0,
+            reports_cost: false,
+            overcommits_memory: false,
+            progress_interval: 0.0,
         },
         rules: Rules {
             answer_grace: 20.0,
             drain_grace: 250.0,
-            cold_from: 0.3,
-            warm_within: 1000.0,
-            fall_multiple: 3.0,
-            fall_window: 1000.0,
-            order_rest: 0.0,
-            attempt_budget: None,
+            initial_warm_up_capacity: 0.3,
+            warm_up_period: 1000.0,
+            overload_multiple: 3.0,
+            overload_window: 1000.0,
+            order_quiet_period: 0.0,
+            retry_budget: None,
         },
         report_fields: vec![],
         must_subscribe: false,
-        cross_zone_price: 0.0,
+        cross_zone_cost: 0.0,
     };
     let mut c = Controller::new(settings, 1).unwrap();
     let engine = "e".to_string();
     let state = EngineState::Ready;
     let e = EngineEntry { engine, state, started: None, kind: Some(0), zone: None, cell: 0 };
-    c.handle(0.0, Event::Engines { update: ListUpdate::Whole, entries: vec![e] }, &mut vec![]);
+    c.handle(0.0, Event::EngineList { update: ListUpdate::Whole, entries: vec![e] }, &mut vec![]);
     c
 }
 
@@ -111,14 +111,14 @@
 #[test]
 fn the_send_path_itself_refuses_a_second_copy_and_a_query_that_is_over() {
     let mut c = gateway();
-    c.s.limits.most_attempts = 5;
+    c.s.limits.max_attempts = 5;
     let (tenant, key, tables, work, memory_mb) = (None, None, None, None, None);
     let q = Query { id: 1, class: 0, tenant, key, tables, time_left: 900.0, work, memory_mb };
     let mut out = vec![];
     c.handle(1.0, Event::Query(q), &mut out);
     assert!(out.iter().any(|a| matches!(a, Action::Send { id: 1, .. })));
     assert!(!c.send(1, 0, &mut out), "a second copy, no caller can bypass the guard");
-    c.s.limits.second_copies = true;
+    c.s.limits.hedging = true;
     assert!(c.send(1, 0, &mut out), "where copies are allowed");
     c.handle(2.0, Event::ClientLeft(1), &mut out);
     assert!(!c.send(1, 0, &mut out), "nothing after the end");
@@ -140,7 +140,7 @@
             zone: None,
             cell: 0,
         };
-        c.handle(3.0, Event::Engines { update: ListUpdate::Whole, entries: vec![e] }, &mut vec![]);
+        c.handle(3.0, Event::EngineList { update: ListUpdate::Whole, entries: vec![e] }, &mut vec![]);
     }
     assert!(c.engines.len() <= 3 && c.names.len() <= 3, "{} are kept", c.engines.len());
     assert_eq!(c.engines[c.held[&1].attempts[0].engine].out.len(), 1, "the one with a query out is");
@@ -154,7 +154,7 @@
     let started = Some(10.0);
     let state = EngineState::Ready;
     let e = EngineEntry { engine: "new".into(), state, started, kind: Some(0), zone: None, cell: 0 };
-    c.handle(10.0, Event::Engines { update: ListUpdate::Whole, entries: vec![e] }, &mut vec![]);
+    c.handle(10.0, Event::EngineList { update: ListUpdate::Whole, entries: vec![e] }, &mut vec![]);
     let new = c.names["new"];
     // The most of one query's work that fits, alone in its window: 0.6 x 3 x 8 cores x 1 s x the capacity.
     for (age, capacity) in [(0.0, 0.3), (500.0, 0.65), (1000.0, 1.0), (1500.0, 1.0)] {
@@ -182,7 +182,7 @@
     };
     let met = (0..2 * REACH).map(|n| entry(n, None));
     let entries = met.chain([entry(0, Some(4000.0))]).collect();
-    c.handle(5000.0, Event::Engines { update: ListUpdate::Whole, entries }, &mut vec![]);
+    c.handle(5000.0, Event::EngineList { update: ListUpdate::Whole, entries }, &mut vec![]);
     c.engines.iter_mut().filter(|x| x.started.is_none()).for_each(|x| x.heard = 4900.0);
     let ask = |c: &mut Controller, ids: std::ops::Range<u64>, work| {
         let mut out = vec![];
--- a/src/decision/facade.rs
+++ b/src/decision/facade.rs
@@ -16,7 +16,7 @@
         timeout: Option<Millis>,
     },
     /// Call one attempt off.
-    Drop { query: QueryId, attempt: u32 },
+    Cancel { query: QueryId, attempt: u32 },
     /// Final: refused, and when the client may come back.
     Refuse {
         query: QueryId,
@@ -25,7 +25,7 @@
     /// Final: failed.
     Fail { query: QueryId },
     /// A line for the log.
-    Say(String),
+    Log(String),
 }
 
 /// What happened outside.
@@ -39,7 +39,7 @@
     Progress {
         query: QueryId,
         attempt: u32,
-        note: Note,
+        note: ProgressNote,
     },
     /// Nobody waits for it any more.
     Left(QueryId),
@@ -74,8 +74,8 @@
         self.call(
             now,
             match report {
-                Report::Engines { update, entries } => Event::Engines { update, entries },
-                Report::Ended(ended) => Event::Ended(ended),
+                Report::Engines { update, entries } => Event::EngineList { update, entries },
+                Report::Ended(ended) => Event::AttemptEnded(ended),
                 Report::Progress {
                     query,
                     attempt,
@@ -86,7 +86,7 @@
                     note,
                 },
                 Report::Left(query) => Event::ClientLeft(query),
-                Report::Told { engine, report } => Event::Heard {
+                Report::Told { engine, report } => Event::EngineReport {
                     engine,
                     outcome: Outcome::Served,
                     report,
@@ -144,7 +144,7 @@
                     });
                 }
                 Action::Cancel { id, attempt } => {
-                    decisions.push(Decision::Drop { query: id, attempt })
+                    decisions.push(Decision::Cancel { query: id, attempt })
                 }
                 Action::Refuse { id, retry_after } => decisions.push(Decision::Refuse {
                     query: id,
@@ -153,7 +153,7 @@
                 Action::Fail { id } => decisions.push(Decision::Fail { query: id }),
                 // The last alarm is the module's only one: an older one would find nothing due.
                 Action::Timer { at, .. } => self.alarm = Some(at),
-                Action::Log(text) => decisions.push(Decision::Say(text)),
+                Action::Log(text) => decisions.push(Decision::Log(text)),
                 // Engines are never probed here, and every list comes unasked.
                 Action::Probe { .. } | Action::Subscribe => {}
             }
--- a/src/decision/model/mod.rs
+++ b/src/decision/model/mod.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// How many gateways share the engines.
-    pub gateways: u32,
+    pub dispatchers: u32,
     /// The zone this gateway stands in, by number.
     pub zone: Option<usize>,
     /// Shortest time between two calls with a later clock.
@@ -23,34 +23,34 @@
     pub tenants: Vec<Tenant>,
     pub kinds: Vec<Kind>,
     /// Worth of a query beyond its tenant's share, as a part of its class's worth.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     pub limits: Limits,
-    pub engines: EngineFacts,
+    pub engines: EngineCapabilities,
     pub rules: Rules,
     /// What a load report holds, in order.
     pub report_fields: Vec<ReportField>,
     /// True if changes of the engine list arrive only after [`Action::Subscribe`] or [`Action::Fetch`].
     pub must_subscribe: bool,
     /// Points lost for each attempt that crosses zones, a query.
-    pub cross_zone_price: f64,
+    pub cross_zone_cost: f64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    pub worth: f64,
+    pub priority_weight: f64,
     /// An answer within this (plus the stretch) earns the full worth.
-    pub aim: Millis,
+    pub latency_objective: Millis,
     /// The aim grows by this times the query's work divided by its threads.
-    pub aim_stretch: f64,
+    pub latency_objective_slowdown: f64,
     /// Share of the worth that a late answer still earns.
-    pub late_share: f64,
-    pub effect: Effect,
+    pub late_answer_weight: f64,
+    pub idempotency: Idempotency,
     /// Queries with one key run one at a time, in the order taken.
     pub in_order: bool,
     /// The only zones it may run in; `None` is anywhere.
-    pub only_zones: Option<Vec<usize>>,
+    pub allowed_zones: Option<Vec<usize>>,
     /// The only kinds of engine it may run on; `None` is any.
-    pub only_kinds: Option<Vec<usize>>,
+    pub allowed_kinds: Option<Vec<usize>>,
     /// Threads that one query runs on.
     pub threads: f64,
     /// A load: holds its group of tables on its engine while it runs.
@@ -61,18 +61,18 @@
 
 /// What running a query twice would do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
-    Safe,
+pub enum Idempotency {
+    Idempotent,
     /// Engines of a group drop repeats for `window` from the first send that may have run.
     Keyed {
-        group: Group,
+        group: DeduplicationScope,
         window: Millis,
     },
-    Unsafe,
+    NonIdempotent,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     All,
     Zone,
     Cell,
@@ -92,43 +92,43 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    pub most_attempts: u32,
-    pub second_copies: bool,
+    pub max_attempts: u32,
+    pub hedging: bool,
     pub cancel: bool,
     pub probes: bool,
-    pub retry_advice: bool,
+    pub sends_retry_after: bool,
     pub max_retry_after: Millis,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct EngineFacts {
-    pub takes_grants: bool,
-    pub takes_priority: bool,
+pub struct EngineCapabilities {
+    pub accepts_memory_grants: bool,
+    pub accepts_priority: bool,
     /// Share of an engine's memory that one query gets at most.
-    pub most_grant: f64,
+    pub max_grant_share: f64,
     /// Answers tell true work and memory.
-    pub tells_cost: bool,
+    pub reports_cost: bool,
     /// When memory runs out, queries are let in and all slow down.
-    pub overcommits: bool,
+    pub overcommits_memory: bool,
     /// Every attempt that runs or stands brings a note this often; 0: none tells.
-    pub notes_every: Millis,
+    pub progress_interval: Millis,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
     pub answer_grace: Millis,
     pub drain_grace: Millis,
-    pub cold_from: f64,
-    pub warm_within: Millis,
-    pub fall_multiple: f64,
-    pub fall_window: Millis,
+    pub initial_warm_up_capacity: f64,
+    pub warm_up_period: Millis,
+    pub overload_multiple: f64,
+    pub overload_window: Millis,
     /// How long a key rests after an attempt that may still run.
-    pub order_rest: Millis,
-    pub attempt_budget: Option<AttemptBudget>,
+    pub order_quiet_period: Millis,
+    pub retry_budget: Option<RetryBudget>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AttemptBudget {
+pub struct RetryBudget {
     pub free: f64,
     pub share: f64,
     pub span: Millis,
@@ -166,46 +166,49 @@
         if self.classes.is_empty() {
             return err("classes".into(), "no class");
         }
-        if self.gateways == 0 {
+        if self.dispatchers == 0 {
             return err("gateways".into(), "must be at least 1");
         }
         let r = &self.rules;
         let mut values = vec![
             ("step".to_string(), self.step),
-            ("over_share_worth".into(), self.over_share_worth),
-            ("cross_zone_price".into(), self.cross_zone_price),
+            ("over_share_worth".into(), self.over_quota_weight),
+            ("cross_zone_price".into(), self.cross_zone_cost),
             ("limits.max_retry_after".into(), self.limits.max_retry_after),
-            ("engines.most_grant".into(), self.engines.most_grant),
-            ("engines.notes_every".into(), self.engines.notes_every),
+            ("engines.most_grant".into(), self.engines.max_grant_share),
+            ("engines.notes_every".into(), self.engines.progress_interval),
             ("rules.answer_grace".into(), r.answer_grace),
             ("rules.drain_grace".into(), r.drain_grace),
-            ("rules.cold_from".into(), r.cold_from),
-            ("rules.warm_within".into(), r.warm_within),
-            ("rules.fall_multiple".into(), r.fall_multiple),
-            ("rules.fall_window".into(), r.fall_window),
-            ("rules.order_rest".into(), r.order_rest),
+            ("rules.cold_from".into(), r.initial_warm_up_capacity),
+            ("rules.warm_within".into(), r.warm_up_period),
+            ("rules.fall_multiple".into(), r.overload_multiple),
+            ("rules.fall_window".into(), r.overload_window),
+            ("rules.order_rest".into(), r.order_quiet_period),
         ];
-        if let Some(b) = r.attempt_budget {
+        if let Some(b) = r.retry_budget {
             values.push(("rules.attempt_budget.free".into(), b.free));
             values.push(("rules.attempt_budget.share".into(), b.share));
             values.push(("rules.attempt_budget.span".into(), b.span));
         }
         for (i, c) in self.classes.iter().enumerate() {
-            values.push((format!("classes[{i}].worth"), c.worth));
-            values.push((format!("classes[{i}].aim"), c.aim));
-            values.push((format!("classes[{i}].aim_stretch"), c.aim_stretch));
-            values.push((format!("classes[{i}].late_share"), c.late_share));
+            values.push((format!("classes[{i}].worth"), c.priority_weight));
+            values.push((format!("classes[{i}].aim"), c.latency_objective));
+            values.push((
+                format!("classes[{i}].aim_stretch"),
+                c.latency_objective_slowdown,
+            ));
+            values.push((format!("classes[{i}].late_share"), c.late_answer_weight));
             values.push((format!("classes[{i}].threads"), c.threads));
-            if let Effect::Keyed { window, .. } = c.effect {
+            if let Idempotency::Keyed { window, .. } = c.idempotency {
                 values.push((format!("classes[{i}].effect.window"), window));
             }
             if c.threads < 1.0 {
                 return err(format!("classes[{i}].threads"), "must be at least 1");
             }
-            if c.worth == 0.0 {
+            if c.priority_weight == 0.0 {
                 return err(format!("classes[{i}].worth"), "must be above 0");
             }
-            if c.only_kinds
+            if c.allowed_kinds
                 .iter()
                 .flatten()
                 .any(|&k| k >= self.kinds.len())
@@ -265,7 +268,7 @@
     /// The engine gave an error; may have run.
     Error,
     /// Turned away unseen; never ran.
-    Full,
+    Rejected,
     TimedOut,
     /// Never ran.
     Unreachable,
@@ -273,7 +276,7 @@
     Reset,
     Cancelled,
     /// Never sent.
-    Moot,
+    NeverStarted,
 }
 
 #[derive(Clone, Debug)]
@@ -308,7 +311,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum ProgressNote {
     /// Share of the work done so far.
     Done(f64),
     /// Spills: this many MB short.
@@ -323,15 +326,15 @@
 
 #[derive(Clone, Debug)]
 pub enum Event {
-    Engines {
+    EngineList {
         update: ListUpdate,
         entries: Vec<EngineEntry>,
     },
     DiscoveryFailed,
     Query(Query),
-    Ended(Ended),
+    AttemptEnded(Ended),
     /// An engine's load, as a probe brought it, or a peer's word of what an answer told a moment ago.
-    Heard {
+    EngineReport {
         engine: String,
         outcome: Outcome,
         report: Vec<f64>,
@@ -339,7 +342,7 @@
     Progress {
         id: QueryId,
         attempt: u32,
-        note: Note,
+        note: ProgressNote,
     },
     Streaming {
         id: QueryId,
--- a/src/decision/model/state.rs
+++ b/src/decision/model/state.rs
@@ -223,7 +223,7 @@
     pub ask_until: Millis,
     /// Memory that it needs, once a spill has told.
     pub need_mb: Option<f64>,
-    pub over_share: bool,
+    pub over_quota: bool,
     pub over: bool,
     pub streaming: bool,
 }
@@ -303,7 +303,7 @@
             asked_at: now,
             ask_until: f64::MIN,
             need_mb: None,
-            over_share: false,
+            over_quota: false,
             over: false,
             streaming: false,
             q,
@@ -311,12 +311,12 @@
     }
 
     /// Engines drop a repeat of it until then, counted from the first attempt that may have run.
-    pub fn repeats_until(&self, effect: Effect) -> Millis {
+    pub fn repeats_until(&self, idempotency: Idempotency) -> Millis {
         let first = self.attempts.iter().find(|a| a.out || a.may_have_run);
-        first.map_or(f64::INFINITY, |a| match effect {
-            Effect::Safe => f64::INFINITY,
-            Effect::Keyed { window, .. } => a.sent + window,
-            Effect::Unsafe => f64::MIN,
+        first.map_or(f64::INFINITY, |a| match idempotency {
+            Idempotency::Idempotent => f64::INFINITY,
+            Idempotency::Keyed { window, .. } => a.sent + window,
+            Idempotency::NonIdempotent => f64::MIN,
         })
     }
 }
--- a/src/dispatch/request_router.rs
+++ b/src/dispatch/request_router.rs
@@ -163,7 +163,7 @@
         self.carry_out();
     }
 
-    pub fn note(self: &Rc<Self>, attempt: AttemptId, note: Note) {
+    pub fn note(self: &Rc<Self>, attempt: AttemptId, note: ProgressNote) {
         self.core.borrow_mut().note(unix_ms(), attempt, note);
         self.carry_out();
     }
--- a/src/upstream/mysql/mod.rs
+++ b/src/upstream/mysql/mod.rs
@@ -410,7 +410,7 @@
                     // and the module chooses anew.
                     if self.opened(&start.engine, c.opened) {
                         self.give(place, c);
-                        return Err(Outcome::Moot);
+                        return Err(Outcome::NeverStarted);
                     }
                     c
                 }
@@ -427,7 +427,7 @@
                     }
                     let full = matches!(&e, PacketError::Sql(e) if full(e.code));
                     return Err(if full {
-                        Outcome::Full
+                        Outcome::Rejected
                     } else {
                         Outcome::Unreachable
                     });
@@ -524,7 +524,7 @@
             Err(e) => {
                 say!("engine {}: {e}", start.engine);
                 Err(match (wrote, &e) {
-                    (false, PacketError::Sql(e)) if full(e.code) => Outcome::Full,
+                    (false, PacketError::Sql(e)) if full(e.code) => Outcome::Rejected,
                     (false, _) => Outcome::Unreachable,
                     (true, PacketError::Io(_) | PacketError::Cut) => Outcome::Reset,
                     (true, _) => Outcome::Error,
@@ -542,7 +542,7 @@
         // Sessions that hold connections leave some to statements that need none for long.
         let pin = matches!(work.job, Job::Pin(_));
         if pin && slot.pinned >= (most - most / 4).max(1) {
-            return Err(Outcome::Full);
+            return Err(Outcome::Rejected);
         }
         slot.keep(|c| c.used.elapsed() < idle && c.rests());
         let key = (work.context.clone(), work.sql.clone());
@@ -559,7 +559,7 @@
         if slot.open >= most {
             // One that does not fit makes room for one that does.
             if slot.idle.pop().is_none() {
-                return Err(Outcome::Full);
+                return Err(Outcome::Rejected);
             }
             slot.open -= 1;
         }
@@ -999,7 +999,7 @@
     let p = packets.iter().next().filter(|p| p.first() == Some(&0xff))?;
     let number = read_err(&Bytes::copy_from_slice(p)).code;
     match number {
-        n if full(n) => Some(Outcome::Full),
+        n if full(n) => Some(Outcome::Rejected),
         n if passing(n) => Some(Outcome::Error),
         _ => None,
     }
--- a/src/upstream/mysql/sticky.rs
+++ b/src/upstream/mysql/sticky.rs
@@ -4,7 +4,7 @@
 use crate::clock::span;
 use crate::clock::unix_ms;
 use crate::core::AttemptId;
-use crate::decision::model::{Millis, Note};
+use crate::decision::model::{Millis, ProgressNote};
 use crate::dispatch::request_router::{Hub, Upstream};
 use crate::protocol::mysql::error::{SqlError, code};
 use crate::protocol::mysql::packet::*;
@@ -123,13 +123,13 @@
         self.hub
             .upgrade()
             .into_iter()
-            .for_each(|hub| hub.note(self.attempt, Note::Idle));
+            .for_each(|hub| hub.note(self.attempt, ProgressNote::Idle));
     }
     fn works(&self) {
         self.hub
             .upgrade()
             .into_iter()
-            .for_each(|hub| hub.note(self.attempt, Note::Works));
+            .for_each(|hub| hub.note(self.attempt, ProgressNote::Works));
     }
 }
 
--- a/src/upstream/resp.rs
+++ b/src/upstream/resp.rs
@@ -199,13 +199,13 @@
         && (text.is_empty() || text.ends_with('\n'))
 }
 
-fn note(fields: &str) -> Option<Note> {
+fn note(fields: &str) -> Option<ProgressNote> {
     let value: f64 = field(fields, "datum")?.parse().ok()?;
     match field(fields, "tell")? {
-        "frac" => Some(Note::Done(value)),
-        "missing" => Some(Note::Spills(value)),
-        "parked" if value == 2.0 => Some(Note::WaitsForLoad),
-        "parked" => Some(Note::WaitsForMemory),
+        "frac" => Some(ProgressNote::Done(value)),
+        "missing" => Some(ProgressNote::Spills(value)),
+        "parked" if value == 2.0 => Some(ProgressNote::WaitsForLoad),
+        "parked" => Some(ProgressNote::WaitsForMemory),
         _ => None,
     }
 }
@@ -796,7 +796,7 @@
             drop(pending);
             self.forget(c, &txn, attempt);
             let outcome = if late {
-                Outcome::Moot
+                Outcome::NeverStarted
             } else {
                 Outcome::Unreachable
             };
@@ -890,8 +890,8 @@
                 self.whole(&hub, c, txn, attempt);
                 return Ok(());
             }
-            "AGAIN" => Outcome::Full,
-            "STALE" => Outcome::Moot,
+            "AGAIN" => Outcome::Rejected,
+            "STALE" => Outcome::NeverStarted,
             "EIO" => Outcome::Error,
             "READY" => return Ok(()),
             // After what can't be read, nothing else on this connection can be trusted.
@@ -1012,7 +1012,7 @@
         for p in pending.into_values() {
             self.attempts.borrow_mut().remove(&p.attempt);
             let outcome = match p.stage {
-                Stage::Waiting { .. } if connected => Outcome::Moot,
+                Stage::Waiting { .. } if connected => Outcome::NeverStarted,
                 Stage::Waiting { .. } => Outcome::Unreachable,
                 _ if !std::mem::replace(&mut told, true) => Outcome::Reset,
                 _ => Outcome::Cancelled,
--- a/tests/cold_budget.rs
+++ b/tests/cold_budget.rs
@@ -1,8 +1,8 @@
 //! One cold engine under the sum of all processes, from its start until it is warm: real cores on an injected clock,
 //! fixed seeds, each process with more work for it than it bears.
 //!
-//! The term: in any window of `fall_window` all processes together send it no more than N + 2 x root of N + 2 requests
-//! of mean work, N being what `fall_multiple` times its capacity at the window's begin does in that time. The rule is
+//! The term: in any window of `overload_window` all processes together send it no more than N + 2 x root of N + 2 requests
+//! of mean work, N being what `overload_multiple` times its capacity at the window's begin does in that time. The rule is
 //! broken by a window beyond that of which over two thirds came from processes that had been told of the start.
 //!
 //! `cargo test --test cold_budget -- --nocapture` prints a line for each scenario, size and grain of work.
@@ -73,11 +73,11 @@
 /// The site's rules, an engine of eight cores.
 fn settings(dispatchers: u32) -> Settings {
     let mut s = common::settings(vec![]);
-    s.gateways = dispatchers;
-    s.rules.cold_from = 0.3;
-    s.rules.fall_multiple = 4.0;
-    s.rules.fall_window = 2000.0;
-    s.rules.warm_within = 15_000.0;
+    s.dispatchers = dispatchers;
+    s.rules.initial_warm_up_capacity = 0.3;
+    s.rules.overload_multiple = 4.0;
+    s.rules.overload_window = 2000.0;
+    s.rules.warm_up_period = 15_000.0;
     s
 }
 
@@ -213,7 +213,11 @@
             self.core.ended(
                 now,
                 attempt,
-                if full { Outcome::Full } else { Outcome::Served },
+                if full {
+                    Outcome::Rejected
+                } else {
+                    Outcome::Served
+                },
                 report,
             );
         }
@@ -277,8 +281,9 @@
     /// Cores that it has for work now.
     fn able(&self, now: f64) -> f64 {
         let r = &self.settings.rules;
-        let age = ((now - START) / r.warm_within).clamp(0.0, 1.0);
-        self.settings.kinds[0].cores * (r.cold_from + (1.0 - r.cold_from) * age)
+        let age = ((now - START) / r.warm_up_period).clamp(0.0, 1.0);
+        self.settings.kinds[0].cores
+            * (r.initial_warm_up_capacity + (1.0 - r.initial_warm_up_capacity) * age)
     }
 
     /// What all processes send it, in order.
@@ -300,7 +305,7 @@
         all.sort_by(|a, b| a.0.total_cmp(&b.0));
         let (mut sent, mut hand) = (vec![], Hand::default());
         let mut now = START - 2200.0;
-        while now < START + self.settings.rules.warm_within {
+        while now < START + self.settings.rules.warm_up_period {
             for (phase, p) in &mut all {
                 let at = now + *phase;
                 if (p.life.from..p.life.to).contains(&at) {
@@ -319,19 +324,20 @@
         let (mut first, mut sum, mut told) = (0, 0.0, 0.0);
         let (mut most, mut broken) = (0.0f64, false);
         for (i, s) in sent.iter().enumerate().filter(|(_, s)| s.at >= START) {
-            if s.at >= START + r.warm_within {
+            if s.at >= START + r.warm_up_period {
                 break;
             }
             if i > 0 && sum == 0.0 {
                 first = i;
             }
             (sum, told) = (sum + s.work, told + if s.told { s.work } else { 0.0 });
-            while sent[first].at <= s.at - r.fall_window {
+            while sent[first].at <= s.at - r.overload_window {
                 let old = &sent[first];
                 (sum, told) = (sum - old.work, told - if old.told { old.work } else { 0.0 });
                 first += 1;
             }
-            let n = r.fall_multiple * self.able(s.at - r.fall_window) * r.fall_window / mean;
+            let n = r.overload_multiple * self.able(s.at - r.overload_window) * r.overload_window
+                / mean;
             let line = n + 2.0 * n.sqrt() + 2.0;
             most = most.max(sum / mean / line);
             broken |= sum / mean > line && told > sum * 2.0 / 3.0;
@@ -356,7 +362,7 @@
 fn even(work: f64) -> (Class, Work) {
     // An aim that lets it wait for all of the ramp, and the usual work by the settings is `work`.
     let class = Class {
-        aim_stretch: 60_000.0 / work - 1.0,
+        latency_objective_slowdown: 60_000.0 / work - 1.0,
         ..class(1.0, 60_000.0)
     };
     (
@@ -512,19 +518,19 @@
     c.settings.classes = vec![
         Class { ..a },
         Class {
-            worth: 5.0,
+            priority_weight: 5.0,
             threads: 3.0,
             ..b
         },
         Class {
-            worth: 4.0,
+            priority_weight: 4.0,
             threads: 2.0,
-            effect: Effect::Unsafe,
+            idempotency: Idempotency::NonIdempotent,
             ..d
         },
     ];
     for class in c.settings.classes.iter_mut().skip(1) {
-        class.aim_stretch = class.aim * class.threads / heavy - 1.0;
+        class.latency_objective_slowdown = class.latency_objective * class.threads / heavy - 1.0;
     }
     c.works = vec![
         Work {
@@ -574,7 +580,7 @@
 fn moves_and_second_copies() {
     run("moves and copies", |n, w, rng| {
         let mut c = case(n, w, rng);
-        c.settings.limits.second_copies = true;
+        c.settings.limits.hedging = true;
         Case { hung: true, ..c }
     });
 }
@@ -685,7 +691,7 @@
 /// The settings name half as many dispatchers as run.
 fn twice(n: u32, work: f64, rng: &mut Rand64) -> Case {
     let mut c = case(n, work, rng);
-    c.settings.gateways = n.div_ceil(2);
+    c.settings.dispatchers = n.div_ceil(2);
     c.reports = true;
     c
 }
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -189,11 +189,11 @@
         "lifecycle":"in_service","startedAtMs":{started}}}]}}}}]}},"settings":{{
         "ceilings":{{"connect_timeout":250.0,"cancel":true,"most_tries":3}},"fleet_size":{DISPATCHERS},
         "extra":{{"cores_by_kind":[{CORES}],"ram_of_kind_mb":[16384]}},
-        "grades":[{{"name":"lookup","aim":{aim},"aim_stretch":2.0,"hard_limit":1000.0,"effect":"retryable",
+        "grades":[{{"name":"lookup","aim":{latency_objective},"aim_stretch":2.0,"hard_limit":1000.0,"effect":"retryable",
         "worth":1.0}}],"machine_types":["std"],"rules":{{"cold_from":{COLD_FROM},"drain_grace":250.0,
         "fall_multiple":{MULTIPLE},"grace_to_answer":20.0,"overload_for":{WINDOW},"warm_within":{WARM_WITHIN}}},
         "step":5.0}}}}"#,
-        aim = 3.0 * WORK
+        latency_objective = 3.0 * WORK
     )
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,16 +3,16 @@
 
 use query_dispatcher::*;
 
-pub fn class(worth: f64, aim: f64) -> Class {
+pub fn class(priority_weight: f64, latency_objective: f64) -> Class {
     Class {
-        worth,
-        aim,
-        aim_stretch: 2.0,
-        late_share: 0.0,
-        effect: Effect::Safe,
+        priority_weight,
+        latency_objective,
+        latency_objective_slowdown: 2.0,
+        late_answer_weight: 0.0,
+        idempotency: Idempotency::Idempotent,
         in_order: false,
-        only_zones: None,
-        only_kinds: None,
+        allowed_zones: None,
+        allowed_kinds: None,
         threads: 1.0,
         holds_tables: false,
         waits_for_loads: false,
@@ -21,7 +21,7 @@
 
 pub fn settings(classes: Vec<Class>) -> Settings {
     Settings {
-        gateways: 1,
+        dispatchers: 1,
         zone: None,
         step: 5.0,
         classes,
@@ -36,36 +36,36 @@
                 memory_mb: 8192.0,
             },
         ],
-        over_share_worth: 0.1,
+        over_quota_weight: 0.1,
         limits: Limits {
-            most_attempts: 3,
-            second_copies: false,
+            max_attempts: 3,
+            hedging: false,
             cancel: true,
             probes: false,
-            retry_advice: true,
+            sends_retry_after: true,
             max_retry_after: 500.0,
         },
-        engines: EngineFacts {
-            takes_grants: true,
-            takes_priority: true,
-            most_grant: 0.4,
-            tells_cost: true,
-            overcommits: false,
-            notes_every: 0.0,
+        engines: EngineCapabilities {
+            accepts_memory_grants: true,
+            accepts_priority: true,
+            max_grant_share: 0.4,
+            reports_cost: true,
+            overcommits_memory: false,
+            progress_interval: 0.0,
         },
         rules: Rules {
             answer_grace: 20.0,
             drain_grace: 250.0,
-            cold_from: 0.3,
-            warm_within: 14000.0,
-            fall_multiple: 3.0,
-            fall_window: 1500.0,
-            order_rest: 300.0,
-            attempt_budget: None,
+            initial_warm_up_capacity: 0.3,
+            warm_up_period: 14000.0,
+            overload_multiple: 3.0,
+            overload_window: 1500.0,
+            order_quiet_period: 300.0,
+            retry_budget: None,
         },
         report_fields: vec![ReportField::Inflight, ReportField::MemoryGranted],
         must_subscribe: false,
-        cross_zone_price: 0.0,
+        cross_zone_cost: 0.0,
     }
 }
 
@@ -108,7 +108,7 @@
             c: Controller::new(s, seed).unwrap(),
             now: 1000.0,
         };
-        g.does(Event::Engines {
+        g.does(Event::EngineList {
             update: ListUpdate::Stale,
             entries: engines,
         });
@@ -137,7 +137,7 @@
     }
 
     pub fn end(&mut self, id: QueryId, attempt: u32, outcome: Outcome) -> Vec<Action> {
-        self.does(Event::Ended(ended(id, attempt, outcome)))
+        self.does(Event::AttemptEnded(ended(id, attempt, outcome)))
     }
 }
 
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -13,7 +13,7 @@
     // A Unix time: what is wrong with large numbers shows here.
     let mut now = 1.79e12;
     let mut settings = settings();
-    settings.limits.most_attempts = 2;
+    settings.limits.max_attempts = 2;
     let bounds = Bounds {
         open: 3,
         margin: 20.0,
@@ -95,7 +95,7 @@
                 let outcome = match how {
                     "served" => Outcome::Served,
                     "reset" => Outcome::Reset,
-                    "full" => Outcome::Full,
+                    "full" => Outcome::Rejected,
                     "unreachable" => Outcome::Unreachable,
                     _ => panic!("{line}"),
                 };
@@ -193,11 +193,11 @@
 }
 
 /// A core before engines `a` and `b` in one cell, with one class of this effect.
-fn keyed(effect: Effect) -> (f64, Core) {
+fn keyed(idempotency: Idempotency) -> (f64, Core) {
     let now = 1.79e12;
     let mut settings = settings();
-    settings.limits.most_attempts = 3;
-    settings.classes[0].effect = effect;
+    settings.limits.max_attempts = 3;
+    settings.classes[0].idempotency = idempotency;
     let bounds = Bounds {
         open: 3,
         margin: 20.0,
@@ -245,8 +245,12 @@
 /// Nothing binds the first attempt; a repeat is written within the window of the first that may have run, or never.
 #[test]
 fn a_repeat_goes_out_within_the_window_of_the_first_that_may_have_run() {
-    for group in [Group::All, Group::Zone, Group::Cell] {
-        let (now, mut core) = keyed(Effect::Keyed {
+    for group in [
+        DeduplicationScope::All,
+        DeduplicationScope::Zone,
+        DeduplicationScope::Cell,
+    ] {
+        let (now, mut core) = keyed(Idempotency::Keyed {
             group,
             window: 100.0,
         });
@@ -261,13 +265,13 @@
         let (third, _) = done(&mut core);
         assert_eq!(third[0].1, now + 110.0, "from when the second was sent");
         // It stood before a connection until then.
-        core.ended(now + 111.0, third[0].0, Outcome::Moot, vec![]);
+        core.ended(now + 111.0, third[0].0, Outcome::NeverStarted, vec![]);
         let (more, answers) = done(&mut core);
         assert!(more.is_empty());
         let refused = matches!(answers[..], [Answer::Refused { .. }]);
-        assert_eq!(refused, group == Group::All, "{answers:?}");
+        assert_eq!(refused, group == DeduplicationScope::All, "{answers:?}");
     }
-    let (now, mut core) = keyed(Effect::Safe);
+    let (now, mut core) = keyed(Idempotency::Idempotent);
     core.open(now, lookup(now + 3000.0));
     let (first, _) = done(&mut core);
     core.ended(now + 40.0, first[0].0, Outcome::Reset, vec![]);
@@ -282,12 +286,12 @@
 #[test]
 fn a_keyed_request_that_may_have_run_is_refused_only_where_all_engines_know_it() {
     for (group, harmless) in [
-        (Group::All, true),
-        (Group::Zone, false),
-        (Group::Cell, false),
+        (DeduplicationScope::All, true),
+        (DeduplicationScope::Zone, false),
+        (DeduplicationScope::Cell, false),
     ] {
         for stops in [false, true] {
-            let (now, mut core) = keyed(Effect::Keyed {
+            let (now, mut core) = keyed(Idempotency::Keyed {
                 group,
                 window: 4000.0,
             });
@@ -303,7 +307,7 @@
                 "{group:?}"
             );
         }
-        let (now, mut core) = keyed(Effect::Keyed {
+        let (now, mut core) = keyed(Idempotency::Keyed {
             group,
             window: 4000.0,
         });
@@ -311,7 +315,7 @@
         let (first, _) = done(&mut core);
         core.ended(now + 1.0, first[0].0, Outcome::Unreachable, vec![]);
         let (second, _) = done(&mut core);
-        core.ended(now + 480.0, second[0].0, Outcome::Full, vec![]);
+        core.ended(now + 480.0, second[0].0, Outcome::Rejected, vec![]);
         let (_, answers) = done(&mut core);
         assert!(
             matches!(answers[..], [Answer::Refused { .. }]),
--- a/tests/defences.rs
+++ b/tests/defences.rs
@@ -23,7 +23,7 @@
     let sent = sends(&g.take(query(id, class)));
     assert_eq!(sent.len(), 1, "query {id}");
     g.now += ms;
-    g.does(Event::Ended(Ended {
+    g.does(Event::AttemptEnded(Ended {
         work: Some(work),
         latency: ms,
         report: vec![1.0, 0.1],
@@ -54,7 +54,7 @@
 #[test]
 fn a_burst_finds_a_window_that_only_use_has_widened() {
     let mut s = settings(vec![class(1.0, 800.0)]);
-    s.gateways = 50;
+    s.dispatchers = 50;
     let mut g = Gateway::new(s, fleet(50)); // our budgets: 16 threads
     for id in 0..200 {
         serve(&mut g, id, 0, 10.0, 10.0);
@@ -119,7 +119,7 @@
             1,
             "still served by someone"
         );
-        g.does(Event::Ended(Ended {
+        g.does(Event::AttemptEnded(Ended {
             last: true,
             ..ended(id, 0, Outcome::Error)
         }));
@@ -158,7 +158,7 @@
 fn an_attempt_whose_notes_cease_is_sent_anew_while_its_engine_speaks_on() {
     for ceases in [true, false] {
         let mut s = settings(vec![class(1.0, 8000.0)]);
-        s.engines.notes_every = 100.0;
+        s.engines.progress_interval = 100.0;
         let mut g = Gateway::new(s, fleet(1));
         let late = Query {
             time_left: 8000.0,
@@ -173,7 +173,7 @@
                 g.does(Event::Progress {
                     id: 1,
                     attempt: 0,
-                    note: Note::Done(0.1),
+                    note: ProgressNote::Done(0.1),
                 });
             }
             g.end(id, 0, Outcome::Served);
@@ -190,7 +190,7 @@
         .count();
     assert_eq!(free, 16);
     // It holds 40 queries, most of them not ours: our 15 and one more make up the budget of 16 threads.
-    g.does(Event::Ended(Ended {
+    g.does(Event::AttemptEnded(Ended {
         report: vec![40.0, 0.5],
         ..ended(0, 0, Outcome::Served)
     }));
@@ -214,7 +214,7 @@
     g.now += 100.0;
     for id in 0..20 {
         let inflight = if id < 6 { 60.0 } else { 1.0 };
-        g.does(Event::Ended(Ended {
+        g.does(Event::AttemptEnded(Ended {
             report: vec![inflight, 0.1],
             ..ended(id, 0, Outcome::Served)
         }));
@@ -258,7 +258,7 @@
         let out = g.does(Event::Progress {
             id,
             attempt: 0,
-            note: Note::Done(0.5),
+            note: ProgressNote::Done(0.5),
         });
         assert!(
             !out.iter().any(|a| matches!(a, Action::Cancel { .. })),
@@ -268,7 +268,7 @@
     let out = g.does(Event::Progress {
         id: 4,
         attempt: 0,
-        note: Note::Done(0.03),
+        note: ProgressNote::Done(0.03),
     });
     assert!(out.contains(&Action::Cancel { id: 4, attempt: 0 }));
     assert_eq!(sends(&g.end(4, 0, Outcome::Cancelled)).len(), 1);
@@ -282,7 +282,7 @@
     };
     let load = Class {
         holds_tables: true,
-        effect: Effect::Unsafe,
+        idempotency: Idempotency::NonIdempotent,
         ..class(7.0, 4000.0)
     };
     let mut g = Gateway::new(settings(vec![reader, load]), fleet(2));
@@ -309,7 +309,7 @@
     let out = g.does(Event::Progress {
         id: 20,
         attempt: 0,
-        note: Note::WaitsForLoad,
+        note: ProgressNote::WaitsForLoad,
     });
     assert!(out.contains(&Action::Cancel { id: 20, attempt: 0 }));
     assert_ne!(sends(&g.end(20, 0, Outcome::Cancelled))[0].1, there);
@@ -337,9 +337,9 @@
 
 #[test]
 fn equal_priorities_where_memory_overcommits() {
-    let ranks = |overcommits| {
+    let ranks = |overcommits_memory| {
         let mut s = settings(two_classes());
-        s.engines.overcommits = overcommits;
+        s.engines.overcommits_memory = overcommits_memory;
         let mut g = Gateway::new(s, fleet(2));
         let mut all = g.take(query(0, 0));
         all.extend(g.take(query(1, 1)));
@@ -367,7 +367,7 @@
         "somewhat over the estimate: {first}"
     );
     for id in 0..10 {
-        g.does(Event::Ended(Ended {
+        g.does(Event::AttemptEnded(Ended {
             memory_mb: Some(300.0),
             ..ended(id, 0, Outcome::Served)
         }));
@@ -401,7 +401,7 @@
             short += u32::from(memory_mb < need);
             (given, needed) = (given + memory_mb, needed + need);
         }
-        g.does(Event::Ended(Ended {
+        g.does(Event::AttemptEnded(Ended {
             memory_mb: Some(need),
             ..ended(id, 0, Outcome::Served)
         }));
@@ -422,7 +422,7 @@
     let out = g.does(Event::Progress {
         id: 1,
         attempt: 0,
-        note: Note::Spills(200.0),
+        note: ProgressNote::Spills(200.0),
     });
     assert!(out.contains(&Action::Cancel { id: 1, attempt: 0 }));
     let out = g.end(1, 0, Outcome::Cancelled);
@@ -435,7 +435,7 @@
     let out = g.does(Event::Progress {
         id: 1,
         attempt: 1,
-        note: Note::Spills(50.0),
+        note: ProgressNote::Spills(50.0),
     });
     assert!(
         !out.iter().any(|a| matches!(a, Action::Cancel { .. })),
@@ -448,7 +448,7 @@
     let out = g.does(Event::Progress {
         id: 2,
         attempt: 0,
-        note: Note::Spills(5.0),
+        note: ProgressNote::Spills(5.0),
     });
     assert!(
         !out.iter().any(|a| matches!(a, Action::Cancel { .. })),
@@ -459,10 +459,10 @@
 #[test]
 fn an_attempt_that_will_not_be_done_in_time_is_given_up_and_one_that_must_not_run_twice_fails_for_good()
  {
-    for effect in [Effect::Safe, Effect::Unsafe] {
+    for idempotency in [Idempotency::Idempotent, Idempotency::NonIdempotent] {
         let mut g = Gateway::new(
             settings(vec![Class {
-                effect,
+                idempotency,
                 ..class(1.0, 900.0)
             }]),
             fleet(2),
@@ -476,13 +476,13 @@
         let out = g.does(Event::Progress {
             id: 1,
             attempt: 0,
-            note: Note::Done(0.3),
+            note: ProgressNote::Done(0.3),
         });
         assert_eq!(finals(&out), [0; 0], "2.3 s to go of 3");
         let out = g.does(Event::Progress {
             id: 1,
             attempt: 0,
-            note: Note::Done(0.05),
+            note: ProgressNote::Done(0.05),
         });
         assert!(
             out.contains(&Action::Cancel { id: 1, attempt: 0 }),
@@ -494,7 +494,7 @@
         });
         assert_eq!(
             refused,
-            effect == Effect::Safe,
+            idempotency == Idempotency::Idempotent,
             "it is still out and may run: {out:?}"
         );
         assert_eq!(finals(&out), [1]);
@@ -505,7 +505,7 @@
 #[test]
 fn a_crowded_zone_spills_over_and_does_not_close_the_way_to_another() {
     let mut s = settings(two_classes());
-    (s.gateways, s.zone, s.cross_zone_price) = (100, Some(0), 0.04);
+    (s.dispatchers, s.zone, s.cross_zone_cost) = (100, Some(0), 0.04);
     let engines = (0..8)
         .map(|i| EngineEntry {
             zone: Some(i / 4),
@@ -517,7 +517,7 @@
     let outcome = Outcome::Served;
     for i in [4, 5, 6, 7, 0, 1, 2, 0, 1, 2, 0, 1, 2] {
         let (engine, inflight) = (format!("e{i}"), if i < 4 { 40.0 } else { 2.0 });
-        g.does(Event::Heard {
+        g.does(Event::EngineReport {
             engine,
             outcome,
             report: vec![inflight, 0.1],
@@ -548,7 +548,7 @@
     };
     for id in 0..10 {
         g.take(of(id, 100.0));
-        g.does(Event::Ended(Ended {
+        g.does(Event::AttemptEnded(Ended {
             work: Some(100.0),
             ..ended(id, 0, Outcome::Served)
         }));
@@ -560,7 +560,7 @@
     );
     for k in 0..20 {
         let (engine, outcome) = (format!("e{}", k % 2), Outcome::Served);
-        g.does(Event::Heard {
+        g.does(Event::EngineReport {
             engine,
             outcome,
             report: vec![22.0, 0.1],
@@ -587,17 +587,17 @@
     };
     assert_eq!(field(|_| {}), None);
     assert_eq!(field(|s| s.classes.clear()), Some("classes".into()));
-    assert_eq!(field(|s| s.gateways = 0), Some("gateways".into()));
+    assert_eq!(field(|s| s.dispatchers = 0), Some("gateways".into()));
     assert_eq!(
-        field(|s| s.classes[0].aim = f64::NAN),
+        field(|s| s.classes[0].latency_objective = f64::NAN),
         Some("classes[0].aim".into())
     );
     assert_eq!(
-        field(|s| s.rules.fall_window = -1.0),
+        field(|s| s.rules.overload_window = -1.0),
         Some("rules.fall_window".into())
     );
     assert_eq!(
-        field(|s| s.classes[0].only_kinds = Some(vec![9])),
+        field(|s| s.classes[0].allowed_kinds = Some(vec![9])),
         Some("classes[0].only_kinds".into())
     );
 }
@@ -611,7 +611,7 @@
         now: 0.0,
     };
     let asks = |out: &[Action]| out.iter().filter(|a| **a == Action::Subscribe).count();
-    let out = g.does(Event::Engines {
+    let out = g.does(Event::EngineList {
         update: ListUpdate::Stale,
         entries: fleet(1),
     });
@@ -647,7 +647,7 @@
     let out = g.does(Event::Progress {
         id: 1,
         attempt: 0,
-        note: Note::Spills(700.0),
+        note: ProgressNote::Spills(700.0),
     });
     assert!(out.contains(&Action::Cancel { id: 1, attempt: 0 }));
     let out = g.end(1, 0, Outcome::Cancelled);
@@ -659,7 +659,7 @@
     let out = g.does(Event::Progress {
         id: 1,
         attempt: 1,
-        note: Note::Spills(700.0),
+        note: ProgressNote::Spills(700.0),
     });
     assert!(
         !out.iter().any(|a| matches!(a, Action::Cancel { .. })),
@@ -672,14 +672,14 @@
 fn a_jam_is_seen_where_reports_tell_of_cores_alone() {
     let sent_by = |busy: f64, ms: f64| {
         let mut s = settings(vec![class(1.0, 800.0)]);
-        (s.gateways, s.report_fields) = (4, vec![ReportField::CpuBusy]);
+        (s.dispatchers, s.report_fields) = (4, vec![ReportField::CpuBusy]);
         let mut g = Gateway::new(s, fleet(4));
         for id in 0..40 {
             let (now, sent) = (g.now, sends(&g.take(query(id, 0))));
             g.now = now + if id < 20 { 200.0 } else { ms };
             let report = vec![if id < 20 { 0.3 } else { busy }];
             if sent.len() == 1 {
-                g.does(Event::Ended(Ended {
+                g.does(Event::AttemptEnded(Ended {
                     report,
                     ..ended(id, 0, Outcome::Served)
                 }));
@@ -699,7 +699,7 @@
 fn attempts_that_ran_long_without_an_answer_tell_of_a_jam_unless_their_engine_spoke_since() {
     let left = |spoke: bool| {
         let mut s = settings(vec![class(1.0, 800.0)]);
-        s.gateways = 4;
+        s.dispatchers = 4;
         let mut g = Gateway::new(s, fleet(4));
         let sent: Vec<_> = (0..16)
             .flat_map(|id| sends(&g.take(query(id, 0))))
@@ -708,13 +708,13 @@
         for (id, engine) in sent {
             if spoke {
                 let outcome = Outcome::Served;
-                g.does(Event::Heard {
+                g.does(Event::EngineReport {
                     engine,
                     outcome,
                     report: vec![1.0, 0.1],
                 });
             }
-            g.does(Event::Ended(Ended {
+            g.does(Event::AttemptEnded(Ended {
                 last: true,
                 ..ended(id, 0, Outcome::TimedOut)
             }));
@@ -739,17 +739,17 @@
     let out = g.does(Event::Progress {
         id: 1,
         attempt: 0,
-        note: Note::WaitsForMemory,
+        note: ProgressNote::WaitsForMemory,
     });
     assert!(out.contains(&Action::Cancel { id: 1, attempt: 0 }));
     assert_ne!(sends(&g.end(1, 0, Outcome::Cancelled))[0].1, first);
     // The other turns it away: a move would lose the place in line for nothing.
     assert_eq!(sends(&g.take(query(2, 0)))[0].1, first);
-    g.end(1, 1, Outcome::Full);
+    g.end(1, 1, Outcome::Rejected);
     let out = g.does(Event::Progress {
         id: 2,
         attempt: 0,
-        note: Note::WaitsForMemory,
+        note: ProgressNote::WaitsForMemory,
     });
     assert!(!out.contains(&Action::Cancel { id: 2, attempt: 0 }));
 }
@@ -760,7 +760,7 @@
     let mut g = Gateway::new(settings(vec![class(1.0, 3000.0)]), fleet(1));
     (0..5).for_each(|id| assert_eq!(sends(&g.take(query(id, 0))).len(), 1));
     g.take(query(5, 0));
-    g.end(5, 0, Outcome::Full);
+    g.end(5, 0, Outcome::Rejected);
     (6..16).for_each(|id| assert_eq!(sends(&g.take(query(id, 0))).len(), 0));
     assert_eq!(
         sends(&g.pass(1100.0)).len(),
@@ -794,7 +794,7 @@
     }
     assert_eq!(sends(&g.take(query(50, 0)))[0].1, "e1");
     assert_eq!(
-        sends(&g.end(50, 0, Outcome::Full)).len(),
+        sends(&g.end(50, 0, Outcome::Rejected)).len(),
         0,
         "it waits for the other"
     );
@@ -804,7 +804,7 @@
 #[test]
 fn a_wide_query_does_not_shut_the_window_for_a_better_class() {
     let mut s = settings(two_classes());
-    s.gateways = 100;
+    s.dispatchers = 100;
     let mut g = Gateway::new(s, fleet(20)); // our budgets: 3.2 threads
     assert_eq!(sends(&g.take(query(1, 1))).len(), 1, "three threads");
     assert_eq!(
@@ -819,7 +819,7 @@
 #[test]
 fn what_has_room_is_sent_before_the_look_gives_up() {
     let mut s = settings(vec![class(1.0, 800.0)]);
-    (s.gateways, s.limits.probes) = (100, true);
+    (s.dispatchers, s.limits.probes) = (100, true);
     s.tenants = vec![Tenant { quota_per_s: 0.0 }];
     let mut g = Gateway::new(s, fleet(4));
     for id in 0..2 {
@@ -843,7 +843,7 @@
 fn a_jam_of_most_zones_cuts_and_an_engine_unheard_is_taken_for_its_zone() {
     let sent = |told: usize| {
         let mut s = settings(vec![class(1.0, 800.0)]);
-        s.gateways = 10;
+        s.dispatchers = 10;
         let engines = (0..12)
             .map(|i| EngineEntry {
                 zone: Some(i / 4),
@@ -855,7 +855,7 @@
         g.now += 1000.0;
         for i in (0..12 * 3).filter(|i| i % 12 / 4 < told) {
             let (engine, outcome) = (format!("e{}", i % 12), Outcome::Served);
-            g.does(Event::Heard {
+            g.does(Event::EngineReport {
                 engine,
                 outcome,
                 report: vec![40.0, 0.1],
@@ -874,12 +874,12 @@
 /// Seen at ikeja-main: loads stood behind other gateways' loads for their whole aim.
 #[test]
 fn a_keyed_load_behind_another_moves_while_engines_remember_it() {
-    let effect = Effect::Keyed {
-        group: Group::All,
+    let idempotency = Idempotency::Keyed {
+        group: DeduplicationScope::All,
         window: 4000.0,
     };
     let load = Class {
-        effect,
+        idempotency,
         holds_tables: true,
         ..class(10.0, 3000.0)
     };
@@ -895,7 +895,7 @@
         let out = g.does(Event::Progress {
             id,
             attempt: 0,
-            note: Note::WaitsForLoad,
+            note: ProgressNote::WaitsForLoad,
         });
         assert_eq!(
             out.contains(&Action::Cancel { id, attempt: 0 }),
@@ -917,7 +917,7 @@
 fn loads_and_readers_of_a_group_keep_apart() {
     let load = Class {
         holds_tables: true,
-        effect: Effect::Unsafe,
+        idempotency: Idempotency::NonIdempotent,
         ..class(7.0, 4000.0)
     };
     let reader = Class {
@@ -951,7 +951,7 @@
     let mut answer = |id, ms: f64, inflight: f64| {
         assert_eq!(sends(&g.take(query(id, 0))).len(), 1);
         g.now += ms;
-        g.does(Event::Ended(Ended {
+        g.does(Event::AttemptEnded(Ended {
             report: vec![inflight, 0.1],
             ..ended(id, 0, Outcome::Served)
         }));
@@ -973,7 +973,7 @@
     let (_, other) = sends(&g.end(1, 0, Outcome::Unreachable)).remove(0);
     assert_ne!(dead, other);
     assert!(
-        sends(&g.end(1, 1, Outcome::Full)).is_empty(),
+        sends(&g.end(1, 1, Outcome::Rejected)).is_empty(),
         "the full one rests, and so does the dead one"
     );
     assert_eq!(sends(&g.pass(1100.0)).len(), 1, "both are tried again");
@@ -983,7 +983,7 @@
 #[test]
 fn loads_of_any_group_have_half_of_the_engines_and_its_readers_the_rest() {
     let load = Class {
-        effect: Effect::Unsafe,
+        idempotency: Idempotency::NonIdempotent,
         holds_tables: true,
         threads: 2.0,
         ..class(4.0, 4000.0)
@@ -1017,7 +1017,7 @@
 #[test]
 fn readers_keep_off_an_engine_for_a_while_after_a_note_of_a_load_on_their_group() {
     let load = Class {
-        effect: Effect::Unsafe,
+        idempotency: Idempotency::NonIdempotent,
         holds_tables: true,
         threads: 2.0,
         ..class(4.0, 4000.0)
@@ -1038,7 +1038,7 @@
     g.does(Event::Progress {
         id: 1,
         attempt: 0,
-        note: Note::WaitsForLoad,
+        note: ProgressNote::WaitsForLoad,
     });
     g.end(1, 0, Outcome::Cancelled);
     g.end(1, 1, Outcome::Served);
@@ -1063,7 +1063,7 @@
 #[test]
 fn a_load_leaves_its_half_when_loads_hold_its_group_on_all_of_it() {
     let load = Class {
-        effect: Effect::Unsafe,
+        idempotency: Idempotency::NonIdempotent,
         holds_tables: true,
         threads: 2.0,
         ..class(4.0, 4000.0)
@@ -1094,7 +1094,7 @@
 #[test]
 fn a_load_with_time_to_spare_waits_for_its_half() {
     let load = Class {
-        effect: Effect::Unsafe,
+        idempotency: Idempotency::NonIdempotent,
         holds_tables: true,
         threads: 2.0,
         ..class(4.0, 4000.0)
@@ -1128,7 +1128,7 @@
 fn a_cold_engine_is_charged_what_estimates_tell_not_how_long_answers_took() {
     let sent = |work| {
         let mut s = settings(vec![class(1.0, 3000.0)]);
-        s.engines.tells_cost = false;
+        s.engines.reports_cost = false;
         let mut g = Gateway::new(s, fleet(1));
         for id in 0..10 {
             serve(&mut g, id, 0, 2500.0, 300.0);
@@ -1137,7 +1137,7 @@
             started: Some(g.now),
             ..entry("e0")
         };
-        g.does(Event::Engines {
+        g.does(Event::EngineList {
             update: ListUpdate::Patch,
             entries: vec![cold],
         });
--- a/tests/many_gateways.rs
+++ b/tests/many_gateways.rs
@@ -4,9 +4,9 @@
 use common::*;
 use query_dispatcher::*;
 
-fn one_of(gateways: u32, probes: bool) -> Settings {
+fn one_of(dispatchers: u32, probes: bool) -> Settings {
     let mut s = settings(vec![class(1.0, 2000.0)]);
-    (s.gateways, s.limits.probes) = (gateways, probes);
+    (s.dispatchers, s.limits.probes) = (dispatchers, probes);
     s
 }
 
@@ -23,7 +23,7 @@
 
 fn answer(engine: &str, inflight: f64) -> Event {
     let report = vec![inflight, 0.1];
-    Event::Heard {
+    Event::EngineReport {
         engine: engine.into(),
         outcome: Outcome::Served,
         report,
@@ -68,7 +68,7 @@
     };
     let own: std::collections::BTreeSet<String> = (0..40).map(|id| turn(&mut g, id)).collect();
     // As many again as there were: in the gateway's order some of them come before what it has.
-    g.does(Event::Engines {
+    g.does(Event::EngineList {
         update: ListUpdate::Whole,
         entries: fleet(40),
     });
@@ -117,12 +117,13 @@
         }
         assert!(sent.len() > 20, "{n} gateways use it, {} sends", sent.len());
         for (start, _) in &sent {
-            let able =
-                r.cold_from + (1.0 - r.cold_from) * ((start - 1000.0) / r.warm_within).min(1.0);
-            let bound = r.fall_multiple * able * cores * r.fall_window;
+            let able = r.initial_warm_up_capacity
+                + (1.0 - r.initial_warm_up_capacity)
+                    * ((start - 1000.0) / r.warm_up_period).min(1.0);
+            let bound = r.overload_multiple * able * cores * r.overload_window;
             let window = sent
                 .iter()
-                .filter(|(t, _)| t >= start && *t < start + r.fall_window);
+                .filter(|(t, _)| t >= start && *t < start + r.overload_window);
             let sum: f64 = window.map(|(_, w)| w).sum();
             assert!(
                 sum <= bound,
@@ -148,7 +149,7 @@
             "{} was full a moment ago",
             sent[0].1
         );
-        let moved = sends(&g.end(id, 0, Outcome::Full));
+        let moved = sends(&g.end(id, 0, Outcome::Rejected));
         assert!(!full.contains(&moved[0].1));
         g.end(id, 1, Outcome::Served);
     }
@@ -210,12 +211,12 @@
 /// Sends of many gateways with different seeds, each holding a few queries for under a period.
 fn all_send(s: &Settings, entries: &[EngineEntry], inflight: f64) -> usize {
     let mut total = 0;
-    for seed in 0..u64::from(s.gateways) {
+    for seed in 0..u64::from(s.dispatchers) {
         let mut g = Gateway {
             c: Controller::new(s.clone(), seed).unwrap(),
             now: 1000.0,
         };
-        g.does(Event::Engines {
+        g.does(Event::EngineList {
             update: ListUpdate::Stale,
             entries: entries.to_vec(),
         });
@@ -254,8 +255,10 @@
         ..entry("cold")
     };
     let r = &s.rules;
-    let usual = s.classes[0].aim / (1.0 + s.classes[0].aim_stretch);
-    let stands = r.fall_multiple * r.cold_from * s.kinds[0].cores * r.fall_window / usual;
+    let usual = s.classes[0].latency_objective / (1.0 + s.classes[0].latency_objective_slowdown);
+    let stands =
+        r.overload_multiple * r.initial_warm_up_capacity * s.kinds[0].cores * r.overload_window
+            / usual;
     let sent = all_send(&s, &[cold], 0.0) as f64;
     assert!(sent <= stands, "{sent} sends, it stands {stands}");
     assert!(
@@ -343,10 +346,11 @@
     let mut g = Gateway::new(s, (0..3).map(cold).collect());
     let p = play(&mut g, 150, |_, _| Outcome::Served);
     for e in ["e0", "e1", "e2"] {
-        let able = r.cold_from + (1.0 - r.cold_from) * 1500.0 / r.warm_within;
+        let able = r.initial_warm_up_capacity
+            + (1.0 - r.initial_warm_up_capacity) * 1500.0 / r.warm_up_period;
         let (most, bound) = (
-            most_in_a_window(&p, e, r.fall_window),
-            r.fall_multiple * able * 2.0 * 1500.0,
+            most_in_a_window(&p, e, r.overload_window),
+            r.overload_multiple * able * 2.0 * 1500.0,
         );
         assert!(most <= bound, "{e}: {most} of {bound}");
         assert!(
@@ -381,7 +385,7 @@
         started: Some(at),
         ..entry(&format!("new{i}"))
     });
-    let mut again = g.does(Event::Engines {
+    let mut again = g.does(Event::EngineList {
         update: ListUpdate::Patch,
         entries: gone.chain(new).collect(),
     });
@@ -440,7 +444,7 @@
     let mut g = Gateway::new(one_of(1, false), fleet(3));
     let out = sends(&g.take(query(1, 0)));
     for update in [ListUpdate::Patch, ListUpdate::Whole, ListUpdate::Patch] {
-        let repeated = g.does(Event::Engines {
+        let repeated = g.does(Event::EngineList {
             update,
             entries: fleet(3),
         });
@@ -454,7 +458,7 @@
         state: EngineState::Gone,
         ..entry("never")
     };
-    g.does(Event::Engines {
+    g.does(Event::EngineList {
         update: ListUpdate::Patch,
         entries: vec![gone.clone(), gone],
     });
@@ -466,7 +470,7 @@
         state: EngineState::Gone,
         ..entry("e0")
     };
-    g.does(Event::Engines {
+    g.does(Event::EngineList {
         update: ListUpdate::Patch,
         entries: vec![gone],
     });
@@ -474,15 +478,17 @@
         started: Some(g.now),
         ..entry("e0")
     };
-    g.does(Event::Engines {
+    g.does(Event::EngineList {
         update: ListUpdate::Patch,
         entries: vec![new],
     });
     let p = play(&mut g, 100, |_, _| Outcome::Served);
     let r = settings(vec![class(1.0, 1.0)]).rules;
-    let bound =
-        r.fall_multiple * (r.cold_from + 0.7 * 1500.0 / r.warm_within) * 8.0 * r.fall_window;
-    assert!(most_in_a_window(&p, "e0", r.fall_window) <= bound);
+    let bound = r.overload_multiple
+        * (r.initial_warm_up_capacity + 0.7 * 1500.0 / r.warm_up_period)
+        * 8.0
+        * r.overload_window;
+    assert!(most_in_a_window(&p, "e0", r.overload_window) <= bound);
 }
 
 /// Its failures and its crowd were true half a minute ago; nobody has met it since.
--- a/tests/moments.rs
+++ b/tests/moments.rs
@@ -15,7 +15,7 @@
 use query_dispatcher::server::instance_registry::Shared;
 use query_dispatcher::transport::framed::Pool;
 use query_dispatcher::upstream::resp::RespUpstream;
-use query_dispatcher::{Effect, Group};
+use query_dispatcher::{DeduplicationScope, Idempotency};
 use scenario::{change, on_one_thread};
 use socket2::SockRef;
 use std::cell::RefCell;
@@ -46,18 +46,18 @@
 /// A dispatcher before one engine that this test plays itself.
 async fn stand(
     engine: TcpListener,
-    keyed: (Group, f64),
+    keyed: (DeduplicationScope, f64),
     tweak: impl FnOnce(&mut Sockets),
 ) -> Stand {
     let (_, mut names, mut sockets) = scenario::core();
     tweak(&mut sockets);
     let mut settings = scenario::settings();
-    let effect = Effect::Keyed {
+    let idempotency = Idempotency::Keyed {
         group: keyed.0,
         window: keyed.1,
     };
     settings.classes.push(query_dispatcher::Class {
-        effect,
+        idempotency,
         ..settings.classes[LOOKUP].clone()
     });
     names.classes = CLASSES.map(String::from).to_vec();
@@ -104,7 +104,7 @@
 async fn plain() -> Stand {
     stand(
         TcpListener::bind("127.0.0.1:0").await.unwrap(),
-        (Group::All, 0.0),
+        (DeduplicationScope::All, 0.0),
         |_| {},
     )
     .await
@@ -220,14 +220,14 @@
 // ---- repeats, against the window in which engines know them
 
 /// By group: what a client is told of a request that may have run and can't be sent again.
-const GROUPS: [(Group, &str); 3] = [
-    (Group::All, "refused"),
-    (Group::Zone, "failed"),
-    (Group::Cell, "failed"),
+const GROUPS: [(DeduplicationScope, &str); 3] = [
+    (DeduplicationScope::All, "refused"),
+    (DeduplicationScope::Zone, "failed"),
+    (DeduplicationScope::Cell, "failed"),
 ];
 
 /// Its connection breaks, and the repeat waits for another that comes up a second later.
-async fn repeat_before_a_late_connection(group: Group, told: &'static str) {
+async fn repeat_before_a_late_connection(group: DeduplicationScope, told: &'static str) {
     let s = stand(tight(), (group, 300.0), |sockets| {
         sockets.connect_timeout = 4000.0
     })
@@ -261,7 +261,7 @@
 }
 
 /// Its engine fails it, and the repeat stands behind a request that is half on the wire.
-async fn repeat_behind_a_stalled_write(group: Group, told: &'static str) {
+async fn repeat_behind_a_stalled_write(group: DeduplicationScope, told: &'static str) {
     let s = stand(narrow(), (group, 250.0), |_| {}).await;
     s.ask(1, LOAD);
     let mut stalled = s.dialled().await;
@@ -301,7 +301,7 @@
 #[test]
 fn a_repeat_half_on_the_wire_never_comes_whole_past_its_window() {
     on_one_thread(async {
-        let s = stand(narrow(), (Group::Cell, 1000.0), |_| {}).await;
+        let s = stand(narrow(), (DeduplicationScope::Cell, 1000.0), |_| {}).await;
         s.ask_for(1, KEYED, 5000.0, 100_000);
         let mut engine = s.dialled().await;
         get(&mut engine).await;
@@ -348,9 +348,9 @@
 fn a_keyed_request_whose_time_is_over_is_refused_only_where_all_engines_know_it() {
     on_one_thread(async {
         for (group, told) in [
-            (Group::All, "refused as late"),
-            (Group::Zone, "failed as late"),
-            (Group::Cell, "failed as late"),
+            (DeduplicationScope::All, "refused as late"),
+            (DeduplicationScope::Zone, "failed as late"),
+            (DeduplicationScope::Cell, "failed as late"),
         ] {
             let s = stand(
                 TcpListener::bind("127.0.0.1:0").await.unwrap(),
@@ -565,7 +565,10 @@
 fn half_an_answer_in_the_turn_of_our_idle_close_is_served_to_nobody() {
     on_one_thread(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let s = stand(listener, (Group::All, 0.0), |sockets| sockets.idle = 200.0).await;
+        let s = stand(listener, (DeduplicationScope::All, 0.0), |sockets| {
+            sockets.idle = 200.0
+        })
+        .await;
         s.ask_for(1, LOOKUP, 60.0, 1);
         let mut engine = s.dialled().await;
         get(&mut engine).await;
@@ -643,7 +646,7 @@
         let filler = TcpStream::connect(engine.local_addr().unwrap())
             .await
             .unwrap();
-        let s = stand(engine, (Group::All, 0.0), |sockets| {
+        let s = stand(engine, (DeduplicationScope::All, 0.0), |sockets| {
             sockets.connect_timeout = 4000.0
         })
         .await;
@@ -675,7 +678,7 @@
         let engine = tight();
         let at = engine.local_addr().unwrap();
         let filler = TcpStream::connect(at).await.unwrap();
-        let s = stand(engine, (Group::Cell, 50.0), |sockets| {
+        let s = stand(engine, (DeduplicationScope::Cell, 50.0), |sockets| {
             sockets.connect_timeout = 150.0
         })
         .await;
@@ -713,7 +716,7 @@
     let engine = tight();
     let at = engine.local_addr().unwrap();
     let filler = TcpStream::connect(at).await.unwrap();
-    let s = stand(engine, (Group::All, 0.0), |sockets| {
+    let s = stand(engine, (DeduplicationScope::All, 0.0), |sockets| {
         sockets.connect_timeout = 4000.0
     })
     .await;
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -585,8 +585,10 @@
 
 /// Classes of each effect, whose deadlines are longer than the kill waits.
 fn long_deadlines(config: &str) -> String {
-    let class = |name: &str, effect: &str| {
-        format!(r#",{{"name":"{name}","aim":16000.0,"hard_limit":16000.0,{effect},"worth":1.0}}"#)
+    let class = |name: &str, idempotency: &str| {
+        format!(
+            r#",{{"name":"{name}","aim":16000.0,"hard_limit":16000.0,{idempotency},"worth":1.0}}"#
+        )
     };
     let more = [
         class("load", r#""effect":"fragile""#),
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -22,32 +22,32 @@
 const SPAN: f64 = 3000.0;
 
 fn world() -> Settings {
-    let keyed = Effect::Keyed {
-        group: Group::Cell,
+    let keyed = Idempotency::Keyed {
+        group: DeduplicationScope::Cell,
         window: KEYED_WINDOW,
     };
     let mut s = settings(vec![
         class(1.0, 500.0),
         Class {
-            effect: Effect::Unsafe,
+            idempotency: Idempotency::NonIdempotent,
             threads: 2.0,
             ..class(5.0, 2000.0)
         },
         Class {
-            effect: keyed,
-            only_kinds: Some(vec![1]),
+            idempotency: keyed,
+            allowed_kinds: Some(vec![1]),
             ..class(2.0, 800.0)
         },
         Class {
             in_order: true,
-            only_zones: Some(vec![0]),
+            allowed_zones: Some(vec![0]),
             ..class(3.0, 900.0)
         },
     ]);
     // Our part of a budget is below one query, so that pairs are probed.
-    (s.gateways, s.limits.probes) = (50, true);
-    s.rules.cold_from = 1.0; // and cold engines still get their draws
-    s.rules.attempt_budget = Some(AttemptBudget {
+    (s.dispatchers, s.limits.probes) = (50, true);
+    s.rules.initial_warm_up_capacity = 1.0; // and cold engines still get their draws
+    s.rules.retry_budget = Some(RetryBudget {
         free: 2.0,
         share: 0.3,
         span: SPAN,
@@ -94,7 +94,7 @@
         let mut events: Vec<Event> = vec![];
         for (id, attempt) in due {
             let last = seen[&id].over;
-            events.push(Event::Ended(Ended {
+            events.push(Event::AttemptEnded(Ended {
                 last,
                 ..ended(id, attempt, Outcome::TimedOut)
             }));
@@ -135,12 +135,12 @@
                     Outcome::Served,
                     Outcome::Served,
                     Outcome::Error,
-                    Outcome::Full,
+                    Outcome::Rejected,
                     Outcome::Unreachable,
                     Outcome::Reset,
                 ][usize::from(x % 6)];
                 let last = outcome == Outcome::Served || seen[&id].over;
-                events.push(Event::Ended(Ended {
+                events.push(Event::AttemptEnded(Ended {
                     last,
                     work: Some(120.0),
                     report: vec![f64::from(pick), 0.5],
@@ -151,7 +151,7 @@
                 let state = [EngineState::Ready, EngineState::Draining, EngineState::Gone]
                     [usize::from(x % 3)];
                 let e = engine(pick, state, (x % 5 == 0).then_some(g.now));
-                events.push(Event::Engines {
+                events.push(Event::EngineList {
                     update: ListUpdate::Patch,
                     entries: vec![e],
                 });
@@ -160,11 +160,11 @@
                 let id = u64::from(pick);
                 // Odd but harmless: unknown ids, attempts never made, queries long over.
                 events.push(match x % 3 {
-                    0 => Event::Ended(ended(id + 100_000, 3, Outcome::Served)),
+                    0 => Event::AttemptEnded(ended(id + 100_000, 3, Outcome::Served)),
                     1 => Event::Progress {
                         id,
                         attempt: 9,
-                        note: Note::Done(f64::NAN),
+                        note: ProgressNote::Done(f64::NAN),
                     },
                     _ => Event::ClientLeft(id),
                 });
@@ -177,9 +177,9 @@
                     vec![f64::from(pick), 0.4],
                     vec![-1.0],
                 ];
-                events.push(Event::Heard {
+                events.push(Event::EngineReport {
                     engine: format!("e{}", pick % 7),
-                    outcome: [Outcome::Served, Outcome::Unreachable, Outcome::Full]
+                    outcome: [Outcome::Served, Outcome::Unreachable, Outcome::Rejected]
                         [usize::from(x % 3)],
                     report: report[usize::from(x % 4)].clone(),
                 });
@@ -189,7 +189,7 @@
         events.push(Event::Timer(0));
         for event in events {
             match &event {
-                Event::Engines { entries, .. } => {
+                Event::EngineList { entries, .. } => {
                     states.extend(entries.iter().map(|e| (e.engine.clone(), e.clone())));
                 }
                 Event::ClientLeft(id) => {
@@ -199,10 +199,10 @@
                 }
                 _ => {}
             }
-            if let Event::Ended(e) = &event
+            if let Event::AttemptEnded(e) = &event
                 && let Some(q) = seen.get_mut(&e.id)
             {
-                let proven = matches!(e.outcome, Outcome::Full | Outcome::Unreachable);
+                let proven = matches!(e.outcome, Outcome::Rejected | Outcome::Unreachable);
                 if let Some(k) = q.out.iter().position(|(a, _, _)| *a == e.attempt) {
                     let (_, name, sent) = q.out.remove(k);
                     if !proven && q.first_run.is_none() {
@@ -210,7 +210,7 @@
                     }
                     if let (Some(key), false, true) = (&q.key, proven, e.outcome != Outcome::Served)
                     {
-                        rests.insert(key.clone(), (e.id, g.now + s.rules.order_rest));
+                        rests.insert(key.clone(), (e.id, g.now + s.rules.order_quiet_period));
                     }
                 }
                 q.over |= e.last;
@@ -224,21 +224,24 @@
                         let e = &states[engine];
                         prop_assert!(!q.over && g.now < q.deadline, "sent after the end");
                         prop_assert!(q.out.is_empty(), "two attempts out");
-                        prop_assert!(q.attempts < s.limits.most_attempts);
+                        prop_assert!(q.attempts < s.limits.max_attempts);
                         prop_assert_eq!(e.state, EngineState::Ready);
                         prop_assert!(
-                            c.only_kinds
+                            c.allowed_kinds
                                 .as_ref()
                                 .is_none_or(|k| k.contains(&e.kind.unwrap()))
                         );
                         prop_assert!(
-                            c.only_zones
+                            c.allowed_zones
                                 .as_ref()
                                 .is_none_or(|z| z.contains(&e.zone.unwrap()))
                         );
                         if let Some((sent, cell)) = q.first_run {
-                            prop_assert!(c.effect != Effect::Unsafe, "an effect may happen twice");
-                            if let Effect::Keyed { .. } = c.effect {
+                            prop_assert!(
+                                c.idempotency != Idempotency::NonIdempotent,
+                                "an effect may happen twice"
+                            );
+                            if let Idempotency::Keyed { .. } = c.idempotency {
                                 prop_assert!(g.now < sent + KEYED_WINDOW && e.cell == cell);
                             }
                         }
@@ -266,7 +269,7 @@
                         let q = seen.get_mut(id).unwrap();
                         prop_assert!(!q.over, "a second final answer");
                         if matches!(a, Action::Refuse { .. }) {
-                            let safe = s.classes[q.class].effect == Effect::Safe;
+                            let safe = s.classes[q.class].idempotency == Idempotency::Idempotent;
                             prop_assert!(
                                 safe || q.first_run.is_none(),
                                 "a refusal that promises too much"
--- a/tests/recorded_decisions/controller_stream.rs
+++ b/tests/recorded_decisions/controller_stream.rs
@@ -18,7 +18,7 @@
         attempt: usize,
         outcome: Ending,
     },
-    Note {
+    ProgressNote {
         request: u64,
         attempt: usize,
     },
@@ -129,7 +129,7 @@
                 attempt,
                 outcome,
             } => self.end(request, attempt, outcome),
-            Step::Note { request, attempt } => self.note(request, attempt),
+            Step::ProgressNote { request, attempt } => self.note(request, attempt),
             Step::Stream { request, attempt } => {
                 if self.is_out(request, attempt) {
                     self.tell(streaming_event(request, attempt as u32));
@@ -241,7 +241,7 @@
             },
         );
         if self.random.chance(self.traffic.notes) {
-            self.repeat(60.0, Step::Note { request, attempt });
+            self.repeat(60.0, Step::ProgressNote { request, attempt });
         }
         if self.random.chance(0.05) {
             self.repeat(60.0, Step::Stream { request, attempt });
@@ -325,7 +325,7 @@
         toy.closed |= outcome == Ending::Served;
         let (engine, sent) = (toy.attempts[attempt].engine, toy.attempts[attempt].sent);
         self.engines[engine].running -= 1;
-        let told = outcome == Ending::Served && self.settings.engines.tells_cost;
+        let told = outcome == Ending::Served && self.settings.engines.reports_cost;
         let silent = matches!(
             outcome,
             Ending::TimedOut | Ending::Unreachable | Ending::Reset
@@ -363,7 +363,7 @@
         let done = (self.now - toy.sent) / (toy.usual_end - toy.sent).max(1.0);
         let lagging = if self.random.chance(0.1) { 0.05 } else { 1.0 };
         let note = draw_note(&mut self.random, done * lagging);
-        self.repeat(80.0, Step::Note { request, attempt });
+        self.repeat(80.0, Step::ProgressNote { request, attempt });
         self.tell(note_event(request, attempt as u32, note));
     }
 
--- a/tests/recorded_decisions/core_stream.rs
+++ b/tests/recorded_decisions/core_stream.rs
@@ -38,7 +38,7 @@
         attempt: AttemptId,
         engine: usize,
     },
-    Note {
+    ProgressNote {
         attempt: AttemptId,
     },
     Written,
@@ -163,7 +163,7 @@
                 outcome,
             } => self.end(attempt, engine, outcome),
             Step::Begin { attempt, engine } => self.begin(attempt, engine),
-            Step::Note { attempt } => self.note(attempt),
+            Step::ProgressNote { attempt } => self.note(attempt),
             Step::Written => self.core.written(),
             Step::ListChange => self.list_change(),
             Step::WholeList => self.whole_list(),
@@ -263,7 +263,7 @@
             ),
         }
         if self.random.chance(self.traffic.notes) {
-            self.repeat(60.0, Step::Note { attempt });
+            self.repeat(60.0, Step::ProgressNote { attempt });
         }
     }
 
@@ -307,7 +307,7 @@
         let note = draw_note(&mut self.random, done);
         self.record.line(note_word(note), &bits(self.now));
         self.core.note(self.now, attempt, note);
-        self.repeat(80.0, Step::Note { attempt });
+        self.repeat(80.0, Step::ProgressNote { attempt });
     }
 
     fn list_change(&mut self) {
--- a/tests/recorded_decisions/profiles.rs
+++ b/tests/recorded_decisions/profiles.rs
@@ -3,7 +3,8 @@
 use crate::vocabulary::AllSettings as Settings;
 use query_dispatcher::core::Bounds;
 use query_dispatcher::{
-    AttemptBudget, Class, Effect, EngineFacts, Group, Kind, Limits, ReportField, Rules, Tenant,
+    Class, DeduplicationScope, EngineCapabilities, Idempotency, Kind, Limits, ReportField,
+    RetryBudget, Rules, Tenant,
 };
 
 /// What a stream brings, beside what the settings say.
@@ -39,24 +40,24 @@
     estimates: true,
 };
 
-fn class(worth: f64, aim: f64, effect: Effect) -> Class {
+fn class(priority_weight: f64, latency_objective: f64, idempotency: Idempotency) -> Class {
     Class {
-        worth,
-        aim,
-        aim_stretch: 2.0,
-        late_share: 0.1,
-        effect,
+        priority_weight,
+        latency_objective,
+        latency_objective_slowdown: 2.0,
+        late_answer_weight: 0.1,
+        idempotency,
         in_order: false,
-        only_zones: None,
-        only_kinds: None,
+        allowed_zones: None,
+        allowed_kinds: None,
         threads: 1.0,
         holds_tables: false,
         waits_for_loads: false,
     }
 }
 
-fn keyed(group: Group) -> Effect {
-    Effect::Keyed {
+fn keyed(group: DeduplicationScope) -> Idempotency {
+    Idempotency::Keyed {
         group,
         window: 900.0,
     }
@@ -64,17 +65,17 @@
 
 fn base() -> Settings {
     Settings {
-        gateways: 1,
+        dispatchers: 1,
         zone: Some(0),
         step: 5.0,
         classes: vec![
-            class(1.0, 500.0, Effect::Safe),
-            class(3.0, 900.0, keyed(Group::All)),
-            class(2.0, 800.0, keyed(Group::Zone)),
-            class(2.5, 700.0, keyed(Group::Cell)),
+            class(1.0, 500.0, Idempotency::Idempotent),
+            class(3.0, 900.0, keyed(DeduplicationScope::All)),
+            class(2.0, 800.0, keyed(DeduplicationScope::Zone)),
+            class(2.5, 700.0, keyed(DeduplicationScope::Cell)),
             Class {
                 threads: 2.0,
-                ..class(5.0, 1500.0, Effect::Unsafe)
+                ..class(5.0, 1500.0, Idempotency::NonIdempotent)
             },
         ],
         tenants: vec![],
@@ -88,36 +89,36 @@
                 memory_mb: 8192.0,
             },
         ],
-        over_share_worth: 0.1,
+        over_quota_weight: 0.1,
         limits: Limits {
-            most_attempts: 3,
-            second_copies: false,
+            max_attempts: 3,
+            hedging: false,
             cancel: true,
             probes: false,
-            retry_advice: true,
+            sends_retry_after: true,
             max_retry_after: 500.0,
         },
-        engines: EngineFacts {
-            takes_grants: false,
-            takes_priority: false,
-            most_grant: 0.4,
-            tells_cost: true,
-            overcommits: false,
-            notes_every: 0.0,
+        engines: EngineCapabilities {
+            accepts_memory_grants: false,
+            accepts_priority: false,
+            max_grant_share: 0.4,
+            reports_cost: true,
+            overcommits_memory: false,
+            progress_interval: 0.0,
         },
         rules: Rules {
             answer_grace: 20.0,
             drain_grace: 250.0,
-            cold_from: 0.3,
-            warm_within: 1500.0,
-            fall_multiple: 3.0,
-            fall_window: 1000.0,
-            order_rest: 300.0,
-            attempt_budget: None,
+            initial_warm_up_capacity: 0.3,
+            warm_up_period: 1500.0,
+            overload_multiple: 3.0,
+            overload_window: 1000.0,
+            order_quiet_period: 300.0,
+            retry_budget: None,
         },
         report_fields: vec![ReportField::Inflight, ReportField::MemoryGranted],
         must_subscribe: false,
-        cross_zone_price: 0.0,
+        cross_zone_cost: 0.0,
     }
 }
 
@@ -137,8 +138,8 @@
     match name {
         "one_gateway" => {}
         "three_gateways_in_zones" => {
-            settings.gateways = 3;
-            settings.cross_zone_price = 0.5;
+            settings.dispatchers = 3;
+            settings.cross_zone_cost = 0.5;
             traffic = Traffic {
                 engines: 9,
                 zones: 3,
@@ -146,7 +147,7 @@
             };
         }
         "fifty_gateways_with_probes" => {
-            (settings.gateways, settings.limits.probes) = (50, true);
+            (settings.dispatchers, settings.limits.probes) = (50, true);
             settings.report_fields = ALL_FIELDS.to_vec();
             traffic = Traffic {
                 engines: 10,
@@ -155,8 +156,8 @@
             };
         }
         "three_hundred_gateways_and_restarts" => {
-            (settings.gateways, settings.limits.probes) = (300, true);
-            settings.rules.cold_from = 0.6;
+            (settings.dispatchers, settings.limits.probes) = (300, true);
+            settings.rules.initial_warm_up_capacity = 0.6;
             settings.report_fields = vec![ReportField::CpuBusy];
             traffic = Traffic {
                 engines: 12,
@@ -178,11 +179,11 @@
             };
         }
         "tenants_and_retry_budget" => {
-            settings.gateways = 3;
+            settings.dispatchers = 3;
             settings.tenants = [4.0, 15.0, 60.0]
                 .map(|quota_per_s| Tenant { quota_per_s })
                 .to_vec();
-            settings.rules.attempt_budget = Some(AttemptBudget {
+            settings.rules.retry_budget = Some(RetryBudget {
                 free: 2.0,
                 share: 0.1,
                 span: 1000.0,
@@ -193,10 +194,10 @@
             };
         }
         "memory_overcommitted" => {
-            settings.engines.overcommits = true;
+            settings.engines.overcommits_memory = true;
             (
-                settings.engines.takes_grants,
-                settings.engines.takes_priority,
+                settings.engines.accepts_memory_grants,
+                settings.engines.accepts_priority,
             ) = (true, true);
             traffic = Traffic {
                 engines: 4,
@@ -207,9 +208,9 @@
         }
         "list_by_subscription" => {
             settings.must_subscribe = true;
-            settings.engines.takes_grants = true;
+            settings.engines.accepts_memory_grants = true;
             settings.report_fields = vec![];
-            settings.engines.tells_cost = false;
+            settings.engines.reports_cost = false;
             traffic = Traffic {
                 list_change_every: 60.0,
                 estimates: false,
@@ -223,17 +224,17 @@
 }
 
 fn loads_hold_tables(settings: &mut Settings, traffic: &mut Traffic) {
-    settings.gateways = 3;
+    settings.dispatchers = 3;
     (
-        settings.engines.takes_grants,
-        settings.engines.takes_priority,
+        settings.engines.accepts_memory_grants,
+        settings.engines.accepts_priority,
     ) = (true, true);
-    settings.engines.notes_every = 80.0;
+    settings.engines.progress_interval = 80.0;
     settings.classes[0].waits_for_loads = true;
     settings.classes[1].waits_for_loads = true;
     settings.classes[4] = Class {
         holds_tables: true,
-        ..class(8.0, 1500.0, keyed(Group::All))
+        ..class(8.0, 1500.0, keyed(DeduplicationScope::All))
     };
     *traffic = Traffic {
         engines: 8,
@@ -244,11 +245,11 @@
 }
 
 fn hedging_in_places(settings: &mut Settings, traffic: &mut Traffic) {
-    settings.limits.second_copies = true;
-    (settings.limits.cancel, settings.limits.retry_advice) = (false, false);
-    settings.classes[0].only_zones = Some(vec![0, 2]);
-    settings.classes[1].only_kinds = Some(vec![1]);
-    settings.classes[2].only_zones = Some(vec![1]);
+    settings.limits.hedging = true;
+    (settings.limits.cancel, settings.limits.sends_retry_after) = (false, false);
+    settings.classes[0].allowed_zones = Some(vec![0, 2]);
+    settings.classes[1].allowed_kinds = Some(vec![1]);
+    settings.classes[2].allowed_zones = Some(vec![1]);
     *traffic = Traffic {
         engines: 9,
         zones: 3,
--- a/tests/recorded_decisions/vocabulary.rs
+++ b/tests/recorded_decisions/vocabulary.rs
@@ -5,7 +5,7 @@
 use crate::record::{bits, optional_bits};
 use query_dispatcher::core::{Answer, AttemptId, Command};
 use query_dispatcher::{
-    Action, Ended, EngineEntry, EngineState, Event, ListUpdate, Note, Outcome, Query, ReportField,
+    Action, Ended, EngineEntry, EngineState, Event, ListUpdate, Outcome, Query, ReportField,
     Settings,
 };
 
@@ -13,7 +13,7 @@
 pub use query_dispatcher::gossip::Terms;
 pub use query_dispatcher::{
     Controller, EngineState as Standing, Event as ControllerEvent, ListUpdate as Update,
-    Note as ProgressNote, Outcome as Ending, Settings as AllSettings,
+    Outcome as Ending, ProgressNote, Settings as AllSettings,
 };
 
 /// An engine as the streams know it.
@@ -79,7 +79,7 @@
 }
 
 pub fn list_event(update: Update, engines: &[ToyEngine]) -> Event {
-    Event::Engines {
+    Event::EngineList {
         update,
         entries: engines.iter().map(entry).collect(),
     }
@@ -103,7 +103,7 @@
 }
 
 pub fn end_event(end: AttemptEnd) -> Event {
-    Event::Ended(Ended {
+    Event::AttemptEnded(Ended {
         id: end.request,
         attempt: end.attempt,
         outcome: end.outcome,
@@ -116,7 +116,7 @@
 }
 
 pub fn load_event(engine: &str, outcome: Ending, report: Vec<f64>) -> Event {
-    Event::Heard {
+    Event::EngineReport {
         engine: engine.to_string(),
         outcome,
         report,
@@ -149,22 +149,22 @@
 /// The word for an event in the record.
 pub fn event_word(event: &Event) -> &'static str {
     match event {
-        Event::Engines {
+        Event::EngineList {
             update: ListUpdate::Patch,
             ..
         } => "list-patch",
-        Event::Engines {
+        Event::EngineList {
             update: ListUpdate::Whole,
             ..
         } => "list-whole",
-        Event::Engines {
+        Event::EngineList {
             update: ListUpdate::Stale,
             ..
         } => "list-stale",
         Event::DiscoveryFailed => "list-failure",
         Event::Query(_) => "arrival",
-        Event::Ended(ended) => outcome_word(ended.outcome),
-        Event::Heard { .. } => "load-report",
+        Event::AttemptEnded(ended) => outcome_word(ended.outcome),
+        Event::EngineReport { .. } => "load-report",
         Event::Progress { note, .. } => note_word(*note),
         Event::Streaming { .. } => "streaming",
         Event::ClientLeft(_) => "client-left",
@@ -176,23 +176,23 @@
     match outcome {
         Outcome::Served => "end-served",
         Outcome::Error => "end-error",
-        Outcome::Full => "end-full",
+        Outcome::Rejected => "end-full",
         Outcome::TimedOut => "end-timed-out",
         Outcome::Unreachable => "end-unreachable",
         Outcome::Reset => "end-reset",
         Outcome::Cancelled => "end-cancelled",
-        Outcome::Moot => "end-not-sent",
+        Outcome::NeverStarted => "end-not-sent",
     }
 }
 
 pub fn note_word(note: ProgressNote) -> &'static str {
     match note {
-        Note::Done(_) => "note-done",
-        Note::Spills(_) => "note-spills",
-        Note::WaitsForMemory => "note-waits-memory",
-        Note::WaitsForLoad => "note-waits-load",
-        Note::Idle => "note-idle",
-        Note::Works => "note-works",
+        ProgressNote::Done(_) => "note-done",
+        ProgressNote::Spills(_) => "note-spills",
+        ProgressNote::WaitsForMemory => "note-waits-memory",
+        ProgressNote::WaitsForLoad => "note-waits-load",
+        ProgressNote::Idle => "note-idle",
+        ProgressNote::Works => "note-works",
     }
 }
 
@@ -329,10 +329,10 @@
     random.weighted(&[
         (Outcome::Served, 100),
         (Outcome::Error, 2 * trouble),
-        (Outcome::Full, 2 * trouble),
+        (Outcome::Rejected, 2 * trouble),
         (Outcome::TimedOut, trouble),
         (Outcome::Reset, trouble),
-        (Outcome::Moot, 1),
+        (Outcome::NeverStarted, 1),
     ])
 }
 
@@ -340,13 +340,13 @@
 pub fn draw_note(random: &mut Random, done: f64) -> ProgressNote {
     let short = random.between(10.0, 4000.0);
     random.weighted(&[
-        (Note::Done(done), 60),
-        (Note::Done(f64::NAN), 1),
-        (Note::Spills(short), 8),
-        (Note::WaitsForMemory, 5),
-        (Note::WaitsForLoad, 5),
-        (Note::Idle, 4),
-        (Note::Works, 4),
+        (ProgressNote::Done(done), 60),
+        (ProgressNote::Done(f64::NAN), 1),
+        (ProgressNote::Spills(short), 8),
+        (ProgressNote::WaitsForMemory, 5),
+        (ProgressNote::WaitsForLoad, 5),
+        (ProgressNote::Idle, 4),
+        (ProgressNote::Works, 4),
     ])
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -9,7 +9,7 @@
         state: EngineState::Draining,
         ..entry(engine)
     }];
-    Event::Engines {
+    Event::EngineList {
         update: ListUpdate::Patch,
         entries,
     }
@@ -31,7 +31,7 @@
     assert!(finals(&g.take(query(1, 0))).is_empty());
     let out = g.pass(4000.0);
     assert_eq!(finals(&out), [1]);
-    let out = g.does(Event::Engines {
+    let out = g.does(Event::EngineList {
         update: ListUpdate::Whole,
         entries: vec![entry("a")],
     });
@@ -50,7 +50,7 @@
 #[test]
 fn rule_2_an_unsafe_query_that_may_have_run_is_neither_resent_nor_refused() {
     let unsafe_class = Class {
-        effect: Effect::Unsafe,
+        idempotency: Idempotency::NonIdempotent,
         ..class(1.0, 800.0)
     };
     let mut g = Gateway::new(settings(vec![unsafe_class]), vec![entry("a"), entry("b")]);
@@ -68,12 +68,12 @@
 
 #[test]
 fn rule_2_a_keyed_query_is_resent_only_in_its_group_and_window() {
-    let keyed = Effect::Keyed {
-        group: Group::Cell,
+    let keyed = Idempotency::Keyed {
+        group: DeduplicationScope::Cell,
         window: 500.0,
     };
     let keyed_class = Class {
-        effect: keyed,
+        idempotency: keyed,
         ..class(1.0, 3000.0)
     };
     let cells = || {
@@ -112,9 +112,13 @@
 /// No engine has room, and the window passes: it could not be sent any more, so that nothing is waited for.
 #[test]
 fn a_keyed_query_that_waits_for_room_is_answered_once_its_window_is_over() {
-    for group in [Group::All, Group::Zone, Group::Cell] {
+    for group in [
+        DeduplicationScope::All,
+        DeduplicationScope::Zone,
+        DeduplicationScope::Cell,
+    ] {
         let keyed = Class {
-            effect: Effect::Keyed {
+            idempotency: Idempotency::Keyed {
                 group,
                 window: 100.0,
             },
@@ -123,7 +127,7 @@
         let mut g = Gateway::new(settings(vec![keyed, class(1.0, 3000.0)]), vec![entry("a")]);
         assert_eq!(sends(&g.take(query(1, 0))).len(), 1);
         assert_eq!(sends(&g.take(query(2, 1))).len(), 1);
-        g.end(2, 0, Outcome::Full);
+        g.end(2, 0, Outcome::Rejected);
         g.now += 40.0;
         let out = g.end(1, 0, Outcome::Reset);
         assert!(
@@ -132,7 +136,10 @@
         );
         let out = g.pass(80.0);
         assert_eq!(finals(&out), [1], "{group:?}");
-        assert_eq!(out.contains(&Action::Fail { id: 1 }), group != Group::All);
+        assert_eq!(
+            out.contains(&Action::Fail { id: 1 }),
+            group != DeduplicationScope::All
+        );
     }
 }
 
@@ -157,7 +164,7 @@
     for id in 0..10 {
         assert_eq!(sends(&g.take(query(id, 0)))[0].1, "b");
     }
-    g.does(Event::Engines {
+    g.does(Event::EngineList {
         update: ListUpdate::Whole,
         entries: vec![entry("a")],
     });
@@ -167,7 +174,7 @@
 #[test]
 fn rule_4_a_cold_engine_gets_our_part_of_its_budget_over_any_window() {
     let mut s = settings(vec![class(1.0, 300.0)]);
-    s.gateways = 2;
+    s.dispatchers = 2;
     let r = s.rules.clone();
     let cold = EngineEntry {
         started: Some(1000.0),
@@ -190,11 +197,12 @@
     assert!(work.len() > 10, "it is used, {} sends", work.len());
     for (start, _) in &work {
         // It warms evenly: what it can do by its age when the window begins.
-        let able = r.cold_from + (1.0 - r.cold_from) * ((start - 1000.0) / r.warm_within).min(1.0);
-        let part = r.fall_multiple * able * 8.0 * r.fall_window / 2.0;
+        let able = r.initial_warm_up_capacity
+            + (1.0 - r.initial_warm_up_capacity) * ((start - 1000.0) / r.warm_up_period).min(1.0);
+        let part = r.overload_multiple * able * 8.0 * r.overload_window / 2.0;
         let sum: f64 = work
             .iter()
-            .filter(|(t, _)| t >= start && *t <= start + r.fall_window)
+            .filter(|(t, _)| t >= start && *t <= start + r.overload_window)
             .map(|(_, w)| w)
             .sum();
         assert!(sum <= part, "{sum} of {part} from {start}");
@@ -227,7 +235,7 @@
         sends(&g.does(Event::ClientLeft(1))).is_empty(),
         "its attempt is still out"
     );
-    let out = g.does(Event::Ended(Ended {
+    let out = g.does(Event::AttemptEnded(Ended {
         last: true,
         ..ended(1, 0, Outcome::TimedOut)
     }));
@@ -249,8 +257,8 @@
 #[test]
 fn rule_6_a_bound_class_stays_in_its_zone_and_kind_even_when_that_is_down() {
     let bound = Class {
-        only_zones: Some(vec![1]),
-        only_kinds: Some(vec![0]),
+        allowed_zones: Some(vec![1]),
+        allowed_kinds: Some(vec![0]),
         ..class(1.0, 800.0)
     };
     let engines = || {
@@ -278,7 +286,7 @@
 #[test]
 fn rule_7_further_attempts_stay_within_the_ration() {
     let mut s = settings(vec![class(1.0, 3000.0)]);
-    s.rules.attempt_budget = Some(AttemptBudget {
+    s.rules.retry_budget = Some(RetryBudget {
         free: 2.0,
         share: 0.1,
         span: 10000.0,
@@ -306,7 +314,7 @@
 fn an_attempt_that_its_client_holds_idle_leaves_its_threads_to_others() {
     let wide = Class {
         threads: 4.0,
-        effect: Effect::Unsafe,
+        idempotency: Idempotency::NonIdempotent,
         ..class(1.0, 2000.0)
     };
     for idle in [false, true] {
@@ -315,7 +323,11 @@
         for id in 0..12 {
             held += sends(&g.take(query(id, 0))).len();
             g.does(Event::Streaming { id, attempt: 0 });
-            let note = if idle { Note::Idle } else { Note::Works };
+            let note = if idle {
+                ProgressNote::Idle
+            } else {
+                ProgressNote::Works
+            };
             g.does(Event::Progress {
                 id,
                 attempt: 0,
@@ -333,7 +345,7 @@
                 drop(g.does(Event::Progress {
                     id,
                     attempt: 0,
-                    note: Note::Works,
+                    note: ProgressNote::Works,
                 }))
             });
             assert_eq!(sends(&g.take(query(12, 0))), vec![]);
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -62,15 +62,15 @@
 /// A safe class and an unsafe one; engines that heed no grants and tell no load.
 pub fn settings() -> Settings {
     let load = Class {
-        effect: Effect::Unsafe,
+        idempotency: Idempotency::NonIdempotent,
         threads: 2.0,
         ..common::class(4.0, 5000.0)
     };
     let mut s = common::settings(vec![common::class(1.0, 5000.0), load]);
-    s.engines = EngineFacts {
-        takes_grants: false,
-        takes_priority: false,
-        tells_cost: false,
+    s.engines = EngineCapabilities {
+        accepts_memory_grants: false,
+        accepts_priority: false,
+        reports_cost: false,
         ..s.engines
     };
     s.report_fields = vec![];
@@ -88,7 +88,7 @@
         kinds: vec!["std".into()],
         zones: vec![],
         tenants: vec!["acme".into()],
-        tells_cost: false,
+        reports_cost: false,
         report_fields: vec![],
     };
     let sockets = Sockets {
