--- a/crates/mysql-conformance/src/lib.rs
+++ b/crates/mysql-conformance/src/lib.rs
@@ -309,15 +309,15 @@
         }
         let told = |came: &Came| match came {
             Came::Carried => "carried".to_string(),
-            Came::Refused(code, why) => format!("{code}: {}", why.replace('|', "\\|")),
+            Came::Refused(code, reason) => format!("{code}: {}", reason.replace('|', "\\|")),
             Came::Differs(how) => format!("**not as wanted**: {}", how.replace('|', "\\|")),
         };
         let own = engine.as_ref().map_or("-".to_string(), told);
         let _ = writeln!(text, "| {} | {} | {own} |", case.name, told(front));
     }
     text.push_str("\n## Untested\n\n| what | why |\n| --- | --- |\n");
-    for (what, why) in UNTESTED {
-        let _ = writeln!(text, "| {what} | {why} |");
+    for (what, reason) in UNTESTED {
+        let _ = writeln!(text, "| {what} | {reason} |");
     }
     text
 }
--- a/crates/testbed/src/world/mod.rs
+++ b/crates/testbed/src/world/mod.rs
@@ -604,7 +604,7 @@
                 memory_mb,
                 ..
             } => self.start(g, attempt, &engine, memory_mb),
-            Command::Drop { attempt } => {
+            Command::Cancel { attempt } => {
                 if let Some((engine, _)) = self.dispatchers[g].out.remove(&attempt) {
                     let at = self.now + self.delay(g, engine);
                     self.at(
@@ -621,7 +621,7 @@
                 self.close(g, attempt.request);
             }
             Command::Answer { request, answer } => self.answer(g, request, answer),
-            Command::Say(_) | Command::Tell(_) => {}
+            Command::Log(_) | Command::Broadcast(_) => {}
         }
     }
 
@@ -714,10 +714,10 @@
             Answer::TimedOut { .. } => 3,
         };
         self.mark(3, g as u64, request << 3 | kind);
-        if let Answer::Refused { later, .. } = answer
+        if let Answer::Refused { retry_after, .. } = answer
             && t.again < self.scenario.load.retries
         {
-            let at = self.now + later.unwrap_or(self.scenario.load.retry_ms).max(1.0);
+            let at = self.now + retry_after.unwrap_or(self.scenario.load.retry_ms).max(1.0);
             if at < t.gives_up - 200.0 {
                 let again = Try {
                     again: t.again + 1,
@@ -1285,7 +1285,9 @@
             } => {
                 let name = self.engines[engine].name.clone();
                 self.checker.told(self.now, gateway, engine, !out);
-                self.decide(gateway, |d, now| d.by_hand(now, &name, out));
+                self.decide(gateway, |d, now| {
+                    d.administratively_drained(now, &name, out)
+                });
             }
             Event::Trouble(i) => self.trouble(i),
             Event::Over(i, engines) => self.over(i, engines),
--- a/crates/testbed/src/world/policy.rs
+++ b/crates/testbed/src/world/policy.rs
@@ -13,7 +13,7 @@
     fn ended(&mut self, now: f64, attempt: AttemptId, outcome: Outcome, report: Vec<f64>);
     fn note(&mut self, now: f64, attempt: AttemptId, note: ProgressNote);
     fn engines(&mut self, now: f64, update: ListUpdate, entries: Vec<EngineEntry>);
-    fn by_hand(&mut self, now: f64, engine: &str, out: bool);
+    fn administratively_drained(&mut self, now: f64, engine: &str, out: bool);
     fn tick(&mut self, now: f64);
     fn next_wake(&self) -> Option<f64>;
     fn commands(&mut self) -> Vec<Command>;
@@ -37,11 +37,11 @@
     fn engines(&mut self, now: f64, update: ListUpdate, entries: Vec<EngineEntry>) {
         Core::engines(self, now, update, entries);
     }
-    fn by_hand(&mut self, now: f64, engine: &str, out: bool) {
+    fn administratively_drained(&mut self, now: f64, engine: &str, out: bool) {
         let _ = if out {
-            self.hold_out(now, engine)
+            self.drain_engine(now, engine)
         } else {
-            self.put_back(now, engine)
+            self.undrain(now, engine)
         };
     }
     fn tick(&mut self, now: f64) {
@@ -119,7 +119,7 @@
     engines: Vec<String>,
     place: BTreeMap<String, usize>,
     ready: BTreeSet<usize>,
-    by_hand: BTreeSet<usize>,
+    administratively_drained: BTreeSet<usize>,
     out: Vec<usize>,
     turn: usize,
     open: BTreeMap<RequestId, Open>,
@@ -142,7 +142,7 @@
             engines: vec![],
             place: BTreeMap::new(),
             ready: BTreeSet::new(),
-            by_hand: BTreeSet::new(),
+            administratively_drained: BTreeSet::new(),
             out: vec![],
             turn: 0,
             open: BTreeMap::new(),
@@ -153,7 +153,11 @@
     }
 
     fn choose(&mut self, tried: &[usize]) -> Option<usize> {
-        let usable: Vec<usize> = self.ready.difference(&self.by_hand).copied().collect();
+        let usable: Vec<usize> = self
+            .ready
+            .difference(&self.administratively_drained)
+            .copied()
+            .collect();
         let fresh: Vec<usize> = usable
             .iter()
             .copied()
@@ -188,20 +192,20 @@
     fn send(&mut self, id: RequestId) {
         let Some(r) = self.open.get(&id) else { return };
         let tried: Vec<usize> = r.attempts.iter().map(|a| a.0).collect();
-        let (due, harmless) = (r.due, !(r.fragile && r.may_have_run));
-        let chosen = if tried.len() < ATTEMPTS && harmless {
+        let (due, retry_safe) = (r.due, !(r.fragile && r.may_have_run));
+        let chosen = if tried.len() < ATTEMPTS && retry_safe {
             self.choose(&tried)
         } else {
             None
         };
         let Some(engine) = chosen else {
-            let answer = match harmless {
+            let answer = match retry_safe {
                 true => Answer::Refused {
-                    later: Some(500.0),
-                    why: "no engine",
+                    retry_after: Some(500.0),
+                    reason: "no engine",
                 },
                 false => Answer::Failed {
-                    why: "it may have run",
+                    reason: "it may have run",
                 },
             };
             return self.close(id, Some(answer));
@@ -234,7 +238,7 @@
             for (index, (engine, out)) in r.attempts.into_iter().enumerate() {
                 if out {
                     self.out[engine] -= 1;
-                    self.commands.push(Command::Drop {
+                    self.commands.push(Command::Cancel {
                         attempt: AttemptId {
                             request: id,
                             index: index as u32,
@@ -314,13 +318,13 @@
         }
     }
 
-    fn by_hand(&mut self, _: f64, engine: &str, out: bool) {
+    fn administratively_drained(&mut self, _: f64, engine: &str, out: bool) {
         let Some(place) = self.place.get(engine) else {
             return;
         };
         match out {
-            true => drop(self.by_hand.insert(*place)),
-            false => drop(self.by_hand.remove(place)),
+            true => drop(self.administratively_drained.insert(*place)),
+            false => drop(self.administratively_drained.remove(place)),
         }
     }
 
@@ -331,8 +335,8 @@
             .copied()
             .filter(|d| f64::from_bits(d.0) <= now)
         {
-            let harmless = self.open.get(&id).is_none_or(|r| !r.fragile);
-            self.close(id, Some(Answer::TimedOut { harmless }));
+            let retry_safe = self.open.get(&id).is_none_or(|r| !r.fragile);
+            self.close(id, Some(Answer::TimedOut { retry_safe }));
         }
     }
 
@@ -347,6 +351,6 @@
     fn in_service(&self, engine: &str) -> bool {
         self.place
             .get(engine)
-            .is_some_and(|p| self.ready.contains(p) && !self.by_hand.contains(p))
+            .is_some_and(|p| self.ready.contains(p) && !self.administratively_drained.contains(p))
     }
 }
--- a/crates/testbed/src/world/tests.rs
+++ b/crates/testbed/src/world/tests.rs
@@ -203,8 +203,8 @@
             self.sound.engines(now, update, entries);
         }
     }
-    fn by_hand(&mut self, now: f64, engine: &str, out: bool) {
-        self.sound.by_hand(now, engine, out);
+    fn administratively_drained(&mut self, now: f64, engine: &str, out: bool) {
+        self.sound.administratively_drained(now, engine, out);
     }
     fn tick(&mut self, now: f64) {
         if self.how != "silent" {
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -208,8 +208,8 @@
                     .watched
                     .spools
                     .as_ref()
-                    .map_or(String::new(), |s| s.figures());
-                answer(200, self.hub.figures() + &spools)
+                    .map_or(String::new(), |s| s.metrics());
+                answer(200, self.hub.metrics() + &spools)
             }),
             "/_spools" => ("GET", &|| match &self.watched.spools {
                 Some(spools) => Answer {
@@ -220,8 +220,12 @@
                 None => answer(404, "no results are kept here\n"),
             }),
             "/_members" => ("GET", &|| self.page(query)),
-            _ if engine("detach").is_some() => ("POST", &|| self.by_hand(engine("detach"), true)),
-            _ if engine("attach").is_some() => ("POST", &|| self.by_hand(engine("attach"), false)),
+            _ if engine("detach").is_some() => ("POST", &|| {
+                self.administratively_drained(engine("detach"), true)
+            }),
+            _ if engine("attach").is_some() => ("POST", &|| {
+                self.administratively_drained(engine("attach"), false)
+            }),
             _ => return answer(404, format!("no call is named {path}\n")),
         };
         match call.method == method {
@@ -250,7 +254,7 @@
     }
 
     /// Kept first, so that a yes holds whatever becomes of this process.
-    fn by_hand(&self, engine: Option<&str>, out: bool) -> Answer {
+    fn administratively_drained(&self, engine: Option<&str>, out: bool) -> Answer {
         let Some(id) = engine
             .and_then(instance_registry::decoded)
             .filter(|id| self.hub.knows(id))
@@ -258,14 +262,14 @@
             return answer(404, "no engine has this id\n");
         };
         let kept = if out {
-            self.shared.hold_out(&id)
+            self.shared.drain_engine(&id)
         } else {
-            self.shared.put_back(&id)
+            self.shared.undrain(&id)
         };
         if let Err(e) = kept {
             return answer(503, format!("it could not be kept: {e}\n"));
         }
-        self.hub.by_hand(&id, out);
+        self.hub.administratively_drained(&id, out);
         answer(200, if out { "out\n" } else { "in use\n" })
     }
 }
--- a/src/bin/hitchwinch-simhost/main.rs
+++ b/src/bin/hitchwinch-simhost/main.rs
@@ -3,7 +3,7 @@
 mod wire;
 
 use query_dispatcher::config::Names;
-use query_dispatcher::gossip::Bulletin;
+use query_dispatcher::gossip::Broadcaster;
 use query_dispatcher::{Action, Controller, EngineState, Event, ListUpdate, Outcome};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io::{BufRead, Write};
@@ -14,7 +14,7 @@
     controller: Controller,
     names: Names,
     /// What it and its peers tell each other, and the engines that it has in its list.
-    bulletin: Option<Bulletin>,
+    bulletin: Option<Broadcaster>,
     listed: BTreeSet<String>,
 }
 
@@ -91,7 +91,7 @@
                 prng,
                 profile_data,
             } => {
-                let bulletin = profile_data.peers().map(Bulletin::new);
+                let bulletin = profile_data.peers().map(Broadcaster::new);
                 let (settings, names) = profile_data.settings()?;
                 let controller = Controller::new(settings, prng).map_err(|e| e.to_string())?;
                 let listed = BTreeSet::new();
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,7 +1,7 @@
 //! What the platform tells one dispatcher: its variables and its JSON.
 
 use super::*;
-use crate::gossip::Terms;
+use crate::gossip::GossipBudget;
 use std::path::PathBuf;
 
 #[derive(Deserialize)]
@@ -30,7 +30,7 @@
     pub each: Vec<SocketAddr>,
     /// What is sent here reaches every other.
     pub all: SocketAddr,
-    pub terms: Terms,
+    pub terms: GossipBudget,
 }
 
 /// Everything that the platform tells one dispatcher.
--- a/src/config/profile.rs
+++ b/src/config/profile.rs
@@ -1,7 +1,7 @@
 //! The settings' own form, shared by the platform and the simulator.
 
 use super::*;
-use crate::gossip::Terms;
+use crate::gossip::GossipBudget;
 
 /// The settings as the simulator's first message and the platform's `settings` hold them.
 #[derive(Deserialize)]
@@ -146,7 +146,7 @@
     }
 
     /// What the dispatchers of the tier may tell each other; `None`: nothing.
-    pub fn peers(&self) -> Option<Terms> {
+    pub fn peers(&self) -> Option<GossipBudget> {
         let fields = self
             .feedback
             .as_ref()
@@ -155,7 +155,7 @@
         let price = self.deductions.as_ref().and_then(|d| d.peer).unwrap_or(0.0);
         let may = self.ceilings.peer_messages.unwrap_or(false) && self.fleet_size > 1 && fields > 0;
         let usable = price.is_finite() && price >= 0.0;
-        (may && usable).then_some(Terms {
+        (may && usable).then_some(GossipBudget {
             peers: self.fleet_size,
             price: price * 100.0,
             fields,
--- a/src/core/metrics.rs
+++ b/src/core/metrics.rs
@@ -4,23 +4,23 @@
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestOutcome {
     Success,
     /// Refused: it may come again.
     Overload,
     Error,
 }
 
-impl End {
-    pub const ALL: [(End, &str); 3] = [
-        (End::Success, "success"),
-        (End::Overload, "overload"),
-        (End::Error, "error"),
+impl RequestOutcome {
+    pub const ALL: [(RequestOutcome, &str); 3] = [
+        (RequestOutcome::Success, "success"),
+        (RequestOutcome::Overload, "overload"),
+        (RequestOutcome::Error, "error"),
     ];
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct Metrics {
     /// By class, in the order of [`End::ALL`].
     pub replies: Vec<[u64; 3]>,
     /// Attempts written whole to engines.
@@ -35,9 +35,9 @@
     pub peer_messages_refused: u64,
 }
 
-impl Figures {
+impl Metrics {
     /// Counts the end of one request. A class that is none of ours has no count.
-    pub fn count(&mut self, class: ClassId, end: End) {
+    pub fn count(&mut self, class: ClassId, end: RequestOutcome) {
         if let Some(ends) = self.replies.get_mut(class) {
             ends[end as usize] += 1;
         }
@@ -47,7 +47,7 @@
     pub fn text(&self, classes: &[String]) -> String {
         let mut lines = String::new();
         for (class, ends) in classes.iter().zip(&self.replies) {
-            for ((_, name), n) in End::ALL.iter().zip(ends) {
+            for ((_, name), n) in RequestOutcome::ALL.iter().zip(ends) {
                 lines.push_str(&format!("replies.{class}.{name}={n}\n"));
             }
         }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -8,5 +8,5 @@
 mod metrics;
 mod requests;
 
-pub use metrics::{End, Figures};
+pub use metrics::{Metrics, RequestOutcome};
 pub use requests::{Answer, AttemptId, Bounds, Command, Core, NewRequest, RequestId};
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -1,7 +1,7 @@
-use crate::core::metrics::{End, Figures};
+use crate::core::metrics::{Metrics, RequestOutcome};
 use crate::decision::facade::{Decision, Facade, Report};
 use crate::decision::model::*;
-use crate::gossip::{Bulletin, Terms, WordError};
+use crate::gossip::{Broadcaster, DecodeError, GossipBudget};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 pub type RequestId = QueryId;
@@ -32,15 +32,15 @@
     Served(AttemptId),
     /// A retry is harmless; `later` says when, in milliseconds from now.
     Refused {
-        later: Option<Millis>,
-        why: &'static str,
+        retry_after: Option<Millis>,
+        reason: &'static str,
     },
     Failed {
-        why: &'static str,
+        reason: &'static str,
     },
-    /// The time is over; `harmless` tells that a retry does no harm.
+    /// The time is over; `retry_safe` tells that a retry does no harm.
     TimedOut {
-        harmless: bool,
+        retry_safe: bool,
     },
 }
 
@@ -58,16 +58,16 @@
         memory_mb: f64,
         alone: bool,
     },
-    Drop {
+    Cancel {
         attempt: AttemptId,
     },
     Answer {
         request: RequestId,
         answer: Answer,
     },
-    Say(String),
+    Log(String),
     /// A message for every peer.
-    Tell(Vec<u8>),
+    Broadcast(Vec<u8>),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -102,7 +102,7 @@
 
 impl Request {
     /// A refusal promises that a repeat does no harm: from another client's word, it may go to any engine.
-    fn harmless(&self, idempotency: Idempotency) -> bool {
+    fn retry_safe(&self, idempotency: Idempotency) -> bool {
         match idempotency {
             Idempotency::Idempotent
             | Idempotency::Keyed {
@@ -146,16 +146,16 @@
     /// The list as it was told last; engines that are gone are in none.
     listed: BTreeMap<String, EngineEntry>,
     /// Out by hand, whatever the list says.
-    by_hand: BTreeSet<String>,
+    administratively_drained: BTreeSet<String>,
     /// When operators put an engine back: they have restarted it by then.
-    put_back: BTreeMap<String, Millis>,
+    undrain: BTreeMap<String, Millis>,
     has_list: bool,
     /// Shutting down: every answer is due by then.
     stop_by: Option<Millis>,
-    figures: Figures,
+    metrics: Metrics,
     processes: usize,
     /// What the dispatchers of the tier tell each other, where they may.
-    bulletin: Option<Bulletin>,
+    bulletin: Option<Broadcaster>,
 }
 
 fn bits(at: Millis) -> u64 {
@@ -164,9 +164,9 @@
 
 impl Core {
     pub fn new(settings: Settings, seed: u64, bounds: Bounds) -> Result<Self, SettingsError> {
-        let figures = Figures {
+        let metrics = Metrics {
             replies: vec![[0; 3]; settings.classes.len()],
-            ..Figures::default()
+            ..Metrics::default()
         };
         Ok(Core {
             idempotencies: settings.classes.iter().map(|c| c.idempotency).collect(),
@@ -180,33 +180,35 @@
             commands: vec![],
             touched: vec![],
             listed: BTreeMap::new(),
-            by_hand: BTreeSet::new(),
-            put_back: BTreeMap::new(),
+            administratively_drained: BTreeSet::new(),
+            undrain: BTreeMap::new(),
             has_list: false,
             stop_by: None,
-            figures,
+            metrics,
             processes: 1,
             bulletin: None,
         })
     }
 
     /// From now on it takes part in what the dispatchers of its tier tell each other.
-    pub fn join(&mut self, terms: Terms) {
-        let mut bulletin = Bulletin::new(terms);
+    pub fn join(&mut self, terms: GossipBudget) {
+        let mut bulletin = Broadcaster::new(terms);
         bulletin.list(self.listed.keys().map(String::as_str));
         self.bulletin = Some(bulletin);
     }
 
     /// A peer's message. What is none changes nothing and is counted.
-    pub fn heard(&mut self, now: Millis, message: &[u8]) -> Result<(), WordError> {
+    pub fn heard(&mut self, now: Millis, message: &[u8]) -> Result<(), DecodeError> {
         let Some(bulletin) = &mut self.bulletin else {
             return Ok(());
         };
         match bulletin.heard(now, message) {
-            Ok(Some((engine, report))) => self.report(now, Report::Told { engine, report }),
+            Ok(Some((engine, report))) => {
+                self.report(now, Report::PeerLoadReport { engine, report })
+            }
             Ok(None) => {}
             Err(e) => {
-                self.figures.peer_messages_refused += 1;
+                self.metrics.peer_messages_refused += 1;
                 return Err(e);
             }
         }
@@ -214,8 +216,8 @@
     }
 
     /// Somebody who is no peer spoke at the peers' address.
-    pub fn stranger(&mut self) {
-        self.figures.peer_messages_refused += 1;
+    pub fn record_foreign_message(&mut self) {
+        self.metrics.peer_messages_refused += 1;
     }
 
     /// What is to be done since the last call.
@@ -239,9 +241,12 @@
         };
         if out_of_range || refusal.is_some() {
             let answer = match refusal {
-                Some(why) if !out_of_range => Answer::Refused { later: None, why },
+                Some(reason) if !out_of_range => Answer::Refused {
+                    retry_after: None,
+                    reason,
+                },
                 _ => Answer::Failed {
-                    why: "the request names no class or deadline",
+                    reason: "the request names no class or deadline",
                 },
             };
             self.answer(id, r.class, answer);
@@ -258,7 +263,7 @@
             },
         );
         self.due.insert((bits(due), id));
-        self.bulletin.iter_mut().for_each(Bulletin::taken);
+        self.bulletin.iter_mut().for_each(Broadcaster::taken);
         let query = Query {
             id,
             class: r.class,
@@ -315,8 +320,11 @@
             .and_then(|e| e.started)
             .is_some_and(|t| a.sent < t);
         if let Some(bulletin) = self.bulletin.as_mut().filter(|_| !void) {
-            self.commands
-                .extend(bulletin.learned(now, &a.engine, &report).map(Command::Tell));
+            self.commands.extend(
+                bulletin
+                    .learned(now, &a.engine, &report)
+                    .map(Command::Broadcast),
+            );
         }
         a.may_have_run = !matches!(
             outcome,
@@ -368,7 +376,7 @@
             .extend(told.into_iter().map(|e| (e.engine.clone(), e)));
         // New ids come all day: those that are gone are not kept.
         self.listed.retain(|_, e| e.state != EngineState::Gone);
-        self.put_back.retain(|id, _| self.listed.contains_key(id));
+        self.undrain.retain(|id, _| self.listed.contains_key(id));
         self.has_list = true;
         if let Some(bulletin) = &mut self.bulletin {
             bulletin.list(self.listed.keys().map(String::as_str));
@@ -378,7 +386,7 @@
 
     /// New work may still be written to this engine.
     pub fn in_service(&self, engine: &str) -> bool {
-        !self.by_hand.contains(engine)
+        !self.administratively_drained.contains(engine)
             && self
                 .listed
                 .get(engine)
@@ -387,38 +395,38 @@
 
     /// What operators say in place of the list.
     fn overlaid(&self, mut e: EngineEntry) -> EngineEntry {
-        if self.by_hand.contains(&e.engine) && e.state == EngineState::Ready {
+        if self.administratively_drained.contains(&e.engine) && e.state == EngineState::Ready {
             e.state = EngineState::Draining;
         }
         // The list may tell of its restart late, or never: what was learned of the old process is void.
-        let back = self.put_back.get(&e.engine).copied();
+        let back = self.undrain.get(&e.engine).copied();
         e.started = e.started.into_iter().chain(back).reduce(f64::max);
         e
     }
 
     /// Somebody has this id: it is in the list, or was when operators took it out.
     pub fn knows(&self, engine: &str) -> bool {
-        self.listed.contains_key(engine) || self.by_hand.contains(engine)
+        self.listed.contains_key(engine) || self.administratively_drained.contains(engine)
     }
 
-    pub fn by_hand(&self) -> &BTreeSet<String> {
-        &self.by_hand
+    pub fn administratively_drained(&self) -> &BTreeSet<String> {
+        &self.administratively_drained
     }
 
-    /// From now on it drains, whatever the list says, until [`Core::put_back`].
-    pub fn hold_out(&mut self, now: Millis, engine: &str) -> Option<EngineEntry> {
-        self.put_back.remove(engine);
-        let new = self.by_hand.insert(engine.to_string());
+    /// From now on it drains, whatever the list says, until [`Core::undrain`].
+    pub fn drain_engine(&mut self, now: Millis, engine: &str) -> Option<EngineEntry> {
+        self.undrain.remove(engine);
+        let new = self.administratively_drained.insert(engine.to_string());
         self.retold(now, engine).filter(|_| new)
     }
 
     /// It is what the list says again, with a process that has just started.
-    pub fn put_back(&mut self, now: Millis, engine: &str) -> Option<EngineEntry> {
-        if !self.by_hand.remove(engine) {
+    pub fn undrain(&mut self, now: Millis, engine: &str) -> Option<EngineEntry> {
+        if !self.administratively_drained.remove(engine) {
             return None;
         }
         if self.listed.contains_key(engine) {
-            self.put_back.insert(engine.to_string(), now);
+            self.undrain.insert(engine.to_string(), now);
         }
         self.retold(now, engine)
     }
@@ -491,14 +499,14 @@
         let out: Vec<u32> = (0..r.attempts.len() as u32).filter(late).collect();
         for index in out {
             let attempt = AttemptId { request: id, index };
-            self.commands.push(Command::Drop { attempt });
+            self.commands.push(Command::Cancel { attempt });
             self.ended(now, attempt, Outcome::TimedOut, vec![]);
         }
         if over && self.requests.get(&id).is_some_and(|r| !r.answered) {
             self.finish(
                 id,
                 Answer::Failed {
-                    why: "the time is over",
+                    reason: "the time is over",
                 },
             );
             self.drop_all(now, id);
@@ -534,22 +542,22 @@
                         index: attempt,
                     },
                 ),
-                Decision::Refuse { query, later } => {
+                Decision::Refuse { query, retry_after } => {
                     self.finish(
                         query,
                         Answer::Refused {
-                            later,
-                            why: "the engines have no room for it in time",
+                            retry_after,
+                            reason: "the engines have no room for it in time",
                         },
                     );
                 }
                 Decision::Fail { query } => self.finish(
                     query,
                     Answer::Failed {
-                        why: "no engine answered it",
+                        reason: "no engine answered it",
                     },
                 ),
-                Decision::Log(text) => self.commands.push(Command::Say(text)),
+                Decision::Log(text) => self.commands.push(Command::Log(text)),
             }
         }
         while let Some(report) = self.pending.pop_front() {
@@ -629,7 +637,7 @@
         a.out = false;
         let latency = now - a.sent;
         self.touched.push(id.request);
-        self.commands.push(Command::Drop { attempt: id });
+        self.commands.push(Command::Cancel { attempt: id });
         self.pending.push_back(Report::Ended(Ended {
             id: id.request,
             attempt: id.index,
@@ -656,13 +664,13 @@
             r.answered = true;
             self.touched.push(id);
             // Guards the rule whatever the module says: only what cannot have run twice is called harmless.
-            let harmless = r.harmless(self.idempotencies[r.class]);
+            let retry_safe = r.retry_safe(self.idempotencies[r.class]);
             let answer = match answer {
                 Answer::Refused { .. } | Answer::Failed { .. } if r.expired => {
-                    Answer::TimedOut { harmless }
+                    Answer::TimedOut { retry_safe }
                 }
-                Answer::Refused { .. } if !harmless => Answer::Failed {
-                    why: "it may have run",
+                Answer::Refused { .. } if !retry_safe => Answer::Failed {
+                    reason: "it may have run",
                 },
                 other => other,
             };
@@ -674,17 +682,19 @@
     /// The one place where answers are given, and so counted.
     fn answer(&mut self, request: RequestId, class: ClassId, answer: Answer) {
         let end = match answer {
-            Answer::Served(_) => End::Success,
-            Answer::Refused { .. } | Answer::TimedOut { harmless: true } => End::Overload,
-            Answer::Failed { .. } | Answer::TimedOut { harmless: false } => End::Error,
+            Answer::Served(_) => RequestOutcome::Success,
+            Answer::Refused { .. } | Answer::TimedOut { retry_safe: true } => {
+                RequestOutcome::Overload
+            }
+            Answer::Failed { .. } | Answer::TimedOut { retry_safe: false } => RequestOutcome::Error,
         };
-        self.figures.count(class, end);
+        self.metrics.count(class, end);
         self.commands.push(Command::Answer { request, answer });
     }
 
     /// A front answered this one itself, at the door.
-    pub fn turned_away(&mut self, class: ClassId, end: End) {
-        self.figures.count(class, end);
+    pub fn record_rejection(&mut self, class: ClassId, end: RequestOutcome) {
+        self.metrics.count(class, end);
     }
 
     /// So many processes of this dispatcher live: each takes its part of what is bounded for all.
@@ -695,16 +705,16 @@
 
     /// The last byte of an attempt is written.
     pub fn written(&mut self) {
-        self.figures.dispatches += 1;
+        self.metrics.dispatches += 1;
     }
 
-    pub fn figures(&self) -> Figures {
+    pub fn metrics(&self) -> Metrics {
         let avoided = |name: &&String| !self.in_service(name) || self.facade.avoids(name);
-        Figures {
+        Metrics {
             concurrent: self.owed(),
             targets: self.listed.len(),
             targets_disabled: self.listed.keys().filter(avoided).count(),
-            ..self.figures.clone()
+            ..self.metrics.clone()
         }
     }
 
--- a/src/decision/controller.rs
+++ b/src/decision/controller.rs
@@ -963,14 +963,14 @@
     fn give_up(&mut self, id: QueryId, out: &mut Vec<Action>) {
         let Some(h) = self.held.get_mut(&id).filter(|h| !h.over) else { return };
         let ran = h.attempts.iter().any(|a| a.out || a.may_have_run);
-        let harmless = match self.s.classes[h.q.class].idempotency {
+        let retry_safe = match self.s.classes[h.q.class].idempotency {
             Idempotency::Idempotent => true,
             Idempotency::Keyed { group, .. } => !ran || group == DeduplicationScope::All,
             Idempotency::NonIdempotent => !ran,
         };
         let l = &self.s.limits;
         let retry_after = l.sends_retry_after.then_some(l.max_retry_after.min(PERIOD));
-        out.push(if harmless { Action::Refuse { id, retry_after } } else { Action::Fail { id } });
+        out.push(if retry_safe { Action::Refuse { id, retry_after } } else { Action::Fail { id } });
         self.left(id, out);
     }
 
--- a/src/decision/facade.rs
+++ b/src/decision/facade.rs
@@ -20,7 +20,7 @@
     /// Final: refused, and when the client may come back.
     Refuse {
         query: QueryId,
-        later: Option<Millis>,
+        retry_after: Option<Millis>,
     },
     /// Final: failed.
     Fail { query: QueryId },
@@ -44,7 +44,7 @@
     /// Nobody waits for it any more.
     Left(QueryId),
     /// A peer's news of an engine's load.
-    Told {
+    PeerLoadReport {
         engine: String,
         report: Vec<f64>,
     },
@@ -86,7 +86,7 @@
                     note,
                 },
                 Report::Left(query) => Event::ClientLeft(query),
-                Report::Told { engine, report } => Event::EngineReport {
+                Report::PeerLoadReport { engine, report } => Event::EngineReport {
                     engine,
                     outcome: Outcome::Served,
                     report,
@@ -148,7 +148,7 @@
                 }
                 Action::Refuse { id, retry_after } => decisions.push(Decision::Refuse {
                     query: id,
-                    later: retry_after,
+                    retry_after: retry_after,
                 }),
                 Action::Fail { id } => decisions.push(Decision::Fail { query: id }),
                 // The last alarm is the module's only one: an older one would find nothing due.
--- a/src/discovery/membership_driver.rs
+++ b/src/discovery/membership_driver.rs
@@ -125,7 +125,9 @@
 
     pub fn view(&self, view: View) {
         self.work_through();
-        self.membership.borrow_mut().by_hand((self.hands)());
+        self.membership
+            .borrow_mut()
+            .administratively_drained((self.hands)());
         let change = self.membership.borrow_mut().view(unix_ms(), view);
         self.tell(change);
     }
@@ -167,7 +169,9 @@
     pub fn page(&self, query: &str) -> Result<String, QueryError> {
         let query = Query::parse(query)?;
         self.work_through();
-        self.membership.borrow_mut().by_hand((self.hands)());
+        self.membership
+            .borrow_mut()
+            .administratively_drained((self.hands)());
         let report = self.membership.borrow().report(unix_ms(), &query);
         let lease = self.lease.borrow().clone();
         let page = Page {
--- a/src/dispatch/gossip_driver.rs
+++ b/src/dispatch/gossip_driver.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Peers;
 use crate::dispatch::request_router::{Hub, Upstream};
-use crate::gossip::MOST;
+use crate::gossip::MAX_MESSAGE_BYTES;
 use crate::say;
 use std::collections::HashSet;
 use std::rc::{Rc, Weak};
@@ -39,14 +39,14 @@
     }
     let from: HashSet<_> = peers.each.iter().copied().collect();
     // One byte more than a message may hold, so that a longer one shows.
-    let mut buffer = [0; MOST + 1];
+    let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
     loop {
         let received = socket.recv_from(&mut buffer).await;
         let Some(hub) = hub.upgrade() else { return };
         match received {
             // Nobody else has anything to say of the engines.
             Ok((_, sender)) if !from.contains(&sender) => {
-                hub.stranger();
+                hub.record_foreign_message();
                 say!("peer {sender}: not listed, its message is passed over");
             }
             Ok((size, sender)) => {
--- a/src/dispatch/request_router.rs
+++ b/src/dispatch/request_router.rs
@@ -3,10 +3,10 @@
 use crate::clock::span;
 use crate::clock::unix_ms;
 use crate::config::{Names, find};
-use crate::core::{Answer, AttemptId, Command, Core, End, NewRequest, RequestId};
+use crate::core::{Answer, AttemptId, Command, Core, NewRequest, RequestId, RequestOutcome};
 use crate::decision::model::*;
 use crate::discovery::{Change, Engine};
-use crate::gossip::{Terms, WordError};
+use crate::gossip::{DecodeError, GossipBudget};
 use crate::say;
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::{BTreeSet, HashMap};
@@ -44,15 +44,15 @@
 pub enum Reply<O> {
     Served(O),
     Refused {
-        later: Option<Millis>,
-        why: &'static str,
+        retry_after: Option<Millis>,
+        reason: &'static str,
     },
     Failed {
-        why: &'static str,
+        reason: &'static str,
     },
-    /// The time is over; `harmless` tells that a retry does no harm.
+    /// The time is over; `retry_safe` tells that a retry does no harm.
     TimedOut {
-        harmless: bool,
+        retry_safe: bool,
     },
 }
 
@@ -92,22 +92,22 @@
     }
 
     /// Takes part in what the dispatchers of the tier tell each other; the first call counts.
-    pub fn join(&self, terms: Terms, tell: Outlet) {
+    pub fn join(&self, terms: GossipBudget, tell: Outlet) {
         if self.peers.set(tell).is_ok() {
             self.core.borrow_mut().join(terms);
         }
     }
 
     /// A peer's message.
-    pub fn heard(self: &Rc<Self>, message: &[u8]) -> Result<(), WordError> {
+    pub fn heard(self: &Rc<Self>, message: &[u8]) -> Result<(), DecodeError> {
         self.core.borrow_mut().heard(unix_ms(), message)?;
         self.carry_out();
         Ok(())
     }
 
     /// Somebody who is no peer spoke at the peers' address.
-    pub fn stranger(&self) {
-        self.core.borrow_mut().stranger();
+    pub fn record_foreign_message(&self) {
+        self.core.borrow_mut().record_foreign_message();
     }
 
     /// The way to the engines.
@@ -169,8 +169,8 @@
     }
 
     /// A request that its front answers itself, at the door: it is counted like those that come in.
-    pub fn turned_away(&self, class: ClassId, end: End) {
-        self.core.borrow_mut().turned_away(class, end);
+    pub fn record_rejection(&self, class: ClassId, end: RequestOutcome) {
+        self.core.borrow_mut().record_rejection(class, end);
     }
 
     /// So many attempts have been written whole.
@@ -179,8 +179,8 @@
     }
 
     /// The figures as they stand, one a line.
-    pub fn figures(&self) -> String {
-        self.core.borrow().figures().text(&self.names.classes)
+    pub fn metrics(&self) -> String {
+        self.core.borrow().metrics().text(&self.names.classes)
     }
 
     /// Still listed as in service: checked again right before an attempt is written.
@@ -213,10 +213,10 @@
     }
 
     /// Operators take an engine out, or put it back; doing so twice changes nothing.
-    pub fn by_hand(self: &Rc<Self>, engine: &str, out: bool) {
+    pub fn administratively_drained(self: &Rc<Self>, engine: &str, out: bool) {
         let told = match out {
-            true => self.core.borrow_mut().hold_out(unix_ms(), engine),
-            false => self.core.borrow_mut().put_back(unix_ms(), engine),
+            true => self.core.borrow_mut().drain_engine(unix_ms(), engine),
+            false => self.core.borrow_mut().undrain(unix_ms(), engine),
         };
         if let Some(e) = told {
             say!(
@@ -242,17 +242,17 @@
     }
 
     /// Exactly these are out by hand: another process of this dispatcher may have been told so.
-    pub fn all_by_hand(self: &Rc<Self>, out: &BTreeSet<String>) {
-        let now = self.core.borrow().by_hand().clone();
+    pub fn apply_administrative_drains(self: &Rc<Self>, out: &BTreeSet<String>) {
+        let now = self.core.borrow().administratively_drained().clone();
         out.difference(&now)
-            .for_each(|engine| self.by_hand(engine, true));
+            .for_each(|engine| self.administratively_drained(engine, true));
         now.difference(out)
-            .for_each(|engine| self.by_hand(engine, false));
+            .for_each(|engine| self.administratively_drained(engine, false));
     }
 
     /// The engines that are out by hand.
-    pub fn out_by_hand(&self) -> BTreeSet<String> {
-        self.core.borrow().by_hand().clone()
+    pub fn administrative_drains(&self) -> BTreeSet<String> {
+        self.core.borrow().administratively_drained().clone()
     }
 
     /// So many processes of this dispatcher live.
@@ -322,7 +322,7 @@
                     );
                 }
             }
-            Command::Drop { attempt } => self.upstream.drop_attempt(attempt),
+            Command::Cancel { attempt } => self.upstream.drop_attempt(attempt),
             Command::Answer { request, answer } => {
                 let Some(open) = self.open.borrow_mut().remove(&request) else {
                     return;
@@ -330,16 +330,27 @@
                 let reply = match (answer, open.output) {
                     (Answer::Served(_), Some(output)) => Reply::Served(output),
                     (Answer::Served(_), None) => Reply::Failed {
-                        why: "the result was lost",
+                        reason: "the result was lost",
                     },
-                    (Answer::Refused { later, why }, _) => Reply::Refused { later, why },
-                    (Answer::Failed { why }, _) => Reply::Failed { why },
-                    (Answer::TimedOut { harmless }, _) => Reply::TimedOut { harmless },
+                    (
+                        Answer::Refused {
+                            retry_after,
+                            reason,
+                        },
+                        _,
+                    ) => Reply::Refused {
+                        retry_after,
+                        reason,
+                    },
+                    (Answer::Failed { reason }, _) => Reply::Failed { reason },
+                    (Answer::TimedOut { retry_safe }, _) => Reply::TimedOut { retry_safe },
                 };
                 (open.answer)(reply);
             }
-            Command::Say(text) => say!("module: {text}"),
-            Command::Tell(message) => self.peers.get().into_iter().for_each(|tell| tell(&message)),
+            Command::Log(text) => say!("module: {text}"),
+            Command::Broadcast(message) => {
+                self.peers.get().into_iter().for_each(|tell| tell(&message))
+            }
         }
     }
 
--- a/src/frontend/frames/connection.rs
+++ b/src/frontend/frames/connection.rs
@@ -3,7 +3,7 @@
 //! close and its reset are seen at once, behind any number of frames, and what it waits for is not sent on after them.
 
 use crate::clock::unix_ms;
-use crate::core::{End, RequestId};
+use crate::core::{RequestId, RequestOutcome};
 use crate::decision::model::Millis;
 use crate::dispatch::request_router::{Reply, Upstream};
 use crate::frontend::frames::request::{Work, class, request};
@@ -126,7 +126,7 @@
     ahead: VecDeque<(Frame, Millis)>,
     bytes: usize,
     /// Kind and stream of what came beyond that, not answered yet.
-    turned_away: VecDeque<(u8, u32)>,
+    record_rejection: VecDeque<(u8, u32)>,
     /// Frames of late that could not be used.
     useless: u32,
     /// Nothing is taken up before.
@@ -152,7 +152,7 @@
         socket: wire.get_ref().watch(),
         ahead: VecDeque::new(),
         bytes: 0,
-        turned_away: VecDeque::new(),
+        record_rejection: VecDeque::new(),
         useless: 0,
         pause: Instant::now(),
         answers: tx,
@@ -247,7 +247,7 @@
                     fail(wire, &mut fault, e)?;
                 }
             }
-            () = std::future::ready(()), if room && !client.turned_away.is_empty() => client.turn_away(wire)?,
+            () = std::future::ready(()), if room && !client.record_rejection.is_empty() => client.turn_away(wire)?,
             () = tokio::time::sleep_until((useless_from + Duration::from_millis(1)).into()), if useless >= PACE => {
                 (useless, useless_from) = (0, Instant::now());
             }
@@ -280,13 +280,13 @@
             *fault = Some(e);
         }
     } else {
-        let why = e.to_string();
+        let reason = e.to_string();
         wire.put(Send {
             kind: ANSWER,
             stream: 0,
             code: Some(FAILED),
             fields: &[],
-            body: why.as_bytes(),
+            body: reason.as_bytes(),
         })?;
         *fault = Some(e);
     }
@@ -294,22 +294,25 @@
 }
 
 fn answer(wire: &mut Wire, stream: u32, reply: Reply<Buffer>) -> Result<(), FrameError> {
-    let later;
+    let retry_after;
     let mut fields: &[(&str, &str)] = &[];
     let field;
     let (code, body): (u8, &[u8]) = match &reply {
         Reply::Served(result) => (SERVED, result),
-        Reply::Refused { later: at, why } => {
+        Reply::Refused {
+            retry_after: at,
+            reason,
+        } => {
             if let Some(ms) = at {
-                later = format!("{}", ms.max(0.0).ceil() as u64);
-                field = [("later", later.as_str())];
+                retry_after = format!("{}", ms.max(0.0).ceil() as u64);
+                field = [("later", retry_after.as_str())];
                 fields = &field;
             }
-            (REFUSED, why.as_bytes())
+            (REFUSED, reason.as_bytes())
         }
-        Reply::Failed { why } => (FAILED, why.as_bytes()),
-        Reply::TimedOut { harmless: true } => (REFUSED, b"the time is over"),
-        Reply::TimedOut { harmless: false } => (FAILED, b"the time is over; it may have run"),
+        Reply::Failed { reason } => (FAILED, reason.as_bytes()),
+        Reply::TimedOut { retry_safe: true } => (REFUSED, b"the time is over"),
+        Reply::TimedOut { retry_safe: false } => (FAILED, b"the time is over; it may have run"),
     };
     wire.put(Send {
         kind: ANSWER,
@@ -322,7 +325,7 @@
 
 impl<L: Upstream<Work = Work, Output = Buffer>> Client<'_, L> {
     fn owes_nothing(&self) -> bool {
-        self.open.borrow().is_empty() && self.ahead.is_empty() && self.turned_away.is_empty()
+        self.open.borrow().is_empty() && self.ahead.is_empty() && self.record_rejection.is_empty()
     }
 
     /// No more is kept for later.
@@ -350,15 +353,17 @@
             }
             LEAVE => self.leaves(frame.stream),
             _ if self.full() => {
-                if self.turned_away.len() >= TURNED_AWAY {
+                if self.record_rejection.len() >= TURNED_AWAY {
                     return Err(
                         io::Error::other("more is asked at once than can be answered").into(),
                     );
                 }
-                self.turned_away.push_back((frame.kind, frame.stream));
+                self.record_rejection.push_back((frame.kind, frame.stream));
                 // One that cannot be read names no class, and is turned away all the same.
                 if let Some(class) = class(&self.front.hub, frame) {
-                    self.front.hub.turned_away(class, End::Overload);
+                    self.front
+                        .hub
+                        .record_rejection(class, RequestOutcome::Overload);
                 }
             }
             _ => {
@@ -401,14 +406,14 @@
 
     /// Answers the first of what was turned away.
     fn turn_away(&mut self, wire: &mut Wire) -> Result<(), FrameError> {
-        match self.turned_away.pop_front() {
+        match self.record_rejection.pop_front() {
             Some((ASK, stream)) => self.state(wire, stream),
             Some((_, stream)) => answer(
                 wire,
                 stream,
                 Reply::Refused {
-                    later: Some(LATER),
-                    why: TOO_MUCH,
+                    retry_after: Some(LATER),
+                    reason: TOO_MUCH,
                 },
             ),
             None => Ok(()),
@@ -438,12 +443,12 @@
         });
         let (new, mut work, named) = match read {
             Ok(request) => request,
-            Err((class, why)) => {
+            Err((class, reason)) => {
                 self.useless();
                 class
                     .into_iter()
-                    .for_each(|c| front.hub.turned_away(c, End::Error));
-                let body = why.as_bytes();
+                    .for_each(|c| front.hub.record_rejection(c, RequestOutcome::Error));
+                let body = reason.as_bytes();
                 return wire.put(Send {
                     kind: ANSWER,
                     stream,
@@ -456,13 +461,15 @@
         let held = front.budget.take(work.statement.len());
         let Some(held) = held.filter(|_| self.open.borrow().len() < STREAMS) else {
             self.useless();
-            front.hub.turned_away(new.class, End::Overload);
+            front
+                .hub
+                .record_rejection(new.class, RequestOutcome::Overload);
             return answer(
                 wire,
                 stream,
                 Reply::Refused {
-                    later: Some(LATER),
-                    why: TOO_MUCH,
+                    retry_after: Some(LATER),
+                    reason: TOO_MUCH,
                 },
             );
         };
--- a/src/frontend/frames/request.rs
+++ b/src/frontend/frames/request.rs
@@ -182,5 +182,5 @@
         };
         Ok((new, Work::free(txn, class, statement)))
     };
-    Ok(read().map_err(|why: String| (named.get(), why)))
+    Ok(read().map_err(|reason: String| (named.get(), reason)))
 }
--- a/src/frontend/mysql/mod.rs
+++ b/src/frontend/mysql/mod.rs
@@ -11,7 +11,7 @@
 use crate::clock::MOST_MS;
 use crate::clock::unix_ms;
 use crate::config::MysqlFront;
-use crate::core::{End as Figure, NewRequest, RequestId};
+use crate::core::{NewRequest, RequestId, RequestOutcome};
 use crate::dispatch::request_router::{Hub, Reply, Upstream};
 use crate::frontend::mysql::administrative_statements::Ours;
 use crate::frontend::mysql::cursor::{Cursor, cut};
@@ -71,7 +71,7 @@
     /// What the machine lets the processes hold.
     descriptors: Cell<usize>,
     processes: Cell<usize>,
-    turned_away: Cell<usize>,
+    record_rejection: Cell<usize>,
     next: Cell<u32>,
     /// For clients that want TLS.
     keys: RefCell<Option<Rc<Keys>>>,
@@ -186,7 +186,7 @@
             places,
             descriptors: Cell::new(usize::MAX),
             processes: Cell::new(1),
-            turned_away: Cell::new(0),
+            record_rejection: Cell::new(0),
             next: Cell::new(1),
             keys: RefCell::default(),
             book: RefCell::default(),
@@ -266,10 +266,12 @@
                     let place: Option<Taken> = self.places.take(Instant::now());
                     let away = usize::from(place.is_none());
                     // Those that are turned away politely are bounded as well.
-                    if front.turned_away.get() + away > TURNED_AWAY.min(front.shares().last) {
+                    if front.record_rejection.get() + away > TURNED_AWAY.min(front.shares().last) {
                         continue;
                     }
-                    front.turned_away.set(front.turned_away.get() + away);
+                    front
+                        .record_rejection
+                        .set(front.record_rejection.get() + away);
                     spawn_local(async move {
                         let host = peer.ip().to_string();
                         if let Err(End::Broken(e)) =
@@ -277,7 +279,9 @@
                         {
                             say!("mysql client {peer}: {e}");
                         }
-                        front.turned_away.set(front.turned_away.get() - away);
+                        front
+                            .record_rejection
+                            .set(front.record_rejection.get() - away);
                     });
                 }
                 Err(e) => {
@@ -542,9 +546,9 @@
                 }
                 Some(Err(e)) => {
                     let long = matches!(e, PacketError::Length(_));
-                    let why = if long { code::PACKET } else { code::MALFORMED };
+                    let reason = if long { code::PACKET } else { code::MALFORMED };
                     self.wire.codec_mut().sequence = 1;
-                    turn_away(&mut self.wire, why, e.to_string()).await?;
+                    turn_away(&mut self.wire, reason, e.to_string()).await?;
                     return Err(e.into());
                 }
             };
@@ -769,10 +773,18 @@
         };
         // Where its result could not be kept, nothing is sent: nothing has run.
         if !matches!(job, Job::Prepare)
-            && let Admission::No { why, later } = self.front.spools.admit(ask)
+            && let Admission::No {
+                reason,
+                retry_after,
+            } = self.front.spools.admit(ask)
         {
-            self.front.hub.turned_away(class, Figure::Overload);
-            return Ok(Reply::Refused { later, why });
+            self.front
+                .hub
+                .record_rejection(class, RequestOutcome::Overload);
+            return Ok(Reply::Refused {
+                retry_after,
+                reason,
+            });
         }
         let statement = String::from_utf8_lossy(&sql)
             .chars()
@@ -809,8 +821,8 @@
         let _leaves = Asked(hub, id);
         tokio::select! {
             biased;
-            reply = &mut answer => Ok(reply.unwrap_or(Reply::Failed { why: "the request was lost" })),
-            () = self.downstream.killed() => Ok(Reply::Failed { why: KILLED }),
+            reply = &mut answer => Ok(reply.unwrap_or(Reply::Failed { reason: "the request was lost" })),
+            () = self.downstream.killed() => Ok(Reply::Failed { reason: KILLED }),
             // A client that sends its next command early has not left; one that quits has, and one that closes.
             gone = self.wire.ahead(AHEAD, quits) => Err(left(gone)),
         }
@@ -940,7 +952,7 @@
             None => {}
         }
         match statement::kind(&sql) {
-            Kind::NotCarried(why) => self.say(&SqlError::new(code::NOT_CARRIED, why)).await,
+            Kind::NotCarried(reason) => self.say(&SqlError::new(code::NOT_CARRIED, reason)).await,
             Kind::Warnings => self.warnings().await,
             Kind::Kill(number) => self.kill(number).await,
             Kind::Set => self.set(sql).await,
@@ -1009,16 +1021,16 @@
             None => None,
         };
         let kind = statement::kind(&sql);
-        let why = match kind {
+        let reason = match kind {
             _ if own.is_some() => None,
-            Kind::NotCarried(why) => Some(why),
+            Kind::NotCarried(reason) => Some(reason),
             Kind::Set | Kind::Use(_) | Kind::Warnings | Kind::Kill(_) => {
                 Some("this is not to be prepared")
             }
             _ => None,
         };
-        if let Some(why) = why {
-            return self.say(&SqlError::new(code::NOT_CARRIED, why)).await;
+        if let Some(reason) = reason {
+            return self.say(&SqlError::new(code::NOT_CARRIED, reason)).await;
         }
         if self.statements.len() >= self.front.config().max_statements {
             let text = "too many prepared statements in this session; close some";
--- a/src/frontend/mysql/settings.rs
+++ b/src/frontend/mysql/settings.rs
@@ -58,8 +58,8 @@
         for expression in asks {
             let select = Bytes::from(format!("SELECT {expression}"));
             if statement::kind(&select) != Kind::Read {
-                let why = "SET takes values that can be read without leaving anything behind";
-                return Ok(Err(SqlError::new(code::NOT_CARRIED, why)));
+                let reason = "SET takes values that can be read without leaving anything behind";
+                return Ok(Err(SqlError::new(code::NOT_CARRIED, reason)));
             }
             let context = self.context_for(&select);
             match self.carry(&Kind::Read, context, select, Job::Query).await? {
--- a/src/frontend/mysql/sticky.rs
+++ b/src/frontend/mysql/sticky.rs
@@ -2,7 +2,7 @@
 
 use crate::frontend::mysql::*;
 use crate::sticky_sessions::{Next, Step, fate};
-use crate::upstream::mysql::sticky::{Carried, Order, Pinned, lost, why};
+use crate::upstream::mysql::sticky::{Carried, Order, Pinned, lost, reason};
 use tokio::sync::mpsc;
 
 /// A place among the pins, given back when it is dropped.
@@ -173,9 +173,15 @@
             load: *kind != Kind::Read,
         };
         if !matches!(job, Job::Prepare | Job::Enter)
-            && let Admission::No { why, later } = self.front.spools.admit(ask)
+            && let Admission::No {
+                reason,
+                retry_after,
+            } = self.front.spools.admit(ask)
         {
-            return Ok(Ok(Reply::Refused { later, why }));
+            return Ok(Ok(Reply::Refused {
+                retry_after,
+                reason,
+            }));
         }
         let step = self.step(kind, &sql, &job);
         let rolls_back = *kind == Kind::Ends && !step.commits;
@@ -204,7 +210,7 @@
             downstream,
         };
         let Some(hold) = self.hold.as_mut() else {
-            return Ok(Err(lost(&why(None), fate(None))));
+            return Ok(Err(lost(&reason(None), fate(None))));
         };
         let (reply, mut carried) = oneshot::channel();
         if hold.orders.send(Order { work, step, reply }).await.is_err() {
@@ -215,7 +221,7 @@
             return Ok(if rolls_back {
                 Ok(done)
             } else {
-                Err(lost(&why(over), fate(None)))
+                Err(lost(&reason(over), fate(None)))
             });
         }
         let came = tokio::select! {
@@ -229,18 +235,18 @@
                         }
                         return Ok(Ok(Reply::Served(output)));
                     }
-                    Err(_) => Err(lost(&why(hold.pinned.over()), fate(Some(step)))),
+                    Err(_) => Err(lost(&reason(hold.pinned.over()), fate(Some(step)))),
                 },
                 reply = &mut hold.answer => match reply {
                     // No engine has begun with it: that is the statement's answer.
                     Ok(reply) if !hold.pinned.begun() => Ok(reply),
-                    _ => Err(lost(&why(hold.pinned.over()), fate(Some(step)))),
+                    _ => Err(lost(&reason(hold.pinned.over()), fate(Some(step)))),
                 },
                 // The engine is told by its connection's end: what is open is rolled back.
                 () = self.downstream.killed() => Err(lost(KILLED, fate(Some(step)))),
                 gone = self.wire.ahead(AHEAD, quits) => return Err(left(gone)),
                 () = tokio::time::sleep_until(hold.until), if !hold.pinned.begun() => {
-                    Ok(Reply::TimedOut { harmless: true })
+                    Ok(Reply::TimedOut { retry_safe: true })
                 }
         };
         self.hold = None;
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -9,7 +9,7 @@
 //! counts by ones to 40, then by a tenth each.
 
 /// The most that one message may hold, in bytes.
-pub const MOST: usize = 256;
+pub const MAX_MESSAGE_BYTES: usize = 256;
 const REPORT: u8 = b'r';
 const HEAD: usize = 4;
 /// Values of a report that a message has room for.
@@ -17,14 +17,14 @@
 
 /// What a message tells.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct LoadReportMessage {
     /// Stands for the engine's name: [`short`].
     pub short: u32,
     pub report: Vec<f64>,
 }
 
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum WordError {
+pub enum DecodeError {
     #[error("a message of {0} bytes where {1} are due")]
     Length(usize, usize),
     #[error("a message of kind {0}, which is not known")]
@@ -55,18 +55,18 @@
 }
 
 /// What a message tells, or why it can't be read.
-pub fn decode(message: &[u8], fields: usize) -> Result<Told, WordError> {
+pub fn decode(message: &[u8], fields: usize) -> Result<LoadReportMessage, DecodeError> {
     let due = HEAD + fields.min(FIELDS);
     match message.first() {
-        Some(&kind) if kind != REPORT => return Err(WordError::Kind(kind)),
-        _ if message.len() != due => return Err(WordError::Length(message.len(), due)),
-        _ if message.iter().any(|b| *b >= 128) => return Err(WordError::Byte),
+        Some(&kind) if kind != REPORT => return Err(DecodeError::Kind(kind)),
+        _ if message.len() != due => return Err(DecodeError::Length(message.len(), due)),
+        _ if message.iter().any(|b| *b >= 128) => return Err(DecodeError::Byte),
         _ => {}
     }
     let short = message[1..HEAD]
         .iter()
         .fold(0, |s, b| s << 7 | u32::from(*b));
-    Ok(Told {
+    Ok(LoadReportMessage {
         short,
         report: message[HEAD..].iter().map(|b| value(*b)).collect(),
     })
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -8,7 +8,7 @@
 
 mod message;
 
-pub use message::{MOST, Told, WordError};
+pub use message::{DecodeError, LoadReportMessage, MAX_MESSAGE_BYTES};
 
 use crate::decision::model::Millis;
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
 
 /// What the operators allow and charge.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
+pub struct GossipBudget {
     /// Dispatchers of the tier, this one included.
     pub peers: u32,
     /// Points of a request's worth, in 100, for one full message (256 bytes) that reaches one peer.
@@ -34,8 +34,8 @@
 
 /// What this dispatcher has told its peers and heard from them.
 #[derive(Debug)]
-pub struct Bulletin {
-    terms: Terms,
+pub struct Broadcaster {
+    terms: GossipBudget,
     /// Engines in the list, by what stands for their name in a message; `None`: two names share it.
     known: BTreeMap<u32, Option<String>>,
     /// When an engine was last told of, by anybody.
@@ -44,9 +44,9 @@
     account: f64,
 }
 
-impl Bulletin {
-    pub fn new(terms: Terms) -> Self {
-        Bulletin {
+impl Broadcaster {
+    pub fn new(terms: GossipBudget) -> Self {
+        Broadcaster {
             terms,
             known: BTreeMap::new(),
             told: BTreeMap::new(),
@@ -81,8 +81,8 @@
             return None;
         }
         let message = message::encode(short, report, self.terms.fields)?;
-        let cost =
-            self.terms.price * message.len() as f64 / MOST as f64 * f64::from(self.terms.peers - 1);
+        let cost = self.terms.price * message.len() as f64 / MAX_MESSAGE_BYTES as f64
+            * f64::from(self.terms.peers - 1);
         if cost > self.account {
             return None;
         }
@@ -96,8 +96,8 @@
         &mut self,
         now: Millis,
         message: &[u8],
-    ) -> Result<Option<(String, Vec<f64>)>, WordError> {
-        let Told { short, report } = message::decode(message, self.terms.fields)?;
+    ) -> Result<Option<(String, Vec<f64>)>, DecodeError> {
+        let LoadReportMessage { short, report } = message::decode(message, self.terms.fields)?;
         let Some(Some(engine)) = self.known.get(&short) else {
             return Ok(None);
         };
--- a/src/gossip/tests.rs
+++ b/src/gossip/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> GossipBudget {
+    GossipBudget {
         peers: 100,
         price: 1.0,
         fields: 2,
@@ -11,8 +11,8 @@
 }
 
 /// A dispatcher that knows these engines and has taken requests enough to speak.
-fn rich(engines: &[&str]) -> Bulletin {
-    let mut b = Bulletin::new(terms());
+fn rich(engines: &[&str]) -> Broadcaster {
+    let mut b = Broadcaster::new(terms());
     b.list(engines.iter().copied());
     (0..1000).for_each(|_| b.taken());
     b
@@ -93,7 +93,7 @@
 #[test]
 fn words_cost_no_more_than_their_part_of_what_requests_are_worth() {
     for (peers, price) in [(3, 1.0), (100, 1.0), (300, 1.0), (100, 20.0)] {
-        let mut b = Bulletin::new(Terms {
+        let mut b = Broadcaster::new(GossipBudget {
             peers,
             price,
             fields: 2,
@@ -154,15 +154,15 @@
     let good = rich(&["s"]).learned(0.0, "s", &[1.0, 0.1]).unwrap();
     let mut high = good.clone();
     high[4] = 200;
-    assert_eq!(b.heard(0.0, b""), Err(WordError::Length(0, 6)));
-    assert_eq!(b.heard(0.0, &good[..5]), Err(WordError::Length(5, 6)));
+    assert_eq!(b.heard(0.0, b""), Err(DecodeError::Length(0, 6)));
+    assert_eq!(b.heard(0.0, &good[..5]), Err(DecodeError::Length(5, 6)));
     assert_eq!(
         b.heard(0.0, &[&good[..], b"x"].concat()),
-        Err(WordError::Length(7, 6))
+        Err(DecodeError::Length(7, 6))
     );
-    assert_eq!(b.heard(0.0, b"x12345"), Err(WordError::Kind(b'x')));
-    assert_eq!(b.heard(0.0, &high), Err(WordError::Byte));
-    assert_eq!(b.heard(0.0, &[0; 257]), Err(WordError::Kind(0)));
+    assert_eq!(b.heard(0.0, b"x12345"), Err(DecodeError::Kind(b'x')));
+    assert_eq!(b.heard(0.0, &high), Err(DecodeError::Byte));
+    assert_eq!(b.heard(0.0, &[0; 257]), Err(DecodeError::Kind(0)));
     assert!(
         b.learned(0.0, "s", &[1.0, 0.1]).is_some(),
         "it kept nobody quiet"
@@ -180,7 +180,7 @@
 
 #[test]
 fn a_dispatcher_alone_says_nothing() {
-    let mut b = Bulletin::new(Terms {
+    let mut b = Broadcaster::new(GossipBudget {
         peers: 1,
         ..terms()
     });
--- a/src/main.rs
+++ b/src/main.rs
@@ -292,7 +292,7 @@
 ) -> Result<Rc<Shared>, Error> {
     let named = |e: std::io::Error| format!("the folder for state ({folder:?}): {e}");
     let shared = Rc::new(Shared::open(folder).map_err(named)?);
-    hub.all_by_hand(&shared.held_out().map_err(named)?.unwrap_or_default());
+    hub.apply_administrative_drains(&shared.drained_engines().map_err(named)?.unwrap_or_default());
     let (hub, following) = (hub.clone(), shared.clone());
     let divide = move |hub: &Hub<L>, living| {
         hub.share(living);
@@ -312,8 +312,10 @@
                 Ok(_) => {}
                 Err(e) => say!("the folder for state: {e}"),
             }
-            match following.held_out() {
-                Ok(out) => out.iter().for_each(|out| hub.all_by_hand(out)),
+            match following.drained_engines() {
+                Ok(out) => out
+                    .iter()
+                    .for_each(|out| hub.apply_administrative_drains(out)),
                 // What cannot be read changes nothing.
                 Err(e) => say!("the folder for state: {e}"),
             }
@@ -382,7 +384,7 @@
                             &source,
                             self.state.as_deref(),
                             Box::new(move |change| sink.change(&change)),
-                            Box::new(move || hub.out_by_hand()),
+                            Box::new(move || hub.administrative_drains()),
                         );
                         self.hub.upstream().watch(Some(members.clone()));
                         let (tell, told) = watch::channel(source.clone());
--- a/src/membership/registry_view.rs
+++ b/src/membership/registry_view.rs
@@ -165,7 +165,7 @@
     gone: BTreeSet<(u64, String)>,
     owners: BTreeMap<SocketAddr, String>,
     vanished: Vanished,
-    by_hand: BTreeSet<String>,
+    administratively_drained: BTreeSet<String>,
     rejected: VecDeque<Rejected>,
     rejections: u64,
     /// Engines beyond [`Rules::most`] that were turned away.
@@ -190,7 +190,7 @@
             gone: BTreeSet::new(),
             owners: BTreeMap::new(),
             vanished: Vanished::default(),
-            by_hand: BTreeSet::new(),
+            administratively_drained: BTreeSet::new(),
             rejected: VecDeque::new(),
             rejections: 0,
             overflow: 0,
@@ -300,12 +300,12 @@
     }
 
     /// Exactly these are out by hand. They count neither as in service nor as vanished.
-    pub fn by_hand(&mut self, out: BTreeSet<String>) {
-        self.by_hand = out;
+    pub fn administratively_drained(&mut self, out: BTreeSet<String>) {
+        self.administratively_drained = out;
     }
 
-    pub fn is_by_hand(&self, engine: &str) -> bool {
-        self.by_hand.contains(engine)
+    pub fn is_administratively_drained(&self, engine: &str) -> bool {
+        self.administratively_drained.contains(engine)
     }
 
     /// Does what is due: sources that are away by now, holds and contradictions that end.
@@ -561,7 +561,9 @@
     /// Believes anew what is known of these, and tells what changes.
     fn judge(&mut self, now: Millis, ids: Vec<String>) -> Option<Change> {
         let serving = self.members.iter().filter(|(id, m)| {
-            m.belief.stand == Stand::Serves && m.superseded.is_none() && !self.by_hand.contains(*id)
+            m.belief.stand == Stand::Serves
+                && m.superseded.is_none()
+                && !self.administratively_drained.contains(*id)
         });
         let serving = serving.count();
         let mut vanishing = vec![];
@@ -585,7 +587,7 @@
             let vanishes = (new.stand == Stand::Gone || matches!(new.why, Why::Missing(_)))
                 && m.belief.stand == Stand::Serves
                 && m.superseded.is_none()
-                && !self.by_hand.contains(&id);
+                && !self.administratively_drained.contains(&id);
             if vanishes && !m.proof.dead() {
                 vanishing.push(id.clone());
             }
--- a/src/membership/report.rs
+++ b/src/membership/report.rs
@@ -109,7 +109,8 @@
     pub held: usize,
     pub contradicted: usize,
     pub unproven: usize,
-    pub by_hand: usize,
+    #[serde(rename = "by_hand")]
+    pub administratively_drained: usize,
     /// Gone and still remembered.
     pub gone: usize,
     pub rejections: u64,
@@ -140,7 +141,8 @@
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub unproven: bool,
     #[serde(skip_serializing_if = "std::ops::Not::not")]
-    pub by_hand: bool,
+    #[serde(rename = "by_hand")]
+    pub administratively_drained: bool,
     /// Connections show that nobody is there.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub connections_lost: bool,
@@ -195,7 +197,7 @@
             c.held += usize::from(m.held.is_some());
             c.contradicted += usize::from(m.belief.why.contradicts());
             c.unproven += usize::from(m.unproven.is_some());
-            c.by_hand += usize::from(self.is_by_hand(id));
+            c.administratively_drained += usize::from(self.is_administratively_drained(id));
             c.passed_over += m.claims.passed_over;
         }
         c.rejections = self.rejected().1;
@@ -263,7 +265,7 @@
                 version: m.claims.newest,
                 contradiction: m.belief.why.contradicts(),
                 unproven: m.unproven.is_some(),
-                by_hand: self.is_by_hand(id),
+                administratively_drained: self.is_administratively_drained(id),
                 connections_lost: m.proof.lost.is_some(),
                 held,
                 superseded_by: m.superseded.clone(),
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -362,7 +362,7 @@
 fn engines_out_by_hand_do_not_count_as_vanished() {
     let mut p = Play::new(Rules::default());
     p.whole(A, &many(8));
-    p.m.by_hand((2..8).map(|i| format!("e{i:04}")).collect());
+    p.m.administratively_drained((2..8).map(|i| format!("e{i:04}")).collect());
     p.whole(A, &many(2));
     assert_eq!(p.m.held(), 0);
 }
--- a/src/protocol/mysql/session/mod.rs
+++ b/src/protocol/mysql/session/mod.rs
@@ -189,12 +189,12 @@
         let bare = value
             .as_deref()
             .map(|v| v.trim_matches(['\'', '"']).to_ascii_lowercase());
-        if let Some((_, why)) = BARRED.iter().find(|b| b.0 == name) {
+        if let Some((_, reason)) = BARRED.iter().find(|b| b.0 == name) {
             let speaks = bare
                 .as_deref()
                 .is_none_or(|v| unicode(v) || v == "null" || v.starts_with("utf8"));
-            if *why != CHARSETS || !speaks {
-                return Err(SetError::NotCarried(why));
+            if *reason != CHARSETS || !speaks {
+                return Err(SetError::NotCarried(reason));
             }
         }
         let settings = Rc::make_mut(&mut self.context.settings);
--- a/src/server/instance_registry.rs
+++ b/src/server/instance_registry.rs
@@ -64,17 +64,17 @@
     }
 
     /// Kept before the operator gets a yes; to keep it twice changes nothing.
-    pub fn hold_out(&self, engine: &str) -> io::Result<()> {
+    pub fn drain_engine(&self, engine: &str) -> io::Result<()> {
         let Some(path) = self.path(engine)? else {
             return Ok(());
         };
-        if !path.exists() && self.held_out()?.is_some_and(|out| out.len() >= MOST) {
+        if !path.exists() && self.drained_engines()?.is_some_and(|out| out.len() >= MOST) {
             return Err(io::Error::other("too many engines are out by hand"));
         }
         std::fs::write(path, [])
     }
 
-    pub fn put_back(&self, engine: &str) -> io::Result<()> {
+    pub fn undrain(&self, engine: &str) -> io::Result<()> {
         let Some(path) = self.path(engine)? else {
             return Ok(());
         };
@@ -85,7 +85,7 @@
     }
 
     /// All that are out; none if nothing is shared.
-    pub fn held_out(&self) -> io::Result<Option<BTreeSet<String>>> {
+    pub fn drained_engines(&self) -> io::Result<Option<BTreeSet<String>>> {
         let Some(Folder { path: folder, .. }) = &self.0 else {
             return Ok(None);
         };
@@ -165,20 +165,20 @@
         );
         let odd = "host/../x:80 %é";
         for (one, other) in [(&a, &b), (&b, &a)] {
-            one.hold_out(odd).unwrap();
-            one.hold_out("e1").unwrap();
-            other.hold_out("e1").unwrap();
+            one.drain_engine(odd).unwrap();
+            one.drain_engine("e1").unwrap();
+            other.drain_engine("e1").unwrap();
             assert_eq!(
-                other.held_out().unwrap().unwrap(),
+                other.drained_engines().unwrap().unwrap(),
                 [odd, "e1"].map(str::to_string).into()
             );
-            other.put_back("e1").unwrap();
-            one.put_back("e1").unwrap();
-            one.put_back(odd).unwrap();
-            assert!(other.held_out().unwrap().unwrap().is_empty());
+            other.undrain("e1").unwrap();
+            one.undrain("e1").unwrap();
+            one.undrain(odd).unwrap();
+            assert!(other.drained_engines().unwrap().unwrap().is_empty());
         }
         assert!(
-            a.hold_out(&"x".repeat(300)).is_err(),
+            a.drain_engine(&"x".repeat(300)).is_err(),
             "it could not be kept, so there is no yes"
         );
         std::fs::remove_dir_all(folder).unwrap();
--- a/src/spool/disk_health.rs
+++ b/src/spool/disk_health.rs
@@ -22,7 +22,7 @@
     /// Its errors are of another kind (read-only, broken): the last one's words.
     Failing {
         since: Millis,
-        why: String,
+        reason: String,
     },
     /// It does what it is asked, late.
     Slow {
@@ -88,7 +88,7 @@
                     _ => now,
                 };
                 match bad {
-                    Wrote::Failed(why) => DiskState::Failing { since, why },
+                    Wrote::Failed(reason) => DiskState::Failing { since, reason },
                     _ => DiskState::Full { since },
                 }
             }
--- a/src/spool/index.rs
+++ b/src/spool/index.rs
@@ -51,8 +51,8 @@
     Yes,
     /// Nothing is to be sent: nowhere would its result fit. `later`: when room may come, in milliseconds from now.
     No {
-        why: &'static str,
-        later: Option<Millis>,
+        reason: &'static str,
+        retry_after: Option<Millis>,
     },
 }
 
@@ -193,8 +193,8 @@
     /// Is a request to be sent at all? Refused here, nothing has run.
     pub fn admit(&mut self, now: Millis, ask: Ask) -> Admission {
         let expected = self.expected(ask.class);
-        let no = |why| Some(why);
-        let why = match () {
+        let no = |reason| Some(reason);
+        let reason = match () {
             // What is short waits nowhere.
             () if expected <= SHORT as u64 => None,
             () if self.spools.len() >= self.rules.most
@@ -210,13 +210,13 @@
             }
             () => None,
         };
-        match why {
+        match reason {
             None => Admission::Yes,
-            Some(why) => {
+            Some(reason) => {
                 self.refused += 1;
                 Admission::No {
-                    why,
-                    later: self.next_expiry().map(|at| (at - now).max(0.0)),
+                    reason,
+                    retry_after: self.next_expiry().map(|at| (at - now).max(0.0)),
                 }
             }
         }
--- a/src/spool/tests.rs
+++ b/src/spool/tests.rs
@@ -160,10 +160,10 @@
     assert_eq!(l.expected(0), 150 * KB);
     let (a, _) = put(&mut l, 10.0, report(0), 15).unwrap();
     l.attach(10.0, a);
-    let Admission::No { why, .. } = l.admit(11.0, report(0)) else {
+    let Admission::No { reason, .. } = l.admit(11.0, report(0)) else {
         panic!()
     };
-    assert!(why.contains("tenant"), "{why}");
+    assert!(reason.contains("tenant"), "{reason}");
     assert_eq!(
         l.admit(11.0, report(1)),
         Admission::Yes,
@@ -175,11 +175,15 @@
             l.attach(12.0, id);
         }
     }
-    let Admission::No { why, later } = l.admit(13.0, report(7)) else {
+    let Admission::No {
+        reason,
+        retry_after,
+    } = l.admit(13.0, report(7))
+    else {
         panic!()
     };
-    assert!(why.contains("neither memory nor disk"), "{why}");
-    assert_eq!(later, None, "nobody knows when the readers end");
+    assert!(reason.contains("neither memory nor disk"), "{reason}");
+    assert_eq!(retry_after, None, "nobody knows when the readers end");
     // One that ends makes room, and tells when it would have by itself.
     l.detach(20.0, a, false);
     assert_eq!(l.admit(21.0, report(7)), Admission::Yes);
@@ -224,7 +228,7 @@
     assert!(!l.watch.takes(11.0 + REST - 1.0) && l.watch.takes(11.0 + REST));
     assert!(l.wrote(6000.0, 1.0, Wrote::Failed("read-only".into())));
     assert!(
-        matches!(l.watch.state(), DiskState::Failing { since: 10.0, why } if why == "read-only")
+        matches!(l.watch.state(), DiskState::Failing { since: 10.0, reason } if reason == "read-only")
     );
     assert!(l.wrote(12_000.0, 5.0, Wrote::Well));
     assert!(l.wrote(13_000.0, 2_000.0, Wrote::Well));
--- a/src/spool_io/mod.rs
+++ b/src/spool_io/mod.rs
@@ -658,7 +658,7 @@
     }
 
     /// Lines for `/_vars`.
-    pub fn figures(&self) -> String {
+    pub fn metrics(&self) -> String {
         let ledger = self.ledger.borrow();
         let (memory, disk) = ledger.used();
         let well = matches!(ledger.watch.state(), DiskState::Well | DiskState::Absent);
@@ -682,7 +682,7 @@
         DiskState::Absent => "none".into(),
         DiskState::Well => "well".into(),
         DiskState::Full { since } => format!("full for {} s", s(since)),
-        DiskState::Failing { since, why } => format!("failing for {} s: {why}", s(since)),
+        DiskState::Failing { since, reason } => format!("failing for {} s: {reason}", s(since)),
         DiskState::Slow { since } => format!("slow for {} s", s(since)),
     }
 }
--- a/src/upstream/mysql/sticky.rs
+++ b/src/upstream/mysql/sticky.rs
@@ -325,23 +325,23 @@
 }
 
 /// Why a pin was lost, in words.
-pub fn why(over: Option<Over>) -> String {
+pub fn reason(over: Option<Over>) -> String {
     over.map_or("its engine connection was lost".to_string(), |o| {
         o.to_string()
     })
 }
 
 /// What a client is told whose pin was lost: whether anything may hold is said plainly.
-pub fn lost(why: &str, fate: Fate) -> SqlError {
+pub fn lost(reason: &str, fate: Fate) -> SqlError {
     match fate {
         Fate::RolledBack => {
             let text =
-                format!("the transaction is rolled back, {why}; begin it again from its start");
+                format!("the transaction is rolled back, {reason}; begin it again from its start");
             SqlError::new(code::ROLLED_BACK, text)
         }
         Fate::Unknown => {
             let text = format!(
-                "the commit was sent and not answered, {why}: it is not known whether it holds"
+                "the commit was sent and not answered, {reason}: it is not known whether it holds"
             );
             SqlError::new(
                 code::FAILED,
--- a/src/upstream/mysql/work.rs
+++ b/src/upstream/mysql/work.rs
@@ -95,23 +95,26 @@
     let again = "sending it again does no harm";
     Some(match reply {
         Reply::Served(_) => return None,
-        Reply::Refused { later, why } => {
-            let when = later.map_or(String::new(), |ms| {
+        Reply::Refused {
+            retry_after,
+            reason,
+        } => {
+            let when = retry_after.map_or(String::new(), |ms| {
                 format!(" after {} ms", ms.max(0.0).ceil())
             });
-            SqlError::new(code::REFUSED, format!("refused: {why}; {again}{when}"))
+            SqlError::new(code::REFUSED, format!("refused: {reason}; {again}{when}"))
         }
-        Reply::TimedOut { harmless: true } => SqlError::new(
+        Reply::TimedOut { retry_safe: true } => SqlError::new(
             code::TIMED_OUT,
             format!("the statement's time is over; {again}"),
         ),
-        Reply::TimedOut { harmless: false } => SqlError::new(
+        Reply::TimedOut { retry_safe: false } => SqlError::new(
             code::TIMED_OUT,
             "the statement's time is over; it may have run: do not send it again unchecked",
         ),
-        Reply::Failed { why } => SqlError::new(
+        Reply::Failed { reason } => SqlError::new(
             code::FAILED,
-            format!("failed: {why}; it may have run: do not send it again unchecked"),
+            format!("failed: {reason}; it may have run: do not send it again unchecked"),
         ),
     })
 }
--- a/tests/cold_budget.rs
+++ b/tests/cold_budget.rs
@@ -261,7 +261,7 @@
                 };
                 self.out.push((now + took, attempt));
             }
-            Command::Drop { attempt } => {
+            Command::Cancel { attempt } => {
                 let before = self.out.len();
                 self.out.retain(|o| o.1 != attempt);
                 hand.requests = hand.requests.saturating_sub(before - self.out.len());
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -70,11 +70,11 @@
                     last.insert(attempt.request, attempt);
                 }
             }
-            ["out", engine] => drop(core.hold_out(now, engine)),
-            ["back", engine] => drop(core.put_back(now, engine)),
+            ["out", engine] => drop(core.drain_engine(now, engine)),
+            ["back", engine] => drop(core.undrain(now, engine)),
             ["drop", name] => {
                 let attempt = last[&ids[name]];
-                next(&|c| *c == Command::Drop { attempt });
+                next(&|c| *c == Command::Cancel { attempt });
             }
             ["expect", name, what] => {
                 let of = |c: &Command| matches!(c, Command::Answer { request, .. } if *request == ids[name]);
@@ -85,8 +85,8 @@
                     Answer::Served(_) => "served",
                     Answer::Refused { .. } => "refused",
                     Answer::Failed { .. } => "failed",
-                    Answer::TimedOut { harmless: true } => "late",
-                    Answer::TimedOut { harmless: false } => "late-and-may-have-run",
+                    Answer::TimedOut { retry_safe: true } => "late",
+                    Answer::TimedOut { retry_safe: false } => "late-and-may-have-run",
                 };
                 assert_eq!(told, what, "{line}");
             }
@@ -116,7 +116,7 @@
             _ => panic!("no such step: {line}"),
         }
     }
-    let asked = |c: &Command| !matches!(c, Command::Say(_));
+    let asked = |c: &Command| !matches!(c, Command::Log(_));
     left.extend(core.commands());
     assert!(!left.iter().any(asked), "left over: {left:?}");
 }
@@ -285,7 +285,7 @@
 /// Where only some engines would drop a repeat, no refusal goes out once one may have run, whoever words it.
 #[test]
 fn a_keyed_request_that_may_have_run_is_refused_only_where_all_engines_know_it() {
-    for (group, harmless) in [
+    for (group, retry_safe) in [
         (DeduplicationScope::All, true),
         (DeduplicationScope::Zone, false),
         (DeduplicationScope::Cell, false),
@@ -303,7 +303,7 @@
             core.tick(now + if stops { 200.0 } else { 480.0 });
             assert_eq!(
                 done(&mut core).1,
-                [Answer::TimedOut { harmless }],
+                [Answer::TimedOut { retry_safe }],
                 "{group:?}"
             );
         }
--- a/tests/external_interface.rs
+++ b/tests/external_interface.rs
@@ -299,12 +299,12 @@
     const REPORT: [f64; 5] = [7.0, 0.0, 0.61, 41.0, 1000.0];
     /// Requests that pay for one message.
     const REQUESTS: usize = 50;
-    let terms = gossip::Terms {
+    let terms = gossip::GossipBudget {
         peers: 2,
         price: 1.0,
         fields: REPORT.len(),
     };
-    let mut bulletin = gossip::Bulletin::new(terms);
+    let mut bulletin = gossip::Broadcaster::new(terms);
     bulletin.list([ENGINE].into_iter());
     (0..REQUESTS).for_each(|_| bulletin.taken());
     let message = bulletin.learned(0.0, ENGINE, &REPORT).unwrap();
--- a/tests/moments.rs
+++ b/tests/moments.rs
@@ -142,8 +142,8 @@
                 Reply::Served(_) => "served",
                 Reply::Refused { .. } => "refused",
                 Reply::Failed { .. } => "failed",
-                Reply::TimedOut { harmless: true } => "refused as late",
-                Reply::TimedOut { harmless: false } => "failed as late",
+                Reply::TimedOut { retry_safe: true } => "refused as late",
+                Reply::TimedOut { retry_safe: false } => "failed as late",
             };
             answers.borrow_mut().push((txn, told));
         };
--- a/tests/mysql_sessions.rs
+++ b/tests/mysql_sessions.rs
@@ -92,7 +92,7 @@
         )
     }
 
-    async fn by_hand(&self, what: &str, engine: &Engine) {
+    async fn administratively_drained(&self, what: &str, engine: &Engine) {
         let path = format!("/_engines/{what}/{}", engine.name());
         assert_eq!(self.program.call("POST", &path).await.unwrap().0, 200);
     }
@@ -210,7 +210,7 @@
             "{other:?}"
         );
         let on = stand.engines.iter().find(|e| e.name() == first[0]).unwrap();
-        stand.by_hand("detach", on).await;
+        stand.administratively_drained("detach", on).await;
         let moved = says(&mut a, look).await.remove(0);
         assert!(
             moved[0] != first[0] && moved[1..] == first[1..],
@@ -231,7 +231,7 @@
         assert_eq!(first[1], "SYSTEM");
         says(&mut s, "SET time_zone = '+04:00'").await;
         stand
-            .by_hand(
+            .administratively_drained(
                 "detach",
                 stand.engines.iter().find(|e| e.name() == first[0]).unwrap(),
             )
@@ -251,7 +251,7 @@
             says(s, &format!("insert into t values ({n})")).await;
         }
         for e in &stand.engines {
-            stand.by_hand("detach", e).await;
+            stand.administratively_drained("detach", e).await;
         }
         says(&mut a, "insert into t values (3)").await;
         says(&mut a, "commit").await;
@@ -270,8 +270,12 @@
             3168,
             "no engine takes anything new"
         );
-        stand.by_hand("attach", &stand.engines[0]).await;
-        stand.by_hand("attach", &stand.engines[1]).await;
+        stand
+            .administratively_drained("attach", &stand.engines[0])
+            .await;
+        stand
+            .administratively_drained("attach", &stand.engines[1])
+            .await;
         says(&mut b, "begin").await;
         says(&mut b, "rollback").await;
     });
--- a/tests/mysql_tls.rs
+++ b/tests/mysql_tls.rs
@@ -231,9 +231,9 @@
         assert_eq!(error(log_in(None, "till").await).unwrap().code, 1045);
         let other = Some(stand.authority.signs(&[], "till-8", FAR));
         assert_eq!(error(log_in(other, "till").await).unwrap().code, 1045);
-        let stranger = Some(Authority::new().signs(&[], "till-7", FAR));
+        let record_foreign_message = Some(Authority::new().signs(&[], "till-7", FAR));
         assert!(
-            log_in(stranger, "till").await.is_err(),
+            log_in(record_foreign_message, "till").await.is_err(),
             "signed by somebody else"
         );
         let plain = Session::log_in(stand.program.address, "till", "till", Wants::default()).await;
--- a/tests/platform_calls.rs
+++ b/tests/platform_calls.rs
@@ -59,9 +59,9 @@
     for file in files.into_iter().filter(|f| !only_tests(f)) {
         let text = std::fs::read_to_string(&file).expect("a source file");
         for (number, line) in code(&text) {
-            for (what, why) in REFUSED {
+            for (what, reason) in REFUSED {
                 if line.contains(what) {
-                    found.push(format!("{}:{number}: `{what}`: {why}", file.display()));
+                    found.push(format!("{}:{number}: `{what}`: {reason}", file.display()));
                 }
             }
         }
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -306,8 +306,8 @@
         program.says("passed over").contains("of kind 63"),
         "the first line is that of the second word"
     );
-    let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
-    stranger.send_to(&word[..size], from).unwrap();
+    let record_foreign_message = UdpSocket::bind("127.0.0.1:0").unwrap();
+    record_foreign_message.send_to(&word[..size], from).unwrap();
     assert!(program.says("passed over").contains("not listed"));
     assert!(
         program
--- a/tests/recorded_decisions/core_stream.rs
+++ b/tests/recorded_decisions/core_stream.rs
@@ -48,7 +48,7 @@
     PeerMessage,
     Share,
     Stop,
-    Figures,
+    Metrics,
 }
 
 pub struct CoreStream<'a> {
@@ -79,7 +79,7 @@
             Core::new(settings.clone(), seed, core_bounds(core_traffic.open)).expect("sound");
         if core_traffic.peers > 0 {
             let fields = settings.report_fields.len();
-            core.join(Terms {
+            core.join(GossipBudget {
                 peers: core_traffic.peers,
                 price: 0.2,
                 fields,
@@ -134,7 +134,7 @@
             Step::Open,
             Step::ListChange,
             Step::Share,
-            Step::Figures,
+            Step::Metrics,
             Step::PeerMessage,
         ];
         first
@@ -179,7 +179,7 @@
                 self.record.line("stop", &bits(self.now));
                 self.core.stop(self.now, self.now + 400.0);
             }
-            Step::Figures => self.figures(),
+            Step::Metrics => self.metrics(),
         }
     }
 
@@ -353,14 +353,17 @@
     fn operator(&mut self) {
         let name = format!("e{}", self.random.below(self.engines.len() + 1));
         let (word, entry) = match self.random.chance(0.5) {
-            true => ("hold-out", self.core.hold_out(self.now, &name)),
-            false => ("put-back", self.core.put_back(self.now, &name)),
+            true => ("hold-out", self.core.drain_engine(self.now, &name)),
+            false => ("put-back", self.core.undrain(self.now, &name)),
         };
         let (serves, known) = (self.core.in_service(&name), self.core.knows(&name));
-        let held_out = self.core.by_hand().len();
+        let drained_engines = self.core.administratively_drained().len();
         self.record.line(
             word,
-            &format!("{name} {serves} {known} {held_out} {}", entry_text(entry)),
+            &format!(
+                "{name} {serves} {known} {drained_engines} {}",
+                entry_text(entry)
+            ),
         );
         self.repeat(150.0, Step::Operator);
     }
@@ -385,13 +388,13 @@
         self.record
             .line("peer-message", &format!("{accepted} {}", bits(self.now)));
         if self.random.chance(0.1) {
-            self.core.stranger();
+            self.core.record_foreign_message();
         }
     }
 
-    fn figures(&mut self) {
-        let text = self.core.figures().text(&self.class_names);
+    fn metrics(&mut self) {
+        let text = self.core.metrics().text(&self.class_names);
         self.record.line("figures", &text);
-        self.repeat(100.0, Step::Figures);
+        self.repeat(100.0, Step::Metrics);
     }
 }
--- a/tests/recorded_decisions/vocabulary.rs
+++ b/tests/recorded_decisions/vocabulary.rs
@@ -10,7 +10,7 @@
 };
 
 pub use query_dispatcher::core::{Core, NewRequest};
-pub use query_dispatcher::gossip::Terms;
+pub use query_dispatcher::gossip::GossipBudget;
 pub use query_dispatcher::{
     Controller, EngineState as Standing, Event as ControllerEvent, ListUpdate as Update,
     Outcome as Ending, ProgressNote, Settings as AllSettings,
@@ -261,13 +261,13 @@
                 format!("{} {engine} {numbers} {alone}", attempt_text(*attempt)),
             )
         }
-        Command::Drop { attempt } => ("drop", attempt_text(*attempt)),
+        Command::Cancel { attempt } => ("drop", attempt_text(*attempt)),
         Command::Answer { request, answer } => {
             let (word, details) = answer_text(answer);
             (word, format!("{request} {details}"))
         }
-        Command::Say(text) => ("say", text.clone()),
-        Command::Tell(message) => ("tell", format!("{message:?}")),
+        Command::Log(text) => ("say", text.clone()),
+        Command::Broadcast(message) => ("tell", format!("{message:?}")),
     }
 }
 
@@ -278,11 +278,15 @@
 fn answer_text(answer: &Answer) -> (&'static str, String) {
     match answer {
         Answer::Served(attempt) => ("answer-served", attempt_text(*attempt)),
-        Answer::Refused { later, why } => {
-            ("answer-refused", format!("{} {why}", optional_bits(*later)))
-        }
-        Answer::Failed { why } => ("answer-failed", (*why).to_string()),
-        Answer::TimedOut { harmless } => ("answer-timed-out", harmless.to_string()),
+        Answer::Refused {
+            retry_after,
+            reason,
+        } => (
+            "answer-refused",
+            format!("{} {reason}", optional_bits(*retry_after)),
+        ),
+        Answer::Failed { reason } => ("answer-failed", (*reason).to_string()),
+        Answer::TimedOut { retry_safe } => ("answer-timed-out", retry_safe.to_string()),
     }
 }
 
@@ -311,7 +315,7 @@
         Command::Start {
             attempt, engine, ..
         } => Some((*attempt, Some(engine.clone()))),
-        Command::Drop { attempt } => Some((*attempt, None)),
+        Command::Cancel { attempt } => Some((*attempt, None)),
         _ => None,
     }
 }
@@ -319,7 +323,7 @@
 /// A message for the peers, if this is one.
 pub fn message_of(command: &Command) -> Option<Vec<u8>> {
     match command {
-        Command::Tell(message) => Some(message.clone()),
+        Command::Broadcast(message) => Some(message.clone()),
         _ => None,
     }
 }
--- a/tests/recorded_state/gossip_adapter.rs
+++ b/tests/recorded_state/gossip_adapter.rs
@@ -1,9 +1,9 @@
 //! The gossip between dispatchers as the streams use it. The only file of this test that names the machine's own items.
 
 use super::recording::{Recording, float, hexadecimal};
-use query_dispatcher::gossip::{Bulletin, Terms, WordError};
+use query_dispatcher::gossip::{Broadcaster, DecodeError, GossipBudget};
 
-pub const LONGEST_MESSAGE: usize = query_dispatcher::gossip::MOST;
+pub const LONGEST_MESSAGE: usize = query_dispatcher::gossip::MAX_MESSAGE_BYTES;
 
 #[derive(Clone, Copy)]
 pub struct Options {
@@ -12,11 +12,11 @@
     pub report_fields: usize,
 }
 
-pub struct Gossip(Bulletin);
+pub struct Gossip(Broadcaster);
 
 impl Gossip {
     pub fn new(options: Options) -> Self {
-        Gossip(Bulletin::new(Terms {
+        Gossip(Broadcaster::new(GossipBudget {
             peers: options.dispatchers,
             price: options.message_price,
             fields: options.report_fields,
@@ -73,19 +73,19 @@
     }
 }
 
-fn error_kind(error: &WordError) -> &'static str {
+fn error_kind(error: &DecodeError) -> &'static str {
     match error {
-        WordError::Length(..) => "wrong length",
-        WordError::Kind(_) => "unknown kind",
-        WordError::Byte => "byte out of range",
+        DecodeError::Length(..) => "wrong length",
+        DecodeError::Kind(_) => "unknown kind",
+        DecodeError::Byte => "byte out of range",
     }
 }
 
-fn error_text(error: &WordError) -> String {
+fn error_text(error: &DecodeError) -> String {
     let particulars = match error {
-        WordError::Length(actual, expected) => format!("{actual} {expected}"),
-        WordError::Kind(kind) => kind.to_string(),
-        WordError::Byte => String::new(),
+        DecodeError::Length(actual, expected) => format!("{actual} {expected}"),
+        DecodeError::Kind(kind) => kind.to_string(),
+        DecodeError::Byte => String::new(),
     };
     format!("{} {particulars}", error_kind(error))
 }
--- a/tests/recorded_state/registry_adapter.rs
+++ b/tests/recorded_state/registry_adapter.rs
@@ -181,7 +181,7 @@
     }
 
     pub fn taken_out_by_operator(&mut self, engines: BTreeSet<String>) {
-        self.0.by_hand(engines);
+        self.0.administratively_drained(engines);
     }
 
     pub fn tick(&mut self, now: f64, recording: &mut Recording) {
@@ -289,7 +289,7 @@
             counts.contradicted,
             counts.unproven,
         ];
-        let others = [counts.by_hand, counts.gone];
+        let others = [counts.administratively_drained, counts.gone];
         let totals = [counts.rejections, counts.beyond_bound, counts.passed_over];
         recording.state(&format!("counts {states:?} {others:?} {totals:?}"));
         if counts.passed_over > 0 {
@@ -315,7 +315,10 @@
             member_text(member)
         ));
         recording.state(&format!("claims {} {claims:?}", member.claims.passed_over));
-        recording.state(&format!("out by operator {}", self.0.is_by_hand(id)));
+        recording.state(&format!(
+            "out by operator {}",
+            self.0.is_administratively_drained(id)
+        ));
         recording.wording(&self.0.explain(member.belief.why));
     }
 
--- a/tests/recorded_state/spool_adapter.rs
+++ b/tests/recorded_state/spool_adapter.rs
@@ -73,10 +73,13 @@
                 recording.count("admitted");
                 recording.state("admitted");
             }
-            Admission::No { why, later } => {
+            Admission::No {
+                reason,
+                retry_after,
+            } => {
                 recording.count("not admitted");
-                recording.state(&format!("not admitted {}", optional_float(later)));
-                recording.wording(why);
+                recording.state(&format!("not admitted {}", optional_float(retry_after)));
+                recording.wording(reason);
             }
         }
     }
@@ -326,7 +329,7 @@
     let particulars = match state {
         DiskState::Absent | DiskState::Well => String::new(),
         DiskState::Full { since } | DiskState::Slow { since } => float(*since),
-        DiskState::Failing { since, why } => format!("{} {why}", float(*since)),
+        DiskState::Failing { since, reason } => format!("{} {reason}", float(*since)),
     };
     format!("{} {particulars}", disk_kind(state))
 }
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -17,7 +17,7 @@
 //! - `crowd N`: so many clients connect and say nothing, and stay; `crowd closed`: all of them are told so;
 //! - `again`: the client connects anew, beside what it has open;
 //! - `call CODE METHOD PATH`: an operator calls and gets this status; `callers N`: so many open a connection and
-//!   complete no call, and stay; `figures NAME=VALUE...`: what operators are told now;
+//!   complete no call, and stay; `metrics NAME=VALUE...`: what operators are told now;
 //! - `detach`, `attach`: an operator takes this engine out, or puts it back, and gets a yes;
 //! - `wait ms`: time passes; `ran N`: so many requests reached engines in all.
 #![allow(dead_code)]
--- a/tests/spool.rs
+++ b/tests/spool.rs
@@ -268,10 +268,10 @@
             .says("1 results of earlier processes")
             .await
             .unwrap();
-        let mut later = session(&program).await;
-        assert_eq!(handles(&mut later).await[0][0], handle);
+        let mut retry_after = session(&program).await;
+        assert_eq!(handles(&mut retry_after).await[0][0], handle);
         whole(
-            &later.query(&fetch(79)).await.unwrap().rows,
+            &retry_after.query(&fetch(79)).await.unwrap().rows,
             3950,
             50,
             1000,
--- a/tests/stored/shared.rs
+++ b/tests/stored/shared.rs
@@ -7,25 +7,25 @@
     Shared::open(Some(folder)).unwrap()
 }
 
-pub fn held_out(folder: &Path) -> Vec<String> {
+pub fn drained_engines(folder: &Path) -> Vec<String> {
     open(folder)
-        .held_out()
+        .drained_engines()
         .unwrap()
         .unwrap()
         .into_iter()
         .collect()
 }
 
-pub fn hold_out(folder: &Path, engines: &[&str]) {
+pub fn drain_engine(folder: &Path, engines: &[&str]) {
     let shared = open(folder);
     engines
         .iter()
-        .for_each(|engine| shared.hold_out(engine).unwrap());
+        .for_each(|engine| shared.drain_engine(engine).unwrap());
 }
 
-pub fn put_back(folder: &Path, engines: &[&str]) {
+pub fn undrain(folder: &Path, engines: &[&str]) {
     let shared = open(folder);
     engines
         .iter()
-        .for_each(|engine| shared.put_back(engine).unwrap());
+        .for_each(|engine| shared.undrain(engine).unwrap());
 }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -162,9 +162,9 @@
 #[test]
 fn engines_out_by_hand_are_read_and_written_alike() {
     let folder = state_folder("shared");
-    assert_eq!(stored::shared::held_out(folder.path()), OUT_BY_HAND);
+    assert_eq!(stored::shared::drained_engines(folder.path()), OUT_BY_HAND);
     let fresh = TemporaryFolder::new("shared-fresh");
-    stored::shared::hold_out(fresh.path(), &OUT_BY_HAND);
+    stored::shared::drain_engine(fresh.path(), &OUT_BY_HAND);
     let outs = |folder: &Path| {
         let names = file_names(&folder.join(STATE))
             .into_iter()
@@ -174,7 +174,7 @@
             .collect::<Vec<_>>()
     };
     assert_eq!(outs(fresh.path()), outs(&data("stored/state")));
-    stored::shared::put_back(fresh.path(), &OUT_BY_HAND);
+    stored::shared::undrain(fresh.path(), &OUT_BY_HAND);
     assert_eq!(outs(fresh.path()), []);
 }
 
@@ -190,7 +190,7 @@
         told += &format!(
             "{:?}: {:?}\n",
             &WHOLE[..length],
-            stored::shared::held_out(folder.path())
+            stored::shared::drained_engines(folder.path())
         );
     }
     assert_recorded("stored/shared-cut.txt", &told);
