--- a/crates/mysql-conformance/src/lib.rs
+++ b/crates/mysql-conformance/src/lib.rs
@@ -7,11 +7,11 @@
 use query_dispatcher::config::{Mysql, Source};
 use query_dispatcher::core::{Bounds, Core};
 use query_dispatcher::discovery::{Change, Engine as Listed};
-use query_dispatcher::dispatch::request_router::Hub;
-use query_dispatcher::frontend::mysql::Front;
+use query_dispatcher::dispatch::request_router::RequestRouter;
+use query_dispatcher::frontend::mysql::Frontend;
 use query_dispatcher::protocol::mysql::packet::{PacketError, QUERY, Reader, eof_status, ok_tail};
 use query_dispatcher::spool_io::Spools;
-use query_dispatcher::transport::framed::Pool;
+use query_dispatcher::transport::framed::BufferPool;
 use query_dispatcher::upstream::mysql::MysqlUpstream;
 use query_dispatcher::{EngineState, ListUpdate};
 use std::fmt::Write;
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 /// Its file is wrong, or it cannot listen.
-pub async fn front(engines: &[Engine]) -> Result<SocketAddr, Error> {
+pub async fn frontend(engines: &[Engine]) -> Result<SocketAddr, Error> {
     let list = engines.iter().map(|e| {
         format!(
             "[[engine]]\nid = {:?}\naddress = \"{}\"\n",
@@ -48,7 +48,7 @@
         )
     });
     let config = Mysql::parse(&stand::file("", &list.collect::<String>()), |_| None)?;
-    let pool = Pool::default();
+    let pool = BufferPool::default();
     let bounds = Bounds {
         open: config.sockets.most_open,
         margin: 20.0,
@@ -59,7 +59,7 @@
     let (spools, done) = Spools::open(&config.spool, names.classes.clone(), names.tenants.clone())?;
     spawn_local(spools.clone().attend(done));
     let upstream = MysqlUpstream::new(config.access, config.sockets, pool.clone(), spools.clone());
-    let hub = Hub::new(core, names, upstream);
+    let router = RequestRouter::new(core, names, upstream);
     let Source::Fixed(fixed) = config.source else {
         return Err("the engines are not listed".into());
     };
@@ -72,14 +72,14 @@
         cell: 0,
         started: None,
     });
-    hub.change(&Change {
+    router.change(&Change {
         update: ListUpdate::Whole,
         engines: listed.collect(),
     });
-    spawn_local(hub.clone().clock());
+    spawn_local(router.clone().clock());
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
-    spawn_local(Front::new(hub, pool, config.front, spools).accept(listener));
+    spawn_local(Frontend::new(router, pool, config.frontend, spools).accept(listener));
     Ok(address)
 }
 
@@ -257,7 +257,7 @@
 /// Engines or front cannot be set up.
 pub async fn play() -> Result<Vec<Line>, Error> {
     let engines = stand::engines(2, Duration::from_millis(1)).await?;
-    let address = front(&engines).await?;
+    let address = frontend(&engines).await?;
     let at_front = Target {
         address,
         user: "guest",
@@ -299,7 +299,7 @@
         UNTESTED.len(),
     );
     let mut area = "";
-    for (case, front, engine) in lines {
+    for (case, frontend, engine) in lines {
         if case.area != area {
             area = case.area;
             let _ = writeln!(
@@ -313,7 +313,7 @@
             Came::Differs(how) => format!("**not as wanted**: {}", how.replace('|', "\\|")),
         };
         let own = engine.as_ref().map_or("-".to_string(), told);
-        let _ = writeln!(text, "| {} | {} | {own} |", case.name, told(front));
+        let _ = writeln!(text, "| {} | {} | {own} |", case.name, told(frontend));
     }
     text.push_str("\n## Untested\n\n| what | why |\n| --- | --- |\n");
     for (what, reason) in UNTESTED {
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,13 +1,13 @@
 //! Where operators call: HTTP/1.1, one call a connection, at an address of its own. Its places are its own as
 //! well, so that clients' load takes none of them and a caller who completes no call delays nobody.
 
-use crate::discovery::membership_driver::Members;
-use crate::dispatch::request_router::{Hub, Upstream};
+use crate::discovery::membership_driver::MembershipDriver;
+use crate::dispatch::request_router::{RequestRouter, Upstream};
 use crate::say;
-use crate::server::instance_registry::{self, Shared};
+use crate::server::instance_registry::{self, InstanceRegistry};
 use crate::spool_io::Spools;
-use crate::transport::connection_limiter::{Places, Taken, Use};
-use crate::transport::framed::{self, Pool, Unread, Wire};
+use crate::transport::connection_limiter::{Activity, ConnectionLimiter, PermitGuard};
+use crate::transport::framed::{self, BufferPool, FramedConnection, PendingInput};
 use bytes::{BufMut, BytesMut};
 use futures_util::SinkExt;
 use std::cell::RefCell;
@@ -104,38 +104,38 @@
     }
 }
 
-pub struct Admin<L: Upstream> {
-    hub: Rc<Hub<L>>,
-    pool: Pool,
-    shared: Rc<Shared>,
+pub struct Admin<U: Upstream> {
+    router: Rc<RequestRouter<U>>,
+    pool: BufferPool,
+    shared: Rc<InstanceRegistry>,
     watched: Watched,
-    places: Rc<Places>,
+    places: Rc<ConnectionLimiter>,
 }
 
 /// What operators can look at beside the hub, where there is such.
 #[derive(Clone, Default)]
 pub struct Watched {
     /// What is believed of engines that a registry lists, while one does.
-    pub members: Rc<RefCell<Option<Rc<Members>>>>,
+    pub members: Rc<RefCell<Option<Rc<MembershipDriver>>>>,
     /// Results that wait for their readers.
     pub spools: Option<Rc<Spools>>,
 }
 
-impl<L: Upstream> Admin<L> {
+impl<U: Upstream> Admin<U> {
     /// So many callers at a time; the oldest without a whole call gives way to a new one.
     pub fn new(
-        hub: Rc<Hub<L>>,
-        pool: Pool,
-        shared: Rc<Shared>,
+        router: Rc<RequestRouter<U>>,
+        pool: BufferPool,
+        shared: Rc<InstanceRegistry>,
         watched: Watched,
         callers: usize,
     ) -> Rc<Self> {
         Rc::new(Admin {
-            hub,
+            router,
             pool,
             shared,
             watched,
-            places: Places::new(callers, Use::Silent),
+            places: ConnectionLimiter::new(callers, Activity::Silent),
         })
     }
 
@@ -159,9 +159,9 @@
         }
     }
 
-    async fn caller(&self, tcp: TcpStream, place: Taken) -> Result<(), CallError> {
+    async fn caller(&self, tcp: TcpStream, place: PermitGuard) -> Result<(), CallError> {
         tcp.set_nodelay(true)?;
-        let mut wire = Wire::new(&self.pool, tcp, HttpCodec);
+        let mut wire = FramedConnection::new(&self.pool, tcp, HttpCodec);
         let (by, mut yields) = (tokio::time::Instant::now() + CALL, false);
         let call = loop {
             tokio::select! {
@@ -169,13 +169,13 @@
                 call = tokio::time::timeout_at(by, wire.heard()) => break call,
                 () = place.cut.notified(), if !yields => yields = true,
                 // What the machine holds of its call is read first.
-                () = std::future::ready(()), if yields && framed::unread(wire.get_ref()) != Unread::Bytes => {
+                () = std::future::ready(()), if yields && framed::unread(wire.get_ref()) != PendingInput::Bytes => {
                     return Ok(());
                 }
             }
         };
         // From here on it ends within the time for its answer, and gives way to nobody.
-        place.uses(Use::Busy, Instant::now());
+        place.uses(Activity::Busy, Instant::now());
         let answer = match call {
             Ok(None) => return Ok(()),
             Ok(Some(Ok(call))) => self.call(&call),
@@ -199,7 +199,7 @@
                 .strip_prefix('/')
         };
         let (method, reply): (&str, &dyn Fn() -> Answer) = match path {
-            "/_ready" => ("GET", &|| match self.hub.ready() {
+            "/_ready" => ("GET", &|| match self.router.ready() {
                 true => answer(200, "ready\n"),
                 false => answer(503, "not ready: no list of engines yet, or shutting down\n"),
             }),
@@ -209,7 +209,7 @@
                     .spools
                     .as_ref()
                     .map_or(String::new(), |s| s.metrics());
-                answer(200, self.hub.metrics() + &spools)
+                answer(200, self.router.metrics() + &spools)
             }),
             "/_spools" => ("GET", &|| match &self.watched.spools {
                 Some(spools) => Answer {
@@ -257,7 +257,7 @@
     fn administratively_drained(&self, engine: Option<&str>, out: bool) -> Answer {
         let Some(id) = engine
             .and_then(instance_registry::decoded)
-            .filter(|id| self.hub.knows(id))
+            .filter(|id| self.router.knows(id))
         else {
             return answer(404, "no engine has this id\n");
         };
@@ -269,7 +269,7 @@
         if let Err(e) = kept {
             return answer(503, format!("it could not be kept: {e}\n"));
         }
-        self.hub.administratively_drained(&id, out);
+        self.router.administratively_drained(&id, out);
         answer(200, if out { "out\n" } else { "in use\n" })
     }
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -10,7 +10,7 @@
 pub mod tls;
 
 pub use eureka::EurekaSource;
-pub use mysql::{Access, ClassRules, FixedEngine, Mysql, MysqlFront, Source, User};
+pub use mysql::{Access, ClassRules, FixedEngine, Mysql, MysqlFrontendConfig, Source, User};
 pub use platform::{Peers, Platform};
 pub use profile::Profile;
 pub use spool::SpoolSource;
@@ -141,7 +141,10 @@
         let good = Mysql::parse(MYSQL, |_| None)
             .map_err(|e| e.to_string())
             .unwrap();
-        assert_eq!((good.front.rules.read, good.front.rules.write), (0, 2));
+        assert_eq!(
+            (good.frontend.rules.read, good.frontend.rules.write),
+            (0, 2)
+        );
         let cases = [
             ("listen = \"127", "listen = \"x127", "listen"),
             (
@@ -252,7 +255,7 @@
     #[test]
     fn a_write_stays_a_write_whatever_it_claims() {
         let rules = Mysql::parse(MYSQL, |_| None)
-            .map(|m| m.front.rules)
+            .map(|m| m.frontend.rules)
             .unwrap();
         assert_eq!(rules.class(false, Some("lookup"), b"delete from t"), 2);
         assert_eq!(rules.class(true, Some("report"), b"select 1"), 1);
--- a/src/config/mysql.rs
+++ b/src/config/mysql.rs
@@ -69,7 +69,7 @@
 
 /// What the sessions of the MySQL front need.
 #[derive(Clone, Debug)]
-pub struct MysqlFront {
+pub struct MysqlFrontendConfig {
     pub max_clients: usize,
     pub max_packet: usize,
     pub max_statements: usize,
@@ -120,7 +120,7 @@
     pub inherited: Option<i32>,
     /// A folder that all processes of this dispatcher see, and no other.
     pub state: Option<PathBuf>,
-    pub front: MysqlFront,
+    pub frontend: MysqlFrontendConfig,
     pub access: Access,
     pub settings: Settings,
     pub names: Names,
@@ -503,7 +503,7 @@
                 connections: in_range("engines.connections", raw.engines.connections, 32, 1, 256)?,
                 most_packet: max_packet,
             },
-            front: MysqlFront {
+            frontend: MysqlFrontendConfig {
                 max_clients: in_range("max_clients", raw.max_clients, 256, 1, 512)?,
                 max_packet,
                 max_statements: in_range("max_statements", raw.max_statements, 256, 1, 65_535)?,
--- a/src/discovery/backoff.rs
+++ b/src/discovery/backoff.rs
@@ -10,14 +10,14 @@
 const MOST: Duration = Duration::from_millis(400);
 
 /// The pauses of one dispatcher, drawn from its own seed.
-pub struct Pauses {
+pub struct Backoff {
     next: Duration,
     random: Rand32,
 }
 
-impl Pauses {
+impl Backoff {
     pub fn new(seed: u64) -> Self {
-        Pauses {
+        Backoff {
             next: AGAIN,
             random: Rand32::new(seed),
         }
@@ -48,7 +48,7 @@
     /// Calls of each dispatcher, ms from when all start, where each call fails at once.
     fn calls(dispatchers: u64, each: usize) -> Vec<Vec<f32>> {
         let one = |seed| {
-            let mut pauses = Pauses::new(seed);
+            let mut pauses = Backoff::new(seed);
             let mut at = vec![pauses.first()];
             while at.len() < each {
                 at.push(at[at.len() - 1] + pauses.after(false));
@@ -82,7 +82,7 @@
                 "{pauses:?}"
             );
         }
-        let mut pauses = Pauses::new(7);
+        let mut pauses = Backoff::new(7);
         (0..9).for_each(|_| assert!(pauses.after(false) <= MOST));
         assert!(
             pauses.after(true) <= AGAIN,
--- a/src/discovery/eureka/mod.rs
+++ b/src/discovery/eureka/mod.rs
@@ -17,7 +17,7 @@
 use crate::clock::unix_ms;
 use crate::config::EurekaSource;
 use crate::config::eureka::Format;
-use crate::discovery::membership_driver::Members;
+use crate::discovery::membership_driver::MembershipDriver;
 use crate::membership::{Content, View};
 use crate::say;
 use format::FormatError;
@@ -83,7 +83,7 @@
 
     /// Asks one server and tells membership; true if it answered. A drain counts as soon as it is here, whatever
     /// the other servers of the round are at.
-    async fn ask(&self, server: usize, members: &Members) -> bool {
+    async fn ask(&self, server: usize, members: &MembershipDriver) -> bool {
         let name = &self.source.servers[server].name;
         match self.views(server, members).await {
             Ok(()) => true,
@@ -97,7 +97,7 @@
     }
 
     /// A change if a list is in hand, and the whole if not or if the change does not add up.
-    async fn views(&self, server: usize, members: &Members) -> Result<(), AskError> {
+    async fn views(&self, server: usize, members: &MembershipDriver) -> Result<(), AskError> {
         let (source, replica) = (&self.source, &self.replicas[server]);
         let name = &source.servers[server].name;
         let tell = |asked: f64, content: Content| {
@@ -170,7 +170,7 @@
 }
 
 /// Asks for ever. A new configuration takes the place of the one before at once: what was believed stays.
-pub async fn follow(mut source: watch::Receiver<Rc<EurekaSource>>, members: Rc<Members>) {
+pub async fn follow(mut source: watch::Receiver<Rc<EurekaSource>>, members: Rc<MembershipDriver>) {
     let began = Instant::now();
     let mut round = Rc::new(Round::new(source.borrow_and_update().clone()));
     let mut asks = FuturesUnordered::new();
--- a/src/discovery/journal.rs
+++ b/src/discovery/journal.rs
@@ -1,8 +1,8 @@
 //! The platform's journal service: server-sent events over HTTP, in order, from where the list in hand ends.
 
 use crate::decision::model::{EngineState, ListUpdate};
-use crate::discovery::backoff::Pauses;
-use crate::discovery::{Change, Discovery, Engine, Sink};
+use crate::discovery::backoff::Backoff;
+use crate::discovery::{Change, ChangeHandler, Discovery, Engine};
 use crate::say;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -88,7 +88,7 @@
     pos: u64,
     first: Vec<Change>,
     silence: Duration,
-    pauses: Pauses,
+    pauses: Backoff,
     /// The place after which an event could not be read: asked for once more, then passed over.
     unread: Option<u64>,
 }
@@ -100,7 +100,7 @@
         known: serde_json::Value,
         seed: u64,
     ) -> Result<Self, serde_json::Error> {
-        let (silence, pauses) = (SILENCE, Pauses::new(seed));
+        let (silence, pauses) = (SILENCE, Backoff::new(seed));
         let mut journal = Journal {
             address,
             pos: 0,
@@ -151,7 +151,7 @@
     }
 
     /// Reads one stream to its end.
-    async fn follow(&mut self, address: SocketAddr, sink: &Sink) -> std::io::Result<()> {
+    async fn follow(&mut self, address: SocketAddr, sink: &ChangeHandler) -> std::io::Result<()> {
         let mut tcp = tokio::time::timeout(CONNECT, TcpStream::connect(address)).await??;
         tcp.set_nodelay(true)?;
         // Silent is a stream without whole lines: what trickles in is no news.
@@ -185,7 +185,7 @@
 }
 
 impl Discovery for Journal {
-    async fn run(mut self, sink: Sink) {
+    async fn run(mut self, sink: ChangeHandler) {
         std::mem::take(&mut self.first).into_iter().for_each(&sink);
         tokio::time::sleep(self.pauses.first()).await;
         loop {
--- a/src/discovery/journal/tests.rs
+++ b/src/discovery/journal/tests.rs
@@ -64,7 +64,7 @@
         journal.silence = Duration::from_millis(60);
         let told = Rc::new(RefCell::new(vec![]));
         let tell = told.clone();
-        let sink: Sink = Box::new(move |c| {
+        let sink: ChangeHandler = Box::new(move |c| {
             tell.borrow_mut()
                 .push((c.update, c.engines.first().map(|e| (e.id.clone(), e.state))));
         });
@@ -130,7 +130,7 @@
             Journal::new(address, serde_json::from_str(r#"{"pos":3}"#).unwrap(), 1).unwrap();
         let told = Rc::new(RefCell::new(vec![]));
         let tell = told.clone();
-        let sink: Sink = Box::new(move |c| {
+        let sink: ChangeHandler = Box::new(move |c| {
             tell.borrow_mut()
                 .extend(c.engines.into_iter().map(|e| e.id))
         });
@@ -185,7 +185,7 @@
         journal.silence = Duration::from_millis(60);
         let told = Rc::new(RefCell::new(vec![]));
         let tell = told.clone();
-        let sink: Sink = Box::new(move |c| tell.borrow_mut().extend(c.engines.into_iter().map(|e| e.state)));
+        let sink: ChangeHandler = Box::new(move |c| tell.borrow_mut().extend(c.engines.into_iter().map(|e| e.state)));
         let service = async {
             let mut kept = vec![];
             for text in ["", PLAIN, PLAIN] {
--- a/src/discovery/membership_driver.rs
+++ b/src/discovery/membership_driver.rs
@@ -5,7 +5,7 @@
 use crate::clock::unix_ms;
 use crate::config::EurekaSource;
 use crate::decision::model::Millis;
-use crate::discovery::Sink;
+use crate::discovery::ChangeHandler;
 use crate::membership::report::{Query, QueryError, Report};
 use crate::membership::{Change, Membership, Seen, Snapshot, View, snapshot};
 use crate::say;
@@ -42,9 +42,9 @@
 }
 
 /// What is believed of the engines of one registry source, for as long as the process lives.
-pub struct Members {
+pub struct MembershipDriver {
     membership: RefCell<Membership>,
-    sink: Sink,
+    sink: ChangeHandler,
     seen: RefCell<VecDeque<(String, Seen)>>,
     wake: Notify,
     changed: Notify,
@@ -76,9 +76,14 @@
     registration: Option<String>,
 }
 
-impl Members {
+impl MembershipDriver {
     /// `folder` is the folder for state, which exists; without one nothing outlives the process.
-    pub fn new(source: &EurekaSource, folder: Option<&Path>, sink: Sink, hands: Hands) -> Rc<Self> {
+    pub fn new(
+        source: &EurekaSource,
+        folder: Option<&Path>,
+        sink: ChangeHandler,
+        hands: Hands,
+    ) -> Rc<Self> {
         let store = folder.map(|f| Arc::new(Store::new(Disk, f, NAME, KIND, MOST_FILE)));
         let mut membership = Membership::new(source.rules.clone());
         let mut unsaved = None;
@@ -99,7 +104,7 @@
                 }
             }
         }
-        Rc::new(Members {
+        Rc::new(MembershipDriver {
             membership: RefCell::new(membership),
             sink,
             seen: RefCell::default(),
@@ -254,7 +259,7 @@
     }
 }
 
-impl Witness for Members {
+impl Witness for MembershipDriver {
     fn report(&self, engine: &str, seen: Seen) {
         let mut queue = self.seen.borrow_mut();
         if queue.len() >= MOST_SEEN {
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -11,11 +11,11 @@
 pub use crate::membership::{Change, Engine};
 
 /// Takes changes as they come.
-pub type Sink = Box<dyn Fn(Change)>;
+pub type ChangeHandler = Box<dyn Fn(Change)>;
 
 /// A source of changes: runs for ever, and survives the outages of what it asks.
 pub trait Discovery {
-    fn run(self, sink: Sink) -> impl Future<Output = ()>;
+    fn run(self, sink: ChangeHandler) -> impl Future<Output = ()>;
 }
 
 /// The one change that a list in a file makes.
--- a/src/dispatch/gossip_driver.rs
+++ b/src/dispatch/gossip_driver.rs
@@ -1,7 +1,7 @@
 //! The way between the dispatchers of a tier: UDP datagrams, late or lost. What they say is [`crate::gossip`]'s.
 
 use crate::config::Peers;
-use crate::dispatch::request_router::{Hub, Upstream};
+use crate::dispatch::request_router::{RequestRouter, Upstream};
 use crate::gossip::MAX_MESSAGE_BYTES;
 use crate::say;
 use std::collections::HashSet;
@@ -13,7 +13,7 @@
 const REST: Duration = Duration::from_millis(250);
 
 /// Listens for the peers, and lets the hub speak to them, until the hub is gone.
-pub async fn attend<L: Upstream>(hub: Weak<Hub<L>>, peers: Peers) {
+pub async fn attend<U: Upstream>(router: Weak<RequestRouter<U>>, peers: Peers) {
     let mut told = false;
     let socket = loop {
         match UdpSocket::bind(peers.listen).await {
@@ -33,8 +33,8 @@
     let tell = move |message: &[u8]| {
         let _ = out.try_send_to(message, all);
     };
-    match hub.upgrade() {
-        Some(hub) => hub.join(peers.terms, Box::new(tell)),
+    match router.upgrade() {
+        Some(router) => router.join(peers.terms, Box::new(tell)),
         None => return,
     }
     let from: HashSet<_> = peers.each.iter().copied().collect();
@@ -42,15 +42,17 @@
     let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
     loop {
         let received = socket.recv_from(&mut buffer).await;
-        let Some(hub) = hub.upgrade() else { return };
+        let Some(router) = router.upgrade() else {
+            return;
+        };
         match received {
             // Nobody else has anything to say of the engines.
             Ok((_, sender)) if !from.contains(&sender) => {
-                hub.record_foreign_message();
+                router.record_foreign_message();
                 say!("peer {sender}: not listed, its message is passed over");
             }
             Ok((size, sender)) => {
-                if let Err(e) = hub.heard(&buffer[..size]) {
+                if let Err(e) = router.heard(&buffer[..size]) {
                     say!("peer {sender}: {e}; its message is passed over");
                 }
             }
--- a/src/dispatch/request_router.rs
+++ b/src/dispatch/request_router.rs
@@ -32,7 +32,7 @@
     /// What an engine brings back.
     type Output: 'static;
 
-    fn start(&self, hub: &Rc<Hub<Self>>, start: Start, work: Rc<Self::Work>);
+    fn start(&self, router: &Rc<RequestRouter<Self>>, start: Start, work: Rc<Self::Work>);
     /// The attempt is given up; no end of it is wanted.
     fn drop_attempt(&self, attempt: AttemptId);
     fn change(&self, change: &Change);
@@ -57,30 +57,30 @@
 }
 
 /// Takes a message for every peer; it may be lost.
-pub type Outlet = Box<dyn Fn(&[u8])>;
+pub type GossipSender = Box<dyn Fn(&[u8])>;
 
 type Answerer<O> = Box<dyn FnOnce(Reply<O>)>;
 
-struct Open<L: Upstream> {
-    work: Rc<L::Work>,
-    output: Option<L::Output>,
-    answer: Answerer<L::Output>,
+struct Open<U: Upstream> {
+    work: Rc<U::Work>,
+    output: Option<U::Output>,
+    answer: Answerer<U::Output>,
 }
 
-pub struct Hub<L: Upstream> {
+pub struct RequestRouter<U: Upstream> {
     core: RefCell<Core>,
-    open: RefCell<HashMap<RequestId, Open<L>>>,
+    open: RefCell<HashMap<RequestId, Open<U>>>,
     names: Names,
-    upstream: L,
+    upstream: U,
     wake: Notify,
     stopping: Cell<bool>,
     /// The way to the peers, where there is one.
-    peers: OnceCell<Outlet>,
+    peers: OnceCell<GossipSender>,
 }
 
-impl<L: Upstream> Hub<L> {
-    pub fn new(core: Core, names: Names, upstream: L) -> Rc<Self> {
-        Rc::new(Hub {
+impl<U: Upstream> RequestRouter<U> {
+    pub fn new(core: Core, names: Names, upstream: U) -> Rc<Self> {
+        Rc::new(RequestRouter {
             core: RefCell::new(core),
             open: RefCell::new(HashMap::new()),
             names,
@@ -92,7 +92,7 @@
     }
 
     /// Takes part in what the dispatchers of the tier tell each other; the first call counts.
-    pub fn join(&self, terms: GossipBudget, tell: Outlet) {
+    pub fn join(&self, terms: GossipBudget, tell: GossipSender) {
         if self.peers.set(tell).is_ok() {
             self.core.borrow_mut().join(terms);
         }
@@ -111,7 +111,7 @@
     }
 
     /// The way to the engines.
-    pub fn upstream(&self) -> &L {
+    pub fn upstream(&self) -> &U {
         &self.upstream
     }
 
@@ -122,8 +122,8 @@
     pub fn open(
         self: &Rc<Self>,
         r: NewRequest,
-        work: L::Work,
-        answer: Answerer<L::Output>,
+        work: U::Work,
+        answer: Answerer<U::Output>,
     ) -> RequestId {
         let id = self.core.borrow_mut().open(unix_ms(), r);
         self.open.borrow_mut().insert(
@@ -149,7 +149,7 @@
         self.core.borrow_mut().answering(unix_ms(), attempt);
     }
 
-    pub fn served(self: &Rc<Self>, attempt: AttemptId, report: Vec<f64>, output: L::Output) {
+    pub fn served(self: &Rc<Self>, attempt: AttemptId, report: Vec<f64>, output: U::Output) {
         if let Some(open) = self.open.borrow_mut().get_mut(&attempt.request) {
             open.output = Some(output);
         }
--- a/src/frontend/frames/connection.rs
+++ b/src/frontend/frames/connection.rs
@@ -8,12 +8,12 @@
 use crate::dispatch::request_router::{Reply, Upstream};
 use crate::frontend::frames::request::{Work, class, request};
 use crate::frontend::frames::{
-    ANSWER, ASK, FAILED, Front, GOODBYE, LEAVE, Phase, REFUSED, REQUEST, SERVED, STATE,
+    ANSWER, ASK, FAILED, Frontend, GOODBYE, LEAVE, Phase, REFUSED, REQUEST, SERVED, STATE,
 };
 use crate::protocol::frames::{Frame, FrameCodec, FrameError, Send};
 use crate::transport::client_socket::{ClientSocket, Watch};
-use crate::transport::connection_limiter::{self, Place, Use};
-use crate::transport::framed::{self, Buffer, Reads, Socket, Turn, Unread};
+use crate::transport::connection_limiter::{self, Activity, ConnectionPermit};
+use crate::transport::framed::{self, Buffer, ConnectionEvent, PendingInput, ReadInterest, Socket};
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
 use std::io;
@@ -56,7 +56,7 @@
 const PACE: usize = 16 * framed::SIZE;
 const FRAME: usize = 1024;
 
-pub(super) type Wire = framed::Wire<FrameCodec, ClientSocket>;
+pub(super) type FramedConnection = framed::FramedConnection<FrameCodec, ClientSocket>;
 
 type Open = Rc<RefCell<HashMap<u32, RequestId>>>;
 
@@ -91,34 +91,34 @@
 }
 
 /// Requests of a connection that ends are left: nobody waits for them any more.
-struct Leaves<'a, L: Upstream<Work = Work, Output = Buffer>>(&'a Front<L>, Open);
+struct Leaves<'a, U: Upstream<Work = Work, Output = Buffer>>(&'a Frontend<U>, Open);
 
-impl<L: Upstream<Work = Work, Output = Buffer>> Drop for Leaves<'_, L> {
+impl<U: Upstream<Work = Work, Output = Buffer>> Drop for Leaves<'_, U> {
     fn drop(&mut self) {
         let open = std::mem::take(&mut *self.1.borrow_mut());
-        open.into_values().for_each(|id| self.0.hub.leave(id));
+        open.into_values().for_each(|id| self.0.router.leave(id));
     }
 }
 
 /// Serves one client connection to its end.
-pub(super) async fn connection<L: Upstream<Work = Work, Output = Buffer>>(
-    front: &Front<L>,
-    place: &Place,
+pub(super) async fn connection<U: Upstream<Work = Work, Output = Buffer>>(
+    frontend: &Frontend<U>,
+    place: &ConnectionPermit,
     tcp: TcpStream,
 ) -> Result<(), FrameError> {
     tcp.set_nodelay(true)?;
     converse(
-        front,
+        frontend,
         place,
-        &mut Wire::new(&front.pool, tcp.into(), FrameCodec),
+        &mut FramedConnection::new(&frontend.pool, tcp.into(), FrameCodec),
     )
     .await
 }
 
 /// What one connection has told of its client.
-struct Client<'a, L: Upstream<Work = Work, Output = Buffer>> {
-    front: &'a Front<L>,
-    place: &'a Place,
+struct Client<'a, U: Upstream<Work = Work, Output = Buffer>> {
+    frontend: &'a Frontend<U>,
+    place: &'a ConnectionPermit,
     open: Open,
     streams: Streams,
     socket: Watch,
@@ -135,17 +135,17 @@
     answers: mpsc::Sender<(u32, Reply<Buffer>)>,
 }
 
-async fn converse<L: Upstream<Work = Work, Output = Buffer>>(
-    front: &Front<L>,
-    place: &Place,
-    wire: &mut Wire,
+async fn converse<U: Upstream<Work = Work, Output = Buffer>>(
+    frontend: &Frontend<U>,
+    place: &ConnectionPermit,
+    wire: &mut FramedConnection,
 ) -> Result<(), FrameError> {
     let open: Open = Rc::default();
-    let _leaves = Leaves(front, open.clone());
+    let _leaves = Leaves(frontend, open.clone());
     // Each open stream has one answer on its way at most, so this never fills.
     let (tx, mut answers) = mpsc::channel::<(u32, Reply<Buffer>)>(2 * STREAMS);
     let mut client = Client {
-        front,
+        frontend,
         place,
         open: open.clone(),
         streams: Streams::default(),
@@ -159,7 +159,7 @@
     };
     let mut check = tokio::time::interval(CHECK);
     let (mut partial, mut burst) = (Duration::ZERO, 0);
-    let mut phase = front.phase.subscribe();
+    let mut phase = frontend.phase.subscribe();
     phase.mark_changed();
     let mut told = Phase::Serving;
     // It ends as soon as nothing is owed and nothing unread.
@@ -172,24 +172,27 @@
                 wire.part().await;
                 return fault.map_or(Ok(()), Err);
             }
-            if place.state().0 == Use::Busy {
-                place.uses(Use::Idle, Instant::now());
+            if place.state().0 == Activity::Busy {
+                place.uses(Activity::Idle, Instant::now());
             }
             wire.rest();
             if closing
                 && wire.read_buffer().is_empty()
-                && framed::unread(wire.get_ref().tcp()) != Unread::Bytes
+                && framed::unread(wire.get_ref().tcp()) != PendingInput::Bytes
             {
                 // What the machine has taken its client may not have: a word of that one's would reset the connection. One that
                 // gives way is waited for no longer than another is told beside it.
                 let (state, since) = place.state();
                 let spent = since.elapsed();
-                if state != Use::Silent && place.gives_way() && spent < connection_limiter::LEAVE {
+                if state != Activity::Silent
+                    && place.gives_way()
+                    && spent < connection_limiter::LEAVE
+                {
                     wire.part_within(connection_limiter::LEAVE).await;
-                } else if state != Use::Silent
+                } else if state != Activity::Silent
                     && !place.gives_way()
                     && spent < WRITE
-                    && front.may_part()
+                    && frontend.may_part()
                 {
                     wire.part().await;
                 }
@@ -199,10 +202,12 @@
         let room = wire.write_buffer().len() < framed::SIZE;
         let takes_up = room && !client.ahead.is_empty() && client.pause <= Instant::now();
         let reads = match &fault {
-            _ if useless >= PACE || burst >= BURST || client.full() && takes_up => Reads::Nothing,
+            _ if useless >= PACE || burst >= BURST || client.full() && takes_up => {
+                ReadInterest::Nothing
+            }
             // Without its length, nothing tells where the next frame begins.
-            Some(FrameError::Length(_)) => Reads::Away,
-            _ => Reads::Items,
+            Some(FrameError::Length(_)) => ReadInterest::Away,
+            _ => ReadInterest::Items,
         };
         tokio::select! {
             biased;
@@ -213,13 +218,13 @@
                 }
             }
             turn = wire.turn(reads, false) => match turn {
-                Turn::Written | Turn::Room => {}
-                Turn::Away(n) => useless += n,
-                Turn::End => return fault.map_or(Ok(()), Err),
-                Turn::Broken(FrameError::Io(e)) if e.kind() == io::ErrorKind::ConnectionReset => return Ok(()),
-                Turn::Broken(FrameError::Io(e)) => return Err(e.into()),
-                Turn::Broken(e) => fail(wire, &mut fault, e)?,
-                Turn::Heard(frame) => {
+                ConnectionEvent::Written | ConnectionEvent::Room => {}
+                ConnectionEvent::Away(n) => useless += n,
+                ConnectionEvent::End => return fault.map_or(Ok(()), Err),
+                ConnectionEvent::Broken(FrameError::Io(e)) if e.kind() == io::ErrorKind::ConnectionReset => return Ok(()),
+                ConnectionEvent::Broken(FrameError::Io(e)) => return Err(e.into()),
+                ConnectionEvent::Broken(e) => fail(wire, &mut fault, e)?,
+                ConnectionEvent::Heard(frame) => {
                     (partial, burst) = (Duration::ZERO, burst + 1);
                     if fault.is_some() || client.full() {
                         useless += FRAME.max(frame.payload.len());
@@ -258,10 +263,10 @@
                 let waits = !wire.read_buffer().is_empty() && fault.is_none();
                 partial = if waits { partial + CHECK } else { Duration::ZERO };
                 let (state, since) = place.state();
-                if fault.is_none() && (partial > WHOLE || waits && state == Use::Silent && since.elapsed() > WHOLE) {
+                if fault.is_none() && (partial > WHOLE || waits && state == Activity::Silent && since.elapsed() > WHOLE) {
                     fail(wire, &mut fault, FrameError::Stalled)?;
                 } else if client.owes_nothing() {
-                    closing |= since.elapsed() > if state == Use::Silent { WHOLE } else { IDLE };
+                    closing |= since.elapsed() > if state == Activity::Silent { WHOLE } else { IDLE };
                 }
             }
             () = tokio::task::yield_now(), if burst >= BURST => burst = 0,
@@ -270,7 +275,11 @@
 }
 
 /// After such a frame nothing is heeded but leaves and the end; what is open is still answered.
-fn fail(wire: &mut Wire, fault: &mut Option<FrameError>, e: FrameError) -> Result<(), FrameError> {
+fn fail(
+    wire: &mut FramedConnection,
+    fault: &mut Option<FrameError>,
+    e: FrameError,
+) -> Result<(), FrameError> {
     if let FrameError::Io(e) = e {
         return Err(e.into());
     }
@@ -293,7 +302,11 @@
     Ok(())
 }
 
-fn answer(wire: &mut Wire, stream: u32, reply: Reply<Buffer>) -> Result<(), FrameError> {
+fn answer(
+    wire: &mut FramedConnection,
+    stream: u32,
+    reply: Reply<Buffer>,
+) -> Result<(), FrameError> {
     let retry_after;
     let mut fields: &[(&str, &str)] = &[];
     let field;
@@ -323,7 +336,7 @@
     })
 }
 
-impl<L: Upstream<Work = Work, Output = Buffer>> Client<'_, L> {
+impl<U: Upstream<Work = Work, Output = Buffer>> Client<'_, U> {
     fn owes_nothing(&self) -> bool {
         self.open.borrow().is_empty() && self.ahead.is_empty() && self.record_rejection.is_empty()
     }
@@ -345,7 +358,7 @@
         }
         if self.open.borrow().is_empty() {
             self.place
-                .uses(self.place.state().0.max(Use::Asked), Instant::now());
+                .uses(self.place.state().0.max(Activity::Asked), Instant::now());
         }
         match frame.kind {
             REQUEST if !self.streams.take(frame.stream) => {
@@ -360,9 +373,9 @@
                 }
                 self.record_rejection.push_back((frame.kind, frame.stream));
                 // One that cannot be read names no class, and is turned away all the same.
-                if let Some(class) = class(&self.front.hub, frame) {
-                    self.front
-                        .hub
+                if let Some(class) = class(&self.frontend.router, frame) {
+                    self.frontend
+                        .router
                         .record_rejection(class, RequestOutcome::Overload);
                 }
             }
@@ -378,7 +391,7 @@
     fn leaves(&mut self, stream: u32) {
         let left = self.open.borrow_mut().remove(&stream);
         match left {
-            Some(id) => self.front.hub.leave(id),
+            Some(id) => self.frontend.router.leave(id),
             None => {
                 self.ahead
                     .retain(|(f, _)| f.kind != REQUEST || f.stream != stream);
@@ -388,9 +401,9 @@
     }
 
     /// Whether the dispatcher is ready, for a client that asks.
-    fn state(&self, wire: &mut Wire, stream: u32) -> Result<(), FrameError> {
+    fn state(&self, wire: &mut FramedConnection, stream: u32) -> Result<(), FrameError> {
         // Asked is whether the dispatcher is ready, and that it is with any process.
-        let code = if self.front.hub.ready() || self.front.handed_over.get() {
+        let code = if self.frontend.router.ready() || self.frontend.handed_over.get() {
             SERVED
         } else {
             REFUSED
@@ -405,7 +418,7 @@
     }
 
     /// Answers the first of what was turned away.
-    fn turn_away(&mut self, wire: &mut Wire) -> Result<(), FrameError> {
+    fn turn_away(&mut self, wire: &mut FramedConnection) -> Result<(), FrameError> {
         match self.record_rejection.pop_front() {
             Some((ASK, stream)) => self.state(wire, stream),
             Some((_, stream)) => answer(
@@ -421,16 +434,16 @@
     }
 
     /// Takes the first of what was read up.
-    fn take_up(&mut self, wire: &mut Wire) -> Result<(), FrameError> {
+    fn take_up(&mut self, wire: &mut FramedConnection) -> Result<(), FrameError> {
         let Some((frame, arrived)) = self.ahead.pop_front() else {
             return Ok(());
         };
         self.bytes -= frame.payload.len();
-        let (front, stream) = (self.front, frame.stream);
+        let (frontend, stream) = (self.frontend, frame.stream);
         if frame.kind == ASK {
             return self.state(wire, stream);
         }
-        let read = request(&front.hub, frame.payload, arrived)?.and_then(|(new, work)| {
+        let read = request(&frontend.router, frame.payload, arrived)?.and_then(|(new, work)| {
             // Two under one id would be one to an engine, and the first may be another client's.
             let open = || {
                 (
@@ -438,7 +451,7 @@
                     "txn: a request of this id is open".to_string(),
                 )
             };
-            let named = front.ids.take(&work.txn).ok_or_else(open)?;
+            let named = frontend.ids.take(&work.txn).ok_or_else(open)?;
             Ok((new, work, named))
         });
         let (new, mut work, named) = match read {
@@ -447,7 +460,7 @@
                 self.useless();
                 class
                     .into_iter()
-                    .for_each(|c| front.hub.record_rejection(c, RequestOutcome::Error));
+                    .for_each(|c| frontend.router.record_rejection(c, RequestOutcome::Error));
                 let body = reason.as_bytes();
                 return wire.put(Send {
                     kind: ANSWER,
@@ -458,11 +471,11 @@
                 });
             }
         };
-        let held = front.budget.take(work.statement.len());
+        let held = frontend.budget.take(work.statement.len());
         let Some(held) = held.filter(|_| self.open.borrow().len() < STREAMS) else {
             self.useless();
-            front
-                .hub
+            frontend
+                .router
                 .record_rejection(new.class, RequestOutcome::Overload);
             return answer(
                 wire,
@@ -475,12 +488,12 @@
         };
         work.hold(held, named, self.socket.clone());
         self.useless = 0;
-        self.place.uses(Use::Busy, Instant::now());
+        self.place.uses(Activity::Busy, Instant::now());
         // The answer may come before the id is known, so its place is taken first.
         self.open.borrow_mut().insert(stream, 0);
         let tx = self.answers.clone();
         let reply = move |reply| drop(tx.try_send((stream, reply)));
-        let id = front.hub.open(new, work, Box::new(reply));
+        let id = frontend.router.open(new, work, Box::new(reply));
         self.open.borrow_mut().insert(stream, id);
         Ok(())
     }
--- a/src/frontend/frames/mod.rs
+++ b/src/frontend/frames/mod.rs
@@ -8,11 +8,11 @@
 
 use crate::clock::span;
 use crate::config::Machine;
-use crate::dispatch::request_router::{Hub, Upstream};
+use crate::dispatch::request_router::{RequestRouter, Upstream};
 use crate::say;
-use crate::transport::connection_limiter::{Places, Taken, Use};
+use crate::transport::connection_limiter::{Activity, ConnectionLimiter, PermitGuard};
 use crate::transport::descriptors::Shares;
-use crate::transport::framed::{Buffer, Pool};
+use crate::transport::framed::{Buffer, BufferPool};
 use crate::transport::listener;
 use request::Ids;
 use std::cell::{Cell, RefCell};
@@ -43,12 +43,12 @@
 }
 
 /// All that the connections of this front share.
-pub struct Front<L: Upstream<Work = Work, Output = Buffer>> {
-    pub hub: Rc<Hub<L>>,
-    pub pool: Pool,
+pub struct Frontend<U: Upstream<Work = Work, Output = Buffer>> {
+    pub router: Rc<RequestRouter<U>>,
+    pub pool: BufferPool,
     pub budget: Budget,
     ids: Ids,
-    places: Rc<Places>,
+    places: Rc<ConnectionLimiter>,
     limits: RefCell<Machine>,
     processes: Cell<usize>,
     /// Another process of this dispatcher takes its clients.
@@ -57,12 +57,12 @@
     connections: Cell<usize>,
 }
 
-impl<L: Upstream<Work = Work, Output = Buffer>> Front<L> {
-    pub fn new(hub: Rc<Hub<L>>, pool: Pool, limits: &Machine) -> Rc<Self> {
+impl<U: Upstream<Work = Work, Output = Buffer>> Frontend<U> {
+    pub fn new(router: Rc<RequestRouter<U>>, pool: BufferPool, limits: &Machine) -> Rc<Self> {
         let (phase, _) = watch::channel(Phase::Serving);
-        let (budget, places) = (Budget::new(0), Places::new(0, Use::Idle));
-        let front = Front {
-            hub,
+        let (budget, places) = (Budget::new(0), ConnectionLimiter::new(0, Activity::Idle));
+        let frontend = Frontend {
+            router,
             pool,
             budget,
             ids: Ids::default(),
@@ -73,8 +73,8 @@
             phase,
             connections: Cell::new(0),
         };
-        front.bound();
-        Rc::new(front)
+        frontend.bound();
+        Rc::new(frontend)
     }
 
     /// Bounds by the machine's limits, which a new configuration may change.
@@ -155,7 +155,7 @@
         }
     }
 
-    fn serve(self: Rc<Self>, tcp: TcpStream, place: Taken) {
+    fn serve(self: Rc<Self>, tcp: TcpStream, place: PermitGuard) {
         self.connections.set(self.connections.get() + 1);
         tokio::task::spawn_local(async move {
             let ended = tokio::select! {
--- a/src/frontend/frames/request.rs
+++ b/src/frontend/frames/request.rs
@@ -5,11 +5,11 @@
 use crate::config::find;
 use crate::core::NewRequest;
 use crate::decision::model::{ClassId, Millis};
-use crate::dispatch::request_router::{Hub, Upstream};
+use crate::dispatch::request_router::{RequestRouter, Upstream};
 use crate::protocol::frames::{Frame, FrameError, fields};
 use crate::protocol::statement;
 use crate::transport::client_socket::Watch;
-use crate::transport::framed::Unread;
+use crate::transport::framed::PendingInput;
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -112,8 +112,10 @@
     }
 
     /// What the machine holds unread of its client: asked before an attempt begins, for the client may have gone.
-    pub fn client(&self) -> Unread {
-        self.client.as_ref().map_or(Unread::Nothing, Watch::unread)
+    pub fn client(&self) -> PendingInput {
+        self.client
+            .as_ref()
+            .map_or(PendingInput::Nothing, Watch::unread)
     }
 }
 
@@ -121,15 +123,15 @@
 pub(super) type AtTheDoor = (Option<ClassId>, String);
 
 /// The class that a request names.
-pub(super) fn class<L: Upstream>(hub: &Hub<L>, frame: Frame) -> Option<ClassId> {
+pub(super) fn class<U: Upstream>(router: &RequestRouter<U>, frame: Frame) -> Option<ClassId> {
     let (fields, _) = fields(frame.payload).ok()?;
     let named = fields.iter().find(|f| f.0 == "verb")?;
-    find(&hub.names().classes, &named.1)
+    find(&router.names().classes, &named.1)
 }
 
 /// Reads a request that arrived at this Unix time; the error is the message of a `failed`.
-pub(super) fn request<L: Upstream>(
-    hub: &Hub<L>,
+pub(super) fn request<U: Upstream>(
+    router: &RequestRouter<U>,
     payload: Bytes,
     arrived: Millis,
 ) -> Result<Result<(NewRequest, Work), AtTheDoor>, FrameError> {
@@ -150,7 +152,7 @@
     };
     let read = || {
         let class = field("verb").ok_or("the field `verb` is missing")?;
-        let index = find(&hub.names().classes, class)
+        let index = find(&router.names().classes, class)
             .ok_or(format!("verb: no class is named {class:?}"))?;
         named.set(Some(index));
         let txn = field("txn").ok_or("the field `txn` is missing")?;
@@ -158,7 +160,7 @@
             return Err(format!("txn: {txn:?} is not 16 hex digits"));
         }
         let ms = number("limit", MOST_MS)?.ok_or("the field `limit` is missing")?;
-        let tenants = &hub.names().tenants;
+        let tenants = &router.names().tenants;
         let tenant = match field("team") {
             _ if tenants.is_empty() => None,
             None => return Err("the field `team` is missing".to_string()),
--- a/src/frontend/mysql/mod.rs
+++ b/src/frontend/mysql/mod.rs
@@ -10,9 +10,9 @@
 use crate::clock::MOST_MB;
 use crate::clock::MOST_MS;
 use crate::clock::unix_ms;
-use crate::config::MysqlFront;
+use crate::config::MysqlFrontendConfig;
 use crate::core::{NewRequest, RequestId, RequestOutcome};
-use crate::dispatch::request_router::{Hub, Reply, Upstream};
+use crate::dispatch::request_router::{Reply, RequestRouter, Upstream};
 use crate::frontend::mysql::administrative_statements::Ours;
 use crate::frontend::mysql::cursor::{Cursor, cut};
 use crate::protocol::mysql::auth;
@@ -26,12 +26,14 @@
 use crate::spool_io::writer::STATEMENT;
 use crate::spool_io::{Line, Reader as SpoolReader, SpoolError, Spools, Who, packets, put_packet};
 use crate::sticky_sessions::Book;
-use crate::transport::connection_limiter::{Place, Places, Taken, Use};
+use crate::transport::connection_limiter::{
+    Activity, ConnectionLimiter, ConnectionPermit, PermitGuard,
+};
 use crate::transport::descriptors::Shares;
-use crate::transport::framed::{Pool, Unread, Wire};
+use crate::transport::framed::{BufferPool, FramedConnection, PendingInput};
 use crate::transport::listener;
 use crate::transport::stream::Stream;
-use crate::transport::tls::{self, Keys};
+use crate::transport::tls::{self, TlsKeys};
 use crate::upstream::mysql::downstream::Downstream;
 use crate::upstream::mysql::work::{Job, Left, Output, Packets, Work, error_of};
 use bytes::{Buf, Bytes, BytesMut};
@@ -61,20 +63,20 @@
 /// COM_STMT_EXECUTE asks for a cursor.
 const CURSOR_READ_ONLY: u8 = 1;
 
-pub struct Front<L: Upstream<Work = Work, Output = Output>> {
-    hub: Rc<Hub<L>>,
-    pool: Pool,
+pub struct Frontend<U: Upstream<Work = Work, Output = Output>> {
+    router: Rc<RequestRouter<U>>,
+    pool: BufferPool,
     /// Swapped whole by a new configuration; a session keeps to the one in force at each step.
-    config: RefCell<Rc<MysqlFront>>,
+    config: RefCell<Rc<MysqlFrontendConfig>>,
     spools: Rc<Spools>,
-    places: Rc<Places>,
+    places: Rc<ConnectionLimiter>,
     /// What the machine lets the processes hold.
     descriptors: Cell<usize>,
     processes: Cell<usize>,
     record_rejection: Cell<usize>,
     next: Cell<u32>,
     /// For clients that want TLS.
-    keys: RefCell<Option<Rc<Keys>>>,
+    keys: RefCell<Option<Rc<TlsKeys>>>,
     /// Who holds engine connections.
     book: RefCell<Book>,
     /// Open sessions by their numbers: their users and their clients.
@@ -152,9 +154,9 @@
 }
 
 /// A request that its client may leave at any time.
-struct Asked<'a, L: Upstream<Work = Work, Output = Output>>(&'a Rc<Hub<L>>, RequestId);
+struct Asked<'a, U: Upstream<Work = Work, Output = Output>>(&'a Rc<RequestRouter<U>>, RequestId);
 
-impl<L: Upstream<Work = Work, Output = Output>> Drop for Asked<'_, L> {
+impl<U: Upstream<Work = Work, Output = Output>> Drop for Asked<'_, U> {
     fn drop(&mut self) {
         self.0.leave(self.1);
     }
@@ -172,14 +174,19 @@
     }
 }
 
-impl<L: Upstream<Work = Work, Output = Output>> Front<L> {
-    pub fn new(hub: Rc<Hub<L>>, pool: Pool, config: MysqlFront, spools: Rc<Spools>) -> Rc<Self> {
+impl<U: Upstream<Work = Work, Output = Output>> Frontend<U> {
+    pub fn new(
+        router: Rc<RequestRouter<U>>,
+        pool: BufferPool,
+        config: MysqlFrontendConfig,
+        spools: Rc<Spools>,
+    ) -> Rc<Self> {
         let (stopping, _) = tokio::sync::watch::channel(false);
         // Sessions keep their place while they are idle, for they hold what they prepared.
-        let places = Places::new(config.max_clients, Use::Silent);
+        let places = ConnectionLimiter::new(config.max_clients, Activity::Silent);
         let config = RefCell::new(Rc::new(config));
-        Rc::new(Front {
-            hub,
+        Rc::new(Frontend {
+            router,
             pool,
             config,
             spools,
@@ -197,18 +204,18 @@
         })
     }
 
-    fn config(&self) -> Rc<MysqlFront> {
+    fn config(&self) -> Rc<MysqlFrontendConfig> {
         self.config.borrow().clone()
     }
 
     /// Takes a new configuration: sessions that are open go on, under its bounds.
-    pub fn configure(&self, config: MysqlFront) {
+    pub fn configure(&self, config: MysqlFrontendConfig) {
         *self.config.borrow_mut() = Rc::new(config);
         self.share(self.processes.get() as u32);
     }
 
     /// From now on clients may go on in TLS.
-    pub fn secure(&self, keys: Rc<Keys>) {
+    pub fn secure(&self, keys: Rc<TlsKeys>) {
         *self.keys.borrow_mut() = Some(keys);
     }
 
@@ -262,26 +269,28 @@
             };
             match accepted {
                 Ok((tcp, peer)) => {
-                    let front = self.clone();
-                    let place: Option<Taken> = self.places.take(Instant::now());
+                    let frontend = self.clone();
+                    let place: Option<PermitGuard> = self.places.take(Instant::now());
                     let away = usize::from(place.is_none());
                     // Those that are turned away politely are bounded as well.
-                    if front.record_rejection.get() + away > TURNED_AWAY.min(front.shares().last) {
+                    if frontend.record_rejection.get() + away
+                        > TURNED_AWAY.min(frontend.shares().last)
+                    {
                         continue;
                     }
-                    front
+                    frontend
                         .record_rejection
-                        .set(front.record_rejection.get() + away);
+                        .set(frontend.record_rejection.get() + away);
                     spawn_local(async move {
                         let host = peer.ip().to_string();
                         if let Err(End::Broken(e)) =
-                            front.session(tcp, &host, place.as_deref()).await
+                            frontend.session(tcp, &host, place.as_deref()).await
                         {
                             say!("mysql client {peer}: {e}");
                         }
-                        front
+                        frontend
                             .record_rejection
-                            .set(front.record_rejection.get() - away);
+                            .set(frontend.record_rejection.get() - away);
                     });
                 }
                 Err(e) => {
@@ -294,21 +303,25 @@
             return;
         }
         for tcp in listener::accepted(listener, TURNED_AWAY.min(self.shares().last)) {
-            let front = self.clone();
+            let frontend = self.clone();
             spawn_local(async move {
                 let codec = PacketCodec {
-                    most: front.config().max_packet,
+                    most: frontend.config().max_packet,
                     sequence: 0,
                 };
-                front
-                    .shut_down(&mut Wire::new(&front.pool, Stream::from(tcp), codec))
+                frontend
+                    .shut_down(&mut FramedConnection::new(
+                        &frontend.pool,
+                        Stream::from(tcp),
+                        codec,
+                    ))
                     .await
             });
         }
     }
 
     /// A client's last word: it has to go elsewhere.
-    async fn shut_down(&self, wire: &mut Wire<PacketCodec, Stream>) -> Result<(), End> {
+    async fn shut_down(&self, wire: &mut FramedConnection<PacketCodec, Stream>) -> Result<(), End> {
         let _busy = Busy::new(&self.busy);
         let text = "the dispatcher shuts down; connect again".to_string();
         turn_away(wire, code::SHUTDOWN, text).await
@@ -318,14 +331,14 @@
         self: &Rc<Self>,
         tcp: TcpStream,
         host: &str,
-        place: Option<&Place>,
+        place: Option<&ConnectionPermit>,
     ) -> Result<(), End> {
         tcp.set_nodelay(true).map_err(PacketError::from)?;
         let codec = PacketCodec {
             most: self.config().max_packet,
             sequence: 0,
         };
-        let mut wire = Wire::new(&self.pool, Stream::from(tcp), codec);
+        let mut wire = FramedConnection::new(&self.pool, Stream::from(tcp), codec);
         let Some(place) = place else {
             return turn_away(&mut wire, code::TOO_MANY, "Too many connections".into()).await;
         };
@@ -341,13 +354,13 @@
         let Some(known) = login.map_err(|e| PacketError::from(io::Error::from(e)))?? else {
             return Ok(());
         };
-        place.uses(Use::Idle, Instant::now());
+        place.uses(Activity::Idle, Instant::now());
         let state = State::new(known.schema);
         let downstream = Rc::new(Downstream::new(wire.get_ref().watch()));
         let own = (known.user.clone(), downstream.clone());
         self.sessions.borrow_mut().insert(known.number, own);
         let session = Session {
-            front: self,
+            frontend: self,
             wire,
             tenant: known.tenant,
             user: known.user,
@@ -367,7 +380,7 @@
     /// Greets, and checks the password; none if it was wrong.
     async fn log_in(
         &self,
-        wire: &mut Wire<PacketCodec, Stream>,
+        wire: &mut FramedConnection<PacketCodec, Stream>,
         host: &str,
     ) -> Result<Option<Known>, End> {
         let connection = self.next.get();
@@ -415,7 +428,7 @@
     /// Checks who a client says it is, and tells it; the user's tenant, or none if the password was wrong.
     async fn prove(
         &self,
-        wire: &mut Wire<PacketCodec, Stream>,
+        wire: &mut FramedConnection<PacketCodec, Stream>,
         login: &Login,
         nonce: &[u8],
         host: &str,
@@ -468,7 +481,7 @@
 }
 
 async fn turn_away(
-    wire: &mut Wire<PacketCodec, Stream>,
+    wire: &mut FramedConnection<PacketCodec, Stream>,
     code: code::Code,
     text: String,
 ) -> Result<(), End> {
@@ -479,9 +492,9 @@
     Ok(())
 }
 
-struct Session<'a, L: Upstream<Work = Work, Output = Output>> {
-    front: &'a Rc<Front<L>>,
-    wire: Wire<PacketCodec, Stream>,
+struct Session<'a, U: Upstream<Work = Work, Output = Output>> {
+    frontend: &'a Rc<Frontend<U>>,
+    wire: FramedConnection<PacketCodec, Stream>,
     tenant: Option<usize>,
     user: String,
     ends: Ends,
@@ -494,7 +507,7 @@
     left: Left,
     failed: Option<SqlError>,
     /// The engine connection that it keeps to.
-    hold: Option<sticky::Hold<'a, L>>,
+    hold: Option<sticky::Hold<'a, U>>,
     statements: BTreeMap<u32, Prepared>,
     next: u32,
 }
@@ -502,15 +515,15 @@
 /// What a command comes to: packets to send, or an error.
 type Answer = Result<Option<Vec<Vec<u8>>>, SqlError>;
 
-impl<L: Upstream<Work = Work, Output = Output>> Drop for Session<'_, L> {
+impl<U: Upstream<Work = Work, Output = Output>> Drop for Session<'_, U> {
     fn drop(&mut self) {
-        self.front.sessions.borrow_mut().remove(&self.number);
+        self.frontend.sessions.borrow_mut().remove(&self.number);
     }
 }
 
-impl<L: Upstream<Work = Work, Output = Output>> Session<'_, L> {
+impl<U: Upstream<Work = Work, Output = Output>> Session<'_, U> {
     async fn serve(mut self) -> Result<(), End> {
-        let mut stopping = self.front.stopping.subscribe();
+        let mut stopping = self.frontend.stopping.subscribe();
         loop {
             self.wire.codec_mut().sequence = 0;
             let command = tokio::select! {
@@ -518,14 +531,14 @@
                 command = tokio_stream::StreamExt::next(&mut *self.wire) => command,
                 _ = stopping.wait_for(|s| *s) => {
                     // What it has asked by now is answered first.
-                    if self.wire.get_ref().unread() == Unread::Bytes {
+                    if self.wire.get_ref().unread() == PendingInput::Bytes {
                         tokio::task::yield_now().await;
                         continue;
                     }
-                    return self.front.shut_down(&mut self.wire).await;
+                    return self.frontend.shut_down(&mut self.wire).await;
                 }
-                () = tokio::time::sleep(self.front.config().idle) => {
-                    if self.wire.get_ref().unread() != Unread::Bytes {
+                () = tokio::time::sleep(self.frontend.config().idle) => {
+                    if self.wire.get_ref().unread() != PendingInput::Bytes {
                         return Ok(());
                     }
                     tokio::task::yield_now().await;
@@ -552,7 +565,7 @@
                     return Err(e.into());
                 }
             };
-            let _busy = Busy::new(&self.front.busy);
+            let _busy = Busy::new(&self.frontend.busy);
             self.downstream.begins();
             match self.command(command).await {
                 Ok(()) => {}
@@ -591,7 +604,7 @@
                 "several statements at once are not carried",
             )),
             STATISTICS => {
-                let text = format!("Sessions: {}", self.front.sessions.borrow().len());
+                let text = format!("Sessions: {}", self.frontend.sessions.borrow().len());
                 return self.write([text.as_bytes()].into_iter()).await;
             }
             QUERY => return self.query(body).await,
@@ -659,8 +672,8 @@
             plugin: auth::NATIVE.into(),
             ends: self.ends,
         };
-        let front = self.front;
-        let Some(tenant) = front
+        let frontend = self.frontend;
+        let Some(tenant) = frontend
             .prove(&mut self.wire, &login, &nonce, "this session")
             .await?
         else {
@@ -670,7 +683,7 @@
         self.state = State::new(login.schema);
         (self.tenant, self.user) = (tenant, login.user);
         let own = (self.user.clone(), self.downstream.clone());
-        front.sessions.borrow_mut().insert(self.number, own);
+        frontend.sessions.borrow_mut().insert(self.number, own);
         Ok(())
     }
 
@@ -691,7 +704,7 @@
 
     /// Another session of the same user is told that what it asks is killed.
     async fn kill(&mut self, number: u32) -> Result<(), End> {
-        let told = match self.front.sessions.borrow().get(&number) {
+        let told = match self.frontend.sessions.borrow().get(&number) {
             Some((user, downstream)) if *user == self.user => {
                 downstream.kill();
                 Ok(())
@@ -751,7 +764,7 @@
         sql: Bytes,
         job: Job,
     ) -> Result<Reply<Output>, End> {
-        let config = self.front.config();
+        let config = self.frontend.config();
         let hints = statement::hints(&sql);
         let hint = |name: &str| hints.iter().find(|h| h.0 == name).map(|h| h.1.as_str());
         // A hint out of range is none.
@@ -776,10 +789,10 @@
             && let Admission::No {
                 reason,
                 retry_after,
-            } = self.front.spools.admit(ask)
+            } = self.frontend.spools.admit(ask)
         {
-            self.front
-                .hub
+            self.frontend
+                .router
                 .record_rejection(class, RequestOutcome::Overload);
             return Ok(Reply::Refused {
                 retry_after,
@@ -815,10 +828,10 @@
             memory_mb: number("mem", MOST_MB),
         };
         let (tx, mut answer) = oneshot::channel();
-        let front = self.front;
-        let hub = &front.hub;
-        let id = hub.open(new, work, Box::new(move |reply| drop(tx.send(reply))));
-        let _leaves = Asked(hub, id);
+        let frontend = self.frontend;
+        let router = &frontend.router;
+        let id = router.open(new, work, Box::new(move |reply| drop(tx.send(reply))));
+        let _leaves = Asked(router, id);
         tokio::select! {
             biased;
             reply = &mut answer => Ok(reply.unwrap_or(Reply::Failed { reason: "the request was lost" })),
@@ -834,7 +847,7 @@
                 self.hand_over(packets.into_bytes()).await
             }
             (None, Reply::Served(Output::Long(spool))) => {
-                match self.front.spools.reader(spool, 0) {
+                match self.frontend.spools.reader(spool, 0) {
                     Some(reader) => self.stream(reader).await,
                     None => {
                         self.say(&SqlError::new(code::RESULT, SpoolError::Gone.to_string()))
@@ -888,7 +901,7 @@
 
     /// A result from its spool, at the client's pace.
     async fn stream(&mut self, mut reader: SpoolReader) -> Result<(), End> {
-        let spools = self.front.spools.clone();
+        let spools = self.frontend.spools.clone();
         let id = reader.id();
         let Some((head, tail)) = spools.look_at(id, |h, _| (h.head.clone(), h.tail.clone())) else {
             return self
@@ -919,7 +932,7 @@
 
     /// Rows at the client's pace: a client that takes nothing for a while is closed, one that takes little is not.
     async fn write_slowly(&mut self, page: &[u8], stall: Duration) -> Result<(), End> {
-        let mut chunk = self.front.pool.take();
+        let mut chunk = self.frontend.pool.take();
         SinkExt::<&[u8]>::flush(&mut *self.wire).await?;
         for row in packets(page) {
             self.wire.codec_mut().encode(row, &mut chunk)?;
@@ -973,7 +986,7 @@
 
     /// Answers a statement of ours: what waits for this user, or its pages. Nothing runs on any engine.
     async fn answer_ours(&mut self, statement: Ours, binary: bool) -> Result<(), End> {
-        let spools = self.front.spools.clone();
+        let spools = self.frontend.spools.clone();
         match statement {
             Ours::Results => {
                 let lines = spools.list(&self.user).await;
@@ -993,7 +1006,7 @@
     }
 
     fn resumable(&self, id: SpoolId, from: u32, binary: bool) -> Result<SpoolReader, SqlError> {
-        let spools = &self.front.spools;
+        let spools = &self.frontend.spools;
         let gone = || SqlError::new(code::HANDLE, SpoolError::Gone.to_string());
         let (pages, is_binary) = spools
             .look_at(id, |h, pages| (pages, h.who.binary))
@@ -1032,7 +1045,7 @@
         if let Some(reason) = reason {
             return self.say(&SqlError::new(code::NOT_CARRIED, reason)).await;
         }
-        if self.statements.len() >= self.front.config().max_statements {
+        if self.statements.len() >= self.frontend.config().max_statements {
             let text = "too many prepared statements in this session; close some";
             return self.say(&SqlError::new(code::STATEMENTS, text)).await;
         }
@@ -1092,7 +1105,7 @@
                 .take(COLUMNS.len() + 2)
                 .collect(),
             Ours::Fetch { handle, .. } => {
-                let spools = &self.front.spools;
+                let spools = &self.frontend.spools;
                 let id = spools.resume(&self.user, handle).await;
                 let id = id.map_err(|e| SqlError::new(code::HANDLE, e.to_string()))?;
                 let head = spools.look_at(id, |h, _| h.head.clone());
@@ -1170,7 +1183,7 @@
 
     /// The columns go out, the rows wait to be fetched. A result without rows needs no cursor.
     async fn open_cursor(&mut self, body: &Bytes, output: Output) -> Result<(), End> {
-        let spools = self.front.spools.clone();
+        let spools = self.frontend.spools.clone();
         let (head, cursor) = match output {
             Output::Short(packets) => {
                 let all = packets.into_bytes();
@@ -1227,7 +1240,7 @@
                     .await;
             }
         };
-        let stall = self.front.spools.stall();
+        let stall = self.frontend.spools.stall();
         for page in pages {
             self.write_slowly(&page, stall).await?;
         }
@@ -1244,7 +1257,7 @@
     }
 
     fn long_data(&mut self, body: Bytes) {
-        let most = self.front.config().max_packet;
+        let most = self.frontend.config().max_packet;
         let Ok(s) = self.statement(&body) else { return };
         let mut r = Reader(body.slice(4..));
         let Ok(parameter) = r.u16() else { return };
--- a/src/frontend/mysql/settings.rs
+++ b/src/frontend/mysql/settings.rs
@@ -5,7 +5,7 @@
 use crate::protocol::mysql::session::set::{self, Change, SetError};
 use crate::protocol::mysql::session::{State, literal};
 
-impl<L: Upstream<Work = Work, Output = Output>> Session<'_, L> {
+impl<U: Upstream<Work = Work, Output = Output>> Session<'_, U> {
     pub(super) async fn set(&mut self, sql: Bytes) -> Result<(), End> {
         // On a pin the next transaction begins on its connection, which has to hear of it.
         if self.hold.is_some() && set::parse(&sql).is_ok_and(|c| matches!(c[..], [Change::Next(_)]))
--- a/src/frontend/mysql/sticky.rs
+++ b/src/frontend/mysql/sticky.rs
@@ -6,16 +6,16 @@
 use tokio::sync::mpsc;
 
 /// A place among the pins, given back when it is dropped.
-struct Booked<'a, L: Upstream<Work = Work, Output = Output>>(&'a Front<L>, Option<usize>);
+struct Booked<'a, U: Upstream<Work = Work, Output = Output>>(&'a Frontend<U>, Option<usize>);
 
-impl<L: Upstream<Work = Work, Output = Output>> Drop for Booked<'_, L> {
+impl<U: Upstream<Work = Work, Output = Output>> Drop for Booked<'_, U> {
     fn drop(&mut self) {
         self.0.book.borrow_mut().give(self.1);
     }
 }
 
 /// A pin of this session.
-pub(super) struct Hold<'a, L: Upstream<Work = Work, Output = Output>> {
+pub(super) struct Hold<'a, U: Upstream<Work = Work, Output = Output>> {
     orders: mpsc::Sender<Order>,
     pinned: Rc<Pinned>,
     answer: oneshot::Receiver<Reply<Output>>,
@@ -23,14 +23,14 @@
     until: tokio::time::Instant,
     pub open: bool,
     /// Ends the attempt, and with it what is open, before the place is given back.
-    _asked: Asked<'a, L>,
-    _booked: Booked<'a, L>,
+    _asked: Asked<'a, U>,
+    _booked: Booked<'a, U>,
 }
 
 /// What a statement came to: an answer to pass on, or an error of the front's own.
 pub(super) type Came = Result<Reply<Output>, SqlError>;
 
-impl<'a, L: Upstream<Work = Work, Output = Output>> Session<'a, L> {
+impl<'a, U: Upstream<Work = Work, Output = Output>> Session<'a, U> {
     /// An OK of the front's own, with the session's status.
     pub(super) fn ok(&self) -> Vec<u8> {
         let open = self.hold.as_ref().is_some_and(|h| h.open);
@@ -101,12 +101,12 @@
 
     /// Opens the pin's request: one attempt, at an engine that the module chooses.
     fn begin(&mut self) -> Result<(), SqlError> {
-        let (config, front) = (self.front.config(), self.front);
+        let (config, frontend) = (self.frontend.config(), self.frontend);
         let terms = config.pins.clone();
-        let booked = front.book.borrow_mut().take(&terms, self.tenant);
+        let booked = frontend.book.borrow_mut().take(&terms, self.tenant);
         booked
             .map_err(|e| SqlError::new(code::PINS, format!("{e}; nothing ran, try again later")))?;
-        let booked = Booked(front, self.tenant);
+        let booked = Booked(frontend, self.tenant);
         let class = config.transaction_class;
         let limit = config.deadlines.get(class).copied().unwrap_or(10_000.0);
         let longest = terms.longest;
@@ -140,10 +140,10 @@
             memory_mb: None,
         };
         let (tx, answer) = oneshot::channel();
-        let id = front
-            .hub
+        let id = frontend
+            .router
             .open(new, work, Box::new(move |reply| drop(tx.send(reply))));
-        let asked = Asked(&front.hub, id);
+        let asked = Asked(&frontend.router, id);
         let until = tokio::time::Instant::now() + crate::clock::span(limit);
         self.hold = Some(Hold {
             orders,
@@ -165,7 +165,7 @@
         sql: Bytes,
         job: Job,
     ) -> Result<Came, End> {
-        let config = self.front.config();
+        let config = self.frontend.config();
         let class = config.rules.class(*kind == Kind::Read, None, &sql);
         let ask = Ask {
             tenant: self.tenant,
@@ -176,7 +176,7 @@
             && let Admission::No {
                 reason,
                 retry_after,
-            } = self.front.spools.admit(ask)
+            } = self.frontend.spools.admit(ask)
         {
             return Ok(Ok(Reply::Refused {
                 retry_after,
--- a/src/main.rs
+++ b/src/main.rs
@@ -6,20 +6,20 @@
 use query_dispatcher::config::{ConfigError, EurekaSource, Mysql, Platform, Source};
 use query_dispatcher::core::{Bounds, Core};
 use query_dispatcher::discovery::eureka::{self, lease::Lease, lease::Stand};
-use query_dispatcher::discovery::membership_driver::Members;
+use query_dispatcher::discovery::membership_driver::MembershipDriver;
 use query_dispatcher::discovery::{Discovery, fixed, journal::Journal};
 use query_dispatcher::dispatch::gossip_driver;
-use query_dispatcher::dispatch::request_router::{Hub, Upstream};
-use query_dispatcher::frontend::frames::{self, Front};
+use query_dispatcher::dispatch::request_router::{RequestRouter, Upstream};
+use query_dispatcher::frontend::frames::{self, Frontend};
 use query_dispatcher::frontend::mysql;
-use query_dispatcher::server::instance_registry::Shared;
+use query_dispatcher::server::instance_registry::InstanceRegistry;
 use query_dispatcher::server::signals::{SIGHUP, SIGTERM, Signals};
 use query_dispatcher::spool_io::Spools;
 use query_dispatcher::transport::descriptors;
 use query_dispatcher::transport::descriptors::Shares;
-use query_dispatcher::transport::framed::Pool;
+use query_dispatcher::transport::framed::BufferPool;
 use query_dispatcher::transport::listener;
-use query_dispatcher::transport::tls::Keys;
+use query_dispatcher::transport::tls::TlsKeys;
 use query_dispatcher::upstream::mysql::MysqlUpstream;
 use query_dispatcher::upstream::resp::RespUpstream;
 
@@ -75,7 +75,7 @@
     let mut config = read()?;
     // What the machine lets the process hold may be less than the settings say.
     config.limits.sockets = descriptors::within(config.limits.sockets, given);
-    let pool = Pool::default();
+    let pool = BufferPool::default();
     let bounds = Bounds {
         open: config.sockets.most_open,
         margin: MARGIN,
@@ -88,20 +88,20 @@
         pool.clone(),
     );
     upstream.within(config.limits.sockets);
-    let hub = Hub::new(core, config.names.clone(), upstream);
+    let router = RequestRouter::new(core, config.names.clone(), upstream);
     let (at, address) = watch::channel(config.journal);
     let journal = Journal::new(address, config.known.take(), config.seed)
         .map_err(|e| format!("known: {e}"))?;
     let listener = listener::listen(config.listen, config.inherited).await?;
     let listen = listener.local_addr()?;
-    let front = Front::new(hub.clone(), pool.clone(), &config.limits);
-    let sharing = front.clone();
-    let shared = share(&hub, config.state.as_deref(), move |living| {
+    let frontend = Frontend::new(router.clone(), pool.clone(), &config.limits);
+    let sharing = frontend.clone();
+    let shared = share(&router, config.state.as_deref(), move |living| {
         sharing.share(living)
     })?;
     let callers = Shares::of(config.limits.sockets, 1).callers;
     operators(
-        &hub,
+        &router,
         &pool,
         &shared,
         config.admin,
@@ -110,17 +110,17 @@
     )
     .await?;
 
-    let sink = hub.clone();
+    let sink = router.clone();
     if let Some(tier) = config.peers.clone() {
-        spawn_local(gossip_driver::attend(Rc::downgrade(&hub), tier));
+        spawn_local(gossip_driver::attend(Rc::downgrade(&router), tier));
     }
     spawn_local(journal.run(Box::new(move |change| sink.change(&change))));
-    spawn_local(hub.clone().clock());
+    spawn_local(router.clone().clock());
     spawn_local(process_metrics::tell());
-    let accepting = spawn_local(front.clone().accept(listener));
+    let accepting = spawn_local(frontend.clone().accept(listener));
     say!("{} listens on {listen}", config.name);
     let (longest, handed_over) = (config.sockets.longest, config.inherited.is_some());
-    let (reconfigured, relimited) = (front.clone(), hub.clone());
+    let (reconfigured, relimited) = (frontend.clone(), router.clone());
     spawn_local(reload(hup, read, move |mut new: Platform| {
         new.limits.sockets = descriptors::within(new.limits.sockets, given);
         let kept = config.needs_restart(&new);
@@ -131,11 +131,11 @@
     }));
 
     let tell = |end: Near| match end {
-        Near::Goodbye => front.goodbye(handed_over),
-        Near::Last => front.end(),
+        Near::Goodbye => frontend.goodbye(handed_over),
+        Near::Last => frontend.end(),
     };
-    wind_down(&mut term, &hub, longest, handed_over, tell, || {
-        front.connections()
+    wind_down(&mut term, &router, longest, handed_over, tell, || {
+        frontend.connections()
     })
     .await;
     drop(accepting);
@@ -146,7 +146,7 @@
 async fn serve_mysql(file: &str, given: usize) -> Result<(), Error> {
     let (mut term, hup) = (Signals::new(SIGTERM)?, Signals::new(SIGHUP)?);
     let mut config = Mysql::read(file)?;
-    let pool = Pool::default();
+    let pool = BufferPool::default();
     let bounds = Bounds {
         open: config.sockets.most_open,
         margin: MARGIN,
@@ -159,29 +159,29 @@
     spawn_local(spools.clone().attend(done));
     let access = config.access.clone();
     let upstream = MysqlUpstream::new(access, config.sockets.clone(), pool.clone(), spools.clone());
-    let hub = Hub::new(core, config.names.clone(), upstream);
+    let router = RequestRouter::new(core, config.names.clone(), upstream);
     let listener = listener::listen(config.listen, config.inherited).await?;
     let listen = listener.local_addr()?;
-    let front = mysql::Front::new(
-        hub.clone(),
+    let frontend = mysql::Frontend::new(
+        router.clone(),
         pool.clone(),
-        config.front.clone(),
+        config.frontend.clone(),
         spools.clone(),
     );
     let machine = descriptors::within(usize::MAX, given);
-    front.within(machine);
+    frontend.within(machine);
     let keys = config
         .tls
         .as_ref()
-        .map(Keys::open)
+        .map(TlsKeys::open)
         .transpose()
         .map_err(|e| format!("tls: {e}"))?;
     if let Some(keys) = &keys {
-        front.secure(keys.clone());
-        spawn_local(Keys::attend(Rc::downgrade(keys)));
+        frontend.secure(keys.clone());
+        spawn_local(TlsKeys::attend(Rc::downgrade(keys)));
     }
-    let (sharing, spooling) = (front.clone(), spools.clone());
-    let shared = share(&hub, config.state.as_deref(), move |living| {
+    let (sharing, spooling) = (frontend.clone(), spools.clone());
+    let shared = share(&router, config.state.as_deref(), move |living| {
         sharing.share(living);
         spooling.share(living);
     })?;
@@ -191,7 +191,7 @@
         spools: Some(spools.clone()),
     };
     operators(
-        &hub,
+        &router,
         &pool,
         &shared,
         config.admin,
@@ -199,23 +199,23 @@
         Shares::of(machine, 1).callers,
     )
     .await?;
-    let stand = standing(&hub, &shared);
+    let stand = standing(&router, &shared);
     // The folder of this dispatcher's own, which `share` has made.
     let state = config.state.as_ref().map(|s| s.join("hitchwinch"));
     let following = Following {
-        hub: hub.clone(),
+        router: router.clone(),
         state,
         members,
         registry: None,
     };
     let following = Rc::new(RefCell::new(following));
     following.borrow_mut().follow(&config.source, &stand);
-    spawn_local(hub.clone().clock());
+    spawn_local(router.clone().clock());
     spawn_local(process_metrics::tell());
-    let accepting = spawn_local(front.clone().accept(listener));
+    let accepting = spawn_local(frontend.clone().accept(listener));
     say!("the MySQL front listens on {listen}");
     let (longest, handed_over) = (config.sockets.longest, config.inherited.is_some());
-    let (path, changed, reconfigured) = (file.to_string(), following.clone(), front.clone());
+    let (path, changed, reconfigured) = (file.to_string(), following.clone(), frontend.clone());
     spawn_local(reload(
         hup,
         move || Mysql::read(&path),
@@ -226,7 +226,7 @@
             if let (Some(keys), Some(source)) = (&keys, &new.tls) {
                 keys.take(source).map_err(|e| format!("tls: {e}"))?;
             }
-            reconfigured.configure(new.front.clone());
+            reconfigured.configure(new.frontend.clone());
             spools.configure(&new.spool);
             if new.source != config.source {
                 changed.borrow_mut().follow(&new.source, &stand);
@@ -237,10 +237,13 @@
     ));
     let tell = |end: Near| {
         if end == Near::Goodbye {
-            front.stop(handed_over);
+            frontend.stop(handed_over);
         }
     };
-    wind_down(&mut term, &hub, longest, handed_over, tell, || front.busy()).await;
+    wind_down(&mut term, &router, longest, handed_over, tell, || {
+        frontend.busy()
+    })
+    .await;
     drop(accepting);
     let lease = following
         .borrow()
@@ -252,10 +255,10 @@
 }
 
 /// Listens where operators call, if that is said.
-async fn operators<L: Upstream>(
-    hub: &Rc<Hub<L>>,
-    pool: &Pool,
-    shared: &Rc<Shared>,
+async fn operators<U: Upstream>(
+    router: &Rc<RequestRouter<U>>,
+    pool: &BufferPool,
+    shared: &Rc<InstanceRegistry>,
     at: Option<SocketAddr>,
     watched: Watched,
     callers: usize,
@@ -266,47 +269,58 @@
         .map_err(|e| format!("admin_addr {at}: {e}"))?;
     say!("operators call at {}", listener.local_addr()?);
     spawn_local(
-        Admin::new(hub.clone(), pool.clone(), shared.clone(), watched, callers).accept(listener),
+        Admin::new(
+            router.clone(),
+            pool.clone(),
+            shared.clone(),
+            watched,
+            callers,
+        )
+        .accept(listener),
     );
     Ok(())
 }
 
 /// How this dispatcher stands, for those who look for it at a registry.
-fn standing<L: Upstream>(hub: &Rc<Hub<L>>, shared: &Rc<Shared>) -> Rc<dyn Fn() -> Stand> {
-    let (hub, shared) = (hub.clone(), shared.clone());
+fn standing<U: Upstream>(
+    router: &Rc<RequestRouter<U>>,
+    shared: &Rc<InstanceRegistry>,
+) -> Rc<dyn Fn() -> Stand> {
+    let (router, shared) = (router.clone(), shared.clone());
     Rc::new(move || match () {
-        () if hub.stopping() => match shared.processes() {
+        () if router.stopping() => match shared.processes() {
             Ok(2..) => Stand::HandedOver,
             _ => Stand::Ending,
         },
-        () if hub.ready() => Stand::Ready,
+        () if router.ready() => Stand::Ready,
         () => Stand::Starting,
     })
 }
 
 /// What this dispatcher's processes have been told by hand is in force before the first engine is known.
-fn share<L: Upstream>(
-    hub: &Rc<Hub<L>>,
+fn share<U: Upstream>(
+    router: &Rc<RequestRouter<U>>,
     folder: Option<&Path>,
-    front: impl Fn(u32) + 'static,
-) -> Result<Rc<Shared>, Error> {
+    frontend: impl Fn(u32) + 'static,
+) -> Result<Rc<InstanceRegistry>, Error> {
     let named = |e: std::io::Error| format!("the folder for state ({folder:?}): {e}");
-    let shared = Rc::new(Shared::open(folder).map_err(named)?);
-    hub.apply_administrative_drains(&shared.drained_engines().map_err(named)?.unwrap_or_default());
-    let (hub, following) = (hub.clone(), shared.clone());
-    let divide = move |hub: &Hub<L>, living| {
-        hub.share(living);
-        front(living);
+    let shared = Rc::new(InstanceRegistry::open(folder).map_err(named)?);
+    router
+        .apply_administrative_drains(&shared.drained_engines().map_err(named)?.unwrap_or_default());
+    let (router, following) = (router.clone(), shared.clone());
+    let divide = move |router: &RequestRouter<U>, living| {
+        router.share(living);
+        frontend(living);
     };
     let mut before = shared.processes().map_err(named)?;
-    divide(&hub, before);
+    divide(&router, before);
     spawn_local(async move {
         loop {
             tokio::time::sleep(FOLLOW).await;
             match following.processes() {
                 Ok(living) if living != before => {
                     say!("{living} processes of this dispatcher share its limits");
-                    divide(&hub, living);
+                    divide(&router, living);
                     before = living;
                 }
                 Ok(_) => {}
@@ -315,7 +329,7 @@
             match following.drained_engines() {
                 Ok(out) => out
                     .iter()
-                    .for_each(|out| hub.apply_administrative_drains(out)),
+                    .for_each(|out| router.apply_administrative_drains(out)),
                 // What cannot be read changes nothing.
                 Err(e) => say!("the folder for state: {e}"),
             }
@@ -326,10 +340,10 @@
 
 /// Where the engines of the MySQL front come from now.
 struct Following {
-    hub: Rc<Hub<MysqlUpstream>>,
+    router: Rc<RequestRouter<MysqlUpstream>>,
     state: Option<PathBuf>,
     /// What is believed of engines that a registry lists; operators look at it.
-    members: Rc<RefCell<Option<Rc<Members>>>>,
+    members: Rc<RefCell<Option<Rc<MembershipDriver>>>>,
     registry: Option<Registry>,
 }
 
@@ -356,8 +370,8 @@
                     spawn_local(async move { cancel(registry.lease.as_deref()).await });
                 }
                 *self.members.borrow_mut() = None;
-                self.hub.upstream().watch(None);
-                self.hub.change(&fixed(engines));
+                self.router.upstream().watch(None);
+                self.router.change(&fixed(engines));
             }
             Source::Eureka(source) => {
                 let source = Rc::new((**source).clone());
@@ -379,14 +393,14 @@
                         }
                     }
                     _ => {
-                        let (sink, hub) = (self.hub.clone(), self.hub.clone());
-                        let members = Members::new(
+                        let (sink, router) = (self.router.clone(), self.router.clone());
+                        let members = MembershipDriver::new(
                             &source,
                             self.state.as_deref(),
                             Box::new(move |change| sink.change(&change)),
-                            Box::new(move || hub.administrative_drains()),
+                            Box::new(move || router.administrative_drains()),
                         );
-                        self.hub.upstream().watch(Some(members.clone()));
+                        self.router.upstream().watch(Some(members.clone()));
                         let (tell, told) = watch::channel(source.clone());
                         let tasks = vec![
                             spawn_local(eureka::follow(told, members.clone())).abort_handle(),
@@ -411,7 +425,7 @@
 /// Registers this dispatcher, if the configuration says so.
 fn keep_lease(
     source: &Rc<EurekaSource>,
-    members: &Rc<Members>,
+    members: &Rc<MembershipDriver>,
     stand: &Rc<dyn Fn() -> Stand>,
 ) -> (Option<Rc<Lease>>, Option<AbortHandle>) {
     let lease = Lease::new(source.clone());
@@ -452,9 +466,9 @@
 /// ready, and then asked to go elsewhere. With a listening socket that others hold as well (`handed_over`) no
 /// more are accepted, for they would find an end here that another process could give them a whole life: only
 /// those that were accepted are read and answered on. The last answers are given before the kill can come.
-async fn wind_down<L: Upstream>(
+async fn wind_down<U: Upstream>(
     term: &mut Signals,
-    hub: &Rc<Hub<L>>,
+    router: &Rc<RequestRouter<U>>,
     longest: f64,
     handed_over: bool,
     tell: impl Fn(Near),
@@ -463,11 +477,11 @@
     term.recv().await;
     let began = tokio::time::Instant::now();
     let span = frames::stop_span(longest, handed_over);
-    hub.stop(unix_ms() + span.as_secs_f64() * 1000.0);
+    router.stop(unix_ms() + span.as_secs_f64() * 1000.0);
     if handed_over {
         tell(Near::Goodbye);
     }
-    say!("SIGTERM: {} requests are open", hub.owed());
+    say!("SIGTERM: {} requests are open", router.owed());
     if !handed_over {
         tokio::time::sleep(frames::ACCEPT_FOR).await;
         tell(Near::Goodbye);
@@ -475,7 +489,7 @@
     tokio::time::sleep(if handed_over { LINGER } else { LAST }).await;
     tell(Near::Last);
     // Every answer is given by then; what clients have not taken whole a while later is cut off by the kill in any case.
-    while (hub.owed() > 0 || busy() > 0) && began.elapsed() < span + frames::WRITE_ON {
+    while (router.owed() > 0 || busy() > 0) && began.elapsed() < span + frames::WRITE_ON {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     say!("stopped after {} ms", began.elapsed().as_millis());
--- a/src/server/instance_registry.rs
+++ b/src/server/instance_registry.rs
@@ -12,7 +12,7 @@
 const NAME: usize = 255;
 
 /// Without a folder nothing outlives the process.
-pub struct Shared(Option<Folder>);
+pub struct InstanceRegistry(Option<Folder>);
 
 struct Folder {
     path: PathBuf,
@@ -21,10 +21,10 @@
     name: OsString,
 }
 
-impl Shared {
+impl InstanceRegistry {
     pub fn open(folder: Option<&Path>) -> io::Result<Self> {
         let Some(path) = folder.map(|f| f.join("hitchwinch")) else {
-            return Ok(Shared(None));
+            return Ok(InstanceRegistry(None));
         };
         std::fs::create_dir_all(&path)?;
         // Locked before it has the name that others look for: one without a lock is of a process that ended.
@@ -36,7 +36,7 @@
         here.try_lock()?;
         let name = OsString::from(format!("here-{id}"));
         std::fs::rename(draft, path.join(&name))?;
-        Ok(Shared(Some(Folder {
+        Ok(InstanceRegistry(Some(Folder {
             path,
             _here: here,
             name,
@@ -160,8 +160,8 @@
     fn what_is_out_by_hand_outlives_its_process_whatever_its_name() {
         let folder = std::env::temp_dir().join(format!("hitchwinch-shared-{}", std::process::id()));
         let (a, b) = (
-            Shared::open(Some(&folder)).unwrap(),
-            Shared::open(Some(&folder)).unwrap(),
+            InstanceRegistry::open(Some(&folder)).unwrap(),
+            InstanceRegistry::open(Some(&folder)).unwrap(),
         );
         let odd = "host/../x:80 %é";
         for (one, other) in [(&a, &b), (&b, &a)] {
--- a/src/transport/client_socket.rs
+++ b/src/transport/client_socket.rs
@@ -2,7 +2,7 @@
 //! has closed its connection, or has said something that is not read yet. The task that reads the socket may not have
 //! had its turn since.
 
-use crate::transport::framed::{self, Socket, Unread};
+use crate::transport::framed::{self, PendingInput, Socket};
 use std::io;
 use std::pin::Pin;
 use std::rc::{Rc, Weak};
@@ -31,10 +31,10 @@
 
 impl Watch {
     /// What the machine holds of the client, unread; a socket that is closed here has none either.
-    pub fn unread(&self) -> Unread {
+    pub fn unread(&self) -> PendingInput {
         self.0
             .upgrade()
-            .map_or(Unread::End, |tcp| framed::unread(&tcp))
+            .map_or(PendingInput::End, |tcp| framed::unread(&tcp))
     }
 }
 
--- a/src/transport/connection_limiter.rs
+++ b/src/transport/connection_limiter.rs
@@ -15,7 +15,7 @@
 
 /// What a connection holds its place for, least first: that is the order in which they give way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Use {
+pub enum Activity {
     /// Its client has never asked anything whole.
     Silent,
     /// It has asked whether we are ready, or what could not be used, and no more.
@@ -26,32 +26,32 @@
 }
 
 /// One connection's place.
-pub struct Place {
-    state: Cell<(Use, Instant)>,
+pub struct ConnectionPermit {
+    state: Cell<(Activity, Instant)>,
     /// Told to give way.
     pub cut: Notify,
     /// Since when it was.
     leaving: Cell<Option<Instant>>,
     told: Notify,
-    home: Rc<Places>,
+    home: Rc<ConnectionLimiter>,
 }
 
-pub struct Places {
+pub struct ConnectionLimiter {
     most: Cell<usize>,
     /// What gives way at the bound, and all that holds its place for less.
-    yields: Use,
+    yields: Activity,
     /// Those told to give way are here until they have gone: until then they hold a descriptor.
-    taken: RefCell<Vec<Rc<Place>>>,
+    taken: RefCell<Vec<Rc<ConnectionPermit>>>,
     /// Accepted, and waiting for one to go: the queue has no other way to tell that somebody comes.
     door: RefCell<Option<TcpStream>>,
     /// A place has come free, or its connection idle.
     freed: Notify,
 }
 
-impl Places {
-    pub fn new(most: usize, yields: Use) -> Rc<Self> {
+impl ConnectionLimiter {
+    pub fn new(most: usize, yields: Activity) -> Rc<Self> {
         let (most, taken, door) = (Cell::new(most), RefCell::default(), RefCell::default());
-        Rc::new(Places {
+        Rc::new(ConnectionLimiter {
             most,
             yields,
             taken,
@@ -78,7 +78,7 @@
 
     /// A new connection would get a place, if need be that of one that gives way.
     pub fn room(&self) -> bool {
-        let yields = |p: &Rc<Place>| p.state.get().0 <= self.yields;
+        let yields = |p: &Rc<ConnectionPermit>| p.state.get().0 <= self.yields;
         let taken = self.taken.borrow();
         taken.len() < self.most.get() || taken.iter().any(yields)
     }
@@ -86,7 +86,10 @@
     /// Accepts a connection once there is a place for it. It stays in the machine's queue until one would give way, where
     /// another process that holds the same listening socket may take it, and nothing is dropped unheard. It is served
     /// once that one has gone: beside those with places one more holds a descriptor.
-    pub async fn accept(self: &Rc<Self>, listener: &TcpListener) -> io::Result<(TcpStream, Taken)> {
+    pub async fn accept(
+        self: &Rc<Self>,
+        listener: &TcpListener,
+    ) -> io::Result<(TcpStream, PermitGuard)> {
         loop {
             if self.door.borrow().is_none() {
                 let accepted = poll_fn(|cx| {
@@ -106,7 +109,8 @@
             {
                 return Ok((tcp, self.beyond(Instant::now())));
             }
-            let goes = |p: &Rc<Place>| p.leaving.get().is_some_and(|at| at.elapsed() < LEAVE);
+            let goes =
+                |p: &Rc<ConnectionPermit>| p.leaving.get().is_some_and(|at| at.elapsed() < LEAVE);
             let going = self.taken.borrow().iter().any(goes);
             if !going {
                 self.give_way();
@@ -126,7 +130,7 @@
     /// A place for a new connection. At the bound the oldest without a request gives way, else the one idle for longest:
     /// clients that connect and say nothing, or keep what they used once, must not shut others out. None if
     /// no one yields.
-    pub fn take(self: &Rc<Self>, now: Instant) -> Option<Taken> {
+    pub fn take(self: &Rc<Self>, now: Instant) -> Option<PermitGuard> {
         if self.staying() >= self.most.get() && !self.give_way() {
             return None;
         }
@@ -134,16 +138,16 @@
     }
 
     /// A place whatever the bound says: for what is already here when the last are let in.
-    pub fn beyond(self: &Rc<Self>, now: Instant) -> Taken {
-        let place = Rc::new(Place {
-            state: Cell::new((Use::Silent, now)),
+    pub fn beyond(self: &Rc<Self>, now: Instant) -> PermitGuard {
+        let place = Rc::new(ConnectionPermit {
+            state: Cell::new((Activity::Silent, now)),
             cut: Notify::new(),
             leaving: Cell::default(),
             told: Notify::new(),
             home: self.clone(),
         });
         self.taken.borrow_mut().push(place.clone());
-        Taken(place)
+        PermitGuard(place)
     }
 
     /// Makes one give way, if any yields.
@@ -151,7 +155,7 @@
         let taken = self.taken.borrow();
         // By age among those without a request, asked or not: in a crowd that asks and stays, the youngest is
         // likely to be a client on its way to ask.
-        let rank = |(what, since): (Use, Instant)| (what.max(Use::Asked), since);
+        let rank = |(what, since): (Activity, Instant)| (what.max(Activity::Asked), since);
         let staying = taken.iter().filter(|p| p.leaving.get().is_none());
         let least = staying.min_by_key(|p| rank(p.state.get()));
         let Some(least) = least.filter(|p| p.state.get().0 <= self.yields) else {
@@ -164,11 +168,11 @@
     }
 }
 
-impl Place {
+impl ConnectionPermit {
     /// It is used for this from now on.
-    pub fn uses(&self, what: Use, now: Instant) {
+    pub fn uses(&self, what: Activity, now: Instant) {
         self.state.set((what, now));
-        if what == Use::Idle {
+        if what == Activity::Idle {
             self.home.freed.notify_one();
         }
     }
@@ -179,7 +183,7 @@
         self.told.notified().await;
         // After that the runtime has heard of all that the machine has unread.
         tokio::task::yield_now().await;
-        if self.state.get().0 != Use::Silent {
+        if self.state.get().0 != Activity::Silent {
             std::future::pending::<()>().await;
         }
     }
@@ -189,22 +193,22 @@
         self.leaving.get().is_some()
     }
 
-    pub fn state(&self) -> (Use, Instant) {
+    pub fn state(&self) -> (Activity, Instant) {
         self.state.get()
     }
 }
 
 /// A place while it is taken.
-pub struct Taken(Rc<Place>);
+pub struct PermitGuard(Rc<ConnectionPermit>);
 
-impl std::ops::Deref for Taken {
-    type Target = Place;
-    fn deref(&self) -> &Place {
+impl std::ops::Deref for PermitGuard {
+    type Target = ConnectionPermit;
+    fn deref(&self) -> &ConnectionPermit {
         &self.0
     }
 }
 
-impl Drop for Taken {
+impl Drop for PermitGuard {
     fn drop(&mut self) {
         self.0
             .home
--- a/src/transport/connection_limiter/tests.rs
+++ b/src/transport/connection_limiter/tests.rs
@@ -2,26 +2,26 @@
 
 #[test]
 fn at_the_bound_the_silent_give_way_then_the_longest_idle_and_never_the_busy() {
-    let (places, now) = (Places::new(3, Use::Idle), Instant::now());
+    let (places, now) = (ConnectionLimiter::new(3, Activity::Idle), Instant::now());
     let at = |s| now + Duration::from_secs(s);
-    let three: Vec<Taken> = (0..3).map(|s| places.take(at(s)).unwrap()).collect();
-    three[0].uses(Use::Idle, at(5));
-    three[1].uses(Use::Idle, at(4));
-    let cut = |p: &Taken| {
+    let three: Vec<PermitGuard> = (0..3).map(|s| places.take(at(s)).unwrap()).collect();
+    three[0].uses(Activity::Idle, at(5));
+    three[1].uses(Activity::Idle, at(4));
+    let cut = |p: &PermitGuard| {
         use futures_util::FutureExt;
         p.cut.notified().now_or_never().is_some()
     };
     let fourth = places.take(at(6)).unwrap();
     assert!(cut(&three[2]), "never asked anything");
-    fourth.uses(Use::Busy, at(6));
+    fourth.uses(Activity::Busy, at(6));
     let fifth = places.take(at(7)).unwrap();
     assert!(cut(&three[1]) && !cut(&three[0]), "idle for longest");
-    fifth.uses(Use::Busy, at(7));
-    three[0].uses(Use::Busy, at(8));
+    fifth.uses(Activity::Busy, at(7));
+    three[0].uses(Activity::Busy, at(8));
     assert!(places.take(at(9)).is_none(), "all are busy");
     drop(fourth);
     let sixth = places.take(at(9)).unwrap();
-    sixth.uses(Use::Asked, at(10));
+    sixth.uses(Activity::Asked, at(10));
     drop(fifth);
     let young = places.take(at(11)).unwrap();
     let _seventh = places.take(at(12)).unwrap();
@@ -40,11 +40,11 @@
         here.set_nonblocking(true).unwrap();
         let other = TcpListener::from_std(here.try_clone().unwrap()).unwrap();
         let here = TcpListener::from_std(here).unwrap();
-        let places = Places::new(1, Use::Idle);
+        let places = ConnectionLimiter::new(1, Activity::Idle);
         let at = here.local_addr().unwrap();
         let _a = TcpStream::connect(at).await.unwrap();
         let (_, busy) = places.accept(&here).await.unwrap();
-        busy.uses(Use::Busy, Instant::now());
+        busy.uses(Activity::Busy, Instant::now());
         let _b = TcpStream::connect(at).await.unwrap();
         tokio::select! {
             _ = places.accept(&here) => panic!("there is no place"),
@@ -68,7 +68,10 @@
         .unwrap();
     runtime.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (places, at) = (Places::new(2, Use::Idle), listener.local_addr().unwrap());
+        let (places, at) = (
+            ConnectionLimiter::new(2, Activity::Idle),
+            listener.local_addr().unwrap(),
+        );
         let mut clients = vec![];
         let mut taken = vec![];
         for _ in 0..2 {
@@ -77,7 +80,7 @@
         }
         taken
             .iter()
-            .for_each(|(_, place)| place.uses(Use::Idle, Instant::now()));
+            .for_each(|(_, place)| place.uses(Activity::Idle, Instant::now()));
         clients.push(TcpStream::connect(at).await.unwrap());
         clients.push(TcpStream::connect(at).await.unwrap());
         let soon = Duration::from_millis(20);
@@ -109,7 +112,7 @@
             clients[2].local_addr().unwrap(),
             "it kept its turn"
         );
-        place.uses(Use::Busy, Instant::now());
+        place.uses(Activity::Busy, Instant::now());
         assert!(
             tokio::time::timeout(soon, places.accept(&listener))
                 .await
@@ -130,10 +133,10 @@
         .build()
         .unwrap();
     runtime.block_on(async {
-        let (places, now) = (Places::new(4, Use::Idle), Instant::now());
-        let four: Vec<Taken> = (0..4).map(|_| places.take(now).unwrap()).collect();
-        four[0].uses(Use::Busy, now);
-        four[1].uses(Use::Idle, now);
+        let (places, now) = (ConnectionLimiter::new(4, Activity::Idle), Instant::now());
+        let four: Vec<PermitGuard> = (0..4).map(|_| places.take(now).unwrap()).collect();
+        four[0].uses(Activity::Busy, now);
+        four[1].uses(Activity::Idle, now);
         places.bound(1);
         let told: Vec<_> = four.iter().map(|p| p.leaving.get().is_some()).collect();
         assert_eq!(told, [false, true, true, true]);
--- a/src/transport/framed.rs
+++ b/src/transport/framed.rs
@@ -24,9 +24,9 @@
 const KEPT: usize = 64;
 
 #[derive(Clone, Default)]
-pub struct Pool(Rc<RefCell<Vec<BytesMut>>>);
+pub struct BufferPool(Rc<RefCell<Vec<BytesMut>>>);
 
-impl Pool {
+impl BufferPool {
     pub fn take(&self) -> Buffer {
         let bytes = self
             .0
@@ -52,7 +52,7 @@
 /// A buffer on loan.
 pub struct Buffer {
     bytes: BytesMut,
-    home: Pool,
+    home: BufferPool,
 }
 
 impl Deref for Buffer {
@@ -86,9 +86,9 @@
 }
 
 /// A connection whose two buffers are on loan from the pool, while there is something to read or write.
-pub struct Wire<C, S = TcpStream> {
+pub struct FramedConnection<C, S = TcpStream> {
     framed: Option<Framed<S, C>>,
-    pool: Pool,
+    pool: BufferPool,
     resting: bool,
     /// Bytes that the peer has to take, and since when: what stood to be written when that span began.
     owed: (usize, Instant),
@@ -96,7 +96,7 @@
 
 /// What a turn of a connection reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reads {
+pub enum ReadInterest {
     Items,
     /// What comes is of no use any more: only its end is of interest.
     Away,
@@ -104,7 +104,7 @@
 }
 
 /// What a turn of a connection has come to.
-pub enum Turn<I, E> {
+pub enum ConnectionEvent<I, E> {
     Written,
     Heard(I),
     /// So many bytes were read away.
@@ -118,7 +118,7 @@
 
 /// What a look at a connection itself shows, past what the runtime has been told of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unread {
+pub enum PendingInput {
     Nothing,
     Bytes,
     /// Its peer has closed or reset it.
@@ -127,25 +127,25 @@
 
 /// Looks at what the machine holds for this connection, unread. The runtime's own notion of it is as old as the last
 /// time it waited: what has come since would be overlooked.
-pub fn unread(tcp: &TcpStream) -> Unread {
+pub fn unread(tcp: &TcpStream) -> PendingInput {
     let mut byte = [std::mem::MaybeUninit::uninit()];
     match socket2::SockRef::from(tcp).peek(&mut byte) {
-        Ok(0) => Unread::End,
-        Ok(_) => Unread::Bytes,
+        Ok(0) => PendingInput::End,
+        Ok(_) => PendingInput::Bytes,
         Err(e)
             if matches!(
                 e.kind(),
                 io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
             ) =>
         {
-            Unread::Nothing
+            PendingInput::Nothing
         }
-        Err(_) => Unread::End,
+        Err(_) => PendingInput::End,
     }
 }
 
-impl<C, S> Wire<C, S> {
-    pub fn new(pool: &Pool, stream: S, codec: C) -> Self
+impl<C, S> FramedConnection<C, S> {
+    pub fn new(pool: &BufferPool, stream: S, codec: C) -> Self
     where
         C: Decoder,
         S: AsyncRead + AsyncWrite,
@@ -154,7 +154,7 @@
         parts.read_buf = std::mem::take(&mut pool.take().bytes);
         parts.write_buf = std::mem::take(&mut pool.take().bytes);
         let owed = (0, Instant::now());
-        Wire {
+        FramedConnection {
             framed: Some(Framed::from_parts(parts)),
             pool: pool.clone(),
             resting: false,
@@ -237,7 +237,7 @@
     }
 }
 
-impl<C, S: Socket> Wire<C, S> {
+impl<C, S: Socket> FramedConnection<C, S> {
     /// Puts something where nothing is left to be written, and writes what the machine takes at once. False if that is not
     /// a byte: then nothing of it stays here.
     pub fn begin<I>(&mut self, item: I) -> Result<bool, <C as Encoder<I>>::Error>
@@ -292,7 +292,11 @@
 
     /// The next thing that happens: all is written, something is here, or (if asked for) the machine takes bytes. Neither
     /// half waits for the other, and nothing is lost if it is dropped.
-    pub async fn turn(&mut self, reads: Reads, room: bool) -> Turn<C::Item, C::Error>
+    pub async fn turn(
+        &mut self,
+        reads: ReadInterest,
+        room: bool,
+    ) -> ConnectionEvent<C::Item, C::Error>
     where
         C: Decoder,
     {
@@ -300,21 +304,22 @@
             if !self.written()
                 && let Poll::Ready(out) = self.poll_out(cx)
             {
-                return Poll::Ready(
-                    out.map_or_else(|e| Turn::Broken(e.into()), |()| Turn::Written),
-                );
+                return Poll::Ready(out.map_or_else(
+                    |e| ConnectionEvent::Broken(e.into()),
+                    |()| ConnectionEvent::Written,
+                ));
             }
             let read = match reads {
-                Reads::Nothing => Poll::Pending,
-                Reads::Items => self.poll_heard(cx).map(|heard| match heard {
-                    Some(Ok(item)) => Turn::Heard(item),
-                    Some(Err(e)) => Turn::Broken(e),
-                    None => Turn::End,
+                ReadInterest::Nothing => Poll::Pending,
+                ReadInterest::Items => self.poll_heard(cx).map(|heard| match heard {
+                    Some(Ok(item)) => ConnectionEvent::Heard(item),
+                    Some(Err(e)) => ConnectionEvent::Broken(e),
+                    None => ConnectionEvent::End,
                 }),
-                Reads::Away => self.poll_away(cx).map(|read| match read {
-                    Ok(0) => Turn::End,
-                    Ok(n) => Turn::Away(n),
-                    Err(e) => Turn::Broken(e.into()),
+                ReadInterest::Away => self.poll_away(cx).map(|read| match read {
+                    Ok(0) => ConnectionEvent::End,
+                    Ok(n) => ConnectionEvent::Away(n),
+                    Err(e) => ConnectionEvent::Broken(e.into()),
                 }),
             };
             match read {
@@ -322,7 +327,7 @@
                     .get_ref()
                     .tcp()
                     .poll_write_ready(cx)
-                    .map(|_| Turn::Room),
+                    .map(|_| ConnectionEvent::Room),
                 read => read,
             }
         })
@@ -330,7 +335,7 @@
     }
 }
 
-impl<C, S: AsyncRead + AsyncWrite + Unpin> Wire<C, S> {
+impl<C, S: AsyncRead + AsyncWrite + Unpin> FramedConnection<C, S> {
     /// Reads on while its peer is owed an answer, so that its end is seen behind what it has said: ends with the peer, or
     /// once what is unread is its `last` word. What was read stays to be heard.
     ///
@@ -385,20 +390,20 @@
     }
 }
 
-impl<C, S> Deref for Wire<C, S> {
+impl<C, S> Deref for FramedConnection<C, S> {
     type Target = Framed<S, C>;
     fn deref(&self) -> &Self::Target {
         self.framed.as_ref().expect("taken only when it is dropped")
     }
 }
 
-impl<C, S> DerefMut for Wire<C, S> {
+impl<C, S> DerefMut for FramedConnection<C, S> {
     fn deref_mut(&mut self) -> &mut Self::Target {
         self.framed.as_mut().expect("taken only when it is dropped")
     }
 }
 
-impl<C, S> Drop for Wire<C, S> {
+impl<C, S> Drop for FramedConnection<C, S> {
     fn drop(&mut self) {
         if let Some(framed) = self.framed.take() {
             let parts = framed.into_parts();
--- a/src/transport/framed/tests.rs
+++ b/src/transport/framed/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn a_buffer_is_used_again_unless_it_has_grown() {
-    let pool = Pool::default();
+    let pool = BufferPool::default();
     let mut a = pool.take();
     a.extend_from_slice(&[1; 100]);
     let place = a.as_ptr();
@@ -29,14 +29,14 @@
         let mut peer = TcpStream::connect(listener.local_addr().unwrap())
             .await
             .unwrap();
-        let pool = Pool::default();
-        let mut wire = Wire::new(&pool, listener.accept().await.unwrap().0, LinesCodec::new());
+        let pool = BufferPool::default();
+        let mut wire = FramedConnection::new(&pool, listener.accept().await.unwrap().0, LinesCodec::new());
         wire.rest();
         assert_eq!(pool.0.borrow().len(), 2, "both are back");
         peer.write_all(b"one\ntwo\n").await.unwrap();
-        assert!(matches!(wire.turn(Reads::Items, false).await, Turn::Heard(line) if line == "one"));
+        assert!(matches!(wire.turn(ReadInterest::Items, false).await, ConnectionEvent::Heard(line) if line == "one"));
         wire.rest();
         assert_eq!(pool.0.borrow().len(), 0, "not while something is in them");
-        assert!(matches!(wire.turn(Reads::Items, false).await, Turn::Heard(line) if line == "two"));
+        assert!(matches!(wire.turn(ReadInterest::Items, false).await, ConnectionEvent::Heard(line) if line == "two"));
     });
 }
--- a/src/transport/stream.rs
+++ b/src/transport/stream.rs
@@ -1,7 +1,7 @@
 //! A client's connection, in the clear or in TLS.
 
 use crate::transport::client_socket::{ClientSocket, Watch};
-use crate::transport::framed::Unread;
+use crate::transport::framed::PendingInput;
 use bytes::BytesMut;
 use std::io;
 use std::pin::Pin;
@@ -79,7 +79,7 @@
     }
 
     /// What the machine holds unread of the peer, in the clear or not.
-    pub fn unread(&self) -> Unread {
+    pub fn unread(&self) -> PendingInput {
         self.watch().unread()
     }
 }
--- a/src/transport/tls.rs
+++ b/src/transport/tls.rs
@@ -68,14 +68,14 @@
 type Stamp = Vec<Option<(SystemTime, u64)>>;
 
 /// The keys in force.
-pub struct Keys {
+pub struct TlsKeys {
     source: RefCell<TlsSource>,
     loaded: RefCell<Loaded>,
     stamp: RefCell<Stamp>,
     notices: RefCell<Vec<Notice>>,
 }
 
-impl Keys {
+impl TlsKeys {
     /// # Errors
     /// A file cannot be used; the error names it.
     pub fn open(source: &TlsSource) -> Result<Rc<Self>, TlsError> {
@@ -87,7 +87,7 @@
             RefCell::new(stamp),
             RefCell::new(source.clone()),
         );
-        Ok(Rc::new(Keys {
+        Ok(Rc::new(TlsKeys {
             source,
             loaded,
             stamp,
--- a/src/upstream/mysql/downstream.rs
+++ b/src/upstream/mysql/downstream.rs
@@ -5,7 +5,7 @@
 use crate::decision::model::Millis;
 use crate::protocol::mysql::packet::PacketError;
 use crate::transport::client_socket::Watch;
-use crate::transport::framed::Unread;
+use crate::transport::framed::PendingInput;
 use std::cell::Cell;
 use tokio::sync::Notify;
 
@@ -59,9 +59,9 @@
     pub fn look(&self) -> Look {
         match self.socket.unread() {
             _ if self.killed.get() => Look::Gone,
-            Unread::Nothing => Look::Waits,
-            Unread::Bytes => Look::Unheard,
-            Unread::End => Look::Gone,
+            PendingInput::Nothing => Look::Waits,
+            PendingInput::Bytes => Look::Unheard,
+            PendingInput::End => Look::Gone,
         }
     }
 
--- a/src/upstream/mysql/mod.rs
+++ b/src/upstream/mysql/mod.rs
@@ -12,7 +12,7 @@
 use crate::decision::model::*;
 use crate::discovery::Change;
 use crate::discovery::membership_driver::Witness;
-use crate::dispatch::request_router::{Hub, Start, Upstream};
+use crate::dispatch::request_router::{RequestRouter, Start, Upstream};
 use crate::membership::Seen;
 use crate::protocol::mysql::auth;
 use crate::protocol::mysql::error::{SqlError, code};
@@ -21,7 +21,7 @@
 use crate::say;
 use crate::spool_io::writer::Whole;
 use crate::spool_io::{Spools, Writer};
-use crate::transport::framed::{self, Pool, Unread, Wire};
+use crate::transport::framed::{self, BufferPool, FramedConnection, PendingInput};
 use crate::upstream::mysql::sticky::{Ended, Telling, Told};
 use crate::upstream::mysql::work::{Job, Output, Packets, Work};
 use bytes::{BufMut, Bytes};
@@ -80,7 +80,7 @@
 
 pub(super) struct Connection {
     live: Option<Live>,
-    pub(super) wire: Wire<PacketCodec>,
+    pub(super) wire: FramedConnection<PacketCodec>,
     /// The flags behind its last answer that was no error, and the warnings that it told of.
     pub(super) status: u16,
     warnings: u16,
@@ -144,12 +144,12 @@
         // The machine is asked as well: the runtime may not have heard yet of what came in this very turn.
         let unheard = framed::unread(self.wire.get_ref());
         let Some(said) = self.wire.next().now_or_never() else {
-            if unheard == Unread::End
+            if unheard == PendingInput::End
                 && let Some(live) = &mut self.live
             {
                 live.broken = true;
             }
-            return unheard == Unread::Nothing;
+            return unheard == PendingInput::Nothing;
         };
         // An engine that is tired of waiting says so, and has not ended.
         let tired =
@@ -210,7 +210,7 @@
     processes: Cell<usize>,
     access: Access,
     pub(super) sockets: Sockets,
-    pool: Pool,
+    pool: BufferPool,
     spools: Rc<Spools>,
     /// Who is told what connections show.
     witness: RefCell<Option<Rc<dyn Witness>>>,
@@ -243,7 +243,7 @@
 }
 
 impl MysqlUpstream {
-    pub fn new(access: Access, sockets: Sockets, pool: Pool, spools: Rc<Spools>) -> Self {
+    pub fn new(access: Access, sockets: Sockets, pool: BufferPool, spools: Rc<Spools>) -> Self {
         MysqlUpstream(Rc::new_cyclic(|weak| Shared {
             weak: weak.clone(),
             engines: RefCell::default(),
@@ -273,25 +273,25 @@
     type Work = Work;
     type Output = Output;
 
-    fn start(&self, hub: &Rc<Hub<Self>>, start: Start, work: Rc<Work>) {
+    fn start(&self, router: &Rc<RequestRouter<Self>>, start: Start, work: Rc<Work>) {
         let attempt = start.attempt;
         let written = Rc::new(Cell::new(None));
         let cut = Rc::new(Notify::new());
-        let (shared, weak, mark) = (self.0.clone(), Rc::downgrade(hub), written.clone());
+        let (shared, weak, mark) = (self.0.clone(), Rc::downgrade(router), written.clone());
         let cut_here = cut.clone();
         let engine = start.engine.clone();
         let task = spawn_local(async move {
             let told = Telling {
-                hub: weak.clone(),
+                router: weak.clone(),
                 attempt,
                 engine: start.engine.clone(),
             };
             let end = shared.attempt(&start, &work, &mark, &cut_here, &told).await;
             shared.running.borrow_mut().remove(&attempt);
-            let Some(hub) = weak.upgrade() else { return };
+            let Some(router) = weak.upgrade() else { return };
             match end {
-                Ok(output) => hub.served(attempt, vec![], output),
-                Err(outcome) => hub.ended(attempt, outcome, vec![]),
+                Ok(output) => router.served(attempt, vec![], output),
+                Err(outcome) => router.ended(attempt, outcome, vec![]),
             }
         });
         let address = self.0.engines.borrow().get(&engine).and_then(|s| s.address);
@@ -633,7 +633,7 @@
             most: self.access.most_packet,
             sequence: 0,
         };
-        let mut wire = Wire::new(&self.pool, tcp, codec);
+        let mut wire = FramedConnection::new(&self.pool, tcp, codec);
         let login = tokio::time::timeout(limit, self.log_in(&mut wire));
         let number = login.await.map_err(io::Error::from)??;
         Ok(Connection {
@@ -652,7 +652,7 @@
         })
     }
 
-    async fn log_in(&self, wire: &mut Wire<PacketCodec>) -> Result<u32, PacketError> {
+    async fn log_in(&self, wire: &mut FramedConnection<PacketCodec>) -> Result<u32, PacketError> {
         let greeting = Greeting::read(next(wire).await?)?;
         let a = &self.access;
         let known = auth::proof(&greeting.plugin, &a.password, &greeting.nonce);
@@ -1006,7 +1006,7 @@
 }
 
 pub async fn next<S: AsyncRead + Unpin>(
-    wire: &mut Wire<PacketCodec, S>,
+    wire: &mut FramedConnection<PacketCodec, S>,
 ) -> Result<Bytes, PacketError> {
     wire.next()
         .await
@@ -1023,7 +1023,7 @@
 
 /// Writes one command that no client waits for.
 pub async fn command(
-    wire: &mut Wire<PacketCodec>,
+    wire: &mut FramedConnection<PacketCodec>,
     kind: u8,
     parts: &[&[u8]],
 ) -> Result<(), PacketError> {
--- a/src/upstream/mysql/sticky.rs
+++ b/src/upstream/mysql/sticky.rs
@@ -5,7 +5,7 @@
 use crate::clock::unix_ms;
 use crate::core::AttemptId;
 use crate::decision::model::{Millis, ProgressNote};
-use crate::dispatch::request_router::{Hub, Upstream};
+use crate::dispatch::request_router::{RequestRouter, Upstream};
 use crate::protocol::mysql::error::{SqlError, code};
 use crate::protocol::mysql::packet::*;
 use crate::protocol::mysql::session::Context;
@@ -95,41 +95,41 @@
 }
 
 /// An attempt's hub, as long as it lives.
-pub struct Telling<L: Upstream> {
-    pub hub: Weak<Hub<L>>,
+pub struct Telling<U: Upstream> {
+    pub router: Weak<RequestRouter<U>>,
     pub attempt: AttemptId,
     pub engine: String,
 }
 
-impl<L: Upstream> Told for Telling<L> {
+impl<U: Upstream> Told for Telling<U> {
     fn in_service(&self) -> bool {
-        self.hub
+        self.router
             .upgrade()
-            .is_some_and(|hub| hub.in_service(&self.engine))
+            .is_some_and(|router| router.in_service(&self.engine))
     }
     fn sent(&self) {
-        self.hub
+        self.router
             .upgrade()
             .into_iter()
-            .for_each(|hub| hub.written(1));
+            .for_each(|router| router.written(1));
     }
     fn holds(&self) {
-        self.hub
+        self.router
             .upgrade()
             .into_iter()
-            .for_each(|hub| hub.answering(self.attempt));
+            .for_each(|router| router.answering(self.attempt));
     }
     fn idle(&self) {
-        self.hub
+        self.router
             .upgrade()
             .into_iter()
-            .for_each(|hub| hub.note(self.attempt, ProgressNote::Idle));
+            .for_each(|router| router.note(self.attempt, ProgressNote::Idle));
     }
     fn works(&self) {
-        self.hub
+        self.router
             .upgrade()
             .into_iter()
-            .for_each(|hub| hub.note(self.attempt, ProgressNote::Works));
+            .for_each(|router| router.note(self.attempt, ProgressNote::Works));
     }
 }
 
--- a/src/upstream/resp.rs
+++ b/src/upstream/resp.rs
@@ -6,11 +6,13 @@
 use crate::core::AttemptId;
 use crate::decision::model::*;
 use crate::discovery::Change;
-use crate::dispatch::request_router::{Hub, Start, Upstream};
+use crate::dispatch::request_router::{RequestRouter, Start, Upstream};
 use crate::frontend::frames::Work;
 use crate::say;
 use crate::transport::descriptors::Shares;
-use crate::transport::framed::{self, Buffer, Pool, Reads, Turn, Unread};
+use crate::transport::framed::{
+    self, Buffer, BufferPool, ConnectionEvent, PendingInput, ReadInterest,
+};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -287,7 +289,7 @@
     attempts: RefCell<HashMap<AttemptId, (Rc<Connection>, String)>>,
     sockets: Sockets,
     report_fields: Vec<String>,
-    pool: Pool,
+    pool: BufferPool,
     next: Cell<u64>,
     /// Connections to one engine.
     most: Cell<usize>,
@@ -304,7 +306,7 @@
 pub struct RespUpstream(Rc<Shared>);
 
 impl RespUpstream {
-    pub fn new(sockets: Sockets, report_fields: Vec<String>, pool: Pool) -> Self {
+    pub fn new(sockets: Sockets, report_fields: Vec<String>, pool: BufferPool) -> Self {
         RespUpstream(Rc::new(Shared {
             engines: RefCell::default(),
             attempts: RefCell::default(),
@@ -336,7 +338,7 @@
     /// itself while there may be more.
     fn connection(
         &self,
-        hub: &Rc<Hub<Self>>,
+        router: &Rc<RequestRouter<Self>>,
         engine: &str,
         txn: &str,
         alone: bool,
@@ -402,17 +404,17 @@
             look: tokio::sync::Notify::new(),
         });
         slot.connections.push(connection.clone());
-        let (shared, hub, mine) = (self.0.clone(), Rc::downgrade(hub), connection.clone());
+        let (shared, router, mine) = (self.0.clone(), Rc::downgrade(router), connection.clone());
         let engine = engine.to_string();
         tokio::task::spawn_local(async move {
             let mut connected = false;
             if let Err(e) = shared
-                .run(&hub, &engine, &mine, inbox, &mut connected)
+                .run(&router, &engine, &mine, inbox, &mut connected)
                 .await
             {
                 say!("engine {engine} at {}: {e}", mine.address);
             }
-            shared.close(&hub, &engine, &mine, connected);
+            shared.close(&router, &engine, &mine, connected);
         });
         Some(connection)
     }
@@ -422,10 +424,10 @@
     type Work = Work;
     type Output = Buffer;
 
-    fn start(&self, hub: &Rc<Hub<Self>>, start: Start, work: Rc<Work>) {
+    fn start(&self, router: &Rc<RequestRouter<Self>>, start: Start, work: Rc<Work>) {
         let attempt = start.attempt;
-        let Some(c) = self.connection(hub, &start.engine, &work.txn, start.alone) else {
-            return hub.ended(attempt, Outcome::Unreachable, vec![]);
+        let Some(c) = self.connection(router, &start.engine, &work.txn, start.alone) else {
+            return router.ended(attempt, Outcome::Unreachable, vec![]);
         };
         let txn = work.txn.clone();
         let alone = start.alone;
@@ -439,7 +441,7 @@
             },
         };
         if c.orders.try_send(Do::Get(txn.clone())).is_err() {
-            return hub.ended(attempt, Outcome::Unreachable, vec![]);
+            return router.ended(attempt, Outcome::Unreachable, vec![]);
         }
         if c.pending.borrow().is_empty() {
             c.heard.set(unix_ms());
@@ -573,7 +575,7 @@
     }
 }
 
-type Wire = framed::Wire<RespCodec>;
+type FramedConnection = framed::FramedConnection<RespCodec>;
 
 /// A descriptor for a connection to an engine.
 struct Held<'a>(&'a Shared);
@@ -635,7 +637,7 @@
 
     async fn run(
         &self,
-        hub: &Weak<Hub<RespUpstream>>,
+        router: &Weak<RequestRouter<RespUpstream>>,
         engine: &str,
         c: &Connection,
         mut inbox: mpsc::Receiver<Do>,
@@ -663,17 +665,18 @@
         let _ = socket2::SockRef::from(&tcp).set_send_buffer_size(framed::SIZE);
         *connected = true;
         c.up.set(true);
-        let mut framed = Wire::new(&self.pool, tcp, RespCodec);
-        self.converse(hub, engine, c, &mut inbox, &mut framed).await
+        let mut framed = FramedConnection::new(&self.pool, tcp, RespCodec);
+        self.converse(router, engine, c, &mut inbox, &mut framed)
+            .await
     }
 
     async fn converse(
         &self,
-        hub: &Weak<Hub<RespUpstream>>,
+        router: &Weak<RequestRouter<RespUpstream>>,
         engine: &str,
         c: &Connection,
         inbox: &mut mpsc::Receiver<Do>,
-        framed: &mut Wire,
+        framed: &mut FramedConnection,
     ) -> Result<(), RespError> {
         // Closed by us well before the engine does: a request must not cross its close.
         let idle = span(self.sockets.idle * 0.8);
@@ -688,9 +691,10 @@
                 *c.half.borrow_mut() = None;
                 c.unwanted.set(None);
                 // Only now is the last byte of each written.
-                hub.upgrade()
+                router
+                    .upgrade()
                     .into_iter()
-                    .for_each(|hub| hub.written(std::mem::take(&mut gets)));
+                    .for_each(|router| router.written(std::mem::take(&mut gets)));
             }
             let none = c.pending.borrow().is_empty();
             if c.closing.get() && none && framed.written() {
@@ -708,30 +712,30 @@
                 () = c.cut.notified() => return Ok(()),
                 // Before orders: a reset while it was idle must be seen before a request is written into it,
                 // for that one would count as run.
-                turn = framed.turn(Reads::Items, matches!(waits, Some((_, For::Room)))) => match turn {
-                    Turn::Written | Turn::Away(_) => {}
-                    Turn::Room => {
+                turn = framed.turn(ReadInterest::Items, matches!(waits, Some((_, For::Room)))) => match turn {
+                    ConnectionEvent::Written | ConnectionEvent::Away(_) => {}
+                    ConnectionEvent::Room => {
                         if let Some((order, _)) = waits.take() {
-                            gets += self.order(hub, engine, c, order, framed, &mut waits)?;
+                            gets += self.order(router, engine, c, order, framed, &mut waits)?;
                         }
                     }
-                    Turn::End => return Ok(()),
-                    Turn::Broken(e) => return Err(e),
-                    Turn::Heard(answer) => {
+                    ConnectionEvent::End => return Ok(()),
+                    ConnectionEvent::Broken(e) => return Err(e),
+                    ConnectionEvent::Heard(answer) => {
                         partial = 0;
                         c.stands.set(false);
                         c.heard.set(unix_ms());
-                        self.answer(hub, c, &answer, framed)?;
+                        self.answer(router, c, &answer, framed)?;
                     }
                 },
                 order = inbox.recv(), if framed.written() && waits.is_none() => {
                     let Some(order) = order else { return Ok(()) };
-                    gets += self.order(hub, engine, c, order, framed, &mut waits)?;
+                    gets += self.order(router, engine, c, order, framed, &mut waits)?;
                 }
                 // After that the runtime has heard of all that the machine has unread, and the turn above came first.
                 () = tokio::task::yield_now(), if matches!(waits, Some((_, For::Reading))) => {
                     if let Some((order, _)) = waits.take() {
-                        gets += self.order(hub, engine, c, order, framed, &mut waits)?;
+                        gets += self.order(router, engine, c, order, framed, &mut waits)?;
                     }
                 }
                 () = tokio::time::sleep(unwanted.unwrap_or_default()), if unwanted.is_some() => {
@@ -759,18 +763,18 @@
     /// its engine drain.
     fn order(
         &self,
-        hub: &Weak<Hub<RespUpstream>>,
+        router: &Weak<RequestRouter<RespUpstream>>,
         engine: &str,
         c: &Connection,
         order: Do,
-        framed: &mut Wire,
+        framed: &mut FramedConnection,
         waits: &mut Option<(Do, For)>,
     ) -> Result<usize, RespError> {
         let txn = match order {
             Do::Drop(txn) => return framed.put(&[b"DROP", txn.as_bytes()][..]).map(|()| 0),
             Do::Get(txn) => txn,
         };
-        let Some(hub) = hub.upgrade() else {
+        let Some(router) = router.upgrade() else {
             return Ok(0);
         };
         let mut pending = c.pending.borrow_mut();
@@ -791,7 +795,7 @@
         let late = left < 1.0 || now >= write_by;
         // The connection took its time: the engine may drain by now, or the time be over, its own or that of a repeat. It
         // never ran.
-        if late || !hub.in_service(engine) {
+        if late || !router.in_service(engine) {
             let attempt = start.attempt;
             drop(pending);
             self.forget(c, &txn, attempt);
@@ -800,16 +804,18 @@
             } else {
                 Outcome::Unreachable
             };
-            hub.ended(attempt, outcome, vec![]);
+            router.ended(attempt, outcome, vec![]);
             return Ok(0);
         }
         // The engine may have closed it in this very turn, and its client may have gone or left since its task had its turn:
         // the machine is asked, and what is unread is read first. Nothing begins for a client that has closed.
         let client = work.client();
         let first = !std::mem::replace(looked, true);
-        let unread =
-            || client == Unread::Bytes || framed::unread(framed.get_ref()) != Unread::Nothing;
-        if client == Unread::End || first && unread() {
+        let unread = || {
+            client == PendingInput::Bytes
+                || framed::unread(framed.get_ref()) != PendingInput::Nothing
+        };
+        if client == PendingInput::End || first && unread() {
             *waits = Some((Do::Get(txn), For::Reading));
             return Ok(0);
         }
@@ -848,12 +854,12 @@
     /// Takes an engine's answer.
     fn answer(
         &self,
-        hub: &Weak<Hub<RespUpstream>>,
+        router: &Weak<RequestRouter<RespUpstream>>,
         c: &Connection,
         words: &[Bytes],
-        framed: &mut Wire,
+        framed: &mut FramedConnection,
     ) -> Result<(), RespError> {
-        let Some(hub) = hub.upgrade() else {
+        let Some(router) = router.upgrade() else {
             return Ok(());
         };
         let [id, word, rest @ ..] = words else {
@@ -875,7 +881,7 @@
         let outcome = match word {
             "EVENT" => {
                 if let Some(note) = note(&fields) {
-                    hub.note(attempt, note);
+                    router.note(attempt, note);
                 }
                 return Ok(());
             }
@@ -883,11 +889,11 @@
                 if let Err(e) = self.part(c, id, word, &fields, body, framed) {
                     // It has run, and its result is spoilt.
                     self.forget(c, txn, attempt);
-                    hub.ended(attempt, Outcome::Error, vec![]);
+                    router.ended(attempt, Outcome::Error, vec![]);
                     return Err(e);
                 }
-                hub.answering(attempt);
-                self.whole(&hub, c, txn, attempt);
+                router.answering(attempt);
+                self.whole(&router, c, txn, attempt);
                 return Ok(());
             }
             "AGAIN" => Outcome::Rejected,
@@ -898,7 +904,7 @@
             _ => return Err(RespError::Form),
         };
         self.forget(c, txn, attempt);
-        hub.ended(attempt, outcome, told());
+        router.ended(attempt, outcome, told());
         Ok(())
     }
 
@@ -910,7 +916,7 @@
         word: &str,
         fields: &str,
         body: Bytes,
-        framed: &mut Wire,
+        framed: &mut FramedConnection,
     ) -> Result<(), RespError> {
         let number = |name: &str| field(fields, name).and_then(|t| t.parse::<usize>().ok());
         let txn = std::str::from_utf8(id).map_err(|_| RespError::Form)?;
@@ -970,7 +976,13 @@
     }
 
     /// Once all pages are here, the result goes on in one piece.
-    fn whole(&self, hub: &Rc<Hub<RespUpstream>>, c: &Connection, txn: &str, attempt: AttemptId) {
+    fn whole(
+        &self,
+        router: &Rc<RequestRouter<RespUpstream>>,
+        c: &Connection,
+        txn: &str,
+        attempt: AttemptId,
+    ) {
         let whole = |p: &Pending| matches!(p.stage, Stage::Paging { missing: 0, .. });
         if !c.pending.borrow().get(txn).is_some_and(whole) {
             return;
@@ -988,7 +1000,7 @@
                 .iter()
                 .flatten()
                 .for_each(|p| result.extend_from_slice(p));
-            hub.served(attempt, report, result);
+            router.served(attempt, report, result);
         }
     }
 
@@ -997,7 +1009,7 @@
     /// healthy engine look as if it failed all it is sent. The others only end, by their class's rule.
     fn close(
         &self,
-        hub: &Weak<Hub<RespUpstream>>,
+        router: &Weak<RequestRouter<RespUpstream>>,
         engine: &str,
         c: &Rc<Connection>,
         connected: bool,
@@ -1007,7 +1019,9 @@
             slot.connections.retain(|o| o.number != c.number);
         }
         let pending = std::mem::take(&mut *c.pending.borrow_mut());
-        let Some(hub) = hub.upgrade() else { return };
+        let Some(router) = router.upgrade() else {
+            return;
+        };
         let mut told = false;
         for p in pending.into_values() {
             self.attempts.borrow_mut().remove(&p.attempt);
@@ -1017,7 +1031,7 @@
                 _ if !std::mem::replace(&mut told, true) => Outcome::Reset,
                 _ => Outcome::Cancelled,
             };
-            hub.ended(p.attempt, outcome, vec![]);
+            router.ended(p.attempt, outcome, vec![]);
         }
     }
 }
--- a/tests/frames.rs
+++ b/tests/frames.rs
@@ -3,9 +3,9 @@
 mod scenario;
 
 use query_dispatcher::config::Machine;
-use query_dispatcher::dispatch::request_router::Hub;
-use query_dispatcher::frontend::frames::Front;
-use query_dispatcher::transport::framed::Pool;
+use query_dispatcher::dispatch::request_router::RequestRouter;
+use query_dispatcher::frontend::frames::Frontend;
+use query_dispatcher::transport::framed::BufferPool;
 use query_dispatcher::upstream::resp::RespUpstream;
 use scenario::*;
 use std::collections::HashMap;
@@ -199,7 +199,7 @@
 }
 
 type SetUp = (
-    std::rc::Rc<Hub<RespUpstream>>,
+    std::rc::Rc<RequestRouter<RespUpstream>>,
     FramesClient,
     Vec<std::net::SocketAddr>,
     mpsc::UnboundedReceiver<Seen>,
@@ -214,19 +214,19 @@
     let (addresses, seen) = engines(engine).await;
     let (core, names, mut sockets) = core();
     sockets.notes = notes;
-    let pool = Pool::default();
-    let hub = Hub::new(
+    let pool = BufferPool::default();
+    let router = RequestRouter::new(
         core,
         names,
         RespUpstream::new(sockets, vec![], pool.clone()),
     );
-    hub.change(&change(&addresses, None));
-    spawn_local(hub.clone().clock());
+    router.change(&change(&addresses, None));
+    spawn_local(router.clone().clock());
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     spawn_local(
-        Front::new(
-            hub.clone(),
+        Frontend::new(
+            router.clone(),
             pool,
             &Machine {
                 memory_mb: 4,
@@ -235,7 +235,7 @@
         )
         .accept(listener),
     );
-    (hub, FramesClient::new(address).await, addresses, seen)
+    (router, FramesClient::new(address).await, addresses, seen)
 }
 
 #[test]
@@ -243,8 +243,8 @@
     for (tells, script) in ALIKE {
         println!("{tells}");
         on_one_thread(async {
-            let (hub, mut client, addresses, mut seen) = set_up().await;
-            play(&hub, &mut client, &addresses, &mut seen, script).await;
+            let (router, mut client, addresses, mut seen) = set_up().await;
+            play(&router, &mut client, &addresses, &mut seen, script).await;
         });
     }
 }
@@ -255,8 +255,8 @@
     let script = "send a lookup\n engine lookup\n engine lookup\n reply rows\n expect a served
         send b load\n engine load\n wait 500\n reply rows\n expect b served\n ran 3";
     on_one_thread(async {
-        let (hub, mut client, addresses, mut seen) = set_up_with_notes(50.0).await;
-        play(&hub, &mut client, &addresses, &mut seen, script).await;
+        let (router, mut client, addresses, mut seen) = set_up_with_notes(50.0).await;
+        play(&router, &mut client, &addresses, &mut seen, script).await;
     });
 }
 
@@ -269,8 +269,8 @@
         figures replies.lookup.success=1 replies.lookup.overload=1 replies.lookup.error=0 replies.load.error=0
         figures dispatches=3 concurrent=0";
     on_one_thread(async {
-        let (hub, mut client, addresses, mut seen) = set_up().await;
-        play(&hub, &mut client, &addresses, &mut seen, script).await;
+        let (router, mut client, addresses, mut seen) = set_up().await;
+        play(&router, &mut client, &addresses, &mut seen, script).await;
     });
 }
 
@@ -350,12 +350,12 @@
 #[test]
 fn connections_that_ask_nothing_or_were_used_once_make_room() {
     on_one_thread(async {
-        let (hub, mut client, addresses, mut seen) = set_up().await;
+        let (router, mut client, addresses, mut seen) = set_up().await;
         let once =
             "again\n send x lookup\n engine lookup\n reply rows\n expect x served\n".repeat(10);
-        play(&hub, &mut client, &addresses, &mut seen, &once).await;
+        play(&router, &mut client, &addresses, &mut seen, &once).await;
         play(
-            &hub,
+            &router,
             &mut client,
             &addresses,
             &mut seen,
@@ -421,8 +421,8 @@
     for (tells, script) in BAD_PEERS {
         println!("{tells}");
         on_one_thread(async {
-            let (hub, mut client, addresses, mut seen) = set_up().await;
-            play(&hub, &mut client, &addresses, &mut seen, script).await;
+            let (router, mut client, addresses, mut seen) = set_up().await;
+            play(&router, &mut client, &addresses, &mut seen, script).await;
         });
     }
 }
--- a/tests/moments.rs
+++ b/tests/moments.rs
@@ -10,10 +10,10 @@
 use query_dispatcher::clock::unix_ms;
 use query_dispatcher::config::{Machine, Sockets};
 use query_dispatcher::core::{Bounds, Core, NewRequest};
-use query_dispatcher::dispatch::request_router::{Hub, Reply};
-use query_dispatcher::frontend::frames::{Front, Work};
-use query_dispatcher::server::instance_registry::Shared;
-use query_dispatcher::transport::framed::Pool;
+use query_dispatcher::dispatch::request_router::{Reply, RequestRouter};
+use query_dispatcher::frontend::frames::{Frontend, Work};
+use query_dispatcher::server::instance_registry::InstanceRegistry;
+use query_dispatcher::transport::framed::BufferPool;
 use query_dispatcher::upstream::resp::RespUpstream;
 use query_dispatcher::{DeduplicationScope, Idempotency};
 use scenario::{change, on_one_thread};
@@ -35,8 +35,8 @@
 type Answers = Rc<RefCell<Vec<(u64, &'static str)>>>;
 
 struct Stand {
-    hub: Rc<Hub<RespUpstream>>,
-    front: Rc<Front<RespUpstream>>,
+    router: Rc<RequestRouter<RespUpstream>>,
+    frontend: Rc<Frontend<RespUpstream>>,
     at: SocketAddr,
     engine: TcpListener,
     engines: Vec<SocketAddr>,
@@ -67,33 +67,33 @@
         page_wait: 600.0,
     };
     let core = Core::new(settings, 1, bounds).unwrap();
-    let pool = Pool::default();
-    let hub = Hub::new(
+    let pool = BufferPool::default();
+    let router = RequestRouter::new(
         core,
         names,
         RespUpstream::new(sockets, vec![], pool.clone()),
     );
     let engines = vec![engine.local_addr().unwrap()];
-    hub.change(&change(&engines, None));
-    spawn_local(hub.clone().clock());
+    router.change(&change(&engines, None));
+    spawn_local(router.clone().clock());
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     // The machine takes any answer whole, whether or not its client does.
     SockRef::from(&listener)
         .set_send_buffer_size(256 * 1024)
         .unwrap();
     let at = listener.local_addr().unwrap();
-    let front = Front::new(
-        hub.clone(),
+    let frontend = Frontend::new(
+        router.clone(),
         pool,
         &Machine {
             memory_mb: 64,
             sockets: 64,
         },
     );
-    spawn_local(front.clone().accept(listener));
+    spawn_local(frontend.clone().accept(listener));
     Stand {
-        hub,
-        front,
+        router,
+        frontend,
         at,
         engine,
         engines,
@@ -147,7 +147,7 @@
             };
             answers.borrow_mut().push((txn, told));
         };
-        self.hub.open(
+        self.router.open(
             new,
             Work::free(&name(txn), CLASSES[class], statement),
             Box::new(told),
@@ -162,7 +162,7 @@
     }
 
     async fn owes(&self, n: usize) {
-        until("what is owed", || self.hub.owed() == n).await;
+        until("what is owed", || self.router.owed() == n).await;
     }
 
     /// The engine's next connection.
@@ -238,7 +238,11 @@
     let filler = TcpStream::connect(s.engines[0]).await.unwrap();
     drop(engine);
     pass(350).await;
-    assert_eq!(s.hub.owed(), 1, "its repeat waits, and the window is over");
+    assert_eq!(
+        s.router.owed(),
+        1,
+        "its repeat waits, and the window is over"
+    );
     drop((s.dialled().await, filler));
     let mut late = s.dialled().await;
     s.ask(2, LOOKUP);
@@ -275,7 +279,11 @@
     within("a byte", stalled.peek(&mut [0])).await.unwrap();
     reply(&mut engine, [&name(2), "EIO", "-", ""]).await;
     pass(300).await;
-    assert_eq!(s.hub.owed(), 2, "its repeat waits, and the window is over");
+    assert_eq!(
+        s.router.owed(),
+        2,
+        "its repeat waits, and the window is over"
+    );
     assert_eq!(get(&mut stalled).await, name(3), "it was begun before");
     serve(&mut stalled, &name(3), 1).await;
     s.ask(4, LOOKUP);
@@ -407,12 +415,12 @@
         let s = plain().await;
         let mut asks = Client::new(s.at).await;
         let mut rests = Client::new(s.at).await;
-        until("both", || s.front.connections() == 2).await;
-        s.front.goodbye(true);
+        until("both", || s.frontend.connections() == 2).await;
+        s.frontend.goodbye(true);
         for c in [&mut asks, &mut rests] {
             assert_eq!(c.hear().await.unwrap().0, 64);
         }
-        s.front.end();
+        s.frontend.end();
         assert!(asks.0.try_write(&request(1, 1, "lookup")).unwrap() > 0);
         let mut engine = s.dialled().await;
         assert_eq!(get(&mut engine).await, name(1));
@@ -423,7 +431,7 @@
         asks.is_served(1).await;
         assert!(asks.hear().await.is_none());
         drop(rests);
-        until("none", || s.front.connections() == 0).await;
+        until("none", || s.frontend.connections() == 0).await;
         assert!(
             tokio::time::timeout(Duration::from_millis(50), engine.read_u8())
                 .await
@@ -446,7 +454,7 @@
         serve(&mut engine, &id, 9).await;
         s.owes(0).await;
         pass(20).await;
-        s.front.end();
+        s.frontend.end();
         pass(20).await;
         client.say(&request(2, 2, "lookup")).await;
         pass(20).await;
@@ -454,9 +462,9 @@
         assert_eq!((kind, stream, payload.len()), (4, 1, 2 + 9 * 5005));
         assert_eq!(client.hear().await.map(|f| f.0), Some(64));
         assert!(client.hear().await.is_none());
-        assert_eq!(s.hub.owed(), 0, "what it asked too late is not taken up");
+        assert_eq!(s.router.owed(), 0, "what it asked too late is not taken up");
         drop(client);
-        until("none", || s.front.connections() == 0).await;
+        until("none", || s.frontend.connections() == 0).await;
     });
 }
 
@@ -469,10 +477,10 @@
         for turns in 0..10 {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let at = listener.local_addr().unwrap();
-            let shared = Rc::new(Shared::open(None).unwrap());
+            let shared = Rc::new(InstanceRegistry::open(None).unwrap());
             let admin = Admin::new(
-                s.hub.clone(),
-                Pool::default(),
+                s.router.clone(),
+                BufferPool::default(),
                 shared,
                 Watched::default(),
                 24,
@@ -685,7 +693,7 @@
         let healthy = TcpListener::bind("127.0.0.1:0").await.unwrap();
         (0..3).for_each(|class| s.ask(class as u64, class));
         pass(50).await;
-        s.hub
+        s.router
             .change(&change(&[at, healthy.local_addr().unwrap()], None));
         let mut served = 0;
         let serving = async {
@@ -724,8 +732,8 @@
     pass(50).await;
     drop((s.dialled().await, filler));
     match how {
-        "drains" => s.hub.change(&change(&s.engines, Some((0, "drain")))),
-        "gone" => s.hub.change(&change(&[], None)),
+        "drains" => s.router.change(&change(&s.engines, Some((0, "drain")))),
+        "gone" => s.router.change(&change(&[], None)),
         _ => s.owes(0).await,
     }
     let mut late = s.dialled().await;
@@ -957,8 +965,8 @@
         }
         serve(&mut engine, &name(1), 1).await;
         client.is_served(1).await;
-        s.front.goodbye(true);
-        s.front.end();
+        s.frontend.goodbye(true);
+        s.frontend.end();
         client.0.try_write(&slow[slow.len() - 1..]).unwrap();
         assert_eq!(get(&mut engine).await, name(2));
         serve(&mut engine, &name(2), 1).await;
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -6,13 +6,13 @@
 use futures_util::SinkExt;
 use query_dispatcher::ListUpdate;
 use query_dispatcher::discovery::Change;
-use query_dispatcher::dispatch::request_router::Hub;
-use query_dispatcher::frontend::mysql::Front;
+use query_dispatcher::dispatch::request_router::RequestRouter;
+use query_dispatcher::frontend::mysql::Frontend;
 use query_dispatcher::protocol::mysql::auth;
 use query_dispatcher::protocol::mysql::error::SqlError;
 use query_dispatcher::protocol::mysql::packet::*;
 use query_dispatcher::spool_io::Spools;
-use query_dispatcher::transport::framed::Pool;
+use query_dispatcher::transport::framed::BufferPool;
 use query_dispatcher::upstream::mysql::MysqlUpstream;
 use scenario::*;
 use std::collections::HashMap;
@@ -25,9 +25,9 @@
 use tokio_stream::StreamExt;
 use tokio_util::codec::Framed;
 
-type Wire = Framed<TcpStream, PacketCodec>;
+type FramedConnection = Framed<TcpStream, PacketCodec>;
 
-fn wire(tcp: TcpStream) -> Wire {
+fn wire(tcp: TcpStream) -> FramedConnection {
     Framed::new(
         tcp,
         PacketCodec {
@@ -188,11 +188,15 @@
 /// first session keeps the statement prepared throughout.
 struct MysqlClient {
     address: SocketAddr,
-    wire: Option<Wire>,
+    wire: Option<FramedConnection>,
     prepared: HashMap<String, u32>,
 }
 
-async fn log_in(address: SocketAddr, user: &str, password: &str) -> Result<Wire, SqlError> {
+async fn log_in(
+    address: SocketAddr,
+    user: &str,
+    password: &str,
+) -> Result<FramedConnection, SqlError> {
     let mut w = wire(TcpStream::connect(address).await.unwrap());
     let greeting = Greeting::read(w.next().await.unwrap().unwrap()).unwrap();
     let proof = auth::proof(auth::NATIVE, password, &greeting.nonce).unwrap();
@@ -212,19 +216,19 @@
     }
 }
 
-async fn command(w: &mut Wire, kind: u8, parts: &[&[u8]]) {
+async fn command(w: &mut FramedConnection, kind: u8, parts: &[&[u8]]) {
     w.codec_mut().sequence = 0;
     w.send(&[&[kind], &parts.concat()[..]].concat()[..])
         .await
         .unwrap();
 }
 
-async fn packet(w: &mut Wire) -> Bytes {
+async fn packet(w: &mut FramedConnection) -> Bytes {
     w.next().await.unwrap().unwrap()
 }
 
 /// Reads a result: its packets, or the error.
-async fn result(w: &mut Wire) -> Result<Vec<Bytes>, SqlError> {
+async fn result(w: &mut FramedConnection) -> Result<Vec<Bytes>, SqlError> {
     let mut all = vec![packet(w).await];
     match all[0][0] {
         0 => return Ok(all),
@@ -240,7 +244,7 @@
     Ok(all)
 }
 
-async fn prepare(w: &mut Wire, sql: &str) -> Result<u32, SqlError> {
+async fn prepare(w: &mut FramedConnection, sql: &str) -> Result<u32, SqlError> {
     command(w, STMT_PREPARE, &[sql.as_bytes()]).await;
     let p = packet(w).await;
     if p[0] == 0xff {
@@ -254,7 +258,7 @@
 }
 
 /// With types only the first time: later ones are remembered for the session.
-async fn execute(w: &mut Wire, id: u32, typed: bool) {
+async fn execute(w: &mut FramedConnection, id: u32, typed: bool) {
     let types: &[u8] = if typed { &[1, 0xfd, 0] } else { &[0] };
     command(
         w,
@@ -321,48 +325,53 @@
 
 type Seens = mpsc::UnboundedReceiver<Seen>;
 
-async fn set_up() -> (Rc<Hub<MysqlUpstream>>, MysqlClient, Vec<SocketAddr>, Seens) {
-    let (hub, _, client, addresses, seen) = set_up_all().await;
-    (hub, client, addresses, seen)
+async fn set_up() -> (
+    Rc<RequestRouter<MysqlUpstream>>,
+    MysqlClient,
+    Vec<SocketAddr>,
+    Seens,
+) {
+    let (router, _, client, addresses, seen) = set_up_all().await;
+    (router, client, addresses, seen)
 }
 
 async fn set_up_front() -> (
-    Rc<Hub<MysqlUpstream>>,
-    Rc<Front<MysqlUpstream>>,
+    Rc<RequestRouter<MysqlUpstream>>,
+    Rc<Frontend<MysqlUpstream>>,
     MysqlClient,
     Seens,
 ) {
-    let (hub, front, client, _, seen) = set_up_all().await;
-    (hub, front, client, seen)
+    let (router, frontend, client, _, seen) = set_up_all().await;
+    (router, frontend, client, seen)
 }
 
 async fn set_up_all() -> (
-    Rc<Hub<MysqlUpstream>>,
-    Rc<Front<MysqlUpstream>>,
+    Rc<RequestRouter<MysqlUpstream>>,
+    Rc<Frontend<MysqlUpstream>>,
     MysqlClient,
     Vec<SocketAddr>,
     Seens,
 ) {
     let (addresses, seen) = engines(engine).await;
     let (core, names, sockets) = core();
-    let pool = Pool::default();
+    let pool = BufferPool::default();
     let (spools, done) =
         Spools::open(&spools(), names.classes.clone(), names.tenants.clone()).unwrap();
     spawn_local(spools.clone().attend(done));
-    let hub = Hub::new(
+    let router = RequestRouter::new(
         core,
         names,
         MysqlUpstream::new(access(), sockets, pool.clone(), spools.clone()),
     );
-    hub.change(&change(&addresses, None));
-    spawn_local(hub.clone().clock());
+    router.change(&change(&addresses, None));
+    spawn_local(router.clone().clock());
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let front = Front::new(hub.clone(), pool, mysql_front(), spools);
-    spawn_local(front.clone().accept(listener));
+    let frontend = Frontend::new(router.clone(), pool, mysql_front(), spools);
+    spawn_local(frontend.clone().accept(listener));
     (
-        hub,
-        front,
+        router,
+        frontend,
         MysqlClient {
             address,
             wire: None,
@@ -378,8 +387,8 @@
     for (tells, script) in ALIKE {
         println!("{tells}");
         on_one_thread(async {
-            let (hub, mut client, addresses, mut seen) = set_up().await;
-            play(&hub, &mut client, &addresses, &mut seen, script).await;
+            let (router, mut client, addresses, mut seen) = set_up().await;
+            play(&router, &mut client, &addresses, &mut seen, script).await;
         });
     }
 }
@@ -391,8 +400,8 @@
         figures replies.load.success=1 replies.lookup.success=1 dispatches=2
         send b load\n engine load\n close\n expect b failed\n figures replies.load.error=1 dispatches=3";
     on_one_thread(async {
-        let (hub, mut client, addresses, mut seen) = set_up().await;
-        play(&hub, &mut client, &addresses, &mut seen, script).await;
+        let (router, mut client, addresses, mut seen) = set_up().await;
+        play(&router, &mut client, &addresses, &mut seen, script).await;
     });
 }
 
@@ -403,8 +412,8 @@
         send c lookup\n engine lookup\n moved\n reply rows\n expect c served\n back
         send d load\n engine load\n drain\n reply rows\n expect d served\n ran 4";
     on_one_thread(async {
-        let (hub, mut client, addresses, mut seen) = set_up().await;
-        play(&hub, &mut client, &addresses, &mut seen, script).await;
+        let (router, mut client, addresses, mut seen) = set_up().await;
+        play(&router, &mut client, &addresses, &mut seen, script).await;
     });
 }
 
@@ -536,14 +545,14 @@
 fn a_session_that_goes_while_its_statement_waits_is_not_sent_on() {
     on_one_thread(async {
         for how in ["quit", "early and closed", "closed", "reset"] {
-            let (hub, client, addresses, mut seen) = set_up().await;
+            let (router, client, addresses, mut seen) = set_up().await;
             let mut w = log_in(client.address, "ann", "secret").await.unwrap();
-            hub.change(&Change {
+            router.change(&Change {
                 update: ListUpdate::Whole,
                 engines: vec![],
             });
             command(&mut w, QUERY, &[b"insert into sales_17.orders values (1)"]).await;
-            while hub.owed() == 0 {
+            while router.owed() == 0 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             let kept = match how {
@@ -569,8 +578,12 @@
                 }
             };
             tokio::time::sleep(Duration::from_millis(100)).await;
-            assert_eq!(hub.owed(), 0, "{how}: it is left, and what it held is free");
-            hub.change(&change(&addresses, None));
+            assert_eq!(
+                router.owed(),
+                0,
+                "{how}: it is left, and what it held is free"
+            );
+            router.change(&change(&addresses, None));
             let mut other = log_in(client.address, "ann", "secret").await.unwrap();
             command(&mut other, QUERY, &[b"select n from sales_17.orders"]).await;
             assert_eq!(seen.recv().await.unwrap().class, "lookup", "{how}");
@@ -601,14 +614,14 @@
 #[test]
 fn at_the_stop_what_was_asked_is_answered_and_all_others_are_told() {
     on_one_thread(async {
-        let (_hub, front, client, mut seen) = set_up_front().await;
+        let (_hub, frontend, client, mut seen) = set_up_front().await;
         let mut asked = log_in(client.address, "ann", "secret").await.unwrap();
         let mut idle = log_in(client.address, "ann", "secret").await.unwrap();
         // All before the runtime hears of any.
         let queued = std::net::TcpStream::connect(client.address).unwrap();
         let sql = [&[30, 0, 0, 0, QUERY][..], b"select n from sales_17.orders"].concat();
         assert_eq!(asked.get_ref().try_write(&sql).unwrap(), sql.len());
-        front.stop(false);
+        frontend.stop(false);
         seen.recv().await.unwrap().orders.send("rows").unwrap();
         asked.codec_mut().sequence = 1;
         assert!(result(&mut asked).await.is_ok());
--- a/tests/mysql_gone.rs
+++ b/tests/mysql_gone.rs
@@ -10,18 +10,18 @@
 use futures_util::SinkExt;
 use query_dispatcher::ListUpdate;
 use query_dispatcher::config::tls::TlsSource;
-use query_dispatcher::config::{Access, MysqlFront, SpoolSource};
+use query_dispatcher::config::{Access, MysqlFrontendConfig, SpoolSource};
 use query_dispatcher::core::{Bounds, Core};
 use query_dispatcher::discovery::Change;
-use query_dispatcher::dispatch::request_router::Hub;
-use query_dispatcher::frontend::mysql::Front;
+use query_dispatcher::dispatch::request_router::RequestRouter;
+use query_dispatcher::frontend::mysql::Frontend;
 use query_dispatcher::protocol::mysql::auth;
 use query_dispatcher::protocol::mysql::error::SqlError;
 use query_dispatcher::protocol::mysql::packet::*;
 use query_dispatcher::spool_io::Spools;
 use query_dispatcher::sticky_sessions::Terms;
-use query_dispatcher::transport::framed::Pool;
-use query_dispatcher::transport::tls::Keys;
+use query_dispatcher::transport::framed::BufferPool;
+use query_dispatcher::transport::tls::TlsKeys;
 use query_dispatcher::upstream::mysql::MysqlUpstream;
 use scenario::*;
 use socket2::SockRef;
@@ -43,7 +43,7 @@
 use tokio_stream::StreamExt;
 use tokio_util::codec::{Encoder, Framed};
 
-type Wire<S = TcpStream> = Framed<S, PacketCodec>;
+type FramedConnection<S = TcpStream> = Framed<S, PacketCodec>;
 
 /// So late after a leave nothing may begin any more.
 const TERM: Duration = Duration::from_millis(100);
@@ -51,7 +51,7 @@
 const LATE: Duration = Duration::from_millis(120);
 const LEAVERS: &str = "insert into sales_17.leaver values (1)";
 
-fn wire<S: AsyncRead + AsyncWrite>(io: S) -> Wire<S> {
+fn wire<S: AsyncRead + AsyncWrite>(io: S) -> FramedConnection<S> {
     Framed::new(
         io,
         PacketCodec {
@@ -87,7 +87,7 @@
 
 /// A connection whose engine holds its word back, and that word.
 struct Held {
-    wire: Wire,
+    wire: FramedConnection,
     word: Vec<u8>,
 }
 
@@ -150,7 +150,7 @@
 }
 
 /// Answers whatever comes whole, and keeps account of it.
-async fn serve(engines: Rc<Engines>, mut w: Wire) {
+async fn serve(engines: Rc<Engines>, mut w: FramedConnection) {
     let mut status = AUTOCOMMIT;
     loop {
         w.codec_mut().sequence = 0;
@@ -226,8 +226,8 @@
 }
 
 struct Stand {
-    hub: Rc<Hub<MysqlUpstream>>,
-    front: Rc<Front<MysqlUpstream>>,
+    router: Rc<RequestRouter<MysqlUpstream>>,
+    frontend: Rc<Frontend<MysqlUpstream>>,
     address: SocketAddr,
     engines: Rc<Engines>,
     at: Vec<SocketAddr>,
@@ -263,7 +263,7 @@
         },
     )
     .unwrap();
-    let pool = Pool::default();
+    let pool = BufferPool::default();
     let large = SpoolSource::plain(64 << 20);
     let (spools, done) =
         Spools::open(&large, names.classes.clone(), names.tenants.clone()).unwrap();
@@ -272,13 +272,13 @@
         connections: 1,
         ..access()
     };
-    let hub = Hub::new(
+    let router = RequestRouter::new(
         core,
         names,
         MysqlUpstream::new(access, sockets, pool.clone(), spools.clone()),
     );
-    hub.change(&change(&at, None));
-    spawn_local(hub.clone().clock());
+    router.change(&change(&at, None));
+    spawn_local(router.clone().clock());
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let config = mysql_front();
@@ -287,20 +287,20 @@
         most_of_tenant: 1,
         ..config.pins.clone()
     };
-    let front = Front::new(
-        hub.clone(),
+    let frontend = Frontend::new(
+        router.clone(),
         pool,
-        MysqlFront {
+        MysqlFrontendConfig {
             max_clients: 400,
             pins,
             ..config
         },
         spools,
     );
-    spawn_local(front.clone().accept(listener));
+    spawn_local(frontend.clone().accept(listener));
     Stand {
-        hub,
-        front,
+        router,
+        frontend,
         address,
         engines: all,
         at,
@@ -309,11 +309,11 @@
 }
 
 impl Stand {
-    async fn session(&self) -> Wire {
+    async fn session(&self) -> FramedConnection {
         self.numbered().await.0
     }
 
-    async fn numbered(&self) -> (Wire, u32) {
+    async fn numbered(&self) -> (FramedConnection, u32) {
         let mut w = wire(connect(self.address).await);
         let number = prove(&mut w, None).await;
         (w, number)
@@ -351,7 +351,7 @@
     async fn nothing_more(&self, tells: &str) {
         tokio::time::sleep(Duration::from_millis(30)).await;
         assert_eq!(self.since(), Vec::<String>::new(), "{tells}");
-        assert_eq!(self.hub.owed(), 0, "{tells}: its place in the budget");
+        assert_eq!(self.router.owed(), 0, "{tells}: its place in the budget");
         let mut other = self.session().await;
         for sql in ["begin", "insert into sales_17.other values (1)", "commit"] {
             ask(&mut other, QUERY, sql).await;
@@ -375,7 +375,7 @@
 
 /// Reads the greeting and logs in; in TLS the caller has read the greeting.
 async fn prove<S: AsyncRead + AsyncWrite + Unpin>(
-    w: &mut Wire<S>,
+    w: &mut FramedConnection<S>,
     greeting: Option<Greeting>,
 ) -> u32 {
     let flags = if greeting.is_some() { SSL } else { 0 };
@@ -401,18 +401,18 @@
     greeting.connection
 }
 
-async fn packet<S: AsyncRead + AsyncWrite + Unpin>(w: &mut Wire<S>) -> Bytes {
+async fn packet<S: AsyncRead + AsyncWrite + Unpin>(w: &mut FramedConnection<S>) -> Bytes {
     w.next().await.unwrap().unwrap()
 }
 
-async fn ask<S: AsyncRead + AsyncWrite + Unpin>(w: &mut Wire<S>, kind: u8, text: &str) {
+async fn ask<S: AsyncRead + AsyncWrite + Unpin>(w: &mut FramedConnection<S>, kind: u8, text: &str) {
     w.codec_mut().sequence = 0;
     w.send(&[&[kind], text.as_bytes()].concat()[..])
         .await
         .unwrap();
 }
 
-async fn told(w: &mut Wire) -> Result<(), SqlError> {
+async fn told(w: &mut FramedConnection) -> Result<(), SqlError> {
     let p = packet(w).await;
     if p[0] == 0xff {
         Err(read_err(&p))
@@ -435,7 +435,7 @@
 ];
 
 /// A client leaves in one of these ways; what is kept of it stays open.
-fn leave(w: Wire, way: &str) -> Option<Wire> {
+fn leave(w: FramedConnection, way: &str) -> Option<FramedConnection> {
     let tcp = w.get_ref();
     if way.starts_with("a statement") {
         send_now(
@@ -611,7 +611,7 @@
         stand.leaves();
         let kept = leave(w, "a statement, a ping and quit");
         tokio::time::sleep(TERM).await;
-        assert_eq!(stand.hub.owed(), 0, "it is left");
+        assert_eq!(stand.router.owed(), 0, "it is left");
         drop(SockRef::from(held.wire.get_ref()).send(&held.word));
         spawn_local(serve(stand.engines.clone(), held.wire));
         stand.nothing_more("behind others").await;
@@ -631,7 +631,7 @@
             w.get_ref().set_nodelay(true).unwrap();
             prove(&mut w, None).await;
             ask(&mut w, QUERY, "select large from sales_17.orders").await;
-            while stand.engines.came.borrow().is_empty() || stand.hub.owed() > 0 {
+            while stand.engines.came.borrow().is_empty() || stand.router.owed() > 0 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             stand.leaves();
@@ -645,7 +645,7 @@
                     .unwrap(),
             }
             tokio::time::sleep(TERM).await;
-            assert_eq!(stand.front.busy(), 1, "it has not taken its answer");
+            assert_eq!(stand.frontend.busy(), 1, "it has not taken its answer");
             SockRef::from(tcp).set_recv_buffer_size(1 << 20).unwrap();
             let mut all = vec![];
             drop(w.get_mut().read_to_end(&mut all).await);
@@ -705,7 +705,7 @@
                 }
                 let held = stand.engines.held().await;
                 tokio::time::sleep(Duration::from_millis(30)).await;
-                assert_eq!(stand.hub.owed(), 1, "{first}: it is asked");
+                assert_eq!(stand.router.owed(), 1, "{first}: it is asked");
                 stand.leaves();
                 let kept = leave(w, way);
                 tokio::time::sleep(TERM).await;
@@ -721,7 +721,7 @@
 fn nothing_of_hundreds_that_leave_in_one_turn_begins() {
     on_one_thread(async {
         let stand = stand(1).await;
-        stand.hub.change(&Change {
+        stand.router.change(&Change {
             update: ListUpdate::Whole,
             engines: vec![],
         });
@@ -736,14 +736,14 @@
             .await;
             all.push((w, way));
         }
-        while stand.hub.owed() < all.len() {
+        while stand.router.owed() < all.len() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         let kept: Vec<_> = all.into_iter().map(|(w, way)| leave(w, way)).collect();
-        stand.hub.change(&change(&stand.at, None));
+        stand.router.change(&change(&stand.at, None));
         tokio::time::sleep(TERM).await;
         assert_eq!(
-            stand.hub.owed(),
+            stand.router.owed(),
             0,
             "the last of them is heeded within the term"
         );
@@ -819,7 +819,7 @@
     on_one_thread(async {
         for way in ["its end", "quit", "a ping and quit", "closed", "reset"] {
             let stand = stand(1).await;
-            stand.front.secure(Keys::open(&source).unwrap());
+            stand.frontend.secure(TlsKeys::open(&source).unwrap());
             let mut w = wire(connect(stand.address).await);
             let greeting = Greeting::read(packet(&mut w).await).unwrap();
             let mut wish = (CAPABILITIES | SSL).to_le_bytes().to_vec();
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -8,9 +8,9 @@
 use query_dispatcher::clock::unix_ms;
 use query_dispatcher::config::{Machine, Names, Sockets};
 use query_dispatcher::core::{Core, NewRequest};
-use query_dispatcher::dispatch::request_router::{Hub, Reply};
-use query_dispatcher::frontend::frames::{Front, Work};
-use query_dispatcher::transport::framed::Pool;
+use query_dispatcher::dispatch::request_router::{Reply, RequestRouter};
+use query_dispatcher::frontend::frames::{Frontend, Work};
+use query_dispatcher::transport::framed::BufferPool;
 use query_dispatcher::upstream::resp::RespUpstream;
 use scenario::{change, core, core_with, on_one_thread};
 use socket2::SockRef;
@@ -28,8 +28,8 @@
 const TERM: Duration = Duration::from_millis(100);
 
 struct Stand {
-    hub: Rc<Hub<RespUpstream>>,
-    front: Rc<Front<RespUpstream>>,
+    router: Rc<RequestRouter<RespUpstream>>,
+    frontend: Rc<Frontend<RespUpstream>>,
     at: SocketAddr,
     engine: TcpListener,
     engines: Vec<SocketAddr>,
@@ -46,32 +46,32 @@
     tweak: impl FnOnce(&mut Sockets),
 ) -> Stand {
     tweak(&mut sockets);
-    let pool = Pool::default();
-    let hub = Hub::new(
+    let pool = BufferPool::default();
+    let router = RequestRouter::new(
         core,
         names,
         RespUpstream::new(sockets, vec![], pool.clone()),
     );
     let engines = vec![engine.local_addr().unwrap()];
-    hub.change(&change(&engines, None));
-    spawn_local(hub.clone().clock());
+    router.change(&change(&engines, None));
+    spawn_local(router.clone().clock());
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     SockRef::from(&listener)
         .set_send_buffer_size(SMALL)
         .unwrap();
     let at = listener.local_addr().unwrap();
-    let front = Front::new(
-        hub.clone(),
+    let frontend = Frontend::new(
+        router.clone(),
         pool,
         &Machine {
             memory_mb: 64,
             sockets: 64,
         },
     );
-    spawn_local(front.clone().accept(listener));
+    spawn_local(frontend.clone().accept(listener));
     Stand {
-        hub,
-        front,
+        router,
+        frontend,
         at,
         engine,
         engines,
@@ -86,7 +86,7 @@
         |_| {},
     )
     .await;
-    s.front.limit(&Machine {
+    s.frontend.limit(&Machine {
         memory_mb: 64,
         sockets: 1024,
     });
@@ -108,16 +108,17 @@
 impl Stand {
     /// All that comes in waits from now on: the engine drains.
     fn holds(&self) {
-        self.hub.change(&change(&self.engines, Some((0, "drain"))));
+        self.router
+            .change(&change(&self.engines, Some((0, "drain"))));
     }
 
     /// What waits is let go.
     fn lets_go(&self) {
-        self.hub.change(&change(&self.engines, None));
+        self.router.change(&change(&self.engines, None));
     }
 
     async fn owes(&self, n: usize) {
-        until("what is owed", || self.hub.owed() == n).await;
+        until("what is owed", || self.router.owed() == n).await;
     }
 
     /// The engine's next connection.
@@ -190,7 +191,7 @@
             Reply::TimedOut { .. } => "late",
         })
     };
-    s.hub.open(new, work, Box::new(told));
+    s.router.open(new, work, Box::new(told));
 }
 
 // ---- a client that leaves, against its request that waits
@@ -212,7 +213,7 @@
     let kept = leaves(client).await;
     tokio::time::sleep(TERM).await;
     assert_eq!(
-        s.hub.owed(),
+        s.router.owed(),
         0,
         "it is left by now, and what it held is free"
     );
@@ -386,7 +387,7 @@
             })
             .collect();
         tokio::time::sleep(TERM).await;
-        assert_eq!(s.hub.owed(), 0);
+        assert_eq!(s.router.owed(), 0);
         s.lets_go();
         s.nothing_but(1).await;
         drop(kept);
@@ -441,7 +442,7 @@
                 false => by_closing(client).await,
             };
             tokio::time::sleep(TERM).await;
-            assert_eq!(s.hub.owed(), 0);
+            assert_eq!(s.router.owed(), 0);
             s.lets_go();
             let mut other = Client::new(s.at).await;
             other.say(&request(1, 3, "lookup", "")).await;
@@ -684,7 +685,7 @@
         s.holds();
         ask(&s, 1, 0, &answers);
         s.lets_go();
-        s.hub.leave(1);
+        s.router.leave(1);
         s.nothing_but(2).await;
         assert!(answers.borrow().is_empty(), "and it is owed nothing");
     });
@@ -704,7 +705,7 @@
         // The dispatcher has seen the break once it has answered what came after it.
         client.say(&frame(16, 9, &[0])).await;
         assert_eq!(client.hear().await.unwrap().0, 32);
-        assert_eq!(s.hub.owed(), 1, "it is tried again");
+        assert_eq!(s.router.owed(), 1, "it is tried again");
         drop(client);
         s.owes(0).await;
         drop((s.dialled().await, filler));
@@ -862,7 +863,7 @@
         tokio::task::yield_now().await;
         let mut client = std::net::TcpStream::connect(s.at).unwrap();
         client.write_all(&request(1, 1, "lookup", "")).unwrap();
-        s.front.goodbye(false);
+        s.frontend.goodbye(false);
         client.set_nonblocking(true).unwrap();
         let mut client = Client(TcpStream::from_std(client).unwrap());
         assert_eq!(client.hear().await.unwrap().0, 64, "it is told");
@@ -891,9 +892,9 @@
         let asks = request(1, 1, "lookup", "");
         client.say(&asks[..asks.len() / 2]).await;
         let mut idle = Client::new(s.at).await;
-        until("both", || s.front.connections() == 2).await;
-        s.front.goodbye(true);
-        s.front.end();
+        until("both", || s.frontend.connections() == 2).await;
+        s.frontend.goodbye(true);
+        s.frontend.end();
         assert_eq!(idle.hear().await.unwrap().0, 64);
         assert!(idle.hear().await.is_none(), "nothing is owed on it");
         client.say(&asks[asks.len() / 2..]).await;
@@ -902,7 +903,7 @@
         serve(&mut engine, &id, 9).await;
         s.owes(0).await;
         assert_eq!(
-            s.front.connections(),
+            s.frontend.connections(),
             1,
             "the answer is given, and not taken"
         );
@@ -910,7 +911,7 @@
         let (kind, stream, payload) = client.hear().await.unwrap();
         assert_eq!((kind, stream, payload.len()), (4, 1, 2 + 9 * 5005));
         assert!(client.hear().await.is_none());
-        until("none", || s.front.connections() == 0).await;
+        until("none", || s.frontend.connections() == 0).await;
     });
 }
 
@@ -925,10 +926,10 @@
         get(&mut engine).await;
         s.holds();
         ask(&s, 2, 1, &answers);
-        s.hub.stop(unix_ms() + 100.0);
+        s.router.stop(unix_ms() + 100.0);
         s.lets_go();
         let mut told = vec![];
-        while s.hub.owed() > 0 {
+        while s.router.owed() > 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         told.extend(answers.borrow().iter().copied());
@@ -968,6 +969,6 @@
         tokio::time::sleep(Duration::from_millis(1200)).await;
         client.say(&request(2, 8, "lookup", "")).await;
         assert_eq!(get(&mut engine).await, name(8), "nothing of the crowd's");
-        until("they are gone", || s.front.connections() == 1).await;
+        until("they are gone", || s.frontend.connections() == 1).await;
     });
 }
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -26,12 +26,14 @@
 mod common;
 
 use query_dispatcher::admin::{Admin, Watched};
-use query_dispatcher::config::{Access, ClassRules, MysqlFront, Names, Sockets, SpoolSource, User};
+use query_dispatcher::config::{
+    Access, ClassRules, MysqlFrontendConfig, Names, Sockets, SpoolSource, User,
+};
 use query_dispatcher::core::{Bounds, Core};
 use query_dispatcher::discovery::{Change, Engine};
-use query_dispatcher::dispatch::request_router::{Hub, Upstream};
-use query_dispatcher::server::instance_registry::Shared;
-use query_dispatcher::transport::framed::Pool;
+use query_dispatcher::dispatch::request_router::{RequestRouter, Upstream};
+use query_dispatcher::server::instance_registry::InstanceRegistry;
+use query_dispatcher::transport::framed::BufferPool;
 use query_dispatcher::*;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -145,9 +147,9 @@
     SpoolSource::plain(65_536)
 }
 
-pub fn mysql_front() -> MysqlFront {
+pub fn mysql_front() -> MysqlFrontendConfig {
     let classes = vec!["lookup".to_string(), "load".to_string()];
-    MysqlFront {
+    MysqlFrontendConfig {
         max_clients: 8,
         max_packet: 65_536,
         max_statements: 3,
@@ -221,8 +223,8 @@
 }
 
 /// Plays a script.
-pub async fn play<L: Upstream>(
-    hub: &Rc<Hub<L>>,
+pub async fn play<U: Upstream>(
+    router: &Rc<RequestRouter<U>>,
     client: &mut impl Client,
     addresses: &[SocketAddr],
     seen: &mut mpsc::UnboundedReceiver<Seen>,
@@ -234,9 +236,9 @@
     let at = operators.local_addr().unwrap();
     spawn_local(
         Admin::new(
-            hub.clone(),
-            Pool::default(),
-            Rc::new(Shared::open(None).unwrap()),
+            router.clone(),
+            BufferPool::default(),
+            Rc::new(InstanceRegistry::open(None).unwrap()),
             Watched::default(),
             24,
         )
@@ -271,9 +273,9 @@
             }
             ["close"] => last.as_ref().unwrap().orders.send("close").unwrap(),
             [what @ ("drain" | "takeover" | "restart")] => {
-                hub.change(&change(addresses, Some((engine(), what))));
+                router.change(&change(addresses, Some((engine(), what))));
             }
-            ["back"] => hub.change(&change(addresses, None)),
+            ["back"] => router.change(&change(addresses, None)),
             ["moved"] => assert_ne!(Some(engine()), before, "{line}"),
             ["crowd", "closed"] => {
                 for mut tcp in crowd.drain(..) {
--- a/tests/stored/shared.rs
+++ b/tests/stored/shared.rs
@@ -1,10 +1,10 @@
 //! Engines that operators took out by hand.
 
-use query_dispatcher::server::instance_registry::Shared;
+use query_dispatcher::server::instance_registry::InstanceRegistry;
 use std::path::Path;
 
-fn open(folder: &Path) -> Shared {
-    Shared::open(Some(folder)).unwrap()
+fn open(folder: &Path) -> InstanceRegistry {
+    InstanceRegistry::open(Some(folder)).unwrap()
 }
 
 pub fn drained_engines(folder: &Path) -> Vec<String> {
