--- a/src/certificates/mod.rs
+++ b/src/certificates/mod.rs
@@ -12,7 +12,7 @@
 
 /// Why a key is not taken into use; the one before stays.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
-pub enum Unfit {
+pub enum CertificateError {
     #[error("it has expired {0:.0} hours ago")]
     Expired(f64),
     #[error("it does not hold before {0:.0} hours from now")]
@@ -28,22 +28,22 @@
 ///
 /// # Errors
 /// It holds no longer, or not yet.
-pub fn fit(now: Millis, v: Validity) -> Result<(), Unfit> {
+pub fn fit(now: Millis, v: Validity) -> Result<(), CertificateError> {
     match () {
-        () if now >= v.until => Err(Unfit::Expired((now - v.until) / HOUR)),
-        () if now < v.from - HOUR => Err(Unfit::NotYet((v.from - now) / HOUR)),
+        () if now >= v.until => Err(CertificateError::Expired((now - v.until) / HOUR)),
+        () if now < v.from - HOUR => Err(CertificateError::NotYet((v.from - now) / HOUR)),
         () => Ok(()),
     }
 }
 
 /// Tells the end of a key ahead: at 30, 14 and 7 days, then each day.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Notice {
+pub struct ExpiryWarning {
     /// The mark that was told last, in days.
     told: Option<f64>,
 }
 
-impl Notice {
+impl ExpiryWarning {
     /// Days that are left, if that is to be told now; below 0 it has expired.
     pub fn due(&mut self, now: Millis, until: Millis) -> Option<f64> {
         let left = (until - now) / DAY;
@@ -94,13 +94,13 @@
             Ok(()),
             "a clock half an hour behind"
         );
-        assert_eq!(fit(9.0 * DAY, v), Err(Unfit::NotYet(24.0)));
-        assert_eq!(fit(20.0 * DAY, v), Err(Unfit::Expired(0.0)));
+        assert_eq!(fit(9.0 * DAY, v), Err(CertificateError::NotYet(24.0)));
+        assert_eq!(fit(20.0 * DAY, v), Err(CertificateError::Expired(0.0)));
     }
 
     #[test]
     fn its_end_is_told_ahead_and_not_all_the_time() {
-        let (mut n, until) = (Notice::default(), 100.0 * DAY);
+        let (mut n, until) = (ExpiryWarning::default(), 100.0 * DAY);
         let told: Vec<i64> = (0..=2424u32)
             .filter_map(|h| {
                 n.due(f64::from(h) * HOUR, until)
--- a/src/config/eureka.rs
+++ b/src/config/eureka.rs
@@ -1,7 +1,7 @@
 //! `[eureka]` of the operators' file: registries, what is read of them, and what of it may be believed.
 
 use super::{ConfigError, bad};
-use crate::membership::{HoldRules, Networks, Rules, networks};
+use crate::membership::{Networks, Rules, SelfPreservationRules, networks};
 use base64::Engine as _;
 use ipnet::IpNet;
 use serde::Deserialize;
@@ -350,7 +350,7 @@
                 format!("{most} is not in 1 to 100000"),
             ));
         }
-        let hold = HoldRules {
+        let hold = SelfPreservationRules {
             share: within("eureka.hold.share", self.hold.share, 0.25, 0.0, 1.0)?,
             least: self.hold.least.unwrap_or(2),
             span: 1000.0 * within("eureka.hold.for_s", self.hold.for_s, 120.0, 0.0, 86_400.0)?,
--- a/src/config/mysql.rs
+++ b/src/config/mysql.rs
@@ -6,7 +6,7 @@
 use super::tls::RawTls;
 use super::tls::TlsSource;
 use super::*;
-use crate::sticky_sessions::Terms;
+use crate::sticky_sessions::StickySessionLimits;
 use std::collections::HashMap;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -82,7 +82,7 @@
     pub deadlines: Vec<Millis>,
     /// The class of what holds an engine connection; an unsafe one.
     pub transaction_class: ClassId,
-    pub pins: Terms,
+    pub pins: StickySessionLimits,
 }
 
 /// How to reach engines that speak MySQL.
--- a/src/config/sticky_sessions.rs
+++ b/src/config/sticky_sessions.rs
@@ -1,7 +1,7 @@
 //! `[pins]`: how long sessions may hold engine connections, and how many.
 
 use super::{ConfigError, bad};
-use crate::sticky_sessions::Terms;
+use crate::sticky_sessions::StickySessionLimits;
 use serde::Deserialize;
 
 #[derive(Default, Deserialize)]
@@ -17,7 +17,7 @@
 impl RawPins {
     /// # Errors
     /// A key is out of its range; the message names it.
-    pub fn check(self) -> Result<Terms, ConfigError> {
+    pub fn check(self) -> Result<StickySessionLimits, ConfigError> {
         let seconds =
             |key: &str, v: Option<f64>, default: f64, most: f64| match v.unwrap_or(default) {
                 s if s > 0.0 && s <= most => Ok(s * 1000.0),
@@ -28,7 +28,7 @@
             n => Err(bad(key, format!("{n} is not in 1 to 512"))),
         };
         let most = number("pins.most", self.most, 128)?;
-        Ok(Terms {
+        Ok(StickySessionLimits {
             idle: seconds("pins.idle_s", self.idle_s, 30.0, 3600.0)?,
             longest: seconds("pins.longest_s", self.longest_s, 300.0, 86_400.0)?,
             drain: seconds("pins.drain_s", self.drain_s, 5.0, 3600.0)?,
--- a/src/discovery/eureka/lease.rs
+++ b/src/discovery/eureka/lease.rs
@@ -26,7 +26,7 @@
 
 /// How this dispatcher stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stand {
+pub enum Standing {
     Starting,
     Ready,
     /// Winding down, and nobody goes on in its place.
@@ -67,14 +67,14 @@
     }
 
     /// Keeps the lease for ever, as `stand` tells of the dispatcher.
-    pub async fn keep(self: Rc<Self>, stand: impl Fn() -> Stand) {
+    pub async fn keep(self: Rc<Self>, stand: impl Fn() -> Standing) {
         loop {
             let now = unix_ms();
             let status = match stand() {
-                Stand::Starting => Status::Starting,
-                Stand::Ready => Status::Up,
-                Stand::Ending => Status::OutOfService,
-                Stand::HandedOver => {
+                Standing::Starting => Status::Starting,
+                Standing::Ready => Status::Up,
+                Standing::Ending => Status::OutOfService,
+                Standing::HandedOver => {
                     self.state.borrow_mut().leave();
                     return;
                 }
--- a/src/discovery/eureka/model.rs
+++ b/src/discovery/eureka/model.rs
@@ -2,7 +2,7 @@
 
 use crate::config::eureka::Listing;
 use crate::membership::registry_view::version;
-use crate::membership::{Fact, Status};
+use crate::membership::{InstanceRecord, Status};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 
@@ -57,7 +57,7 @@
     }
 
     /// What it tells of an engine. `secure` takes the secure port.
-    pub fn fact(&self, secure: bool) -> Fact {
+    pub fn fact(&self, secure: bool) -> InstanceRecord {
         let port = if secure { self.secure_port } else { self.port };
         let number = port.filter(|p| p.enabled).and_then(|p| p.number);
         let ip: Option<IpAddr> = self.ip.as_deref().and_then(|a| a.parse().ok());
@@ -66,7 +66,7 @@
             .overridden
             .as_deref()
             .filter(|o| !o.is_empty() && *o != "UNKNOWN");
-        Fact {
+        InstanceRecord {
             id: self.id.clone(),
             status: Status::parse(&self.status),
             overridden: overridden.map(Status::parse),
--- a/src/discovery/eureka/tests.rs
+++ b/src/discovery/eureka/tests.rs
@@ -3,7 +3,7 @@
 use super::model::*;
 use super::replica::Replica;
 use crate::config::eureka::Listing;
-use crate::membership::source_records::Said;
+use crate::membership::source_records::Reported;
 use crate::membership::{Content, Status, Version};
 use bytes::Bytes;
 use hyper::StatusCode;
@@ -37,11 +37,11 @@
     );
     assert_eq!(
         (facts[0].said(), facts[0].started),
-        (Said::Serves, Some(1_764_580_000_100.0))
+        (Reported::Serves, Some(1_764_580_000_100.0))
     );
     assert_eq!(
         (facts[1].said(), facts[1].started),
-        (Said::Drains(Status::OutOfService), None)
+        (Reported::Drains(Status::OutOfService), None)
     );
     assert_eq!(
         j.applications[0].instances[1].fact(true).address,
@@ -64,12 +64,12 @@
     let app = json(APP_JSON).unwrap();
     assert_eq!(
         app.applications[0].instances[0].fact(false).said(),
-        Said::Drains(Status::Starting)
+        Reported::Drains(Status::Starting)
     );
     let one = xml(INSTANCE_XML).unwrap();
     assert_eq!(
         one.applications[0].instances[0].fact(false).said(),
-        Said::Drains(Status::Down)
+        Reported::Drains(Status::Down)
     );
 }
 
--- a/src/discovery/membership_driver.rs
+++ b/src/discovery/membership_driver.rs
@@ -7,7 +7,7 @@
 use crate::decision::model::Millis;
 use crate::discovery::ChangeHandler;
 use crate::membership::report::{Query, QueryError, Report};
-use crate::membership::{Change, Membership, Seen, Snapshot, View, snapshot};
+use crate::membership::{Change, Membership, Observation, Snapshot, View, snapshot};
 use crate::say;
 use crate::storage::{Disk, Kind, LoadError, RecordError, Store};
 use serde::Serialize;
@@ -35,7 +35,7 @@
 /// Sees connections to engines.
 pub trait Witness {
     /// Something that needs no answer.
-    fn report(&self, engine: &str, seen: Seen);
+    fn report(&self, engine: &str, seen: Observation);
     /// One was opened, begun at `at`. True if the engine has started anew: nothing that was meant for the engine
     /// as it was may be written on it.
     fn opened(&self, engine: &str, at: Millis) -> bool;
@@ -45,7 +45,7 @@
 pub struct MembershipDriver {
     membership: RefCell<Membership>,
     sink: ChangeHandler,
-    seen: RefCell<VecDeque<(String, Seen)>>,
+    seen: RefCell<VecDeque<(String, Observation)>>,
     wake: Notify,
     changed: Notify,
     store: Option<Arc<Store>>,
@@ -260,7 +260,7 @@
 }
 
 impl Witness for MembershipDriver {
-    fn report(&self, engine: &str, seen: Seen) {
+    fn report(&self, engine: &str, seen: Observation) {
         let mut queue = self.seen.borrow_mut();
         if queue.len() >= MOST_SEEN {
             queue.pop_front();
@@ -274,7 +274,7 @@
         let (change, anew) =
             self.membership
                 .borrow_mut()
-                .seen(unix_ms(), engine, Seen::Opened { at });
+                .seen(unix_ms(), engine, Observation::Opened { at });
         if change.is_some() || anew {
             self.tell(change);
         }
--- a/src/frontend/mysql/mod.rs
+++ b/src/frontend/mysql/mod.rs
@@ -22,10 +22,10 @@
 use crate::protocol::mysql::values::{self, Type};
 use crate::protocol::statement::{self, Kind};
 use crate::say;
-use crate::spool::{Admission, Ask, SpoolId};
+use crate::spool::{Admission, AdmissionRequest, SpoolId};
 use crate::spool_io::writer::STATEMENT;
 use crate::spool_io::{Line, Reader as SpoolReader, SpoolError, Spools, Who, packets, put_packet};
-use crate::sticky_sessions::Book;
+use crate::sticky_sessions::StickySessionTable;
 use crate::transport::connection_limiter::{
     Activity, ConnectionLimiter, ConnectionPermit, PermitGuard,
 };
@@ -78,7 +78,7 @@
     /// For clients that want TLS.
     keys: RefCell<Option<Rc<TlsKeys>>>,
     /// Who holds engine connections.
-    book: RefCell<Book>,
+    book: RefCell<StickySessionTable>,
     /// Open sessions by their numbers: their users and their clients.
     sessions: RefCell<BTreeMap<u32, (String, Rc<Downstream>)>>,
     stopping: tokio::sync::watch::Sender<bool>,
@@ -779,7 +779,7 @@
             Job::Prepare => config.rules.read,
             _ => config.rules.class(*kind == Kind::Read, hint("class"), &sql),
         };
-        let ask = Ask {
+        let ask = AdmissionRequest {
             tenant: self.tenant,
             class,
             load: *kind != Kind::Read,
--- a/src/frontend/mysql/sticky.rs
+++ b/src/frontend/mysql/sticky.rs
@@ -111,7 +111,7 @@
         let limit = config.deadlines.get(class).copied().unwrap_or(10_000.0);
         let longest = terms.longest;
         let (pinned, orders) = Pinned::new(terms, self.state.next_transaction());
-        let ask = Ask {
+        let ask = AdmissionRequest {
             tenant: self.tenant,
             class,
             load: true,
@@ -167,7 +167,7 @@
     ) -> Result<Came, End> {
         let config = self.frontend.config();
         let class = config.rules.class(*kind == Kind::Read, None, &sql);
-        let ask = Ask {
+        let ask = AdmissionRequest {
             tenant: self.tenant,
             class,
             load: *kind != Kind::Read,
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,7 +5,7 @@
 use query_dispatcher::clock::unix_ms;
 use query_dispatcher::config::{ConfigError, EurekaSource, Mysql, Platform, Source};
 use query_dispatcher::core::{Bounds, Core};
-use query_dispatcher::discovery::eureka::{self, lease::Lease, lease::Stand};
+use query_dispatcher::discovery::eureka::{self, lease::Lease, lease::Standing};
 use query_dispatcher::discovery::membership_driver::MembershipDriver;
 use query_dispatcher::discovery::{Discovery, fixed, journal::Journal};
 use query_dispatcher::dispatch::gossip_driver;
@@ -285,15 +285,15 @@
 fn standing<U: Upstream>(
     router: &Rc<RequestRouter<U>>,
     shared: &Rc<InstanceRegistry>,
-) -> Rc<dyn Fn() -> Stand> {
+) -> Rc<dyn Fn() -> Standing> {
     let (router, shared) = (router.clone(), shared.clone());
     Rc::new(move || match () {
         () if router.stopping() => match shared.processes() {
-            Ok(2..) => Stand::HandedOver,
-            _ => Stand::Ending,
+            Ok(2..) => Standing::HandedOver,
+            _ => Standing::Ending,
         },
-        () if router.ready() => Stand::Ready,
-        () => Stand::Starting,
+        () if router.ready() => Standing::Ready,
+        () => Standing::Starting,
     })
 }
 
@@ -358,7 +358,7 @@
 impl Following {
     /// Takes the engines from where the configuration says. A registry that takes another's place finds what was
     /// believed.
-    fn follow(&mut self, source: &Source, stand: &Rc<dyn Fn() -> Stand>) {
+    fn follow(&mut self, source: &Source, stand: &Rc<dyn Fn() -> Standing>) {
         match source {
             Source::Fixed(engines) => {
                 if let Some(registry) = self.registry.take() {
@@ -426,7 +426,7 @@
 fn keep_lease(
     source: &Rc<EurekaSource>,
     members: &Rc<MembershipDriver>,
-    stand: &Rc<dyn Fn() -> Stand>,
+    stand: &Rc<dyn Fn() -> Standing>,
 ) -> (Option<Rc<Lease>>, Option<AbortHandle>) {
     let lease = Lease::new(source.clone());
     let shown = lease.clone();
--- a/src/membership/liveness.rs
+++ b/src/membership/liveness.rs
@@ -13,7 +13,7 @@
 
 /// What happened on connections to one engine. `left` is how many are open after it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Seen {
+pub enum Observation {
     /// One was opened and logged in; begun at `at`.
     Opened { at: Millis },
     /// One broke off that should not have, or the engine said that it shuts down.
@@ -26,7 +26,7 @@
 
 /// What connections have shown of one engine.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Proof {
+pub struct LivenessEvidence {
     /// All connections were lost then, and none has been taken since.
     pub lost: Option<Millis>,
     /// No connection is open since then, lost or closed in order.
@@ -39,12 +39,12 @@
     pub refused: u32,
 }
 
-impl Proof {
+impl LivenessEvidence {
     /// Takes what was seen; true if the engine has started anew by it. `answered` tells that a registry has
     /// spoken of late, so that a restart would have been told.
-    pub fn take(&mut self, now: Millis, seen: Seen, answered: bool) -> bool {
+    pub fn take(&mut self, now: Millis, seen: Observation, answered: bool) -> bool {
         match seen {
-            Seen::Opened { at } => {
+            Observation::Opened { at } => {
                 let alone = self.unwatched.is_some_and(|t| now >= t + UNWATCHED);
                 let anew = self.lost.is_some() || (self.seen && alone && !answered);
                 (self.lost, self.unwatched, self.refused, self.seen) = (None, None, 0, true);
@@ -53,18 +53,20 @@
                 }
                 return anew;
             }
-            Seen::Broken { left: 0 } => {
+            Observation::Broken { left: 0 } => {
                 self.lost.get_or_insert(now);
                 self.unwatched.get_or_insert(now);
             }
-            Seen::Refused { left: 0 } => {
+            Observation::Refused { left: 0 } => {
                 self.refused = self.refused.saturating_add(1);
                 // Nobody listens: whoever does later has started since.
                 self.lost.get_or_insert(now);
                 self.unwatched.get_or_insert(now);
             }
-            Seen::Closed { left: 0 } => drop(self.unwatched.get_or_insert(now)),
-            Seen::Broken { .. } | Seen::Refused { .. } | Seen::Closed { .. } => {}
+            Observation::Closed { left: 0 } => drop(self.unwatched.get_or_insert(now)),
+            Observation::Broken { .. }
+            | Observation::Refused { .. }
+            | Observation::Closed { .. } => {}
         }
         false
     }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -23,12 +23,12 @@
 #[cfg(test)]
 mod tests;
 
-pub use liveness::Seen;
+pub use liveness::Observation;
 pub use networks::Networks;
 pub use registry_view::{Membership, Rules};
-pub use self_preservation::HoldRules;
+pub use self_preservation::SelfPreservationRules;
 pub use snapshot::Snapshot;
-pub use source_records::{Fact, Status, Version};
+pub use source_records::{InstanceRecord, Status, Version};
 
 use crate::decision::model::{EngineState, ListUpdate, Millis};
 use std::net::SocketAddr;
@@ -70,10 +70,10 @@
 #[derive(Clone, Debug)]
 pub enum Content {
     /// All that the source lists; what is absent it lists no more.
-    Whole(Vec<Fact>),
+    Whole(Vec<InstanceRecord>),
     /// What changed since the source's last view.
     Delta {
-        told: Vec<Fact>,
+        told: Vec<InstanceRecord>,
         deleted: Vec<(String, Version)>,
     },
 }
--- a/src/membership/registry_view.rs
+++ b/src/membership/registry_view.rs
@@ -1,11 +1,12 @@
 //! The book of all engines: takes what is told and seen, and gives what changes by it.
 
 use crate::decision::model::{EngineState, ListUpdate, Millis};
-use crate::membership::liveness::{Proof, Seen};
+use crate::membership::liveness::{LivenessEvidence, Observation};
 use crate::membership::networks::{Networks, Rejection};
-use crate::membership::self_preservation::{Held, HoldRules, Vanished};
+use crate::membership::self_preservation::{Held, MissingInstances, SelfPreservationRules};
 use crate::membership::source_records::{
-    Belief, Claim, Claims, Fact, Said, SourceId, Stand, Version, Why, earlier,
+    InstanceRecord, Reported, ResolvedState, SourceId, SourceRecord, SourceRecords, Standing,
+    Version, Why, earlier,
 };
 use crate::membership::{Change, Content, Engine, View};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -24,7 +25,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
     pub networks: Networks,
-    pub hold: HoldRules,
+    pub hold: SelfPreservationRules,
     /// A source whose last answer is older, in milliseconds, is away: its claims stand only if all are away.
     pub away: Millis,
     /// How long an engine that one source lists no more and another does drains, in milliseconds.
@@ -42,7 +43,7 @@
     fn default() -> Self {
         Rules {
             networks: Networks::any(),
-            hold: HoldRules::default(),
+            hold: SelfPreservationRules::default(),
             away: 15_000.0,
             patience: 60_000.0,
             remember: 600_000.0,
@@ -81,17 +82,17 @@
 /// What is believed of one engine.
 #[derive(Clone, Debug)]
 pub struct Member {
-    pub claims: Claims,
+    pub claims: SourceRecords,
     pub address: Option<SocketAddr>,
     pub zone: Option<String>,
     pub kind: Option<String>,
     /// When its process started, as lists tell.
     pub listed_start: Option<Millis>,
-    pub proof: Proof,
+    pub proof: LivenessEvidence,
     /// From a snapshot, and no source has confirmed it since: it may have restarted meanwhile.
     pub unproven: Option<Millis>,
     pub held: Option<Held>,
-    pub belief: Belief,
+    pub belief: ResolvedState,
     pub since: Millis,
     /// The engine that its address belongs to now.
     pub superseded: Option<String>,
@@ -105,16 +106,16 @@
 impl Member {
     fn new(now: Millis) -> Self {
         Member {
-            claims: Claims::default(),
+            claims: SourceRecords::default(),
             address: None,
             zone: None,
             kind: None,
             listed_start: None,
-            proof: Proof::default(),
+            proof: LivenessEvidence::default(),
             unproven: None,
             held: None,
-            belief: Belief {
-                stand: Stand::Gone,
+            belief: ResolvedState {
+                stand: Standing::Gone,
                 why: Why::Unlisted,
                 until: None,
             },
@@ -132,9 +133,9 @@
         match (self.belief.stand, &self.superseded) {
             (_, Some(_)) if self.held.is_some() => EngineState::Draining,
             (_, None) if self.held.is_some() => EngineState::Ready,
-            (Stand::Gone, _) => EngineState::Gone,
-            (Stand::Drains, _) | (Stand::Serves, Some(_)) => EngineState::Draining,
-            (Stand::Serves, None) => EngineState::Ready,
+            (Standing::Gone, _) => EngineState::Gone,
+            (Standing::Drains, _) | (Standing::Serves, Some(_)) => EngineState::Draining,
+            (Standing::Serves, None) => EngineState::Ready,
         }
     }
 
@@ -164,7 +165,7 @@
     /// Gone, by when; forgotten from the oldest.
     gone: BTreeSet<(u64, String)>,
     owners: BTreeMap<SocketAddr, String>,
-    vanished: Vanished,
+    vanished: MissingInstances,
     administratively_drained: BTreeSet<String>,
     rejected: VecDeque<Rejected>,
     rejections: u64,
@@ -189,7 +190,7 @@
             alarms: BTreeSet::new(),
             gone: BTreeSet::new(),
             owners: BTreeMap::new(),
-            vanished: Vanished::default(),
+            vanished: MissingInstances::default(),
             administratively_drained: BTreeSet::new(),
             rejected: VecDeque::new(),
             rejections: 0,
@@ -279,7 +280,7 @@
 
     /// Something happened on a connection to an engine. The second is true if the engine has started anew by it:
     /// the connection must carry nothing that was meant for the engine as it was.
-    pub fn seen(&mut self, now: Millis, engine: &str, seen: Seen) -> (Option<Change>, bool) {
+    pub fn seen(&mut self, now: Millis, engine: &str, seen: Observation) -> (Option<Change>, bool) {
         let answered = self.sources.values().any(|s| self.answers(s, now));
         let Some(m) = self.members.get_mut(engine) else {
             return (None, false);
@@ -444,7 +445,7 @@
         id: SourceId,
         asked: Millis,
         round: u64,
-        fact: Fact,
+        fact: InstanceRecord,
     ) -> Option<String> {
         let long = |t: &Option<String>| t.as_ref().is_some_and(|t| t.len() > MOST_TEXT);
         if fact.id.is_empty() || fact.id.len() > MOST_TEXT || long(&fact.zone) || long(&fact.kind) {
@@ -487,13 +488,13 @@
         let said = if admitted.is_ok() {
             fact.said()
         } else {
-            Said::Unusable
+            Reported::Unusable
         };
         let m = self
             .members
             .entry(fact.id.clone())
             .or_insert_with(|| Member::new(now));
-        let claim = Claim {
+        let claim = SourceRecord {
             source: id,
             said,
             version: fact.version,
@@ -518,13 +519,13 @@
         }
         m.unproven = None;
         let same = before == (m.claims.newest, m.address, m.listed_start, None);
-        let stands = m.belief.stand != Stand::Gone && m.held.is_none();
+        let stands = m.belief.stand != Standing::Gone && m.held.is_none();
         // Most facts of a whole list say what is known: they need no judgement.
-        let quiet = same && stands && m.belief.why == Why::Listed && said == Said::Serves;
+        let quiet = same && stands && m.belief.why == Why::Listed && said == Reported::Serves;
         (!quiet).then_some(fact.id)
     }
 
-    fn reject(&mut self, now: Millis, fact: &Fact, why: String) {
+    fn reject(&mut self, now: Millis, fact: &InstanceRecord, why: String) {
         self.rejections += 1;
         let id: String = fact.id.chars().take(80).collect();
         let known = self
@@ -561,7 +562,7 @@
     /// Believes anew what is known of these, and tells what changes.
     fn judge(&mut self, now: Millis, ids: Vec<String>) -> Option<Change> {
         let serving = self.members.iter().filter(|(id, m)| {
-            m.belief.stand == Stand::Serves
+            m.belief.stand == Standing::Serves
                 && m.superseded.is_none()
                 && !self.administratively_drained.contains(*id)
         });
@@ -584,8 +585,8 @@
             };
             // What drains already takes nothing new: nothing is lost when it goes. One that a source has dropped
             // and another lists is doubted too: else one replica that lost its list would drain all.
-            let vanishes = (new.stand == Stand::Gone || matches!(new.why, Why::Missing(_)))
-                && m.belief.stand == Stand::Serves
+            let vanishes = (new.stand == Standing::Gone || matches!(new.why, Why::Missing(_)))
+                && m.belief.stand == Standing::Serves
                 && m.superseded.is_none()
                 && !self.administratively_drained.contains(&id);
             if vanishes && !m.proof.dead() {
@@ -593,7 +594,7 @@
             }
             if m.held.is_some() {
                 let over = m.held.as_ref().is_some_and(|h| h.until <= now);
-                let vanished = new.stand == Stand::Gone || matches!(new.why, Why::Missing(_));
+                let vanished = new.stand == Standing::Gone || matches!(new.why, Why::Missing(_));
                 if !vanished || over || m.proof.dead() {
                     m.held = None;
                 }
@@ -601,11 +602,11 @@
             if m.belief.stand != new.stand {
                 (m.since, m.turns) = (now, m.turns + 1);
             }
-            if m.told.is_some() && m.belief.why != new.why && new.stand == Stand::Drains {
+            if m.told.is_some() && m.belief.why != new.why && new.stand == Standing::Drains {
                 turned.push((id.clone(), new.why));
             }
             m.belief = new;
-            if m.belief.stand != Stand::Gone {
+            if m.belief.stand != Standing::Gone {
                 m.unproven = m.unproven.filter(|_| m.claims.iter().next().is_none());
             }
             dirty.insert(id);
@@ -832,11 +833,11 @@
             });
             m.since = e.since;
             let stand = if e.serves {
-                Stand::Serves
+                Standing::Serves
             } else {
-                Stand::Drains
+                Standing::Drains
             };
-            m.belief = Belief {
+            m.belief = ResolvedState {
                 stand,
                 why: Why::Unlisted,
                 until: None,
--- a/src/membership/report.rs
+++ b/src/membership/report.rs
@@ -2,7 +2,7 @@
 
 use crate::decision::model::{EngineState, Millis};
 use crate::membership::registry_view::{Membership, Source};
-use crate::membership::source_records::{Said, Version};
+use crate::membership::source_records::{Reported, Version};
 use serde::Serialize;
 use std::net::SocketAddr;
 
@@ -236,10 +236,10 @@
             let claims = m.claims.iter().map(|c| ClaimReport {
                 source: self.source_name(c.source).into(),
                 says: match c.said {
-                    Said::Serves => "UP".into(),
-                    Said::Drains(status) => status.word().into(),
-                    Said::Unusable => "an address that may not be used".into(),
-                    Said::Absent => "not listed".into(),
+                    Reported::Serves => "UP".into(),
+                    Reported::Drains(status) => status.word().into(),
+                    Reported::Unusable => "an address that may not be used".into(),
+                    Reported::Absent => "not listed".into(),
                 },
                 version: c.version,
                 since_age_ms: age(now, c.since),
--- a/src/membership/self_preservation.rs
+++ b/src/membership/self_preservation.rs
@@ -3,15 +3,15 @@
 //!
 //! Reason: a registry that was just restarted, or cut off from the engines, shows an empty or short list while
 //! the engines serve on; a dispatcher that believes it turns everybody away. A registry does the same for its own
-//! clients (self-preservation). The doubt has a size ([`HoldRules::share`], [`HoldRules::least`]), a time
-//! ([`HoldRules::span`]) and an end: connections that are refused confirm a disappearance at once.
+//! clients (self-preservation). The doubt has a size ([`SelfPreservationRules::share`], [`SelfPreservationRules::least`]), a time
+//! ([`SelfPreservationRules::span`]) and an end: connections that are refused confirm a disappearance at once.
 
 use crate::decision::model::Millis;
 use std::collections::VecDeque;
 
 /// When a disappearance is doubted, and for how long.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HoldRules {
+pub struct SelfPreservationRules {
     /// More than this part of the engines in service must vanish within a span, 0 to 1; ...
     pub share: f64,
     /// ... and more than so many: two of three engines may well go together.
@@ -20,9 +20,9 @@
     pub span: Millis,
 }
 
-impl Default for HoldRules {
+impl Default for SelfPreservationRules {
     fn default() -> Self {
-        HoldRules {
+        SelfPreservationRules {
             share: 0.25,
             least: 2,
             span: 120_000.0,
@@ -43,7 +43,7 @@
 /// Disappearances of late that were let through: a list that shrinks step by step is as doubtful as one that
 /// shrinks at once.
 #[derive(Clone, Debug, Default)]
-pub struct Vanished {
+pub struct MissingInstances {
     /// Moment and number, oldest first; entries of one moment are one.
     recent: VecDeque<(Millis, usize)>,
 }
@@ -51,11 +51,11 @@
 /// No more moments are told apart; the oldest two become one.
 const MOMENTS: usize = 64;
 
-impl Vanished {
+impl MissingInstances {
     /// Some vanish now, of so many in service before: are they to be held? If not, they count from here on.
     pub fn doubt(
         &mut self,
-        rules: &HoldRules,
+        rules: &SelfPreservationRules,
         now: Millis,
         vanish: usize,
         serving: usize,
--- a/src/membership/snapshot.rs
+++ b/src/membership/snapshot.rs
@@ -3,7 +3,7 @@
 
 use crate::decision::model::{EngineState, Millis};
 use crate::membership::registry_view::Membership;
-use crate::membership::source_records::{Stand, Version};
+use crate::membership::source_records::{Standing, Version};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -14,12 +14,12 @@
 pub struct Snapshot {
     /// When it was taken, on the Unix clock, in milliseconds.
     pub written: Millis,
-    pub engines: Vec<Kept>,
+    pub engines: Vec<PersistedInstance>,
 }
 
 /// One engine that was listed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct PersistedInstance {
     pub id: String,
     pub address: SocketAddr,
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -43,14 +43,14 @@
             .members()
             .iter()
             .filter(|(_, m)| m.state() != EngineState::Gone);
-        let engines: Vec<Kept> = listed
+        let engines: Vec<PersistedInstance> = listed
             .filter_map(|(id, m)| {
-                Some(Kept {
+                Some(PersistedInstance {
                     id: id.clone(),
                     address: m.address.filter(|_| m.superseded.is_none())?,
                     zone: m.zone.clone(),
                     kind: m.kind.clone(),
-                    serves: m.belief.stand == Stand::Serves || m.held.is_some(),
+                    serves: m.belief.stand == Standing::Serves || m.held.is_some(),
                     since: m.since,
                     newest: m.claims.newest,
                     drained: m.claims.floor.map(|f| f.version),
--- a/src/membership/source_records.rs
+++ b/src/membership/source_records.rs
@@ -87,7 +87,7 @@
 
 /// What one answer says of one instance.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fact {
+pub struct InstanceRecord {
     pub id: String,
     pub status: Status,
     /// What operators set over it at the registry. Registries write `UNKNOWN` where nothing is set: none here.
@@ -103,7 +103,7 @@
 
 /// What a source says of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum Reported {
     Serves,
     /// It takes nothing new, for this status.
     Drains(Status),
@@ -113,15 +113,15 @@
     Absent,
 }
 
-impl Fact {
+impl InstanceRecord {
     /// `DOWN`, `OUT_OF_SERVICE`, `STARTING` and `UNKNOWN` take nothing new, and neither does an override of any of
     /// these: what runs may end. Reason: `DOWN` is what a health check says of an engine that may well finish
     /// what it has; only a disappearance tells that it is gone.
-    pub fn said(&self) -> Said {
+    pub fn said(&self) -> Reported {
         match self.overridden.filter(|o| *o != Status::Up) {
-            Some(over) => Said::Drains(over),
-            None if self.status == Status::Up => Said::Serves,
-            None => Said::Drains(self.status),
+            Some(over) => Reported::Drains(over),
+            None if self.status == Status::Up => Reported::Serves,
+            None => Reported::Drains(self.status),
         }
     }
 }
@@ -131,9 +131,9 @@
 
 /// The last that one source said of an instance.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Claim {
+pub struct SourceRecord {
     pub source: SourceId,
-    pub said: Said,
+    pub said: Reported,
     pub version: Version,
     pub address: Option<SocketAddr>,
     /// When the answer was asked for.
@@ -154,8 +154,8 @@
 
 /// All claims on one instance.
 #[derive(Clone, Debug, Default)]
-pub struct Claims {
-    all: Vec<Claim>,
+pub struct SourceRecords {
+    all: Vec<SourceRecord>,
     /// The newest version that any source told.
     pub newest: Version,
     pub floor: Option<Floor>,
@@ -165,15 +165,15 @@
 
 /// What the claims come to.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Belief {
-    pub stand: Stand,
+pub struct ResolvedState {
+    pub stand: Standing,
     pub why: Why,
     /// It changes by itself then, if nothing is told before.
     pub until: Option<Millis>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stand {
+pub enum Standing {
     Serves,
     Drains,
     Gone,
@@ -201,20 +201,20 @@
     }
 }
 
-impl Claims {
-    pub fn iter(&self) -> impl Iterator<Item = &Claim> {
+impl SourceRecords {
+    pub fn iter(&self) -> impl Iterator<Item = &SourceRecord> {
         self.all.iter()
     }
 
-    pub fn of(&self, source: SourceId) -> Option<&Claim> {
+    pub fn of(&self, source: SourceId) -> Option<&SourceRecord> {
         self.all.iter().find(|c| c.source == source)
     }
 
     /// Takes a claim if it is not older than what its source said before; false if it was passed over. `floor`
     /// and `newest` only ever rise: that is what makes the order of arrival mean nothing.
-    pub fn take(&mut self, mut new: Claim) -> bool {
+    pub fn take(&mut self, mut new: SourceRecord) -> bool {
         // A drain that was told counts at its version, even if its source has told something newer since.
-        if matches!(new.said, Said::Drains(_)) {
+        if matches!(new.said, Reported::Drains(_)) {
             let floor = Floor {
                 version: new.version,
                 source: new.source,
@@ -234,7 +234,9 @@
                 // One answer may tell an instance twice: of two that are equally new, the drain stays.
                 false => {
                     new.version < old.version
-                        || (same_answer && new.version == old.version && old.said != Said::Serves)
+                        || (same_answer
+                            && new.version == old.version
+                            && old.said != Reported::Serves)
                         || (new.version == old.version && earlier(new.asked, old.asked))
                 }
             };
@@ -272,11 +274,11 @@
             return false;
         };
         let old = version.is_some_and(|v| !v.untold() && v < claim.version);
-        if claim.said == Said::Absent || earlier(asked, claim.asked) || old {
+        if claim.said == Reported::Absent || earlier(asked, claim.asked) || old {
             return false;
         }
         claim.version = claim.version.max(version.unwrap_or_default());
-        (claim.said, claim.asked, claim.since) = (Said::Absent, asked, now);
+        (claim.said, claim.asked, claim.since) = (Reported::Absent, asked, now);
         true
     }
 
@@ -286,7 +288,7 @@
     }
 
     /// A fact that serves is newer than the newest drain.
-    fn above(&self, claim: &Claim) -> bool {
+    fn above(&self, claim: &SourceRecord) -> bool {
         let untold = |floor: &Floor| claim.version.untold() && floor.version.untold();
         self.floor
             .is_none_or(|floor| match claim.source == floor.source {
@@ -310,54 +312,54 @@
         now: Millis,
         patience: Millis,
         counts: impl Fn(SourceId) -> bool,
-    ) -> Belief {
+    ) -> ResolvedState {
         let counted = || self.all.iter().filter(|c| counts(c.source));
-        let belief = |stand, why| Belief {
+        let belief = |stand, why| ResolvedState {
             stand,
             why,
             until: None,
         };
-        let live = || counted().filter(|c| c.said != Said::Absent);
+        let live = || counted().filter(|c| c.said != Reported::Absent);
         if live().next().is_none() {
-            return belief(Stand::Gone, Why::Unlisted);
+            return belief(Standing::Gone, Why::Unlisted);
         }
         // What the instance itself has overtaken tells only that it is listed.
         let current = || live().filter(|c| c.version.dirty >= self.newest.dirty);
         let serving = live()
-            .filter(|c| c.said == Said::Serves && self.above(c))
+            .filter(|c| c.said == Reported::Serves && self.above(c))
             .max_by_key(|c| c.version);
         let drains = current().find_map(|c| match c.said {
-            Said::Drains(status) => Some((c.source, status)),
+            Reported::Drains(status) => Some((c.source, status)),
             _ => None,
         });
         if let Some((source, status)) = drains {
             // Also one that is only behind: operators are to see that the registries differ.
-            let differs = current().any(|c| c.said == Said::Serves);
+            let differs = current().any(|c| c.said == Reported::Serves);
             let why = if differs {
                 Why::Contradicted(source, status)
             } else {
                 Why::Told(status)
             };
-            return belief(Stand::Drains, why);
+            return belief(Standing::Drains, why);
         }
-        if current().any(|c| c.said == Said::Unusable) {
-            return belief(Stand::Drains, Why::Unusable);
+        if current().any(|c| c.said == Reported::Unusable) {
+            return belief(Standing::Drains, Why::Unusable);
         }
         let Some(serving) = serving else {
-            return belief(Stand::Drains, Why::Older);
+            return belief(Standing::Drains, Why::Older);
         };
         let missing = counted()
-            .filter(|c| c.said == Said::Absent && c.version.dirty >= serving.version.dirty);
+            .filter(|c| c.said == Reported::Absent && c.version.dirty >= serving.version.dirty);
         match missing
             .filter(|c| now < c.since + patience)
             .max_by(|a, b| a.since.total_cmp(&b.since))
         {
-            Some(c) => Belief {
-                stand: Stand::Drains,
+            Some(c) => ResolvedState {
+                stand: Standing::Drains,
                 why: Why::Missing(c.source),
                 until: Some(c.since + patience),
             },
-            None => belief(Stand::Serves, Why::Listed),
+            None => belief(Standing::Serves, Why::Listed),
         }
     }
 }
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -1,5 +1,5 @@
 use super::report::{Only, Query};
-use super::source_records::{Said, Why};
+use super::source_records::{Reported, Why};
 use super::*;
 use crate::decision::model::EngineState::{Draining, Gone, Ready};
 use proptest::prelude::*;
@@ -12,12 +12,12 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn fact(id: &str, status: Status, dirty: u64, updated: u64) -> Fact {
+fn fact(id: &str, status: Status, dirty: u64, updated: u64) -> InstanceRecord {
     let port = 1000
         + id.bytes()
             .fold(0u16, |n, b| n.wrapping_mul(31).wrapping_add(b.into()))
             % 50_000;
-    Fact {
+    InstanceRecord {
         id: id.into(),
         status,
         overridden: None,
@@ -29,7 +29,7 @@
     }
 }
 
-fn up(id: &str, dirty: u64, updated: u64) -> Fact {
+fn up(id: &str, dirty: u64, updated: u64) -> InstanceRecord {
     fact(id, Status::Up, dirty, updated)
 }
 
@@ -76,11 +76,11 @@
         self.apply(change);
     }
 
-    fn whole(&mut self, source: &str, facts: &[Fact]) {
+    fn whole(&mut self, source: &str, facts: &[InstanceRecord]) {
         self.view_asked(source, self.now, Content::Whole(facts.to_vec()));
     }
 
-    fn delta(&mut self, source: &str, told: &[Fact], deleted: &[(&str, Version)]) {
+    fn delta(&mut self, source: &str, told: &[InstanceRecord], deleted: &[(&str, Version)]) {
         let deleted = deleted.iter().map(|(id, v)| (id.to_string(), *v)).collect();
         self.view_asked(
             source,
@@ -98,7 +98,7 @@
         self.apply(change);
     }
 
-    fn seen(&mut self, engine: &str, seen: Seen) -> bool {
+    fn seen(&mut self, engine: &str, seen: Observation) -> bool {
         let (change, anew) = self.m.seen(self.now, engine, seen);
         self.apply(change);
         anew
@@ -113,9 +113,9 @@
     }
 }
 
-fn many(n: usize) -> Vec<Fact> {
+fn many(n: usize) -> Vec<InstanceRecord> {
     (0..n)
-        .map(|i| Fact {
+        .map(|i| InstanceRecord {
             address: Some(at(2000 + i as u16)),
             ..up(&format!("e{i:04}"), 5, 100)
         })
@@ -133,7 +133,7 @@
     ];
     for (i, status) in statuses.into_iter().enumerate() {
         let (plain, over) = (format!("p{i}"), format!("o{i}"));
-        let overridden = Fact {
+        let overridden = InstanceRecord {
             overridden: Some(status),
             ..up(&over, 5, 100)
         };
@@ -146,7 +146,7 @@
     }
     p.delta(
         A,
-        &[Fact {
+        &[InstanceRecord {
             overridden: Some(Status::Up),
             ..fact("d", Status::Down, 5, 100)
         }],
@@ -309,7 +309,7 @@
     );
     assert!(p.news.iter().any(|n| n.contains("199 of 200")));
     // Connections confirm one; a list that has them again frees the others from doubt.
-    p.seen("e0007", Seen::Refused { left: 0 });
+    p.seen("e0007", Observation::Refused { left: 0 });
     assert_eq!((p.state("e0007"), p.state("e0008")), (Gone, Ready));
     p.whole(A, &many(200));
     assert_eq!((p.m.held(), p.state("e0007")), (0, Ready));
@@ -344,9 +344,9 @@
     p.whole(A, &many(20));
     p.whole(A, &many(18));
     assert_eq!((p.state("e0019"), p.m.held()), (Gone, 0));
-    let drained: Vec<Fact> = many(18)
+    let drained: Vec<InstanceRecord> = many(18)
         .into_iter()
-        .map(|f| Fact {
+        .map(|f| InstanceRecord {
             status: Status::OutOfService,
             version: Version::new(5, 200),
             ..f
@@ -370,49 +370,52 @@
 #[test]
 fn all_connections_lost_and_back_is_a_fresh_start_whatever_the_list_says() {
     let mut p = Play::new(Rules::default());
-    let listed = Fact {
+    let listed = InstanceRecord {
         started: Some(10.0),
         ..up("e", 5, 100)
     };
     p.whole(A, std::slice::from_ref(&listed));
     assert!(
-        !p.seen("e", Seen::Opened { at: p.now }),
+        !p.seen("e", Observation::Opened { at: p.now }),
         "the first connection proves nothing"
     );
     p.pass(60_000.0); // the registry is away
-    assert!(!p.seen("e", Seen::Broken { left: 1 }), "one of two");
-    assert!(!p.seen("e", Seen::Broken { left: 0 }));
+    assert!(!p.seen("e", Observation::Broken { left: 1 }), "one of two");
+    assert!(!p.seen("e", Observation::Broken { left: 0 }));
     assert!(p.m.members()["e"].proof.dead());
     p.now += 3_000.0;
     let back = p.now - 2.0;
-    assert!(p.seen("e", Seen::Opened { at: back }));
+    assert!(p.seen("e", Observation::Opened { at: back }));
     assert_eq!((p.state("e"), p.told["e"].started), (Ready, Some(back)));
     // The old list comes again, and changes nothing.
     p.whole(A, &[listed]);
     assert_eq!(p.told["e"].started, Some(back));
-    assert!(!p.seen("e", Seen::Opened { at: p.now }), "once");
+    assert!(!p.seen("e", Observation::Opened { at: p.now }), "once");
 }
 
 #[test]
 fn an_engine_nobody_watched_while_the_registry_was_away_is_taken_as_started_anew() {
     let mut p = Play::new(Rules::default());
     p.whole(A, &[up("e", 5, 100)]);
-    p.seen("e", Seen::Opened { at: p.now });
-    p.seen("e", Seen::Closed { left: 0 });
+    p.seen("e", Observation::Opened { at: p.now });
+    p.seen("e", Observation::Closed { left: 0 });
     p.now += 6_000.0;
     assert!(
-        !p.seen("e", Seen::Opened { at: p.now }),
+        !p.seen("e", Observation::Opened { at: p.now }),
         "the registry would have told"
     );
-    p.seen("e", Seen::Closed { left: 0 });
+    p.seen("e", Observation::Closed { left: 0 });
     p.pass(30_000.0);
-    assert!(p.seen("e", Seen::Opened { at: p.now }), "nobody would have");
+    assert!(
+        p.seen("e", Observation::Opened { at: p.now }),
+        "nobody would have"
+    );
 }
 
 #[test]
 fn an_address_passed_to_another_instance_belongs_to_the_newer() {
     let mut p = Play::new(Rules::default());
-    let with = |id: &str, dirty, port| Fact {
+    let with = |id: &str, dirty, port| InstanceRecord {
         address: Some(at(port)),
         ..up(id, dirty, 100)
     };
@@ -454,7 +457,7 @@
         networks: Networks::only(&nets),
         ..Rules::default()
     });
-    let with = |id: &str, a: &str, v| Fact {
+    let with = |id: &str, a: &str, v| InstanceRecord {
         address: Some(a.parse().unwrap()),
         ..up(id, v, 100)
     };
@@ -578,17 +581,17 @@
     let mut p = Play::new(rules);
     for i in 0..2_000 {
         p.now += 100.0;
-        let facts: Vec<Fact> = (i..i + 10)
+        let facts: Vec<InstanceRecord> = (i..i + 10)
             .map(|n| up(&format!("c{n}"), n as u64, 1))
             .collect();
         p.whole(A, &facts);
         assert!(p.m.members().len() <= 50 + 20, "{}", p.m.members().len());
     }
-    let many: Vec<Fact> = (0..500).map(|n| up(&format!("x{n}"), 9_999, 1)).collect();
+    let many: Vec<InstanceRecord> = (0..500).map(|n| up(&format!("x{n}"), 9_999, 1)).collect();
     p.whole(A, &many);
     assert!(p.m.members().len() <= 70 && p.m.overflow() > 0);
-    let poison: Vec<Fact> = (0..500)
-        .map(|n| Fact {
+    let poison: Vec<InstanceRecord> = (0..500)
+        .map(|n| InstanceRecord {
             address: None,
             ..up(&format!("p{n}"), 1, 1)
         })
@@ -626,7 +629,7 @@
         facts: Vec<(usize, u8, u8, u8, u8)>,
         deleted: Vec<(usize, u8)>,
     },
-    Seen(usize, u8),
+    Observation(usize, u8),
     Pass(u32),
 }
 
@@ -646,7 +649,7 @@
         facts,
         deleted,
     });
-    let seen = (0..4usize, 0..4u8).prop_map(|(e, s)| Step::Seen(e, s));
+    let seen = (0..4usize, 0..4u8).prop_map(|(e, s)| Step::Observation(e, s));
     let pass = (0..40_000u32).prop_map(Step::Pass);
     prop::collection::vec(prop_oneof![6 => view, 1 => seen, 1 => pass], 1..40)
 }
@@ -670,7 +673,7 @@
             match step {
                 Step::View { source, back, whole, facts, deleted } => {
                     let asked = p.now - f64::from(back);
-                    let facts: Vec<Fact> = facts.iter().map(|(e, status, dirty, updated, port)| Fact {
+                    let facts: Vec<InstanceRecord> = facts.iter().map(|(e, status, dirty, updated, port)| InstanceRecord {
                         address: Some(at(9000 + u16::from(*port))),
                         ..fact(&format!("e{e}"), statuses[*status as usize], (*dirty).into(), 1 + 2_000 * u64::from(*updated))
                     }).collect();
@@ -678,7 +681,7 @@
                     if counts {
                         asked_last[source] = asked;
                         for f in &facts {
-                            let which = if f.said() == Said::Serves { &mut served } else { &mut drained };
+                            let which = if f.said() == Reported::Serves { &mut served } else { &mut drained };
                             let v = which.entry(f.id.clone()).or_default();
                             *v = (*v).max(f.version);
                         }
@@ -692,12 +695,12 @@
                     };
                     p.view_asked(["a", "b", "c"][source], asked, content);
                 }
-                Step::Seen(e, what) => {
+                Step::Observation(e, what) => {
                     let seen = [
-                        Seen::Opened { at: p.now },
-                        Seen::Broken { left: 0 },
-                        Seen::Refused { left: 0 },
-                        Seen::Closed { left: 0 },
+                        Observation::Opened { at: p.now },
+                        Observation::Broken { left: 0 },
+                        Observation::Refused { left: 0 },
+                        Observation::Closed { left: 0 },
                     ][what as usize];
                     p.seen(&format!("e{e}"), seen);
                 }
--- a/src/protocol/mysql/packet.rs
+++ b/src/protocol/mysql/packet.rs
@@ -1,7 +1,7 @@
 //! Packets of the MySQL protocol: the codec, and the few that both sides build or read.
 
 use crate::protocol::mysql::error::SqlError;
-use crate::spool::Unfit;
+use crate::spool::SpoolRejection;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::io;
 use tokio_util::codec::{Decoder, Encoder};
@@ -66,7 +66,7 @@
     #[error("its client has gone")]
     Gone,
     #[error(transparent)]
-    Unfit(#[from] Unfit),
+    SpoolRejection(#[from] SpoolRejection),
     #[error(transparent)]
     Io(#[from] io::Error),
 }
--- a/src/spool/index.rs
+++ b/src/spool/index.rs
@@ -38,7 +38,7 @@
 
 /// A result that is about to be asked for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ask {
+pub struct AdmissionRequest {
     pub tenant: Option<usize>,
     pub class: usize,
     /// It must not run twice: what it brings cannot be brought again.
@@ -58,7 +58,7 @@
 
 /// Why a page is not taken, and the whole result with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unfit {
+pub enum SpoolRejection {
     #[error("the result is above the bound of {0} bytes")]
     Result(u64),
     #[error("its tenant's results are above their bound of {0} bytes")]
@@ -73,7 +73,7 @@
 
 /// Where a page goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum Placement {
     Memory,
     Disk,
 }
@@ -132,7 +132,7 @@
 
 /// The account.
 #[derive(Clone, Debug)]
-pub struct Ledger {
+pub struct SpoolIndex {
     rules: Rules,
     spools: BTreeMap<SpoolId, Spool>,
     next: SpoolId,
@@ -149,10 +149,10 @@
     pub spilled: u64,
 }
 
-impl Ledger {
+impl SpoolIndex {
     /// `classes` is how many classes there are.
     pub fn new(rules: Rules, classes: usize) -> Self {
-        Ledger {
+        SpoolIndex {
             watch: DiskWatch::new(rules.disk.is_some()),
             rules,
             spools: BTreeMap::new(),
@@ -191,7 +191,7 @@
     }
 
     /// Is a request to be sent at all? Refused here, nothing has run.
-    pub fn admit(&mut self, now: Millis, ask: Ask) -> Admission {
+    pub fn admit(&mut self, now: Millis, ask: AdmissionRequest) -> Admission {
         let expected = self.expected(ask.class);
         let no = |reason| Some(reason);
         let reason = match () {
@@ -260,12 +260,16 @@
     ///
     /// # Errors
     /// [`Unfit::Many`].
-    pub fn open(&mut self, now: Millis, ask: Ask) -> Result<(SpoolId, Vec<Order>), Unfit> {
+    pub fn open(
+        &mut self,
+        now: Millis,
+        ask: AdmissionRequest,
+    ) -> Result<(SpoolId, Vec<Order>), SpoolRejection> {
         let mut orders = vec![];
         if self.spools.len() >= self.rules.most {
             let Some(victim) = self.victim(ask.load, |_| true) else {
                 self.failed += 1;
-                return Err(Unfit::Many);
+                return Err(SpoolRejection::Many);
             };
             self.evict(victim, &mut orders);
         }
@@ -288,7 +292,14 @@
     }
 
     /// A whole spool that an earlier process left on the disk.
-    pub fn found(&mut self, now: Millis, id: SpoolId, ask: Ask, bytes: u64, whole: Millis) {
+    pub fn found(
+        &mut self,
+        now: Millis,
+        id: SpoolId,
+        ask: AdmissionRequest,
+        bytes: u64,
+        whole: Millis,
+    ) {
         self.next = self.next.max(id + 1);
         let spool = Spool {
             tenant: ask.tenant,
@@ -307,14 +318,14 @@
         self.spools.insert(id, spool);
     }
 
-    /// A page of so many bytes has come. On an error the whole result is given up: see [`Ledger::fail`]. The orders hold
+    /// A page of so many bytes has come. On an error the whole result is given up: see [`SpoolIndex::fail`]. The orders hold
     /// either way: what was thrown away is gone.
     pub fn take(
         &mut self,
         now: Millis,
         id: SpoolId,
         bytes: u64,
-    ) -> (Result<Taken, Unfit>, Vec<Order>) {
+    ) -> (Result<Placement, SpoolRejection>, Vec<Order>) {
         let mut orders = vec![];
         let taken = self.try_take(now, id, bytes, &mut orders);
         (taken, orders)
@@ -326,25 +337,25 @@
         id: SpoolId,
         bytes: u64,
         orders: &mut Vec<Order>,
-    ) -> Result<Taken, Unfit> {
+    ) -> Result<Placement, SpoolRejection> {
         let Some(s) = self.spools.get(&id) else {
-            return Err(Unfit::Unknown);
+            return Err(SpoolRejection::Unknown);
         };
         let (tenant, load) = (s.tenant, s.load);
         if s.bytes() + bytes > self.rules.result {
-            return Err(Unfit::Result(self.rules.result));
+            return Err(SpoolRejection::Result(self.rules.result));
         }
         // Nothing is thrown away for what would not fit all the same.
         if self.tenant_room(tenant, load) < bytes {
-            return Err(Unfit::Tenant(self.rules.per_tenant));
+            return Err(SpoolRejection::Tenant(self.rules.per_tenant));
         }
         if self.room(now, load) < bytes {
-            return Err(Unfit::Room);
+            return Err(SpoolRejection::Room);
         }
         while self.tenants.get(&tenant).copied().unwrap_or(0) + bytes > self.rules.per_tenant {
             let own = self.victim(load, |s| s.tenant == tenant);
             let Some(own) = own else {
-                return Err(Unfit::Tenant(self.rules.per_tenant));
+                return Err(SpoolRejection::Tenant(self.rules.per_tenant));
             };
             self.evict(own, orders);
         }
@@ -354,19 +365,19 @@
             }
             // Room has to be made: the least missed goes, until it is enough.
             let Some(victim) = self.victim(load, |_| true) else {
-                return Err(Unfit::Room);
+                return Err(SpoolRejection::Room);
             };
             self.evict(victim, orders);
         };
         *self.tenants.entry(tenant).or_default() += bytes;
         match place {
-            Taken::Memory => self.memory += bytes,
-            Taken::Disk => self.disk += bytes,
+            Placement::Memory => self.memory += bytes,
+            Placement::Disk => self.disk += bytes,
         }
         if let Some(s) = self.spools.get_mut(&id) {
             match place {
-                Taken::Memory => s.memory += bytes,
-                Taken::Disk => s.disk += bytes,
+                Placement::Memory => s.memory += bytes,
+                Placement::Disk => s.disk += bytes,
             }
             s.used = now;
         }
@@ -380,16 +391,16 @@
         id: SpoolId,
         bytes: u64,
         orders: &mut Vec<Order>,
-    ) -> Option<Taken> {
+    ) -> Option<Placement> {
         let spilled = self.spools.get(&id).is_some_and(|s| s.spilled);
-        let disk_has = |l: &Ledger, n: u64| {
+        let disk_has = |l: &SpoolIndex, n: u64| {
             l.watch.takes(now) && l.rules.disk.is_some_and(|d| l.disk + n <= d)
         };
         if spilled && disk_has(self, bytes) {
-            return Some(Taken::Disk);
+            return Some(Placement::Disk);
         }
         if self.memory + bytes <= self.rules.memory {
-            return Some(Taken::Memory);
+            return Some(Placement::Memory);
         }
         // The one that holds most of memory goes to the disk: it is the one whose reader is furthest behind, and
         // after it memory serves the many small ones again.
@@ -405,10 +416,10 @@
             }
             self.spill(victim, orders);
             if victim == id {
-                return disk_has(self, bytes).then_some(Taken::Disk);
+                return disk_has(self, bytes).then_some(Placement::Disk);
             }
         }
-        Some(Taken::Memory)
+        Some(Placement::Memory)
     }
 
     fn spill(&mut self, id: SpoolId, orders: &mut Vec<Order>) {
--- a/src/spool/tests.rs
+++ b/src/spool/tests.rs
@@ -17,16 +17,16 @@
     }
 }
 
-fn report(tenant: usize) -> Ask {
-    Ask {
+fn report(tenant: usize) -> AdmissionRequest {
+    AdmissionRequest {
         tenant: Some(tenant),
         class: 0,
         load: false,
     }
 }
 
-fn load(tenant: usize) -> Ask {
-    Ask {
+fn load(tenant: usize) -> AdmissionRequest {
+    AdmissionRequest {
         tenant: Some(tenant),
         class: 1,
         load: true,
@@ -34,7 +34,12 @@
 }
 
 /// A whole result of so many pages of 10 KB.
-fn put(l: &mut Ledger, now: Millis, ask: Ask, pages: u64) -> Result<(SpoolId, Vec<Order>), Unfit> {
+fn put(
+    l: &mut SpoolIndex,
+    now: Millis,
+    ask: AdmissionRequest,
+    pages: u64,
+) -> Result<(SpoolId, Vec<Order>), SpoolRejection> {
     let (id, mut orders) = l.open(now, ask)?;
     for _ in 0..pages {
         let (taken, more) = l.take(now, id, 10 * KB);
@@ -50,7 +55,7 @@
 
 #[test]
 fn small_ones_stay_in_memory_and_the_largest_goes_to_the_disk() {
-    let mut l = Ledger::new(rules(), 2);
+    let mut l = SpoolIndex::new(rules(), 2);
     let (a, _) = put(&mut l, 0.0, report(0), 6).unwrap();
     let (b, orders) = put(&mut l, 0.0, report(0), 3).unwrap();
     assert_eq!((orders, l.used()), (vec![], (90 * KB, 0)));
@@ -62,29 +67,32 @@
 
 #[test]
 fn a_result_larger_than_memory_is_served_by_the_disk_and_one_above_its_bound_by_nobody() {
-    let mut l = Ledger::new(rules(), 2);
+    let mut l = SpoolIndex::new(rules(), 2);
     let (a, orders) = put(&mut l, 0.0, report(0), 20).unwrap();
     assert_eq!(orders, [Order::Spill(a)]);
     assert_eq!(l.used(), (0, 200 * KB));
     assert_eq!(
         put(&mut l, 0.0, report(1), 21),
-        Err(Unfit::Result(200 * KB))
+        Err(SpoolRejection::Result(200 * KB))
     );
     assert!(l.adds_up() && l.len() == 1, "nothing stays of it");
-    let mut alone = Ledger::new(
+    let mut alone = SpoolIndex::new(
         Rules {
             disk: None,
             ..rules()
         },
         2,
     );
-    assert_eq!(put(&mut alone, 0.0, report(0), 11), Err(Unfit::Room));
+    assert_eq!(
+        put(&mut alone, 0.0, report(0), 11),
+        Err(SpoolRejection::Room)
+    );
     assert_eq!((alone.used(), alone.failed), ((0, 0), 1));
 }
 
 #[test]
 fn one_tenant_cannot_take_all_and_makes_room_from_its_own() {
-    let mut l = Ledger::new(rules(), 2);
+    let mut l = SpoolIndex::new(rules(), 2);
     let (a, _) = put(&mut l, 0.0, report(0), 20).unwrap();
     let (other, _) = put(&mut l, 0.0, report(1), 5).unwrap();
     let (_, orders) = put(&mut l, 1.0, report(0), 15).unwrap();
@@ -93,19 +101,19 @@
         "{orders:?}"
     );
     // What is being read is nobody's room.
-    let mut l = Ledger::new(rules(), 2);
+    let mut l = SpoolIndex::new(rules(), 2);
     let (a, _) = put(&mut l, 0.0, report(0), 20).unwrap();
     assert!(l.attach(0.0, a));
     assert_eq!(
         put(&mut l, 1.0, report(0), 15),
-        Err(Unfit::Tenant(300 * KB))
+        Err(SpoolRejection::Tenant(300 * KB))
     );
     assert!(l.contains(a));
 }
 
 #[test]
 fn when_all_is_full_the_least_missed_goes_and_never_a_load_for_a_report() {
-    let mut l = Ledger::new(
+    let mut l = SpoolIndex::new(
         Rules {
             per_tenant: u64::MAX,
             disk: Some(500 * KB),
@@ -134,13 +142,13 @@
     l.attach(6.0, next);
     l.attach(6.0, second);
     // Only the load's result is left to go, and it does not for a report.
-    assert_eq!(put(&mut l, 7.0, report(5), 20), Err(Unfit::Room));
+    assert_eq!(put(&mut l, 7.0, report(5), 20), Err(SpoolRejection::Room));
     assert!(l.contains(kept) && l.adds_up());
 }
 
 #[test]
 fn what_cannot_fit_is_refused_before_it_is_asked_for() {
-    let mut l = Ledger::new(
+    let mut l = SpoolIndex::new(
         Rules {
             per_tenant: 250 * KB,
             ..rules()
@@ -193,7 +201,7 @@
 
 #[test]
 fn a_result_expires_after_its_last_use_and_its_reader_keeps_it() {
-    let mut l = Ledger::new(rules(), 2);
+    let mut l = SpoolIndex::new(rules(), 2);
     let (a, _) = put(&mut l, 0.0, report(0), 2).unwrap();
     let (b, _) = put(&mut l, 0.0, report(0), 2).unwrap();
     assert!(l.attach(900.0, b));
@@ -216,14 +224,14 @@
 
 #[test]
 fn a_disk_that_fails_rests_is_told_of_and_is_tried_again() {
-    let mut l = Ledger::new(rules(), 2);
+    let mut l = SpoolIndex::new(rules(), 2);
     let (stored, _) = put(&mut l, 0.0, report(0), 20).unwrap();
     assert!(l.attach(0.0, stored));
     assert!(l.wrote(10.0, 1.0, Wrote::Full));
     assert!(!l.wrote(11.0, 1.0, Wrote::Full), "the same state");
     assert_eq!(l.watch.state(), &DiskState::Full { since: 10.0 });
     // Memory alone is left: what does not fit there is failed, and what is stored stays.
-    assert_eq!(put(&mut l, 20.0, report(1), 11), Err(Unfit::Room));
+    assert_eq!(put(&mut l, 20.0, report(1), 11), Err(SpoolRejection::Room));
     assert!(put(&mut l, 20.0, report(1), 9).is_ok() && l.len() == 2);
     assert!(!l.watch.takes(11.0 + REST - 1.0) && l.watch.takes(11.0 + REST));
     assert!(l.wrote(6000.0, 1.0, Wrote::Failed("read-only".into())));
@@ -313,7 +321,7 @@
     #[test]
     fn bounds_hold_and_nothing_is_thrown_away_that_may_not_be(steps in steps()) {
         let r = Rules { most: 6, ..rules() };
-        let mut l = Ledger::new(r.clone(), 2);
+        let mut l = SpoolIndex::new(r.clone(), 2);
         let mut now = 0.0;
         // What the test knows of each: load, whole, readers.
         let mut known: BTreeMap<SpoolId, (bool, bool, usize)> = BTreeMap::new();
--- a/src/spool_io/disk.rs
+++ b/src/spool_io/disk.rs
@@ -5,7 +5,7 @@
 //! are taken over at the start; those of living processes are only read.
 
 use crate::say;
-use crate::storage::segments::{Folder, Recovered, Rules, SegmentError, Segments, Volume};
+use crate::storage::segments::{BlockDevice, Directory, Recovered, Rules, SegmentError, Segments};
 use bytes::Bytes;
 use std::collections::HashMap;
 use std::fs::{File, TryLockError};
@@ -54,7 +54,7 @@
     Look {
         spool: u64,
         wanted: Wanted,
-        reply: oneshot::Sender<Option<Kept>>,
+        reply: oneshot::Sender<Option<PersistedSpool>>,
     },
     Most {
         bytes: u64,
@@ -93,7 +93,7 @@
 
 /// A whole spool that lies on the disk.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Kept {
+pub struct PersistedSpool {
     pub begin: Vec<u8>,
     pub end: Vec<u8>,
     /// Rows and bytes of each page.
@@ -103,13 +103,17 @@
 
 /// One folder's segments, and the numbers that their spools have in this process.
 struct Own {
-    segments: Segments<Folder>,
+    segments: Segments<Directory>,
     path: PathBuf,
     _lock: File,
 }
 
 /// The thread, what it tells, and the spools that were found.
-pub type Started = (Disk, mpsc::UnboundedReceiver<Done>, Vec<(u64, Kept)>);
+pub type Started = (
+    Disk,
+    mpsc::UnboundedReceiver<Done>,
+    Vec<(u64, PersistedSpool)>,
+);
 
 /// The way to the thread.
 pub struct Disk {
@@ -135,7 +139,7 @@
         for path in folders(dir)? {
             let Some(lock) = lock(&path)? else { continue };
             // A folder that cannot be read whole (a later version's, say) is left alone, and told of.
-            let (segments, recovered) = match Segments::open(Folder::new(&path)?, rules) {
+            let (segments, recovered) = match Segments::open(Directory::new(&path)?, rules) {
                 Ok(opened) => opened,
                 Err(e) => {
                     say!("spools: {}: {e}; it is left alone", path.display());
@@ -177,7 +181,7 @@
             let path = dir.join(format!("own-{}-{}", std::process::id(), unique()));
             std::fs::create_dir_all(&path)?;
             let lock = lock(&path)?.ok_or_else(|| io::Error::other("a new folder is locked"))?;
-            let (segments, _) = Segments::open(Folder::new(&path)?, rules)?;
+            let (segments, _) = Segments::open(Directory::new(&path)?, rules)?;
             owned.push(Own {
                 segments,
                 path,
@@ -246,11 +250,11 @@
     }
 }
 
-fn keeps(recovered: Recovered) -> impl Iterator<Item = (u64, Kept)> {
+fn keeps(recovered: Recovered) -> impl Iterator<Item = (u64, PersistedSpool)> {
     recovered.whole.into_iter().map(|f| {
         (
             f.spool,
-            Kept {
+            PersistedSpool {
                 begin: f.begin,
                 end: f.end,
                 pages: f.pages,
@@ -261,9 +265,9 @@
 }
 
 /// A living process's segments are read and never touched.
-struct Looking(Folder);
+struct Looking(Directory);
 
-impl Volume for Looking {
+impl BlockDevice for Looking {
     fn append(&mut self, _: u32, _: &[u8]) -> io::Result<()> {
         Err(io::ErrorKind::ReadOnlyFilesystem.into())
     }
@@ -416,14 +420,14 @@
     }
 
     /// Copies a whole spool out of a living process's folder.
-    fn look(&mut self, spool: u64, wanted: &dyn Fn(&[u8]) -> bool) -> Option<Kept> {
+    fn look(&mut self, spool: u64, wanted: &dyn Fn(&[u8]) -> bool) -> Option<PersistedSpool> {
         let ours: Vec<PathBuf> = self.owned.iter().map(|o| o.path.clone()).collect();
         for path in folders(&self.dir)
             .ok()?
             .into_iter()
             .filter(|p| !ours.contains(p))
         {
-            let Ok(folder) = Folder::new(&path) else {
+            let Ok(folder) = Directory::new(&path) else {
                 continue;
             };
             let rules = Rules {
--- a/src/spool_io/mod.rs
+++ b/src/spool_io/mod.rs
@@ -14,10 +14,11 @@
 use crate::say;
 use crate::spool::disk_health::Wrote;
 use crate::spool::{
-    Admission, Ask, DiskState, Handles, Ledger, Order, ResumeError, Rules, SpoolId, Taken, Unfit,
+    Admission, AdmissionRequest, DiskState, Handles, Order, Placement, ResumeError, Rules, SpoolId,
+    SpoolIndex, SpoolRejection,
 };
 use bytes::{BufMut, Bytes, BytesMut};
-use disk::{Disk, Done, Failure, Kept};
+use disk::{Disk, Done, Failure, PersistedSpool};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -40,7 +41,7 @@
 /// A result that waits for its reader.
 pub struct Held {
     pub who: Who,
-    pub ask: Ask,
+    pub ask: AdmissionRequest,
     /// What stands before the rows: the count of columns, the columns, their end.
     pub head: Bytes,
     /// The last packet, once the result is whole.
@@ -128,7 +129,7 @@
 
 /// All results that wait.
 pub struct Spools {
-    ledger: RefCell<Ledger>,
+    ledger: RefCell<SpoolIndex>,
     handles: RefCell<Handles>,
     held: RefCell<BTreeMap<SpoolId, Held>>,
     disk: Option<Disk>,
@@ -161,7 +162,7 @@
         classes: Vec<String>,
         tenants: Vec<String>,
     ) -> io::Result<(Rc<Self>, Option<mpsc::UnboundedReceiver<Done>>)> {
-        let mut ledger = Ledger::new(source.rules.clone(), classes.len());
+        let mut ledger = SpoolIndex::new(source.rules.clone(), classes.len());
         let (mut handles, mut held, mut disk, mut done) =
             (Handles::default(), BTreeMap::new(), None, None);
         if let (Some(dir), Some(most)) = (&source.dir, source.rules.disk) {
@@ -237,12 +238,12 @@
     }
 
     /// Is a request to be sent at all?
-    pub fn admit(&self, ask: Ask) -> Admission {
+    pub fn admit(&self, ask: AdmissionRequest) -> Admission {
         self.ledger.borrow_mut().admit(unix_ms(), ask)
     }
 
     /// For the result of one attempt.
-    pub fn writer(self: &Rc<Self>, ask: Ask, who: Who) -> Writer {
+    pub fn writer(self: &Rc<Self>, ask: AdmissionRequest, who: Who) -> Writer {
         Writer::new(self.clone(), ask, who)
     }
 
@@ -250,14 +251,19 @@
         self.ledger.borrow_mut().learn(class, bytes as f64);
     }
 
-    fn begin(&self, ask: Ask, who: Who, head: Bytes) -> Result<SpoolId, Unfit> {
+    fn begin(
+        &self,
+        ask: AdmissionRequest,
+        who: Who,
+        head: Bytes,
+    ) -> Result<SpoolId, SpoolRejection> {
         let now = unix_ms();
         let (id, orders) = self.ledger.borrow_mut().open(now, ask)?;
         let mut random = [0; 16];
         if getrandom::fill(&mut random).is_err() {
             // Without random numbers no handle can be given that is not to be guessed.
             self.ledger.borrow_mut().fail(id);
-            return Err(Unfit::Many);
+            return Err(SpoolRejection::Many);
         }
         self.handles
             .borrow_mut()
@@ -281,7 +287,7 @@
     }
 
     /// A page of a result that is still coming. Waits while too much is on its way to the disk.
-    async fn page(&self, id: SpoolId, rows: u32, bytes: Bytes) -> Result<(), Unfit> {
+    async fn page(&self, id: SpoolId, rows: u32, bytes: Bytes) -> Result<(), SpoolRejection> {
         let n = bytes.len() as u64;
         let (taken, orders) = self.ledger.borrow_mut().take(unix_ms(), id, n);
         let Ok(taken) = taken else {
@@ -294,7 +300,7 @@
             (held.rows, held.bytes) = (held.rows + u64::from(rows), held.bytes + n);
         }
         self.carry_out(orders);
-        if taken == Taken::Disk {
+        if taken == Placement::Disk {
             self.push_out(id);
         }
         while self.pending.get() > PENDING {
@@ -688,11 +694,15 @@
 }
 
 /// A result as it was found on the disk, with its handle and since when it is whole.
-fn again(kept: &Kept, classes: &[String], tenants: &[String]) -> Option<(Held, String, Millis)> {
+fn again(
+    kept: &PersistedSpool,
+    classes: &[String],
+    tenants: &[String],
+) -> Option<(Held, String, Millis)> {
     let (b, head) = unframed::<Beginning>(&kept.begin)?;
     let (e, tail) = unframed::<Ending>(&kept.end)?;
     let place = |list: &[String], name: &str| list.iter().position(|n| n == name);
-    let ask = Ask {
+    let ask = AdmissionRequest {
         tenant: b.tenant.as_deref().and_then(|t| place(tenants, t)),
         class: place(classes, &b.class).unwrap_or(usize::MAX),
         load: b.load,
--- a/src/spool_io/writer.rs
+++ b/src/spool_io/writer.rs
@@ -1,6 +1,6 @@
 //! The result of one attempt as it comes from its engine.
 
-use crate::spool::{Ask, SpoolId, Unfit};
+use crate::spool::{AdmissionRequest, SpoolId, SpoolRejection};
 use crate::spool_io::{PAGE, SHORT, Spools, packets, put_packet};
 use bytes::{Bytes, BytesMut};
 use std::rc::Rc;
@@ -30,7 +30,7 @@
 /// Takes packets until the last. What is dropped before is forgotten.
 pub struct Writer {
     spools: Rc<Spools>,
-    ask: Ask,
+    ask: AdmissionRequest,
     who: Option<Who>,
     /// All packets, while the result is short; then those of the page that is not full.
     bytes: BytesMut,
@@ -42,7 +42,7 @@
 }
 
 impl Writer {
-    pub(super) fn new(spools: Rc<Spools>, ask: Ask, who: Who) -> Self {
+    pub(super) fn new(spools: Rc<Spools>, ask: AdmissionRequest, who: Who) -> Self {
         Writer {
             spools,
             ask,
@@ -56,18 +56,18 @@
     }
 
     /// A packet before the rows, or the one and only.
-    pub fn head(&mut self, payload: &[u8]) -> Result<(), Unfit> {
+    pub fn head(&mut self, payload: &[u8]) -> Result<(), SpoolRejection> {
         put_packet(&mut self.bytes, payload);
         self.head = self.bytes.len();
         self.bound(payload.len())
     }
 
     /// The result's own bound holds from the first byte, whether or not it becomes a spool.
-    fn bound(&mut self, more: usize) -> Result<(), Unfit> {
+    fn bound(&mut self, more: usize) -> Result<(), SpoolRejection> {
         self.total += more + 4;
         let most = self.spools.ledger.borrow().rules().result;
         if self.total as u64 > most {
-            Err(Unfit::Result(most))
+            Err(SpoolRejection::Result(most))
         } else {
             Ok(())
         }
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     /// There is no place for it; the whole result is given up.
-    pub async fn row(&mut self, payload: &[u8]) -> Result<(), Unfit> {
+    pub async fn row(&mut self, payload: &[u8]) -> Result<(), SpoolRejection> {
         self.bound(payload.len())?;
         put_packet(&mut self.bytes, payload);
         self.rows += 1;
@@ -92,11 +92,11 @@
     }
 
     /// It is a spool from now on: what is in hand is cut into pages.
-    async fn outgrow(&mut self) -> Result<(), Unfit> {
+    async fn outgrow(&mut self) -> Result<(), SpoolRejection> {
         let all = self.bytes.split().freeze();
         let (head, rows) = (all.slice(..self.head), all.slice(self.head..));
         let Some(who) = self.who.take() else {
-            return Err(Unfit::Unknown);
+            return Err(SpoolRejection::Unknown);
         };
         self.spool = Some(self.spools.begin(self.ask, who, head)?);
         (self.rows, self.head) = (0, 0);
@@ -110,7 +110,7 @@
         Ok(())
     }
 
-    async fn close(&mut self) -> Result<(), Unfit> {
+    async fn close(&mut self) -> Result<(), SpoolRejection> {
         let Some(spool) = self.spool else {
             return Ok(());
         };
@@ -129,7 +129,7 @@
     ///
     /// # Errors
     /// There is no place for what is left of it.
-    pub async fn finish(mut self, tail: Option<&[u8]>) -> Result<Whole, Unfit> {
+    pub async fn finish(mut self, tail: Option<&[u8]>) -> Result<Whole, SpoolRejection> {
         if self.spool.is_none() {
             if let Some(tail) = tail {
                 put_packet(&mut self.bytes, tail);
@@ -141,7 +141,7 @@
             self.close().await?;
         }
         let Some(spool) = self.spool.take() else {
-            return Err(Unfit::Unknown);
+            return Err(SpoolRejection::Unknown);
         };
         self.spools
             .whole(spool, Bytes::copy_from_slice(tail.unwrap_or_default()));
--- a/src/sticky_sessions/mod.rs
+++ b/src/sticky_sessions/mod.rs
@@ -46,7 +46,7 @@
 
 /// How the pins of a dispatcher are bounded.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
+pub struct StickySessionLimits {
     /// A pin that no statement has used for this long ends.
     pub idle: Millis,
     /// No pin lives longer.
@@ -60,7 +60,7 @@
 
 /// Why a pin was ended by the dispatcher: what was open is rolled back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Over {
+pub enum Expired {
     #[error("no statement came for too long")]
     Idle,
     #[error("it was open for too long")]
@@ -80,7 +80,7 @@
 
 /// What became of an open transaction whose connection was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum TransactionOutcome {
     /// Engines roll back what was not committed when its connection breaks.
     RolledBack,
     /// A commit was on its way: only the engine knows. Never sent again.
@@ -89,8 +89,8 @@
 
 /// One session's pin.
 #[derive(Clone, Debug)]
-pub struct Pin {
-    terms: Terms,
+pub struct StickySession {
+    terms: StickySessionLimits,
     since: Millis,
     used: Millis,
     drains: Option<Millis>,
@@ -101,9 +101,9 @@
 /// The engine has rolled the whole transaction back.
 const DEADLOCK: u16 = 1213;
 
-impl Pin {
-    pub fn new(terms: Terms, now: Millis) -> Self {
-        Pin {
+impl StickySession {
+    pub fn new(terms: StickySessionLimits, now: Millis) -> Self {
+        StickySession {
             terms,
             since: now,
             used: now,
@@ -151,13 +151,15 @@
     }
 
     /// When the pin ends if nothing else happens, and why. A statement that runs is not idle.
-    pub fn due(&self) -> (Millis, Over) {
-        let mut due = (self.since + self.terms.longest, Over::Longest);
+    pub fn due(&self) -> (Millis, Expired) {
+        let mut due = (self.since + self.terms.longest, Expired::Longest);
         let idle = self
             .out
             .is_none()
-            .then_some((self.used + self.terms.idle, Over::Idle));
-        let drain = self.drains.map(|at| (at + self.terms.drain, Over::Drains));
+            .then_some((self.used + self.terms.idle, Expired::Idle));
+        let drain = self
+            .drains
+            .map(|at| (at + self.terms.drain, Expired::Drains));
         for other in [idle, drain].into_iter().flatten() {
             if other.0 < due.0 {
                 due = other;
@@ -166,7 +168,7 @@
         due
     }
 
-    pub fn over(&self, now: Millis) -> Option<Over> {
+    pub fn over(&self, now: Millis) -> Option<Expired> {
         let (at, why) = self.due();
         (now >= at).then_some(why)
     }
@@ -177,16 +179,16 @@
 }
 
 /// What became of the transaction when its connection broke with this statement out.
-pub fn fate(out: Option<Step>) -> Fate {
+pub fn fate(out: Option<Step>) -> TransactionOutcome {
     match out.is_some_and(|s| s.commits) {
-        true => Fate::Unknown,
-        false => Fate::RolledBack,
+        true => TransactionOutcome::Unknown,
+        false => TransactionOutcome::RolledBack,
     }
 }
 
 /// Why no pin may begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BookError {
+pub enum StickySessionLimitError {
     #[error("too many sessions hold an engine connection")]
     All,
     #[error("too many sessions of this tenant hold an engine connection")]
@@ -195,21 +197,25 @@
 
 /// Counts who holds pins.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct StickySessionTable {
     all: usize,
     tenants: BTreeMap<Option<usize>, usize>,
 }
 
-impl Book {
+impl StickySessionTable {
     /// # Errors
     /// A bound is reached; nothing was counted.
-    pub fn take(&mut self, terms: &Terms, tenant: Option<usize>) -> Result<(), BookError> {
+    pub fn take(
+        &mut self,
+        terms: &StickySessionLimits,
+        tenant: Option<usize>,
+    ) -> Result<(), StickySessionLimitError> {
         if self.all >= terms.most {
-            return Err(BookError::All);
+            return Err(StickySessionLimitError::All);
         }
         let of = self.tenants.get(&tenant).copied().unwrap_or(0);
         if of >= terms.most_of_tenant {
-            return Err(BookError::Tenant);
+            return Err(StickySessionLimitError::Tenant);
         }
         self.all += 1;
         self.tenants.insert(tenant, of + 1);
--- a/src/storage/segments/mod.rs
+++ b/src/storage/segments/mod.rs
@@ -16,7 +16,7 @@
 pub mod frame;
 pub mod volume;
 
-pub use volume::{Folder, Volume};
+pub use volume::{BlockDevice, Directory};
 
 use frame::{FrameError, HEAD, Head, Kind};
 use std::collections::BTreeMap;
@@ -131,7 +131,7 @@
 }
 
 /// All spools of one folder.
-pub struct Segments<V: Volume> {
+pub struct Segments<V: BlockDevice> {
     volume: V,
     rules: Rules,
     spools: BTreeMap<u64, Stored>,
@@ -141,7 +141,7 @@
     next: u32,
 }
 
-impl<V: Volume> Segments<V> {
+impl<V: BlockDevice> Segments<V> {
     /// Reads what is there. What is torn or not whole is dropped; the content of pages in older segments, which
     /// were synced, is checked when it is read.
     ///
--- a/src/storage/segments/tests.rs
+++ b/src/storage/segments/tests.rs
@@ -47,7 +47,7 @@
     }
 }
 
-impl Volume for Faulty {
+impl BlockDevice for Faulty {
     fn append(&mut self, segment: u32, bytes: &[u8]) -> io::Result<()> {
         let mut d = self.0.borrow_mut();
         let (part, result) = d.step();
@@ -129,7 +129,7 @@
     format!("spool {spool} page {page} ").repeat(8).into_bytes()
 }
 
-fn write<V: Volume>(s: &mut Segments<V>, spool: u64, pages: u32) -> Result<(), SegmentError> {
+fn write<V: BlockDevice>(s: &mut Segments<V>, spool: u64, pages: u32) -> Result<(), SegmentError> {
     s.begin(spool, format!("begin {spool}").as_bytes())?;
     for p in 0..pages {
         s.page(spool, p + 1, &page(spool, p))?;
@@ -137,7 +137,7 @@
     s.end(spool, b"end")
 }
 
-fn check<V: Volume>(s: &mut Segments<V>, spool: u64, pages: u32) {
+fn check<V: BlockDevice>(s: &mut Segments<V>, spool: u64, pages: u32) {
     for p in 0..pages {
         assert_eq!(s.read(spool, p).unwrap(), page(spool, p), "spool {spool}");
     }
@@ -348,7 +348,7 @@
     let path = std::env::temp_dir().join(format!("hitchwinch-segments-{}", std::process::id()));
     let open = || {
         Segments::open(
-            Folder::new(&path).unwrap(),
+            Directory::new(&path).unwrap(),
             Rules {
                 segment: 2000,
                 most: 1 << 20,
--- a/src/storage/segments/volume.rs
+++ b/src/storage/segments/volume.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 
 /// What segments do to files. Every call may block, and may fail; a failed [`Volume::append`] may have written a part.
-pub trait Volume {
+pub trait BlockDevice {
     /// Writes behind what is there; a new segment begins with its first byte.
     fn append(&mut self, segment: u32, bytes: &[u8]) -> io::Result<()>;
     /// So many bytes from there, or fewer at the end.
@@ -36,13 +36,13 @@
 const OPEN: usize = 8;
 
 /// A folder of the machine.
-pub struct Folder {
+pub struct Directory {
     path: PathBuf,
     /// Used last at the back.
     open: VecDeque<(u32, File)>,
 }
 
-impl Folder {
+impl Directory {
     /// The folder is made if it is not there, for nobody else to read.
     ///
     /// # Errors
@@ -53,7 +53,7 @@
             .recursive(true)
             .mode(0o700)
             .create(path)?;
-        Ok(Folder {
+        Ok(Directory {
             path: path.to_path_buf(),
             open: VecDeque::new(),
         })
@@ -89,7 +89,7 @@
     }
 }
 
-impl Volume for Folder {
+impl BlockDevice for Directory {
     fn append(&mut self, segment: u32, bytes: &[u8]) -> io::Result<()> {
         self.file(segment, true)?.write_all(bytes)
     }
--- a/src/transport/tls.rs
+++ b/src/transport/tls.rs
@@ -1,7 +1,7 @@
 //! The keys of the MySQL front: read whole from their files, changed in service without touching open sessions. What
 //! is taken and what is told of it decides [`crate::certificates`].
 
-use crate::certificates::{self, Notice, Unfit, Validity};
+use crate::certificates::{self, CertificateError, ExpiryWarning, Validity};
 use crate::clock::unix_ms;
 use crate::config::tls::TlsSource;
 use crate::say;
@@ -35,7 +35,7 @@
     #[error("{0}: no certificate stands in it")]
     Empty(PathBuf),
     #[error("{0}: {1}")]
-    Unfit(PathBuf, Unfit),
+    CertificateError(PathBuf, CertificateError),
     #[error("{0}: the certificate cannot be read")]
     Certificate(PathBuf),
     #[error("{0}: {1}")]
@@ -72,7 +72,7 @@
     source: RefCell<TlsSource>,
     loaded: RefCell<Loaded>,
     stamp: RefCell<Stamp>,
-    notices: RefCell<Vec<Notice>>,
+    notices: RefCell<Vec<ExpiryWarning>>,
 }
 
 impl TlsKeys {
@@ -81,7 +81,7 @@
     pub fn open(source: &TlsSource) -> Result<Rc<Self>, TlsError> {
         let stamp = stamp(source);
         let loaded = load(source, unix_ms())?;
-        let notices = RefCell::new(vec![Notice::default(); loaded.ends.len()]);
+        let notices = RefCell::new(vec![ExpiryWarning::default(); loaded.ends.len()]);
         let (loaded, stamp, source) = (
             RefCell::new(loaded),
             RefCell::new(stamp),
@@ -112,7 +112,7 @@
     pub fn take(&self, source: &TlsSource) -> Result<(), TlsError> {
         let stamp = stamp(source);
         let loaded = load(source, unix_ms())?;
-        *self.notices.borrow_mut() = vec![Notice::default(); loaded.ends.len()];
+        *self.notices.borrow_mut() = vec![ExpiryWarning::default(); loaded.ends.len()];
         *self.loaded.borrow_mut() = loaded;
         *self.stamp.borrow_mut() = stamp;
         *self.source.borrow_mut() = source.clone();
@@ -224,7 +224,8 @@
         let chain = certificates(cert)?;
         let first = chain.first().ok_or_else(|| TlsError::Empty(cert.clone()))?;
         let (names, validity) = facts(first).ok_or_else(|| TlsError::Certificate(cert.clone()))?;
-        certificates::fit(now, validity).map_err(|e| TlsError::Unfit(cert.clone(), e))?;
+        certificates::fit(now, validity)
+            .map_err(|e| TlsError::CertificateError(cert.clone(), e))?;
         let private = PrivateKeyDer::from_pem_slice(&read(key)?)
             .map_err(|e| TlsError::Pem(key.clone(), e))?;
         // The two belong together, or this fails.
--- a/src/upstream/mysql/mod.rs
+++ b/src/upstream/mysql/mod.rs
@@ -13,7 +13,7 @@
 use crate::discovery::Change;
 use crate::discovery::membership_driver::Witness;
 use crate::dispatch::request_router::{RequestRouter, Start, Upstream};
-use crate::membership::Seen;
+use crate::membership::Observation;
 use crate::protocol::mysql::auth;
 use crate::protocol::mysql::error::{SqlError, code};
 use crate::protocol::mysql::packet::*;
@@ -68,9 +68,9 @@
         let left = self.open.get().saturating_sub(1);
         self.open.set(left);
         let seen = if self.broken {
-            Seen::Broken { left }
+            Observation::Broken { left }
         } else {
-            Seen::Closed { left }
+            Observation::Closed { left }
         };
         if let Some(shared) = self.shared.upgrade() {
             shared.report(&self.engine, seen);
@@ -420,7 +420,7 @@
                     {
                         self.report(
                             &start.engine,
-                            Seen::Refused {
+                            Observation::Refused {
                                 left: self.left(&start.engine),
                             },
                         );
@@ -498,7 +498,7 @@
                 outcome.map_or(Ok(output), Err)
             }
             // The statement ran and a second run would bring as much: that is the answer.
-            Err(PacketError::Unfit(e)) if wrote => {
+            Err(PacketError::SpoolRejection(e)) if wrote => {
                 let mut packets = Packets::default();
                 say!("engine {}: {e}", start.engine);
                 let text = format!("the statement ran, but {e}");
@@ -601,7 +601,7 @@
         Ok(c)
     }
 
-    fn report(&self, engine: &str, seen: Seen) {
+    fn report(&self, engine: &str, seen: Observation) {
         if let Some(witness) = self.witness.borrow().as_ref() {
             witness.report(engine, seen);
         }
--- a/src/upstream/mysql/sticky.rs
+++ b/src/upstream/mysql/sticky.rs
@@ -9,7 +9,9 @@
 use crate::protocol::mysql::error::{SqlError, code};
 use crate::protocol::mysql::packet::*;
 use crate::protocol::mysql::session::Context;
-use crate::sticky_sessions::{After, Fate, Next, Over, Pin, Step, Terms};
+use crate::sticky_sessions::{
+    After, Expired, Next, Step, StickySession, StickySessionLimits, TransactionOutcome,
+};
 use crate::upstream::mysql::downstream::Downstream;
 use crate::upstream::mysql::work::{Output, Packets, Work};
 use crate::upstream::mysql::{Connection, Shared, command, next};
@@ -44,8 +46,8 @@
     /// Taken by the attempt that holds the connection: there is never a second.
     orders: RefCell<Option<mpsc::Receiver<Order>>>,
     /// Why it was ended from here.
-    over: Cell<Option<Over>>,
-    pub terms: Terms,
+    over: Cell<Option<Expired>>,
+    pub terms: StickySessionLimits,
     /// Sent on the connection before the first statement.
     pub first: Option<String>,
 }
@@ -59,7 +61,10 @@
 }
 
 impl Pinned {
-    pub fn new(terms: Terms, first: Option<String>) -> (Rc<Self>, mpsc::Sender<Order>) {
+    pub fn new(
+        terms: StickySessionLimits,
+        first: Option<String>,
+    ) -> (Rc<Self>, mpsc::Sender<Order>) {
         let (tx, rx) = mpsc::channel(1);
         (
             Rc::new(Pinned {
@@ -77,7 +82,7 @@
         self.orders.borrow().is_none()
     }
 
-    pub fn over(&self) -> Option<Over> {
+    pub fn over(&self) -> Option<Expired> {
         self.over.get()
     }
 }
@@ -162,7 +167,7 @@
             ));
         };
         told.holds();
-        let mut pin = Pin::new(pinned.terms.clone(), unix_ms());
+        let mut pin = StickySession::new(pinned.terms.clone(), unix_ms());
         let mut asked = unix_ms();
         if let Some(first) = &pinned.first {
             self.settle(c, QUERY, first).await?;
@@ -325,21 +330,21 @@
 }
 
 /// Why a pin was lost, in words.
-pub fn reason(over: Option<Over>) -> String {
+pub fn reason(over: Option<Expired>) -> String {
     over.map_or("its engine connection was lost".to_string(), |o| {
         o.to_string()
     })
 }
 
 /// What a client is told whose pin was lost: whether anything may hold is said plainly.
-pub fn lost(reason: &str, fate: Fate) -> SqlError {
+pub fn lost(reason: &str, fate: TransactionOutcome) -> SqlError {
     match fate {
-        Fate::RolledBack => {
+        TransactionOutcome::RolledBack => {
             let text =
                 format!("the transaction is rolled back, {reason}; begin it again from its start");
             SqlError::new(code::ROLLED_BACK, text)
         }
-        Fate::Unknown => {
+        TransactionOutcome::Unknown => {
             let text = format!(
                 "the commit was sent and not answered, {reason}: it is not known whether it holds"
             );
--- a/src/upstream/mysql/work.rs
+++ b/src/upstream/mysql/work.rs
@@ -4,7 +4,7 @@
 use crate::protocol::mysql::error::{SqlError, code};
 use crate::protocol::mysql::session::Context;
 use crate::protocol::mysql::values::Execute;
-use crate::spool::{Ask, SpoolId};
+use crate::spool::{AdmissionRequest, SpoolId};
 use crate::spool_io::{self, Who};
 use crate::upstream::mysql::downstream::Downstream;
 use crate::upstream::mysql::sticky::Pinned;
@@ -19,7 +19,7 @@
     pub sql: Bytes,
     pub job: Job,
     /// Whose result it brings, for the account of results that wait.
-    pub ask: Ask,
+    pub ask: AdmissionRequest,
     pub who: Who,
     pub left: Left,
     /// Who asks: looked at right before anything of it is written to an engine.
--- a/tests/mysql_gone.rs
+++ b/tests/mysql_gone.rs
@@ -19,7 +19,7 @@
 use query_dispatcher::protocol::mysql::error::SqlError;
 use query_dispatcher::protocol::mysql::packet::*;
 use query_dispatcher::spool_io::Spools;
-use query_dispatcher::sticky_sessions::Terms;
+use query_dispatcher::sticky_sessions::StickySessionLimits;
 use query_dispatcher::transport::framed::BufferPool;
 use query_dispatcher::transport::tls::TlsKeys;
 use query_dispatcher::upstream::mysql::MysqlUpstream;
@@ -282,7 +282,7 @@
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let config = mysql_front();
-    let pins = Terms {
+    let pins = StickySessionLimits {
         most: 1,
         most_of_tenant: 1,
         ..config.pins.clone()
--- a/tests/recorded_state/registry_adapter.rs
+++ b/tests/recorded_state/registry_adapter.rs
@@ -5,8 +5,8 @@
 use query_dispatcher::membership::registry_view::{Member, version};
 use query_dispatcher::membership::report::Query;
 use query_dispatcher::membership::{
-    Change, Content, Fact, HoldRules, Membership, Networks, Rules, Seen, Snapshot, Status, Version,
-    View,
+    Change, Content, InstanceRecord, Membership, Networks, Observation, Rules,
+    SelfPreservationRules, Snapshot, Status, Version, View,
 };
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -77,7 +77,7 @@
 fn rules(options: Options) -> Rules {
     Rules {
         networks: networks(options.networks),
-        hold: HoldRules {
+        hold: SelfPreservationRules {
             share: options.preserved_share,
             least: options.preserved_least,
             span: options.preserved_span,
@@ -90,8 +90,8 @@
     }
 }
 
-fn fact(instance: Instance) -> Fact {
-    Fact {
+fn fact(instance: Instance) -> InstanceRecord {
+    InstanceRecord {
         id: instance.id,
         status: Status::parse(instance.status),
         overridden: instance.overridden.map(Status::parse),
@@ -167,10 +167,10 @@
         recording: &mut Recording,
     ) {
         let seen = match event {
-            Connection::Opened { at } => Seen::Opened { at },
-            Connection::Broken { open } => Seen::Broken { left: open },
-            Connection::Refused { open } => Seen::Refused { left: open },
-            Connection::Closed { open } => Seen::Closed { left: open },
+            Connection::Opened { at } => Observation::Opened { at },
+            Connection::Broken { open } => Observation::Broken { left: open },
+            Connection::Refused { open } => Observation::Refused { left: open },
+            Connection::Closed { open } => Observation::Closed { left: open },
         };
         let (change, restarted) = self.0.seen(now, engine, seen);
         recording.state(&format!("restarted {restarted}"));
--- a/tests/recorded_state/registry_text.rs
+++ b/tests/recorded_state/registry_text.rs
@@ -1,12 +1,14 @@
 //! The text form of what the registry view gives out. With its adapter the only file that names the machine's items.
 
 use super::recording::{Recording, float, optional, optional_float};
-use query_dispatcher::membership::liveness::Proof;
+use query_dispatcher::membership::liveness::LivenessEvidence;
 use query_dispatcher::membership::registry_view::{Member, Source};
 use query_dispatcher::membership::report::{Only, QueryError};
 use query_dispatcher::membership::self_preservation::Held;
-use query_dispatcher::membership::snapshot::Kept;
-use query_dispatcher::membership::source_records::{Belief, Claim, Floor, Said, Stand, Why};
+use query_dispatcher::membership::snapshot::PersistedInstance;
+use query_dispatcher::membership::source_records::{
+    Floor, Reported, ResolvedState, SourceRecord, Standing, Why,
+};
 use query_dispatcher::membership::{Engine, Version};
 use query_dispatcher::{EngineState, ListUpdate};
 
@@ -92,7 +94,7 @@
     )
 }
 
-pub fn proof_text(proof: &Proof) -> String {
+pub fn proof_text(proof: &LivenessEvidence) -> String {
     let times = [proof.lost, proof.unwatched, proof.started].map(optional_float);
     format!(
         "liveness {times:?} {} {} {}",
@@ -112,11 +114,11 @@
     )
 }
 
-pub fn belief_text(belief: &Belief) -> String {
+pub fn belief_text(belief: &ResolvedState) -> String {
     let stand = match belief.stand {
-        Stand::Serves => "serves",
-        Stand::Drains => "drains",
-        Stand::Gone => "gone",
+        Standing::Serves => "serves",
+        Standing::Drains => "drains",
+        Standing::Gone => "gone",
     };
     let until = optional_float(belief.until);
     format!(
@@ -148,12 +150,12 @@
     format!("{} {particulars}", reason_kind(reason))
 }
 
-pub fn claim_text(claim: &Claim) -> String {
+pub fn claim_text(claim: &SourceRecord) -> String {
     let said = match claim.said {
-        Said::Serves => "serves".to_string(),
-        Said::Drains(status) => format!("drains {}", status.word()),
-        Said::Unusable => "unusable".to_string(),
-        Said::Absent => "absent".to_string(),
+        Reported::Serves => "serves".to_string(),
+        Reported::Drains(status) => format!("drains {}", status.word()),
+        Reported::Unusable => "unusable".to_string(),
+        Reported::Absent => "absent".to_string(),
     };
     let times = [float(claim.asked), float(claim.since)];
     let (version, address) = (version_text(claim.version), optional(claim.address));
@@ -172,7 +174,7 @@
     )
 }
 
-pub fn kept_text(kept: &Kept) -> String {
+pub fn kept_text(kept: &PersistedInstance) -> String {
     let particulars = [optional(kept.zone.as_ref()), optional(kept.kind.as_ref())];
     let versions = [Some(kept.newest), kept.drained].map(|version| version.map(version_text));
     let times = [Some(kept.since), kept.started].map(optional_float);
--- a/tests/recorded_state/spool.rs
+++ b/tests/recorded_state/spool.rs
@@ -3,7 +3,7 @@
 use super::expected::{SPOOL_IN_MEMORY, SPOOL_WITH_BAD_DISK, SPOOL_WITH_DISK};
 use super::random::Random;
 use super::recording::{Recording, assert_exercised};
-use super::spool_adapter::{DiskWrite, Options, Request, SpoolIndex};
+use super::spool_adapter::{DiskWrite, Options, RecordedSpoolIndex, Request};
 
 const KIB: u64 = 1024;
 const CLASSES: u64 = 3;
@@ -147,7 +147,7 @@
 struct Stream<'profile> {
     profile: &'profile Profile,
     random: Random,
-    index: SpoolIndex,
+    index: RecordedSpoolIndex,
     now: f64,
     /// All spools so far, also those that are gone.
     spools: Vec<u64>,
@@ -161,7 +161,7 @@
         Stream {
             profile,
             random: Random::of_stream(profile.seed, number),
-            index: SpoolIndex::new(profile.options, CLASSES as usize),
+            index: RecordedSpoolIndex::new(profile.options, CLASSES as usize),
             now: 0.0,
             spools: vec![],
             open: vec![],
--- a/tests/recorded_state/spool_adapter.rs
+++ b/tests/recorded_state/spool_adapter.rs
@@ -3,7 +3,8 @@
 use super::recording::{Recording, float, optional, optional_float};
 use query_dispatcher::spool::disk_health::Wrote;
 use query_dispatcher::spool::{
-    Admission, Ask, DiskState, Handles, Ledger, Order, ResumeError, Rules, Taken, Unfit,
+    Admission, AdmissionRequest, DiskState, Handles, Order, Placement, ResumeError, Rules,
+    SpoolIndex, SpoolRejection,
 };
 
 #[derive(Clone, Copy)]
@@ -41,8 +42,8 @@
     }
 }
 
-fn ask(request: Request) -> Ask {
-    Ask {
+fn ask(request: Request) -> AdmissionRequest {
+    AdmissionRequest {
         tenant: request.tenant,
         class: request.class,
         load: request.is_load,
@@ -50,15 +51,15 @@
 }
 
 /// The account of spools together with the handles that clients resume by.
-pub struct SpoolIndex {
-    ledger: Ledger,
+pub struct RecordedSpoolIndex {
+    ledger: SpoolIndex,
     handles: Handles,
 }
 
-impl SpoolIndex {
+impl RecordedSpoolIndex {
     pub fn new(options: Options, classes: usize) -> Self {
-        SpoolIndex {
-            ledger: Ledger::new(rules(options), classes),
+        RecordedSpoolIndex {
+            ledger: SpoolIndex::new(rules(options), classes),
             handles: Handles::default(),
         }
     }
@@ -285,22 +286,22 @@
     }
 }
 
-fn record_place(place: Taken, recording: &mut Recording) {
+fn record_place(place: Placement, recording: &mut Recording) {
     let kind = match place {
-        Taken::Memory => "page in memory",
-        Taken::Disk => "page on disk",
+        Placement::Memory => "page in memory",
+        Placement::Disk => "page on disk",
     };
     recording.count(kind);
     recording.state(kind);
 }
 
-fn record_unfit(error: Unfit, recording: &mut Recording) {
+fn record_unfit(error: SpoolRejection, recording: &mut Recording) {
     let kind = match error {
-        Unfit::Result(_) => "above result limit",
-        Unfit::Tenant(_) => "above tenant quota",
-        Unfit::Room => "no room",
-        Unfit::Many => "too many spools",
-        Unfit::Unknown => "unknown spool",
+        SpoolRejection::Result(_) => "above result limit",
+        SpoolRejection::Tenant(_) => "above tenant quota",
+        SpoolRejection::Room => "no room",
+        SpoolRejection::Many => "too many spools",
+        SpoolRejection::Unknown => "unknown spool",
     };
     recording.count(kind);
     recording.state(kind);
--- a/tests/recorded_state/sticky.rs
+++ b/tests/recorded_state/sticky.rs
@@ -4,7 +4,7 @@
 use super::random::Random;
 use super::recording::{Recording, assert_exercised};
 use super::sticky_adapter::{
-    Answer, HOLDS, Options, SessionLimits, Statement, StickySession, record_lost_connection,
+    Answer, HOLDS, Options, RecordedStickySession, SessionLimits, Statement, record_lost_connection,
 };
 
 const TENANTS: u64 = 4;
@@ -78,7 +78,7 @@
 
 struct Client {
     tenant: Option<usize>,
-    session: StickySession,
+    session: RecordedStickySession,
     sent: Option<Statement>,
 }
 
@@ -117,7 +117,7 @@
         let tenant = self.random.below(TENANTS) as usize;
         let tenant = (tenant > 0).then_some(tenant);
         if self.limits.acquire(self.profile.options, tenant, recording) {
-            let session = StickySession::new(self.profile.options, self.now);
+            let session = RecordedStickySession::new(self.profile.options, self.now);
             self.clients.push(Client {
                 tenant,
                 session,
--- a/tests/recorded_state/sticky_adapter.rs
+++ b/tests/recorded_state/sticky_adapter.rs
@@ -2,7 +2,8 @@
 
 use super::recording::{Recording, float};
 use query_dispatcher::sticky_sessions::{
-    After, Book, BookError, Fate, Next, Over, Pin, Reason, Step, Terms, fate,
+    After, Expired, Next, Reason, Step, StickySession, StickySessionLimitError,
+    StickySessionLimits, StickySessionTable, TransactionOutcome, fate,
 };
 
 #[derive(Clone, Copy)]
@@ -44,8 +45,8 @@
     Error(u16),
 }
 
-fn terms(options: Options) -> Terms {
-    Terms {
+fn terms(options: Options) -> StickySessionLimits {
+    StickySessionLimits {
         idle: options.idle_timeout,
         longest: options.longest,
         drain: options.drain_timeout,
@@ -73,11 +74,11 @@
 }
 
 #[derive(Clone)]
-pub struct StickySession(Pin);
+pub struct RecordedStickySession(StickySession);
 
-impl StickySession {
+impl RecordedStickySession {
     pub fn new(options: Options, now: f64) -> Self {
-        StickySession(Pin::new(terms(options), now))
+        RecordedStickySession(StickySession::new(terms(options), now))
     }
 
     pub fn sent(&mut self, now: f64, statement: Statement) {
@@ -121,26 +122,26 @@
     }
 }
 
-fn end_kind(over: Over) -> &'static str {
+fn end_kind(over: Expired) -> &'static str {
     match over {
-        Over::Idle => "idle timeout",
-        Over::Longest => "lifetime over",
-        Over::Drains => "drain timeout",
+        Expired::Idle => "idle timeout",
+        Expired::Longest => "lifetime over",
+        Expired::Drains => "drain timeout",
     }
 }
 
 /// What became of a transaction whose connection was lost.
 pub fn record_lost_connection(sent: Option<Statement>, recording: &mut Recording) {
     let kind = match fate(sent.map(step)) {
-        Fate::RolledBack => "rolled back",
-        Fate::Unknown => "outcome unknown",
+        TransactionOutcome::RolledBack => "rolled back",
+        TransactionOutcome::Unknown => "outcome unknown",
     };
     recording.count(kind);
     recording.state(kind);
 }
 
 #[derive(Default)]
-pub struct SessionLimits(Book);
+pub struct SessionLimits(StickySessionTable);
 
 impl SessionLimits {
     pub fn acquire(
@@ -152,8 +153,8 @@
         let result = self.0.take(&terms(options), tenant);
         let kind = match result {
             Ok(()) => "session begun",
-            Err(BookError::All) => "session limit reached",
-            Err(BookError::Tenant) => "tenant limit reached",
+            Err(StickySessionLimitError::All) => "session limit reached",
+            Err(StickySessionLimitError::Tenant) => "tenant limit reached",
         };
         recording.count(kind);
         recording.state(&format!("{kind} {}", self.0.all()));
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -167,7 +167,7 @@
         rules: ClassRules::new(1, 0, classes, vec![]),
         deadlines: vec![5000.0, 5000.0],
         transaction_class: 1,
-        pins: query_dispatcher::sticky_sessions::Terms {
+        pins: query_dispatcher::sticky_sessions::StickySessionLimits {
             idle: 60_000.0,
             longest: 60_000.0,
             drain: 500.0,
--- a/tests/stored/members.rs
+++ b/tests/stored/members.rs
@@ -1,7 +1,7 @@
 //! The snapshot of membership as a record.
 
 use query_dispatcher::membership::Version;
-use query_dispatcher::membership::snapshot::{FORM, Kept, Snapshot};
+use query_dispatcher::membership::snapshot::{FORM, PersistedInstance, Snapshot};
 use query_dispatcher::storage::{Disk, Kind, RecordError, Store};
 use std::path::Path;
 
@@ -23,7 +23,7 @@
 
 /// What the stored file holds: every field with and without a value.
 pub fn fixed_snapshot() -> Snapshot {
-    let engine = |id: &str, port: u16, serves: bool| Kept {
+    let engine = |id: &str, port: u16, serves: bool| PersistedInstance {
         id: id.into(),
         address: ([127, 0, 0, 1], port).into(),
         zone: None,
@@ -34,7 +34,7 @@
         drained: None,
         started: None,
     };
-    let whole = Kept {
+    let whole = PersistedInstance {
         zone: Some("north".into()),
         kind: Some("gen-a".into()),
         newest: Version::new(1_700_000_000_123, 1_700_000_000_456),
@@ -43,7 +43,7 @@
         ..engine("engine-1", 4001, true)
     };
     let drained = Version::new(1_700_000_000_789, 1_700_000_000_790);
-    let draining = Kept {
+    let draining = PersistedInstance {
         newest: drained,
         drained: Some(drained),
         ..engine("engine-3", 4003, false)
--- a/tests/stored/segments.rs
+++ b/tests/stored/segments.rs
@@ -1,6 +1,6 @@
 //! Segments of spools.
 
-use query_dispatcher::storage::segments::{Folder, Rules, Segments};
+use query_dispatcher::storage::segments::{Directory, Rules, Segments};
 use std::path::Path;
 
 const RULES: Rules = Rules {
@@ -29,7 +29,7 @@
 
 /// Writes the fixed spools.
 pub fn write_fixed(folder: &Path) {
-    let (mut segments, _) = Segments::open(Folder::new(folder).unwrap(), RULES).unwrap();
+    let (mut segments, _) = Segments::open(Directory::new(folder).unwrap(), RULES).unwrap();
     segments
         .begin(UNFINISHED, b"the beginning of a spool that does not end")
         .unwrap();
@@ -47,7 +47,7 @@
 
 /// All that a folder holds, as text.
 pub fn read_folder(folder: &Path) -> String {
-    let (mut segments, found) = match Segments::open(Folder::new(folder).unwrap(), RULES) {
+    let (mut segments, found) = match Segments::open(Directory::new(folder).unwrap(), RULES) {
         Ok(opened) => opened,
         Err(error) => return format!("  {error}\n"),
     };
