--- a/tests/races.rs
+++ b/tests/client_disconnect_races.rs
@@ -1,10 +1,11 @@
 //! Two events that cross: each test forces the bad order on real connections, by holding a read, writing half a frame, or
 //! letting both happen before the runtime hears of either. `docs/RACES.md` has the list.
 
+mod protocol;
 mod scenario;
-mod wire;
 
 use bytes::Bytes;
+use protocol::*;
 use query_dispatcher::clock::unix_ms;
 use query_dispatcher::config::{Machine, Names, Sockets};
 use query_dispatcher::core::{Core, NewRequest};
@@ -22,7 +23,6 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::task::spawn_local;
-use wire::*;
 
 /// Past it, nothing is sent on for a client that has left.
 const TERM: Duration = Duration::from_millis(100);
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -2,9 +2,9 @@
 //! program, with its own limit of 64, the machine's, or both; every place is held, and a hundred more come at once
 //! out of the listening socket's queue.
 
-mod child;
+mod process;
 
-use child::*;
+use process::*;
 use query_dispatcher::transport::descriptors::OWN;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/tests/external_interface.rs
+++ b/tests/external_interface.rs
@@ -2,19 +2,19 @@
 //! configurations, the operators' address, the MySQL protocol, the peers' datagrams and the platform's wires. A change
 //! of names or of structure inside the program changes none of it.
 
-mod child;
 mod external;
 #[path = "recorded/mysql_client.rs"]
 mod mysql_client;
+mod process;
 #[path = "recorded/program.rs"]
 mod program;
 mod recorded;
 
-use child::{Program, Service, connect, event, told};
 use external::configuration::*;
 use external::platform_wire::{FarEnd, read_frame, request};
 use external::statements::{COMMANDS, STATEMENTS};
 use mysql_client::{MysqlClient, text};
+use process::{Program, Service, connect, event, told};
 use program::{call, start_mysql};
 use query_dispatcher::gossip;
 use recorded::{assert_recorded, printable};
@@ -148,8 +148,8 @@
 #[test]
 fn the_operators_address_on_the_platform() {
     let journal = Service::down();
-    let engine = child::Engine::new();
-    let program = Program::run(&child::config(&[engine.at], journal.at, None), &[], None);
+    let engine = process::Engine::new();
+    let program = Program::run(&process::config(&[engine.at], journal.at, None), &[], None);
     assert_recorded("external/operators-platform.txt", &responses(program.admin));
 }
 
@@ -362,7 +362,7 @@
     let engine = FarEnd::start(b"select 1\r\n", engine_answer());
     let journal = Service::down();
     let program = Program::run(
-        &child::config(&[engine.address], journal.at, None),
+        &process::config(&[engine.address], journal.at, None),
         &[],
         None,
     );
@@ -408,7 +408,7 @@
     let mut connection = connect(program.address);
     let mut told = String::new();
     for (name, stream, kind, payload) in requests {
-        child::send(&mut connection, kind, stream, &payload).unwrap();
+        process::send(&mut connection, kind, stream, &payload).unwrap();
         let answer = read_frame(&mut connection).expect("an answer");
         told += &format!("{name}: {}\n", printable(&answer));
     }
@@ -421,8 +421,8 @@
         ("a stream that is not new", REQUEST, 0),
     ] {
         let mut connection = connect(program.address);
-        child::send(&mut connection, LEAVE, 1, &[]).unwrap();
-        child::send(&mut connection, kind, stream, &[0]).unwrap();
+        process::send(&mut connection, LEAVE, 1, &[]).unwrap();
+        process::send(&mut connection, kind, stream, &[0]).unwrap();
         told += &format!(
             "{name}: {}\n",
             printable(&read_frame(&mut connection).expect("an answer"))
@@ -439,12 +439,12 @@
 
 #[test]
 fn the_call_to_the_journal() {
-    let engine = child::Engine::new();
+    let engine = process::Engine::new();
     let news = event(2, &told(1, engine.at, "in_service"));
     let stream = format!("HTTP/1.1 200 OK\r\n\r\n: hello\n{news}");
     let journal = FarEnd::start(b"\r\n\r\n", stream.into_bytes());
     let program = Program::run(
-        &child::config(&[engine.at], journal.address, None),
+        &process::config(&[engine.at], journal.address, None),
         &[],
         None,
     );
--- a/tests/moments.rs
+++ b/tests/race_conditions.rs
@@ -2,10 +2,11 @@
 //! connects, answers without an end, repeats that come too late, and clients that write in pieces. `docs/RACES.md` has
 //! the list; what needs the process's own end is in `program.rs`.
 
+mod protocol;
 mod scenario;
-mod wire;
 
 use bytes::Bytes;
+use protocol::*;
 use query_dispatcher::admin::{Admin, Watched};
 use query_dispatcher::clock::unix_ms;
 use query_dispatcher::config::{Machine, Sockets};
@@ -25,7 +26,6 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::task::spawn_local;
-use wire::*;
 
 const LOOKUP: usize = 0;
 const LOAD: usize = 1;
--- a/tests/recorded/mysql_client.rs
+++ b/tests/recorded/mysql_client.rs
@@ -1,7 +1,7 @@
 //! A MySQL client at the level of packets, written from the public protocol: it uses nothing of the library, so that
 //! it shows the bytes as any client sees them.
 
-use crate::child::connect;
+use crate::process::connect;
 use crate::recorded::printable;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/tests/recorded/program.rs
+++ b/tests/recorded/program.rs
@@ -1,6 +1,6 @@
 //! The program on the MySQL front, with the lines that it logged while it started.
 
-use crate::child::{Program, connect};
+use crate::process::{Program, connect};
 use std::io::{Read, Write};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -1,8 +1,8 @@
 //! From its exec to its answer to type 16 with code 0: what the platform waits for when it starts a dispatcher again.
 
-mod child;
+mod process;
 
-use child::*;
+use process::*;
 use socket2::{Domain, Socket, Type};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::OwnedFd;
--- a/tests/cold_budget.rs
+++ b/tests/slow_start_budget.rs
@@ -5,7 +5,7 @@
 //! of mean work, N being what `overload_multiple` times its capacity at the window's begin does in that time. The rule is
 //! broken by a window beyond that of which over two thirds came from processes that had been told of the start.
 //!
-//! `cargo test --test cold_budget -- --nocapture` prints a line for each scenario, size and grain of work.
+//! `cargo test --test slow_start_budget -- --nocapture` prints a line for each scenario, size and grain of work.
 
 mod common;
 
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -1,16 +1,16 @@
 //! Files that commit fb33aa2 wrote, under `tests/data/stored`: whatever names the program's parts have, it reads them
 //! in full, tells the same of copies that are cut short, and writes the same bytes.
 
-mod child;
 #[path = "recorded/mysql_client.rs"]
 mod mysql_client;
+mod process;
 #[path = "recorded/program.rs"]
 mod program;
 mod recorded;
 mod stored;
 
-use child::Service;
 use mysql_client::{MysqlClient, Packet, text};
+use process::Service;
 use program::{call, start_mysql};
 use recorded::{TemporaryFolder, assert_recorded, data, file_names, mask_numbers};
 use std::path::Path;
