--- a/tests/client_disconnect_races.rs
+++ b/tests/client_disconnect_races.rs
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_by_type_8_a_close_or_a_reset_is_not_sent_on() {
+fn no_request_is_forwarded_after_a_cancel_frame_close_or_reset() {
     on_one_thread(async {
         left_while_it_waits(async |_| {}, 1, by_type_8).await;
         left_while_it_waits(async |_| {}, 1, by_closing).await;
@@ -249,7 +249,7 @@
 
 /// Fourteen useless frames hold the next back for some two seconds.
 #[test]
-fn a_leave_behind_useless_frames_is_heeded_though_the_client_is_made_to_wait() {
+fn disconnect_behind_malformed_frames_is_seen_while_the_client_is_throttled() {
     on_one_thread(async {
         let junk = async |c: &mut Client| c.say(&useless(100, 14)).await;
         left_while_it_waits(junk, 1, by_type_8).await;
@@ -260,7 +260,7 @@
 
 /// Behind any number of them: as many as are made to wait, as are turned away, and more than may be.
 #[test]
-fn a_leave_behind_any_number_of_useless_frames_is_heeded() {
+fn disconnect_is_seen_behind_any_number_of_malformed_frames() {
     on_one_thread(async {
         for n in [65, 500, 4000] {
             let junk = async |c: &mut Client| c.say(&useless(100, n)).await;
@@ -278,7 +278,7 @@
 
 /// Large useless frames, too, which fill what may be kept of them.
 #[test]
-fn a_leave_behind_large_useless_frames_is_heeded() {
+fn disconnect_is_seen_behind_large_malformed_frames() {
     on_one_thread(async {
         let junk = async |c: &mut Client| {
             let large = "x".repeat(60_000);
@@ -295,7 +295,7 @@
 /// Each of its frames has an answer, the useless ones, those that were turned away and its question; and one that asks
 /// well after them is served.
 #[test]
-fn whatever_a_client_sends_at_once_every_frame_of_it_is_answered() {
+fn every_frame_of_a_burst_is_answered() {
     on_one_thread(async {
         let s = plain().await;
         let mut client = Client::new(s.at).await;
@@ -334,7 +334,7 @@
 
 /// It is cut off once more is owed to it than may be, and by that has left all that it asked.
 #[test]
-fn a_client_that_takes_no_answer_and_asks_on_without_end_is_cut_off() {
+fn client_that_sends_without_reading_is_disconnected() {
     on_one_thread(async {
         let s = plain().await;
         s.holds();
@@ -352,7 +352,7 @@
 
 /// Hundreds of clients with requests that wait close in one turn: the last of them is heeded as well.
 #[test]
-fn hundreds_that_leave_in_one_turn_are_all_heeded() {
+fn hundreds_of_disconnects_in_one_poll_are_all_seen() {
     on_one_thread(async {
         let s = large().await;
         s.holds();
@@ -396,7 +396,7 @@
 
 /// What was read ahead and not taken up is never sent either.
 #[test]
-fn a_request_behind_useless_frames_goes_with_its_client() {
+fn request_behind_malformed_frames_is_dropped_on_disconnect() {
     on_one_thread(async {
         let s = plain().await;
         for leave in [true, false] {
@@ -420,7 +420,7 @@
 }
 
 #[test]
-fn a_leave_is_heeded_while_an_answer_is_written_that_the_client_does_not_take() {
+fn disconnect_is_seen_while_a_response_write_is_blocked() {
     on_one_thread(async {
         for leaves in [true, false] {
             let s = plain().await;
@@ -453,7 +453,7 @@
 }
 
 #[test]
-fn the_end_of_a_client_is_seen_after_a_fault_on_its_connection() {
+fn close_is_seen_after_a_protocol_error() {
     on_one_thread(async {
         let fault = async |c: &mut Client| {
             c.say(&[&frame(99, 1, &[])[..], &[7; 100_000]].concat())
@@ -466,7 +466,7 @@
 
 /// After what cannot be used, where frames can still be told apart, a request that waits can still be left.
 #[test]
-fn a_leave_by_type_8_is_heeded_after_a_fault_on_its_connection() {
+fn cancel_frame_is_honoured_after_a_protocol_error() {
     on_one_thread(async {
         let unknown = async |c: &mut Client| c.say(&frame(99, 1, &[])).await;
         left_while_it_waits(unknown, 1, by_type_8).await;
@@ -479,7 +479,7 @@
 
 /// All that the machine holds of a client after a fault is through in time, and its end seen.
 #[test]
-fn the_end_of_a_client_is_seen_behind_megabytes_after_a_fault() {
+fn close_is_seen_behind_megabytes_after_a_protocol_error() {
     on_one_thread(async {
         let flood = async |c: &mut Client| {
             c.say(&[255; 8]).await;
@@ -522,7 +522,7 @@
 }
 
 #[test]
-fn nothing_begins_for_a_client_that_has_gone_while_the_dispatcher_had_no_turn() {
+fn no_attempt_starts_for_a_client_lost_while_the_process_was_stalled() {
     on_one_thread(async {
         let by_type_8 = async |c: Client| {
             c.0.try_write(&frame(8, 1, &[])).unwrap();
@@ -536,7 +536,7 @@
 
 /// In one turn, without one between: the engine's connection is reset and the client leaves. No second attempt begins.
 #[test]
-fn a_leave_in_the_turn_of_an_engines_reset_has_no_second_attempt() {
+fn no_retry_when_client_disconnect_and_engine_reset_arrive_together() {
     on_one_thread(async {
         for client_first in [true, false] {
             for by_reset in [true, false] {
@@ -586,7 +586,7 @@
 
 /// Its connection to the engine is not up yet: the engine's queue is full.
 #[test]
-fn a_late_connection_carries_nothing_for_a_client_that_has_left() {
+fn late_upstream_connection_sends_nothing_for_a_disconnected_client() {
     on_one_thread(async {
         let engine = tight();
         let filler = TcpStream::connect(engine.local_addr().unwrap())
@@ -612,7 +612,7 @@
 
 /// A request is half on the wire when its client leaves: it never comes whole.
 #[test]
-fn a_request_half_on_the_wire_never_comes_whole_once_its_client_has_left() {
+fn partly_written_request_is_not_completed_after_disconnect() {
     on_one_thread(async {
         let s = narrow().await;
         let mut client = Client::new(s.at).await;
@@ -662,7 +662,7 @@
 }
 
 #[test]
-fn what_stands_behind_a_stalled_write_is_called_back_when_its_client_leaves() {
+fn request_behind_a_stalled_write_is_withdrawn_on_disconnect() {
     on_one_thread(behind_a_stalled_write(async |s, client| {
         client
             .say(&[frame(8, 2, &[]), frame(8, 3, &[])].concat())
@@ -672,13 +672,13 @@
 }
 
 #[test]
-fn what_stands_behind_a_stalled_write_is_not_sent_to_an_engine_that_drains() {
+fn request_behind_a_stalled_write_is_not_sent_to_a_draining_engine() {
     on_one_thread(behind_a_stalled_write(async |s, _| s.holds()));
 }
 
 /// In one turn, before the runtime hears of either: the request is let go, and its client leaves.
 #[test]
-fn a_leave_in_the_turn_of_the_release_is_not_sent_on() {
+fn disconnect_in_the_poll_that_dispatches_the_request_prevents_forwarding() {
     on_one_thread(async {
         let s = plain().await;
         let answers = Rc::default();
@@ -693,7 +693,7 @@
 
 /// Its connection broke, and the retry waits for another to come up: its client leaves.
 #[test]
-fn a_retry_that_waits_goes_with_its_client() {
+fn pending_retry_is_dropped_on_disconnect() {
     on_one_thread(async {
         let s = stand(tight(), |sockets| sockets.connect_timeout = 4000.0).await;
         let mut client = Client::new(s.at).await;
@@ -720,7 +720,7 @@
 
 /// The engine closes a connection at rest, and a request is given to it before the runtime has heard of that.
 #[test]
-fn a_load_given_to_a_connection_that_its_engine_has_just_closed_never_ran_there() {
+fn load_on_a_just_closed_upstream_connection_never_ran() {
     on_one_thread(async {
         let s = plain().await;
         let answers = Rc::default();
@@ -741,7 +741,7 @@
 
 /// A client asks on its idle connection in the very turn in which that gives way to another.
 #[test]
-fn a_request_that_crosses_our_close_of_its_idle_connection_is_served() {
+fn request_crossing_an_idle_close_is_served() {
     on_one_thread(async {
         let s = plain().await;
         let places = 64 * 2 / 5;
@@ -768,7 +768,7 @@
 
 /// An id is used again while a second answer to its first request is still to come.
 #[test]
-fn a_second_answer_never_passes_for_that_of_a_later_request_of_its_id() {
+fn duplicate_response_is_not_matched_to_a_later_request_with_the_same_id() {
     on_one_thread(async {
         let s = plain().await;
         let answers = Rc::default();
@@ -798,7 +798,7 @@
 
 /// Without notes, silence tells nothing: long queries on all connections, and a healthy engine takes another.
 #[test]
-fn an_engine_that_tells_no_notes_takes_more_while_long_queries_run() {
+fn engine_without_progress_reports_accepts_more_during_long_queries() {
     on_one_thread(async {
         let s = plain().await;
         let answers = Rc::default();
@@ -813,7 +813,7 @@
 
 /// A result that began breaks off, or an answer never ends, while others share the connection.
 #[test]
-fn what_breaks_a_shared_connection_costs_no_safe_request_its_answer() {
+fn broken_shared_connection_loses_no_idempotent_request() {
     on_one_thread(async {
         for how in ["reset", "endless", "spoilt"] {
             let s = plain().await;
@@ -857,7 +857,7 @@
 
 /// A connection that the machine has accepted, with its request written, and the goodbye in the same turn.
 #[test]
-fn what_the_machine_has_accepted_is_served_though_the_end_has_begun() {
+fn connection_accepted_by_the_kernel_is_served_during_shutdown() {
     on_one_thread(async {
         let s = plain().await;
         tokio::task::yield_now().await;
@@ -885,7 +885,7 @@
 
 /// Half a frame is here when connections are to end, then its rest; and a client that takes its answer late.
 #[test]
-fn connections_end_only_once_what_was_asked_is_answered_and_taken_whole() {
+fn connections_close_only_after_responses_are_fully_read() {
     on_one_thread(async {
         let s = plain().await;
         let mut client = Client::narrow(s.at).await;
@@ -917,7 +917,7 @@
 
 /// SIGTERM's order comes while one load is out and one waits: the first may have run, the second never did.
 #[test]
-fn at_the_end_a_load_that_was_written_is_failed_and_one_that_waits_is_refused() {
+fn shutdown_fails_a_sent_load_and_rejects_a_queued_one() {
     on_one_thread(async {
         let s = plain().await;
         let answers = Rc::default();
@@ -945,7 +945,7 @@
 
 /// Clients that send much at once and go: nothing of theirs is sent on, and others are served beside them.
 #[test]
-fn a_crowd_that_sends_much_and_goes_costs_the_others_nothing() {
+fn clients_that_flood_and_disconnect_do_not_affect_others() {
     on_one_thread(async {
         let s = plain().await;
         let mut crowd = vec![];
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn one_answer_each_whatever_races() {
+fn every_request_gets_one_answer_under_races() {
     play(
         "send a lookup 900\n start a\n end a served\n expect a served\n end a reset\n leave a\n nothing",
     );
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_repeated_only_where_that_is_harmless() {
+fn possibly_executed_requests_are_retried_only_if_idempotent() {
     play("send a lookup 900\n start a\n end a reset\n start a\n end a served\n expect a served");
     play(
         "send a lookup 900\n start a\n begin a\n end a reset\n start a\n end a served\n expect a served",
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn bounds_and_times_that_are_over_get_an_answer_at_once() {
+fn limits_and_expired_deadlines_are_answered_at_once() {
     play("send a lookup 10\n expect a refused\n nothing");
     let four = "send a lookup 900\n start a\n send b lookup 900\n start b\n send c lookup 900\n start c
         send d lookup 900\n expect d refused\n nothing\n leave a\n drop a\n leave b\n drop b\n leave c\n drop c";
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn the_last_answers_are_given_before_the_end() {
+fn final_answers_are_given_before_shutdown() {
     play(
         "send a lookup 5000\n start a\n send b load 5000\n start b\n stop 1000\n send c lookup 5000\n start c
          end c served\n expect c served\n wait 1000\n drop a\n expect a late\n drop b
@@ -173,7 +173,7 @@
 
 /// Guards against an engine that operators have mended and that is left out for what its old process did.
 #[test]
-fn an_engine_that_is_put_back_is_judged_by_its_new_process() {
+fn restored_engine_is_evaluated_by_its_new_process() {
     play(
         "out b
         send x lookup 4000
@@ -244,7 +244,7 @@
 
 /// Nothing binds the first attempt; a repeat is written within the window of the first that may have run, or never.
 #[test]
-fn a_repeat_goes_out_within_the_window_of_the_first_that_may_have_run() {
+fn retry_is_sent_within_the_deduplication_window_of_the_first_attempt() {
     for group in [
         DeduplicationScope::All,
         DeduplicationScope::Zone,
@@ -284,7 +284,7 @@
 
 /// Where only some engines would drop a repeat, no refusal goes out once one may have run, whoever words it.
 #[test]
-fn a_keyed_request_that_may_have_run_is_refused_only_where_all_engines_know_it() {
+fn possibly_executed_keyed_request_is_rejected_only_with_fleet_wide_deduplication() {
     for (group, retry_safe) in [
         (DeduplicationScope::All, true),
         (DeduplicationScope::Zone, false),
--- a/tests/decision_regressions.rs
+++ b/tests/decision_regressions.rs
@@ -52,7 +52,7 @@
 
 /// Seen at ikeja-main: a five-fold burst filled every engine before the first answer could tell.
 #[test]
-fn a_burst_finds_a_window_that_only_use_has_widened() {
+fn congestion_window_grows_only_with_use() {
     let mut s = settings(vec![class(1.0, 800.0)]);
     s.dispatchers = 50;
     let mut g = Gateway::new(s, fleet(50)); // our budgets: 16 threads
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn an_engine_that_fails_fast_is_passed_over_and_comes_back_when_mended() {
+fn fast_failing_engine_is_ejected_and_restored_after_recovery() {
     let mut g = Gateway::new(settings(vec![class(1.0, 800.0)]), fleet(4));
     let mut bad_sends_late = 0;
     for id in 0..200 {
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn when_all_fail_alike_none_is_passed_over() {
+fn no_engine_is_ejected_when_all_fail_alike() {
     let mut g = Gateway::new(settings(vec![class(1.0, 800.0)]), fleet(4));
     for id in 0..100 {
         g.now += 5.0;
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_silent_engine_is_left_and_its_queries_rescued_but_a_slow_fleet_is_not() {
+fn queries_of_a_silent_engine_are_migrated_but_not_those_of_a_slow_fleet() {
     for hang in [true, false] {
         let mut g = Gateway::new(settings(vec![class(1.0, 3000.0)]), fleet(3));
         for id in 0..30 {
@@ -155,7 +155,7 @@
 
 /// Its engine answers others, so that the engine is not silent: only the one whose notes cease is sent anew.
 #[test]
-fn an_attempt_whose_notes_cease_is_sent_anew_while_its_engine_speaks_on() {
+fn attempt_without_progress_reports_is_retried_while_its_engine_responds() {
     for ceases in [true, false] {
         let mut s = settings(vec![class(1.0, 8000.0)]);
         s.engines.progress_interval = 100.0;
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn the_budget_binds_only_on_an_engine_that_reports_a_crowd() {
+fn thread_budget_applies_only_to_a_saturated_engine() {
     let mut g = Gateway::new(settings(vec![class(1.0, 3000.0)]), fleet(1));
     let free = (0..16)
         .filter(|&id| !sends(&g.take(query(id, 0))).is_empty())
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn a_crowd_over_all_engines_cuts_what_the_gateway_has_out_and_good_answers_let_it_grow() {
+fn overload_of_all_engines_shrinks_the_window_and_good_answers_grow_it() {
     let mut g = Gateway::new(settings(vec![class(1.0, 500.0)]), fleet(2));
     for id in 0..20 {
         assert_eq!(
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn a_bad_plan_far_behind_its_peers_is_drawn_anew() {
+fn attempt_with_a_bad_plan_is_retried() {
     let mut g = Gateway::new(settings(two_classes()), fleet(2));
     for id in 0..5 {
         let q = Query {
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn readers_keep_off_our_own_loads_and_leave_an_engine_where_a_foreign_load_holds_them_up() {
+fn readers_avoid_local_loads_and_migrate_from_foreign_ones() {
     let reader = Class {
         waits_for_loads: true,
         ..class(1.0, 3000.0)
@@ -316,7 +316,7 @@
 }
 
 #[test]
-fn what_goes_beyond_a_tenants_share_is_not_held() {
+fn requests_over_a_tenant_quota_are_not_queued() {
     let mut s = settings(vec![class(1.0, 3000.0)]);
     s.tenants = vec![Tenant { quota_per_s: 5.0 }];
     let mut g = Gateway::new(s, vec![]);
@@ -336,7 +336,7 @@
 }
 
 #[test]
-fn equal_priorities_where_memory_overcommits() {
+fn priorities_are_equal_when_memory_overcommits() {
     let ranks = |overcommits_memory| {
         let mut s = settings(two_classes());
         s.engines.overcommits_memory = overcommits_memory;
@@ -355,7 +355,7 @@
 }
 
 #[test]
-fn estimates_that_lie_by_class_are_corrected_in_the_memory_granted() {
+fn memory_grants_correct_estimates_biased_by_class() {
     let mut g = Gateway::new(settings(vec![class(1.0, 3000.0)]), fleet(1));
     let asked = |id| Query {
         memory_mb: Some(100.0),
@@ -382,7 +382,7 @@
 }
 
 #[test]
-fn estimates_that_scatter_as_much_as_the_truth_are_drawn_to_the_usual() {
+fn noisy_memory_estimates_regress_to_the_mean() {
     let mut g = Gateway::new(settings(vec![class(1.0, 3000.0)]), fleet(1));
     let (mut short, mut given, mut needed) = (0, 0.0, 0.0);
     for id in 0..400u64 {
@@ -411,7 +411,7 @@
 }
 
 #[test]
-fn a_query_that_spills_is_sent_anew_once_with_the_memory_that_it_lacked() {
+fn spilling_query_is_retried_once_with_the_missing_memory() {
     let mut g = Gateway::new(settings(vec![class(1.0, 3000.0)]), fleet(3));
     let first = granted(&g.take(Query {
         memory_mb: Some(100.0),
@@ -457,8 +457,7 @@
 }
 
 #[test]
-fn an_attempt_that_will_not_be_done_in_time_is_given_up_and_one_that_must_not_run_twice_fails_for_good()
- {
+fn attempt_that_cannot_meet_its_deadline_is_abandoned_and_a_non_idempotent_one_fails() {
     for idempotency in [Idempotency::Idempotent, Idempotency::NonIdempotent] {
         let mut g = Gateway::new(
             settings(vec![Class {
@@ -503,7 +502,7 @@
 
 /// The users' day of issue 10: most traffic comes to the gateways of one room, whose engines are fewer.
 #[test]
-fn a_crowded_zone_spills_over_and_does_not_close_the_way_to_another() {
+fn overloaded_zone_spills_to_another_zone() {
     let mut s = settings(two_classes());
     (s.dispatchers, s.zone, s.cross_zone_cost) = (100, Some(0), 0.04);
     let engines = (0..8)
@@ -539,7 +538,7 @@
 }
 
 #[test]
-fn under_a_crowd_the_heaviest_of_a_class_are_refused_at_once_and_the_usual_ones_run() {
+fn overload_sheds_the_costliest_requests_of_a_class_only() {
     let mut g = Gateway::new(settings(vec![class(1.0, 3000.0)]), fleet(2));
     let of = |id, work| Query {
         work: Some(work),
@@ -579,7 +578,7 @@
 }
 
 #[test]
-fn impossible_settings_name_their_field() {
+fn invalid_settings_name_their_field() {
     let field = |change: fn(&mut Settings)| {
         let mut s = settings(vec![class(1.0, 800.0)]);
         change(&mut s);
@@ -603,7 +602,7 @@
 }
 
 #[test]
-fn a_subscription_is_asked_for_and_renewed_when_it_breaks() {
+fn subscription_is_requested_and_renewed_after_a_break() {
     let mut s = settings(vec![class(1.0, 800.0)]);
     s.must_subscribe = true;
     let mut g = Gateway {
@@ -623,7 +622,7 @@
 }
 
 #[test]
-fn an_idle_gateway_asks_for_a_timer_once_a_period_and_a_busy_one_is_awake_at_once() {
+fn idle_dispatcher_sets_one_timer_a_period_and_wakes_at_once_when_busy() {
     let mut g = Gateway::new(settings(vec![class(1.0, 800.0)]), fleet(1));
     let timers = |out: &[Action]| {
         out.iter()
@@ -640,7 +639,7 @@
 
 /// Seen at launceston-hive: without estimates reports that spilled at their start were 2% done after 2 s.
 #[test]
-fn without_an_estimate_a_query_that_spills_is_sent_anew_once_with_what_it_lacked() {
+fn spilling_query_without_an_estimate_is_retried_once_with_the_missing_memory() {
     let mut g = Gateway::new(settings(vec![class(1.0, 3000.0)]), fleet(2));
     let out = g.take(query(1, 0));
     assert_eq!(granted(&out), Some(0.0), "the engine chooses");
@@ -669,7 +668,7 @@
 
 /// Seen at launceston-hive: only `util` is told, and a jam at the disks leaves cores idle.
 #[test]
-fn a_jam_is_seen_where_reports_tell_of_cores_alone() {
+fn overload_is_detected_from_cpu_reports_alone() {
     let sent_by = |busy: f64, ms: f64| {
         let mut s = settings(vec![class(1.0, 800.0)]);
         (s.dispatchers, s.report_fields) = (4, vec![ReportField::CpuBusy]);
@@ -696,7 +695,7 @@
 
 /// Seen at ikeja-main: in a storm of attempts that end without an answer no report tells of the jam.
 #[test]
-fn attempts_that_ran_long_without_an_answer_tell_of_a_jam_unless_their_engine_spoke_since() {
+fn long_unanswered_attempts_signal_overload_unless_the_engine_responded_since() {
     let left = |spoke: bool| {
         let mut s = settings(vec![class(1.0, 800.0)]);
         s.dispatchers = 4;
@@ -733,7 +732,7 @@
 
 /// Seen at milano-main: half of the look-ups that stood in an engine's line for memory came too late.
 #[test]
-fn a_query_that_waits_for_memory_moves_where_another_engine_has_room() {
+fn query_waiting_for_memory_migrates_to_an_engine_with_capacity() {
     let mut g = Gateway::new(settings(vec![class(1.0, 3000.0)]), fleet(2));
     let first = sends(&g.take(query(1, 0)))[0].1.clone();
     let out = g.does(Event::Progress {
@@ -756,7 +755,7 @@
 
 /// Seen on churn days: an engine barred for a second then got all that had waited, and turned it away again.
 #[test]
-fn an_engine_that_was_full_gets_no_burst_but_what_it_serves() {
+fn full_engine_is_refilled_at_its_service_rate() {
     let mut g = Gateway::new(settings(vec![class(1.0, 3000.0)]), fleet(1));
     (0..5).for_each(|id| assert_eq!(sends(&g.take(query(id, 0))).len(), 1));
     g.take(query(5, 0));
@@ -776,7 +775,7 @@
 
 /// Seen on a reload day: an engine that failed fast was the only one with room, and took the attempts of all.
 #[test]
-fn an_engine_that_fails_fast_is_left_out_while_another_is_well_though_without_room() {
+fn fast_failing_engine_is_skipped_while_a_healthy_one_is_full() {
     let mut g = Gateway::new(settings(vec![class(1.0, 3000.0)]), fleet(2));
     for id in 0..40 {
         g.now += 5.0;
@@ -802,7 +801,7 @@
 
 /// Seen at launceston-hive and milano-main: one report of the window's width shut look-ups out for a second.
 #[test]
-fn a_wide_query_does_not_shut_the_window_for_a_better_class() {
+fn wide_query_does_not_block_a_higher_class() {
     let mut s = settings(two_classes());
     s.dispatchers = 100;
     let mut g = Gateway::new(s, fleet(20)); // our budgets: 3.2 threads
@@ -817,7 +816,7 @@
 
 /// Seen at milano-main: queries whose probes were late were given up with room on every engine.
 #[test]
-fn what_has_room_is_sent_before_the_look_gives_up() {
+fn requests_with_capacity_are_sent_before_the_timer_sheds_load() {
     let mut s = settings(vec![class(1.0, 800.0)]);
     (s.dispatchers, s.limits.probes) = (100, true);
     s.tenants = vec![Tenant { quota_per_s: 0.0 }];
@@ -840,7 +839,7 @@
 
 /// Seen at launceston-hive and ikeja-main: among many gateways few engines are heard of in time.
 #[test]
-fn a_jam_of_most_zones_cuts_and_an_engine_unheard_is_taken_for_its_zone() {
+fn overload_of_most_zones_shrinks_the_window_and_unknown_engines_use_their_zone() {
     let sent = |told: usize| {
         let mut s = settings(vec![class(1.0, 800.0)]);
         s.dispatchers = 10;
@@ -873,7 +872,7 @@
 
 /// Seen at ikeja-main: loads stood behind other gateways' loads for their whole aim.
 #[test]
-fn a_keyed_load_behind_another_moves_while_engines_remember_it() {
+fn keyed_load_behind_another_migrates_within_its_deduplication_window() {
     let idempotency = Idempotency::Keyed {
         group: DeduplicationScope::All,
         window: 4000.0,
@@ -914,7 +913,7 @@
 
 /// Loads of one group share one half of the engines, its readers the other, at every gateway alike.
 #[test]
-fn loads_and_readers_of_a_group_keep_apart() {
+fn loads_and_readers_of_a_table_group_use_different_engines() {
     let load = Class {
         holds_tables: true,
         idempotency: Idempotency::NonIdempotent,
@@ -946,7 +945,7 @@
 
 /// Seen at ikeja-main and launceston-hive: where answers tell no cost a jam inflated work, and with it the aims.
 #[test]
-fn a_jam_does_not_inflate_the_work_that_aims_follow() {
+fn overload_does_not_inflate_the_work_behind_latency_objectives() {
     let mut g = Gateway::new(settings(vec![class(1.0, 800.0)]), fleet(1));
     let mut answer = |id, ms: f64, inflight: f64| {
         assert_eq!(sends(&g.take(query(id, 0))).len(), 1);
@@ -967,7 +966,7 @@
 
 /// Seen at ikeja-main: with the living engines under pressure a third of all attempts went to dead ones.
 #[test]
-fn an_engine_that_cannot_be_reached_rests_even_when_no_other_has_room() {
+fn unreachable_engine_is_not_retried_even_when_others_are_full() {
     let mut g = Gateway::new(settings(vec![class(1.0, 3000.0)]), fleet(2));
     let (_, dead) = sends(&g.take(query(1, 0))).remove(0);
     let (_, other) = sends(&g.end(1, 0, Outcome::Unreachable)).remove(0);
@@ -981,7 +980,7 @@
 
 /// Seen at lakaz-main: a hot group's loads had one engine of six, since each engine drew its half alone.
 #[test]
-fn loads_of_any_group_have_half_of_the_engines_and_its_readers_the_rest() {
+fn loads_of_a_table_group_get_half_of_the_engines_and_readers_the_other_half() {
     let load = Class {
         idempotency: Idempotency::NonIdempotent,
         holds_tables: true,
@@ -1015,7 +1014,7 @@
 /// Seen at lakaz-main: while a load of another gateway held a group, reader after reader was sent behind it,
 /// though the first one's note had told.
 #[test]
-fn readers_keep_off_an_engine_for_a_while_after_a_note_of_a_load_on_their_group() {
+fn readers_avoid_an_engine_after_a_reported_load_on_their_table_group() {
     let load = Class {
         idempotency: Idempotency::NonIdempotent,
         holds_tables: true,
@@ -1061,7 +1060,7 @@
 /// Seen on a churn day: with few engines the loads of a hot group stood behind each other in their half of them
 /// until their time was over.
 #[test]
-fn a_load_leaves_its_half_when_loads_hold_its_group_on_all_of_it() {
+fn load_may_use_the_other_half_when_its_own_is_locked() {
     let load = Class {
         idempotency: Idempotency::NonIdempotent,
         holds_tables: true,
@@ -1092,7 +1091,7 @@
 /// Seen on a day with engines out by hand: most late look-ups stood behind a load on their half of the engines,
 /// though loads had seconds to spare.
 #[test]
-fn a_load_with_time_to_spare_waits_for_its_half() {
+fn load_with_slack_waits_for_its_own_half() {
     let load = Class {
         idempotency: Idempotency::NonIdempotent,
         holds_tables: true,
@@ -1125,7 +1124,7 @@
 /// Seen on a day with engines out by hand: those put back got a third of what they bear, for in a jam answers
 /// take several times their work.
 #[test]
-fn a_cold_engine_is_charged_what_estimates_tell_not_how_long_answers_took() {
+fn slow_start_usage_is_charged_by_estimate_not_latency() {
     let sent = |work| {
         let mut s = settings(vec![class(1.0, 3000.0)]);
         s.engines.reports_cost = false;
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -110,7 +110,7 @@
 
 /// Beyond what any program is given here.
 #[test]
-fn the_program_itself_holds_what_its_budget_says() {
+fn descriptor_use_of_the_program_matches_its_budget() {
     let mut other = Command::new("sh")
         .args(["-c", "exec sleep 9"])
         .spawn()
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn discoverys_return_is_heard_at_once() {
+fn discovery_reconnects_at_once() {
     let engine = Engine::new();
     crowds(&[engine.at], |crowd, _| {
         crowd.returns("");
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_drain_told_at_its_return_is_kept() {
+fn drain_received_on_reconnect_is_applied() {
     let (drains, stays) = (Engine::new(), Engine::new());
     crowds(&[drains.at, stays.at], |crowd, name| {
         let mut client = connect(crowd.program.address);
@@ -169,7 +169,7 @@
 /// Thirty-two requests at once, again and again, to forty engines that take a while: there are not as many descriptors, and
 /// as many are served as with plenty.
 #[test]
-fn engines_are_reached_and_discovery_beside_them() {
+fn engines_and_discovery_are_both_reachable() {
     let engines: Vec<_> = (0..40)
         .map(|_| Engine::slow(Duration::from_millis(100)))
         .collect();
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_new_configuration_is_read_and_moves_discovery() {
+fn reload_is_read_and_moves_discovery() {
     let engine = Engine::new();
     crowds(&[engine.at], |mut crowd, _| {
         let text = std::fs::read_to_string(&crowd.program.config).unwrap();
@@ -230,7 +230,7 @@
 
 /// Also when thirty callers hold the operators' own places.
 #[test]
-fn operators_are_answered() {
+fn admin_requests_are_answered() {
     let engine = Engine::new();
     crowds(&[engine.at], |crowd, name| {
         let _callers: Vec<_> = (0..30).map(|_| connect(crowd.program.admin)).collect();
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn a_client_that_asks_gets_in() {
+fn active_client_is_admitted() {
     let engine = Engine::new();
     crowds(&[engine.at], |crowd, name| {
         let began = Instant::now();
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn nothing_spins_without_descriptors() {
+fn no_busy_loop_without_descriptors() {
     let engine = Engine::new();
     crowds(&[engine.at], |crowd, name| {
         std::thread::sleep(Duration::from_millis(300));
@@ -279,7 +279,7 @@
 
 /// Every place has a request, so that nobody gives way, and the queue is full.
 #[test]
-fn nothing_spins_while_all_are_busy_and_discovery_is_heard() {
+fn no_busy_loop_when_all_clients_are_active_and_discovery_reconnects() {
     let engine = Engine::slow(Duration::from_millis(1800));
     for (sockets, real) in [
         (Some(LIMIT), None),
@@ -306,7 +306,7 @@
 
 /// The MySQL front, with places for more clients than the machine has descriptors.
 #[test]
-fn mysql_clients_leave_descriptors_for_operators_files_and_others() {
+fn mysql_clients_leave_descriptors_for_admin_files_and_upstreams() {
     let file = include_str!("../deploy/mysql.toml");
     let listen = file.lines().find(|l| l.starts_with("listen")).unwrap();
     let file = file.replace(listen, "listen = \"127.0.0.1:0\"");
--- a/tests/dispatch_rules.rs
+++ b/tests/dispatch_rules.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn rule_1_a_query_that_arrives_with_no_time_to_wait_is_answered_at_once() {
+fn rule_1_query_without_time_to_wait_is_answered_at_once() {
     let mut g = Gateway::new(settings(vec![class(1.0, 800.0)]), vec![]);
     let out = g.take(Query {
         time_left: 30.0,
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn rule_1_a_held_query_gets_one_answer_in_time_and_nothing_after() {
+fn rule_1_queued_query_gets_one_answer_in_time_and_nothing_after() {
     let mut g = Gateway::new(settings(vec![class(1.0, 800.0)]), vec![]);
     assert!(finals(&g.take(query(1, 0))).is_empty());
     let out = g.pass(4000.0);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn rule_1_the_time_out_at_the_deadline_gets_its_failure() {
+fn rule_1_in_flight_query_fails_at_its_deadline() {
     let mut g = Gateway::new(settings(vec![class(1.0, 800.0)]), vec![entry("a")]);
     assert_eq!(sends(&g.take(query(1, 0))).len(), 1);
     g.now += 4000.0;
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn rule_2_an_unsafe_query_that_may_have_run_is_neither_resent_nor_refused() {
+fn rule_2_possibly_executed_unsafe_query_is_neither_retried_nor_rejected() {
     let unsafe_class = Class {
         idempotency: Idempotency::NonIdempotent,
         ..class(1.0, 800.0)
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn rule_2_a_keyed_query_is_resent_only_in_its_group_and_window() {
+fn rule_2_keyed_query_is_retried_only_in_its_group_and_window() {
     let keyed = Idempotency::Keyed {
         group: DeduplicationScope::Cell,
         window: 500.0,
@@ -111,7 +111,7 @@
 
 /// No engine has room, and the window passes: it could not be sent any more, so that nothing is waited for.
 #[test]
-fn a_keyed_query_that_waits_for_room_is_answered_once_its_window_is_over() {
+fn queued_keyed_query_is_answered_when_its_window_ends() {
     for group in [
         DeduplicationScope::All,
         DeduplicationScope::Zone,
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn rule_2_no_second_attempt_while_one_is_out_where_copies_are_forbidden() {
+fn rule_2_no_second_attempt_in_flight_where_hedging_is_forbidden() {
     let mut g = Gateway::new(
         settings(vec![class(1.0, 800.0)]),
         vec![entry("a"), entry("b")],
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn rule_3_nothing_goes_to_an_engine_that_drains_or_left_the_list() {
+fn rule_3_nothing_is_sent_to_draining_or_removed_engines() {
     let mut g = Gateway::new(
         settings(vec![class(1.0, 800.0)]),
         vec![entry("a"), entry("b")],
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn rule_4_a_cold_engine_gets_our_part_of_its_budget_over_any_window() {
+fn rule_4_warming_engine_gets_this_dispatchers_part_of_its_budget_in_any_window() {
     let mut s = settings(vec![class(1.0, 300.0)]);
     s.dispatchers = 2;
     let r = s.rules.clone();
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn rule_5_queries_of_one_key_take_turns_and_the_key_rests() {
+fn rule_5_queries_of_one_key_run_in_order_with_a_quiet_period() {
     let mut s = settings(vec![Class {
         in_order: true,
         ..class(1.0, 3000.0)
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn rule_6_a_bound_class_stays_in_its_zone_and_kind_even_when_that_is_down() {
+fn rule_6_restricted_class_stays_in_its_zone_and_kind_during_an_outage() {
     let bound = Class {
         allowed_zones: Some(vec![1]),
         allowed_kinds: Some(vec![0]),
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn rule_7_further_attempts_stay_within_the_ration() {
+fn rule_7_retries_stay_within_the_retry_budget() {
     let mut s = settings(vec![class(1.0, 3000.0)]);
     s.rules.retry_budget = Some(RetryBudget {
         free: 2.0,
@@ -311,7 +311,7 @@
 /// A client that holds an engine's connection and asks nothing takes no thread there: transactions that idle would
 /// keep everybody else off, 8 of them off 8 cores.
 #[test]
-fn an_attempt_that_its_client_holds_idle_leaves_its_threads_to_others() {
+fn idle_held_attempt_frees_its_threads() {
     let wide = Class {
         threads: 4.0,
         idempotency: Idempotency::NonIdempotent,
--- a/tests/eureka.rs
+++ b/tests/eureka.rs
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_drain_is_obeyed_within_a_second_whatever_its_status_and_what_runs_goes_on() {
+fn drain_takes_effect_within_a_second_and_running_statements_finish() {
     play(async {
         let (node, engines) = (node().await, stand::engines(5, ms(30)).await.unwrap());
         register(&[&node], &engines);
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_list_many_seconds_stale_does_not_put_a_drained_engine_back() {
+fn stale_list_does_not_restore_a_drained_engine() {
     play(async {
         let (a, b) = (node().await, node().await);
         let engines = stand::engines(3, ms(10)).await.unwrap();
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn two_replicas_that_disagree_and_flap_leave_the_engine_out() {
+fn flapping_disagreement_of_two_registries_keeps_the_engine_out() {
     play(async {
         let (a, b) = (node().await, node().await);
         let engines = stand::engines(3, ms(10)).await.unwrap();
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn an_engine_that_restarts_cold_while_every_registry_is_away_is_spared() {
+fn engine_restarted_during_a_registry_outage_gets_slow_start() {
     play(async {
         let (node, engines) = (node().await, stand::engines(3, ms(400)).await.unwrap());
         register(&[&node], &engines);
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn a_list_of_one_engine_where_200_stood_turns_nobody_away() {
+fn list_shrinking_from_200_engines_to_one_rejects_no_request() {
     play(async {
         let (node, engines) = (node().await, stand::engines(200, ms(5)).await.unwrap());
         register(&[&node], &engines);
@@ -344,7 +344,7 @@
 }
 
 #[test]
-fn an_address_passed_to_another_instance_is_used_for_that_one_only() {
+fn reassigned_address_is_used_for_its_new_instance_only() {
     play(async {
         let (node, engines) = (node().await, stand::engines(2, ms(10)).await.unwrap());
         register(&[&node], &engines);
@@ -392,7 +392,7 @@
 }
 
 #[test]
-fn a_drain_told_in_the_same_poll_as_the_last_heartbeat_is_a_drain() {
+fn drain_in_the_same_poll_as_the_last_heartbeat_takes_effect() {
     play(async {
         let (node, engines) = (node().await, stand::engines(2, ms(10)).await.unwrap());
         register(&[&node], &engines);
@@ -420,7 +420,7 @@
 }
 
 #[test]
-fn a_start_with_every_registry_away_serves_the_snapshot_and_says_how_old_it_is() {
+fn start_during_a_registry_outage_serves_the_snapshot_with_its_age() {
     play(async {
         let (node, engines) = (node().await, stand::engines(3, ms(10)).await.unwrap());
         register(&[&node], &engines);
@@ -481,7 +481,7 @@
 }
 
 #[test]
-fn a_registry_that_answers_nonsense_is_passed_over_and_the_list_stays() {
+fn registry_with_malformed_answers_is_skipped_and_the_list_stays() {
     play(async {
         let (a, b) = (node().await, node().await);
         let engines = stand::engines(2, ms(10)).await.unwrap();
@@ -546,7 +546,7 @@
 }
 
 #[test]
-fn a_poisoned_address_outside_the_networks_is_never_connected_to() {
+fn address_outside_the_allowed_networks_is_never_connected_to() {
     play(async {
         let (node, engines) = (node().await, stand::engines(2, ms(10)).await.unwrap());
         register(&[&node], &engines);
@@ -585,7 +585,7 @@
 }
 
 #[test]
-fn no_request_is_lost_while_every_registry_is_away_and_the_nearest_is_returned_to() {
+fn no_request_is_lost_in_a_registry_outage_and_the_nearest_registry_is_preferred_after() {
     play(async {
         let (near, far) = (node().await, node().await);
         let engines = stand::engines(3, ms(10)).await.unwrap();
@@ -630,7 +630,7 @@
 }
 
 #[test]
-fn a_swap_of_servers_by_sighup_drops_nothing_and_a_faulty_file_changes_nothing() {
+fn sighup_replaces_servers_without_loss_and_ignores_an_invalid_file() {
     play(async {
         let (a, b) = (node().await, node().await);
         let engines = stand::engines(3, ms(10)).await.unwrap();
@@ -674,7 +674,7 @@
 }
 
 #[test]
-fn it_registers_itself_is_up_only_when_ready_and_cancels_at_the_end() {
+fn dispatcher_registers_itself_as_up_when_ready_and_deregisters_on_shutdown() {
     play(async {
         let (node, engines) = (node().await, stand::engines(1, ms(400)).await.unwrap());
         let folder = folder("register");
@@ -741,7 +741,7 @@
 }
 
 #[test]
-fn in_an_upgrade_the_registration_stays_with_the_new_process() {
+fn registration_passes_to_the_new_process_on_takeover() {
     play(async {
         let (node, engines) = (node().await, stand::engines(1, ms(10)).await.unwrap());
         register(&[&node], &engines);
@@ -772,7 +772,7 @@
 }
 
 #[test]
-fn lists_come_by_name_in_xml_packed_with_a_password_and_regions() {
+fn lists_are_read_by_name_as_compressed_xml_with_credentials_and_regions() {
     play(async {
         let (node, engines) = (node().await, stand::engines(4, ms(5)).await.unwrap());
         register(&[&node], &engines);
@@ -823,7 +823,7 @@
 }
 
 #[test]
-fn statements_queued_or_half_prepared_for_an_engine_that_drains_go_elsewhere() {
+fn queued_or_half_prepared_statements_of_a_draining_engine_go_elsewhere() {
     play(async {
         let (node, engines) = (node().await, stand::engines(2, ms(100)).await.unwrap());
         register(&[&node], &engines);
@@ -881,7 +881,7 @@
 }
 
 #[test]
-fn churn_of_instances_leaves_nothing_behind() {
+fn instance_churn_leaks_nothing() {
     play(async {
         let (node, engines) = (node().await, stand::engines(12, ms(2)).await.unwrap());
         let folder = folder("churn");
--- a/tests/frames.rs
+++ b/tests/frames.rs
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn the_scenarios_of_both_fronts_come_out_on_frames() {
+fn shared_frontend_scenarios_pass_on_frames() {
     for (tells, script) in ALIKE {
         println!("{tells}");
         on_one_thread(async {
@@ -251,7 +251,7 @@
 
 /// It stays open and leads to nobody. A load on it is waited for: to give it up would gain nothing.
 #[test]
-fn a_connection_without_notes_is_dead_unless_a_load_is_on_it() {
+fn connection_without_progress_reports_is_dead_unless_it_carries_a_load() {
     let script = "send a lookup\n engine lookup\n engine lookup\n reply rows\n expect a served
         send b load\n engine load\n wait 500\n reply rows\n expect b served\n ran 3";
     on_one_thread(async {
@@ -262,7 +262,7 @@
 
 /// What is turned away at the door counts as well; what its client has left does not.
 #[test]
-fn every_end_and_every_attempt_is_counted_once() {
+fn every_outcome_and_attempt_is_counted_once() {
     let script = "send a lookup\n engine lookup\n figures dispatches=1\n close\n engine lookup\n reply rows
         expect a served\n send b nothing\n expect b failed\n send c lookup 1\n expect c refused
         send d load\n engine load\n leave\n engine dropped
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn bad_requests_get_one_plain_answer_each_and_bad_frames_the_end() {
+fn bad_requests_get_an_error_and_bad_frames_close_the_connection() {
     on_one_thread(async {
         let (_hub, mut c, _, _seen) = set_up().await;
         let txn = "0123456789abcdef";
@@ -348,7 +348,7 @@
 
 /// Alone on this front: on the other, sessions are kept, and a silent client is given more time.
 #[test]
-fn connections_that_ask_nothing_or_were_used_once_make_room() {
+fn unused_connections_are_evicted_first() {
     on_one_thread(async {
         let (router, mut client, addresses, mut seen) = set_up().await;
         let once =
@@ -366,7 +366,7 @@
 }
 
 #[test]
-fn a_frame_that_does_not_come_whole_ends_its_connection() {
+fn incomplete_frame_closes_its_connection() {
     on_one_thread(async {
         let (_hub, mut c, _, _seen) = set_up().await;
         c.frame(16, 1, &[0]).await;
@@ -417,7 +417,7 @@
 ];
 
 #[test]
-fn what_engines_spoil_is_never_served() {
+fn malformed_engine_responses_are_never_served() {
     for (tells, script) in BAD_PEERS {
         println!("{tells}");
         on_one_thread(async {
--- a/tests/many_dispatchers.rs
+++ b/tests/many_dispatchers.rs
@@ -36,7 +36,7 @@
 
 /// Seen with 100 gateways and 30 engines: each held a connection to nearly all, 4,296 for 11,825 requests.
 #[test]
-fn a_gateway_keeps_to_a_few_engines_and_the_gateways_together_use_all_alike() {
+fn each_dispatcher_uses_a_small_subset_and_together_they_balance() {
     let mut used = std::collections::BTreeMap::<String, usize>::new();
     for seed in 0..60 {
         let mut g = Gateway::seeded(one_of(100, false), fleet(30), seed);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn engines_that_are_new_are_not_met_while_those_in_hand_have_room() {
+fn new_engines_are_not_tried_while_the_subset_has_capacity() {
     let mut g = Gateway::new(one_of(100, false), fleet(10));
     let turn = |g: &mut Gateway, id| {
         let engine = sends(&g.take(query(id, 0)))[0].1.clone();
@@ -84,7 +84,7 @@
 /// However many share one cold engine and want it all the time: what they send it in any window stays under the
 /// bound in the settings, by what it can do at its age when the window begins.
 #[test]
-fn what_all_gateways_send_to_one_cold_engine_stays_under_its_bound_at_3_30_and_100() {
+fn warming_engine_stays_under_its_limit_with_3_30_and_100_dispatchers() {
     for n in [3u32, 30, 100] {
         let s = one_of(n, false);
         let (r, cores) = (s.rules.clone(), s.kinds[0].cores);
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn those_few_give_way_to_others_when_they_have_no_room() {
+fn subset_is_widened_when_it_has_no_capacity() {
     let mut g = Gateway::new(one_of(100, false), fleet(30));
     let mut full = std::collections::BTreeSet::new();
     for id in 0..12 {
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn with_nothing_of_our_own_out_the_pair_is_probed_and_the_less_crowded_taken() {
+fn idle_dispatcher_probes_two_engines_and_picks_the_less_loaded() {
     for crowded in 0..2 {
         let mut g = Gateway::new(one_of(100, true), fleet(9));
         let pair = probed(&g.take(query(1, 0)));
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_calm_fleet_is_not_probed_for_each_query_and_a_crowded_one_is() {
+fn only_a_loaded_fleet_is_probed_for_each_query() {
     for (inflight, asks) in [(1.0, false), (9.0, true)] {
         let mut g = Gateway::new(one_of(100, true), fleet(9));
         for i in 0..6 {
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_probe_that_is_lost_late_doubled_or_garbled_holds_nothing_up() {
+fn lost_late_duplicate_or_malformed_probes_delay_nothing() {
     let mut g = Gateway::new(one_of(100, true), fleet(9));
     let pair = probed(&g.take(query(1, 0)));
     g.does(answer("unknown", 1.0));
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn gateways_that_own_whole_queries_of_a_budget_do_not_wait_for_probes() {
+fn dispatchers_with_whole_queries_of_budget_do_not_wait_for_probes() {
     let mut g = Gateway::new(one_of(2, true), fleet(4));
     assert_eq!(sends(&g.take(query(1, 0))).len(), 1);
 }
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn under_pressure_all_gateways_together_keep_near_an_engines_budget() {
+fn all_dispatchers_under_load_stay_near_an_engines_budget() {
     let sent = all_send(&one_of(100, true), &fleet(4), 40.0);
     assert!(
         (16..=80).contains(&sent),
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn a_cold_engine_gets_a_useful_part_of_its_budget_from_all_gateways_and_no_more() {
+fn all_dispatchers_use_a_warming_engines_budget_and_no_more() {
     let s = one_of(200, false);
     let cold = EngineEntry {
         started: Some(1000.0),
@@ -335,7 +335,7 @@
 }
 
 #[test]
-fn where_all_engines_are_cold_each_gets_what_it_bears_and_every_query_an_answer() {
+fn all_warming_engines_are_used_to_their_limit_and_every_query_is_answered() {
     let mut s = one_of(1, false);
     s.kinds[0].cores = 2.0;
     let r = s.rules.clone();
@@ -366,7 +366,7 @@
 }
 
 #[test]
-fn where_all_engines_are_replaced_at_once_nothing_goes_to_the_old_and_the_new_serve() {
+fn full_fleet_replacement_uses_only_the_new_engines() {
     let mut g = Gateway::new(one_of(1, false), fleet(4));
     play(&mut g, 40, |_, _| Outcome::Served);
     // Queries are out on the old ones when they go: their connections break with them.
@@ -407,8 +407,7 @@
 }
 
 #[test]
-fn an_engine_that_refuses_connections_for_want_of_room_is_asked_once_a_second_by_each_and_costs_no_query()
- {
+fn engine_out_of_connections_is_retried_once_a_second_and_loses_no_query() {
     let mut asked = 0;
     for seed in 0..30 {
         let mut g = Gateway::seeded(one_of(30, false), fleet(6), seed);
@@ -440,7 +439,7 @@
 }
 
 #[test]
-fn a_list_that_repeats_or_names_what_was_never_there_changes_nothing() {
+fn duplicate_or_unknown_list_entries_change_nothing() {
     let mut g = Gateway::new(one_of(1, false), fleet(3));
     let out = sends(&g.take(query(1, 0)));
     for update in [ListUpdate::Patch, ListUpdate::Whole, ListUpdate::Patch] {
@@ -493,7 +492,7 @@
 
 /// Its failures and its crowd were true half a minute ago; nobody has met it since.
 #[test]
-fn an_engine_met_once_in_many_seconds_is_not_judged_by_what_it_was_then() {
+fn rarely_used_engine_is_not_evaluated_by_old_observations() {
     let mut g = Gateway::new(one_of(1, false), fleet(2));
     let p = play(&mut g, 60, |_, e| {
         if e == "e0" {
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -383,7 +383,7 @@
 }
 
 #[test]
-fn the_scenarios_of_both_fronts_come_out_on_prepared_statements() {
+fn shared_frontend_scenarios_pass_on_prepared_statements() {
     for (tells, script) in ALIKE {
         println!("{tells}");
         on_one_thread(async {
@@ -395,7 +395,7 @@
 
 /// Preparing goes through an engine like any read, and counts as one.
 #[test]
-fn every_command_that_reached_an_engine_is_counted_once() {
+fn every_command_sent_to_an_engine_is_counted_once() {
     let script = "send a load\n engine load\n reply rows\n expect a served
         figures replies.load.success=1 replies.lookup.success=1 dispatches=2
         send b load\n engine load\n close\n expect b failed\n figures replies.load.error=1 dispatches=3";
@@ -406,7 +406,7 @@
 }
 
 #[test]
-fn a_prepared_statement_moves_from_a_draining_engine_and_back() {
+fn prepared_statement_migrates_from_a_draining_engine_and_back() {
     let script = "send a lookup\n engine lookup\n reply rows\n expect a served\n drain
         send b lookup\n engine lookup\n moved\n reply rows\n expect b served\n back\n drain
         send c lookup\n engine lookup\n moved\n reply rows\n expect c served\n back
@@ -418,7 +418,7 @@
 }
 
 #[test]
-fn what_is_not_carried_gets_a_plain_error_and_the_session_goes_on() {
+fn unsupported_commands_get_an_error_and_the_session_continues() {
     on_one_thread(async {
         let (_hub, client, _, mut seen) = set_up().await;
         let wrong = log_in(client.address, "ann", "wrong").await.err().unwrap();
@@ -542,7 +542,7 @@
 /// A statement waits, and its client goes: by its last word, behind a command sent early, by a close, by a reset. The term
 /// later it would be let go, and another's is the first that an engine sees.
 #[test]
-fn a_session_that_goes_while_its_statement_waits_is_not_sent_on() {
+fn queued_statement_is_not_forwarded_after_its_session_ends() {
     on_one_thread(async {
         for how in ["quit", "early and closed", "closed", "reset"] {
             let (router, client, addresses, mut seen) = set_up().await;
@@ -594,7 +594,7 @@
 
 /// A command sent early is no leave: both are answered.
 #[test]
-fn a_command_sent_before_the_answer_to_the_last_is_answered_after_it() {
+fn pipelined_command_is_answered_in_order() {
     on_one_thread(async {
         let (_hub, client, _, mut seen) = set_up().await;
         let mut w = log_in(client.address, "ann", "secret").await.unwrap();
@@ -612,7 +612,7 @@
 
 /// A client in the machine's queue, one between commands and one whose command is unread, at the stop.
 #[test]
-fn at_the_stop_what_was_asked_is_answered_and_all_others_are_told() {
+fn shutdown_answers_pending_commands_and_notifies_other_sessions() {
     on_one_thread(async {
         let (_hub, frontend, client, mut seen) = set_up_front().await;
         let mut asked = log_in(client.address, "ann", "secret").await.unwrap();
--- a/tests/mysql_client_disconnect.rs
+++ b/tests/mysql_client_disconnect.rs
@@ -457,7 +457,7 @@
 }
 
 #[test]
-fn nothing_is_written_to_an_engine_whose_log_in_ends_in_the_turn_of_the_leave() {
+fn no_statement_is_sent_when_upstream_login_and_disconnect_arrive_together() {
     on_one_thread(async {
         for way in WAYS {
             let stand = stand(1).await;
@@ -470,7 +470,7 @@
 }
 
 #[test]
-fn no_transaction_begins_on_a_pin_that_comes_up_in_the_turn_of_the_leave() {
+fn no_transaction_begins_when_sticky_session_and_disconnect_arrive_together() {
     on_one_thread(async {
         for way in WAYS {
             let stand = stand(1).await;
@@ -484,7 +484,7 @@
 
 /// The engine's connection stands ready, and the statement itself comes with the leave.
 #[test]
-fn a_statement_that_comes_in_the_turn_of_its_clients_leave_is_not_sent() {
+fn statement_arriving_with_its_clients_disconnect_is_not_sent() {
     on_one_thread(async {
         for way in WAYS {
             let stand = stand(1).await;
@@ -504,7 +504,7 @@
 
 /// More than a client may say early stands before its end: nobody looks for the end behind it, the session ends there.
 #[test]
-fn a_client_behind_more_than_it_may_say_early_is_not_sent_on() {
+fn disconnect_behind_a_full_read_ahead_buffer_is_not_forwarded() {
     on_one_thread(async {
         let stand = stand(1).await;
         let mut w = stand.session().await;
@@ -524,7 +524,7 @@
 
 /// The session has settings, or a statement prepared, that its next connection lacks.
 #[test]
-fn nothing_runs_behind_settings_or_a_prepare_that_end_in_the_turn_of_the_leave() {
+fn nothing_runs_when_setup_or_prepare_completes_with_the_disconnect() {
     on_one_thread(async {
         for (hold, way) in ["set ", "prepare"]
             .into_iter()
@@ -558,7 +558,7 @@
 
 /// The pin holds, and its next statement waits for one that runs there.
 #[test]
-fn an_open_transaction_ends_with_its_client_and_frees_its_pin() {
+fn open_transaction_ends_on_disconnect_and_frees_its_sticky_session() {
     on_one_thread(async {
         for way in WAYS {
             let stand = stand(1).await;
@@ -580,7 +580,7 @@
 }
 
 #[test]
-fn what_breaks_in_the_turn_of_the_leave_is_not_sent_again() {
+fn no_retry_when_upstream_failure_and_disconnect_arrive_together() {
     on_one_thread(async {
         for way in WAYS {
             let stand = stand(2).await;
@@ -601,7 +601,7 @@
 
 /// A last word behind other commands: neither what waits nor what stands before it begins.
 #[test]
-fn a_last_word_behind_commands_sent_early_is_heeded_within_the_term() {
+fn quit_behind_pipelined_commands_is_seen_in_time() {
     on_one_thread(async {
         let stand = stand(1).await;
         let mut w = stand.session().await;
@@ -621,7 +621,7 @@
 
 /// It takes nothing of a large answer, and goes behind further commands.
 #[test]
-fn commands_behind_an_answer_that_is_not_taken_go_with_their_client() {
+fn commands_behind_an_unread_response_are_dropped_on_disconnect() {
     on_one_thread(async {
         for way in ["quit", "half closed"] {
             let stand = stand(1).await;
@@ -662,7 +662,7 @@
 /// An engine that reads nothing for a while: some of a command, or of the long data before it, is there, and the rest must
 /// not follow. On a new connection, on a pin, and with a prepared statement.
 #[test]
-fn a_command_half_at_its_engine_never_comes_whole_once_its_client_has_left() {
+fn partly_written_command_is_not_completed_after_disconnect() {
     on_one_thread(async {
         for first in ["silent", "begin", "prepare"] {
             for way in ["quit", "closed", "reset"] {
@@ -718,7 +718,7 @@
 }
 
 #[test]
-fn nothing_of_hundreds_that_leave_in_one_turn_begins() {
+fn nothing_starts_for_hundreds_of_clients_that_disconnect_together() {
     on_one_thread(async {
         let stand = stand(1).await;
         stand.router.change(&Change {
@@ -755,7 +755,7 @@
 /// KILL QUERY while the engine's connection comes up, alone or for a pin; by turns the engine's word comes after the kill
 /// is answered, or in the same turn as the kill.
 #[test]
-fn what_is_killed_begins_nowhere_and_its_session_goes_on() {
+fn killed_statement_starts_nowhere_and_its_session_continues() {
     on_one_thread(async {
         for (sql, code) in [(LEAVERS, 1317), ("begin /* leaver */", 1213)] {
             for one_turn in [false, true] {
@@ -794,7 +794,7 @@
 
 /// In TLS: its end alone, its end behind a last word, and the connection's own end.
 #[test]
-fn in_tls_nothing_is_written_to_an_engine_in_the_turn_of_the_leave() {
+fn no_statement_is_sent_for_a_tls_client_that_disconnects() {
     let folder = Folder::new("mysql-gone").unwrap();
     let own = rcgen::generate_simple_self_signed(vec!["a.example".into()]).unwrap();
     let (cert, key) = (folder.path().join("a.pem"), folder.path().join("a.key"));
--- a/tests/mysql_sessions.rs
+++ b/tests/mysql_sessions.rs
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_driver_connects_with_its_defaults_and_its_transactions_hold() {
+fn driver_connects_with_defaults_and_its_transactions_are_isolated() {
     play(async {
         let stand = stand("driver", 2, "", "").await;
         let opts = OptsBuilder::default()
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn statements_of_a_transaction_run_on_one_connection_and_those_of_others_do_not() {
+fn transaction_has_a_connection_of_its_own() {
     play(async {
         let stand = stand("one", 2, "", "").await;
         let (mut a, mut b) = (stand.session().await, stand.session().await);
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn settings_are_checked_by_an_engine_move_with_the_session_and_stay_off_others() {
+fn session_settings_are_validated_migrate_and_do_not_leak() {
     play(async {
         // One connection to each engine: every session uses the same ones.
         let stand = stand("settings", 2, "", "").await;
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn a_prepared_statement_runs_with_the_settings_of_now_after_its_session_moved() {
+fn prepared_statement_uses_current_settings_after_migration() {
     play(async {
         let stand = stand("prepared", 2, "", "").await;
         let mut s = stand.session().await;
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn an_engine_drains_with_a_transaction_open_and_it_ends_by_itself_or_is_rolled_back() {
+fn transaction_on_a_draining_engine_finishes_or_is_rolled_back() {
     play(async {
         let stand = stand("drain", 2, "", "[pins]\ndrain_s = 0.6").await;
         let (mut a, mut b) = (stand.session().await, stand.session().await);
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn an_engine_that_dies_between_a_commit_and_its_ok_leaves_it_unknown_and_nothing_is_sent_again() {
+fn engine_death_after_commit_reports_unknown_and_retries_nothing() {
     play(async {
         let stand = stand("commit", 2, "", "").await;
         let mut s = stand.session().await;
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn an_engine_that_dies_in_a_transaction_has_rolled_it_back_and_the_session_goes_on_elsewhere() {
+fn engine_death_rolls_back_and_the_session_continues_elsewhere() {
     play(async {
         let stand = stand("dies", 2, "", "").await;
         let mut s = stand.session().await;
@@ -334,7 +334,7 @@
 }
 
 #[test]
-fn a_transaction_that_idles_too_long_or_whose_client_leaves_is_rolled_back_and_its_place_is_free() {
+fn idle_or_abandoned_transaction_is_rolled_back_and_its_slot_freed() {
     play(async {
         let stand = stand("idle", 1, "", "[pins]\nidle_s = 0.5\nmost = 1").await;
         let mut s = stand.session().await;
@@ -364,7 +364,7 @@
 }
 
 #[test]
-fn what_a_connection_alone_can_hold_keeps_the_session_there_until_it_is_reset() {
+fn connection_state_keeps_the_session_sticky_until_reset() {
     play(async {
         let stand = stand("holds", 2, "", "").await;
         for (begins, ends) in [
@@ -410,7 +410,7 @@
 }
 
 #[test]
-fn a_client_that_sends_the_next_command_before_the_answer_gets_both_in_order() {
+fn pipelined_commands_are_answered_in_order() {
     play(async {
         let stand = stand("early", 2, "", "").await;
         let mut s = stand.session().await;
@@ -432,7 +432,7 @@
 }
 
 #[test]
-fn of_500_sessions_256_have_a_place_and_idle_ones_hold_no_engine_connection() {
+fn five_hundred_sessions_fill_256_slots_and_idle_ones_use_no_upstream() {
     play(async {
         let stand = stand("idlers", 2, "max_clients = 256", "").await;
         let (mut all, mut refused) = (vec![], 0);
@@ -462,7 +462,7 @@
 }
 
 #[test]
-fn a_transaction_left_out_of_what_is_carried_is_told_and_stays_open() {
+fn unsupported_statement_in_a_transaction_is_reported_and_keeps_it_open() {
     play(async {
         let stand = stand("refused", 1, "", "").await;
         let mut s = stand.session().await;
--- a/tests/mysql_tls.rs
+++ b/tests/mysql_tls.rs
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_client_is_shown_the_key_of_the_host_that_it_asks_for_and_one_in_the_clear_is_served_too() {
+fn certificate_is_selected_by_sni_and_plain_clients_are_served() {
     play(async {
         let stand = stand("names", "", "").await;
         let mut shown = vec![];
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_downgrade_is_refused_to_the_clear_to_an_older_version_and_by_bytes_slipped_in_ahead() {
+fn downgrade_to_plain_older_tls_or_injected_bytes_is_rejected() {
     play(async {
         let stand = stand("downgrade", "required = true\nmin_version = \"1.3\"", "").await;
         let plain =
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_user_with_a_certificate_needs_that_one_and_the_password() {
+fn user_with_a_certificate_needs_it_and_the_password() {
     play(async {
         let users = "[[user]]\nname = \"till\"\npassword = \"till\"\ncertificate = \"till-7\"\n";
         let stand = stand("users", "client_ca = \"AT/ca.pem\"", users).await;
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn a_key_is_replaced_under_handshakes_and_open_sessions_go_on() {
+fn key_rotation_during_handshakes_keeps_open_sessions() {
     play(async {
         let stand = stand("replaced", "", "").await;
         let mut open = stand.tls("a.example").await.unwrap();
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn a_broken_or_expired_or_strange_key_is_refused_and_the_old_one_stays() {
+fn invalid_expired_or_mismatched_key_is_rejected_and_the_old_one_stays() {
     play(async {
         let stand = stand("broken", "", "").await;
         let before = stand.tls("a.example").await.unwrap().certificate().unwrap();
@@ -320,7 +320,7 @@
 }
 
 #[test]
-fn a_handshake_that_stalls_in_any_phase_ends_and_holds_nobody_up() {
+fn stalled_handshake_times_out_in_every_phase_without_blocking_others() {
     play(async {
         let stand = stand("stalls", "", "").await;
         let mut request = vec![32, 0, 0, 1, 0, 0x8a, 0x20, 0];
--- a/tests/platform_calls.rs
+++ b/tests/platform_calls.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn the_program_takes_up_nothing_that_the_filter_refuses() {
+fn sources_use_no_call_that_the_filter_rejects() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let found = offences(&root);
     assert!(
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn the_check_finds_what_it_looks_for() {
+fn source_check_detects_forbidden_calls() {
     let folder = std::env::temp_dir().join(format!("hitchwinch-calls-{}", std::process::id()));
     std::fs::create_dir_all(folder.join("inner")).unwrap();
     let bad = "use tokio::signal::unix::signal;\n// std::process::Command in a comment is no call\nfn f() {}\n";
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn it_stops_in_order_and_answers_what_it_has_taken() {
+fn graceful_shutdown_answers_accepted_requests() {
     let engine = TcpListener::bind("127.0.0.1:0").unwrap(); // takes connections and says nothing
     let program = start("stop", Some(&engine));
     let mut a = connect(&program.address);
@@ -254,7 +254,7 @@
 /// A stand-in peer, an engine whose answers bring reports, and a client: what the engine tells goes on to the peer in
 /// six bytes, and what is no word of a peer is passed over, counted, and told in the log.
 #[test]
-fn an_engines_load_goes_on_to_the_peers_and_what_is_no_word_is_passed_over() {
+fn load_reports_are_gossiped_and_malformed_messages_ignored() {
     let engine = TcpListener::bind("127.0.0.1:0").unwrap();
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
     peer.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
@@ -366,7 +366,7 @@
 }
 
 #[test]
-fn a_new_process_takes_over_from_the_old() {
+fn takeover_by_a_new_process() {
     let engine = TcpListener::bind("127.0.0.1:0").unwrap();
     takes_over(
         "over",
@@ -378,7 +378,7 @@
 }
 
 #[test]
-fn a_new_process_takes_over_from_the_old_on_mysql_too() {
+fn takeover_by_a_new_process_on_mysql() {
     let file = include_str!("../deploy/mysql.toml");
     let listen = file.lines().find(|l| l.starts_with("listen")).unwrap();
     let file = file.replace(listen, "listen = \"127.0.0.1:0\"\nstate_dir = \"FOLDER\"");
@@ -389,14 +389,14 @@
 }
 
 #[test]
-fn without_a_list_it_is_not_ready() {
+fn not_ready_without_an_endpoint_list() {
     let program = start("no-list", None);
     assert!(!ready(&mut connect(&program.address)));
     program.ends_well();
 }
 
 #[test]
-fn a_new_configuration_moves_the_journal_and_a_faulty_one_changes_nothing() {
+fn reload_moves_the_journal_and_an_invalid_file_changes_nothing() {
     let (engine, journal) = (
         TcpListener::bind("127.0.0.1:0").unwrap(),
         TcpListener::bind("127.0.0.1:0").unwrap(),
@@ -423,7 +423,7 @@
 }
 
 #[test]
-fn the_mysql_front_reads_its_file_again_too() {
+fn mysql_frontend_reloads_its_file() {
     let file = include_str!("../deploy/mysql.toml");
     let listen = file.lines().find(|l| l.starts_with("listen")).unwrap();
     let file = file.replace(listen, "listen = \"127.0.0.1:0\"");
@@ -461,7 +461,7 @@
 /// The process stands still while the end of accepting passes: a connection that the machine accepts meanwhile, with a
 /// request written on it, is served for all that.
 #[test]
-fn a_connection_in_the_machines_queue_at_the_end_of_accepting_is_answered() {
+fn connection_in_the_accept_queue_at_shutdown_is_answered() {
     let engine = TcpListener::bind("127.0.0.1:0").unwrap(); // takes connections and says nothing
     let program = Program::run(
         "queue",
@@ -484,7 +484,7 @@
 
 /// Nothing is owed when the last wait passes, and a request stands unread.
 #[test]
-fn a_request_that_is_unread_when_nothing_is_owed_is_answered_before_the_end() {
+fn unread_request_of_an_idle_connection_is_answered_before_shutdown() {
     let engine = TcpListener::bind("127.0.0.1:0").unwrap();
     let program = Program::run(
         "unread",
@@ -506,7 +506,7 @@
 
 /// Twice, with a new configuration between, and again while answers are owed.
 #[test]
-fn sigterm_beside_sighup_and_another_sigterm_still_answers_what_it_has_taken() {
+fn sigterm_with_sighup_and_second_sigterm_still_answers_requests() {
     let engine = TcpListener::bind("127.0.0.1:0").unwrap();
     let program = start("signals", Some(&engine));
     let mut client = connect(&program.address);
@@ -527,7 +527,7 @@
 
 /// Before it has a list, it ends at once and well.
 #[test]
-fn sigterm_before_it_is_ready_ends_it_well() {
+fn sigterm_before_readiness_exits_cleanly() {
     let program = start("early", None);
     program.signal("-TERM");
     program.ends_well();
@@ -535,7 +535,7 @@
 
 /// A client takes its last answer late: the process ends only once it has it whole.
 #[test]
-fn a_slow_reader_gets_its_last_answer_whole_before_the_end() {
+fn slow_reader_gets_its_complete_response_before_exit() {
     let folder = std::env::temp_dir().join(format!("hitchwinch-{}-slow", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let engine = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -635,7 +635,7 @@
 /// was taken, also after SIGTERM, has one whole answer by then, by its class's rule. A client that rests is closed with
 /// nothing of its next request read.
 #[test]
-fn what_hangs_under_long_deadlines_is_answered_whole_before_the_kill_can_come() {
+fn hung_requests_with_long_deadlines_are_answered_before_sigkill() {
     let engine = TcpListener::bind("127.0.0.1:0").unwrap();
     let program = Program::run(
         "hang",
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -292,7 +292,7 @@
 }
 
 #[test]
-fn the_rules_hold_for_random_legal_events_and_the_same_events_give_the_same_actions() {
+fn rules_hold_and_decisions_are_deterministic_for_random_events() {
     let config = Config {
         cases: 300,
         failure_persistence: None,
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn a_repeat_is_not_sent_past_its_window_when_a_connection_comes_up_late() {
+fn retry_is_not_sent_past_its_window_on_a_late_connection() {
     on_one_thread(async {
         let [a, b, c] = GROUPS.map(|(group, told)| repeat_before_a_late_connection(group, told));
         tokio::join!(a, b, c);
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn a_repeat_is_not_sent_past_its_window_from_behind_a_stalled_write() {
+fn retry_is_not_sent_past_its_window_behind_a_stalled_write() {
     on_one_thread(async {
         let [a, b, c] = GROUPS.map(|(group, told)| repeat_behind_a_stalled_write(group, told));
         tokio::join!(a, b, c);
@@ -307,7 +307,7 @@
 
 /// The window passes while the repeat is half on the wire: it never comes whole.
 #[test]
-fn a_repeat_half_on_the_wire_never_comes_whole_past_its_window() {
+fn partly_written_retry_is_not_completed_past_its_window() {
     on_one_thread(async {
         let s = stand(narrow(), (DeduplicationScope::Cell, 1000.0), |_| {}).await;
         s.ask_for(1, KEYED, 5000.0, 100_000);
@@ -329,7 +329,7 @@
 
 /// Windows down to nothing: whatever of the retry's own course is longer, nothing goes out twice and too late.
 #[test]
-fn a_window_of_some_milliseconds_gets_no_repeat_past_it() {
+fn short_deduplication_windows_get_no_retry_past_them() {
     on_one_thread(async {
         for (group, told) in GROUPS {
             for window in [0.0, 5.0, 20.0] {
@@ -353,7 +353,7 @@
 
 /// Its time ends with it out: that is no refusal where only some engines would know a repeat.
 #[test]
-fn a_keyed_request_whose_time_is_over_is_refused_only_where_all_engines_know_it() {
+fn expired_keyed_request_is_rejected_only_with_fleet_wide_deduplication() {
     on_one_thread(async {
         for (group, told) in [
             (DeduplicationScope::All, "refused as late"),
@@ -380,7 +380,7 @@
 /// The process stands still while connections become idle for too long, and one of their clients asks: it is served. The
 /// other is closed, and what it sends on that connection then is read by nobody, so that it may send it anew.
 #[test]
-fn a_request_in_the_turn_of_an_idle_close_is_served_and_one_after_it_is_not_read() {
+fn request_in_the_poll_of_an_idle_close_is_served_and_a_later_one_is_not_read() {
     on_one_thread(async {
         let s = plain().await;
         let mut asks = Client::new(s.at).await;
@@ -410,7 +410,7 @@
 
 /// At the end of all connections, in one turn: a client's request is on its way, another's comes after its close.
 #[test]
-fn a_request_in_the_turn_of_the_last_close_is_served_and_one_after_it_is_not_read() {
+fn request_in_the_poll_of_the_final_close_is_served_and_a_later_one_is_not_read() {
     on_one_thread(async {
         let s = plain().await;
         let mut asks = Client::new(s.at).await;
@@ -444,7 +444,7 @@
 /// The machine has taken an answer whole and its client has not, when the connection ends and the client asks again: it
 /// has its answer whole all the same.
 #[test]
-fn an_answer_on_its_way_survives_what_its_client_sends_after_our_close() {
+fn response_in_transit_survives_client_data_after_close() {
     on_one_thread(async {
         let s = plain().await;
         let mut client = Client::narrow(s.at).await;
@@ -471,7 +471,7 @@
 /// Operators connect in such a number that all callers before give way, and those call in that turn, or one of the next
 /// few: what a caller has written before its end is seen is answered, and none of the connections is reset.
 #[test]
-fn an_operators_call_in_the_turn_in_which_it_gives_way_is_answered() {
+fn admin_request_in_the_poll_of_its_eviction_is_answered() {
     on_one_thread(async {
         let s = plain().await;
         for turns in 0..10 {
@@ -527,7 +527,7 @@
 
 /// Half an answer's bytes, or half of a result's pages, and the engine closes: nothing of it is served.
 #[test]
-fn half_an_answer_before_its_engines_close_ends_by_its_classes_rule() {
+fn partial_response_before_engine_close_ends_by_its_class_rule() {
     on_one_thread(async {
         for paged in [false, true] {
             for reset in [false, true] {
@@ -570,7 +570,7 @@
 /// Half an answer to a request that is over comes in the turn in which we close its connection as idle: a load that is
 /// asked for in the same turn runs all the same, and the half is served to nobody.
 #[test]
-fn half_an_answer_in_the_turn_of_our_idle_close_is_served_to_nobody() {
+fn partial_response_in_the_poll_of_an_idle_close_is_discarded() {
     on_one_thread(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let s = stand(listener, (DeduplicationScope::All, 0.0), |sockets| {
@@ -598,7 +598,7 @@
 
 /// Half an answer to a request that is over, and never its rest: no later request stands behind it, and it is not held.
 #[test]
-fn half_an_answer_to_nobody_is_not_held_and_takes_no_load_along() {
+fn partial_response_to_a_finished_request_is_discarded_without_failing_a_load() {
     on_one_thread(async {
         let s = plain().await;
         s.ask_for(1, LOOKUP, 100.0, 1);
@@ -626,7 +626,7 @@
 /// The process stands still, half an answer comes meanwhile, and its rest right after: the time in which nobody looked
 /// counts against no engine.
 #[test]
-fn half_an_answer_after_a_standstill_is_waited_for() {
+fn partial_response_after_a_process_stall_is_awaited() {
     on_one_thread(async {
         let s = plain().await;
         s.ask(1, LOAD);
@@ -648,7 +648,7 @@
 
 /// One connection to an engine is up and rests, another is still coming up: what comes in is not made to wait.
 #[test]
-fn a_request_takes_the_connection_that_is_up_not_the_one_that_is_coming() {
+fn request_uses_the_established_connection_not_the_pending_one() {
     on_one_thread(async {
         let engine = tight();
         let filler = TcpStream::connect(engine.local_addr().unwrap())
@@ -681,7 +681,7 @@
 
 /// It does not come up within the settings' time: what waits on it goes to another engine, loads too, for none ever ran.
 #[test]
-fn a_connection_that_does_not_come_up_in_time_costs_no_request_its_answer() {
+fn connect_timeout_loses_no_request() {
     on_one_thread(async {
         let engine = tight();
         let at = engine.local_addr().unwrap();
@@ -744,7 +744,7 @@
 }
 
 #[test]
-fn a_late_connection_carries_nothing_for_what_is_over_drains_or_is_gone() {
+fn late_connection_sends_nothing_for_finished_requests_or_draining_or_removed_engines() {
     on_one_thread(async {
         tokio::join!(
             late_and_unwanted("over", "failed as late"),
@@ -802,7 +802,7 @@
 }
 
 #[test]
-fn an_answer_without_an_end_gives_one_final_answer_and_holds_nothing() {
+fn unterminated_response_gives_one_answer_and_releases_everything() {
     on_one_thread(async {
         tokio::join!(
             without_an_end(LOOKUP, 300.0, false, "refused as late"),
@@ -887,7 +887,7 @@
 }
 
 #[test]
-fn all_forms_in_any_pieces_are_served_alike() {
+fn every_message_form_is_served_alike_in_any_fragmentation() {
     on_one_thread(async {
         for piece in [usize::MAX, 1, 3, 4096] {
             let s = plain().await;
@@ -951,7 +951,7 @@
 /// One byte at a time, over many turns, while another request of its connection runs; then its last bytes come in the turn
 /// of the goodbye.
 #[test]
-fn a_slow_writer_is_served_while_it_writes_and_beside_the_goodbye() {
+fn slow_writer_is_served_while_writing_and_at_shutdown() {
     on_one_thread(async {
         let s = plain().await;
         let mut client = Client::new(s.at).await;
--- a/tests/recorded_decisions.rs
+++ b/tests/recorded_decisions.rs
@@ -219,7 +219,7 @@
 ];
 
 #[test]
-fn every_kind_of_event_and_action_is_exercised() {
+fn streams_exercise_every_kind_of_event_and_action() {
     for (kind, least) in EXERCISED {
         let pairs = EXPECTED
             .iter()
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn it_is_ready_with_its_list_while_discovery_is_down() {
+fn ready_with_a_known_list_while_discovery_is_down() {
     let engine = Engine::new();
     let one = || {
         until_ready(&mut Program::exec(
@@ -51,7 +51,7 @@
 
 /// Nothing is known, and discovery comes up 300 ms after the exec.
 #[test]
-fn it_is_ready_once_discovery_comes_up_during_the_start() {
+fn ready_once_discovery_returns_during_startup() {
     let engine = Engine::new();
     let whole = event(1, &told(0, engine.at, "in_service")).replace("false", "true");
     let one = || {
@@ -84,7 +84,7 @@
 /// Three hundred clients are in the queue of the socket that it inherits before it starts: some rest in the middle of a
 /// frame, some say nothing. Behind them comes the question.
 #[test]
-fn it_answers_type_16_behind_a_full_queue() {
+fn readiness_is_answered_behind_a_full_accept_queue() {
     let engine = Engine::new();
     let one = || {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
@@ -140,7 +140,7 @@
 
 /// All start in the same moment, without a list, and call the one service, which comes up with them.
 #[test]
-fn twenty_that_start_together_are_ready() {
+fn twenty_processes_starting_together_become_ready() {
     let engine = Engine::new();
     let service = Service::down();
     let config = config(&[engine.at], service.at, Some(64));
--- a/tests/simhost_adapter.rs
+++ b/tests/simhost_adapter.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_good_batch_is_answered_and_input_may_end_between_batches() {
+fn valid_batch_is_answered_and_input_may_end_between_batches() {
     let out = run(&[
         TURN, PROVISION, TABLE, MEMBERS, INBOUND, COMMIT, TURN, COMMIT,
     ]);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn bad_input_ends_with_one_line_that_names_it() {
+fn invalid_input_ends_with_one_line_that_names_it() {
     fails(&[TURN, "{nonsense"], 2, "");
     fails(
         &[
--- a/tests/slow_start_budget.rs
+++ b/tests/slow_start_budget.rs
@@ -471,12 +471,12 @@
 }
 
 #[test]
-fn all_want_it_all_the_time() {
+fn all_dispatchers_under_steady_load() {
     run("all the time", case);
 }
 
 #[test]
-fn a_burst_after_silence() {
+fn burst_after_idle() {
     run("burst after silence", |n, w, rng| {
         let mut c = case(n, w, rng);
         let at = middle(rng);
@@ -568,7 +568,7 @@
 }
 
 #[test]
-fn refused_by_the_engine_itself() {
+fn rejections_by_the_engine() {
     run("refused by the engine", |n, w, rng| Case {
         refuses: 0.5,
         ..case(n, w, rng)
@@ -577,7 +577,7 @@
 
 /// What another engine never answers is moved to the cold one.
 #[test]
-fn moves_and_second_copies() {
+fn migrations_and_hedged_requests() {
     run("moves and copies", |n, w, rng| {
         let mut c = case(n, w, rng);
         c.settings.limits.hedging = true;
@@ -643,7 +643,7 @@
 
 /// A third take it for the warm engine that it was, and learn of the start 3 s late.
 #[test]
-fn a_third_learn_of_the_start_late() {
+fn a_third_of_the_dispatchers_learn_of_the_start_late() {
     run_told("a third learn late", |n, w, rng| {
         let mut c = case(n, w, rng);
         for d in c.dispatchers.iter_mut().step_by(3) {
@@ -665,7 +665,7 @@
 
 /// The settings name half as many as run: nothing tells them so but the engine's answers.
 #[test]
-fn twice_as_many_run() {
+fn twice_as_many_dispatchers_as_configured() {
     let over = play("twice as many run", |n, work| (n, work) != LARGE, twice);
     assert_eq!(
         over,
@@ -675,7 +675,7 @@
 }
 
 #[test]
-fn twice_as_many_run_in_a_large_fleet_with_small_requests() {
+fn twice_as_many_dispatchers_as_configured_in_a_large_fleet_with_small_requests() {
     let over = play(
         "twice as many run, large",
         |n, work| (n, work) == LARGE,
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn twenty_processes_together_stay_under_the_line_of_a_cold_engine() {
+fn twenty_processes_stay_under_the_limit_of_a_warming_engine() {
     let (most, count) = play("fleet", 0);
     assert!(most <= 1.0, "{most} of the line");
     assert!(
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn twenty_processes_stay_under_it_with_five_restarted_in_the_middle() {
+fn twenty_processes_stay_under_the_limit_with_five_restarted() {
     let (most, count) = play("restarts", 5);
     assert!(most <= 1.0, "{most} of the line");
     assert!(
--- a/tests/spool.rs
+++ b/tests/spool.rs
@@ -114,7 +114,7 @@
 const REPORT: &str = "select engine from report /* rows(4000, 1000) */";
 
 #[test]
-fn engines_are_free_whatever_the_clients_pace_and_memory_is_bounded() {
+fn slow_clients_do_not_occupy_engines_and_memory_is_bounded() {
     play(async {
         let engines = stand::engines(2, ms(1)).await.unwrap();
         let folder = folder("slow");
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn a_client_that_vanishes_returns_for_the_pages_it_missed_and_nothing_runs_twice() {
+fn disconnected_client_resumes_its_result_and_nothing_runs_twice() {
     play(async {
         let engines = stand::engines(2, ms(1)).await.unwrap();
         let folder = folder("return");
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn handles_of_others_wrong_ones_and_expired_ones_tell_nothing_of_each_other() {
+fn foreign_wrong_and_expired_handles_are_indistinguishable() {
     play(async {
         let engines = stand::engines(1, ms(1)).await.unwrap();
         let folder = folder("handles");
@@ -338,7 +338,7 @@
 }
 
 #[test]
-fn the_quota_and_then_the_disk_fill_and_what_cannot_be_kept_is_refused_or_failed_readably() {
+fn full_quota_or_disk_rejects_or_fails_results_with_a_clear_error() {
     play(async {
         let engines = stand::engines(2, ms(1)).await.unwrap();
         let folder = folder("full");
@@ -428,7 +428,7 @@
 }
 
 #[test]
-fn an_engine_that_dies_in_the_middle_of_a_result_leaves_no_half_and_a_read_runs_elsewhere() {
+fn engine_death_during_a_result_leaves_no_partial_result_and_reads_are_retried() {
     play(async {
         let engines = stand::engines(2, ms(1)).await.unwrap();
         let folder = folder("dies");
@@ -474,7 +474,7 @@
 }
 
 #[test]
-fn killed_while_a_result_is_written_no_half_is_found_and_whole_ones_are() {
+fn kill_during_a_write_keeps_only_complete_results() {
     play(async {
         let engines = stand::engines(1, ms(1)).await.unwrap();
         let folder = folder("kill");
@@ -518,7 +518,7 @@
 }
 
 #[test]
-fn a_torn_page_breaks_a_result_off_readably_and_hurts_no_other() {
+fn corrupt_page_ends_its_result_with_an_error_and_affects_no_other() {
     play(async {
         let engines = stand::engines(1, ms(1)).await.unwrap();
         let folder = folder("torn");
@@ -559,7 +559,7 @@
 }
 
 #[test]
-fn a_disk_that_fails_is_told_of_and_results_wait_in_memory_until_it_is_well() {
+fn failing_disk_is_reported_and_results_stay_in_memory_until_recovery() {
     play(async {
         let engines = stand::engines(1, ms(1)).await.unwrap();
         let folder = folder("fails");
@@ -601,7 +601,7 @@
 }
 
 #[test]
-fn cursors_are_served_page_by_page_whether_the_result_is_short_or_long() {
+fn cursors_are_served_page_by_page_for_short_and_long_results() {
     play(async {
         let engines = stand::engines(1, ms(1)).await.unwrap();
         let folder = folder("cursor");
@@ -653,7 +653,7 @@
 }
 
 #[test]
-fn a_stalled_client_is_closed_after_a_bound_and_its_result_waits() {
+fn stalled_client_is_disconnected_and_its_result_is_retained() {
     play(async {
         let engines = stand::engines(1, ms(1)).await.unwrap();
         let folder = folder("stall");
@@ -687,7 +687,7 @@
 }
 
 #[test]
-fn in_an_upgrade_a_client_finds_its_result_at_the_new_process() {
+fn results_are_available_after_a_takeover() {
     play(async {
         let engines = stand::engines(1, ms(1)).await.unwrap();
         let folder = folder("upgrade");
@@ -742,7 +742,7 @@
 }
 
 #[test]
-fn a_client_that_tracks_its_session_learns_the_handle_with_the_last_packet() {
+fn session_tracking_client_receives_the_handle_in_the_last_packet() {
     play(async {
         let engines = stand::engines(1, ms(1)).await.unwrap();
         let folder = folder("track");
@@ -771,7 +771,7 @@
 }
 
 #[test]
-fn a_result_of_two_gigabytes_goes_through_a_small_memory() {
+fn two_gigabyte_result_passes_through_bounded_memory() {
     play(async {
         let engines = stand::engines(1, ms(1)).await.unwrap();
         let folder = folder("large");
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -57,7 +57,7 @@
 // ---- the snapshot of membership --------------------------------------------------------------------
 
 #[test]
-fn the_snapshot_is_read_in_full_and_written_alike() {
+fn snapshot_round_trips() {
     let folder = TemporaryFolder::copy_of("stored/members", "members");
     assert_eq!(load_snapshot(folder.path()), Ok(Some(fixed_snapshot())));
     let fresh = TemporaryFolder::new("members-fresh");
