--- a/src/certificates/mod.rs
+++ b/src/certificates/mod.rs
@@ -6,8 +6,8 @@
 /// From when until when a certificate holds, in Unix milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Validity {
-    pub from: Millis,
-    pub until: Millis,
+    pub not_before: Millis,
+    pub not_after: Millis,
 }
 
 /// Why a key is not taken into use; the one before stays.
@@ -16,7 +16,7 @@
     #[error("it has expired {0:.0} hours ago")]
     Expired(f64),
     #[error("it does not hold before {0:.0} hours from now")]
-    NotYet(f64),
+    NotYetValid(f64),
 }
 
 const HOUR: Millis = 3_600_000.0;
@@ -28,10 +28,12 @@
 ///
 /// # Errors
 /// It holds no longer, or not yet.
-pub fn fit(now: Millis, v: Validity) -> Result<(), CertificateError> {
+pub fn check_validity(now: Millis, v: Validity) -> Result<(), CertificateError> {
     match () {
-        () if now >= v.until => Err(CertificateError::Expired((now - v.until) / HOUR)),
-        () if now < v.from - HOUR => Err(CertificateError::NotYet((v.from - now) / HOUR)),
+        () if now >= v.not_after => Err(CertificateError::Expired((now - v.not_after) / HOUR)),
+        () if now < v.not_before - HOUR => {
+            Err(CertificateError::NotYetValid((v.not_before - now) / HOUR))
+        }
         () => Ok(()),
     }
 }
@@ -61,7 +63,7 @@
 }
 
 /// Whether a certificate's name covers this host: the same in any case, or `*.` for exactly one label.
-pub fn covers(name: &str, host: &str) -> bool {
+pub fn name_matches_host(name: &str, host: &str) -> bool {
     let same = |a: &str, b: &str| a.eq_ignore_ascii_case(b);
     match (name.strip_prefix("*."), host.split_once('.')) {
         (Some(parent), Some((label, rest))) => !label.is_empty() && same(parent, rest),
@@ -70,11 +72,14 @@
 }
 
 /// The key for a client that names this host: the first that covers it, else the first of all.
-pub fn choose<'a>(names: impl IntoIterator<Item = &'a [String]>, host: Option<&str>) -> usize {
+pub fn select_for_host<'a>(
+    names: impl IntoIterator<Item = &'a [String]>,
+    host: Option<&str>,
+) -> usize {
     let Some(host) = host else { return 0 };
     names
         .into_iter()
-        .position(|n| n.iter().any(|n| covers(n, host)))
+        .position(|n| n.iter().any(|n| name_matches_host(n, host)))
         .unwrap_or(0)
 }
 
@@ -85,17 +90,23 @@
     #[test]
     fn a_key_is_taken_while_it_holds() {
         let v = Validity {
-            from: 10.0 * DAY,
-            until: 20.0 * DAY,
+            not_before: 10.0 * DAY,
+            not_after: 20.0 * DAY,
         };
-        assert_eq!(fit(15.0 * DAY, v), Ok(()));
+        assert_eq!(check_validity(15.0 * DAY, v), Ok(()));
         assert_eq!(
-            fit(10.0 * DAY - HOUR / 2.0, v),
+            check_validity(10.0 * DAY - HOUR / 2.0, v),
             Ok(()),
             "a clock half an hour behind"
         );
-        assert_eq!(fit(9.0 * DAY, v), Err(CertificateError::NotYet(24.0)));
-        assert_eq!(fit(20.0 * DAY, v), Err(CertificateError::Expired(0.0)));
+        assert_eq!(
+            check_validity(9.0 * DAY, v),
+            Err(CertificateError::NotYetValid(24.0))
+        );
+        assert_eq!(
+            check_validity(20.0 * DAY, v),
+            Err(CertificateError::Expired(0.0))
+        );
     }
 
     #[test]
@@ -120,13 +131,13 @@
             ("*.example", ".example", false),
             ("db.example", "db2.example", false),
         ] {
-            assert_eq!(covers(name, host), wanted, "{name} and {host}");
+            assert_eq!(name_matches_host(name, host), wanted, "{name} and {host}");
         }
         let keys = [
             vec!["a.example".to_string()],
             vec!["b.example".into(), "*.c.example".into()],
         ];
-        let of = |host| choose(keys.iter().map(Vec::as_slice), host);
+        let of = |host| select_for_host(keys.iter().map(Vec::as_slice), host);
         assert_eq!(
             (
                 of(Some("x.c.example")),
--- a/src/config/sticky_sessions.rs
+++ b/src/config/sticky_sessions.rs
@@ -29,11 +29,11 @@
         };
         let most = number("pins.most", self.most, 128)?;
         Ok(StickySessionLimits {
-            idle: seconds("pins.idle_s", self.idle_s, 30.0, 3600.0)?,
-            longest: seconds("pins.longest_s", self.longest_s, 300.0, 86_400.0)?,
-            drain: seconds("pins.drain_s", self.drain_s, 5.0, 3600.0)?,
-            most,
-            most_of_tenant: number("pins.most_of_tenant", self.most_of_tenant, most)?,
+            idle_timeout: seconds("pins.idle_s", self.idle_s, 30.0, 3600.0)?,
+            max_lifetime: seconds("pins.longest_s", self.longest_s, 300.0, 86_400.0)?,
+            drain_timeout: seconds("pins.drain_s", self.drain_s, 5.0, 3600.0)?,
+            max_sessions: most,
+            max_sessions_per_tenant: number("pins.most_of_tenant", self.most_of_tenant, most)?,
         })
     }
 }
--- a/src/frontend/mysql/sticky.rs
+++ b/src/frontend/mysql/sticky.rs
@@ -1,7 +1,7 @@
 //! The client's end of a pin: statements of a session that keeps to one engine connection for a while.
 
 use crate::frontend::mysql::*;
-use crate::sticky_sessions::{Next, Step, fate};
+use crate::sticky_sessions::{ConnectionDisposition, StatementEffect, TransactionOutcome};
 use crate::upstream::mysql::sticky::{Carried, Order, Pinned, lost, reason};
 use tokio::sync::mpsc;
 
@@ -10,7 +10,7 @@
 
 impl<U: Upstream<Work = Work, Output = Output>> Drop for Booked<'_, U> {
     fn drop(&mut self) {
-        self.0.book.borrow_mut().give(self.1);
+        self.0.book.borrow_mut().release(self.1);
     }
 }
 
@@ -79,7 +79,7 @@
         Ok(came)
     }
 
-    fn step(&self, kind: &Kind, sql: &[u8], job: &Job) -> Step {
+    fn step(&self, kind: &Kind, sql: &[u8], job: &Job) -> StatementEffect {
         let held = self.hold.is_some();
         let commits = match (job, kind) {
             // A setting may be autocommit, which commits.
@@ -88,13 +88,13 @@
             (_, Kind::Ends) => !statement::rolls_back(sql),
             _ => held && statement::commits_by_the_way(sql),
         };
-        let begins = match kind {
+        let acquires = match kind {
             Kind::Pins(reason) if !matches!(job, Job::Prepare) => Some(*reason),
             _ => None,
         };
-        Step {
-            begins,
-            unlocks: *kind == Kind::UnlockTables,
+        StatementEffect {
+            acquires,
+            unlocks_tables: *kind == Kind::UnlockTables,
             commits,
         }
     }
@@ -103,13 +103,13 @@
     fn begin(&mut self) -> Result<(), SqlError> {
         let (config, frontend) = (self.frontend.config(), self.frontend);
         let terms = config.pins.clone();
-        let booked = frontend.book.borrow_mut().take(&terms, self.tenant);
+        let booked = frontend.book.borrow_mut().acquire(&terms, self.tenant);
         booked
             .map_err(|e| SqlError::new(code::PINS, format!("{e}; nothing ran, try again later")))?;
         let booked = Booked(frontend, self.tenant);
         let class = config.transaction_class;
         let limit = config.deadlines.get(class).copied().unwrap_or(10_000.0);
-        let longest = terms.longest;
+        let longest = terms.max_lifetime;
         let (pinned, orders) = Pinned::new(terms, self.state.next_transaction());
         let ask = AdmissionRequest {
             tenant: self.tenant,
@@ -210,7 +210,10 @@
             downstream,
         };
         let Some(hold) = self.hold.as_mut() else {
-            return Ok(Err(lost(&reason(None), fate(None))));
+            return Ok(Err(lost(
+                &reason(None),
+                TransactionOutcome::of_lost_connection(None),
+            )));
         };
         let (reply, mut carried) = oneshot::channel();
         if hold.orders.send(Order { work, step, reply }).await.is_err() {
@@ -221,7 +224,10 @@
             return Ok(if rolls_back {
                 Ok(done)
             } else {
-                Err(lost(&reason(over), fate(None)))
+                Err(lost(
+                    &reason(over),
+                    TransactionOutcome::of_lost_connection(None),
+                ))
             });
         }
         let came = tokio::select! {
@@ -230,20 +236,20 @@
                     Ok(Carried { output, next, open }) => {
                         hold.open = open;
                         self.state.began();
-                        if next == Next::Free {
+                        if next == ConnectionDisposition::Release {
                             self.hold = None;
                         }
                         return Ok(Ok(Reply::Served(output)));
                     }
-                    Err(_) => Err(lost(&reason(hold.pinned.over()), fate(Some(step)))),
+                    Err(_) => Err(lost(&reason(hold.pinned.over()), TransactionOutcome::of_lost_connection(Some(step)))),
                 },
                 reply = &mut hold.answer => match reply {
                     // No engine has begun with it: that is the statement's answer.
                     Ok(reply) if !hold.pinned.begun() => Ok(reply),
-                    _ => Err(lost(&reason(hold.pinned.over()), fate(Some(step)))),
+                    _ => Err(lost(&reason(hold.pinned.over()), TransactionOutcome::of_lost_connection(Some(step)))),
                 },
                 // The engine is told by its connection's end: what is open is rolled back.
-                () = self.downstream.killed() => Err(lost(KILLED, fate(Some(step)))),
+                () = self.downstream.killed() => Err(lost(KILLED, TransactionOutcome::of_lost_connection(Some(step)))),
                 gone = self.wire.ahead(AHEAD, quits) => return Err(left(gone)),
                 () = tokio::time::sleep_until(hold.until), if !hold.pinned.begun() => {
                     Ok(Reply::TimedOut { retry_safe: true })
--- a/src/protocol/statement.rs
+++ b/src/protocol/statement.rs
@@ -1,7 +1,7 @@
 //! What a statement tells of itself without a parser: the group of tables that it names, whether it plainly
 //! reads, and a hint in its leading comment. Words inside strings and comments never count.
 
-use crate::sticky_sessions::Reason;
+use crate::sticky_sessions::StickyReason;
 
 /// What stands in a statement.
 #[derive(Clone, Debug, PartialEq)]
@@ -223,7 +223,7 @@
     /// KILL QUERY, of a session by its number here.
     Kill(u32),
     /// Leaves something behind on its connection that no other has.
-    Pins(Reason),
+    Pins(StickyReason),
     /// Cannot be carried, and why: sessions move between engines, and each statement stands alone.
     NotCarried(&'static str),
 }
@@ -285,13 +285,15 @@
             return Kind::NotCarried("RELEASE is not carried: close the connection");
         }
         _ if several => return Kind::NotCarried("several statements at once are not carried"),
-        "begin" => return Kind::Pins(Reason::Transaction),
-        "start" if word(start + 1) == "transaction" => return Kind::Pins(Reason::Transaction),
+        "begin" => return Kind::Pins(StickyReason::Transaction),
+        "start" if word(start + 1) == "transaction" => {
+            return Kind::Pins(StickyReason::Transaction);
+        }
         "commit" => return Kind::Ends,
         "rollback" => return if has("to") { Kind::Within } else { Kind::Ends },
         "savepoint" | "release" => return Kind::Within,
         "lock" if matches!(word(start + 1).as_str(), "table" | "tables") => {
-            return Kind::Pins(Reason::Tables);
+            return Kind::Pins(StickyReason::TableLocks);
         }
         "unlock" if matches!(word(start + 1).as_str(), "table" | "tables") => {
             return Kind::UnlockTables;
@@ -334,13 +336,13 @@
     }
     let calls = |w: &str| (0..end).any(|i| words[i] == w && mark(i + 1, b'('));
     if has("temporary") && matches!(first.as_str(), "create" | "drop") {
-        return Kind::Pins(Reason::Temporary);
+        return Kind::Pins(StickyReason::TemporaryTable);
     }
     if ["get_lock", "release_lock", "release_all_locks"]
         .into_iter()
         .any(calls)
     {
-        return Kind::Pins(Reason::UserLock);
+        return Kind::Pins(StickyReason::UserLock);
     }
     if ["found_rows", "row_count"].into_iter().any(calls) {
         return Kind::NotCarried("what the statement before has counted is not carried");
@@ -349,7 +351,7 @@
     // runs; assigned, it is left behind there.
     let variable = |i: usize| mark(i, b'@') && !mark(i + 1, b'@') && (i == 0 || !mark(i - 1, b'@'));
     if (0..end).any(variable) && (all[..end].windows(2).any(|w| w == ASSIGN) || has("into")) {
-        return Kind::Pins(Reason::Variable);
+        return Kind::Pins(StickyReason::SessionVariable);
     }
     // Its locks end with the statement, unless a transaction is open.
     if has("for") && (has("share") || words.windows(2).any(|w| w[0] == "for" && w[1] == "update")) {
--- a/src/sticky_sessions/mod.rs
+++ b/src/sticky_sessions/mod.rs
@@ -12,34 +12,34 @@
 
 /// What keeps a session on its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reason {
+pub enum StickyReason {
     /// A transaction is open: until the engine's status tells that none is.
     Transaction,
     /// LOCK TABLES, until UNLOCK TABLES.
-    Tables,
+    TableLocks,
     /// A temporary table, until the session ends or is reset.
-    Temporary,
+    TemporaryTable,
     /// GET_LOCK, until the session ends or is reset.
     UserLock,
     /// A variable that cannot be set anew elsewhere, until the session ends or is reset.
-    Variable,
+    SessionVariable,
 }
 
 /// What a statement means to a pin.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Step {
-    pub begins: Option<Reason>,
+pub struct StatementEffect {
+    pub acquires: Option<StickyReason>,
     /// UNLOCK TABLES.
-    pub unlocks: bool,
+    pub unlocks_tables: bool,
     /// It commits, plainly or by the way: once it is sent, a lost answer leaves open what holds.
     pub commits: bool,
 }
 
 /// What an engine's answer tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum After {
+pub enum EngineResponse {
     /// The status behind an OK or a result: a transaction is open.
-    Status { open: bool },
+    Status { in_transaction: bool },
     /// An error, by its code.
     Error(u16),
 }
@@ -48,14 +48,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct StickySessionLimits {
     /// A pin that no statement has used for this long ends.
-    pub idle: Millis,
+    pub idle_timeout: Millis,
     /// No pin lives longer.
-    pub longest: Millis,
+    pub max_lifetime: Millis,
     /// A pin whose engine drains has this long to end by itself.
-    pub drain: Millis,
+    pub drain_timeout: Millis,
     /// Pins of all sessions together, and of one tenant.
-    pub most: usize,
-    pub most_of_tenant: usize,
+    pub max_sessions: usize,
+    pub max_sessions_per_tenant: usize,
 }
 
 /// Why a pin was ended by the dispatcher: what was open is rolled back.
@@ -64,18 +64,18 @@
     #[error("no statement came for too long")]
     Idle,
     #[error("it was open for too long")]
-    Longest,
+    MaxLifetime,
     #[error("its engine drains")]
-    Drains,
+    EngineDraining,
 }
 
 /// What comes after an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum ConnectionDisposition {
     /// The session stays on its connection.
-    Keep,
+    Retain,
     /// Nothing holds it there, and the connection may serve others.
-    Free,
+    Release,
 }
 
 /// What became of an open transaction whose connection was lost.
@@ -94,8 +94,8 @@
     since: Millis,
     used: Millis,
     drains: Option<Millis>,
-    out: Option<Step>,
-    reasons: BTreeSet<Reason>,
+    out: Option<StatementEffect>,
+    reasons: BTreeSet<StickyReason>,
 }
 
 /// The engine has rolled the whole transaction back.
@@ -114,52 +114,54 @@
     }
 
     /// A statement goes out.
-    pub fn sent(&mut self, now: Millis, step: Step) {
+    pub fn on_statement_sent(&mut self, now: Millis, step: StatementEffect) {
         (self.used, self.out) = (now, Some(step));
     }
 
     /// Its answer is here.
-    pub fn answered(&mut self, now: Millis, after: After) -> Next {
+    pub fn on_response(&mut self, now: Millis, after: EngineResponse) -> ConnectionDisposition {
         self.used = now;
         let step = self.out.take().unwrap_or_default();
         match after {
-            After::Status { open } => {
+            EngineResponse::Status { in_transaction } => {
                 self.reasons
-                    .extend(step.begins.filter(|r| *r != Reason::Transaction));
-                if step.unlocks {
-                    self.reasons.remove(&Reason::Tables);
+                    .extend(step.acquires.filter(|r| *r != StickyReason::Transaction));
+                if step.unlocks_tables {
+                    self.reasons.remove(&StickyReason::TableLocks);
                 }
-                match open {
-                    true => self.reasons.insert(Reason::Transaction),
-                    false => self.reasons.remove(&Reason::Transaction),
+                match in_transaction {
+                    true => self.reasons.insert(StickyReason::Transaction),
+                    false => self.reasons.remove(&StickyReason::Transaction),
                 };
             }
-            After::Error(DEADLOCK) => drop(self.reasons.remove(&Reason::Transaction)),
+            EngineResponse::Error(DEADLOCK) => {
+                self.reasons.remove(&StickyReason::Transaction);
+            }
             // The statement came to nothing; what was open is open still.
-            After::Error(_) => {}
+            EngineResponse::Error(_) => {}
         }
         if self.reasons.is_empty() {
-            Next::Free
+            ConnectionDisposition::Release
         } else {
-            Next::Keep
+            ConnectionDisposition::Retain
         }
     }
 
     /// The engine drains, as of now; it is told as often as it is seen.
-    pub fn drains(&mut self, now: Millis) {
+    pub fn on_engine_draining(&mut self, now: Millis) {
         self.drains.get_or_insert(now);
     }
 
     /// When the pin ends if nothing else happens, and why. A statement that runs is not idle.
-    pub fn due(&self) -> (Millis, Expired) {
-        let mut due = (self.since + self.terms.longest, Expired::Longest);
+    pub fn expiry(&self) -> (Millis, Expired) {
+        let mut due = (self.since + self.terms.max_lifetime, Expired::MaxLifetime);
         let idle = self
             .out
             .is_none()
-            .then_some((self.used + self.terms.idle, Expired::Idle));
+            .then_some((self.used + self.terms.idle_timeout, Expired::Idle));
         let drain = self
             .drains
-            .map(|at| (at + self.terms.drain, Expired::Drains));
+            .map(|at| (at + self.terms.drain_timeout, Expired::EngineDraining));
         for other in [idle, drain].into_iter().flatten() {
             if other.0 < due.0 {
                 due = other;
@@ -168,21 +170,23 @@
         due
     }
 
-    pub fn over(&self, now: Millis) -> Option<Expired> {
-        let (at, why) = self.due();
+    pub fn expired(&self, now: Millis) -> Option<Expired> {
+        let (at, why) = self.expiry();
         (now >= at).then_some(why)
     }
 
-    pub fn holds(&self, reason: Reason) -> bool {
+    pub fn is_bound_by(&self, reason: StickyReason) -> bool {
         self.reasons.contains(&reason)
     }
 }
 
-/// What became of the transaction when its connection broke with this statement out.
-pub fn fate(out: Option<Step>) -> TransactionOutcome {
-    match out.is_some_and(|s| s.commits) {
-        true => TransactionOutcome::Unknown,
-        false => TransactionOutcome::RolledBack,
+impl TransactionOutcome {
+    /// What became of the transaction when its connection broke with this statement out.
+    pub fn of_lost_connection(out: Option<StatementEffect>) -> Self {
+        match out.is_some_and(|s| s.commits) {
+            true => TransactionOutcome::Unknown,
+            false => TransactionOutcome::RolledBack,
+        }
     }
 }
 
@@ -190,7 +194,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StickySessionLimitError {
     #[error("too many sessions hold an engine connection")]
-    All,
+    Total,
     #[error("too many sessions of this tenant hold an engine connection")]
     Tenant,
 }
@@ -205,16 +209,16 @@
 impl StickySessionTable {
     /// # Errors
     /// A bound is reached; nothing was counted.
-    pub fn take(
+    pub fn acquire(
         &mut self,
         terms: &StickySessionLimits,
         tenant: Option<usize>,
     ) -> Result<(), StickySessionLimitError> {
-        if self.all >= terms.most {
-            return Err(StickySessionLimitError::All);
+        if self.all >= terms.max_sessions {
+            return Err(StickySessionLimitError::Total);
         }
         let of = self.tenants.get(&tenant).copied().unwrap_or(0);
-        if of >= terms.most_of_tenant {
+        if of >= terms.max_sessions_per_tenant {
             return Err(StickySessionLimitError::Tenant);
         }
         self.all += 1;
@@ -222,7 +226,7 @@
         Ok(())
     }
 
-    pub fn give(&mut self, tenant: Option<usize>) {
+    pub fn release(&mut self, tenant: Option<usize>) {
         let Some(of) = self.tenants.get_mut(&tenant) else {
             return;
         };
@@ -233,7 +237,7 @@
         self.all -= 1;
     }
 
-    pub fn all(&self) -> usize {
+    pub fn total(&self) -> usize {
         self.all
     }
 }
--- a/src/sticky_sessions/tests.rs
+++ b/src/sticky_sessions/tests.rs
@@ -2,110 +2,149 @@
 
 fn terms() -> StickySessionLimits {
     StickySessionLimits {
-        idle: 100.0,
-        longest: 1000.0,
-        drain: 50.0,
-        most: 3,
-        most_of_tenant: 2,
+        idle_timeout: 100.0,
+        max_lifetime: 1000.0,
+        drain_timeout: 50.0,
+        max_sessions: 3,
+        max_sessions_per_tenant: 2,
     }
 }
 
-const OPEN: After = After::Status { open: true };
-const SHUT: After = After::Status { open: false };
+const OPEN: EngineResponse = EngineResponse::Status {
+    in_transaction: true,
+};
+const SHUT: EngineResponse = EngineResponse::Status {
+    in_transaction: false,
+};
 
-fn begins(reason: Reason) -> Step {
-    Step {
-        begins: Some(reason),
-        ..Step::default()
+fn begins(reason: StickyReason) -> StatementEffect {
+    StatementEffect {
+        acquires: Some(reason),
+        ..StatementEffect::default()
     }
 }
 
-fn says(p: &mut StickySession, step: Step, after: After) -> Next {
-    p.sent(0.0, step);
-    p.answered(0.0, after)
+fn says(
+    p: &mut StickySession,
+    step: StatementEffect,
+    after: EngineResponse,
+) -> ConnectionDisposition {
+    p.on_statement_sent(0.0, step);
+    p.on_response(0.0, after)
 }
 
 #[test]
 fn a_transaction_holds_until_the_engine_tells_that_none_is_open() {
     let mut p = StickySession::new(terms(), 0.0);
-    assert_eq!(says(&mut p, begins(Reason::Transaction), OPEN), Next::Keep);
-    assert_eq!(says(&mut p, Step::default(), OPEN), Next::Keep);
     assert_eq!(
-        says(&mut p, Step::default(), After::Error(1062)),
-        Next::Keep,
+        says(&mut p, begins(StickyReason::Transaction), OPEN),
+        ConnectionDisposition::Retain
+    );
+    assert_eq!(
+        says(&mut p, StatementEffect::default(), OPEN),
+        ConnectionDisposition::Retain
+    );
+    assert_eq!(
+        says(
+            &mut p,
+            StatementEffect::default(),
+            EngineResponse::Error(1062)
+        ),
+        ConnectionDisposition::Retain,
         "a duplicate key ends nothing"
     );
     // COMMIT AND CHAIN opens the next one.
-    let commit = Step {
+    let commit = StatementEffect {
         commits: true,
-        ..Step::default()
+        ..StatementEffect::default()
     };
-    assert_eq!(says(&mut p, commit, OPEN), Next::Keep);
-    assert_eq!(says(&mut p, commit, SHUT), Next::Free);
+    assert_eq!(says(&mut p, commit, OPEN), ConnectionDisposition::Retain);
+    assert_eq!(says(&mut p, commit, SHUT), ConnectionDisposition::Release);
     // With autocommit off a statement that reads no table opens none.
     assert_eq!(
         says(
             &mut StickySession::new(terms(), 0.0),
-            begins(Reason::Transaction),
+            begins(StickyReason::Transaction),
             SHUT
         ),
-        Next::Free
+        ConnectionDisposition::Release
     );
 }
 
 #[test]
 fn a_deadlock_ends_the_transaction_and_nothing_else() {
     let mut p = StickySession::new(terms(), 0.0);
-    says(&mut p, begins(Reason::Transaction), OPEN);
+    says(&mut p, begins(StickyReason::Transaction), OPEN);
     assert_eq!(
-        says(&mut p, Step::default(), After::Error(1213)),
-        Next::Free
+        says(
+            &mut p,
+            StatementEffect::default(),
+            EngineResponse::Error(1213)
+        ),
+        ConnectionDisposition::Release
     );
-    says(&mut p, begins(Reason::Temporary), OPEN);
+    says(&mut p, begins(StickyReason::TemporaryTable), OPEN);
     assert_eq!(
-        says(&mut p, Step::default(), After::Error(1213)),
-        Next::Keep
+        says(
+            &mut p,
+            StatementEffect::default(),
+            EngineResponse::Error(1213)
+        ),
+        ConnectionDisposition::Retain
+    );
+    assert!(
+        p.is_bound_by(StickyReason::TemporaryTable) && !p.is_bound_by(StickyReason::Transaction)
     );
-    assert!(p.holds(Reason::Temporary) && !p.holds(Reason::Transaction));
 }
 
 #[test]
 fn locks_hold_until_unlocked_and_the_rest_until_the_session_ends() {
     let mut p = StickySession::new(terms(), 0.0);
-    assert_eq!(says(&mut p, begins(Reason::Tables), SHUT), Next::Keep);
+    assert_eq!(
+        says(&mut p, begins(StickyReason::TableLocks), SHUT),
+        ConnectionDisposition::Retain
+    );
     assert_eq!(
         says(
             &mut p,
-            Step {
-                unlocks: true,
-                ..Step::default()
+            StatementEffect {
+                unlocks_tables: true,
+                ..StatementEffect::default()
             },
             SHUT
         ),
-        Next::Free
+        ConnectionDisposition::Release
     );
-    for reason in [Reason::Temporary, Reason::UserLock, Reason::Variable] {
+    for reason in [
+        StickyReason::TemporaryTable,
+        StickyReason::UserLock,
+        StickyReason::SessionVariable,
+    ] {
         let mut p = StickySession::new(terms(), 0.0);
-        assert_eq!(says(&mut p, begins(reason), SHUT), Next::Keep, "{reason:?}");
+        assert_eq!(
+            says(&mut p, begins(reason), SHUT),
+            ConnectionDisposition::Retain,
+            "{reason:?}"
+        );
         assert_eq!(
             says(
                 &mut p,
-                Step {
-                    unlocks: true,
-                    ..Step::default()
+                StatementEffect {
+                    unlocks_tables: true,
+                    ..StatementEffect::default()
                 },
                 SHUT
             ),
-            Next::Keep,
+            ConnectionDisposition::Retain,
             "{reason:?}"
         );
         assert_eq!(
             says(
                 &mut StickySession::new(terms(), 0.0),
                 begins(reason),
-                After::Error(1064)
+                EngineResponse::Error(1064)
             ),
-            Next::Free
+            ConnectionDisposition::Release
         );
     }
 }
@@ -113,35 +152,48 @@
 #[test]
 fn an_idle_pin_ends_and_one_whose_statement_runs_does_not() {
     let mut p = StickySession::new(terms(), 0.0);
-    p.sent(10.0, begins(Reason::Transaction));
-    assert_eq!(p.over(500.0), None, "it runs");
-    p.answered(500.0, OPEN);
-    assert_eq!((p.over(599.0), p.over(600.0)), (None, Some(Expired::Idle)));
-    p.sent(600.0, Step::default());
-    assert_eq!(p.over(1000.0), Some(Expired::Longest), "however busy");
+    p.on_statement_sent(10.0, begins(StickyReason::Transaction));
+    assert_eq!(p.expired(500.0), None, "it runs");
+    p.on_response(500.0, OPEN);
+    assert_eq!(
+        (p.expired(599.0), p.expired(600.0)),
+        (None, Some(Expired::Idle))
+    );
+    p.on_statement_sent(600.0, StatementEffect::default());
+    assert_eq!(
+        p.expired(1000.0),
+        Some(Expired::MaxLifetime),
+        "however busy"
+    );
 }
 
 #[test]
 fn a_drain_gives_a_pin_its_time_from_when_it_was_first_seen() {
     let mut p = StickySession::new(terms(), 0.0);
-    p.sent(0.0, begins(Reason::Transaction));
-    p.drains(5.0);
-    p.drains(40.0);
+    p.on_statement_sent(0.0, begins(StickyReason::Transaction));
+    p.on_engine_draining(5.0);
+    p.on_engine_draining(40.0);
     assert_eq!(
-        (p.over(54.0), p.over(55.0)),
-        (None, Some(Expired::Drains)),
+        (p.expired(54.0), p.expired(55.0)),
+        (None, Some(Expired::EngineDraining)),
         "also while a statement runs"
     );
 }
 
 #[test]
 fn only_a_commit_on_its_way_leaves_open_what_holds() {
-    assert_eq!(fate(None), TransactionOutcome::RolledBack);
-    assert_eq!(fate(Some(Step::default())), TransactionOutcome::RolledBack);
     assert_eq!(
-        fate(Some(Step {
+        TransactionOutcome::of_lost_connection(None),
+        TransactionOutcome::RolledBack
+    );
+    assert_eq!(
+        TransactionOutcome::of_lost_connection(Some(StatementEffect::default())),
+        TransactionOutcome::RolledBack
+    );
+    assert_eq!(
+        TransactionOutcome::of_lost_connection(Some(StatementEffect {
             commits: true,
-            ..Step::default()
+            ..StatementEffect::default()
         })),
         TransactionOutcome::Unknown
     );
@@ -150,15 +202,18 @@
 #[test]
 fn pins_are_counted_by_tenant_and_given_back() {
     let (mut b, t) = (StickySessionTable::default(), terms());
-    assert_eq!((b.take(&t, Some(0)), b.take(&t, Some(0))), (Ok(()), Ok(())));
-    assert_eq!(b.take(&t, Some(0)), Err(StickySessionLimitError::Tenant));
-    assert_eq!(b.take(&t, None), Ok(()));
-    assert_eq!(b.take(&t, Some(1)), Err(StickySessionLimitError::All));
-    b.give(Some(0));
-    b.give(Some(7));
-    assert_eq!(b.take(&t, Some(1)), Ok(()));
+    assert_eq!(
+        (b.acquire(&t, Some(0)), b.acquire(&t, Some(0))),
+        (Ok(()), Ok(()))
+    );
+    assert_eq!(b.acquire(&t, Some(0)), Err(StickySessionLimitError::Tenant));
+    assert_eq!(b.acquire(&t, None), Ok(()));
+    assert_eq!(b.acquire(&t, Some(1)), Err(StickySessionLimitError::Total));
+    b.release(Some(0));
+    b.release(Some(7));
+    assert_eq!(b.acquire(&t, Some(1)), Ok(()));
     for tenant in [Some(0), None, Some(1)] {
-        b.give(tenant);
+        b.release(tenant);
     }
-    assert_eq!((b.all(), b.tenants.len()), (0, 0));
+    assert_eq!((b.total(), b.tenants.len()), (0, 0));
 }
--- a/src/transport/tls.rs
+++ b/src/transport/tls.rs
@@ -52,7 +52,10 @@
 
 impl ResolvesServerCert for Resolver {
     fn resolve(&self, hello: ClientHello<'_>) -> Option<Arc<CertifiedKey>> {
-        let at = certificates::choose(self.0.iter().map(|k| k.0.as_slice()), hello.server_name());
+        let at = certificates::select_for_host(
+            self.0.iter().map(|k| k.0.as_slice()),
+            hello.server_name(),
+        );
         self.0.get(at).map(|k| k.1.clone())
     }
 }
@@ -198,8 +201,8 @@
     Some((
         names,
         Validity {
-            from: ms(v.not_before.timestamp()),
-            until: ms(v.not_after.timestamp()),
+            not_before: ms(v.not_before.timestamp()),
+            not_after: ms(v.not_after.timestamp()),
         },
     ))
 }
@@ -224,7 +227,7 @@
         let chain = certificates(cert)?;
         let first = chain.first().ok_or_else(|| TlsError::Empty(cert.clone()))?;
         let (names, validity) = facts(first).ok_or_else(|| TlsError::Certificate(cert.clone()))?;
-        certificates::fit(now, validity)
+        certificates::check_validity(now, validity)
             .map_err(|e| TlsError::CertificateError(cert.clone(), e))?;
         let private = PrivateKeyDer::from_pem_slice(&read(key)?)
             .map_err(|e| TlsError::Pem(key.clone(), e))?;
@@ -234,7 +237,7 @@
             names,
             Arc::new(certified.map_err(|e| TlsError::Key(key.clone(), e))?),
         ));
-        ends.push((cert.clone(), validity.until));
+        ends.push((cert.clone(), validity.not_after));
     }
     let versions: &[&rustls::SupportedProtocolVersion] = if source.only_13 {
         &[&version::TLS13]
--- a/src/upstream/mysql/sticky.rs
+++ b/src/upstream/mysql/sticky.rs
@@ -10,7 +10,8 @@
 use crate::protocol::mysql::packet::*;
 use crate::protocol::mysql::session::Context;
 use crate::sticky_sessions::{
-    After, Expired, Next, Step, StickySession, StickySessionLimits, TransactionOutcome,
+    ConnectionDisposition, EngineResponse, Expired, StatementEffect, StickySession,
+    StickySessionLimits, TransactionOutcome,
 };
 use crate::upstream::mysql::downstream::Downstream;
 use crate::upstream::mysql::work::{Output, Packets, Work};
@@ -29,14 +30,14 @@
 /// One statement of a pinned session.
 pub struct Order {
     pub work: Work,
-    pub step: Step,
+    pub step: StatementEffect,
     pub reply: oneshot::Sender<Carried>,
 }
 
 /// What it came to.
 pub struct Carried {
     pub output: Output,
-    pub next: Next,
+    pub next: ConnectionDisposition,
     /// The transaction is open, as the engine tells.
     pub open: bool,
 }
@@ -184,9 +185,9 @@
                 () = tokio::time::sleep(LOOK) => {
                     let now = unix_ms();
                     if !told.in_service() {
-                        pin.drains(now);
+                        pin.on_engine_draining(now);
                     }
-                    if let Some(over) = pin.over(now) {
+                    if let Some(over) = pin.expired(now) {
                         pinned.over.set(Some(over));
                         return Ok(Ended::Closed);
                     }
@@ -199,7 +200,7 @@
                 }
             };
             let Order { work, step, reply } = order;
-            pin.sent(unix_ms(), step);
+            pin.on_statement_sent(unix_ms(), step);
             told.works();
             written.set(None);
             let (always, sent) = (|| true, || told.sent());
@@ -212,9 +213,9 @@
                         () = tokio::time::sleep(LOOK) => {
                             let now = unix_ms();
                             if !told.in_service() {
-                                pin.drains(now);
+                                pin.on_engine_draining(now);
                             }
-                            pinned.over.set(pin.over(now));
+                            pinned.over.set(pin.expired(now));
                             if pinned.over().is_some() {
                                 break None;
                             }
@@ -238,15 +239,15 @@
             };
             told.idle();
             let after = match error_code(&output) {
-                Some(code) => After::Error(code),
-                None => After::Status {
-                    open: c.status & IN_TRANSACTION != 0,
+                Some(code) => EngineResponse::Error(code),
+                None => EngineResponse::Status {
+                    in_transaction: c.status & IN_TRANSACTION != 0,
                 },
             };
-            let next = pin.answered(asked, after);
-            let open = pin.holds(crate::sticky_sessions::Reason::Transaction);
+            let next = pin.on_response(asked, after);
+            let open = pin.is_bound_by(crate::sticky_sessions::StickyReason::Transaction);
             let carried = Carried { output, next, open };
-            if next == Next::Free {
+            if next == ConnectionDisposition::Release {
                 written.set(None);
                 return Ok(Ended::Free(reply, carried));
             }
--- a/tests/mysql_client_disconnect.rs
+++ b/tests/mysql_client_disconnect.rs
@@ -283,8 +283,8 @@
     let address = listener.local_addr().unwrap();
     let config = mysql_front();
     let pins = StickySessionLimits {
-        most: 1,
-        most_of_tenant: 1,
+        max_sessions: 1,
+        max_sessions_per_tenant: 1,
         ..config.pins.clone()
     };
     let frontend = Frontend::new(
--- a/tests/recorded_state/sticky_adapter.rs
+++ b/tests/recorded_state/sticky_adapter.rs
@@ -2,8 +2,8 @@
 
 use super::recording::{Recording, float};
 use query_dispatcher::sticky_sessions::{
-    After, Expired, Next, Reason, Step, StickySession, StickySessionLimitError,
-    StickySessionLimits, StickySessionTable, TransactionOutcome, fate,
+    ConnectionDisposition, EngineResponse, Expired, StatementEffect, StickyReason, StickySession,
+    StickySessionLimitError, StickySessionLimits, StickySessionTable, TransactionOutcome,
 };
 
 #[derive(Clone, Copy)]
@@ -47,28 +47,28 @@
 
 fn terms(options: Options) -> StickySessionLimits {
     StickySessionLimits {
-        idle: options.idle_timeout,
-        longest: options.longest,
-        drain: options.drain_timeout,
-        most: options.session_limit,
-        most_of_tenant: options.tenant_limit,
+        idle_timeout: options.idle_timeout,
+        max_lifetime: options.longest,
+        drain_timeout: options.drain_timeout,
+        max_sessions: options.session_limit,
+        max_sessions_per_tenant: options.tenant_limit,
     }
 }
 
-fn reason(hold: Hold) -> Reason {
+fn reason(hold: Hold) -> StickyReason {
     match hold {
-        Hold::Transaction => Reason::Transaction,
-        Hold::TableLock => Reason::Tables,
-        Hold::TemporaryTable => Reason::Temporary,
-        Hold::UserLock => Reason::UserLock,
-        Hold::Variable => Reason::Variable,
+        Hold::Transaction => StickyReason::Transaction,
+        Hold::TableLock => StickyReason::TableLocks,
+        Hold::TemporaryTable => StickyReason::TemporaryTable,
+        Hold::UserLock => StickyReason::UserLock,
+        Hold::Variable => StickyReason::SessionVariable,
     }
 }
 
-fn step(statement: Statement) -> Step {
-    Step {
-        begins: statement.begins.map(reason),
-        unlocks: statement.unlocks,
+fn step(statement: Statement) -> StatementEffect {
+    StatementEffect {
+        acquires: statement.begins.map(reason),
+        unlocks_tables: statement.unlocks,
         commits: statement.commits,
     }
 }
@@ -82,37 +82,37 @@
     }
 
     pub fn sent(&mut self, now: f64, statement: Statement) {
-        self.0.sent(now, step(statement));
+        self.0.on_statement_sent(now, step(statement));
     }
 
     /// True if the session is free again.
     pub fn answered(&mut self, now: f64, answer: Answer, recording: &mut Recording) -> bool {
         let after = match answer {
-            Answer::Status { transaction_open } => After::Status {
-                open: transaction_open,
+            Answer::Status { transaction_open } => EngineResponse::Status {
+                in_transaction: transaction_open,
             },
-            Answer::Error(code) => After::Error(code),
+            Answer::Error(code) => EngineResponse::Error(code),
         };
-        let next = self.0.answered(now, after);
+        let next = self.0.on_response(now, after);
         let kind = match next {
-            Next::Keep => "session kept",
-            Next::Free => "session free",
+            ConnectionDisposition::Retain => "session kept",
+            ConnectionDisposition::Release => "session free",
         };
         recording.count(kind);
         recording.state(kind);
-        next == Next::Free
+        next == ConnectionDisposition::Release
     }
 
     pub fn engine_drains(&mut self, now: f64) {
-        self.0.drains(now);
+        self.0.on_engine_draining(now);
     }
 
     /// Records when and why it ends; true if that is now.
     pub fn record_end(&self, now: f64, recording: &mut Recording) -> bool {
-        let (at, over) = self.0.due();
-        let holds = HOLDS.map(|hold| self.0.holds(reason(hold)));
+        let (at, over) = self.0.expiry();
+        let holds = HOLDS.map(|hold| self.0.is_bound_by(reason(hold)));
         recording.state(&format!("ends {} {} {holds:?}", float(at), end_kind(over)));
-        let ended = self.0.over(now);
+        let ended = self.0.expired(now);
         if let Some(over) = ended {
             recording.count(end_kind(over));
             recording.state(&format!("ended {}", end_kind(over)));
@@ -125,14 +125,14 @@
 fn end_kind(over: Expired) -> &'static str {
     match over {
         Expired::Idle => "idle timeout",
-        Expired::Longest => "lifetime over",
-        Expired::Drains => "drain timeout",
+        Expired::MaxLifetime => "lifetime over",
+        Expired::EngineDraining => "drain timeout",
     }
 }
 
 /// What became of a transaction whose connection was lost.
 pub fn record_lost_connection(sent: Option<Statement>, recording: &mut Recording) {
-    let kind = match fate(sent.map(step)) {
+    let kind = match TransactionOutcome::of_lost_connection(sent.map(step)) {
         TransactionOutcome::RolledBack => "rolled back",
         TransactionOutcome::Unknown => "outcome unknown",
     };
@@ -150,14 +150,14 @@
         tenant: Option<usize>,
         recording: &mut Recording,
     ) -> bool {
-        let result = self.0.take(&terms(options), tenant);
+        let result = self.0.acquire(&terms(options), tenant);
         let kind = match result {
             Ok(()) => "session begun",
-            Err(StickySessionLimitError::All) => "session limit reached",
+            Err(StickySessionLimitError::Total) => "session limit reached",
             Err(StickySessionLimitError::Tenant) => "tenant limit reached",
         };
         recording.count(kind);
-        recording.state(&format!("{kind} {}", self.0.all()));
+        recording.state(&format!("{kind} {}", self.0.total()));
         if let Err(error) = result {
             recording.wording(&error.to_string());
         }
@@ -165,7 +165,7 @@
     }
 
     pub fn release(&mut self, tenant: Option<usize>, recording: &mut Recording) {
-        self.0.give(tenant);
-        recording.state(&format!("released {}", self.0.all()));
+        self.0.release(tenant);
+        recording.state(&format!("released {}", self.0.total()));
     }
 }
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -168,11 +168,11 @@
         deadlines: vec![5000.0, 5000.0],
         transaction_class: 1,
         pins: query_dispatcher::sticky_sessions::StickySessionLimits {
-            idle: 60_000.0,
-            longest: 60_000.0,
-            drain: 500.0,
-            most: 4,
-            most_of_tenant: 3,
+            idle_timeout: 60_000.0,
+            max_lifetime: 60_000.0,
+            drain_timeout: 500.0,
+            max_sessions: 4,
+            max_sessions_per_tenant: 3,
         },
     }
 }
