--- a/src/config/spool.rs
+++ b/src/config/spool.rs
@@ -1,7 +1,7 @@
 //! `[spool]` of the operators' file: how much of results is kept, where and for how long.
 
 use super::{ConfigError, bad};
-use crate::spool::Rules;
+use crate::spool::SpoolLimits;
 use bytesize::ByteSize;
 use serde::Deserialize;
 use std::path::PathBuf;
@@ -10,7 +10,7 @@
 /// How results wait for their readers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SpoolSource {
-    pub rules: Rules,
+    pub rules: SpoolLimits,
     /// Results lie below it when memory is full, and outlive the process; none: in memory only.
     pub dir: Option<PathBuf>,
     /// Rows of a page at most.
@@ -23,9 +23,9 @@
     /// What holds without `[spool]`: memory only, as much for one result as ever.
     pub fn plain(result: usize) -> Self {
         SpoolSource {
-            rules: Rules {
-                result: result as u64,
-                ..Rules::default()
+            rules: SpoolLimits {
+                result_bytes: result as u64,
+                ..SpoolLimits::default()
             },
             dir: None,
             page_rows: PAGE_ROWS,
@@ -127,13 +127,13 @@
             return Err(bad("spool.most", format!("{most} is not in 1 to 100000")));
         }
         Ok(SpoolSource {
-            rules: Rules {
-                memory,
-                disk: self.dir.is_some().then_some(disk),
-                per_tenant,
-                result,
-                keep: 1000.0 * seconds("spool.keep_s", self.keep_s, 600.0)?,
-                most,
+            rules: SpoolLimits {
+                memory_bytes: memory,
+                disk_bytes: self.dir.is_some().then_some(disk),
+                tenant_bytes: per_tenant,
+                result_bytes: result,
+                retention: 1000.0 * seconds("spool.keep_s", self.keep_s, 600.0)?,
+                max_spools: most,
             },
             dir: self.dir,
             page_rows,
@@ -164,18 +164,21 @@
              keep_s = 30\npage_rows = 50\nstall_s = 5",
         )
         .unwrap();
-        assert_eq!((s.rules.memory, s.rules.disk), (16_000_000, Some(2 << 30)));
         assert_eq!(
-            (s.rules.result, s.rules.per_tenant),
+            (s.rules.memory_bytes, s.rules.disk_bytes),
+            (16_000_000, Some(2 << 30))
+        );
+        assert_eq!(
+            (s.rules.result_bytes, s.rules.tenant_bytes),
             (1_000_000_000, 500 << 20)
         );
         assert_eq!(
-            (s.rules.keep, s.page_rows, s.stall),
+            (s.rules.retention, s.page_rows, s.stall),
             (30_000.0, 50, Duration::from_secs(5))
         );
         let s = read("").unwrap();
         assert_eq!(
-            (s.rules.disk, s.dir, s.rules.result),
+            (s.rules.disk_bytes, s.dir, s.rules.result_bytes),
             (None, None, 16 << 20)
         );
     }
--- a/src/frontend/mysql/mod.rs
+++ b/src/frontend/mysql/mod.rs
@@ -782,11 +782,11 @@
         let ask = AdmissionRequest {
             tenant: self.tenant,
             class,
-            load: *kind != Kind::Read,
+            protected: *kind != Kind::Read,
         };
         // Where its result could not be kept, nothing is sent: nothing has run.
         if !matches!(job, Job::Prepare)
-            && let Admission::No {
+            && let Admission::Rejected {
                 reason,
                 retry_after,
             } = self.frontend.spools.admit(ask)
--- a/src/frontend/mysql/sticky.rs
+++ b/src/frontend/mysql/sticky.rs
@@ -114,7 +114,7 @@
         let ask = AdmissionRequest {
             tenant: self.tenant,
             class,
-            load: true,
+            protected: true,
         };
         let who = Who {
             user: self.user.clone(),
@@ -170,10 +170,10 @@
         let ask = AdmissionRequest {
             tenant: self.tenant,
             class,
-            load: *kind != Kind::Read,
+            protected: *kind != Kind::Read,
         };
         if !matches!(job, Job::Prepare | Job::Enter)
-            && let Admission::No {
+            && let Admission::Rejected {
                 reason,
                 retry_after,
             } = self.frontend.spools.admit(ask)
--- a/src/spool/index.rs
+++ b/src/spool/index.rs
@@ -8,30 +8,30 @@
 
 /// What the operators' file says of spools. Sizes in bytes, spans in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rules {
+pub struct SpoolLimits {
     /// All pages in memory together.
-    pub memory: u64,
+    pub memory_bytes: u64,
     /// All pages on the disk together; none without a folder.
-    pub disk: Option<u64>,
+    pub disk_bytes: Option<u64>,
     /// All results of one tenant together, wherever they lie; requests without a tenant count as one.
-    pub per_tenant: u64,
+    pub tenant_bytes: u64,
     /// One result.
-    pub result: u64,
+    pub result_bytes: u64,
     /// A result stays for so long after it was whole and after it was last read.
-    pub keep: Millis,
+    pub retention: Millis,
     /// Spools at a time.
-    pub most: usize,
+    pub max_spools: usize,
 }
 
-impl Default for Rules {
+impl Default for SpoolLimits {
     fn default() -> Self {
-        Rules {
-            memory: 64 << 20,
-            disk: None,
-            per_tenant: u64::MAX,
-            result: 1 << 20,
-            keep: 60_000.0,
-            most: 10_000,
+        SpoolLimits {
+            memory_bytes: 64 << 20,
+            disk_bytes: None,
+            tenant_bytes: u64::MAX,
+            result_bytes: 1 << 20,
+            retention: 60_000.0,
+            max_spools: 10_000,
         }
     }
 }
@@ -42,15 +42,15 @@
     pub tenant: Option<usize>,
     pub class: usize,
     /// It must not run twice: what it brings cannot be brought again.
-    pub load: bool,
+    pub protected: bool,
 }
 
 /// Whether there will be room.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Admission {
-    Yes,
+    Admitted,
     /// Nothing is to be sent: nowhere would its result fit. `later`: when room may come, in milliseconds from now.
-    No {
+    Rejected {
         reason: &'static str,
         retry_after: Option<Millis>,
     },
@@ -91,11 +91,11 @@
 struct Spool {
     tenant: Option<usize>,
     class: usize,
-    load: bool,
+    protected: bool,
     /// When its last page came; none while the engine still answers.
     whole: Option<Millis>,
-    memory: u64,
-    disk: u64,
+    memory_bytes: u64,
+    disk_bytes: u64,
     /// Pages go to the disk from now on.
     spilled: bool,
     readers: usize,
@@ -106,7 +106,7 @@
 
 impl Spool {
     fn bytes(&self) -> u64 {
-        self.memory + self.disk
+        self.memory_bytes + self.disk_bytes
     }
 
     /// It may be thrown away: it is whole, and nobody reads it.
@@ -133,11 +133,11 @@
 /// The account.
 #[derive(Clone, Debug)]
 pub struct SpoolIndex {
-    rules: Rules,
+    rules: SpoolLimits,
     spools: BTreeMap<SpoolId, Spool>,
     next: SpoolId,
-    memory: u64,
-    disk: u64,
+    memory_bytes: u64,
+    disk_bytes: u64,
     tenants: BTreeMap<Option<usize>, u64>,
     sizes: Vec<Sizes>,
     pub watch: DiskWatch,
@@ -151,14 +151,14 @@
 
 impl SpoolIndex {
     /// `classes` is how many classes there are.
-    pub fn new(rules: Rules, classes: usize) -> Self {
+    pub fn new(rules: SpoolLimits, classes: usize) -> Self {
         SpoolIndex {
-            watch: DiskWatch::new(rules.disk.is_some()),
+            watch: DiskWatch::new(rules.disk_bytes.is_some()),
             rules,
             spools: BTreeMap::new(),
             next: 1,
-            memory: 0,
-            disk: 0,
+            memory_bytes: 0,
+            disk_bytes: 0,
             tenants: BTreeMap::new(),
             sizes: vec![Sizes::default(); classes],
             refused: 0,
@@ -169,14 +169,14 @@
         }
     }
 
-    pub fn rules(&self) -> &Rules {
+    pub fn rules(&self) -> &SpoolLimits {
         &self.rules
     }
 
     /// Other bounds are in force. What is there stays until it expires or makes room.
-    pub fn configure(&mut self, rules: Rules) {
-        if rules.disk.is_some() != self.rules.disk.is_some() {
-            self.watch = DiskWatch::new(rules.disk.is_some());
+    pub fn configure(&mut self, rules: SpoolLimits) {
+        if rules.disk_bytes.is_some() != self.rules.disk_bytes.is_some() {
+            self.watch = DiskWatch::new(rules.disk_bytes.is_some());
         }
         self.rules = rules;
     }
@@ -185,7 +185,9 @@
     /// were. Nothing is expected of a class that has brought none.
     pub fn expected(&self, class: usize) -> u64 {
         match self.sizes.get(class) {
-            Some(s) if s.seen >= BELIEVE => ((s.mean + s.spread) as u64).min(self.rules.result),
+            Some(s) if s.seen >= BELIEVE => {
+                ((s.mean + s.spread) as u64).min(self.rules.result_bytes)
+            }
             _ => 0,
         }
     }
@@ -197,24 +199,24 @@
         let reason = match () {
             // What is short waits nowhere.
             () if expected <= SHORT as u64 => None,
-            () if self.spools.len() >= self.rules.most
-                && self.evictable(ask.load).next().is_none() =>
+            () if self.spools.len() >= self.rules.max_spools
+                && self.evictable(ask.protected).next().is_none() =>
             {
                 no("too many results wait for their readers")
             }
-            () if self.tenant_room(ask.tenant, ask.load) < expected => {
+            () if self.tenant_room(ask.tenant, ask.protected) < expected => {
                 no("its tenant's results leave no room for another")
             }
-            () if self.room(now, ask.load) < expected => {
+            () if self.room(now, ask.protected) < expected => {
                 no("neither memory nor disk has room for its result")
             }
             () => None,
         };
         match reason {
-            None => Admission::Yes,
+            None => Admission::Admitted,
             Some(reason) => {
                 self.refused += 1;
-                Admission::No {
+                Admission::Rejected {
                     reason,
                     retry_after: self.next_expiry().map(|at| (at - now).max(0.0)),
                 }
@@ -226,15 +228,15 @@
     /// is free counts, and what may be thrown away for it.
     fn room(&self, now: Millis, load: bool) -> u64 {
         let takes = self.watch.takes(now);
-        let mut memory = self.rules.memory.saturating_sub(self.memory);
+        let mut memory = self.rules.memory_bytes.saturating_sub(self.memory_bytes);
         let mut disk = self
             .rules
-            .disk
+            .disk_bytes
             .filter(|_| takes)
-            .map_or(0, |d| d.saturating_sub(self.disk));
+            .map_or(0, |d| d.saturating_sub(self.disk_bytes));
         for s in self.evictable(load).filter_map(|id| self.spools.get(id)) {
-            memory += s.memory;
-            disk += if takes { s.disk } else { 0 };
+            memory += s.memory_bytes;
+            disk += if takes { s.disk_bytes } else { 0 };
         }
         memory.max(disk)
     }
@@ -245,14 +247,14 @@
             .evictable(load)
             .filter_map(|id| self.spools.get(id))
             .filter(|s| s.tenant == tenant);
-        self.rules.per_tenant.saturating_sub(used) + own.map(Spool::bytes).sum::<u64>()
+        self.rules.tenant_bytes.saturating_sub(used) + own.map(Spool::bytes).sum::<u64>()
     }
 
     /// What may be thrown away for a result: what is whole and read by nobody; for a report no load's.
     fn evictable(&self, load: bool) -> impl Iterator<Item = &SpoolId> {
         self.spools
             .iter()
-            .filter(move |(_, s)| s.idle() && (load || !s.load))
+            .filter(move |(_, s)| s.idle() && (load || !s.protected))
             .map(|(id, _)| id)
     }
 
@@ -266,8 +268,8 @@
         ask: AdmissionRequest,
     ) -> Result<(SpoolId, Vec<Order>), SpoolRejection> {
         let mut orders = vec![];
-        if self.spools.len() >= self.rules.most {
-            let Some(victim) = self.victim(ask.load, |_| true) else {
+        if self.spools.len() >= self.rules.max_spools {
+            let Some(victim) = self.victim(ask.protected, |_| true) else {
                 self.failed += 1;
                 return Err(SpoolRejection::Many);
             };
@@ -278,10 +280,10 @@
         let spool = Spool {
             tenant: ask.tenant,
             class: ask.class,
-            load: ask.load,
+            protected: ask.protected,
             whole: None,
-            memory: 0,
-            disk: 0,
+            memory_bytes: 0,
+            disk_bytes: 0,
             spilled: false,
             readers: 0,
             read: false,
@@ -304,16 +306,16 @@
         let spool = Spool {
             tenant: ask.tenant,
             class: ask.class,
-            load: ask.load,
+            protected: ask.protected,
             whole: Some(whole.min(now)),
-            memory: 0,
-            disk: bytes,
+            memory_bytes: 0,
+            disk_bytes: bytes,
             spilled: true,
             readers: 0,
             read: false,
             used: whole.min(now),
         };
-        self.disk += bytes;
+        self.disk_bytes += bytes;
         *self.tenants.entry(ask.tenant).or_default() += bytes;
         self.spools.insert(id, spool);
     }
@@ -341,21 +343,21 @@
         let Some(s) = self.spools.get(&id) else {
             return Err(SpoolRejection::Unknown);
         };
-        let (tenant, load) = (s.tenant, s.load);
-        if s.bytes() + bytes > self.rules.result {
-            return Err(SpoolRejection::Result(self.rules.result));
+        let (tenant, load) = (s.tenant, s.protected);
+        if s.bytes() + bytes > self.rules.result_bytes {
+            return Err(SpoolRejection::Result(self.rules.result_bytes));
         }
         // Nothing is thrown away for what would not fit all the same.
         if self.tenant_room(tenant, load) < bytes {
-            return Err(SpoolRejection::Tenant(self.rules.per_tenant));
+            return Err(SpoolRejection::Tenant(self.rules.tenant_bytes));
         }
         if self.room(now, load) < bytes {
             return Err(SpoolRejection::Room);
         }
-        while self.tenants.get(&tenant).copied().unwrap_or(0) + bytes > self.rules.per_tenant {
+        while self.tenants.get(&tenant).copied().unwrap_or(0) + bytes > self.rules.tenant_bytes {
             let own = self.victim(load, |s| s.tenant == tenant);
             let Some(own) = own else {
-                return Err(SpoolRejection::Tenant(self.rules.per_tenant));
+                return Err(SpoolRejection::Tenant(self.rules.tenant_bytes));
             };
             self.evict(own, orders);
         }
@@ -371,13 +373,13 @@
         };
         *self.tenants.entry(tenant).or_default() += bytes;
         match place {
-            Placement::Memory => self.memory += bytes,
-            Placement::Disk => self.disk += bytes,
+            Placement::Memory => self.memory_bytes += bytes,
+            Placement::Disk => self.disk_bytes += bytes,
         }
         if let Some(s) = self.spools.get_mut(&id) {
             match place {
-                Placement::Memory => s.memory += bytes,
-                Placement::Disk => s.disk += bytes,
+                Placement::Memory => s.memory_bytes += bytes,
+                Placement::Disk => s.disk_bytes += bytes,
             }
             s.used = now;
         }
@@ -394,23 +396,23 @@
     ) -> Option<Placement> {
         let spilled = self.spools.get(&id).is_some_and(|s| s.spilled);
         let disk_has = |l: &SpoolIndex, n: u64| {
-            l.watch.takes(now) && l.rules.disk.is_some_and(|d| l.disk + n <= d)
+            l.watch.takes(now) && l.rules.disk_bytes.is_some_and(|d| l.disk_bytes + n <= d)
         };
         if spilled && disk_has(self, bytes) {
             return Some(Placement::Disk);
         }
-        if self.memory + bytes <= self.rules.memory {
+        if self.memory_bytes + bytes <= self.rules.memory_bytes {
             return Some(Placement::Memory);
         }
         // The one that holds most of memory goes to the disk: it is the one whose reader is furthest behind, and
         // after it memory serves the many small ones again.
-        while self.memory + bytes > self.rules.memory {
+        while self.memory_bytes + bytes > self.rules.memory_bytes {
             let most = self
                 .spools
                 .iter()
-                .filter(|(_, s)| s.memory > 0)
-                .max_by_key(|(_, s)| s.memory);
-            let (victim, memory) = most.map(|(id, s)| (*id, s.memory))?;
+                .filter(|(_, s)| s.memory_bytes > 0)
+                .max_by_key(|(_, s)| s.memory_bytes);
+            let (victim, memory) = most.map(|(id, s)| (*id, s.memory_bytes))?;
             if !disk_has(self, memory + bytes) {
                 return None;
             }
@@ -424,10 +426,10 @@
 
     fn spill(&mut self, id: SpoolId, orders: &mut Vec<Order>) {
         if let Some(s) = self.spools.get_mut(&id) {
-            self.memory -= s.memory;
-            self.disk += s.memory;
-            s.disk += s.memory;
-            (s.memory, s.spilled) = (0, true);
+            self.memory_bytes -= s.memory_bytes;
+            self.disk_bytes += s.memory_bytes;
+            s.disk_bytes += s.memory_bytes;
+            (s.memory_bytes, s.spilled) = (0, true);
             self.spilled += 1;
             orders.push(Order::Spill(id));
         }
@@ -442,7 +444,7 @@
             .min_by(|(_, a), (_, b)| {
                 b.read
                     .cmp(&a.read)
-                    .then(a.load.cmp(&b.load))
+                    .then(a.protected.cmp(&b.protected))
                     .then(a.used.total_cmp(&b.used))
             })
             .map(|(id, _)| *id)
@@ -458,9 +460,9 @@
         let Some(s) = self.spools.remove(&id) else {
             return;
         };
-        self.memory -= s.memory;
-        self.disk -= s.disk;
-        if s.disk > 0 {
+        self.memory_bytes -= s.memory_bytes;
+        self.disk_bytes -= s.disk_bytes;
+        if s.disk_bytes > 0 {
             self.watch.freed();
         }
         if let Some(t) = self.tenants.get_mut(&s.tenant) {
@@ -475,9 +477,11 @@
     /// be, until their spool ends.
     pub fn returned(&mut self, id: SpoolId, bytes: u64) {
         if let Some(s) = self.spools.get_mut(&id) {
-            let bytes = bytes.min(s.disk);
-            (s.disk, s.memory, s.spilled) = (s.disk - bytes, s.memory + bytes, false);
-            (self.disk, self.memory) = (self.disk - bytes, self.memory + bytes);
+            let bytes = bytes.min(s.disk_bytes);
+            (s.disk_bytes, s.memory_bytes, s.spilled) =
+                (s.disk_bytes - bytes, s.memory_bytes + bytes, false);
+            (self.disk_bytes, self.memory_bytes) =
+                (self.disk_bytes - bytes, self.memory_bytes + bytes);
         }
     }
 
@@ -521,8 +525,11 @@
             .spools
             .get(&id)
             .filter(|s| s.whole.is_some())
-            .map_or(0, |s| s.memory);
-        let fits = self.rules.disk.is_some_and(|d| self.disk + memory <= d);
+            .map_or(0, |s| s.memory_bytes);
+        let fits = self
+            .rules
+            .disk_bytes
+            .is_some_and(|d| self.disk_bytes + memory <= d);
         if memory > 0 && fits && self.watch.takes(now) {
             self.spill(id, &mut orders);
             self.spilled -= 1; // not for want of memory
@@ -572,7 +579,7 @@
 
     /// Results that nobody came for in time; they are forgotten.
     pub fn expire(&mut self, now: Millis) -> Vec<SpoolId> {
-        let keep = self.rules.keep;
+        let keep = self.rules.retention;
         let over = self
             .spools
             .iter()
@@ -588,7 +595,7 @@
     /// When the next result expires, if nobody comes for it.
     pub fn next_expiry(&self) -> Option<Millis> {
         let idle = self.spools.values().filter(|s| s.idle());
-        idle.map(|s| s.used + self.rules.keep).reduce(f64::min)
+        idle.map(|s| s.used + self.rules.retention).reduce(f64::min)
     }
 
     pub fn contains(&self, id: SpoolId) -> bool {
@@ -600,13 +607,13 @@
         let s = self.spools.get(&id)?;
         Some((
             s.whole?,
-            (s.readers == 0).then_some(s.used + self.rules.keep),
+            (s.readers == 0).then_some(s.used + self.rules.retention),
         ))
     }
 
     /// Bytes in memory and on the disk.
     pub fn used(&self) -> (u64, u64) {
-        (self.memory, self.disk)
+        (self.memory_bytes, self.disk_bytes)
     }
 
     pub fn len(&self) -> usize {
@@ -635,6 +642,8 @@
                 .sum::<u64>();
             self.tenants.get(t).copied().unwrap_or(0) == own
         });
-        sum(|s| s.memory) == self.memory && sum(|s| s.disk) == self.disk && by_tenant
+        sum(|s| s.memory_bytes) == self.memory_bytes
+            && sum(|s| s.disk_bytes) == self.disk_bytes
+            && by_tenant
     }
 }
--- a/src/spool/mod.rs
+++ b/src/spool/mod.rs
@@ -18,5 +18,5 @@
 pub use disk_health::{DiskState, DiskWatch};
 pub use handles::{Handles, ResumeError};
 pub use index::{
-    Admission, AdmissionRequest, Order, Placement, Rules, SpoolId, SpoolIndex, SpoolRejection,
+    Admission, AdmissionRequest, Order, Placement, SpoolId, SpoolIndex, SpoolLimits, SpoolRejection,
 };
--- a/src/spool/tests.rs
+++ b/src/spool/tests.rs
@@ -6,14 +6,14 @@
 
 const KB: u64 = 1024;
 
-fn rules() -> Rules {
-    Rules {
-        memory: 100 * KB,
-        disk: Some(400 * KB),
-        per_tenant: 300 * KB,
-        result: 200 * KB,
-        keep: 1000.0,
-        most: 20,
+fn rules() -> SpoolLimits {
+    SpoolLimits {
+        memory_bytes: 100 * KB,
+        disk_bytes: Some(400 * KB),
+        tenant_bytes: 300 * KB,
+        result_bytes: 200 * KB,
+        retention: 1000.0,
+        max_spools: 20,
     }
 }
 
@@ -21,7 +21,7 @@
     AdmissionRequest {
         tenant: Some(tenant),
         class: 0,
-        load: false,
+        protected: false,
     }
 }
 
@@ -29,7 +29,7 @@
     AdmissionRequest {
         tenant: Some(tenant),
         class: 1,
-        load: true,
+        protected: true,
     }
 }
 
@@ -77,8 +77,8 @@
     );
     assert!(l.adds_up() && l.len() == 1, "nothing stays of it");
     let mut alone = SpoolIndex::new(
-        Rules {
-            disk: None,
+        SpoolLimits {
+            disk_bytes: None,
             ..rules()
         },
         2,
@@ -114,9 +114,9 @@
 #[test]
 fn when_all_is_full_the_least_missed_goes_and_never_a_load_for_a_report() {
     let mut l = SpoolIndex::new(
-        Rules {
-            per_tenant: u64::MAX,
-            disk: Some(500 * KB),
+        SpoolLimits {
+            tenant_bytes: u64::MAX,
+            disk_bytes: Some(500 * KB),
             ..rules()
         },
         2,
@@ -149,15 +149,15 @@
 #[test]
 fn what_cannot_fit_is_refused_before_it_is_asked_for() {
     let mut l = SpoolIndex::new(
-        Rules {
-            per_tenant: 250 * KB,
+        SpoolLimits {
+            tenant_bytes: 250 * KB,
             ..rules()
         },
         2,
     );
     assert_eq!(
         l.admit(0.0, report(0)),
-        Admission::Yes,
+        Admission::Admitted,
         "nothing is known of the class yet"
     );
     for n in 0..6 {
@@ -168,13 +168,13 @@
     assert_eq!(l.expected(0), 150 * KB);
     let (a, _) = put(&mut l, 10.0, report(0), 15).unwrap();
     l.attach(10.0, a);
-    let Admission::No { reason, .. } = l.admit(11.0, report(0)) else {
+    let Admission::Rejected { reason, .. } = l.admit(11.0, report(0)) else {
         panic!()
     };
     assert!(reason.contains("tenant"), "{reason}");
     assert_eq!(
         l.admit(11.0, report(1)),
-        Admission::Yes,
+        Admission::Admitted,
         "another tenant has room"
     );
     // All is taken and read: nobody has.
@@ -183,7 +183,7 @@
             l.attach(12.0, id);
         }
     }
-    let Admission::No {
+    let Admission::Rejected {
         reason,
         retry_after,
     } = l.admit(13.0, report(7))
@@ -194,7 +194,7 @@
     assert_eq!(retry_after, None, "nobody knows when the readers end");
     // One that ends makes room, and tells when it would have by itself.
     l.detach(20.0, a, false);
-    assert_eq!(l.admit(21.0, report(7)), Admission::Yes);
+    assert_eq!(l.admit(21.0, report(7)), Admission::Admitted);
     assert_eq!(l.next_expiry(), Some(1020.0));
     assert_eq!(l.refused, 2);
 }
@@ -320,7 +320,7 @@
     /// for a report's sake.
     #[test]
     fn bounds_hold_and_nothing_is_thrown_away_that_may_not_be(steps in steps()) {
-        let r = Rules { most: 6, ..rules() };
+        let r = SpoolLimits { max_spools: 6, ..rules() };
         let mut l = SpoolIndex::new(r.clone(), 2);
         let mut now = 0.0;
         // What the test knows of each: load, whole, readers.
@@ -387,9 +387,9 @@
             }
             prop_assert!(l.adds_up());
             let (memory, disk) = l.used();
-            prop_assert!(memory <= r.memory && disk <= r.disk.unwrap_or(0));
-            prop_assert!(l.tenants().values().all(|t| *t <= r.per_tenant));
-            prop_assert!(l.len() <= r.most);
+            prop_assert!(memory <= r.memory_bytes && disk <= r.disk_bytes.unwrap_or(0));
+            prop_assert!(l.tenants().values().all(|t| *t <= r.tenant_bytes));
+            prop_assert!(l.len() <= r.max_spools);
             let ids: BTreeSet<SpoolId> = known.keys().copied().collect();
             prop_assert!(ids.iter().all(|id| l.contains(*id)) && l.len() == ids.len());
         }
--- a/src/spool_io/mod.rs
+++ b/src/spool_io/mod.rs
@@ -14,8 +14,8 @@
 use crate::say;
 use crate::spool::disk_health::Wrote;
 use crate::spool::{
-    Admission, AdmissionRequest, DiskState, Handles, Order, Placement, ResumeError, Rules, SpoolId,
-    SpoolIndex, SpoolRejection,
+    Admission, AdmissionRequest, DiskState, Handles, Order, Placement, ResumeError, SpoolId,
+    SpoolIndex, SpoolLimits, SpoolRejection,
 };
 use bytes::{BufMut, Bytes, BytesMut};
 use disk::{Disk, Done, Failure, PersistedSpool};
@@ -140,7 +140,7 @@
     stall: Cell<Duration>,
     classes: Vec<String>,
     tenants: Vec<String>,
-    rules: RefCell<Rules>,
+    rules: RefCell<SpoolLimits>,
     processes: Cell<u64>,
     looking: Cell<bool>,
     /// Something did not get to the disk: it is tried again.
@@ -165,7 +165,7 @@
         let mut ledger = SpoolIndex::new(source.rules.clone(), classes.len());
         let (mut handles, mut held, mut disk, mut done) =
             (Handles::default(), BTreeMap::new(), None, None);
-        if let (Some(dir), Some(most)) = (&source.dir, source.rules.disk) {
+        if let (Some(dir), Some(most)) = (&source.dir, source.rules.disk_bytes) {
             let (started, told, found) = Disk::start(dir, most, 1)?;
             let n = found.len();
             for (id, kept) in found {
@@ -221,12 +221,12 @@
         let n = u64::from(processes.max(1));
         self.processes.set(n);
         let all = self.rules.borrow().clone();
-        let rules = Rules {
-            memory: all.memory / n,
-            disk: all.disk.map(|d| d / n),
+        let rules = SpoolLimits {
+            memory_bytes: all.memory_bytes / n,
+            disk_bytes: all.disk_bytes.map(|d| d / n),
             ..all
         };
-        if let (Some(disk), Some(bytes)) = (&self.disk, rules.disk) {
+        if let (Some(disk), Some(bytes)) = (&self.disk, rules.disk_bytes) {
             disk.order(disk::Order::Most { bytes });
         }
         self.ledger.borrow_mut().configure(rules);
@@ -372,7 +372,7 @@
                     .get(held.ask.class)
                     .cloned()
                     .unwrap_or_default(),
-                load: held.ask.load,
+                load: held.ask.protected,
                 handle,
                 binary: held.who.binary,
                 statement: held.who.statement.clone(),
@@ -649,9 +649,9 @@
             .map(|(t, n)| (name(t), *n))
             .collect();
         let page = serde_json::json!({
-            "results": ledger.len(), "most_results": rules.most,
-            "memory_bytes": memory, "most_memory_bytes": rules.memory,
-            "disk_bytes": on_disk, "most_disk_bytes": rules.disk,
+            "results": ledger.len(), "most_results": rules.max_spools,
+            "memory_bytes": memory, "most_memory_bytes": rules.memory_bytes,
+            "disk_bytes": on_disk, "most_disk_bytes": rules.disk_bytes,
             "disk": told(ledger.watch.state(), now), "disk_failures": ledger.watch.failures,
             "on_the_way_to_disk_bytes": self.pending.get(),
             "tenant_bytes": tenants,
@@ -705,7 +705,7 @@
     let ask = AdmissionRequest {
         tenant: b.tenant.as_deref().and_then(|t| place(tenants, t)),
         class: place(classes, &b.class).unwrap_or(usize::MAX),
-        load: b.load,
+        protected: b.load,
     };
     let held = Held {
         who: Who {
--- a/src/spool_io/writer.rs
+++ b/src/spool_io/writer.rs
@@ -65,7 +65,7 @@
     /// The result's own bound holds from the first byte, whether or not it becomes a spool.
     fn bound(&mut self, more: usize) -> Result<(), SpoolRejection> {
         self.total += more + 4;
-        let most = self.spools.ledger.borrow().rules().result;
+        let most = self.spools.ledger.borrow().rules().result_bytes;
         if self.total as u64 > most {
             Err(SpoolRejection::Result(most))
         } else {
--- a/tests/recorded_state/spool_adapter.rs
+++ b/tests/recorded_state/spool_adapter.rs
@@ -3,8 +3,8 @@
 use super::recording::{Recording, float, optional, optional_float};
 use query_dispatcher::spool::disk_health::Wrote;
 use query_dispatcher::spool::{
-    Admission, AdmissionRequest, DiskState, Handles, Order, Placement, ResumeError, Rules,
-    SpoolIndex, SpoolRejection,
+    Admission, AdmissionRequest, DiskState, Handles, Order, Placement, ResumeError, SpoolIndex,
+    SpoolLimits, SpoolRejection,
 };
 
 #[derive(Clone, Copy)]
@@ -31,14 +31,14 @@
     Failed,
 }
 
-fn rules(options: Options) -> Rules {
-    Rules {
-        memory: options.memory,
-        disk: options.disk,
-        per_tenant: options.tenant_quota,
-        result: options.result_limit,
-        keep: options.time_to_live,
-        most: options.spool_limit,
+fn limits(options: Options) -> SpoolLimits {
+    SpoolLimits {
+        memory_bytes: options.memory,
+        disk_bytes: options.disk,
+        tenant_bytes: options.tenant_quota,
+        result_bytes: options.result_limit,
+        retention: options.time_to_live,
+        max_spools: options.spool_limit,
     }
 }
 
@@ -46,7 +46,7 @@
     AdmissionRequest {
         tenant: request.tenant,
         class: request.class,
-        load: request.is_load,
+        protected: request.is_load,
     }
 }
 
@@ -59,22 +59,22 @@
 impl RecordedSpoolIndex {
     pub fn new(options: Options, classes: usize) -> Self {
         RecordedSpoolIndex {
-            ledger: SpoolIndex::new(rules(options), classes),
+            ledger: SpoolIndex::new(limits(options), classes),
             handles: Handles::default(),
         }
     }
 
     pub fn configure(&mut self, options: Options) {
-        self.ledger.configure(rules(options));
+        self.ledger.configure(limits(options));
     }
 
     pub fn admit(&mut self, now: f64, request: Request, recording: &mut Recording) {
         match self.ledger.admit(now, ask(request)) {
-            Admission::Yes => {
+            Admission::Admitted => {
                 recording.count("admitted");
                 recording.state("admitted");
             }
-            Admission::No {
+            Admission::Rejected {
                 reason,
                 retry_after,
             } => {
