--- a/src/discovery/membership_driver.rs
+++ b/src/discovery/membership_driver.rs
@@ -9,7 +9,7 @@
 use crate::membership::report::{Query, QueryError, Report};
 use crate::membership::{Change, Membership, Observation, Snapshot, View, snapshot};
 use crate::say;
-use crate::storage::{Disk, Kind, LoadError, RecordError, Store};
+use crate::storage::{LoadError, LocalFileSystem, RecordError, RecordKind, RecordStore};
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, VecDeque};
@@ -26,9 +26,9 @@
 const SAVE_ANYWAY: Duration = Duration::from_secs(30);
 /// The snapshot's file, and its longest content in bytes: 20,000 engines need about 6 MB.
 const NAME: &str = "members";
-const KIND: Kind = Kind {
+const KIND: RecordKind = RecordKind {
     tag: *b"MEMB",
-    form: snapshot::FORM,
+    version: snapshot::FORM,
 };
 const MOST_FILE: usize = 64 << 20;
 
@@ -48,7 +48,7 @@
     seen: RefCell<VecDeque<(String, Observation)>>,
     wake: Notify,
     changed: Notify,
-    store: Option<Arc<Store>>,
+    store: Option<Arc<RecordStore>>,
     /// Something was told to the hub.
     serving: Cell<bool>,
     /// The last write that failed, until one succeeds.
@@ -84,7 +84,8 @@
         sink: ChangeHandler,
         hands: Hands,
     ) -> Rc<Self> {
-        let store = folder.map(|f| Arc::new(Store::new(Disk, f, NAME, KIND, MOST_FILE)));
+        let store =
+            folder.map(|f| Arc::new(RecordStore::new(LocalFileSystem, f, NAME, KIND, MOST_FILE)));
         let mut membership = Membership::new(source.rules.clone());
         let mut unsaved = None;
         if let Some(store) = &store {
@@ -283,7 +284,7 @@
 }
 
 /// The snapshot in the store, if there is one that can be read.
-fn load(store: &Store) -> Result<Option<Snapshot>, LoadError> {
+fn load(store: &RecordStore) -> Result<Option<Snapshot>, LoadError> {
     store.load(|content| {
         serde_json::from_slice(content).map_err(|e| RecordError::Content(e.to_string()))
     })
--- a/src/storage/files.rs
+++ b/src/storage/files.rs
@@ -6,18 +6,18 @@
 use std::time::Duration;
 
 /// What a store does to files. Every call may block, and may fail.
-pub trait Files {
+pub trait FileSystem {
     /// Writes a new file whole, and has it on the disk when it returns.
     fn write(&self, path: &Path, bytes: &[u8]) -> io::Result<()>;
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
     /// A rename is on the disk only when its folder is.
-    fn sync_folder(&self, path: &Path) -> io::Result<()>;
+    fn sync_directory(&self, path: &Path) -> io::Result<()>;
     /// The file's bytes, and no more than `most` of them.
     fn read(&self, path: &Path, most: usize) -> io::Result<Vec<u8>>;
     fn remove(&self, path: &Path) -> io::Result<()>;
     fn exists(&self, path: &Path) -> bool;
     /// Removes files of a folder whose names begin so and that nobody has written to for a while.
-    fn sweep(&self, folder: &Path, prefix: &str) -> io::Result<()>;
+    fn remove_abandoned(&self, folder: &Path, prefix: &str) -> io::Result<()>;
 }
 
 /// A draft is written in less; an older one is of a process that was killed.
@@ -25,9 +25,9 @@
 
 /// The machine's own.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Disk;
+pub struct LocalFileSystem;
 
-impl Files for Disk {
+impl FileSystem for LocalFileSystem {
     fn write(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
         let mut file = OpenOptions::new()
             .write(true)
@@ -42,7 +42,7 @@
         std::fs::rename(from, to)
     }
 
-    fn sync_folder(&self, path: &Path) -> io::Result<()> {
+    fn sync_directory(&self, path: &Path) -> io::Result<()> {
         File::open(path)?.sync_all()
     }
 
@@ -62,7 +62,7 @@
         path.exists()
     }
 
-    fn sweep(&self, folder: &Path, prefix: &str) -> io::Result<()> {
+    fn remove_abandoned(&self, folder: &Path, prefix: &str) -> io::Result<()> {
         for entry in std::fs::read_dir(folder)? {
             let entry = entry?;
             let ours = entry
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -4,15 +4,15 @@
 //! process or the machine, a reader finds the old file or the new one. Its head tells what it is, in which form, how
 //! long and with which checksum; what does not add up is set aside under another name and told of, never fatal.
 //!
-//! All of it blocks: callers run it where that stalls nobody. The files are behind the trait [`Files`], so that
+//! All of it blocks: callers run it where that stalls nobody. The files are behind the trait [`FileSystem`], so that
 //! tests can break every step.
 
 pub mod files;
 pub mod record;
 pub mod segments;
 
-pub use files::{Disk, Files};
-pub use record::{Kind, RecordError};
+pub use files::{FileSystem, LocalFileSystem};
+pub use record::{RecordError, RecordKind};
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -27,7 +27,7 @@
     Io { path: PathBuf, error: io::Error },
     /// The file was not what it should be, and now has this name.
     #[error("{path}: {error}; it is set aside as {aside}", path = path.display(), aside = aside.display())]
-    SetAside {
+    Quarantined {
         path: PathBuf,
         aside: PathBuf,
         error: RecordError,
@@ -35,18 +35,18 @@
 }
 
 /// One named record in a folder.
-pub struct Store<F: Files = Disk> {
+pub struct RecordStore<F: FileSystem = LocalFileSystem> {
     files: F,
     path: PathBuf,
-    kind: Kind,
+    kind: RecordKind,
     /// The longest content that is read or written, in bytes.
     most: usize,
 }
 
-impl<F: Files> Store<F> {
+impl<F: FileSystem> RecordStore<F> {
     /// A record under this name in a folder that exists.
-    pub fn new(files: F, folder: &Path, name: &str, kind: Kind, most: usize) -> Self {
-        Store {
+    pub fn new(files: F, folder: &Path, name: &str, kind: RecordKind, most: usize) -> Self {
+        RecordStore {
             files,
             path: folder.join(name),
             kind,
@@ -82,7 +82,7 @@
         match written {
             Ok(()) => self
                 .files
-                .sync_folder(self.path.parent().unwrap_or(Path::new("."))),
+                .sync_directory(self.path.parent().unwrap_or(Path::new("."))),
             Err(e) => {
                 // The disk may be full: what was written of the draft only takes room.
                 let _ = self.files.remove(&draft);
@@ -108,7 +108,9 @@
             self.path.parent(),
             self.path.file_name().and_then(|n| n.to_str()),
         ) {
-            let _ = self.files.sweep(folder, &format!("{name}.draft-"));
+            let _ = self
+                .files
+                .remove_abandoned(folder, &format!("{name}.draft-"));
         }
         // One byte more than may be there: a longer file is not read into memory.
         let most = self.most + record::HEAD + 1;
@@ -120,7 +122,7 @@
             Ok(content) => Ok(Some(content)),
             Err(error) => {
                 let aside = self.set_aside().map_err(io)?;
-                Err(LoadError::SetAside {
+                Err(LoadError::Quarantined {
                     path: self.path.clone(),
                     aside,
                     error,
--- a/src/storage/record.rs
+++ b/src/storage/record.rs
@@ -3,8 +3,8 @@
 //! | bytes | what |
 //! | --- | --- |
 //! | 8 | `HITCHREC` |
-//! | 4 | what it holds ([`Kind::tag`]) |
-//! | 4 | the form of the content ([`Kind::form`]), big endian |
+//! | 4 | what it holds ([`RecordKind::tag`]) |
+//! | 4 | the form of the content ([`RecordKind::form`]), big endian |
 //! | 8 | the content's length, big endian |
 //! | 4 | CRC-32 of the 24 bytes before and of the content, big endian |
 
@@ -14,9 +14,9 @@
 
 /// What a record holds, and in which form this program writes it; older forms are read as well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Kind {
+pub struct RecordKind {
     pub tag: [u8; 4],
-    pub form: u32,
+    pub version: u32,
 }
 
 /// Why a record cannot be read.
@@ -45,11 +45,11 @@
     hasher.finalize()
 }
 
-pub fn encode(kind: Kind, content: &[u8]) -> Vec<u8> {
+pub fn encode(kind: RecordKind, content: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(HEAD + content.len());
     bytes.extend(MAGIC);
     bytes.extend(kind.tag);
-    bytes.extend(kind.form.to_be_bytes());
+    bytes.extend(kind.version.to_be_bytes());
     bytes.extend((content.len() as u64).to_be_bytes());
     let sum = checksum(&bytes, content);
     bytes.extend(sum.to_be_bytes());
@@ -61,7 +61,7 @@
 ///
 /// # Errors
 /// What is wrong with it, by name.
-pub fn decode(kind: Kind, bytes: &[u8], most: usize) -> Result<&[u8], RecordError> {
+pub fn decode(kind: RecordKind, bytes: &[u8], most: usize) -> Result<&[u8], RecordError> {
     if !bytes.starts_with(&MAGIC[..bytes.len().min(MAGIC.len())]) {
         return Err(RecordError::Foreign);
     }
@@ -80,10 +80,10 @@
         ));
     }
     // A later form may have another head: it is told apart before anything else is checked.
-    if word(12) > kind.form {
+    if word(12) > kind.version {
         return Err(RecordError::Future {
             found: word(12),
-            known: kind.form,
+            known: kind.version,
         });
     }
     if length > most as u64 {
--- a/src/storage/segments/volume.rs
+++ b/src/storage/segments/volume.rs
@@ -1,6 +1,6 @@
 //! Where segments lie: numbered files that are only ever written at their end.
 
-use crate::storage::{Disk, Kind, RecordError, Store};
+use crate::storage::{LocalFileSystem, RecordError, RecordKind, RecordStore};
 use std::collections::VecDeque;
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
@@ -26,9 +26,9 @@
 
 /// The manifest's file, what it is, and its longest content in bytes.
 const MANIFEST: &str = "manifest";
-const KIND: Kind = Kind {
+const KIND: RecordKind = RecordKind {
     tag: *b"SEGM",
-    form: 1,
+    version: 1,
 };
 const MOST: usize = 1 << 20;
 
@@ -134,7 +134,7 @@
 
     fn name(&mut self, segments: &[u32]) -> io::Result<()> {
         let content = serde_json::to_vec(segments).map_err(io::Error::other)?;
-        Store::new(Disk, &self.path, MANIFEST, KIND, MOST).save(&content)
+        RecordStore::new(LocalFileSystem, &self.path, MANIFEST, KIND, MOST).save(&content)
     }
 
     fn named(&mut self) -> io::Result<Option<Vec<u32>>> {
@@ -142,7 +142,7 @@
             serde_json::from_slice(content).map_err(|e| RecordError::Content(e.to_string()))
         };
         // A manifest of a later program, or of another's: nothing here is to be touched.
-        Store::new(Disk, &self.path, MANIFEST, KIND, MOST)
+        RecordStore::new(LocalFileSystem, &self.path, MANIFEST, KIND, MOST)
             .load(read)
             .map_err(io::Error::other)
     }
--- a/src/storage/tests.rs
+++ b/src/storage/tests.rs
@@ -3,9 +3,9 @@
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 
-const KIND: Kind = Kind {
+const KIND: RecordKind = RecordKind {
     tag: *b"TEST",
-    form: 3,
+    version: 3,
 };
 
 /// Files in memory that lose power, or fail, at the step that is asked for. What is not synced is lost with the
@@ -49,7 +49,7 @@
     }
 }
 
-impl Files for &Faulty {
+impl FileSystem for &Faulty {
     fn write(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
         let cut = self.step()?;
         let n = if cut {
@@ -82,7 +82,7 @@
         if cut { Faulty::off() } else { Ok(()) }
     }
 
-    fn sync_folder(&self, _: &Path) -> io::Result<()> {
+    fn sync_directory(&self, _: &Path) -> io::Result<()> {
         if self.step()? { Faulty::off() } else { Ok(()) }
     }
 
@@ -106,7 +106,7 @@
             .ok_or(io::ErrorKind::NotFound.into())
     }
 
-    fn sweep(&self, _: &Path, _: &str) -> io::Result<()> {
+    fn remove_abandoned(&self, _: &Path, _: &str) -> io::Result<()> {
         Ok(())
     }
 
@@ -119,8 +119,8 @@
     Ok(content.to_vec())
 }
 
-fn store(files: &Faulty) -> Store<&Faulty> {
-    Store::new(files, Path::new("/state"), "members", KIND, 1000)
+fn store(files: &Faulty) -> RecordStore<&Faulty> {
+    RecordStore::new(files, Path::new("/state"), "members", KIND, 1000)
 }
 
 #[test]
@@ -176,7 +176,7 @@
     let files = Faulty::default();
     let path = Path::new("/state/members").to_path_buf();
     files.seen.borrow_mut().insert(path.clone(), bytes.to_vec());
-    let Err(LoadError::SetAside { aside, error, .. }) = store(&files).load(whole) else {
+    let Err(LoadError::Quarantined { aside, error, .. }) = store(&files).load(whole) else {
         panic!("{bytes:?}")
     };
     assert_eq!(files.seen.borrow()[&aside], bytes, "nothing is lost");
@@ -212,15 +212,15 @@
     );
     assert_eq!(set_aside(b"<html>"), RecordError::Foreign);
     assert_eq!(set_aside(&[&good[..], b"x"].concat()), RecordError::Foreign);
-    let later = record::encode(Kind { form: 4, ..KIND }, b"content");
+    let later = record::encode(RecordKind { version: 4, ..KIND }, b"content");
     assert_eq!(
         set_aside(&later),
         RecordError::Future { found: 4, known: 3 }
     );
     let other = record::encode(
-        Kind {
+        RecordKind {
             tag: *b"ELSE",
-            form: 1,
+            version: 1,
         },
         b"content",
     );
@@ -228,7 +228,7 @@
     let mut long = good.clone();
     long[16] = 0xff;
     assert!(matches!(set_aside(&long), RecordError::Long(_)));
-    let earlier = record::encode(Kind { form: 2, ..KIND }, b"content");
+    let earlier = record::encode(RecordKind { version: 2, ..KIND }, b"content");
     assert_eq!(
         record::decode(KIND, &earlier, 1000).unwrap(),
         b"content",
@@ -253,7 +253,7 @@
 fn on_a_real_disk_a_record_outlives_its_writer() {
     let folder = std::env::temp_dir().join(format!("hitchwinch-store-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let store = || Store::new(Disk, &folder, "members", KIND, 1 << 20);
+    let store = || RecordStore::new(LocalFileSystem, &folder, "members", KIND, 1 << 20);
     assert!(store().load(whole).unwrap().is_none());
     store().save(b"one").unwrap();
     store().save(b"two").unwrap();
--- a/tests/stored/members.rs
+++ b/tests/stored/members.rs
@@ -2,20 +2,20 @@
 
 use query_dispatcher::membership::Version;
 use query_dispatcher::membership::snapshot::{FORM, PersistedInstance, Snapshot};
-use query_dispatcher::storage::{Disk, Kind, RecordError, Store};
+use query_dispatcher::storage::{LocalFileSystem, RecordError, RecordKind, RecordStore};
 use std::path::Path;
 
 const FILE: &str = "members";
 const MOST_BYTES: usize = 64 << 20;
 
-fn store(folder: &Path) -> Store {
-    Store::new(
-        Disk,
+fn store(folder: &Path) -> RecordStore {
+    RecordStore::new(
+        LocalFileSystem,
         folder,
         FILE,
-        Kind {
+        RecordKind {
             tag: *b"MEMB",
-            form: FORM,
+            version: FORM,
         },
         MOST_BYTES,
     )
