--- a/crates/mysql-conformance/src/lib.rs
+++ b/crates/mysql-conformance/src/lib.rs
@@ -57,7 +57,7 @@
     let core = Core::new(config.settings.clone(), 1, bounds)?;
     let names = config.names.clone();
     let (spools, done) = Spools::open(&config.spool, names.classes.clone(), names.tenants.clone())?;
-    spawn_local(spools.clone().attend(done));
+    spawn_local(spools.clone().run(done));
     let upstream = MysqlUpstream::new(config.access, config.sockets, pool.clone(), spools.clone());
     let router = RequestRouter::new(core, names, upstream);
     let Source::Fixed(fixed) = config.source else {
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -215,7 +215,7 @@
                 Some(spools) => Answer {
                     code: 200,
                     json: true,
-                    text: spools.page_of(),
+                    text: spools.status_page(),
                 },
                 None => answer(404, "no results are kept here\n"),
             }),
--- a/src/frontend/mysql/cursor.rs
+++ b/src/frontend/mysql/cursor.rs
@@ -2,7 +2,7 @@
 //! spool.
 
 use crate::protocol::mysql::packet::eof_status;
-use crate::spool_io::{Reader, SpoolError, packets};
+use crate::spool_io::{ResultReader, SpoolError, packets};
 use bytes::Bytes;
 
 /// The rows of one result, from where the last fetch ended.
@@ -10,7 +10,7 @@
     /// Rows that are here, each behind its length.
     here: Bytes,
     /// Where more come from.
-    reader: Option<Reader>,
+    reader: Option<ResultReader>,
 }
 
 impl Cursor {
@@ -22,7 +22,7 @@
         }
     }
 
-    pub fn paged(reader: Reader) -> Self {
+    pub fn paged(reader: ResultReader) -> Self {
         Cursor {
             here: Bytes::new(),
             reader: Some(reader),
@@ -62,7 +62,7 @@
         let Some(reader) = &mut self.reader else {
             return Ok(false);
         };
-        match reader.page().await? {
+        match reader.next_page().await? {
             Some(page) => {
                 self.here = page;
                 Ok(true)
--- a/src/frontend/mysql/mod.rs
+++ b/src/frontend/mysql/mod.rs
@@ -23,8 +23,10 @@
 use crate::protocol::statement::{self, Kind};
 use crate::say;
 use crate::spool::{Admission, AdmissionRequest, SpoolId};
-use crate::spool_io::writer::STATEMENT;
-use crate::spool_io::{Line, Reader as SpoolReader, SpoolError, Spools, Who, packets, put_packet};
+use crate::spool_io::{
+    MAX_STATEMENT_CHARS, ResultListing, ResultOwner, ResultReader, SpoolError, Spools, packets,
+    put_packet,
+};
 use crate::sticky_sessions::StickySessionTable;
 use crate::transport::connection_limiter::{
     Activity, ConnectionLimiter, ConnectionPermit, PermitGuard,
@@ -801,9 +803,9 @@
         }
         let statement = String::from_utf8_lossy(&sql)
             .chars()
-            .take(STATEMENT)
+            .take(MAX_STATEMENT_CHARS)
             .collect();
-        let who = Who {
+        let who = ResultOwner {
             user: self.user.clone(),
             statement,
             binary: matches!(job, Job::Execute(_)),
@@ -900,10 +902,11 @@
     }
 
     /// A result from its spool, at the client's pace.
-    async fn stream(&mut self, mut reader: SpoolReader) -> Result<(), End> {
+    async fn stream(&mut self, mut reader: ResultReader) -> Result<(), End> {
         let spools = self.frontend.spools.clone();
         let id = reader.id();
-        let Some((head, tail)) = spools.look_at(id, |h, _| (h.head.clone(), h.tail.clone())) else {
+        let Some((head, tail)) = spools.with_result(id, |h| (h.header.clone(), h.trailer.clone()))
+        else {
             return self
                 .say(&SqlError::new(code::RESULT, SpoolError::Gone.to_string()))
                 .await;
@@ -911,8 +914,11 @@
         let head = self.columns(&head);
         self.write(head.iter().map(|p| &p[..])).await?;
         loop {
-            match reader.page().await {
-                Ok(Some(page)) => self.write_slowly(&page, spools.stall()).await?,
+            match reader.next_page().await {
+                Ok(Some(page)) => {
+                    self.write_slowly(&page, spools.client_stall_timeout())
+                        .await?
+                }
                 Ok(None) => break,
                 // Rows are out already: the error ends them, and nothing looks whole.
                 Err(e) => {
@@ -1005,11 +1011,11 @@
         }
     }
 
-    fn resumable(&self, id: SpoolId, from: u32, binary: bool) -> Result<SpoolReader, SqlError> {
+    fn resumable(&self, id: SpoolId, from: u32, binary: bool) -> Result<ResultReader, SqlError> {
         let spools = &self.frontend.spools;
         let gone = || SqlError::new(code::HANDLE, SpoolError::Gone.to_string());
         let (pages, is_binary) = spools
-            .look_at(id, |h, pages| (pages, h.who.binary))
+            .with_result(id, |h| (h.page_count(), h.owner.binary))
             .ok_or_else(gone)?;
         if is_binary != binary {
             let text = match is_binary {
@@ -1108,7 +1114,7 @@
                 let spools = &self.frontend.spools;
                 let id = spools.resume(&self.user, handle).await;
                 let id = id.map_err(|e| SqlError::new(code::HANDLE, e.to_string()))?;
-                let head = spools.look_at(id, |h, _| h.head.clone());
+                let head = spools.with_result(id, |h| h.header.clone());
                 let head =
                     head.ok_or_else(|| SqlError::new(code::HANDLE, SpoolError::Gone.to_string()))?;
                 packets(&head).map(<[u8]>::to_vec).collect()
@@ -1193,7 +1199,7 @@
                 (head, Cursor::over(rows))
             }
             Output::Long(id) => {
-                let head = spools.look_at(id, |h, _| h.head.clone());
+                let head = spools.with_result(id, |h| h.header.clone());
                 let (Some(head), Some(reader)) = (head, spools.reader(id, 0)) else {
                     return self
                         .say(&SqlError::new(code::RESULT, SpoolError::Gone.to_string()))
@@ -1240,7 +1246,7 @@
                     .await;
             }
         };
-        let stall = self.frontend.spools.stall();
+        let stall = self.frontend.spools.client_stall_timeout();
         for page in pages {
             self.write_slowly(&page, stall).await?;
         }
@@ -1283,7 +1289,7 @@
 ];
 
 /// A listing of results, as a result of text columns.
-fn listing(lines: &[Line], binary: bool) -> Vec<Vec<u8>> {
+fn listing(lines: &[ResultListing], binary: bool) -> Vec<Vec<u8>> {
     let rows = lines.iter().map(|l| {
         let expires = l.expires_in_s.map_or("while it is read".to_string(), |s| {
             format!("{:.1}", s.max(0.0))
--- a/src/frontend/mysql/sticky.rs
+++ b/src/frontend/mysql/sticky.rs
@@ -116,7 +116,7 @@
             class,
             protected: true,
         };
-        let who = Who {
+        let who = ResultOwner {
             user: self.user.clone(),
             statement: "a transaction".into(),
             binary: false,
@@ -192,9 +192,9 @@
         }
         let statement = String::from_utf8_lossy(&sql)
             .chars()
-            .take(STATEMENT)
+            .take(MAX_STATEMENT_CHARS)
             .collect();
-        let who = Who {
+        let who = ResultOwner {
             user: self.user.clone(),
             statement,
             binary: matches!(job, Job::Execute(_)),
--- a/src/main.rs
+++ b/src/main.rs
@@ -156,7 +156,7 @@
     let names = config.names.clone();
     let (spools, done) = Spools::open(&config.spool, names.classes, names.tenants)
         .map_err(|e| format!("spool.dir ({:?}): {e}", config.spool.dir))?;
-    spawn_local(spools.clone().attend(done));
+    spawn_local(spools.clone().run(done));
     let access = config.access.clone();
     let upstream = MysqlUpstream::new(access, config.sockets.clone(), pool.clone(), spools.clone());
     let router = RequestRouter::new(core, config.names.clone(), upstream);
@@ -183,7 +183,7 @@
     let (sharing, spooling) = (frontend.clone(), spools.clone());
     let shared = share(&router, config.state.as_deref(), move |living| {
         sharing.share(living);
-        spooling.share(living);
+        spooling.set_process_count(living);
     })?;
     let members = Rc::new(RefCell::new(None));
     let watched = Watched {
--- a/src/spool_io/mod.rs
+++ b/src/spool_io/mod.rs
@@ -5,8 +5,8 @@
 pub mod reader;
 pub mod writer;
 
-pub use reader::{Reader, SpoolError};
-pub use writer::{Who, Writer};
+pub use reader::{ResultReader, SpoolError};
+pub use writer::{MAX_STATEMENT_CHARS, ResultOwner, ResultWriter, StoredResult};
 
 use crate::clock::unix_ms;
 use crate::config::SpoolSource;
@@ -39,13 +39,13 @@
 const BROUGHT: usize = 16;
 
 /// A result that waits for its reader.
-pub struct Held {
-    pub who: Who,
-    pub ask: AdmissionRequest,
+pub struct SpooledResult {
+    pub owner: ResultOwner,
+    pub request: AdmissionRequest,
     /// What stands before the rows: the count of columns, the columns, their end.
-    pub head: Bytes,
+    pub header: Bytes,
     /// The last packet, once the result is whole.
-    pub tail: Option<Bytes>,
+    pub trailer: Option<Bytes>,
     /// So many pages are on the disk: always the first ones. The others follow.
     stored: usize,
     pages: VecDeque<Page>,
@@ -69,8 +69,8 @@
     },
 }
 
-impl Held {
-    pub fn pages(&self) -> usize {
+impl SpooledResult {
+    pub fn page_count(&self) -> usize {
         self.stored + self.pages.len()
     }
 }
@@ -116,7 +116,7 @@
 
 /// A line of what a user can come back for.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct ResultListing {
     pub handle: String,
     pub statement: String,
     pub pages: usize,
@@ -131,7 +131,7 @@
 pub struct Spools {
     ledger: RefCell<SpoolIndex>,
     handles: RefCell<Handles>,
-    held: RefCell<BTreeMap<SpoolId, Held>>,
+    held: RefCell<BTreeMap<SpoolId, SpooledResult>>,
     disk: Option<Disk>,
     pending: Cell<u64>,
     /// Something was written, or given up.
@@ -171,8 +171,8 @@
             for (id, kept) in found {
                 if let Some(h) = again(&kept, &classes, &tenants) {
                     let bytes = kept.pages.iter().map(|p| u64::from(p.1)).sum();
-                    ledger.found(unix_ms(), id, h.0.ask, bytes, h.2);
-                    handles.put(id, &h.0.who.user, &h.1);
+                    ledger.found(unix_ms(), id, h.0.request, bytes, h.2);
+                    handles.put(id, &h.0.owner.user, &h.1);
                     held.insert(id, h.0);
                 } else {
                     started.order(disk::Order::Forget { spool: id });
@@ -213,11 +213,11 @@
         *self.rules.borrow_mut() = source.rules.clone();
         self.page_rows.set(source.page_rows);
         self.stall.set(source.stall);
-        self.share(self.processes.get() as u32);
+        self.set_process_count(self.processes.get() as u32);
     }
 
     /// So many processes of this dispatcher share the bounds.
-    pub fn share(&self, processes: u32) {
+    pub fn set_process_count(&self, processes: u32) {
         let n = u64::from(processes.max(1));
         self.processes.set(n);
         let all = self.rules.borrow().clone();
@@ -233,7 +233,7 @@
     }
 
     /// A client that takes nothing for so long is closed.
-    pub fn stall(&self) -> Duration {
+    pub fn client_stall_timeout(&self) -> Duration {
         self.stall.get()
     }
 
@@ -243,8 +243,8 @@
     }
 
     /// For the result of one attempt.
-    pub fn writer(self: &Rc<Self>, ask: AdmissionRequest, who: Who) -> Writer {
-        Writer::new(self.clone(), ask, who)
+    pub fn writer(self: &Rc<Self>, ask: AdmissionRequest, who: ResultOwner) -> ResultWriter {
+        ResultWriter::new(self.clone(), ask, who)
     }
 
     pub fn learn(&self, class: usize, bytes: usize) {
@@ -254,7 +254,7 @@
     fn begin(
         &self,
         ask: AdmissionRequest,
-        who: Who,
+        who: ResultOwner,
         head: Bytes,
     ) -> Result<SpoolId, SpoolRejection> {
         let now = unix_ms();
@@ -268,11 +268,11 @@
         self.handles
             .borrow_mut()
             .give(id, &who.user, u128::from_be_bytes(random));
-        let held = Held {
-            who,
-            ask,
-            head,
-            tail: None,
+        let held = SpooledResult {
+            owner: who,
+            request: ask,
+            header: head,
+            trailer: None,
             stored: 0,
             pages: VecDeque::new(),
             rows: 0,
@@ -313,7 +313,7 @@
     fn whole(&self, id: SpoolId, tail: Bytes) {
         let now = unix_ms();
         if let Some(held) = self.held.borrow_mut().get_mut(&id) {
-            held.tail = Some(tail);
+            held.trailer = Some(tail);
         }
         let orders = {
             let mut ledger = self.ledger.borrow_mut();
@@ -365,20 +365,23 @@
         let Some(held) = all.get_mut(&id) else { return };
         if !held.begun {
             let beginning = Beginning {
-                user: held.who.user.clone(),
-                tenant: held.ask.tenant.and_then(|t| self.tenants.get(t).cloned()),
+                user: held.owner.user.clone(),
+                tenant: held
+                    .request
+                    .tenant
+                    .and_then(|t| self.tenants.get(t).cloned()),
                 class: self
                     .classes
-                    .get(held.ask.class)
+                    .get(held.request.class)
                     .cloned()
                     .unwrap_or_default(),
-                load: held.ask.protected,
+                load: held.request.protected,
                 handle,
-                binary: held.who.binary,
-                statement: held.who.statement.clone(),
+                binary: held.owner.binary,
+                statement: held.owner.statement.clone(),
                 created: held.created,
             };
-            let begin = framed(&beginning, &held.head);
+            let begin = framed(&beginning, &held.header);
             held.begun = disk.order(disk::Order::Begin { spool: id, begin });
             if !held.begun {
                 self.stuck.set(true);
@@ -404,7 +407,7 @@
             self.pending.set(self.pending.get() + bytes.len() as u64);
             *page = Page::Writing { rows, bytes };
         }
-        if let Some(tail) = held.tail.clone().filter(|_| !held.ended) {
+        if let Some(tail) = held.trailer.clone().filter(|_| !held.ended) {
             let ending = Ending {
                 rows: held.rows,
                 bytes: held.bytes,
@@ -419,7 +422,7 @@
     }
 
     /// Takes in what the disk has done, and lets go what has expired; runs for ever.
-    pub async fn attend(self: Rc<Self>, done: Option<mpsc::UnboundedReceiver<Done>>) {
+    pub async fn run(self: Rc<Self>, done: Option<mpsc::UnboundedReceiver<Done>>) {
         let (silent, nothing) = mpsc::unbounded_channel();
         let mut done = done.unwrap_or(nothing);
         // Without a disk nothing is ever told, and the loop goes on with the clock.
@@ -455,7 +458,7 @@
             .held
             .borrow()
             .iter()
-            .filter(|(_, h)| h.tail.is_some() && !h.ended)
+            .filter(|(_, h)| h.trailer.is_some() && !h.ended)
             .map(|h| *h.0)
             .collect();
         for id in late {
@@ -523,11 +526,11 @@
     // ---- readers ---------------------------------------------------------------------------------
 
     /// Reads a result from a page on. None if it is not there.
-    pub fn reader(self: &Rc<Self>, id: SpoolId, from: u32) -> Option<Reader> {
+    pub fn reader(self: &Rc<Self>, id: SpoolId, from: u32) -> Option<ResultReader> {
         self.ledger
             .borrow_mut()
             .attach(unix_ms(), id)
-            .then(|| Reader::new(self.clone(), id, from))
+            .then(|| ResultReader::new(self.clone(), id, from))
     }
 
     /// Finds what a user's handle stands for, also in the folders of other processes.
@@ -550,7 +553,7 @@
     }
 
     /// What a user can come back for.
-    pub async fn list(self: &Rc<Self>, user: &str) -> Vec<Line> {
+    pub async fn list(self: &Rc<Self>, user: &str) -> Vec<ResultListing> {
         for _ in 0..BROUGHT {
             let user = user.to_string();
             let known: Vec<String> = {
@@ -572,13 +575,13 @@
         let (now, held) = (unix_ms(), self.held.borrow());
         let own = held
             .iter()
-            .filter(|(_, h)| h.who.user == user && h.tail.is_some());
+            .filter(|(_, h)| h.owner.user == user && h.trailer.is_some());
         own.filter_map(|(id, h)| {
             let (whole, expires) = self.ledger.borrow().life(*id)?;
-            Some(Line {
+            Some(ResultListing {
                 handle: self.handles.borrow().of(*id)?.to_string(),
-                statement: h.who.statement.clone(),
-                pages: h.pages(),
+                statement: h.owner.statement.clone(),
+                pages: h.page_count(),
                 rows: h.rows,
                 bytes: h.bytes,
                 age_s: (now - whole) / 1000.0,
@@ -617,15 +620,15 @@
         let bytes = kept.pages.iter().map(|p| u64::from(p.1)).sum();
         self.ledger
             .borrow_mut()
-            .found(unix_ms(), id, held.ask, bytes, whole);
-        self.handles.borrow_mut().put(id, &held.who.user, &handle);
+            .found(unix_ms(), id, held.request, bytes, whole);
+        self.handles.borrow_mut().put(id, &held.owner.user, &handle);
         self.held.borrow_mut().insert(id, held);
         Some(id)
     }
 
     /// What of a result a reader needs before its pages.
-    pub fn look_at<T>(&self, id: SpoolId, f: impl FnOnce(&Held, usize) -> T) -> Option<T> {
-        self.held.borrow().get(&id).map(|h| f(h, h.pages()))
+    pub fn with_result<T>(&self, id: SpoolId, f: impl FnOnce(&SpooledResult) -> T) -> Option<T> {
+        self.held.borrow().get(&id).map(f)
     }
 
     pub fn handle(&self, id: SpoolId) -> Option<String> {
@@ -635,7 +638,7 @@
     // ---- operators -------------------------------------------------------------------------------
 
     /// `GET /_spools`, as JSON.
-    pub fn page_of(&self) -> String {
+    pub fn status_page(&self) -> String {
         let (now, ledger, handles) = (unix_ms(), self.ledger.borrow(), self.handles.borrow());
         let (memory, on_disk) = ledger.used();
         let rules = ledger.rules();
@@ -698,7 +701,7 @@
     kept: &PersistedSpool,
     classes: &[String],
     tenants: &[String],
-) -> Option<(Held, String, Millis)> {
+) -> Option<(SpooledResult, String, Millis)> {
     let (b, head) = unframed::<Beginning>(&kept.begin)?;
     let (e, tail) = unframed::<Ending>(&kept.end)?;
     let place = |list: &[String], name: &str| list.iter().position(|n| n == name);
@@ -707,15 +710,15 @@
         class: place(classes, &b.class).unwrap_or(usize::MAX),
         protected: b.load,
     };
-    let held = Held {
-        who: Who {
+    let held = SpooledResult {
+        owner: ResultOwner {
             user: b.user,
             statement: b.statement,
             binary: b.binary,
         },
-        ask,
-        head,
-        tail: Some(tail),
+        request: ask,
+        header: head,
+        trailer: Some(tail),
         stored: kept.pages.len(),
         pages: VecDeque::new(),
         rows: e.rows,
--- a/src/spool_io/reader.rs
+++ b/src/spool_io/reader.rs
@@ -18,16 +18,16 @@
 }
 
 /// Reads a spool; it stays for as long as somebody does.
-pub struct Reader {
+pub struct ResultReader {
     spools: Rc<Spools>,
     id: SpoolId,
     next: u32,
     to_the_end: bool,
 }
 
-impl Reader {
+impl ResultReader {
     pub(super) fn new(spools: Rc<Spools>, id: SpoolId, from: u32) -> Self {
-        Reader {
+        ResultReader {
             spools,
             id,
             next: from,
@@ -43,11 +43,11 @@
     ///
     /// # Errors
     /// The page is torn or cannot be read.
-    pub async fn page(&mut self) -> Result<Option<Bytes>, SpoolError> {
+    pub async fn next_page(&mut self) -> Result<Option<Bytes>, SpoolError> {
         let next = self.next as usize;
         let page = self
             .spools
-            .look_at(self.id, |held, _| match next.checked_sub(held.stored) {
+            .with_result(self.id, |held| match next.checked_sub(held.stored) {
                 None => Some(None),
                 Some(here) => match held.pages.get(here) {
                     None => None,
@@ -96,7 +96,7 @@
     }
 }
 
-impl Drop for Reader {
+impl Drop for ResultReader {
     fn drop(&mut self) {
         self.spools
             .ledger
--- a/src/spool_io/writer.rs
+++ b/src/spool_io/writer.rs
@@ -7,7 +7,7 @@
 
 /// Whose result it is, and of what.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Who {
+pub struct ResultOwner {
     pub user: String,
     /// The statement's beginning: what its owner knows it by.
     pub statement: String,
@@ -16,22 +16,22 @@
 }
 
 /// The longest beginning of a statement that is kept, in characters.
-pub const STATEMENT: usize = 120;
+pub const MAX_STATEMENT_CHARS: usize = 120;
 
 /// A result that is whole.
 #[derive(Debug)]
-pub enum Whole {
+pub enum StoredResult {
     /// All its packets, each behind its length.
-    Short(BytesMut),
+    Inline(BytesMut),
     /// More than is handed over at once.
-    Long(SpoolId),
+    Spooled(SpoolId),
 }
 
 /// Takes packets until the last. What is dropped before is forgotten.
-pub struct Writer {
+pub struct ResultWriter {
     spools: Rc<Spools>,
     ask: AdmissionRequest,
-    who: Option<Who>,
+    who: Option<ResultOwner>,
     /// All packets, while the result is short; then those of the page that is not full.
     bytes: BytesMut,
     /// Where the rows begin in it.
@@ -41,9 +41,9 @@
     total: usize,
 }
 
-impl Writer {
-    pub(super) fn new(spools: Rc<Spools>, ask: AdmissionRequest, who: Who) -> Self {
-        Writer {
+impl ResultWriter {
+    pub(super) fn new(spools: Rc<Spools>, ask: AdmissionRequest, who: ResultOwner) -> Self {
+        ResultWriter {
             spools,
             ask,
             who: Some(who),
@@ -56,7 +56,7 @@
     }
 
     /// A packet before the rows, or the one and only.
-    pub fn head(&mut self, payload: &[u8]) -> Result<(), SpoolRejection> {
+    pub fn add_header(&mut self, payload: &[u8]) -> Result<(), SpoolRejection> {
         put_packet(&mut self.bytes, payload);
         self.head = self.bytes.len();
         self.bound(payload.len())
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     /// There is no place for it; the whole result is given up.
-    pub async fn row(&mut self, payload: &[u8]) -> Result<(), SpoolRejection> {
+    pub async fn add_row(&mut self, payload: &[u8]) -> Result<(), SpoolRejection> {
         self.bound(payload.len())?;
         put_packet(&mut self.bytes, payload);
         self.rows += 1;
@@ -129,13 +129,13 @@
     ///
     /// # Errors
     /// There is no place for what is left of it.
-    pub async fn finish(mut self, tail: Option<&[u8]>) -> Result<Whole, SpoolRejection> {
+    pub async fn finish(mut self, tail: Option<&[u8]>) -> Result<StoredResult, SpoolRejection> {
         if self.spool.is_none() {
             if let Some(tail) = tail {
                 put_packet(&mut self.bytes, tail);
             }
             self.spools.learn(self.ask.class, self.bytes.len());
-            return Ok(Whole::Short(std::mem::take(&mut self.bytes)));
+            return Ok(StoredResult::Inline(std::mem::take(&mut self.bytes)));
         }
         if self.rows > 0 {
             self.close().await?;
@@ -145,11 +145,11 @@
         };
         self.spools
             .whole(spool, Bytes::copy_from_slice(tail.unwrap_or_default()));
-        Ok(Whole::Long(spool))
+        Ok(StoredResult::Spooled(spool))
     }
 }
 
-impl Drop for Writer {
+impl Drop for ResultWriter {
     fn drop(&mut self) {
         if let Some(spool) = self.spool.take() {
             self.spools.give_up(spool);
--- a/src/upstream/mysql/mod.rs
+++ b/src/upstream/mysql/mod.rs
@@ -19,8 +19,7 @@
 use crate::protocol::mysql::packet::*;
 use crate::protocol::mysql::session::{Context, INSERT_ID};
 use crate::say;
-use crate::spool_io::writer::Whole;
-use crate::spool_io::{Spools, Writer};
+use crate::spool_io::{ResultWriter, Spools, StoredResult};
 use crate::transport::framed::{self, BufferPool, FramedConnection, PendingInput};
 use crate::upstream::mysql::sticky::{Ended, Telling, Told};
 use crate::upstream::mysql::work::{Job, Output, Packets, Work};
@@ -934,7 +933,7 @@
         *warnings = 0;
         const SEVERAL: PacketError =
             PacketError::Protocol("several results at once are not carried");
-        let mut writer: Writer = self.spools.writer(work.ask, work.who.clone());
+        let mut writer: ResultWriter = self.spools.writer(work.ask, work.who.clone());
         let first = next(wire).await?;
         let alone = |payload: &[u8]| {
             let mut packets = Packets::default();
@@ -952,7 +951,7 @@
                 }
                 return alone(&first);
             }
-            Some(_) => writer.head(&first)?,
+            Some(_) => writer.add_header(&first)?,
         }
         // Columns end with one EOF, rows with another, or with an error.
         for rows in [false, true] {
@@ -961,19 +960,19 @@
                 match (eof_status(&p), rows) {
                     (Some(status), _) if status & MORE_RESULTS != 0 => return Err(SEVERAL),
                     (Some(_), false) => {
-                        writer.head(&p)?;
+                        writer.add_header(&p)?;
                         break;
                     }
                     (Some(status), true) => {
                         (*last, *warnings) = (status, eof_warnings(&p));
                         return Ok(match writer.finish(Some(&p)).await? {
-                            Whole::Short(bytes) => Output::Short(bytes.into()),
-                            Whole::Long(spool) => Output::Long(spool),
+                            StoredResult::Inline(bytes) => Output::Short(bytes.into()),
+                            StoredResult::Spooled(spool) => Output::Long(spool),
                         });
                     }
                     (None, true) if p.first() == Some(&0xff) => return alone(&p),
-                    (None, true) => writer.row(&p).await?,
-                    (None, false) => writer.head(&p)?,
+                    (None, true) => writer.add_row(&p).await?,
+                    (None, false) => writer.add_header(&p)?,
                 }
             }
         }
--- a/src/upstream/mysql/work.rs
+++ b/src/upstream/mysql/work.rs
@@ -5,7 +5,7 @@
 use crate::protocol::mysql::session::Context;
 use crate::protocol::mysql::values::Execute;
 use crate::spool::{AdmissionRequest, SpoolId};
-use crate::spool_io::{self, Who};
+use crate::spool_io::{self, ResultOwner};
 use crate::upstream::mysql::downstream::Downstream;
 use crate::upstream::mysql::sticky::Pinned;
 use bytes::{BufMut, Bytes, BytesMut};
@@ -20,9 +20,9 @@
     pub job: Job,
     /// Whose result it brings, for the account of results that wait.
     pub ask: AdmissionRequest,
-    pub who: Who,
+    pub who: ResultOwner,
     pub left: Left,
-    /// Who asks: looked at right before anything of it is written to an engine.
+    /// ResultOwner asks: looked at right before anything of it is written to an engine.
     pub downstream: Rc<Downstream>,
 }
 
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -357,7 +357,7 @@
     let pool = BufferPool::default();
     let (spools, done) =
         Spools::open(&spools(), names.classes.clone(), names.tenants.clone()).unwrap();
-    spawn_local(spools.clone().attend(done));
+    spawn_local(spools.clone().run(done));
     let router = RequestRouter::new(
         core,
         names,
--- a/tests/mysql_client_disconnect.rs
+++ b/tests/mysql_client_disconnect.rs
@@ -267,7 +267,7 @@
     let large = SpoolSource::plain(64 << 20);
     let (spools, done) =
         Spools::open(&large, names.classes.clone(), names.tenants.clone()).unwrap();
-    spawn_local(spools.clone().attend(done));
+    spawn_local(spools.clone().run(done));
     let access = Access {
         connections: 1,
         ..access()
