--- a/src/frontend/mysql/mod.rs
+++ b/src/frontend/mysql/mod.rs
@@ -852,7 +852,7 @@
                 match self.frontend.spools.reader(spool, 0) {
                     Some(reader) => self.stream(reader).await,
                     None => {
-                        self.say(&SqlError::new(code::RESULT, SpoolError::Gone.to_string()))
+                        self.say(&SqlError::new(code::RESULT, SpoolError::Removed.to_string()))
                             .await
                     }
                 }
@@ -908,7 +908,7 @@
         let Some((head, tail)) = spools.with_result(id, |h| (h.header.clone(), h.trailer.clone()))
         else {
             return self
-                .say(&SqlError::new(code::RESULT, SpoolError::Gone.to_string()))
+                .say(&SqlError::new(code::RESULT, SpoolError::Removed.to_string()))
                 .await;
         };
         let head = self.columns(&head);
@@ -1013,7 +1013,7 @@
 
     fn resumable(&self, id: SpoolId, from: u32, binary: bool) -> Result<ResultReader, SqlError> {
         let spools = &self.frontend.spools;
-        let gone = || SqlError::new(code::HANDLE, SpoolError::Gone.to_string());
+        let gone = || SqlError::new(code::HANDLE, SpoolError::Removed.to_string());
         let (pages, is_binary) = spools
             .with_result(id, |h| (h.page_count(), h.owner.binary))
             .ok_or_else(gone)?;
@@ -1116,7 +1116,7 @@
                 let id = id.map_err(|e| SqlError::new(code::HANDLE, e.to_string()))?;
                 let head = spools.with_result(id, |h| h.header.clone());
                 let head =
-                    head.ok_or_else(|| SqlError::new(code::HANDLE, SpoolError::Gone.to_string()))?;
+                    head.ok_or_else(|| SqlError::new(code::HANDLE, SpoolError::Removed.to_string()))?;
                 packets(&head).map(<[u8]>::to_vec).collect()
             }
         };
@@ -1202,7 +1202,7 @@
                 let head = spools.with_result(id, |h| h.header.clone());
                 let (Some(head), Some(reader)) = (head, spools.reader(id, 0)) else {
                     return self
-                        .say(&SqlError::new(code::RESULT, SpoolError::Gone.to_string()))
+                        .say(&SqlError::new(code::RESULT, SpoolError::Removed.to_string()))
                         .await;
                 };
                 (head, Cursor::paged(reader))
--- a/src/spool_io/reader.rs
+++ b/src/spool_io/reader.rs
@@ -14,7 +14,7 @@
     #[error(transparent)]
     Read(#[from] ReadError),
     #[error("the result is there no more")]
-    Gone,
+    Removed,
 }
 
 /// Reads a spool; it stays for as long as somebody does.
@@ -57,7 +57,7 @@
                 },
             });
         let bytes = match page {
-            None => return Err(SpoolError::Gone),
+            None => return Err(SpoolError::Removed),
             Some(None) => {
                 self.to_the_end = true;
                 return Ok(None);
@@ -71,7 +71,7 @@
     }
 
     async fn ask_disk(&self) -> Result<Bytes, SpoolError> {
-        let disk = self.spools.disk.as_ref().ok_or(SpoolError::Gone)?;
+        let disk = self.spools.disk.as_ref().ok_or(SpoolError::Removed)?;
         let (reply, answer) = oneshot::channel();
         if !disk
             .order_in_turn(Order::Read {
@@ -81,7 +81,7 @@
             })
             .await
         {
-            return Err(SpoolError::Gone);
+            return Err(SpoolError::Removed);
         }
         match answer.await {
             Ok(Ok(bytes)) => Ok(bytes.into()),
@@ -91,7 +91,7 @@
                 }
                 Err(e.into())
             }
-            Err(_) => Err(SpoolError::Gone),
+            Err(_) => Err(SpoolError::Removed),
         }
     }
 }
