--- a/crates/mysql-conformance/src/lib.rs
+++ b/crates/mysql-conformance/src/lib.rs
@@ -5,7 +5,7 @@
 
 use cases::{CASES, Case, Engine as Against, Step, UNTESTED, Want};
 use query_dispatcher::config::{Mysql, Source};
-use query_dispatcher::core::{Bounds, Core};
+use query_dispatcher::core::{Core, CoreLimits};
 use query_dispatcher::discovery::{Change, Engine as Listed};
 use query_dispatcher::dispatch::request_router::RequestRouter;
 use query_dispatcher::frontend::mysql::Frontend;
@@ -49,10 +49,10 @@
     });
     let config = Mysql::parse(&stand::file("", &list.collect::<String>()), |_| None)?;
     let pool = BufferPool::default();
-    let bounds = Bounds {
-        open: config.sockets.most_open,
-        margin: 20.0,
-        page_wait: 600.0,
+    let bounds = CoreLimits {
+        max_open_requests: config.sockets.most_open,
+        answer_margin: 20.0,
+        page_timeout: 600.0,
     };
     let core = Core::new(config.settings.clone(), 1, bounds)?;
     let names = config.names.clone();
@@ -72,11 +72,11 @@
         cell: 0,
         started: None,
     });
-    router.change(&Change {
+    router.update_endpoints(&Change {
         update: ListUpdate::Whole,
         engines: listed.collect(),
     });
-    spawn_local(router.clone().clock());
+    spawn_local(router.clone().run_clock());
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     spawn_local(Frontend::new(router, pool, config.frontend, spools).accept(listener));
--- a/crates/testbed/src/world/mod.rs
+++ b/crates/testbed/src/world/mod.rs
@@ -13,7 +13,7 @@
 use day::{ClassDay, Day, Ends, LateCauses, WINDOW_S, Window, Worth};
 use hdrhistogram::Histogram;
 use policy::{Dispatch, Plain, Policy};
-use query_dispatcher::core::{Answer, AttemptId, Bounds, Command, Core, NewRequest};
+use query_dispatcher::core::{Answer, AttemptId, Command, Core, CoreLimits, NewRequest};
 use query_dispatcher::{EngineEntry, EngineState, ListUpdate, Outcome, ProgressNote};
 use rules::Checker;
 use std::cmp::Reverse;
@@ -218,10 +218,10 @@
 ) -> Box<dyn Dispatch> {
     let mut random = streams.numbered("decisions", gateway);
     let settings = scenario.settings(zone);
-    let bounds = Bounds {
-        open: 20_000,
-        margin: MARGIN,
-        page_wait: PAGE_WAIT,
+    let bounds = CoreLimits {
+        max_open_requests: 20_000,
+        answer_margin: MARGIN,
+        page_timeout: PAGE_WAIT,
     };
     match policy {
         // Settings were checked with their scenario; should the core still refuse them, nothing is dispatched at all.
@@ -709,12 +709,12 @@
         let t = t.clone();
         let kind = match answer {
             Answer::Served(_) => 0,
-            Answer::Refused { .. } => 1,
+            Answer::Rejected { .. } => 1,
             Answer::Failed { .. } => 2,
             Answer::TimedOut { .. } => 3,
         };
         self.mark(3, g as u64, request << 3 | kind);
-        if let Answer::Refused { retry_after, .. } = answer
+        if let Answer::Rejected { retry_after, .. } = answer
             && t.again < self.scenario.load.retries
         {
             let at = self.now + retry_after.unwrap_or(self.scenario.load.retry_ms).max(1.0);
@@ -741,7 +741,7 @@
                     t.priority_weight * late_answer_weight
                 }
             }
-            Answer::Refused { .. } => {
+            Answer::Rejected { .. } => {
                 class.ends.refused += 1;
                 0.0
             }
--- a/crates/testbed/src/world/policy.rs
+++ b/crates/testbed/src/world/policy.rs
@@ -26,35 +26,35 @@
         Core::open(self, now, r)
     }
     fn leave(&mut self, now: f64, request: RequestId) {
-        Core::leave(self, now, request);
+        Core::abandon(self, now, request);
     }
     fn ended(&mut self, now: f64, attempt: AttemptId, outcome: Outcome, report: Vec<f64>) {
-        Core::ended(self, now, attempt, outcome, report);
+        Core::attempt_ended(self, now, attempt, outcome, report);
     }
     fn note(&mut self, now: f64, attempt: AttemptId, note: ProgressNote) {
-        Core::note(self, now, attempt, note);
+        Core::progress(self, now, attempt, note);
     }
     fn engines(&mut self, now: f64, update: ListUpdate, entries: Vec<EngineEntry>) {
-        Core::engines(self, now, update, entries);
+        Core::update_endpoints(self, now, update, entries);
     }
     fn administratively_drained(&mut self, now: f64, engine: &str, out: bool) {
         let _ = if out {
             self.drain_engine(now, engine)
         } else {
-            self.undrain(now, engine)
+            self.undrain_engine(now, engine)
         };
     }
     fn tick(&mut self, now: f64) {
         Core::tick(self, now);
     }
     fn next_wake(&self) -> Option<f64> {
-        Core::next_wake(self)
+        Core::next_wakeup(self)
     }
     fn commands(&mut self) -> Vec<Command> {
-        Core::commands(self)
+        Core::take_commands(self)
     }
     fn in_service(&self, engine: &str) -> bool {
-        Core::in_service(self, engine)
+        Core::is_in_service(self, engine)
     }
 }
 
@@ -200,7 +200,7 @@
         };
         let Some(engine) = chosen else {
             let answer = match retry_safe {
-                true => Answer::Refused {
+                true => Answer::Rejected {
                     retry_after: Some(500.0),
                     reason: "no engine",
                 },
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -199,7 +199,7 @@
                 .strip_prefix('/')
         };
         let (method, reply): (&str, &dyn Fn() -> Answer) = match path {
-            "/_ready" => ("GET", &|| match self.router.ready() {
+            "/_ready" => ("GET", &|| match self.router.is_ready() {
                 true => answer(200, "ready\n"),
                 false => answer(503, "not ready: no list of engines yet, or shutting down\n"),
             }),
@@ -257,7 +257,7 @@
     fn administratively_drained(&self, engine: Option<&str>, out: bool) -> Answer {
         let Some(id) = engine
             .and_then(instance_registry::decoded)
-            .filter(|id| self.router.knows(id))
+            .filter(|id| self.router.is_known(id))
         else {
             return answer(404, "no engine has this id\n");
         };
@@ -269,7 +269,7 @@
         if let Err(e) = kept {
             return answer(503, format!("it could not be kept: {e}\n"));
         }
-        self.router.administratively_drained(&id, out);
+        self.router.set_administrative_drain(&id, out);
         answer(200, if out { "out\n" } else { "in use\n" })
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -9,4 +9,4 @@
 mod requests;
 
 pub use metrics::{Metrics, RequestOutcome};
-pub use requests::{Answer, AttemptId, Bounds, Command, Core, NewRequest, RequestId};
+pub use requests::{Answer, AttemptId, Command, Core, CoreLimits, NewRequest, RequestId};
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -31,7 +31,7 @@
     /// What this attempt brought.
     Served(AttemptId),
     /// A retry is harmless; `later` says when, in milliseconds from now.
-    Refused {
+    Rejected {
         retry_after: Option<Millis>,
         reason: &'static str,
     },
@@ -71,13 +71,13 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct CoreLimits {
     /// Requests open at a time.
-    pub open: usize,
+    pub max_open_requests: usize,
     /// An answer is due this long before its client gives up: it has to be written and read whole.
-    pub margin: Millis,
+    pub answer_margin: Millis,
     /// An attempt whose result has begun may stay without its next part for this long.
-    pub page_wait: Millis,
+    pub page_timeout: Millis,
 }
 
 struct Attempt {
@@ -135,7 +135,7 @@
     /// By class: what running it twice would do.
     idempotencies: Vec<Idempotency>,
     max_attempts: usize,
-    bounds: Bounds,
+    limits: CoreLimits,
     requests: BTreeMap<RequestId, Request>,
     due: Due,
     next_id: RequestId,
@@ -163,7 +163,7 @@
 }
 
 impl Core {
-    pub fn new(settings: Settings, seed: u64, bounds: Bounds) -> Result<Self, SettingsError> {
+    pub fn new(settings: Settings, seed: u64, limits: CoreLimits) -> Result<Self, SettingsError> {
         let metrics = Metrics {
             replies: vec![[0; 3]; settings.classes.len()],
             ..Metrics::default()
@@ -172,7 +172,7 @@
             idempotencies: settings.classes.iter().map(|c| c.idempotency).collect(),
             max_attempts: settings.limits.max_attempts as usize,
             facade: Facade::new(settings, seed)?,
-            bounds,
+            limits,
             requests: BTreeMap::new(),
             due: BTreeSet::new(),
             next_id: 1,
@@ -191,14 +191,14 @@
     }
 
     /// From now on it takes part in what the dispatchers of its tier tell each other.
-    pub fn join(&mut self, terms: GossipBudget) {
+    pub fn join_gossip(&mut self, terms: GossipBudget) {
         let mut bulletin = Broadcaster::new(terms);
         bulletin.list(self.listed.keys().map(String::as_str));
         self.bulletin = Some(bulletin);
     }
 
     /// A peer's message. What is none changes nothing and is counted.
-    pub fn heard(&mut self, now: Millis, message: &[u8]) -> Result<(), DecodeError> {
+    pub fn receive_gossip(&mut self, now: Millis, message: &[u8]) -> Result<(), DecodeError> {
         let Some(bulletin) = &mut self.bulletin else {
             return Ok(());
         };
@@ -221,7 +221,7 @@
     }
 
     /// What is to be done since the last call.
-    pub fn commands(&mut self) -> Vec<Command> {
+    pub fn take_commands(&mut self) -> Vec<Command> {
         std::mem::take(&mut self.commands)
     }
 
@@ -229,11 +229,12 @@
     pub fn open(&mut self, now: Millis, r: NewRequest) -> RequestId {
         let id = self.next_id;
         self.next_id += 1;
-        let due = (r.deadline - self.bounds.margin).min(self.stop_by.unwrap_or(f64::INFINITY));
+        let due =
+            (r.deadline - self.limits.answer_margin).min(self.stop_by.unwrap_or(f64::INFINITY));
         let out_of_range = r.class >= self.idempotencies.len() || !due.is_finite();
         let refusal = match () {
             // Held beyond this, requests would outgrow the memory that the machine gives.
-            () if self.requests.len() >= self.bounds.open / self.processes => {
+            () if self.requests.len() >= self.limits.max_open_requests / self.processes => {
                 Some("too many requests are open")
             }
             () if due <= now => Some("too little time is left"),
@@ -241,7 +242,7 @@
         };
         if out_of_range || refusal.is_some() {
             let answer = match refusal {
-                Some(reason) if !out_of_range => Answer::Refused {
+                Some(reason) if !out_of_range => Answer::Rejected {
                     retry_after: None,
                     reason,
                 },
@@ -280,7 +281,7 @@
     }
 
     /// Its client waits no more: no answer is owed, and what is out is dropped.
-    pub fn leave(&mut self, now: Millis, request: RequestId) {
+    pub fn abandon(&mut self, now: Millis, request: RequestId) {
         let Some(r) = self.requests.get_mut(&request) else {
             return;
         };
@@ -291,14 +292,14 @@
     }
 
     /// A part of the attempt's result is here; more parts follow.
-    pub fn answering(&mut self, now: Millis, attempt: AttemptId) {
+    pub fn page_received(&mut self, now: Millis, attempt: AttemptId) {
         if let Some(a) = self.attempt(attempt) {
             a.answering = Some(now);
         }
     }
 
     /// An attempt ended. False if it was over already, so that its result counts for nothing.
-    pub fn ended(
+    pub fn attempt_ended(
         &mut self,
         now: Millis,
         attempt: AttemptId,
@@ -354,7 +355,7 @@
         true
     }
 
-    pub fn note(&mut self, now: Millis, attempt: AttemptId, note: ProgressNote) {
+    pub fn progress(&mut self, now: Millis, attempt: AttemptId, note: ProgressNote) {
         if self.attempt(attempt).is_some() {
             self.report(
                 now,
@@ -367,7 +368,7 @@
         }
     }
 
-    pub fn engines(&mut self, now: Millis, update: ListUpdate, told: Vec<EngineEntry>) {
+    pub fn update_endpoints(&mut self, now: Millis, update: ListUpdate, told: Vec<EngineEntry>) {
         if update != ListUpdate::Patch {
             self.listed.clear();
         }
@@ -385,7 +386,7 @@
     }
 
     /// New work may still be written to this engine.
-    pub fn in_service(&self, engine: &str) -> bool {
+    pub fn is_in_service(&self, engine: &str) -> bool {
         !self.administratively_drained.contains(engine)
             && self
                 .listed
@@ -405,15 +406,15 @@
     }
 
     /// Somebody has this id: it is in the list, or was when operators took it out.
-    pub fn knows(&self, engine: &str) -> bool {
+    pub fn is_known(&self, engine: &str) -> bool {
         self.listed.contains_key(engine) || self.administratively_drained.contains(engine)
     }
 
-    pub fn administratively_drained(&self) -> &BTreeSet<String> {
+    pub fn drained_engines(&self) -> &BTreeSet<String> {
         &self.administratively_drained
     }
 
-    /// From now on it drains, whatever the list says, until [`Core::undrain`].
+    /// From now on it drains, whatever the list says, until [`Core::undrain_engine`].
     pub fn drain_engine(&mut self, now: Millis, engine: &str) -> Option<EngineEntry> {
         self.undrain.remove(engine);
         let new = self.administratively_drained.insert(engine.to_string());
@@ -421,7 +422,7 @@
     }
 
     /// It is what the list says again, with a process that has just started.
-    pub fn undrain(&mut self, now: Millis, engine: &str) -> Option<EngineEntry> {
+    pub fn undrain_engine(&mut self, now: Millis, engine: &str) -> Option<EngineEntry> {
         if !self.administratively_drained.remove(engine) {
             return None;
         }
@@ -445,12 +446,12 @@
     }
 
     /// Ready for clients: a list of engines is in hand and no end is near.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.has_list && self.stop_by.is_none()
     }
 
     /// No new life after `by`: every answer still owed is given until then.
-    pub fn stop(&mut self, now: Millis, by: Millis) {
+    pub fn begin_shutdown(&mut self, now: Millis, by: Millis) {
         self.stop_by = Some(by);
         for (&id, r) in &mut self.requests {
             if !r.answered && r.due > by {
@@ -463,11 +464,11 @@
     }
 
     /// Requests that are still owed an answer.
-    pub fn owed(&self) -> usize {
+    pub fn unanswered_requests(&self) -> usize {
         self.requests.values().filter(|r| !r.answered).count()
     }
 
-    pub fn next_wake(&self) -> Option<Millis> {
+    pub fn next_wakeup(&self) -> Option<Millis> {
         let due = self.due.first().map(|d| f64::from_bits(d.0));
         [due, self.facade.next_tick()]
             .into_iter()
@@ -500,7 +501,7 @@
         for index in out {
             let attempt = AttemptId { request: id, index };
             self.commands.push(Command::Cancel { attempt });
-            self.ended(now, attempt, Outcome::TimedOut, vec![]);
+            self.attempt_ended(now, attempt, Outcome::TimedOut, vec![]);
         }
         if over && self.requests.get(&id).is_some_and(|r| !r.answered) {
             self.finish(
@@ -545,7 +546,7 @@
                 Decision::Refuse { query, retry_after } => {
                     self.finish(
                         query,
-                        Answer::Refused {
+                        Answer::Rejected {
                             retry_after,
                             reason: "the engines have no room for it in time",
                         },
@@ -630,7 +631,7 @@
         };
         if !answered
             && a.answering
-                .is_some_and(|at| now < at + self.bounds.page_wait)
+                .is_some_and(|at| now < at + self.limits.page_timeout)
         {
             return;
         }
@@ -666,10 +667,10 @@
             // Guards the rule whatever the module says: only what cannot have run twice is called harmless.
             let retry_safe = r.retry_safe(self.idempotencies[r.class]);
             let answer = match answer {
-                Answer::Refused { .. } | Answer::Failed { .. } if r.expired => {
+                Answer::Rejected { .. } | Answer::Failed { .. } if r.expired => {
                     Answer::TimedOut { retry_safe }
                 }
-                Answer::Refused { .. } if !retry_safe => Answer::Failed {
+                Answer::Rejected { .. } if !retry_safe => Answer::Failed {
                     reason: "it may have run",
                 },
                 other => other,
@@ -683,7 +684,7 @@
     fn answer(&mut self, request: RequestId, class: ClassId, answer: Answer) {
         let end = match answer {
             Answer::Served(_) => RequestOutcome::Success,
-            Answer::Refused { .. } | Answer::TimedOut { retry_safe: true } => {
+            Answer::Rejected { .. } | Answer::TimedOut { retry_safe: true } => {
                 RequestOutcome::Overload
             }
             Answer::Failed { .. } | Answer::TimedOut { retry_safe: false } => RequestOutcome::Error,
@@ -698,20 +699,20 @@
     }
 
     /// So many processes of this dispatcher live: each takes its part of what is bounded for all.
-    pub fn share(&mut self, processes: u32) {
+    pub fn set_process_count(&mut self, processes: u32) {
         self.processes = processes.max(1) as usize;
         self.facade.share(processes);
     }
 
     /// The last byte of an attempt is written.
-    pub fn written(&mut self) {
+    pub fn record_dispatch(&mut self) {
         self.metrics.dispatches += 1;
     }
 
     pub fn metrics(&self) -> Metrics {
-        let avoided = |name: &&String| !self.in_service(name) || self.facade.avoids(name);
+        let avoided = |name: &&String| !self.is_in_service(name) || self.facade.avoids(name);
         Metrics {
-            concurrent: self.owed(),
+            concurrent: self.unanswered_requests(),
             targets: self.listed.len(),
             targets_disabled: self.listed.keys().filter(avoided).count(),
             ..self.metrics.clone()
--- a/src/dispatch/gossip_driver.rs
+++ b/src/dispatch/gossip_driver.rs
@@ -34,7 +34,7 @@
         let _ = out.try_send_to(message, all);
     };
     match router.upgrade() {
-        Some(router) => router.join(peers.terms, Box::new(tell)),
+        Some(router) => router.join_gossip(peers.terms, Box::new(tell)),
         None => return,
     }
     let from: HashSet<_> = peers.each.iter().copied().collect();
@@ -52,7 +52,7 @@
                 say!("peer {sender}: not listed, its message is passed over");
             }
             Ok((size, sender)) => {
-                if let Err(e) = router.heard(&buffer[..size]) {
+                if let Err(e) = router.receive_gossip(&buffer[..size]) {
                     say!("peer {sender}: {e}; its message is passed over");
                 }
             }
--- a/src/dispatch/request_router.rs
+++ b/src/dispatch/request_router.rs
@@ -14,7 +14,7 @@
 use tokio::sync::Notify;
 
 /// What an upstream is told to start.
-pub struct Start {
+pub struct StartAttempt {
     pub attempt: AttemptId,
     pub engine: String,
     pub until: Millis,
@@ -32,18 +32,18 @@
     /// What an engine brings back.
     type Output: 'static;
 
-    fn start(&self, router: &Rc<RequestRouter<Self>>, start: Start, work: Rc<Self::Work>);
+    fn start(&self, router: &Rc<RequestRouter<Self>>, start: StartAttempt, work: Rc<Self::Work>);
     /// The attempt is given up; no end of it is wanted.
-    fn drop_attempt(&self, attempt: AttemptId);
-    fn change(&self, change: &Change);
+    fn cancel_attempt(&self, attempt: AttemptId);
+    fn update_endpoints(&self, change: &Change);
     /// So many processes share the bounds on connections to engines.
-    fn share(&self, processes: usize);
+    fn set_process_count(&self, processes: usize);
 }
 
 /// The final answer as a front gets it.
 pub enum Reply<O> {
     Served(O),
-    Refused {
+    Rejected {
         retry_after: Option<Millis>,
         reason: &'static str,
     },
@@ -59,12 +59,12 @@
 /// Takes a message for every peer; it may be lost.
 pub type GossipSender = Box<dyn Fn(&[u8])>;
 
-type Answerer<O> = Box<dyn FnOnce(Reply<O>)>;
+type ReplyHandler<O> = Box<dyn FnOnce(Reply<O>)>;
 
 struct Open<U: Upstream> {
     work: Rc<U::Work>,
     output: Option<U::Output>,
-    answer: Answerer<U::Output>,
+    answer: ReplyHandler<U::Output>,
 }
 
 pub struct RequestRouter<U: Upstream> {
@@ -92,15 +92,15 @@
     }
 
     /// Takes part in what the dispatchers of the tier tell each other; the first call counts.
-    pub fn join(&self, terms: GossipBudget, tell: GossipSender) {
+    pub fn join_gossip(&self, terms: GossipBudget, tell: GossipSender) {
         if self.peers.set(tell).is_ok() {
-            self.core.borrow_mut().join(terms);
+            self.core.borrow_mut().join_gossip(terms);
         }
     }
 
     /// A peer's message.
-    pub fn heard(self: &Rc<Self>, message: &[u8]) -> Result<(), DecodeError> {
-        self.core.borrow_mut().heard(unix_ms(), message)?;
+    pub fn receive_gossip(self: &Rc<Self>, message: &[u8]) -> Result<(), DecodeError> {
+        self.core.borrow_mut().receive_gossip(unix_ms(), message)?;
         self.carry_out();
         Ok(())
     }
@@ -123,7 +123,7 @@
         self: &Rc<Self>,
         r: NewRequest,
         work: U::Work,
-        answer: Answerer<U::Output>,
+        answer: ReplyHandler<U::Output>,
     ) -> RequestId {
         let id = self.core.borrow_mut().open(unix_ms(), r);
         self.open.borrow_mut().insert(
@@ -138,33 +138,38 @@
         id
     }
 
-    pub fn leave(self: &Rc<Self>, id: RequestId) {
+    pub fn abandon(self: &Rc<Self>, id: RequestId) {
         drop(self.open.borrow_mut().remove(&id));
-        self.core.borrow_mut().leave(unix_ms(), id);
+        self.core.borrow_mut().abandon(unix_ms(), id);
         self.carry_out();
     }
 
     /// A part of the result is here, and more is to come.
-    pub fn answering(self: &Rc<Self>, attempt: AttemptId) {
-        self.core.borrow_mut().answering(unix_ms(), attempt);
+    pub fn page_received(self: &Rc<Self>, attempt: AttemptId) {
+        self.core.borrow_mut().page_received(unix_ms(), attempt);
     }
 
-    pub fn served(self: &Rc<Self>, attempt: AttemptId, report: Vec<f64>, output: U::Output) {
+    pub fn attempt_served(
+        self: &Rc<Self>,
+        attempt: AttemptId,
+        report: Vec<f64>,
+        output: U::Output,
+    ) {
         if let Some(open) = self.open.borrow_mut().get_mut(&attempt.request) {
             open.output = Some(output);
         }
-        self.ended(attempt, Outcome::Served, report);
+        self.attempt_ended(attempt, Outcome::Served, report);
     }
 
-    pub fn ended(self: &Rc<Self>, attempt: AttemptId, outcome: Outcome, report: Vec<f64>) {
+    pub fn attempt_ended(self: &Rc<Self>, attempt: AttemptId, outcome: Outcome, report: Vec<f64>) {
         self.core
             .borrow_mut()
-            .ended(unix_ms(), attempt, outcome, report);
+            .attempt_ended(unix_ms(), attempt, outcome, report);
         self.carry_out();
     }
 
-    pub fn note(self: &Rc<Self>, attempt: AttemptId, note: ProgressNote) {
-        self.core.borrow_mut().note(unix_ms(), attempt, note);
+    pub fn progress(self: &Rc<Self>, attempt: AttemptId, note: ProgressNote) {
+        self.core.borrow_mut().progress(unix_ms(), attempt, note);
         self.carry_out();
     }
 
@@ -174,8 +179,8 @@
     }
 
     /// So many attempts have been written whole.
-    pub fn written(&self, attempts: usize) {
-        (0..attempts).for_each(|_| self.core.borrow_mut().written());
+    pub fn record_dispatches(&self, attempts: usize) {
+        (0..attempts).for_each(|_| self.core.borrow_mut().record_dispatch());
     }
 
     /// The figures as they stand, one a line.
@@ -184,12 +189,12 @@
     }
 
     /// Still listed as in service: checked again right before an attempt is written.
-    pub fn in_service(&self, engine: &str) -> bool {
-        self.core.borrow().in_service(engine)
+    pub fn is_in_service(&self, engine: &str) -> bool {
+        self.core.borrow().is_in_service(engine)
     }
 
     /// A change of the engine list, in the order told.
-    pub fn change(self: &Rc<Self>, change: &Change) {
+    pub fn update_endpoints(self: &Rc<Self>, change: &Change) {
         let entries = change.engines.iter().map(|e| EngineEntry {
             engine: e.id.clone(),
             state: e.state,
@@ -202,21 +207,21 @@
         // The module hears of it first, so that connections that drop find it informed.
         self.core
             .borrow_mut()
-            .engines(unix_ms(), change.update, entries);
-        self.upstream.change(change);
+            .update_endpoints(unix_ms(), change.update, entries);
+        self.upstream.update_endpoints(change);
         self.carry_out();
     }
 
     /// Somebody has this engine id.
-    pub fn knows(&self, engine: &str) -> bool {
-        self.core.borrow().knows(engine)
+    pub fn is_known(&self, engine: &str) -> bool {
+        self.core.borrow().is_known(engine)
     }
 
     /// Operators take an engine out, or put it back; doing so twice changes nothing.
-    pub fn administratively_drained(self: &Rc<Self>, engine: &str, out: bool) {
+    pub fn set_administrative_drain(self: &Rc<Self>, engine: &str, out: bool) {
         let told = match out {
             true => self.core.borrow_mut().drain_engine(unix_ms(), engine),
-            false => self.core.borrow_mut().undrain(unix_ms(), engine),
+            false => self.core.borrow_mut().undrain_engine(unix_ms(), engine),
         };
         if let Some(e) = told {
             say!(
@@ -233,7 +238,7 @@
                 cell: e.cell,
                 started: e.started,
             };
-            self.upstream.change(&Change {
+            self.upstream.update_endpoints(&Change {
                 update: ListUpdate::Patch,
                 engines: vec![engine],
             });
@@ -243,47 +248,47 @@
 
     /// Exactly these are out by hand: another process of this dispatcher may have been told so.
     pub fn apply_administrative_drains(self: &Rc<Self>, out: &BTreeSet<String>) {
-        let now = self.core.borrow().administratively_drained().clone();
+        let now = self.core.borrow().drained_engines().clone();
         out.difference(&now)
-            .for_each(|engine| self.administratively_drained(engine, true));
+            .for_each(|engine| self.set_administrative_drain(engine, true));
         now.difference(out)
-            .for_each(|engine| self.administratively_drained(engine, false));
+            .for_each(|engine| self.set_administrative_drain(engine, false));
     }
 
     /// The engines that are out by hand.
-    pub fn administrative_drains(&self) -> BTreeSet<String> {
-        self.core.borrow().administratively_drained().clone()
+    pub fn drained_engines(&self) -> BTreeSet<String> {
+        self.core.borrow().drained_engines().clone()
     }
 
     /// So many processes of this dispatcher live.
-    pub fn share(&self, processes: u32) {
-        self.core.borrow_mut().share(processes);
-        self.upstream.share(processes as usize);
+    pub fn set_process_count(&self, processes: u32) {
+        self.core.borrow_mut().set_process_count(processes);
+        self.upstream.set_process_count(processes as usize);
     }
 
     /// The end has begun.
-    pub fn stopping(&self) -> bool {
+    pub fn is_shutting_down(&self) -> bool {
         self.stopping.get()
     }
 
-    pub fn ready(&self) -> bool {
-        !self.stopping.get() && self.core.borrow().ready()
+    pub fn is_ready(&self) -> bool {
+        !self.stopping.get() && self.core.borrow().is_ready()
     }
 
     /// From now on: not ready, and every answer is given by `by`.
-    pub fn stop(self: &Rc<Self>, by: Millis) {
+    pub fn begin_shutdown(self: &Rc<Self>, by: Millis) {
         self.stopping.set(true);
-        self.core.borrow_mut().stop(unix_ms(), by);
+        self.core.borrow_mut().begin_shutdown(unix_ms(), by);
         self.carry_out();
     }
 
-    pub fn owed(&self) -> usize {
-        self.core.borrow().owed()
+    pub fn unanswered_requests(&self) -> usize {
+        self.core.borrow().unanswered_requests()
     }
 
     fn carry_out(self: &Rc<Self>) {
         loop {
-            let commands = self.core.borrow_mut().commands();
+            let commands = self.core.borrow_mut().take_commands();
             if commands.is_empty() {
                 break;
             }
@@ -310,7 +315,7 @@
                 if let Some(work) = work {
                     self.upstream.start(
                         self,
-                        Start {
+                        StartAttempt {
                             attempt,
                             engine,
                             until,
@@ -322,7 +327,7 @@
                     );
                 }
             }
-            Command::Cancel { attempt } => self.upstream.drop_attempt(attempt),
+            Command::Cancel { attempt } => self.upstream.cancel_attempt(attempt),
             Command::Answer { request, answer } => {
                 let Some(open) = self.open.borrow_mut().remove(&request) else {
                     return;
@@ -333,12 +338,12 @@
                         reason: "the result was lost",
                     },
                     (
-                        Answer::Refused {
+                        Answer::Rejected {
                             retry_after,
                             reason,
                         },
                         _,
-                    ) => Reply::Refused {
+                    ) => Reply::Rejected {
                         retry_after,
                         reason,
                     },
@@ -355,9 +360,9 @@
     }
 
     /// Rings for the core when it asked to be; runs for ever.
-    pub async fn clock(self: Rc<Self>) {
+    pub async fn run_clock(self: Rc<Self>) {
         loop {
-            let next = self.core.borrow().next_wake();
+            let next = self.core.borrow().next_wakeup();
             let sleep = span(next.map_or(1000.0, |at| at - unix_ms()));
             tokio::select! {
                 () = tokio::time::sleep(sleep) => {
--- a/src/frontend/frames/connection.rs
+++ b/src/frontend/frames/connection.rs
@@ -96,7 +96,7 @@
 impl<U: Upstream<Work = Work, Output = Buffer>> Drop for Leaves<'_, U> {
     fn drop(&mut self) {
         let open = std::mem::take(&mut *self.1.borrow_mut());
-        open.into_values().for_each(|id| self.0.router.leave(id));
+        open.into_values().for_each(|id| self.0.router.abandon(id));
     }
 }
 
@@ -312,7 +312,7 @@
     let field;
     let (code, body): (u8, &[u8]) = match &reply {
         Reply::Served(result) => (SERVED, result),
-        Reply::Refused {
+        Reply::Rejected {
             retry_after: at,
             reason,
         } => {
@@ -391,7 +391,7 @@
     fn leaves(&mut self, stream: u32) {
         let left = self.open.borrow_mut().remove(&stream);
         match left {
-            Some(id) => self.frontend.router.leave(id),
+            Some(id) => self.frontend.router.abandon(id),
             None => {
                 self.ahead
                     .retain(|(f, _)| f.kind != REQUEST || f.stream != stream);
@@ -403,7 +403,7 @@
     /// Whether the dispatcher is ready, for a client that asks.
     fn state(&self, wire: &mut FramedConnection, stream: u32) -> Result<(), FrameError> {
         // Asked is whether the dispatcher is ready, and that it is with any process.
-        let code = if self.frontend.router.ready() || self.frontend.handed_over.get() {
+        let code = if self.frontend.router.is_ready() || self.frontend.handed_over.get() {
             SERVED
         } else {
             REFUSED
@@ -424,7 +424,7 @@
             Some((_, stream)) => answer(
                 wire,
                 stream,
-                Reply::Refused {
+                Reply::Rejected {
                     retry_after: Some(LATER),
                     reason: TOO_MUCH,
                 },
@@ -480,7 +480,7 @@
             return answer(
                 wire,
                 stream,
-                Reply::Refused {
+                Reply::Rejected {
                     retry_after: Some(LATER),
                     reason: TOO_MUCH,
                 },
--- a/src/frontend/mysql/mod.rs
+++ b/src/frontend/mysql/mod.rs
@@ -160,7 +160,7 @@
 
 impl<U: Upstream<Work = Work, Output = Output>> Drop for Asked<'_, U> {
     fn drop(&mut self) {
-        self.0.leave(self.1);
+        self.0.abandon(self.1);
     }
 }
 
@@ -796,7 +796,7 @@
             self.frontend
                 .router
                 .record_rejection(class, RequestOutcome::Overload);
-            return Ok(Reply::Refused {
+            return Ok(Reply::Rejected {
                 retry_after,
                 reason,
             });
--- a/src/frontend/mysql/sticky.rs
+++ b/src/frontend/mysql/sticky.rs
@@ -178,7 +178,7 @@
                 retry_after,
             } = self.frontend.spools.admit(ask)
         {
-            return Ok(Ok(Reply::Refused {
+            return Ok(Ok(Reply::Rejected {
                 retry_after,
                 reason,
             }));
--- a/src/main.rs
+++ b/src/main.rs
@@ -4,7 +4,7 @@
 use query_dispatcher::admin::{Admin, Watched};
 use query_dispatcher::clock::unix_ms;
 use query_dispatcher::config::{ConfigError, EurekaSource, Mysql, Platform, Source};
-use query_dispatcher::core::{Bounds, Core};
+use query_dispatcher::core::{Core, CoreLimits};
 use query_dispatcher::discovery::eureka::{self, lease::Lease, lease::Standing};
 use query_dispatcher::discovery::membership_driver::MembershipDriver;
 use query_dispatcher::discovery::{Discovery, fixed, journal::Journal};
@@ -76,10 +76,10 @@
     // What the machine lets the process hold may be less than the settings say.
     config.limits.sockets = descriptors::within(config.limits.sockets, given);
     let pool = BufferPool::default();
-    let bounds = Bounds {
-        open: config.sockets.most_open,
-        margin: MARGIN,
-        page_wait: PAGE_WAIT,
+    let bounds = CoreLimits {
+        max_open_requests: config.sockets.most_open,
+        answer_margin: MARGIN,
+        page_timeout: PAGE_WAIT,
     };
     let core = Core::new(config.settings.clone(), config.seed, bounds)?;
     let upstream = RespUpstream::new(
@@ -114,8 +114,8 @@
     if let Some(tier) = config.peers.clone() {
         spawn_local(gossip_driver::attend(Rc::downgrade(&router), tier));
     }
-    spawn_local(journal.run(Box::new(move |change| sink.change(&change))));
-    spawn_local(router.clone().clock());
+    spawn_local(journal.run(Box::new(move |change| sink.update_endpoints(&change))));
+    spawn_local(router.clone().run_clock());
     spawn_local(process_metrics::tell());
     let accepting = spawn_local(frontend.clone().accept(listener));
     say!("{} listens on {listen}", config.name);
@@ -147,10 +147,10 @@
     let (mut term, hup) = (Signals::new(SIGTERM)?, Signals::new(SIGHUP)?);
     let mut config = Mysql::read(file)?;
     let pool = BufferPool::default();
-    let bounds = Bounds {
-        open: config.sockets.most_open,
-        margin: MARGIN,
-        page_wait: PAGE_WAIT,
+    let bounds = CoreLimits {
+        max_open_requests: config.sockets.most_open,
+        answer_margin: MARGIN,
+        page_timeout: PAGE_WAIT,
     };
     let core = Core::new(config.settings.clone(), unix_ms() as u64, bounds)?;
     let names = config.names.clone();
@@ -210,7 +210,7 @@
     };
     let following = Rc::new(RefCell::new(following));
     following.borrow_mut().follow(&config.source, &stand);
-    spawn_local(router.clone().clock());
+    spawn_local(router.clone().run_clock());
     spawn_local(process_metrics::tell());
     let accepting = spawn_local(frontend.clone().accept(listener));
     say!("the MySQL front listens on {listen}");
@@ -288,11 +288,11 @@
 ) -> Rc<dyn Fn() -> Standing> {
     let (router, shared) = (router.clone(), shared.clone());
     Rc::new(move || match () {
-        () if router.stopping() => match shared.processes() {
+        () if router.is_shutting_down() => match shared.processes() {
             Ok(2..) => Standing::HandedOver,
             _ => Standing::Ending,
         },
-        () if router.ready() => Standing::Ready,
+        () if router.is_ready() => Standing::Ready,
         () => Standing::Starting,
     })
 }
@@ -309,7 +309,7 @@
         .apply_administrative_drains(&shared.drained_engines().map_err(named)?.unwrap_or_default());
     let (router, following) = (router.clone(), shared.clone());
     let divide = move |router: &RequestRouter<U>, living| {
-        router.share(living);
+        router.set_process_count(living);
         frontend(living);
     };
     let mut before = shared.processes().map_err(named)?;
@@ -371,7 +371,7 @@
                 }
                 *self.members.borrow_mut() = None;
                 self.router.upstream().watch(None);
-                self.router.change(&fixed(engines));
+                self.router.update_endpoints(&fixed(engines));
             }
             Source::Eureka(source) => {
                 let source = Rc::new((**source).clone());
@@ -397,8 +397,8 @@
                         let members = MembershipDriver::new(
                             &source,
                             self.state.as_deref(),
-                            Box::new(move |change| sink.change(&change)),
-                            Box::new(move || router.administrative_drains()),
+                            Box::new(move |change| sink.update_endpoints(&change)),
+                            Box::new(move || router.drained_engines()),
                         );
                         self.router.upstream().watch(Some(members.clone()));
                         let (tell, told) = watch::channel(source.clone());
@@ -477,11 +477,14 @@
     term.recv().await;
     let began = tokio::time::Instant::now();
     let span = frames::stop_span(longest, handed_over);
-    router.stop(unix_ms() + span.as_secs_f64() * 1000.0);
+    router.begin_shutdown(unix_ms() + span.as_secs_f64() * 1000.0);
     if handed_over {
         tell(Near::Goodbye);
     }
-    say!("SIGTERM: {} requests are open", router.owed());
+    say!(
+        "SIGTERM: {} requests are open",
+        router.unanswered_requests()
+    );
     if !handed_over {
         tokio::time::sleep(frames::ACCEPT_FOR).await;
         tell(Near::Goodbye);
@@ -489,7 +492,9 @@
     tokio::time::sleep(if handed_over { LINGER } else { LAST }).await;
     tell(Near::Last);
     // Every answer is given by then; what clients have not taken whole a while later is cut off by the kill in any case.
-    while (router.owed() > 0 || busy() > 0) && began.elapsed() < span + frames::WRITE_ON {
+    while (router.unanswered_requests() > 0 || busy() > 0)
+        && began.elapsed() < span + frames::WRITE_ON
+    {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     say!("stopped after {} ms", began.elapsed().as_millis());
--- a/src/upstream/mysql/mod.rs
+++ b/src/upstream/mysql/mod.rs
@@ -12,7 +12,7 @@
 use crate::decision::model::*;
 use crate::discovery::Change;
 use crate::discovery::membership_driver::Witness;
-use crate::dispatch::request_router::{RequestRouter, Start, Upstream};
+use crate::dispatch::request_router::{RequestRouter, StartAttempt, Upstream};
 use crate::membership::Observation;
 use crate::protocol::mysql::auth;
 use crate::protocol::mysql::error::{SqlError, code};
@@ -272,7 +272,7 @@
     type Work = Work;
     type Output = Output;
 
-    fn start(&self, router: &Rc<RequestRouter<Self>>, start: Start, work: Rc<Work>) {
+    fn start(&self, router: &Rc<RequestRouter<Self>>, start: StartAttempt, work: Rc<Work>) {
         let attempt = start.attempt;
         let written = Rc::new(Cell::new(None));
         let cut = Rc::new(Notify::new());
@@ -289,8 +289,8 @@
             shared.running.borrow_mut().remove(&attempt);
             let Some(router) = weak.upgrade() else { return };
             match end {
-                Ok(output) => router.served(attempt, vec![], output),
-                Err(outcome) => router.ended(attempt, outcome, vec![]),
+                Ok(output) => router.attempt_served(attempt, vec![], output),
+                Err(outcome) => router.attempt_ended(attempt, outcome, vec![]),
             }
         });
         let address = self.0.engines.borrow().get(&engine).and_then(|s| s.address);
@@ -308,7 +308,7 @@
 
     /// Ends the attempt's connection. An engine goes on with a statement whose client has gone, so a written
     /// one is also killed from beside.
-    fn drop_attempt(&self, attempt: AttemptId) {
+    fn cancel_attempt(&self, attempt: AttemptId) {
         let Some(running) = self.0.running.borrow_mut().remove(&attempt) else {
             return;
         };
@@ -318,11 +318,11 @@
         }
     }
 
-    fn share(&self, processes: usize) {
+    fn set_process_count(&self, processes: usize) {
         self.0.processes.set(processes.max(1));
     }
 
-    fn change(&self, change: &Change) {
+    fn update_endpoints(&self, change: &Change) {
         let mut engines = self.0.engines.borrow_mut();
         let mut lost: HashMap<String, Millis> = HashMap::new();
         let mut taken: HashMap<SocketAddr, &str> = HashMap::new();
@@ -387,7 +387,7 @@
     /// Carries one attempt out; an error is its outcome.
     async fn attempt(
         &self,
-        start: &Start,
+        start: &StartAttempt,
         work: &Work,
         written: &Cell<Option<(SocketAddr, u32)>>,
         cut: &Notify,
--- a/src/upstream/mysql/sticky.rs
+++ b/src/upstream/mysql/sticky.rs
@@ -111,31 +111,31 @@
     fn in_service(&self) -> bool {
         self.router
             .upgrade()
-            .is_some_and(|router| router.in_service(&self.engine))
+            .is_some_and(|router| router.is_in_service(&self.engine))
     }
     fn sent(&self) {
         self.router
             .upgrade()
             .into_iter()
-            .for_each(|router| router.written(1));
+            .for_each(|router| router.record_dispatches(1));
     }
     fn holds(&self) {
         self.router
             .upgrade()
             .into_iter()
-            .for_each(|router| router.answering(self.attempt));
+            .for_each(|router| router.page_received(self.attempt));
     }
     fn idle(&self) {
         self.router
             .upgrade()
             .into_iter()
-            .for_each(|router| router.note(self.attempt, ProgressNote::Idle));
+            .for_each(|router| router.progress(self.attempt, ProgressNote::Idle));
     }
     fn works(&self) {
         self.router
             .upgrade()
             .into_iter()
-            .for_each(|router| router.note(self.attempt, ProgressNote::Works));
+            .for_each(|router| router.progress(self.attempt, ProgressNote::Works));
     }
 }
 
--- a/src/upstream/mysql/work.rs
+++ b/src/upstream/mysql/work.rs
@@ -95,7 +95,7 @@
     let again = "sending it again does no harm";
     Some(match reply {
         Reply::Served(_) => return None,
-        Reply::Refused {
+        Reply::Rejected {
             retry_after,
             reason,
         } => {
--- a/src/upstream/resp.rs
+++ b/src/upstream/resp.rs
@@ -6,7 +6,7 @@
 use crate::core::AttemptId;
 use crate::decision::model::*;
 use crate::discovery::Change;
-use crate::dispatch::request_router::{RequestRouter, Start, Upstream};
+use crate::dispatch::request_router::{RequestRouter, StartAttempt, Upstream};
 use crate::frontend::frames::Work;
 use crate::say;
 use crate::transport::descriptors::Shares;
@@ -229,7 +229,7 @@
 enum Stage {
     /// Not a byte is written: its end proves that it never ran.
     Waiting {
-        start: Start,
+        start: StartAttempt,
         work: Rc<Work>,
         /// The machine was asked what is unread on its connection.
         looked: bool,
@@ -424,10 +424,10 @@
     type Work = Work;
     type Output = Buffer;
 
-    fn start(&self, router: &Rc<RequestRouter<Self>>, start: Start, work: Rc<Work>) {
+    fn start(&self, router: &Rc<RequestRouter<Self>>, start: StartAttempt, work: Rc<Work>) {
         let attempt = start.attempt;
         let Some(c) = self.connection(router, &start.engine, &work.txn, start.alone) else {
-            return router.ended(attempt, Outcome::Unreachable, vec![]);
+            return router.attempt_ended(attempt, Outcome::Unreachable, vec![]);
         };
         let txn = work.txn.clone();
         let alone = start.alone;
@@ -441,7 +441,7 @@
             },
         };
         if c.orders.try_send(Do::Get(txn.clone())).is_err() {
-            return router.ended(attempt, Outcome::Unreachable, vec![]);
+            return router.attempt_ended(attempt, Outcome::Unreachable, vec![]);
         }
         if c.pending.borrow().is_empty() {
             c.heard.set(unix_ms());
@@ -450,7 +450,7 @@
         self.0.attempts.borrow_mut().insert(attempt, (c, txn));
     }
 
-    fn drop_attempt(&self, attempt: AttemptId) {
+    fn cancel_attempt(&self, attempt: AttemptId) {
         let Some((c, txn)) = self.0.attempts.borrow_mut().remove(&attempt) else {
             return;
         };
@@ -477,7 +477,7 @@
         }
     }
 
-    fn share(&self, processes: usize) {
+    fn set_process_count(&self, processes: usize) {
         self.0.most.set((CONNECTIONS / processes).max(2));
         self.0.processes.set(processes);
         self.within(self.0.descriptors.get());
@@ -485,7 +485,7 @@
 
     /// An address may pass to another engine, or a process start again under its id: connections from before
     /// lead to nobody.
-    fn change(&self, change: &Change) {
+    fn update_endpoints(&self, change: &Change) {
         let mut engines = self.0.engines.borrow_mut();
         if change.update != ListUpdate::Patch {
             let listed: HashSet<&str> = change.engines.iter().map(|e| e.id.as_str()).collect();
@@ -694,7 +694,7 @@
                 router
                     .upgrade()
                     .into_iter()
-                    .for_each(|router| router.written(std::mem::take(&mut gets)));
+                    .for_each(|router| router.record_dispatches(std::mem::take(&mut gets)));
             }
             let none = c.pending.borrow().is_empty();
             if c.closing.get() && none && framed.written() {
@@ -795,7 +795,7 @@
         let late = left < 1.0 || now >= write_by;
         // The connection took its time: the engine may drain by now, or the time be over, its own or that of a repeat. It
         // never ran.
-        if late || !router.in_service(engine) {
+        if late || !router.is_in_service(engine) {
             let attempt = start.attempt;
             drop(pending);
             self.forget(c, &txn, attempt);
@@ -804,7 +804,7 @@
             } else {
                 Outcome::Unreachable
             };
-            router.ended(attempt, outcome, vec![]);
+            router.attempt_ended(attempt, outcome, vec![]);
             return Ok(0);
         }
         // The engine may have closed it in this very turn, and its client may have gone or left since its task had its turn:
@@ -881,7 +881,7 @@
         let outcome = match word {
             "EVENT" => {
                 if let Some(note) = note(&fields) {
-                    router.note(attempt, note);
+                    router.progress(attempt, note);
                 }
                 return Ok(());
             }
@@ -889,10 +889,10 @@
                 if let Err(e) = self.part(c, id, word, &fields, body, framed) {
                     // It has run, and its result is spoilt.
                     self.forget(c, txn, attempt);
-                    router.ended(attempt, Outcome::Error, vec![]);
+                    router.attempt_ended(attempt, Outcome::Error, vec![]);
                     return Err(e);
                 }
-                router.answering(attempt);
+                router.page_received(attempt);
                 self.whole(&router, c, txn, attempt);
                 return Ok(());
             }
@@ -904,7 +904,7 @@
             _ => return Err(RespError::Form),
         };
         self.forget(c, txn, attempt);
-        router.ended(attempt, outcome, told());
+        router.attempt_ended(attempt, outcome, told());
         Ok(())
     }
 
@@ -1000,7 +1000,7 @@
                 .iter()
                 .flatten()
                 .for_each(|p| result.extend_from_slice(p));
-            router.served(attempt, report, result);
+            router.attempt_served(attempt, report, result);
         }
     }
 
@@ -1031,7 +1031,7 @@
                 _ if !std::mem::replace(&mut told, true) => Outcome::Reset,
                 _ => Outcome::Cancelled,
             };
-            router.ended(p.attempt, outcome, vec![]);
+            router.attempt_ended(p.attempt, outcome, vec![]);
         }
     }
 }
--- a/tests/client_disconnect_races.rs
+++ b/tests/client_disconnect_races.rs
@@ -53,8 +53,8 @@
         RespUpstream::new(sockets, vec![], pool.clone()),
     );
     let engines = vec![engine.local_addr().unwrap()];
-    router.change(&change(&engines, None));
-    spawn_local(router.clone().clock());
+    router.update_endpoints(&change(&engines, None));
+    spawn_local(router.clone().run_clock());
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     SockRef::from(&listener)
         .set_send_buffer_size(SMALL)
@@ -109,16 +109,16 @@
     /// All that comes in waits from now on: the engine drains.
     fn holds(&self) {
         self.router
-            .change(&change(&self.engines, Some((0, "drain"))));
+            .update_endpoints(&change(&self.engines, Some((0, "drain"))));
     }
 
     /// What waits is let go.
     fn lets_go(&self) {
-        self.router.change(&change(&self.engines, None));
+        self.router.update_endpoints(&change(&self.engines, None));
     }
 
     async fn owes(&self, n: usize) {
-        until("what is owed", || self.router.owed() == n).await;
+        until("what is owed", || self.router.unanswered_requests() == n).await;
     }
 
     /// The engine's next connection.
@@ -186,7 +186,7 @@
     let told = move |reply| {
         answers.borrow_mut().push(match reply {
             Reply::Served(_) => "served",
-            Reply::Refused { .. } => "refused",
+            Reply::Rejected { .. } => "refused",
             Reply::Failed { .. } => "failed",
             Reply::TimedOut { .. } => "late",
         })
@@ -213,7 +213,7 @@
     let kept = leaves(client).await;
     tokio::time::sleep(TERM).await;
     assert_eq!(
-        s.router.owed(),
+        s.router.unanswered_requests(),
         0,
         "it is left by now, and what it held is free"
     );
@@ -387,7 +387,7 @@
             })
             .collect();
         tokio::time::sleep(TERM).await;
-        assert_eq!(s.router.owed(), 0);
+        assert_eq!(s.router.unanswered_requests(), 0);
         s.lets_go();
         s.nothing_but(1).await;
         drop(kept);
@@ -442,7 +442,7 @@
                 false => by_closing(client).await,
             };
             tokio::time::sleep(TERM).await;
-            assert_eq!(s.router.owed(), 0);
+            assert_eq!(s.router.unanswered_requests(), 0);
             s.lets_go();
             let mut other = Client::new(s.at).await;
             other.say(&request(1, 3, "lookup", "")).await;
@@ -685,7 +685,7 @@
         s.holds();
         ask(&s, 1, 0, &answers);
         s.lets_go();
-        s.router.leave(1);
+        s.router.abandon(1);
         s.nothing_but(2).await;
         assert!(answers.borrow().is_empty(), "and it is owed nothing");
     });
@@ -705,7 +705,7 @@
         // The dispatcher has seen the break once it has answered what came after it.
         client.say(&frame(16, 9, &[0])).await;
         assert_eq!(client.hear().await.unwrap().0, 32);
-        assert_eq!(s.router.owed(), 1, "it is tried again");
+        assert_eq!(s.router.unanswered_requests(), 1, "it is tried again");
         drop(client);
         s.owes(0).await;
         drop((s.dialled().await, filler));
@@ -926,10 +926,10 @@
         get(&mut engine).await;
         s.holds();
         ask(&s, 2, 1, &answers);
-        s.router.stop(unix_ms() + 100.0);
+        s.router.begin_shutdown(unix_ms() + 100.0);
         s.lets_go();
         let mut told = vec![];
-        while s.router.owed() > 0 {
+        while s.router.unanswered_requests() > 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         told.extend(answers.borrow().iter().copied());
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -4,7 +4,7 @@
 
 mod scenario;
 
-use query_dispatcher::core::{Answer, AttemptId, Bounds, Command, Core, NewRequest, RequestId};
+use query_dispatcher::core::{Answer, AttemptId, Command, Core, CoreLimits, NewRequest, RequestId};
 use query_dispatcher::*;
 use scenario::settings;
 use std::collections::BTreeMap;
@@ -14,13 +14,13 @@
     let mut now = 1.79e12;
     let mut settings = settings();
     settings.limits.max_attempts = 2;
-    let bounds = Bounds {
-        open: 3,
-        margin: 20.0,
-        page_wait: 600.0,
+    let bounds = CoreLimits {
+        max_open_requests: 3,
+        answer_margin: 20.0,
+        page_timeout: 600.0,
     };
     let mut core = Core::new(settings, 1, bounds).unwrap();
-    assert!(!core.ready(), "no list is in hand");
+    assert!(!core.is_ready(), "no list is in hand");
     let engine = |e: &str| EngineEntry {
         engine: e.into(),
         state: EngineState::Ready,
@@ -29,13 +29,13 @@
         zone: None,
         cell: 0,
     };
-    core.engines(now, ListUpdate::Stale, vec![engine("a"), engine("b")]);
-    assert!(core.ready());
+    core.update_endpoints(now, ListUpdate::Stale, vec![engine("a"), engine("b")]);
+    assert!(core.is_ready());
     let mut ids: BTreeMap<&str, RequestId> = BTreeMap::new();
     let mut last: BTreeMap<RequestId, AttemptId> = BTreeMap::new();
     let mut left: Vec<Command> = vec![];
     for line in script.lines().map(str::trim) {
-        left.extend(core.commands());
+        left.extend(core.take_commands());
         let words: Vec<&str> = line.split_whitespace().collect();
         let mut next = |wanted: &dyn Fn(&Command) -> bool| {
             let found = left.iter().position(wanted);
@@ -71,7 +71,7 @@
                 }
             }
             ["out", engine] => drop(core.drain_engine(now, engine)),
-            ["back", engine] => drop(core.undrain(now, engine)),
+            ["back", engine] => drop(core.undrain_engine(now, engine)),
             ["drop", name] => {
                 let attempt = last[&ids[name]];
                 next(&|c| *c == Command::Cancel { attempt });
@@ -83,14 +83,14 @@
                 };
                 let told = match answer {
                     Answer::Served(_) => "served",
-                    Answer::Refused { .. } => "refused",
+                    Answer::Rejected { .. } => "refused",
                     Answer::Failed { .. } => "failed",
                     Answer::TimedOut { retry_safe: true } => "late",
                     Answer::TimedOut { retry_safe: false } => "late-and-may-have-run",
                 };
                 assert_eq!(told, what, "{line}");
             }
-            ["begin", name] => core.answering(now, last[&ids[name]]),
+            ["begin", name] => core.page_received(now, last[&ids[name]]),
             ["end", name, how] => {
                 let outcome = match how {
                     "served" => Outcome::Served,
@@ -99,13 +99,13 @@
                     "unreachable" => Outcome::Unreachable,
                     _ => panic!("{line}"),
                 };
-                core.ended(now, last[&ids[name]], outcome, vec![]);
+                core.attempt_ended(now, last[&ids[name]], outcome, vec![]);
             }
-            ["leave", name] => core.leave(now, ids[name]),
-            ["stop", ms] => core.stop(now, now + ms.parse::<f64>().unwrap()),
+            ["leave", name] => core.abandon(now, ids[name]),
+            ["stop", ms] => core.begin_shutdown(now, now + ms.parse::<f64>().unwrap()),
             ["wait", ms] => {
                 let end = now + ms.parse::<f64>().unwrap();
-                while let Some(at) = core.next_wake().filter(|at| *at <= end) {
+                while let Some(at) = core.next_wakeup().filter(|at| *at <= end) {
                     now = at.max(now);
                     core.tick(now);
                 }
@@ -117,7 +117,7 @@
         }
     }
     let asked = |c: &Command| !matches!(c, Command::Log(_));
-    left.extend(core.commands());
+    left.extend(core.take_commands());
     assert!(!left.iter().any(asked), "left over: {left:?}");
 }
 
@@ -198,10 +198,10 @@
     let mut settings = settings();
     settings.limits.max_attempts = 3;
     settings.classes[0].idempotency = idempotency;
-    let bounds = Bounds {
-        open: 3,
-        margin: 20.0,
-        page_wait: 600.0,
+    let bounds = CoreLimits {
+        max_open_requests: 3,
+        answer_margin: 20.0,
+        page_timeout: 600.0,
     };
     let mut core = Core::new(settings, 1, bounds).unwrap();
     let engine = |e: &str| EngineEntry {
@@ -212,7 +212,7 @@
         zone: Some(0),
         cell: 0,
     };
-    core.engines(now, ListUpdate::Stale, vec![engine("a"), engine("b")]);
+    core.update_endpoints(now, ListUpdate::Stale, vec![engine("a"), engine("b")]);
     (now, core)
 }
 
@@ -230,7 +230,7 @@
 /// The attempts started and the answers given since the last call.
 fn done(core: &mut Core) -> (Vec<(AttemptId, f64)>, Vec<Answer>) {
     let (mut started, mut answers) = (vec![], vec![]);
-    for command in core.commands() {
+    for command in core.take_commands() {
         match command {
             Command::Start {
                 attempt, write_by, ..
@@ -258,23 +258,23 @@
         let (first, _) = done(&mut core);
         assert_eq!(first[0].1, f64::INFINITY);
         // It never ran, so that the second is the first that may have.
-        core.ended(now + 10.0, first[0].0, Outcome::Unreachable, vec![]);
+        core.attempt_ended(now + 10.0, first[0].0, Outcome::Unreachable, vec![]);
         let (second, _) = done(&mut core);
         assert_eq!(second[0].1, f64::INFINITY);
-        core.ended(now + 40.0, second[0].0, Outcome::Reset, vec![]);
+        core.attempt_ended(now + 40.0, second[0].0, Outcome::Reset, vec![]);
         let (third, _) = done(&mut core);
         assert_eq!(third[0].1, now + 110.0, "from when the second was sent");
         // It stood before a connection until then.
-        core.ended(now + 111.0, third[0].0, Outcome::NeverStarted, vec![]);
+        core.attempt_ended(now + 111.0, third[0].0, Outcome::NeverStarted, vec![]);
         let (more, answers) = done(&mut core);
         assert!(more.is_empty());
-        let refused = matches!(answers[..], [Answer::Refused { .. }]);
+        let refused = matches!(answers[..], [Answer::Rejected { .. }]);
         assert_eq!(refused, group == DeduplicationScope::All, "{answers:?}");
     }
     let (now, mut core) = keyed(Idempotency::Idempotent);
     core.open(now, lookup(now + 3000.0));
     let (first, _) = done(&mut core);
-    core.ended(now + 40.0, first[0].0, Outcome::Reset, vec![]);
+    core.attempt_ended(now + 40.0, first[0].0, Outcome::Reset, vec![]);
     assert_eq!(
         done(&mut core).0[0].1,
         f64::INFINITY,
@@ -298,7 +298,7 @@
             core.open(now, lookup(now + 500.0));
             assert_eq!(done(&mut core).0.len(), 1);
             if stops {
-                core.stop(now, now + 200.0);
+                core.begin_shutdown(now, now + 200.0);
             }
             core.tick(now + if stops { 200.0 } else { 480.0 });
             assert_eq!(
@@ -313,12 +313,12 @@
         });
         core.open(now, lookup(now + 500.0));
         let (first, _) = done(&mut core);
-        core.ended(now + 1.0, first[0].0, Outcome::Unreachable, vec![]);
+        core.attempt_ended(now + 1.0, first[0].0, Outcome::Unreachable, vec![]);
         let (second, _) = done(&mut core);
-        core.ended(now + 480.0, second[0].0, Outcome::Rejected, vec![]);
+        core.attempt_ended(now + 480.0, second[0].0, Outcome::Rejected, vec![]);
         let (_, answers) = done(&mut core);
         assert!(
-            matches!(answers[..], [Answer::Refused { .. }]),
+            matches!(answers[..], [Answer::Rejected { .. }]),
             "none ever ran: {answers:?}"
         );
     }
--- a/tests/frames.rs
+++ b/tests/frames.rs
@@ -220,8 +220,8 @@
         names,
         RespUpstream::new(sockets, vec![], pool.clone()),
     );
-    router.change(&change(&addresses, None));
-    spawn_local(router.clone().clock());
+    router.update_endpoints(&change(&addresses, None));
+    spawn_local(router.clone().run_clock());
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     spawn_local(
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -363,8 +363,8 @@
         names,
         MysqlUpstream::new(access(), sockets, pool.clone(), spools.clone()),
     );
-    router.change(&change(&addresses, None));
-    spawn_local(router.clone().clock());
+    router.update_endpoints(&change(&addresses, None));
+    spawn_local(router.clone().run_clock());
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let frontend = Frontend::new(router.clone(), pool, mysql_front(), spools);
@@ -547,12 +547,12 @@
         for how in ["quit", "early and closed", "closed", "reset"] {
             let (router, client, addresses, mut seen) = set_up().await;
             let mut w = log_in(client.address, "ann", "secret").await.unwrap();
-            router.change(&Change {
+            router.update_endpoints(&Change {
                 update: ListUpdate::Whole,
                 engines: vec![],
             });
             command(&mut w, QUERY, &[b"insert into sales_17.orders values (1)"]).await;
-            while router.owed() == 0 {
+            while router.unanswered_requests() == 0 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             let kept = match how {
@@ -579,11 +579,11 @@
             };
             tokio::time::sleep(Duration::from_millis(100)).await;
             assert_eq!(
-                router.owed(),
+                router.unanswered_requests(),
                 0,
                 "{how}: it is left, and what it held is free"
             );
-            router.change(&change(&addresses, None));
+            router.update_endpoints(&change(&addresses, None));
             let mut other = log_in(client.address, "ann", "secret").await.unwrap();
             command(&mut other, QUERY, &[b"select n from sales_17.orders"]).await;
             assert_eq!(seen.recv().await.unwrap().class, "lookup", "{how}");
--- a/tests/mysql_client_disconnect.rs
+++ b/tests/mysql_client_disconnect.rs
@@ -11,7 +11,7 @@
 use query_dispatcher::ListUpdate;
 use query_dispatcher::config::tls::TlsSource;
 use query_dispatcher::config::{Access, MysqlFrontendConfig, SpoolSource};
-use query_dispatcher::core::{Bounds, Core};
+use query_dispatcher::core::{Core, CoreLimits};
 use query_dispatcher::discovery::Change;
 use query_dispatcher::dispatch::request_router::RequestRouter;
 use query_dispatcher::frontend::mysql::Frontend;
@@ -256,10 +256,10 @@
     let core = Core::new(
         settings(),
         1,
-        Bounds {
-            open: 1000,
-            margin: 20.0,
-            page_wait: 600.0,
+        CoreLimits {
+            max_open_requests: 1000,
+            answer_margin: 20.0,
+            page_timeout: 600.0,
         },
     )
     .unwrap();
@@ -277,8 +277,8 @@
         names,
         MysqlUpstream::new(access, sockets, pool.clone(), spools.clone()),
     );
-    router.change(&change(&at, None));
-    spawn_local(router.clone().clock());
+    router.update_endpoints(&change(&at, None));
+    spawn_local(router.clone().run_clock());
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let config = mysql_front();
@@ -351,7 +351,11 @@
     async fn nothing_more(&self, tells: &str) {
         tokio::time::sleep(Duration::from_millis(30)).await;
         assert_eq!(self.since(), Vec::<String>::new(), "{tells}");
-        assert_eq!(self.router.owed(), 0, "{tells}: its place in the budget");
+        assert_eq!(
+            self.router.unanswered_requests(),
+            0,
+            "{tells}: its place in the budget"
+        );
         let mut other = self.session().await;
         for sql in ["begin", "insert into sales_17.other values (1)", "commit"] {
             ask(&mut other, QUERY, sql).await;
@@ -611,7 +615,7 @@
         stand.leaves();
         let kept = leave(w, "a statement, a ping and quit");
         tokio::time::sleep(TERM).await;
-        assert_eq!(stand.router.owed(), 0, "it is left");
+        assert_eq!(stand.router.unanswered_requests(), 0, "it is left");
         drop(SockRef::from(held.wire.get_ref()).send(&held.word));
         spawn_local(serve(stand.engines.clone(), held.wire));
         stand.nothing_more("behind others").await;
@@ -631,7 +635,7 @@
             w.get_ref().set_nodelay(true).unwrap();
             prove(&mut w, None).await;
             ask(&mut w, QUERY, "select large from sales_17.orders").await;
-            while stand.engines.came.borrow().is_empty() || stand.router.owed() > 0 {
+            while stand.engines.came.borrow().is_empty() || stand.router.unanswered_requests() > 0 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             stand.leaves();
@@ -705,7 +709,11 @@
                 }
                 let held = stand.engines.held().await;
                 tokio::time::sleep(Duration::from_millis(30)).await;
-                assert_eq!(stand.router.owed(), 1, "{first}: it is asked");
+                assert_eq!(
+                    stand.router.unanswered_requests(),
+                    1,
+                    "{first}: it is asked"
+                );
                 stand.leaves();
                 let kept = leave(w, way);
                 tokio::time::sleep(TERM).await;
@@ -721,7 +729,7 @@
 fn nothing_starts_for_hundreds_of_clients_that_disconnect_together() {
     on_one_thread(async {
         let stand = stand(1).await;
-        stand.router.change(&Change {
+        stand.router.update_endpoints(&Change {
             update: ListUpdate::Whole,
             engines: vec![],
         });
@@ -736,14 +744,14 @@
             .await;
             all.push((w, way));
         }
-        while stand.router.owed() < all.len() {
+        while stand.router.unanswered_requests() < all.len() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         let kept: Vec<_> = all.into_iter().map(|(w, way)| leave(w, way)).collect();
-        stand.router.change(&change(&stand.at, None));
+        stand.router.update_endpoints(&change(&stand.at, None));
         tokio::time::sleep(TERM).await;
         assert_eq!(
-            stand.router.owed(),
+            stand.router.unanswered_requests(),
             0,
             "the last of them is heeded within the term"
         );
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -10,7 +10,7 @@
 use query_dispatcher::admin::{Admin, Watched};
 use query_dispatcher::clock::unix_ms;
 use query_dispatcher::config::{Machine, Sockets};
-use query_dispatcher::core::{Bounds, Core, NewRequest};
+use query_dispatcher::core::{Core, CoreLimits, NewRequest};
 use query_dispatcher::dispatch::request_router::{Reply, RequestRouter};
 use query_dispatcher::frontend::frames::{Frontend, Work};
 use query_dispatcher::server::instance_registry::InstanceRegistry;
@@ -61,10 +61,10 @@
         ..settings.classes[LOOKUP].clone()
     });
     names.classes = CLASSES.map(String::from).to_vec();
-    let bounds = Bounds {
-        open: 100,
-        margin: 20.0,
-        page_wait: 600.0,
+    let bounds = CoreLimits {
+        max_open_requests: 100,
+        answer_margin: 20.0,
+        page_timeout: 600.0,
     };
     let core = Core::new(settings, 1, bounds).unwrap();
     let pool = BufferPool::default();
@@ -74,8 +74,8 @@
         RespUpstream::new(sockets, vec![], pool.clone()),
     );
     let engines = vec![engine.local_addr().unwrap()];
-    router.change(&change(&engines, None));
-    spawn_local(router.clone().clock());
+    router.update_endpoints(&change(&engines, None));
+    spawn_local(router.clone().run_clock());
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     // The machine takes any answer whole, whether or not its client does.
     SockRef::from(&listener)
@@ -140,7 +140,7 @@
         let told = move |reply| {
             let told = match reply {
                 Reply::Served(_) => "served",
-                Reply::Refused { .. } => "refused",
+                Reply::Rejected { .. } => "refused",
                 Reply::Failed { .. } => "failed",
                 Reply::TimedOut { retry_safe: true } => "refused as late",
                 Reply::TimedOut { retry_safe: false } => "failed as late",
@@ -162,7 +162,7 @@
     }
 
     async fn owes(&self, n: usize) {
-        until("what is owed", || self.router.owed() == n).await;
+        until("what is owed", || self.router.unanswered_requests() == n).await;
     }
 
     /// The engine's next connection.
@@ -239,7 +239,7 @@
     drop(engine);
     pass(350).await;
     assert_eq!(
-        s.router.owed(),
+        s.router.unanswered_requests(),
         1,
         "its repeat waits, and the window is over"
     );
@@ -280,7 +280,7 @@
     reply(&mut engine, [&name(2), "EIO", "-", ""]).await;
     pass(300).await;
     assert_eq!(
-        s.router.owed(),
+        s.router.unanswered_requests(),
         2,
         "its repeat waits, and the window is over"
     );
@@ -462,7 +462,11 @@
         assert_eq!((kind, stream, payload.len()), (4, 1, 2 + 9 * 5005));
         assert_eq!(client.hear().await.map(|f| f.0), Some(64));
         assert!(client.hear().await.is_none());
-        assert_eq!(s.router.owed(), 0, "what it asked too late is not taken up");
+        assert_eq!(
+            s.router.unanswered_requests(),
+            0,
+            "what it asked too late is not taken up"
+        );
         drop(client);
         until("none", || s.frontend.connections() == 0).await;
     });
@@ -694,7 +698,7 @@
         (0..3).for_each(|class| s.ask(class as u64, class));
         pass(50).await;
         s.router
-            .change(&change(&[at, healthy.local_addr().unwrap()], None));
+            .update_endpoints(&change(&[at, healthy.local_addr().unwrap()], None));
         let mut served = 0;
         let serving = async {
             let mut open = vec![];
@@ -732,8 +736,10 @@
     pass(50).await;
     drop((s.dialled().await, filler));
     match how {
-        "drains" => s.router.change(&change(&s.engines, Some((0, "drain")))),
-        "gone" => s.router.change(&change(&[], None)),
+        "drains" => s
+            .router
+            .update_endpoints(&change(&s.engines, Some((0, "drain")))),
+        "gone" => s.router.update_endpoints(&change(&[], None)),
         _ => s.owes(0).await,
     }
     let mut late = s.dialled().await;
--- a/tests/recorded_decisions/core_stream.rs
+++ b/tests/recorded_decisions/core_stream.rs
@@ -79,7 +79,7 @@
             Core::new(settings.clone(), seed, core_bounds(core_traffic.open)).expect("sound");
         if core_traffic.peers > 0 {
             let fields = settings.report_fields.len();
-            core.join(GossipBudget {
+            core.join_gossip(GossipBudget {
                 peers: core_traffic.peers,
                 price: 0.2,
                 fields,
@@ -109,7 +109,7 @@
         self.plan_start();
         while let Some(at) = self.next_time().filter(|at| *at <= BEGIN + STREAM_MS) {
             self.now = at;
-            if self.core.next_wake().is_some_and(|wake| wake <= at) {
+            if self.core.next_wakeup().is_some_and(|wake| wake <= at) {
                 self.record.line("tick", &bits(at));
                 self.core.tick(at);
             } else if let Some((_, step)) = self.agenda.pop() {
@@ -120,7 +120,7 @@
     }
 
     fn next_time(&self) -> Option<f64> {
-        let times = [self.core.next_wake(), self.agenda.next_time()];
+        let times = [self.core.next_wakeup(), self.agenda.next_time()];
         times
             .into_iter()
             .flatten()
@@ -155,7 +155,7 @@
             Step::Leave { request } => {
                 self.record
                     .line("leave", &format!("{request} {}", bits(self.now)));
-                self.core.leave(self.now, request);
+                self.core.abandon(self.now, request);
             }
             Step::End {
                 attempt,
@@ -164,7 +164,7 @@
             } => self.end(attempt, engine, outcome),
             Step::Begin { attempt, engine } => self.begin(attempt, engine),
             Step::ProgressNote { attempt } => self.note(attempt),
-            Step::Written => self.core.written(),
+            Step::Written => self.core.record_dispatch(),
             Step::ListChange => self.list_change(),
             Step::WholeList => self.whole_list(),
             Step::Operator => self.operator(),
@@ -172,12 +172,12 @@
             Step::Share => {
                 let processes = self.random.pick(&[1, 1, 2]);
                 self.record.line("share", &processes.to_string());
-                self.core.share(processes);
+                self.core.set_process_count(processes);
                 self.repeat(900.0, Step::Share);
             }
             Step::Stop => {
                 self.record.line("stop", &bits(self.now));
-                self.core.stop(self.now, self.now + 400.0);
+                self.core.begin_shutdown(self.now, self.now + 400.0);
             }
             Step::Metrics => self.metrics(),
         }
@@ -190,7 +190,7 @@
 
     /// Records what the core wants done, carries it out, and records how the core stands.
     fn settle(&mut self) {
-        for command in self.core.commands() {
+        for command in self.core.take_commands() {
             let (word, details) = command_text(&command);
             self.record.line(word, &details);
             match attempt_of(&command) {
@@ -200,8 +200,8 @@
             }
             self.peer_messages.extend(message_of(&command));
         }
-        let (ready, owed) = (self.core.ready(), self.core.owed());
-        let wake = optional_bits(self.core.next_wake());
+        let (ready, owed) = (self.core.is_ready(), self.core.unanswered_requests());
+        let wake = optional_bits(self.core.next_wakeup());
         self.record.line("state", &format!("{ready} {owed} {wake}"));
     }
 
@@ -269,7 +269,7 @@
 
     fn begin(&mut self, attempt: AttemptId, engine: usize) {
         self.record.line("answering", &bits(self.now));
-        self.core.answering(self.now, attempt);
+        self.core.page_received(self.now, attempt);
         let outcome = if self.random.chance(0.9) {
             Ending::Served
         } else {
@@ -292,7 +292,7 @@
             &self.settings,
             self.running.len() / 4 + engine % 2,
         );
-        let counted = self.core.ended(self.now, attempt, outcome, report);
+        let counted = self.core.attempt_ended(self.now, attempt, outcome, report);
         self.record.line(
             outcome_word(outcome),
             &format!("{counted} {}", bits(self.now)),
@@ -306,7 +306,7 @@
         let done = self.random.between(0.0, 1.0);
         let note = draw_note(&mut self.random, done);
         self.record.line(note_word(note), &bits(self.now));
-        self.core.note(self.now, attempt, note);
+        self.core.progress(self.now, attempt, note);
         self.repeat(80.0, Step::ProgressNote { attempt });
     }
 
@@ -326,7 +326,7 @@
         };
         let entries = vec![entry(engine)];
         self.record.line("list-patch", &bits(self.now));
-        self.core.engines(self.now, Update::Patch, entries);
+        self.core.update_endpoints(self.now, Update::Patch, entries);
         self.repeat(self.traffic.list_change_every, Step::ListChange);
     }
 
@@ -342,7 +342,7 @@
             if first { "list-stale" } else { "list-whole" },
             &bits(self.now),
         );
-        self.core.engines(
+        self.core.update_endpoints(
             self.now,
             if first { Update::Stale } else { Update::Whole },
             entries,
@@ -354,10 +354,10 @@
         let name = format!("e{}", self.random.below(self.engines.len() + 1));
         let (word, entry) = match self.random.chance(0.5) {
             true => ("hold-out", self.core.drain_engine(self.now, &name)),
-            false => ("put-back", self.core.undrain(self.now, &name)),
+            false => ("put-back", self.core.undrain_engine(self.now, &name)),
         };
-        let (serves, known) = (self.core.in_service(&name), self.core.knows(&name));
-        let drained_engines = self.core.administratively_drained().len();
+        let (serves, known) = (self.core.is_in_service(&name), self.core.is_known(&name));
+        let drained_engines = self.core.drained_engines().len();
         self.record.line(
             word,
             &format!(
@@ -384,7 +384,7 @@
             3 => message[2] = 1,
             _ => message[last] = self.random.below(128) as u8,
         }
-        let accepted = self.core.heard(self.now, &message).is_ok();
+        let accepted = self.core.receive_gossip(self.now, &message).is_ok();
         self.record
             .line("peer-message", &format!("{accepted} {}", bits(self.now)));
         if self.random.chance(0.1) {
--- a/tests/recorded_decisions/profiles.rs
+++ b/tests/recorded_decisions/profiles.rs
@@ -1,7 +1,7 @@
 //! The settings and the traffic of each profile.
 
 use crate::vocabulary::AllSettings as Settings;
-use query_dispatcher::core::Bounds;
+use query_dispatcher::core::CoreLimits;
 use query_dispatcher::{
     Class, DeduplicationScope, EngineCapabilities, Idempotency, Kind, Limits, ReportField,
     RetryBudget, Rules, Tenant,
@@ -259,10 +259,10 @@
 }
 
 /// What the request core may hold open, and its margins.
-pub fn core_bounds(open: usize) -> Bounds {
-    Bounds {
-        open,
-        margin: 20.0,
-        page_wait: 300.0,
+pub fn core_bounds(open: usize) -> CoreLimits {
+    CoreLimits {
+        max_open_requests: open,
+        answer_margin: 20.0,
+        page_timeout: 300.0,
     }
 }
--- a/tests/recorded_decisions/vocabulary.rs
+++ b/tests/recorded_decisions/vocabulary.rs
@@ -278,7 +278,7 @@
 fn answer_text(answer: &Answer) -> (&'static str, String) {
     match answer {
         Answer::Served(attempt) => ("answer-served", attempt_text(*attempt)),
-        Answer::Refused {
+        Answer::Rejected {
             retry_after,
             reason,
         } => (
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -29,7 +29,7 @@
 use query_dispatcher::config::{
     Access, ClassRules, MysqlFrontendConfig, Names, Sockets, SpoolSource, User,
 };
-use query_dispatcher::core::{Bounds, Core};
+use query_dispatcher::core::{Core, CoreLimits};
 use query_dispatcher::discovery::{Change, Engine};
 use query_dispatcher::dispatch::request_router::{RequestRouter, Upstream};
 use query_dispatcher::server::instance_registry::InstanceRegistry;
@@ -101,10 +101,10 @@
         most_open: 100,
         longest: 5000.0,
     };
-    let bounds = Bounds {
-        open,
-        margin: 20.0,
-        page_wait: 600.0,
+    let bounds = CoreLimits {
+        max_open_requests: open,
+        answer_margin: 20.0,
+        page_timeout: 600.0,
     };
     (Core::new(settings(), 1, bounds).unwrap(), names, sockets)
 }
@@ -273,9 +273,9 @@
             }
             ["close"] => last.as_ref().unwrap().orders.send("close").unwrap(),
             [what @ ("drain" | "takeover" | "restart")] => {
-                router.change(&change(addresses, Some((engine(), what))));
+                router.update_endpoints(&change(addresses, Some((engine(), what))));
             }
-            ["back"] => router.change(&change(addresses, None)),
+            ["back"] => router.update_endpoints(&change(addresses, None)),
             ["moved"] => assert_ne!(Some(engine()), before, "{line}"),
             ["crowd", "closed"] => {
                 for mut tcp in crowd.drain(..) {
--- a/tests/slow_start_budget.rs
+++ b/tests/slow_start_budget.rs
@@ -11,7 +11,7 @@
 
 use common::{class, entry};
 use oorandom::Rand64;
-use query_dispatcher::core::{Answer, AttemptId, Bounds, Command, Core, NewRequest, RequestId};
+use query_dispatcher::core::{Answer, AttemptId, Command, Core, CoreLimits, NewRequest, RequestId};
 use query_dispatcher::*;
 use std::collections::BTreeMap;
 
@@ -114,10 +114,10 @@
 
 impl<'a> Process<'a> {
     fn new(case: &'a Case, life: &'a Life, demand: &'a Demand, seed: u64) -> Self {
-        let bounds = Bounds {
-            open: 20_000,
-            margin: 0.0,
-            page_wait: 600.0,
+        let bounds = CoreLimits {
+            max_open_requests: 20_000,
+            answer_margin: 0.0,
+            page_timeout: 600.0,
         };
         let rng = Rand64::new(u128::from(seed) << 64 | 0x5eed);
         let core = Core::new(case.settings.clone(), seed, bounds).unwrap();
@@ -150,13 +150,13 @@
             if self.case.hung {
                 all.push(entry("hung"));
             }
-            self.core.engines(now, ListUpdate::Stale, all);
+            self.core.update_endpoints(now, ListUpdate::Stale, all);
             self.listed = true;
         }
         if !self.told && now >= self.life.told {
             self.told = true;
             self.core
-                .engines(now, ListUpdate::Patch, vec![engine(Some(START))]);
+                .update_endpoints(now, ListUpdate::Patch, vec![engine(Some(START))]);
         }
     }
 
@@ -197,7 +197,7 @@
     /// A moment of its life.
     fn step(&mut self, now: f64, step: f64, hand: &mut Hand, sent: &mut Vec<Sent>) {
         while let Some((_, n)) = self.life.shares.get(self.shares).filter(|s| s.0 <= now) {
-            self.core.share(*n);
+            self.core.set_process_count(*n);
             self.shares += 1;
         }
         self.list(now);
@@ -210,7 +210,7 @@
             } else {
                 vec![]
             };
-            self.core.ended(
+            self.core.attempt_ended(
                 now,
                 attempt,
                 if full {
@@ -221,14 +221,14 @@
                 report,
             );
         }
-        if self.core.next_wake().is_some_and(|at| at <= now) {
+        if self.core.next_wakeup().is_some_and(|at| at <= now) {
             self.core.tick(now);
         }
         for _ in 0..self.wanted(now, step) {
             self.open(now);
         }
         loop {
-            let commands = self.core.commands();
+            let commands = self.core.take_commands();
             if commands.is_empty() {
                 break;
             }
