--- a/crates/mysql-conformance/src/lib.rs
+++ b/crates/mysql-conformance/src/lib.rs
@@ -4,7 +4,7 @@
 pub mod cases;
 
 use cases::{CASES, Case, Engine as Against, Step, UNTESTED, Want};
-use query_dispatcher::config::{Mysql, Source};
+use query_dispatcher::config::{EndpointSource, MysqlConfig};
 use query_dispatcher::core::{Core, CoreLimits};
 use query_dispatcher::discovery::{Change, Engine as Listed};
 use query_dispatcher::dispatch::request_router::RequestRouter;
@@ -47,10 +47,10 @@
             e.address()
         )
     });
-    let config = Mysql::parse(&stand::file("", &list.collect::<String>()), |_| None)?;
+    let config = MysqlConfig::parse(&stand::file("", &list.collect::<String>()), |_| None)?;
     let pool = BufferPool::default();
     let bounds = CoreLimits {
-        max_open_requests: config.sockets.most_open,
+        max_open_requests: config.sockets.max_open_requests,
         answer_margin: 20.0,
         page_timeout: 600.0,
     };
@@ -58,9 +58,14 @@
     let names = config.names.clone();
     let (spools, done) = Spools::open(&config.spool, names.classes.clone(), names.tenants.clone())?;
     spawn_local(spools.clone().run(done));
-    let upstream = MysqlUpstream::new(config.access, config.sockets, pool.clone(), spools.clone());
+    let upstream = MysqlUpstream::new(
+        config.engine_credentials,
+        config.sockets,
+        pool.clone(),
+        spools.clone(),
+    );
     let router = RequestRouter::new(core, names, upstream);
-    let Source::Fixed(fixed) = config.source else {
+    let EndpointSource::Static(fixed) = config.source else {
         return Err("the engines are not listed".into());
     };
     let listed = fixed.into_iter().map(|e| Listed {
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -19,5 +19,5 @@
 
 /// The machine's Unix clock, in milliseconds: the stand-ins' logs and the checkers run on it.
 pub fn now() -> f64 {
-    query_dispatcher::clock::unix_ms()
+    query_dispatcher::clock::unix_time_millis()
 }
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -3,7 +3,7 @@
 
 use crate::discovery::membership_driver::MembershipDriver;
 use crate::dispatch::request_router::{RequestRouter, Upstream};
-use crate::say;
+use crate::log_line;
 use crate::server::instance_registry::{self, InstanceRegistry};
 use crate::spool_io::Spools;
 use crate::transport::connection_limiter::{Activity, ConnectionLimiter, PermitGuard};
@@ -147,12 +147,12 @@
                     let admin = self.clone();
                     tokio::task::spawn_local(async move {
                         if let Err(e) = admin.caller(tcp, place).await {
-                            say!("operator: {e}");
+                            log_line!("operator: {e}");
                         }
                     });
                 }
                 Err(e) => {
-                    say!("admin accept: {e}");
+                    log_line!("admin accept: {e}");
                     tokio::time::sleep(Duration::from_millis(20)).await;
                 }
             }
--- a/src/bin/hitchwinch-simhost/main.rs
+++ b/src/bin/hitchwinch-simhost/main.rs
@@ -2,7 +2,7 @@
 
 mod wire;
 
-use query_dispatcher::config::Names;
+use query_dispatcher::config::NameTable;
 use query_dispatcher::gossip::Broadcaster;
 use query_dispatcher::{Action, Controller, EngineState, Event, ListUpdate, Outcome};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -12,7 +12,7 @@
 
 struct Instance {
     controller: Controller,
-    names: Names,
+    names: NameTable,
     /// What it and its peers tell each other, and the engines that it has in its list.
     bulletin: Option<Broadcaster>,
     listed: BTreeSet<String>,
@@ -91,7 +91,7 @@
                 prng,
                 profile_data,
             } => {
-                let bulletin = profile_data.peers().map(Broadcaster::new);
+                let bulletin = profile_data.gossip_budget().map(Broadcaster::new);
                 let (settings, names) = profile_data.settings()?;
                 let controller = Controller::new(settings, prng).map_err(|e| e.to_string())?;
                 let listed = BTreeSet::new();
@@ -237,7 +237,7 @@
         }
     }
 
-    fn names(&self, id: &str) -> Result<&Names, String> {
+    fn names(&self, id: &str) -> Result<&NameTable, String> {
         self.instances
             .get(id)
             .map(|i| &i.names)
--- a/src/bin/hitchwinch-simhost/wire.rs
+++ b/src/bin/hitchwinch-simhost/wire.rs
@@ -1,6 +1,6 @@
 //! The wire's types and their translation; no decision is made here.
 
-use query_dispatcher::config::{Names, Profile, find};
+use query_dispatcher::config::{FleetSettings, NameTable, position_of};
 use query_dispatcher::*;
 use serde::{Deserialize, Serialize};
 
@@ -18,7 +18,7 @@
     Provision {
         gateway_id: String,
         prng: u64,
-        profile_data: Box<Profile>,
+        profile_data: Box<FleetSettings>,
     },
     Membership {
         gateway_id: String,
@@ -154,11 +154,11 @@
     }
 }
 
-pub fn query(names: &Names, q: Inbound) -> Result<Event, String> {
-    let class = find(&names.classes, &q.band)
+pub fn query(names: &NameTable, q: Inbound) -> Result<Event, String> {
+    let class = position_of(&names.classes, &q.band)
         .ok_or_else(|| format!("band: class {:?} is not listed", q.band))?;
     let tenant = match &q.team {
-        Some(Name::Text(t)) => find(&names.tenants, t),
+        Some(Name::Text(t)) => position_of(&names.tenants, t),
         _ => None,
     };
     Ok(Event::Query(Query {
@@ -173,7 +173,7 @@
     }))
 }
 
-pub fn ended(names: &Names, e: EndedIn) -> Event {
+pub fn ended(names: &NameTable, e: EndedIn) -> Event {
     // A bill is 4096 x work in milliseconds + memory in steps of 4 MB.
     let bill = e.bill.filter(|b| names.reports_cost && *b > 0);
     Event::AttemptEnded(Ended {
@@ -188,7 +188,7 @@
     })
 }
 
-pub fn engines(names: &Names, how: How, members: Option<&Vec<Member>>) -> Event {
+pub fn engines(names: &NameTable, how: How, members: Option<&Vec<Member>>) -> Event {
     let update = match how {
         How::Patch => ListUpdate::Patch,
         How::Whole => ListUpdate::Whole,
@@ -209,8 +209,8 @@
             kind: m
                 .class_of_host
                 .as_deref()
-                .and_then(|k| find(&names.kinds, k)),
-            zone: m.az.as_deref().and_then(|z| find(&names.zones, z)),
+                .and_then(|k| position_of(&names.kinds, k)),
+            zone: m.az.as_deref().and_then(|z| position_of(&names.zones, z)),
             cell: m.stripe.unwrap_or(0),
         })
         .collect();
--- a/src/config/eureka.rs
+++ b/src/config/eureka.rs
@@ -19,29 +19,29 @@
 
 /// Registries, and how they are read.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EurekaSource {
+pub struct EurekaSettings {
     /// In the order of the file.
-    pub servers: Vec<Server>,
-    pub listing: Listing,
+    pub servers: Vec<RegistryServer>,
+    pub query: RegistryQuery,
     /// Further regions whose instances are asked for.
-    pub regions: Vec<String>,
+    pub remote_regions: Vec<String>,
     /// Where this dispatcher stands: servers there come first.
     pub zone: Option<String>,
     /// Between two rounds.
-    pub period: Duration,
+    pub poll_interval: Duration,
     /// For a whole exchange with a server.
-    pub timeout: Duration,
+    pub request_timeout: Duration,
     /// Servers that are asked in one round.
-    pub ask: usize,
-    pub format: Format,
+    pub servers_per_round: usize,
+    pub format: PayloadFormat,
     /// The longest body, as sent and as unpacked, in bytes.
-    pub most_body: usize,
+    pub max_body_bytes: usize,
     pub rules: Rules,
     /// Registers this dispatcher, so that proxies find it.
-    pub register: Option<Register>,
+    pub registration: Option<InstanceRegistration>,
 }
 
-impl EurekaSource {
+impl EurekaSettings {
     /// The names of the sources, as operators see them.
     pub fn names(&self) -> Vec<String> {
         self.servers.iter().map(|s| s.name.clone()).collect()
@@ -50,7 +50,7 @@
 
 /// One registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Server {
+pub struct RegistryServer {
     /// Its address without user and password.
     pub name: String,
     pub host: String,
@@ -64,20 +64,20 @@
 
 /// What is read of a registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Listing {
+pub enum RegistryQuery {
     /// `/apps` and its deltas; the engines are those of this application.
-    Apps(String),
+    AllApplications(String),
     /// `/apps/{app}` alone: a registry of many applications sends less.
-    App(String),
+    Application(String),
     /// `/vips/{vip}`.
-    Vip(String),
+    VipAddress(String),
     /// `/svips/{vip}`: the secure port counts.
-    SecureVip(String),
+    SecureVipAddress(String),
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Format {
+pub enum PayloadFormat {
     #[default]
     Json,
     Xml,
@@ -85,18 +85,18 @@
 
 /// Our own instance, as it is registered.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Register {
+pub struct InstanceRegistration {
     pub app: String,
-    pub instance: String,
+    pub instance_id: String,
     pub host: String,
     pub ip: IpAddr,
     pub port: u16,
-    pub vip: String,
+    pub vip_address: String,
     pub metadata: BTreeMap<String, String>,
     /// Between two renewals of the lease.
-    pub renew: Duration,
+    pub renewal_interval: Duration,
     /// The registry lets it go when it is not renewed for so long.
-    pub lease: Duration,
+    pub lease_duration: Duration,
 }
 
 #[derive(Deserialize)]
@@ -123,7 +123,7 @@
     timeout_ms: Option<f64>,
     ask: Option<usize>,
     #[serde(default)]
-    format: Format,
+    format: PayloadFormat,
     max_body: Option<usize>,
     networks: Option<Vec<String>>,
     patience_s: Option<f64>,
@@ -183,7 +183,7 @@
     }
 }
 
-fn server(key: &str, text: &str, zone: Option<String>) -> Result<Server, ConfigError> {
+fn server(key: &str, text: &str, zone: Option<String>) -> Result<RegistryServer, ConfigError> {
     let url = Url::parse(text).map_err(|e| bad(key, format!("{text:?} is no URL ({e})")))?;
     if url.scheme() != "http" {
         return Err(bad(
@@ -225,7 +225,7 @@
     } else {
         host.clone()
     };
-    Ok(Server {
+    Ok(RegistryServer {
         name: format!("http://{shown}:{port}{path}"),
         host,
         port,
@@ -249,7 +249,7 @@
         self,
         listen: SocketAddr,
         zone: Option<String>,
-    ) -> Result<EurekaSource, ConfigError> {
+    ) -> Result<EurekaSettings, ConfigError> {
         let mut servers = vec![];
         let earlier = self.address.is_some();
         match (&self.address, &self.servers) {
@@ -278,7 +278,10 @@
                         RawServer::Url(url) => server(&key, url, None)?,
                         RawServer::Zoned { url, zone } => server(&key, url, Some(zone.clone()))?,
                     };
-                    if servers.iter().any(|s: &Server| s.name == server.name) {
+                    if servers
+                        .iter()
+                        .any(|s: &RegistryServer| s.name == server.name)
+                    {
                         return Err(bad(&key, format!("{} stands there twice", server.name)));
                     }
                     servers.push(server);
@@ -297,10 +300,16 @@
             &self.secure_vip,
             self.fetch.as_deref(),
         ) {
-            (Some(app), None, None, None | Some("apps")) => Listing::Apps(name("eureka.app", app)?),
-            (Some(app), None, None, Some("app")) => Listing::App(name("eureka.app", app)?),
-            (None, Some(vip), None, None) => Listing::Vip(name("eureka.vip", vip)?),
-            (None, None, Some(vip), None) => Listing::SecureVip(name("eureka.secure_vip", vip)?),
+            (Some(app), None, None, None | Some("apps")) => {
+                RegistryQuery::AllApplications(name("eureka.app", app)?)
+            }
+            (Some(app), None, None, Some("app")) => {
+                RegistryQuery::Application(name("eureka.app", app)?)
+            }
+            (None, Some(vip), None, None) => RegistryQuery::VipAddress(name("eureka.vip", vip)?),
+            (None, None, Some(vip), None) => {
+                RegistryQuery::SecureVipAddress(name("eureka.secure_vip", vip)?)
+            }
             (_, _, _, Some(f)) if !["apps", "app"].contains(&f) => {
                 return Err(bad(
                     "eureka.fetch",
@@ -369,16 +378,16 @@
                 format!("{most_body} is not in 1024 to {}", 1 << 28),
             ));
         }
-        Ok(EurekaSource {
+        Ok(EurekaSettings {
             servers,
-            listing,
-            regions,
+            query: listing,
+            remote_regions: regions,
             zone,
-            period: Duration::from_secs_f64(period),
-            timeout: Duration::from_secs_f64(timeout / 1000.0),
-            ask,
+            poll_interval: Duration::from_secs_f64(period),
+            request_timeout: Duration::from_secs_f64(timeout / 1000.0),
+            servers_per_round: ask,
             format: self.format,
-            most_body,
+            max_body_bytes: most_body,
             rules: Rules {
                 networks,
                 hold,
@@ -388,13 +397,13 @@
                 most,
                 ..Rules::default()
             },
-            register: self.register.map(|r| r.check(listen)).transpose()?,
+            registration: self.register.map(|r| r.check(listen)).transpose()?,
         })
     }
 }
 
 impl RawRegister {
-    fn check(self, listen: SocketAddr) -> Result<Register, ConfigError> {
+    fn check(self, listen: SocketAddr) -> Result<InstanceRegistration, ConfigError> {
         let ip = self.ip.unwrap_or(listen.ip());
         if ip.is_unspecified() {
             return Err(bad(
@@ -429,22 +438,22 @@
             renew,
             86_400.0,
         )?;
-        Ok(Register {
+        Ok(InstanceRegistration {
             host: name(
                 "eureka.register.host",
                 self.host.as_deref().unwrap_or(&ip.to_string()),
             )?,
-            vip: name(
+            vip_address: name(
                 "eureka.register.vip",
                 self.vip.as_deref().unwrap_or(&app.to_lowercase()),
             )?,
             app,
-            instance,
+            instance_id: instance,
             ip,
             port,
             metadata: self.metadata,
-            renew: Duration::from_secs_f64(renew),
-            lease: Duration::from_secs_f64(lease),
+            renewal_interval: Duration::from_secs_f64(renew),
+            lease_duration: Duration::from_secs_f64(lease),
         })
     }
 }
@@ -453,7 +462,7 @@
 mod tests {
     use super::*;
 
-    fn read(text: &str) -> Result<EurekaSource, ConfigError> {
+    fn read(text: &str) -> Result<EurekaSettings, ConfigError> {
         let de = toml::Deserializer::parse(text).unwrap();
         let raw: RawEureka = serde_path_to_error::deserialize(de)
             .map_err(|e| bad(&format!("eureka.{}", e.path()), e.inner().message()))?;
@@ -467,7 +476,10 @@
         )
         .unwrap();
         assert_eq!(e.servers[0].name, "http://127.0.0.1:8761/registry");
-        assert_eq!((e.ask, e.period), (1, Duration::from_secs(5)));
+        assert_eq!(
+            (e.servers_per_round, e.poll_interval),
+            (1, Duration::from_secs(5))
+        );
         assert!(
             e.rules
                 .networks
@@ -497,7 +509,10 @@
             (e.servers[1].zone.as_deref(), e.servers[1].host.as_str()),
             (Some("b"), "::1")
         );
-        assert_eq!((e.listing, e.ask), (Listing::Vip("engines".into()), 2));
+        assert_eq!(
+            (e.query, e.servers_per_round),
+            (RegistryQuery::VipAddress("engines".into()), 2)
+        );
         let admits = |a: &str| e.rules.networks.admit(a.parse().unwrap()).is_ok();
         assert!(admits("10.1.2.3:1") && admits("10.2.0.7:1") && !admits("10.2.0.8:1"));
     }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -9,11 +9,14 @@
 mod sticky_sessions;
 pub mod tls;
 
-pub use eureka::EurekaSource;
-pub use mysql::{Access, ClassRules, FixedEngine, Mysql, MysqlFrontendConfig, Source, User};
-pub use platform::{Peers, Platform};
-pub use profile::Profile;
-pub use spool::SpoolSource;
+pub use eureka::EurekaSettings;
+pub use mysql::{
+    ClassRules, EndpointSource, EngineCredentials, MysqlConfig, MysqlFrontendConfig, StaticEngine,
+    User,
+};
+pub use platform::{GossipSettings, PlatformConfig};
+pub use profile::FleetSettings;
+pub use spool::SpoolSettings;
 
 use crate::decision::model::*;
 use serde::Deserialize;
@@ -37,25 +40,25 @@
 
 /// Limits and time-outs of the sockets, from the settings' ceilings.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sockets {
+pub struct SocketSettings {
     pub connect_timeout: Millis,
-    pub idle: Millis,
+    pub idle_timeout: Millis,
     /// Attempts carried together on one connection.
-    pub streams: usize,
+    pub max_streams_per_connection: usize,
     /// Every attempt on its way brings a note this often; 0: none tells.
-    pub notes: Millis,
-    pub most_open: usize,
+    pub progress_interval: Millis,
+    pub max_open_requests: usize,
     /// The longest time that a client of any class waits.
-    pub longest: Millis,
+    pub longest_deadline: Millis,
 }
 
 /// The machine's limits.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Machine {
+pub struct MachineLimits {
     #[serde(default = "default_memory")]
     pub memory_mb: usize,
-    #[serde(default = "default_sockets")]
-    pub sockets: usize,
+    #[serde(rename = "sockets")]
+    pub max_sockets: usize,
 }
 
 fn default_memory() -> usize {
@@ -66,11 +69,11 @@
     1024
 }
 
-impl Default for Machine {
+impl Default for MachineLimits {
     fn default() -> Self {
-        Machine {
+        MachineLimits {
             memory_mb: default_memory(),
-            sockets: default_sockets(),
+            max_sockets: default_sockets(),
         }
     }
 }
@@ -110,7 +113,7 @@
 
 /// Names to numbers, as one instance's settings list them.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Names {
+pub struct NameTable {
     pub classes: Vec<String>,
     pub kinds: Vec<String>,
     pub zones: Vec<String>,
@@ -121,7 +124,7 @@
 }
 
 /// Position of a name in a list.
-pub fn find(list: &[String], name: &str) -> Option<usize> {
+pub fn position_of(list: &[String], name: &str) -> Option<usize> {
     list.iter().position(|n| n == name)
 }
 
@@ -138,11 +141,14 @@
 
     #[test]
     fn the_file_under_deploy_is_good_and_a_faulty_key_is_named() {
-        let good = Mysql::parse(MYSQL, |_| None)
+        let good = MysqlConfig::parse(MYSQL, |_| None)
             .map_err(|e| e.to_string())
             .unwrap();
         assert_eq!(
-            (good.frontend.rules.read, good.frontend.rules.write),
+            (
+                good.frontend.class_rules.read_class,
+                good.frontend.class_rules.write_class
+            ),
             (0, 2)
         );
         let cases = [
@@ -190,7 +196,7 @@
         ];
         for (good, faulty, key) in cases {
             assert!(MYSQL.contains(good), "{good}");
-            let told = Mysql::parse(&MYSQL.replace(good, faulty), |_| None)
+            let told = MysqlConfig::parse(&MYSQL.replace(good, faulty), |_| None)
                 .map(|_| ())
                 .unwrap_err()
                 .to_string();
@@ -203,7 +209,7 @@
         let none = |_: &str| None;
         let var = |v: &str| (v == "PROXY_LISTEN").then(|| "127.0.0.1:9".to_string());
         assert_eq!(
-            Platform::parse(PLATFORM, var)
+            PlatformConfig::parse(PLATFORM, var)
                 .map(|p| p.listen.port())
                 .unwrap(),
             9
@@ -226,7 +232,7 @@
         ];
         for (good, faulty, key) in cases {
             assert!(PLATFORM.contains(good), "{good}");
-            let told = Platform::parse(&PLATFORM.replace(good, faulty), none)
+            let told = PlatformConfig::parse(&PLATFORM.replace(good, faulty), none)
                 .map(|_| ())
                 .unwrap_err();
             assert!(told.to_string().contains(key), "{faulty}: {told}");
@@ -238,7 +244,8 @@
         let file = PLATFORM.replacen('{', "{\"admin_addr\":\"127.0.0.1:7\",", 1);
         let port = |v: &[(&str, &str)]| {
             let var = |name: &str| v.iter().find(|v| v.0 == name).map(|v| v.1.to_string());
-            Platform::parse(&file, var).map(|p| (p.admin.map(|a| a.port()), p.inherited))
+            PlatformConfig::parse(&file, var)
+                .map(|p| (p.admin_address.map(|a| a.port()), p.inherited_descriptor))
         };
         assert_eq!(port(&[]).unwrap(), (Some(7), None));
         let both = [
@@ -254,15 +261,15 @@
 
     #[test]
     fn a_write_stays_a_write_whatever_it_claims() {
-        let rules = Mysql::parse(MYSQL, |_| None)
-            .map(|m| m.frontend.rules)
+        let rules = MysqlConfig::parse(MYSQL, |_| None)
+            .map(|m| m.frontend.class_rules)
             .unwrap();
-        assert_eq!(rules.class(false, Some("lookup"), b"delete from t"), 2);
-        assert_eq!(rules.class(true, Some("report"), b"select 1"), 1);
+        assert_eq!(rules.class_of(false, Some("lookup"), b"delete from t"), 2);
+        assert_eq!(rules.class_of(true, Some("report"), b"select 1"), 1);
         assert_eq!(
-            rules.class(true, Some("unknown"), b"select a from t GROUP BY a"),
+            rules.class_of(true, Some("unknown"), b"select a from t GROUP BY a"),
             1
         );
-        assert_eq!(rules.class(true, None, b"select 1"), 0);
+        assert_eq!(rules.class_of(true, None, b"select 1"), 0);
     }
 }
--- a/src/config/mysql.rs
+++ b/src/config/mysql.rs
@@ -4,7 +4,7 @@
 use super::spool::RawSpool;
 use super::sticky_sessions::RawPins;
 use super::tls::RawTls;
-use super::tls::TlsSource;
+use super::tls::TlsSettings;
 use super::*;
 use crate::sticky_sessions::StickySessionLimits;
 use std::collections::HashMap;
@@ -16,7 +16,7 @@
 pub struct User {
     pub password: String,
     /// The common name that its certificate has to show.
-    pub certificate: Option<String>,
+    pub certificate_common_name: Option<String>,
     pub tenant: Option<usize>,
 }
 
@@ -24,9 +24,9 @@
 #[derive(Clone, Debug)]
 pub struct ClassRules {
     /// The class of what is not plainly a read; an unsafe one.
-    pub write: ClassId,
+    pub write_class: ClassId,
     /// The class of a read that neither a comment nor a rule names.
-    pub read: ClassId,
+    pub read_class: ClassId,
     classes: Vec<String>,
     /// Words in the statement, lower case, and the class that the first match gives.
     contains: Vec<(String, ClassId)>,
@@ -41,17 +41,17 @@
         contains: Vec<(String, ClassId)>,
     ) -> Self {
         ClassRules {
-            write,
-            read,
+            write_class: write,
+            read_class: read,
             classes,
             contains,
         }
     }
 
     /// A comment or a rule chooses among the classes of a read; a write stays a write, whatever it claims.
-    pub fn class(&self, reads: bool, claimed: Option<&str>, sql: &[u8]) -> ClassId {
+    pub fn class_of(&self, reads: bool, claimed: Option<&str>, sql: &[u8]) -> ClassId {
         if !reads {
-            return self.write;
+            return self.write_class;
         }
         let text = String::from_utf8_lossy(sql).to_lowercase();
         let ruled = || {
@@ -61,9 +61,9 @@
                 .map(|r| r.1)
         };
         claimed
-            .and_then(|c| find(&self.classes, c))
+            .and_then(|c| position_of(&self.classes, c))
             .or_else(ruled)
-            .unwrap_or(self.read)
+            .unwrap_or(self.read_class)
     }
 }
 
@@ -73,31 +73,31 @@
     pub max_clients: usize,
     pub max_packet: usize,
     pub max_statements: usize,
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// The server version that clients are told.
-    pub version: String,
+    pub server_version: String,
     pub users: HashMap<String, User>,
-    pub rules: ClassRules,
+    pub class_rules: ClassRules,
     /// By class: how long a statement may take.
     pub deadlines: Vec<Millis>,
     /// The class of what holds an engine connection; an unsafe one.
     pub transaction_class: ClassId,
-    pub pins: StickySessionLimits,
+    pub sticky_sessions: StickySessionLimits,
 }
 
 /// How to reach engines that speak MySQL.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Access {
+pub struct EngineCredentials {
     pub user: String,
     pub password: String,
     /// Connections to one engine at a time.
-    pub connections: usize,
-    pub most_packet: usize,
+    pub max_connections: usize,
+    pub max_packet: usize,
 }
 
 /// An engine that the file lists.
 #[derive(Clone, Debug, PartialEq)]
-pub struct FixedEngine {
+pub struct StaticEngine {
     pub id: String,
     pub address: SocketAddr,
     pub zone: Option<String>,
@@ -106,28 +106,28 @@
 
 /// Where the engines of the MySQL front come from.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Source {
-    Fixed(Vec<FixedEngine>),
-    Eureka(Box<EurekaSource>),
+pub enum EndpointSource {
+    Static(Vec<StaticEngine>),
+    Eureka(Box<EurekaSettings>),
 }
 
 /// Everything that the MySQL front is configured with.
-pub struct Mysql {
+pub struct MysqlConfig {
     pub listen: SocketAddr,
     /// Where operators call; nowhere if it is not said.
-    pub admin: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
     /// The descriptor of the clients' listening socket, if what starts this program holds that.
-    pub inherited: Option<i32>,
+    pub inherited_descriptor: Option<i32>,
     /// A folder that all processes of this dispatcher see, and no other.
-    pub state: Option<PathBuf>,
+    pub state_directory: Option<PathBuf>,
     pub frontend: MysqlFrontendConfig,
-    pub access: Access,
+    pub engine_credentials: EngineCredentials,
     pub settings: Settings,
-    pub names: Names,
-    pub sockets: Sockets,
-    pub source: Source,
-    pub spool: SpoolSource,
-    pub tls: Option<TlsSource>,
+    pub names: NameTable,
+    pub sockets: SocketSettings,
+    pub source: EndpointSource,
+    pub spool: SpoolSettings,
+    pub tls: Option<TlsSettings>,
 }
 
 #[derive(Deserialize)]
@@ -247,20 +247,24 @@
     kind: Option<String>,
 }
 
-impl Mysql {
+impl MysqlConfig {
     /// What a running program cannot take from `new`: learned state, users and open requests rest on it.
-    pub fn needs_restart(&self, new: &Mysql) -> Option<&'static str> {
+    pub fn needs_restart(&self, new: &MysqlConfig) -> Option<&'static str> {
         match () {
             () if self.listen != new.listen => Some("listen"),
-            () if self.admin != new.admin => Some("admin_addr"),
-            () if self.state != new.state => Some("state_dir"),
-            () if self.inherited != new.inherited => Some("inherited_fd"),
+            () if self.admin_address != new.admin_address => Some("admin_addr"),
+            () if self.state_directory != new.state_directory => Some("state_dir"),
+            () if self.inherited_descriptor != new.inherited_descriptor => Some("inherited_fd"),
             () if self.settings != new.settings || self.names != new.names => {
                 Some("class, tenant, kind or zone")
             }
             () if self.tls.is_some() != new.tls.is_some() => Some("tls"),
-            () if self.spool.dir != new.spool.dir => Some("spool.dir"),
-            () if self.access != new.access || self.sockets != new.sockets => Some("engines"),
+            () if self.spool.directory != new.spool.directory => Some("spool.dir"),
+            () if self.engine_credentials != new.engine_credentials
+                || self.sockets != new.sockets =>
+            {
+                Some("engines")
+            }
             () => None,
         }
     }
@@ -281,7 +285,8 @@
             .map_err(|e| bad(&e.path().to_string(), e.inner().message()))?;
         let classes: Vec<String> = raw.class.iter().map(|c| c.name.clone()).collect();
         let class = |key: &str, name: &str| {
-            find(&classes, name).ok_or_else(|| bad(key, format!("no class is named {name:?}")))
+            position_of(&classes, name)
+                .ok_or_else(|| bad(key, format!("no class is named {name:?}")))
         };
         let write = class("write_class", &raw.write_class)?;
         let read = class("read_class", &raw.read_class)?;
@@ -321,7 +326,7 @@
                         format!("no tenant is named {t:?}"),
                     )
                 };
-                find(&tenants, &t).ok_or_else(unknown)
+                position_of(&tenants, &t).ok_or_else(unknown)
             });
             if u.certificate.is_some() && raw.tls.as_ref().is_none_or(|t| !t.knows_clients()) {
                 return Err(bad(
@@ -331,7 +336,7 @@
             }
             let user = User {
                 password: u.password,
-                certificate: u.certificate,
+                certificate_common_name: u.certificate,
                 tenant: tenant.transpose()?,
             };
             if users.insert(u.name, user).is_some() {
@@ -378,7 +383,7 @@
             None if raw.engine.is_empty() => {
                 return Err(bad("engine", "no engine is listed, and no eureka"));
             }
-            Some(e) => Source::Eureka(Box::new(e.check(listen, raw.zone.clone())?)),
+            Some(e) => EndpointSource::Eureka(Box::new(e.check(listen, raw.zone.clone())?)),
             None => {
                 let mut engines = vec![];
                 for (i, e) in raw.engine.into_iter().enumerate() {
@@ -390,19 +395,19 @@
                             .collect::<Vec<_>>(),
                     );
                     let address = address(&format!("engine[{i}].address"), &e.address)?;
-                    engines.push(FixedEngine {
+                    engines.push(StaticEngine {
                         id: e.id,
                         address,
                         zone: e.zone,
                         kind: e.kind,
                     });
                 }
-                Source::Fixed(engines)
+                EndpointSource::Static(engines)
             }
         };
         let settings = Settings {
             dispatchers: raw.dispatchers,
-            zone: raw.zone.as_ref().and_then(|z| find(&zones, z)),
+            zone: raw.zone.as_ref().and_then(|z| position_of(&zones, z)),
             step: 5.0,
             classes: raw
                 .class
@@ -475,7 +480,7 @@
                 ));
             }
             Some(spool) => spool.check()?,
-            None => SpoolSource::plain(in_range(
+            None => SpoolSettings::in_memory(in_range(
                 "max_result",
                 raw.max_result,
                 1 << 20,
@@ -484,40 +489,46 @@
             )?),
         };
         let max_packet = in_range("max_packet", raw.max_packet, 1 << 20, 1024, (1 << 24) - 2)?;
-        Ok(Mysql {
+        Ok(MysqlConfig {
             listen,
-            admin: admin(&var, raw.admin_addr)?,
-            inherited: inherited(&var, raw.inherited_fd)?,
-            state: raw.state_dir,
-            sockets: Sockets {
+            admin_address: admin(&var, raw.admin_addr)?,
+            inherited_descriptor: inherited(&var, raw.inherited_fd)?,
+            state_directory: raw.state_dir,
+            sockets: SocketSettings {
                 connect_timeout,
-                idle: 30_000.0,
-                streams: 1,
-                notes: 0.0,
-                most_open: 1024,
-                longest: deadlines.iter().copied().fold(0.0, f64::max),
+                idle_timeout: 30_000.0,
+                max_streams_per_connection: 1,
+                progress_interval: 0.0,
+                max_open_requests: 1024,
+                longest_deadline: deadlines.iter().copied().fold(0.0, f64::max),
             },
-            access: Access {
+            engine_credentials: EngineCredentials {
                 user: raw.engines.user,
                 password: raw.engines.password,
-                connections: in_range("engines.connections", raw.engines.connections, 32, 1, 256)?,
-                most_packet: max_packet,
+                max_connections: in_range(
+                    "engines.connections",
+                    raw.engines.connections,
+                    32,
+                    1,
+                    256,
+                )?,
+                max_packet,
             },
             frontend: MysqlFrontendConfig {
                 max_clients: in_range("max_clients", raw.max_clients, 256, 1, 512)?,
                 max_packet,
                 max_statements: in_range("max_statements", raw.max_statements, 256, 1, 65_535)?,
-                idle: Duration::from_secs(raw.idle_s.unwrap_or(600).max(1)),
-                version: raw
+                idle_timeout: Duration::from_secs(raw.idle_s.unwrap_or(600).max(1)),
+                server_version: raw
                     .server_version
                     .unwrap_or_else(|| "8.0.0-hitchwinch".into()),
                 users,
-                rules: ClassRules::new(write, read, classes.clone(), contains),
+                class_rules: ClassRules::new(write, read, classes.clone(), contains),
                 deadlines,
                 transaction_class: transaction,
-                pins: raw.pins.check()?,
+                sticky_sessions: raw.pins.check()?,
             },
-            names: Names {
+            names: NameTable {
                 classes,
                 kinds,
                 zones,
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -10,7 +10,7 @@
     listen: String,
     seed: Option<String>,
     #[serde(default)]
-    limits: Machine,
+    limits: MachineLimits,
     journal: String,
     peer_listen: Option<String>,
     #[serde(default)]
@@ -18,50 +18,50 @@
     peers_all: Option<String>,
     known: Option<serde_json::Value>,
     admin_addr: Option<String>,
-    settings: Profile,
+    settings: FleetSettings,
 }
 
 /// The tier's dispatchers, by the addresses that this one sees.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Peers {
+pub struct GossipSettings {
     /// What they send to this dispatcher comes in here.
     pub listen: SocketAddr,
     /// Where what they send comes from.
-    pub each: Vec<SocketAddr>,
+    pub members: Vec<SocketAddr>,
     /// What is sent here reaches every other.
-    pub all: SocketAddr,
-    pub terms: GossipBudget,
+    pub broadcast: SocketAddr,
+    pub budget: GossipBudget,
 }
 
 /// Everything that the platform tells one dispatcher.
-pub struct Platform {
+pub struct PlatformConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub seed: u64,
-    pub limits: Machine,
-    pub journal: SocketAddr,
+    pub limits: MachineLimits,
+    pub journal_address: SocketAddr,
     /// Where the tier's dispatchers reach each other, if the settings let them.
-    pub peers: Option<Peers>,
+    pub gossip: Option<GossipSettings>,
     /// Where operators call; nowhere if it is not said.
-    pub admin: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
     /// The descriptor of the clients' listening socket, if the platform holds that.
-    pub inherited: Option<i32>,
+    pub inherited_descriptor: Option<i32>,
     /// A folder that all processes of this dispatcher see.
-    pub state: Option<PathBuf>,
+    pub state_directory: Option<PathBuf>,
     /// The journal's events up to now, not yet read.
-    pub known: serde_json::Value,
+    pub recorded_events: serde_json::Value,
     pub settings: Settings,
-    pub names: Names,
-    pub sockets: Sockets,
+    pub names: NameTable,
+    pub sockets: SocketSettings,
 }
 
-impl Platform {
+impl PlatformConfig {
     /// What a running program cannot take from `new`: learned state and open requests rest on it.
-    pub fn needs_restart(&self, new: &Platform) -> Option<&'static str> {
+    pub fn needs_restart(&self, new: &PlatformConfig) -> Option<&'static str> {
         match () {
             () if self.listen != new.listen => Some("listen"),
-            () if self.admin != new.admin => Some("admin_addr"),
-            () if self.peers != new.peers => Some("peers"),
+            () if self.admin_address != new.admin_address => Some("admin_addr"),
+            () if self.gossip != new.gossip => Some("peers"),
             () if self.settings != new.settings
                 || self.names != new.names
                 || self.sockets != new.sockets =>
@@ -87,7 +87,7 @@
         let raw: RawPlatform = serde_path_to_error::deserialize(de)
             .map_err(|e| bad(&e.path().to_string(), e.inner()))?;
         let seed = raw.seed.unwrap_or_default();
-        if raw.limits.sockets < 64 {
+        if raw.limits.max_sockets < 64 {
             return Err(bad("limits.sockets", "at least 64 are needed"));
         }
         let sockets = raw.settings.sockets();
@@ -98,18 +98,22 @@
                 .map(|(i, a)| address(&format!("peers[{i}]"), a))
                 .collect()
         };
-        let peers = match (raw.settings.peers(), &raw.peer_listen, &raw.peers_all) {
-            (Some(terms), Some(listen), Some(all)) => Some(Peers {
+        let peers = match (
+            raw.settings.gossip_budget(),
+            &raw.peer_listen,
+            &raw.peers_all,
+        ) {
+            (Some(terms), Some(listen), Some(all)) => Some(GossipSettings {
                 listen: address("peer_listen", listen)?,
-                each: each()?,
-                all: address("peers_all", all)?,
-                terms,
+                members: each()?,
+                broadcast: address("peers_all", all)?,
+                budget: terms,
             }),
             _ => None,
         };
         for (key, v) in [
             ("connect_timeout", sockets.connect_timeout),
-            ("conn_idle", sockets.idle),
+            ("conn_idle", sockets.idle_timeout),
         ] {
             if !(v.is_finite() && v > 0.0) {
                 return Err(bad(&format!("settings.ceilings.{key}"), "must be above 0"));
@@ -119,7 +123,7 @@
         settings
             .check()
             .map_err(|e| bad(&format!("settings.{}", e.field), e.problem))?;
-        Ok(Platform {
+        Ok(PlatformConfig {
             name: var("PROXY_NAME")
                 .or(raw.name)
                 .unwrap_or_else(|| "hitchwinch".into()),
@@ -130,13 +134,13 @@
             seed: u64::from_str_radix(&seed, 16)
                 .or_else(|_| seed.parse())
                 .map_err(|_| bad("seed", format!("{seed:?} is no hexadecimal number")))?,
-            inherited: inherited(&var, None)?,
-            state: var("TMPDIR").filter(|v| !v.is_empty()).map(PathBuf::from),
+            inherited_descriptor: inherited(&var, None)?,
+            state_directory: var("TMPDIR").filter(|v| !v.is_empty()).map(PathBuf::from),
             limits: raw.limits,
-            peers,
-            admin: admin(&var, raw.admin_addr)?,
-            journal: address("journal", &raw.journal)?,
-            known: raw.known.unwrap_or(serde_json::Value::Null),
+            gossip: peers,
+            admin_address: admin(&var, raw.admin_addr)?,
+            journal_address: address("journal", &raw.journal)?,
+            recorded_events: raw.known.unwrap_or(serde_json::Value::Null),
             settings,
             names,
             sockets,
--- a/src/config/profile.rs
+++ b/src/config/profile.rs
@@ -5,7 +5,7 @@
 
 /// The settings as the simulator's first message and the platform's `settings` hold them.
 #[derive(Deserialize)]
-pub struct Profile {
+pub struct FleetSettings {
     ceilings: Ceilings,
     deductions: Option<Deductions>,
     discovery: Option<String>,
@@ -125,9 +125,9 @@
     }
 }
 
-impl Profile {
+impl FleetSettings {
     /// What the sockets need to know of the settings.
-    pub fn sockets(&self) -> Sockets {
+    pub fn sockets(&self) -> SocketSettings {
         let c = &self.ceilings;
         // A class without one waits for as long as its clients say.
         let longest = self
@@ -135,18 +135,18 @@
             .iter()
             .map(|g| g.hard_limit.unwrap_or(f64::INFINITY))
             .fold(0.0, f64::max);
-        Sockets {
+        SocketSettings {
             connect_timeout: c.connect_timeout.unwrap_or(250.0),
-            idle: c.conn_idle.unwrap_or(30_000.0),
-            streams: c.streams_per_conn.unwrap_or(100).clamp(1, 1024),
-            notes: self.extra.as_ref().and_then(|x| x.progress).unwrap_or(0.0),
-            most_open: c.max_open.unwrap_or(20_000),
-            longest,
+            idle_timeout: c.conn_idle.unwrap_or(30_000.0),
+            max_streams_per_connection: c.streams_per_conn.unwrap_or(100).clamp(1, 1024),
+            progress_interval: self.extra.as_ref().and_then(|x| x.progress).unwrap_or(0.0),
+            max_open_requests: c.max_open.unwrap_or(20_000),
+            longest_deadline: longest,
         }
     }
 
     /// What the dispatchers of the tier may tell each other; `None`: nothing.
-    pub fn peers(&self) -> Option<GossipBudget> {
+    pub fn gossip_budget(&self) -> Option<GossipBudget> {
         let fields = self
             .feedback
             .as_ref()
@@ -163,7 +163,7 @@
     }
 
     /// The module's settings, and the names behind its numbers.
-    pub fn settings(self) -> Result<(Settings, Names), String> {
+    pub fn settings(self) -> Result<(Settings, NameTable), String> {
         let x = self.extra.unwrap_or_default();
         let zones = self.zones.unwrap_or_default();
         let kinds = self.machine_types;
@@ -190,7 +190,7 @@
             let numbers = |names: &Option<Vec<String>>, list: &[String]| {
                 names
                     .as_ref()
-                    .map(|v| v.iter().filter_map(|s| find(list, s)).collect())
+                    .map(|v| v.iter().filter_map(|s| position_of(list, s)).collect())
             };
             classes.push(Class {
                 priority_weight: g.priority_weight,
@@ -223,7 +223,7 @@
         let reports_cost = x.cost_in_answers.unwrap_or(false);
         let settings = Settings {
             dispatchers: self.fleet_size,
-            zone: self.locality.and_then(|z| find(&zones, &z)),
+            zone: self.locality.and_then(|z| position_of(&zones, &z)),
             step: self.step,
             classes,
             tenants: tenants
@@ -281,7 +281,7 @@
             must_subscribe: self.discovery.as_deref() == Some("subscribe"),
             cross_zone_cost: self.deductions.and_then(|d| d.cross_zone).unwrap_or(0.0),
         };
-        let names = Names {
+        let names = NameTable {
             classes: self.grades.into_iter().map(|g| g.name).collect(),
             kinds,
             zones,
--- a/src/config/spool.rs
+++ b/src/config/spool.rs
@@ -9,27 +9,27 @@
 
 /// How results wait for their readers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SpoolSource {
+pub struct SpoolSettings {
     pub rules: SpoolLimits,
     /// Results lie below it when memory is full, and outlive the process; none: in memory only.
-    pub dir: Option<PathBuf>,
+    pub directory: Option<PathBuf>,
     /// Rows of a page at most.
     pub page_rows: u32,
     /// A client that takes nothing for so long is closed.
-    pub stall: Duration,
+    pub stall_timeout: Duration,
 }
 
-impl SpoolSource {
+impl SpoolSettings {
     /// What holds without `[spool]`: memory only, as much for one result as ever.
-    pub fn plain(result: usize) -> Self {
-        SpoolSource {
+    pub fn in_memory(result: usize) -> Self {
+        SpoolSettings {
             rules: SpoolLimits {
                 result_bytes: result as u64,
                 ..SpoolLimits::default()
             },
-            dir: None,
+            directory: None,
             page_rows: PAGE_ROWS,
-            stall: STALL,
+            stall_timeout: STALL,
         }
     }
 }
@@ -83,7 +83,7 @@
 }
 
 impl RawSpool {
-    pub(super) fn check(self) -> Result<SpoolSource, ConfigError> {
+    pub(super) fn check(self) -> Result<SpoolSettings, ConfigError> {
         const KB: u64 = 1 << 10;
         const GB: u64 = 1 << 30;
         if self.dir.is_none() && self.disk.is_some() {
@@ -126,7 +126,7 @@
         if !(1..=100_000).contains(&most) {
             return Err(bad("spool.most", format!("{most} is not in 1 to 100000")));
         }
-        Ok(SpoolSource {
+        Ok(SpoolSettings {
             rules: SpoolLimits {
                 memory_bytes: memory,
                 disk_bytes: self.dir.is_some().then_some(disk),
@@ -135,9 +135,9 @@
                 retention: 1000.0 * seconds("spool.keep_s", self.keep_s, 600.0)?,
                 max_spools: most,
             },
-            dir: self.dir,
+            directory: self.dir,
             page_rows,
-            stall: Duration::from_secs_f64(seconds(
+            stall_timeout: Duration::from_secs_f64(seconds(
                 "spool.stall_s",
                 self.stall_s,
                 STALL.as_secs_f64(),
@@ -150,7 +150,7 @@
 mod tests {
     use super::*;
 
-    fn read(text: &str) -> Result<SpoolSource, ConfigError> {
+    fn read(text: &str) -> Result<SpoolSettings, ConfigError> {
         let de = toml::Deserializer::parse(text).unwrap();
         let raw: RawSpool = serde_path_to_error::deserialize(de)
             .map_err(|e| bad(&format!("spool.{}", e.path()), e.inner().message()))?;
@@ -173,12 +173,12 @@
             (1_000_000_000, 500 << 20)
         );
         assert_eq!(
-            (s.rules.retention, s.page_rows, s.stall),
+            (s.rules.retention, s.page_rows, s.stall_timeout),
             (30_000.0, 50, Duration::from_secs(5))
         );
         let s = read("").unwrap();
         assert_eq!(
-            (s.rules.disk_bytes, s.dir, s.rules.result_bytes),
+            (s.rules.disk_bytes, s.directory, s.rules.result_bytes),
             (None, None, 16 << 20)
         );
     }
--- a/src/config/tls.rs
+++ b/src/config/tls.rs
@@ -6,7 +6,7 @@
 
 /// Keys and what is asked of clients.
 #[derive(Clone, Debug, PartialEq)]
-pub struct TlsSource {
+pub struct TlsSettings {
     /// TLS 1.3 alone; else 1.2 as well.
     pub only_13: bool,
     /// Clients in the clear are turned away.
@@ -43,7 +43,7 @@
 
     /// # Errors
     /// No key is named, too many, or a version that is not known.
-    pub fn check(self) -> Result<TlsSource, ConfigError> {
+    pub fn check(self) -> Result<TlsSettings, ConfigError> {
         if !(1..=32).contains(&self.key.len()) {
             return Err(bad("tls.key", "1 to 32 keys are to be named"));
         }
@@ -58,7 +58,7 @@
             }
         };
         let keys = self.key.into_iter().map(|k| (k.cert, k.key)).collect();
-        Ok(TlsSource {
+        Ok(TlsSettings {
             only_13,
             required: self.required,
             client_ca: self.client_ca,
--- a/src/discovery/eureka/http.rs
+++ b/src/discovery/eureka/http.rs
@@ -1,7 +1,7 @@
 //! HTTP to registries, on hyper: one kept connection to each server, every exchange within a time and a size, and
 //! nothing sent anywhere but to servers that the configuration names.
 
-use crate::config::eureka::Server;
+use crate::config::eureka::RegistryServer;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -106,7 +106,7 @@
 
 /// Exchanges with the servers of one configuration.
 pub struct Client {
-    servers: Vec<Server>,
+    servers: Vec<RegistryServer>,
     /// One idle connection a server, by its name.
     idle: RefCell<HashMap<String, Sender>>,
     timeout: Duration,
@@ -115,7 +115,7 @@
 
 impl Client {
     /// `timeout` bounds a whole exchange, redirections included; `most` a body as sent, in bytes.
-    pub fn new(servers: Vec<Server>, timeout: Duration, most: usize) -> Self {
+    pub fn new(servers: Vec<RegistryServer>, timeout: Duration, most: usize) -> Self {
         Client {
             servers,
             idle: RefCell::default(),
@@ -124,7 +124,7 @@
         }
     }
 
-    pub fn servers(&self) -> &[Server] {
+    pub fn servers(&self) -> &[RegistryServer] {
         &self.servers
     }
 
@@ -153,10 +153,10 @@
     /// The server that a redirection names, and the path behind its own.
     fn redirected(
         &self,
-        from: &Server,
+        from: &RegistryServer,
         path: &str,
         to: &str,
-    ) -> Result<(&Server, String), HttpError> {
+    ) -> Result<(&RegistryServer, String), HttpError> {
         let astray = || HttpError::Astray(to.chars().take(200).collect());
         let base = Url::parse(&format!("{}{path}", from.name)).map_err(|_| astray())?;
         let url = base.join(to).map_err(|_| astray())?;
@@ -187,7 +187,7 @@
     /// One request and its answer; the second is where it redirects to.
     async fn exchange(
         &self,
-        server: &Server,
+        server: &RegistryServer,
         call: &Call,
         path: &str,
     ) -> Result<(Answer, Option<String>), HttpError> {
@@ -202,12 +202,12 @@
         self.on(fresh, server, call, path).await
     }
 
-    fn kept(&self, server: &Server) -> Option<Sender> {
+    fn kept(&self, server: &RegistryServer) -> Option<Sender> {
         let kept = self.idle.borrow_mut().remove(&server.name)?;
         (!kept.is_closed()).then_some(kept)
     }
 
-    async fn connect(&self, server: &Server) -> Result<Sender, HttpError> {
+    async fn connect(&self, server: &RegistryServer) -> Result<Sender, HttpError> {
         let tcp = TcpStream::connect((server.host.as_str(), server.port))
             .await
             .map_err(HttpError::Connect)?;
@@ -223,7 +223,7 @@
     async fn on(
         &self,
         mut sender: Sender,
-        server: &Server,
+        server: &RegistryServer,
         call: &Call,
         path: &str,
     ) -> Result<(Answer, Option<String>), HttpError> {
--- a/src/discovery/eureka/lease.rs
+++ b/src/discovery/eureka/lease.rs
@@ -1,15 +1,15 @@
 //! Registers this dispatcher, so that proxies find it: `registration` decides, here it is sent.
 
-use crate::clock::span;
-use crate::clock::unix_ms;
-use crate::config::EurekaSource;
-use crate::config::eureka::Register;
+use crate::clock::duration_from_millis;
+use crate::clock::unix_time_millis;
+use crate::config::EurekaSettings;
+use crate::config::eureka::InstanceRegistration;
 use crate::discovery::eureka::http::{Answer, Call, Client, HttpError};
 use crate::discovery::eureka::registration::{Outcome, Registration, Step};
 use crate::discovery::eureka::servers::Servers;
 use crate::discovery::eureka::{format, random};
+use crate::log_line;
 use crate::membership::Status;
-use crate::say;
 use bytes::Bytes;
 use hyper::Method;
 use serde_json::json;
@@ -37,8 +37,8 @@
 
 /// Our lease at the registries.
 pub struct Lease {
-    source: Rc<EurekaSource>,
-    register: Register,
+    source: Rc<EurekaSettings>,
+    registration: InstanceRegistration,
     client: Client,
     servers: RefCell<Servers>,
     state: RefCell<Registration>,
@@ -48,20 +48,20 @@
 
 impl Lease {
     /// None if the configuration registers nothing.
-    pub fn new(source: Rc<EurekaSource>) -> Option<Rc<Self>> {
-        let register = source.register.clone()?;
+    pub fn new(source: Rc<EurekaSettings>) -> Option<Rc<Self>> {
+        let registration = source.registration.clone()?;
         let zones: Vec<Option<String>> = source.servers.iter().map(|s| s.zone.clone()).collect();
-        let renew = register.renew.as_secs_f64() * 1000.0;
+        let renew = registration.renewal_interval.as_secs_f64() * 1000.0;
         Some(Rc::new(Lease {
             client: Client::new(
                 source.servers.clone(),
-                source.timeout.min(Duration::from_secs(5)),
+                source.request_timeout.min(Duration::from_secs(5)),
                 1 << 20,
             ),
             servers: RefCell::new(Servers::new(&zones, source.zone.as_deref(), random)),
-            state: RefCell::new(Registration::new(unix_ms(), renew)),
+            state: RefCell::new(Registration::new(unix_time_millis(), renew)),
             differs: RefCell::default(),
-            register,
+            registration,
             source,
         }))
     }
@@ -69,7 +69,7 @@
     /// Keeps the lease for ever, as `stand` tells of the dispatcher.
     pub async fn keep(self: Rc<Self>, stand: impl Fn() -> Standing) {
         loop {
-            let now = unix_ms();
+            let now = unix_time_millis();
             let status = match stand() {
                 Standing::Starting => Status::Starting,
                 Standing::Ready => Status::Up,
@@ -85,7 +85,7 @@
                 let outcome = self.send(step).await;
                 self.state
                     .borrow_mut()
-                    .done(unix_ms(), step, outcome, random());
+                    .done(unix_time_millis(), step, outcome, random());
                 let renewed = self.state.borrow().renewed;
                 if matches!(step, Step::Renew(_)) && renewed % LOOK_BACK == 1 {
                     self.look_back(status).await;
@@ -95,7 +95,7 @@
             let Some(next) = self.state.borrow().next() else {
                 return;
             };
-            tokio::time::sleep(span(next - now).min(LOOK)).await;
+            tokio::time::sleep(duration_from_millis(next - now).min(LOOK)).await;
         }
     }
 
@@ -105,10 +105,12 @@
             let outcome = tokio::time::timeout(GOODBYE, self.send(Step::Cancel)).await;
             match outcome {
                 Ok(Outcome::Done | Outcome::Unknown) => {
-                    say!("eureka: our registration is cancelled")
+                    log_line!("eureka: our registration is cancelled")
                 }
                 _ => {
-                    say!("eureka: our registration could not be cancelled, and ends with its lease")
+                    log_line!(
+                        "eureka: our registration could not be cancelled, and ends with its lease"
+                    )
                 }
             }
         }
@@ -127,7 +129,7 @@
             let chosen = self
                 .servers
                 .borrow()
-                .choose(unix_ms(), self.source.servers.len());
+                .choose(unix_time_millis(), self.source.servers.len());
             let Some(server) = chosen.into_iter().find(|s| !tried.contains(s)) else {
                 return Outcome::Failed;
             };
@@ -137,9 +139,9 @@
                 Ok(Answer { status, .. }) if status.is_success() => {
                     self.servers.borrow_mut().answered(server);
                     if let Step::Register(s) = step {
-                        say!(
+                        log_line!(
                             "eureka {name}: registered as {} with status {}",
-                            self.register.instance,
+                            self.registration.instance_id,
                             s.word()
                         );
                     }
@@ -154,20 +156,20 @@
                         Ok(answer) => HttpError::Status(answer.status).to_string(),
                         Err(e) => e.to_string(),
                     };
-                    say!("eureka {name}: our registration: {problem}");
+                    log_line!("eureka {name}: our registration: {problem}");
                     self.servers
                         .borrow_mut()
-                        .failed(unix_ms(), server, random());
+                        .failed(unix_time_millis(), server, random());
                 }
             }
         }
     }
 
     fn call(&self, step: Step) -> Call {
-        let r = &self.register;
+        let r = &self.registration;
         let (dirty, own) = (
             self.state.borrow().dirty(),
-            format!("/apps/{}/{}", r.app, r.instance),
+            format!("/apps/{}/{}", r.app, r.instance_id),
         );
         let accept = "application/json";
         match step {
@@ -194,11 +196,17 @@
 
     /// Reads our own instance back: somebody may have set another status over ours.
     async fn look_back(&self, told: Status) {
-        let Some(server) = self.servers.borrow().choose(unix_ms(), 1).first().copied() else {
+        let Some(server) = self
+            .servers
+            .borrow()
+            .choose(unix_time_millis(), 1)
+            .first()
+            .copied()
+        else {
             return;
         };
         let call = Call::get(
-            format!("/instances/{}", self.register.instance),
+            format!("/instances/{}", self.registration.instance_id),
             "application/json",
         );
         let Ok(answer) = self.client.call(server, &call).await else {
@@ -230,7 +238,7 @@
         });
         if differs != *self.differs.borrow() {
             if let Some(text) = &differs {
-                say!("eureka: {text}");
+                log_line!("eureka: {text}");
             }
             *self.differs.borrow_mut() = differs;
         }
@@ -238,13 +246,13 @@
 }
 
 /// Our own instance, as a registration words it.
-fn instance(r: &Register, status: Status, dirty: u64) -> serde_json::Value {
+fn instance(r: &InstanceRegistration, status: Status, dirty: u64) -> serde_json::Value {
     json!({ "instance": {
-        "instanceId": r.instance,
+        "instanceId": r.instance_id,
         "hostName": r.host,
         "app": r.app,
         "ipAddr": r.ip.to_string(),
-        "vipAddress": r.vip,
+        "vipAddress": r.vip_address,
         "status": status.word(),
         "overriddenstatus": "UNKNOWN",
         "port": { "$": r.port, "@enabled": "true" },
@@ -255,8 +263,8 @@
             "name": "MyOwn"
         },
         "leaseInfo": {
-            "renewalIntervalInSecs": r.renew.as_secs().max(1),
-            "durationInSecs": r.lease.as_secs().max(1)
+            "renewalIntervalInSecs": r.renewal_interval.as_secs().max(1),
+            "durationInSecs": r.lease_duration.as_secs().max(1)
         },
         "metadata": r.metadata,
         "lastDirtyTimestamp": dirty.to_string(),
--- a/src/discovery/eureka/mod.rs
+++ b/src/discovery/eureka/mod.rs
@@ -14,12 +14,12 @@
 #[cfg(test)]
 mod tests;
 
-use crate::clock::unix_ms;
-use crate::config::EurekaSource;
-use crate::config::eureka::Format;
+use crate::clock::unix_time_millis;
+use crate::config::EurekaSettings;
+use crate::config::eureka::PayloadFormat;
 use crate::discovery::membership_driver::MembershipDriver;
+use crate::log_line;
 use crate::membership::{Content, View};
-use crate::say;
 use format::FormatError;
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
@@ -55,26 +55,30 @@
     getrandom::u32().map_or(0.5, |n| f64::from(n) / f64::from(u32::MAX))
 }
 
-fn accept(format: Format) -> &'static str {
+fn accept(format: PayloadFormat) -> &'static str {
     match format {
-        Format::Json => "application/json",
-        Format::Xml => "application/xml",
+        PayloadFormat::Json => "application/json",
+        PayloadFormat::Xml => "application/xml",
     }
 }
 
 /// One configuration's servers, with what each has told.
 struct Round {
-    source: Rc<EurekaSource>,
+    source: Rc<EurekaSettings>,
     client: Client,
     replicas: Vec<RefCell<Replica>>,
     servers: RefCell<Servers>,
 }
 
 impl Round {
-    fn new(source: Rc<EurekaSource>) -> Self {
+    fn new(source: Rc<EurekaSettings>) -> Self {
         let zones: Vec<Option<String>> = source.servers.iter().map(|s| s.zone.clone()).collect();
         Round {
-            client: Client::new(source.servers.clone(), source.timeout, source.most_body),
+            client: Client::new(
+                source.servers.clone(),
+                source.request_timeout,
+                source.max_body_bytes,
+            ),
             replicas: zones.iter().map(|_| RefCell::default()).collect(),
             servers: RefCell::new(Servers::new(&zones, source.zone.as_deref(), random)),
             source,
@@ -90,7 +94,7 @@
             Err(e) => {
                 self.replicas[server].borrow_mut().forget();
                 members.failed(name, e.to_string());
-                say!("eureka {name}: {e}; what it told before stays");
+                log_line!("eureka {name}: {e}; what it told before stays");
                 false
             }
         }
@@ -104,29 +108,29 @@
             members.view(View {
                 source: name.clone(),
                 asked,
-                arrived: unix_ms(),
+                arrived: unix_time_millis(),
                 content,
             });
         };
-        if source.listing.has_deltas() && replica.borrow().listed() {
-            let asked = unix_ms();
+        if source.query.has_deltas() && replica.borrow().listed() {
+            let asked = unix_time_millis();
             let document = self.get(server, "/apps/delta").await?;
-            let applied = replica.borrow_mut().delta(&document, &source.listing)?;
+            let applied = replica.borrow_mut().delta(&document, &source.query)?;
             let differs = applied.differs;
             tell(asked, applied.content);
             if !differs {
                 return Ok(());
             }
         }
-        let asked = unix_ms();
-        let document = self.get(server, &source.listing.path()).await?;
-        let content = replica.borrow_mut().whole(&document, &source.listing)?;
+        let asked = unix_time_millis();
+        let document = self.get(server, &source.query.path()).await?;
+        let content = replica.borrow_mut().whole(&document, &source.query)?;
         tell(asked, content);
         Ok(())
     }
 
     async fn get(&self, server: usize, path: &str) -> Result<Document, AskError> {
-        let regions = self.source.regions.join(",");
+        let regions = self.source.remote_regions.join(",");
         let query = if regions.is_empty() {
             String::new()
         } else {
@@ -137,11 +141,11 @@
         // An application or a name that nobody registers under has no list: a list without engines.
         if answer.status.as_u16() == 404
             && answer.body.is_empty()
-            && !self.source.listing.has_deltas()
+            && !self.source.query.has_deltas()
         {
             return Ok(Document::default());
         }
-        read(answer, self.source.most_body).await
+        read(answer, self.source.max_body_bytes).await
     }
 }
 
@@ -170,7 +174,10 @@
 }
 
 /// Asks for ever. A new configuration takes the place of the one before at once: what was believed stays.
-pub async fn follow(mut source: watch::Receiver<Rc<EurekaSource>>, members: Rc<MembershipDriver>) {
+pub async fn follow(
+    mut source: watch::Receiver<Rc<EurekaSettings>>,
+    members: Rc<MembershipDriver>,
+) {
     let began = Instant::now();
     let mut round = Rc::new(Round::new(source.borrow_and_update().clone()));
     let mut asks = FuturesUnordered::new();
@@ -182,7 +189,7 @@
         tokio::select! {
             () = tokio::time::sleep_until(next) => {
                 asked.clear();
-                let period = round.source.period.mul_f64(0.95 + 0.1 * random());
+                let period = round.source.poll_interval.mul_f64(0.95 + 0.1 * random());
                 next = Instant::now() + period;
             }
             Some((server, ok)) = asks.next(), if !asks.is_empty() => {
@@ -191,7 +198,7 @@
                 answered |= ok;
                 match ok {
                     true => round.servers.borrow_mut().answered(server),
-                    false => round.servers.borrow_mut().failed(unix_ms(), server, random()),
+                    false => round.servers.borrow_mut().failed(unix_time_millis(), server, random()),
                 }
             }
             () = tokio::time::sleep_until(began + FIRST), if !answered && !waited => {
@@ -212,7 +219,10 @@
             }
         }
         // One that failed makes room for the next at once.
-        let chosen = round.servers.borrow().choose(unix_ms(), round.source.ask);
+        let chosen = round
+            .servers
+            .borrow()
+            .choose(unix_time_millis(), round.source.servers_per_round);
         for server in chosen {
             if !busy.contains(&server) && asked.insert(server) {
                 busy.insert(server);
--- a/src/discovery/eureka/model.rs
+++ b/src/discovery/eureka/model.rs
@@ -1,6 +1,6 @@
 //! A registry's documents, whatever format they came in, and the facts that they tell.
 
-use crate::config::eureka::Listing;
+use crate::config::eureka::RegistryQuery;
 use crate::membership::registry_view::version;
 use crate::membership::{InstanceRecord, Status};
 use std::collections::BTreeMap;
@@ -79,31 +79,33 @@
     }
 }
 
-impl Listing {
+impl RegistryQuery {
     /// The path of the whole list, behind the server's own.
     pub fn path(&self) -> String {
         match self {
-            Listing::Apps(_) => "/apps".into(),
-            Listing::App(app) => format!("/apps/{app}"),
-            Listing::Vip(vip) => format!("/vips/{vip}"),
-            Listing::SecureVip(vip) => format!("/svips/{vip}"),
+            RegistryQuery::AllApplications(_) => "/apps".into(),
+            RegistryQuery::Application(app) => format!("/apps/{app}"),
+            RegistryQuery::VipAddress(vip) => format!("/vips/{vip}"),
+            RegistryQuery::SecureVipAddress(vip) => format!("/svips/{vip}"),
         }
     }
 
     /// Changes alone can be asked for.
     pub fn has_deltas(&self) -> bool {
-        matches!(self, Listing::Apps(_))
+        matches!(self, RegistryQuery::AllApplications(_))
     }
 
     pub fn secure(&self) -> bool {
-        matches!(self, Listing::SecureVip(_))
+        matches!(self, RegistryQuery::SecureVipAddress(_))
     }
 
     /// Engines are the instances of this application; all that is listed, where that was asked for by name.
     pub fn counts(&self, application: &str) -> bool {
         match self {
-            Listing::Apps(app) | Listing::App(app) => app.eq_ignore_ascii_case(application),
-            Listing::Vip(_) | Listing::SecureVip(_) => true,
+            RegistryQuery::AllApplications(app) | RegistryQuery::Application(app) => {
+                app.eq_ignore_ascii_case(application)
+            }
+            RegistryQuery::VipAddress(_) | RegistryQuery::SecureVipAddress(_) => true,
         }
     }
 }
--- a/src/discovery/eureka/replica.rs
+++ b/src/discovery/eureka/replica.rs
@@ -1,6 +1,6 @@
 //! What one registry has told so far: the whole list, then changes, checked by the registry's hash code. Pure.
 
-use crate::config::eureka::Listing;
+use crate::config::eureka::RegistryQuery;
 use crate::discovery::eureka::model::{Application, Document};
 use crate::membership::{Content, Status, registry_view::version};
 use std::collections::{BTreeMap, HashMap};
@@ -77,7 +77,7 @@
     pub fn whole(
         &mut self,
         document: &Document,
-        listing: &Listing,
+        listing: &RegistryQuery,
     ) -> Result<Content, ReplicaError> {
         self.listed = false;
         self.statuses.clear();
@@ -102,7 +102,7 @@
     pub fn delta(
         &mut self,
         document: &Document,
-        listing: &Listing,
+        listing: &RegistryQuery,
     ) -> Result<Applied, ReplicaError> {
         let (mut told, mut deleted) = (vec![], vec![]);
         for Application { name, instances } in &document.applications {
--- a/src/discovery/eureka/tests.rs
+++ b/src/discovery/eureka/tests.rs
@@ -2,7 +2,7 @@
 use super::http::{Answer, HttpError};
 use super::model::*;
 use super::replica::Replica;
-use crate::config::eureka::Listing;
+use crate::config::eureka::RegistryQuery;
 use crate::membership::source_records::Reported;
 use crate::membership::{Content, Status, Version};
 use bytes::Bytes;
@@ -148,7 +148,10 @@
 
 #[test]
 fn changes_add_up_by_the_hash_code_of_all_applications() {
-    let (mut r, listing) = (Replica::default(), Listing::Apps("engines".into()));
+    let (mut r, listing) = (
+        Replica::default(),
+        RegistryQuery::AllApplications("engines".into()),
+    );
     assert!(!r.listed());
     let (a, b, k) = (
         instance("a", "UP", "ADDED"),
@@ -263,7 +266,7 @@
     /// A replica's hash code is that of its instances, however they came.
     #[test]
     fn a_replica_counts_what_it_holds(steps in prop::collection::vec((0..6usize, 0..3usize, any::<bool>()), 1..60)) {
-        let (mut r, listing) = (Replica::default(), Listing::Apps("a".into()));
+        let (mut r, listing) = (Replica::default(), RegistryQuery::AllApplications("a".into()));
         r.whole(&document("", &[]), &listing).unwrap();
         let mut model = std::collections::BTreeMap::new();
         let words = ["UP", "DOWN", "STARTING"];
--- a/src/discovery/journal.rs
+++ b/src/discovery/journal.rs
@@ -3,7 +3,7 @@
 use crate::decision::model::{EngineState, ListUpdate};
 use crate::discovery::backoff::Backoff;
 use crate::discovery::{Change, ChangeHandler, Discovery, Engine};
-use crate::say;
+use crate::log_line;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -138,7 +138,7 @@
                 return Err(broken(&format!("an event cannot be read: {e}")));
             }
             Err(e) => {
-                say!("journal: an event cannot be read and is passed over: {e}");
+                log_line!("journal: an event cannot be read and is passed over: {e}");
                 self.pos = id.unwrap_or(self.pos);
                 return Ok(None);
             }
@@ -195,7 +195,7 @@
             // The numbers go on at the new address; the old stream, which tells nothing more, is let go at once.
             let following = async {
                 if let Err(e) = self.follow(address, &sink).await {
-                    say!("journal {address}: {e}; asking again from {}", self.pos);
+                    log_line!("journal {address}: {e}; asking again from {}", self.pos);
                 }
                 // News shows that the service is well; without any, ask ever more slowly.
                 let news = self.pos > before;
--- a/src/discovery/membership_driver.rs
+++ b/src/discovery/membership_driver.rs
@@ -1,14 +1,14 @@
 //! Joins membership with what stands round it: the hub that takes its changes, the upstream that sees
 //! connections, the store that outlives the process, and operators.
 
-use crate::clock::span;
-use crate::clock::unix_ms;
-use crate::config::EurekaSource;
+use crate::clock::duration_from_millis;
+use crate::clock::unix_time_millis;
+use crate::config::EurekaSettings;
 use crate::decision::model::Millis;
 use crate::discovery::ChangeHandler;
+use crate::log_line;
 use crate::membership::report::{Query, QueryError, Report};
 use crate::membership::{Change, Membership, Observation, Snapshot, View, snapshot};
-use crate::say;
 use crate::storage::{LoadError, LocalFileSystem, RecordError, RecordKind, RecordStore};
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
@@ -79,7 +79,7 @@
 impl MembershipDriver {
     /// `folder` is the folder for state, which exists; without one nothing outlives the process.
     pub fn new(
-        source: &EurekaSource,
+        source: &EurekaSettings,
         folder: Option<&Path>,
         sink: ChangeHandler,
         hands: Hands,
@@ -92,15 +92,15 @@
             match load(store) {
                 Ok(Some(snapshot)) => {
                     let (age, n) = (
-                        (unix_ms() - snapshot.written) / 1000.0,
+                        (unix_time_millis() - snapshot.written) / 1000.0,
                         snapshot.engines.len(),
                     );
-                    say!("members: a snapshot of {n} engines, {age:.0} s old, is at hand");
-                    membership.restore(unix_ms(), snapshot);
+                    log_line!("members: a snapshot of {n} engines, {age:.0} s old, is at hand");
+                    membership.restore(unix_time_millis(), snapshot);
                 }
                 Ok(None) => {}
                 Err(e) => {
-                    say!("members: {e}");
+                    log_line!("members: {e}");
                     unsaved = Some(e.to_string());
                 }
             }
@@ -134,7 +134,7 @@
         self.membership
             .borrow_mut()
             .administratively_drained((self.hands)());
-        let change = self.membership.borrow_mut().view(unix_ms(), view);
+        let change = self.membership.borrow_mut().view(unix_time_millis(), view);
         self.tell(change);
     }
 
@@ -142,14 +142,14 @@
         let change = self
             .membership
             .borrow_mut()
-            .failed(unix_ms(), source, problem);
+            .failed(unix_time_millis(), source, problem);
         self.tell(change);
     }
 
     /// A new configuration: other servers and rules, the same beliefs.
-    pub fn configure(&self, source: &EurekaSource) {
+    pub fn configure(&self, source: &EurekaSettings) {
         let change = self.membership.borrow_mut().configure(
-            unix_ms(),
+            unix_time_millis(),
             source.rules.clone(),
             &source.names(),
         );
@@ -158,9 +158,12 @@
 
     /// No registry has answered: the engines of the snapshot are served, if there is one.
     pub fn serve_restored(&self) {
-        let change = self.membership.borrow_mut().serve_restored(unix_ms());
+        let change = self
+            .membership
+            .borrow_mut()
+            .serve_restored(unix_time_millis());
         if let Some(change) = &change {
-            say!(
+            log_line!(
                 "members: no registry answers: {} engines of the snapshot are served",
                 change.engines.len()
             );
@@ -178,7 +181,7 @@
         self.membership
             .borrow_mut()
             .administratively_drained((self.hands)());
-        let report = self.membership.borrow().report(unix_ms(), &query);
+        let report = self.membership.borrow().report(unix_time_millis(), &query);
         let lease = self.lease.borrow().clone();
         let page = Page {
             serving: self.serving.get(),
@@ -191,7 +194,7 @@
 
     fn tell(&self, change: Option<Change>) {
         let news = self.membership.borrow_mut().news();
-        news.iter().for_each(|line| say!("members: {line}"));
+        news.iter().for_each(|line| log_line!("members: {line}"));
         if let Some(change) = change {
             self.serving.set(true);
             (self.sink)(change);
@@ -206,7 +209,10 @@
             let Some((engine, seen)) = self.seen.borrow_mut().pop_front() else {
                 return;
             };
-            let (change, _) = self.membership.borrow_mut().seen(unix_ms(), &engine, seen);
+            let (change, _) = self
+                .membership
+                .borrow_mut()
+                .seen(unix_time_millis(), &engine, seen);
             if change.is_some() {
                 self.tell(change);
             }
@@ -216,14 +222,17 @@
     /// Does what is due; runs for ever.
     pub async fn clock(self: Rc<Self>) {
         loop {
-            let next = self.membership.borrow().next_wake(unix_ms());
-            let sleep = span(next.map_or(1000.0, |at| at - unix_ms()).clamp(1.0, 1000.0));
+            let next = self.membership.borrow().next_wake(unix_time_millis());
+            let sleep = duration_from_millis(
+                next.map_or(1000.0, |at| at - unix_time_millis())
+                    .clamp(1.0, 1000.0),
+            );
             tokio::select! {
                 () = tokio::time::sleep(sleep) => {}
                 () = self.wake.notified() => {}
             }
             self.work_through();
-            let change = self.membership.borrow_mut().tick(unix_ms());
+            let change = self.membership.borrow_mut().tick(unix_time_millis());
             if change.is_some() {
                 self.tell(change);
             }
@@ -239,7 +248,7 @@
             let _ = tokio::time::timeout(SAVE_ANYWAY, self.changed.notified()).await;
             // Changes come in bursts: one write for all of them.
             tokio::time::sleep(SAVE).await;
-            let Some(snapshot) = self.membership.borrow().snapshot(unix_ms()) else {
+            let Some(snapshot) = self.membership.borrow().snapshot(unix_time_millis()) else {
                 continue;
             };
             let store = store.clone();
@@ -253,7 +262,7 @@
                 Err(_) => Some("the snapshot cannot be written".to_string()),
             };
             if let Some(problem) = &problem {
-                say!("members: {problem}");
+                log_line!("members: {problem}");
             }
             *self.unsaved.borrow_mut() = problem;
         }
@@ -272,10 +281,11 @@
 
     fn opened(&self, engine: &str, at: Millis) -> bool {
         self.work_through();
-        let (change, anew) =
-            self.membership
-                .borrow_mut()
-                .seen(unix_ms(), engine, Observation::Opened { at });
+        let (change, anew) = self.membership.borrow_mut().seen(
+            unix_time_millis(),
+            engine,
+            Observation::Opened { at },
+        );
         if change.is_some() || anew {
             self.tell(change);
         }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -6,7 +6,7 @@
 pub mod journal;
 pub mod membership_driver;
 
-use crate::config::FixedEngine;
+use crate::config::StaticEngine;
 use crate::decision::model::{EngineState, ListUpdate};
 pub use crate::membership::{Change, Engine};
 
@@ -19,8 +19,8 @@
 }
 
 /// The one change that a list in a file makes.
-pub fn fixed(engines: &[FixedEngine]) -> Change {
-    let engine = |e: &FixedEngine| Engine {
+pub fn fixed(engines: &[StaticEngine]) -> Change {
+    let engine = |e: &StaticEngine| Engine {
         id: e.id.clone(),
         address: Some(e.address),
         state: EngineState::Ready,
--- a/src/dispatch/request_router.rs
+++ b/src/dispatch/request_router.rs
@@ -1,13 +1,13 @@
 //! Joins the core to its adapters: carries the core's commands out and keeps its clock.
 
-use crate::clock::span;
-use crate::clock::unix_ms;
-use crate::config::{Names, find};
+use crate::clock::duration_from_millis;
+use crate::clock::unix_time_millis;
+use crate::config::{NameTable, position_of};
 use crate::core::{Answer, AttemptId, Command, Core, NewRequest, RequestId, RequestOutcome};
 use crate::decision::model::*;
 use crate::discovery::{Change, Engine};
 use crate::gossip::{DecodeError, GossipBudget};
-use crate::say;
+use crate::log_line;
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -70,7 +70,7 @@
 pub struct RequestRouter<U: Upstream> {
     core: RefCell<Core>,
     open: RefCell<HashMap<RequestId, Open<U>>>,
-    names: Names,
+    names: NameTable,
     upstream: U,
     wake: Notify,
     stopping: Cell<bool>,
@@ -79,7 +79,7 @@
 }
 
 impl<U: Upstream> RequestRouter<U> {
-    pub fn new(core: Core, names: Names, upstream: U) -> Rc<Self> {
+    pub fn new(core: Core, names: NameTable, upstream: U) -> Rc<Self> {
         Rc::new(RequestRouter {
             core: RefCell::new(core),
             open: RefCell::new(HashMap::new()),
@@ -100,7 +100,9 @@
 
     /// A peer's message.
     pub fn receive_gossip(self: &Rc<Self>, message: &[u8]) -> Result<(), DecodeError> {
-        self.core.borrow_mut().receive_gossip(unix_ms(), message)?;
+        self.core
+            .borrow_mut()
+            .receive_gossip(unix_time_millis(), message)?;
         self.carry_out();
         Ok(())
     }
@@ -115,7 +117,7 @@
         &self.upstream
     }
 
-    pub fn names(&self) -> &Names {
+    pub fn names(&self) -> &NameTable {
         &self.names
     }
 
@@ -125,7 +127,7 @@
         work: U::Work,
         answer: ReplyHandler<U::Output>,
     ) -> RequestId {
-        let id = self.core.borrow_mut().open(unix_ms(), r);
+        let id = self.core.borrow_mut().open(unix_time_millis(), r);
         self.open.borrow_mut().insert(
             id,
             Open {
@@ -140,13 +142,15 @@
 
     pub fn abandon(self: &Rc<Self>, id: RequestId) {
         drop(self.open.borrow_mut().remove(&id));
-        self.core.borrow_mut().abandon(unix_ms(), id);
+        self.core.borrow_mut().abandon(unix_time_millis(), id);
         self.carry_out();
     }
 
     /// A part of the result is here, and more is to come.
     pub fn page_received(self: &Rc<Self>, attempt: AttemptId) {
-        self.core.borrow_mut().page_received(unix_ms(), attempt);
+        self.core
+            .borrow_mut()
+            .page_received(unix_time_millis(), attempt);
     }
 
     pub fn attempt_served(
@@ -164,12 +168,14 @@
     pub fn attempt_ended(self: &Rc<Self>, attempt: AttemptId, outcome: Outcome, report: Vec<f64>) {
         self.core
             .borrow_mut()
-            .attempt_ended(unix_ms(), attempt, outcome, report);
+            .attempt_ended(unix_time_millis(), attempt, outcome, report);
         self.carry_out();
     }
 
     pub fn progress(self: &Rc<Self>, attempt: AttemptId, note: ProgressNote) {
-        self.core.borrow_mut().progress(unix_ms(), attempt, note);
+        self.core
+            .borrow_mut()
+            .progress(unix_time_millis(), attempt, note);
         self.carry_out();
     }
 
@@ -199,15 +205,21 @@
             engine: e.id.clone(),
             state: e.state,
             started: e.started,
-            kind: e.kind.as_deref().and_then(|k| find(&self.names.kinds, k)),
-            zone: e.zone.as_deref().and_then(|z| find(&self.names.zones, z)),
+            kind: e
+                .kind
+                .as_deref()
+                .and_then(|k| position_of(&self.names.kinds, k)),
+            zone: e
+                .zone
+                .as_deref()
+                .and_then(|z| position_of(&self.names.zones, z)),
             cell: e.cell,
         });
         let entries = entries.collect();
         // The module hears of it first, so that connections that drop find it informed.
         self.core
             .borrow_mut()
-            .update_endpoints(unix_ms(), change.update, entries);
+            .update_endpoints(unix_time_millis(), change.update, entries);
         self.upstream.update_endpoints(change);
         self.carry_out();
     }
@@ -220,11 +232,17 @@
     /// Operators take an engine out, or put it back; doing so twice changes nothing.
     pub fn set_administrative_drain(self: &Rc<Self>, engine: &str, out: bool) {
         let told = match out {
-            true => self.core.borrow_mut().drain_engine(unix_ms(), engine),
-            false => self.core.borrow_mut().undrain_engine(unix_ms(), engine),
+            true => self
+                .core
+                .borrow_mut()
+                .drain_engine(unix_time_millis(), engine),
+            false => self
+                .core
+                .borrow_mut()
+                .undrain_engine(unix_time_millis(), engine),
         };
         if let Some(e) = told {
-            say!(
+            log_line!(
                 "engine {engine}: {} by hand",
                 if out { "taken out" } else { "put back" }
             );
@@ -278,7 +296,9 @@
     /// From now on: not ready, and every answer is given by `by`.
     pub fn begin_shutdown(self: &Rc<Self>, by: Millis) {
         self.stopping.set(true);
-        self.core.borrow_mut().begin_shutdown(unix_ms(), by);
+        self.core
+            .borrow_mut()
+            .begin_shutdown(unix_time_millis(), by);
         self.carry_out();
     }
 
@@ -352,7 +372,7 @@
                 };
                 (open.answer)(reply);
             }
-            Command::Log(text) => say!("module: {text}"),
+            Command::Log(text) => log_line!("module: {text}"),
             Command::Broadcast(message) => {
                 self.peers.get().into_iter().for_each(|tell| tell(&message))
             }
@@ -363,10 +383,10 @@
     pub async fn run_clock(self: Rc<Self>) {
         loop {
             let next = self.core.borrow().next_wakeup();
-            let sleep = span(next.map_or(1000.0, |at| at - unix_ms()));
+            let sleep = duration_from_millis(next.map_or(1000.0, |at| at - unix_time_millis()));
             tokio::select! {
                 () = tokio::time::sleep(sleep) => {
-                    self.core.borrow_mut().tick(unix_ms());
+                    self.core.borrow_mut().tick(unix_time_millis());
                     self.carry_out();
                 }
                 () = self.wake.notified() => {}
--- a/src/frontend/frames/connection.rs
+++ b/src/frontend/frames/connection.rs
@@ -2,7 +2,7 @@
 //! it takes what is written, is made to wait for useless frames, or has sent what cannot be read; so that its leave, its
 //! close and its reset are seen at once, behind any number of frames, and what it waits for is not sent on after them.
 
-use crate::clock::unix_ms;
+use crate::clock::unix_time_millis;
 use crate::core::{RequestId, RequestOutcome};
 use crate::decision::model::Millis;
 use crate::dispatch::request_router::{Reply, Upstream};
@@ -381,7 +381,7 @@
             }
             _ => {
                 self.bytes += frame.payload.len();
-                self.ahead.push_back((frame, unix_ms()));
+                self.ahead.push_back((frame, unix_time_millis()));
             }
         }
         Ok(())
--- a/src/frontend/frames/mod.rs
+++ b/src/frontend/frames/mod.rs
@@ -6,10 +6,10 @@
 pub use crate::protocol::frames::{Frame, FrameCodec, FrameError, Send, fields};
 pub use request::{Budget, Work};
 
-use crate::clock::span;
-use crate::config::Machine;
+use crate::clock::duration_from_millis;
+use crate::config::MachineLimits;
 use crate::dispatch::request_router::{RequestRouter, Upstream};
-use crate::say;
+use crate::log_line;
 use crate::transport::connection_limiter::{Activity, ConnectionLimiter, PermitGuard};
 use crate::transport::descriptors::Shares;
 use crate::transport::framed::{Buffer, BufferPool};
@@ -49,7 +49,7 @@
     pub budget: Budget,
     ids: Ids,
     places: Rc<ConnectionLimiter>,
-    limits: RefCell<Machine>,
+    limits: RefCell<MachineLimits>,
     processes: Cell<usize>,
     /// Another process of this dispatcher takes its clients.
     handed_over: Cell<bool>,
@@ -58,7 +58,7 @@
 }
 
 impl<U: Upstream<Work = Work, Output = Buffer>> Frontend<U> {
-    pub fn new(router: Rc<RequestRouter<U>>, pool: BufferPool, limits: &Machine) -> Rc<Self> {
+    pub fn new(router: Rc<RequestRouter<U>>, pool: BufferPool, limits: &MachineLimits) -> Rc<Self> {
         let (phase, _) = watch::channel(Phase::Serving);
         let (budget, places) = (Budget::new(0), ConnectionLimiter::new(0, Activity::Idle));
         let frontend = Frontend {
@@ -78,7 +78,7 @@
     }
 
     /// Bounds by the machine's limits, which a new configuration may change.
-    pub fn limit(&self, limits: &Machine) {
+    pub fn limit(&self, limits: &MachineLimits) {
         *self.limits.borrow_mut() = limits.clone();
         self.bound();
     }
@@ -96,7 +96,7 @@
             .most
             .set(limits.memory_mb * 1024 * 1024 / 4 / processes);
         self.places
-            .bound(Shares::of(limits.sockets, processes).clients);
+            .bound(Shares::of(limits.max_sockets, processes).clients);
     }
 
     /// No new request is wanted on any connection; what comes all the same is answered. `to_another`: another
@@ -119,7 +119,7 @@
     /// A connection that ends may stay until its client has taken what was written: while clients hold no more than half of
     /// the descriptors.
     fn may_part(&self) -> bool {
-        self.connections.get() <= self.limits.borrow().sockets / 2 / self.processes.get()
+        self.connections.get() <= self.limits.borrow().max_sockets / 2 / self.processes.get()
     }
 
     /// Accepts connections until the goodbye. Those that the machine has accepted by then are served as well, for their
@@ -135,7 +135,7 @@
                 Ok((tcp, place)) => self.clone().serve(tcp, place),
                 Err(e) => {
                     // Out of descriptors: some have to come back.
-                    say!("accept: {e}");
+                    log_line!("accept: {e}");
                     self.places.give_way();
                     tokio::time::sleep(Duration::from_millis(20)).await;
                 }
@@ -145,7 +145,7 @@
             true => vec![],
             // Beyond the bound, which is for as long as they last.
             false => {
-                let last = Shares::of(self.limits.borrow().sockets, self.processes.get()).last;
+                let last = Shares::of(self.limits.borrow().max_sockets, self.processes.get()).last;
                 listener::accepted(listener, last)
             }
         };
@@ -164,7 +164,7 @@
                 () = place.overdue() => Ok(()),
             };
             if let Err(e) = ended {
-                say!("client: {e}");
+                log_line!("client: {e}");
             }
             self.connections.set(self.connections.get() - 1);
         });
@@ -180,5 +180,5 @@
 /// SIGKILL comes no earlier than the longest deadline (3 s at most counts, 5 s where another process has taken
 /// over) plus 0.7 s.
 pub fn stop_span(longest: f64, handed_over: bool) -> Duration {
-    span(longest.min(if handed_over { 5000.0 } else { 3000.0 }) + 700.0 - 350.0)
+    duration_from_millis(longest.min(if handed_over { 5000.0 } else { 3000.0 }) + 700.0 - 350.0)
 }
--- a/src/frontend/frames/request.rs
+++ b/src/frontend/frames/request.rs
@@ -1,8 +1,8 @@
 //! Requests as clients' frames bring them, and what they hold while they are open.
 
-use crate::clock::MOST_MB;
-use crate::clock::MOST_MS;
-use crate::config::find;
+use crate::clock::MAX_ESTIMATED_MEMORY_MB;
+use crate::clock::MAX_ESTIMATED_WORK_MS;
+use crate::config::position_of;
 use crate::core::NewRequest;
 use crate::decision::model::{ClassId, Millis};
 use crate::dispatch::request_router::{RequestRouter, Upstream};
@@ -126,7 +126,7 @@
 pub(super) fn class<U: Upstream>(router: &RequestRouter<U>, frame: Frame) -> Option<ClassId> {
     let (fields, _) = fields(frame.payload).ok()?;
     let named = fields.iter().find(|f| f.0 == "verb")?;
-    find(&router.names().classes, &named.1)
+    position_of(&router.names().classes, &named.1)
 }
 
 /// Reads a request that arrived at this Unix time; the error is the message of a `failed`.
@@ -152,21 +152,21 @@
     };
     let read = || {
         let class = field("verb").ok_or("the field `verb` is missing")?;
-        let index = find(&router.names().classes, class)
+        let index = position_of(&router.names().classes, class)
             .ok_or(format!("verb: no class is named {class:?}"))?;
         named.set(Some(index));
         let txn = field("txn").ok_or("the field `txn` is missing")?;
         if txn.len() != 16 || !txn.bytes().all(|b| b.is_ascii_hexdigit()) {
             return Err(format!("txn: {txn:?} is not 16 hex digits"));
         }
-        let ms = number("limit", MOST_MS)?.ok_or("the field `limit` is missing")?;
+        let ms = number("limit", MAX_ESTIMATED_WORK_MS)?.ok_or("the field `limit` is missing")?;
         let tenants = &router.names().tenants;
         let tenant = match field("team") {
             _ if tenants.is_empty() => None,
             None => return Err("the field `team` is missing".to_string()),
-            Some(t) => {
-                Some(find(tenants, t).ok_or_else(|| format!("team: no tenant is named {t:?}"))?)
-            }
+            Some(t) => Some(
+                position_of(tenants, t).ok_or_else(|| format!("team: no tenant is named {t:?}"))?,
+            ),
         };
         // Engines close on what they cannot read, whatever else is open on that connection.
         let odd = |c: char| c.is_control() && !c.is_whitespace();
@@ -179,8 +179,8 @@
             tenant,
             group: statement::group(&statement),
             deadline: arrived + ms,
-            work: number("cpu", MOST_MS)?.filter(|v| *v > 0.0),
-            memory_mb: number("mem", MOST_MB)?.filter(|v| *v > 0.0),
+            work: number("cpu", MAX_ESTIMATED_WORK_MS)?.filter(|v| *v > 0.0),
+            memory_mb: number("mem", MAX_ESTIMATED_MEMORY_MB)?.filter(|v| *v > 0.0),
         };
         Ok((new, Work::free(txn, class, statement)))
     };
--- a/src/frontend/mysql/mod.rs
+++ b/src/frontend/mysql/mod.rs
@@ -7,21 +7,21 @@
 mod settings;
 mod sticky;
 
-use crate::clock::MOST_MB;
-use crate::clock::MOST_MS;
-use crate::clock::unix_ms;
+use crate::clock::MAX_ESTIMATED_MEMORY_MB;
+use crate::clock::MAX_ESTIMATED_WORK_MS;
+use crate::clock::unix_time_millis;
 use crate::config::MysqlFrontendConfig;
 use crate::core::{NewRequest, RequestId, RequestOutcome};
 use crate::dispatch::request_router::{Reply, RequestRouter, Upstream};
 use crate::frontend::mysql::administrative_statements::Ours;
 use crate::frontend::mysql::cursor::{Cursor, cut};
+use crate::log_line;
 use crate::protocol::mysql::auth;
 use crate::protocol::mysql::error::{SqlError, code};
 use crate::protocol::mysql::packet::*;
 use crate::protocol::mysql::session::{Context, State};
 use crate::protocol::mysql::values::{self, Type};
 use crate::protocol::statement::{self, Kind};
-use crate::say;
 use crate::spool::{Admission, AdmissionRequest, SpoolId};
 use crate::spool_io::{
     MAX_STATEMENT_CHARS, ResultListing, ResultOwner, ResultReader, SpoolError, Spools, packets,
@@ -241,7 +241,7 @@
         self.descriptors.set(descriptors);
         let (most, clients) = (self.config().max_clients, self.shares().clients);
         if clients < most {
-            say!(
+            log_line!(
                 "max_clients {most}: {descriptors} descriptors have places for {clients}, so that many are let in"
             );
         }
@@ -288,7 +288,7 @@
                         if let Err(End::Broken(e)) =
                             frontend.session(tcp, &host, place.as_deref()).await
                         {
-                            say!("mysql client {peer}: {e}");
+                            log_line!("mysql client {peer}: {e}");
                         }
                         frontend
                             .record_rejection
@@ -296,7 +296,7 @@
                     });
                 }
                 Err(e) => {
-                    say!("mysql accept: {e}");
+                    log_line!("mysql accept: {e}");
                     tokio::time::sleep(Duration::from_millis(20)).await;
                 }
             }
@@ -396,7 +396,7 @@
             plugin: auth::NATIVE.into(),
             capabilities,
         };
-        wire.send(&greeting.write(&self.config().version)[..])
+        wire.send(&greeting.write(&self.config().server_version)[..])
             .await?;
         let mut first = crate::upstream::mysql::next(wire).await?;
         if let Some(keys) = &keys {
@@ -454,7 +454,9 @@
         let shown = || wire.get_ref().certificate().and_then(tls::common_name);
         let known = user
             .filter(|u| auth::proves(&plugin, &u.password, nonce, given))
-            .filter(|u| u.certificate.is_none() || u.certificate == shown());
+            .filter(|u| {
+                u.certificate_common_name.is_none() || u.certificate_common_name == shown()
+            });
         let Some(user) = known else {
             let with = if given.is_empty() { "NO" } else { "YES" };
             let text = format!(
@@ -539,7 +541,7 @@
                     }
                     return self.frontend.shut_down(&mut self.wire).await;
                 }
-                () = tokio::time::sleep(self.frontend.config().idle) => {
+                () = tokio::time::sleep(self.frontend.config().idle_timeout) => {
                     if self.wire.get_ref().unread() != PendingInput::Bytes {
                         return Ok(());
                     }
@@ -778,8 +780,10 @@
         let group = statement::group(&sql);
         let class = match job {
             // Preparing runs nothing, so it may be repeated, whatever the statement does.
-            Job::Prepare => config.rules.read,
-            _ => config.rules.class(*kind == Kind::Read, hint("class"), &sql),
+            Job::Prepare => config.class_rules.read_class,
+            _ => config
+                .class_rules
+                .class_of(*kind == Kind::Read, hint("class"), &sql),
         };
         let ask = AdmissionRequest {
             tenant: self.tenant,
@@ -825,9 +829,12 @@
             class,
             tenant: self.tenant,
             group,
-            deadline: unix_ms() + number("limit", MOST_MS).unwrap_or(limit).min(limit),
-            work: number("cpu", MOST_MS),
-            memory_mb: number("mem", MOST_MB),
+            deadline: unix_time_millis()
+                + number("limit", MAX_ESTIMATED_WORK_MS)
+                    .unwrap_or(limit)
+                    .min(limit),
+            work: number("cpu", MAX_ESTIMATED_WORK_MS),
+            memory_mb: number("mem", MAX_ESTIMATED_MEMORY_MB),
         };
         let (tx, mut answer) = oneshot::channel();
         let frontend = self.frontend;
--- a/src/frontend/mysql/sticky.rs
+++ b/src/frontend/mysql/sticky.rs
@@ -102,7 +102,7 @@
     /// Opens the pin's request: one attempt, at an engine that the module chooses.
     fn begin(&mut self) -> Result<(), SqlError> {
         let (config, frontend) = (self.frontend.config(), self.frontend);
-        let terms = config.pins.clone();
+        let terms = config.sticky_sessions.clone();
         let booked = frontend.book.borrow_mut().acquire(&terms, self.tenant);
         booked
             .map_err(|e| SqlError::new(code::PINS, format!("{e}; nothing ran, try again later")))?;
@@ -135,7 +135,7 @@
             class,
             tenant: self.tenant,
             group: None,
-            deadline: unix_ms() + limit + longest,
+            deadline: unix_time_millis() + limit + longest,
             work: None,
             memory_mb: None,
         };
@@ -144,7 +144,7 @@
             .router
             .open(new, work, Box::new(move |reply| drop(tx.send(reply))));
         let asked = Asked(&frontend.router, id);
-        let until = tokio::time::Instant::now() + crate::clock::span(limit);
+        let until = tokio::time::Instant::now() + crate::clock::duration_from_millis(limit);
         self.hold = Some(Hold {
             orders,
             pinned,
@@ -166,7 +166,7 @@
         job: Job,
     ) -> Result<Came, End> {
         let config = self.frontend.config();
-        let class = config.rules.class(*kind == Kind::Read, None, &sql);
+        let class = config.class_rules.class_of(*kind == Kind::Read, None, &sql);
         let ask = AdmissionRequest {
             tenant: self.tenant,
             class,
--- a/src/log.rs
+++ b/src/log.rs
@@ -27,7 +27,7 @@
 
 /// Says one line on standard error, unless too many were said this second.
 #[macro_export]
-macro_rules! say {
+macro_rules! log_line {
     ($($arg:tt)*) => {
         if let Some(unsaid) = $crate::log::admit() {
             if unsaid > 0 {
--- a/src/main.rs
+++ b/src/main.rs
@@ -2,8 +2,10 @@
 //! serves the MySQL protocol as that file says.
 
 use query_dispatcher::admin::{Admin, Watched};
-use query_dispatcher::clock::unix_ms;
-use query_dispatcher::config::{ConfigError, EurekaSource, Mysql, Platform, Source};
+use query_dispatcher::clock::unix_time_millis;
+use query_dispatcher::config::{
+    ConfigError, EndpointSource, EurekaSettings, MysqlConfig, PlatformConfig,
+};
 use query_dispatcher::core::{Core, CoreLimits};
 use query_dispatcher::discovery::eureka::{self, lease::Lease, lease::Standing};
 use query_dispatcher::discovery::membership_driver::MembershipDriver;
@@ -23,7 +25,7 @@
 use query_dispatcher::upstream::mysql::MysqlUpstream;
 use query_dispatcher::upstream::resp::RespUpstream;
 
-use query_dispatcher::say;
+use query_dispatcher::log_line;
 use query_dispatcher::server::process_metrics;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -71,13 +73,13 @@
 /// Serves the platform until SIGTERM and the last answer.
 async fn platform(given: usize) -> Result<(), Error> {
     let (mut term, hup) = (Signals::new(SIGTERM)?, Signals::new(SIGHUP)?);
-    let read = || Platform::from_env(|v| std::env::var(v).ok());
+    let read = || PlatformConfig::from_env(|v| std::env::var(v).ok());
     let mut config = read()?;
     // What the machine lets the process hold may be less than the settings say.
-    config.limits.sockets = descriptors::within(config.limits.sockets, given);
+    config.limits.max_sockets = descriptors::within(config.limits.max_sockets, given);
     let pool = BufferPool::default();
     let bounds = CoreLimits {
-        max_open_requests: config.sockets.most_open,
+        max_open_requests: config.sockets.max_open_requests,
         answer_margin: MARGIN,
         page_timeout: PAGE_WAIT,
     };
@@ -87,46 +89,49 @@
         config.names.report_fields.clone(),
         pool.clone(),
     );
-    upstream.within(config.limits.sockets);
+    upstream.within(config.limits.max_sockets);
     let router = RequestRouter::new(core, config.names.clone(), upstream);
-    let (at, address) = watch::channel(config.journal);
-    let journal = Journal::new(address, config.known.take(), config.seed)
+    let (at, address) = watch::channel(config.journal_address);
+    let journal = Journal::new(address, config.recorded_events.take(), config.seed)
         .map_err(|e| format!("known: {e}"))?;
-    let listener = listener::listen(config.listen, config.inherited).await?;
+    let listener = listener::listen(config.listen, config.inherited_descriptor).await?;
     let listen = listener.local_addr()?;
     let frontend = Frontend::new(router.clone(), pool.clone(), &config.limits);
     let sharing = frontend.clone();
-    let shared = share(&router, config.state.as_deref(), move |living| {
+    let shared = share(&router, config.state_directory.as_deref(), move |living| {
         sharing.share(living)
     })?;
-    let callers = Shares::of(config.limits.sockets, 1).callers;
+    let callers = Shares::of(config.limits.max_sockets, 1).callers;
     operators(
         &router,
         &pool,
         &shared,
-        config.admin,
+        config.admin_address,
         Watched::default(),
         callers,
     )
     .await?;
 
     let sink = router.clone();
-    if let Some(tier) = config.peers.clone() {
+    if let Some(tier) = config.gossip.clone() {
         spawn_local(gossip_driver::attend(Rc::downgrade(&router), tier));
     }
     spawn_local(journal.run(Box::new(move |change| sink.update_endpoints(&change))));
     spawn_local(router.clone().run_clock());
     spawn_local(process_metrics::tell());
     let accepting = spawn_local(frontend.clone().accept(listener));
-    say!("{} listens on {listen}", config.name);
-    let (longest, handed_over) = (config.sockets.longest, config.inherited.is_some());
+    log_line!("{} listens on {listen}", config.name);
+    let (longest, handed_over) = (
+        config.sockets.longest_deadline,
+        config.inherited_descriptor.is_some(),
+    );
     let (reconfigured, relimited) = (frontend.clone(), router.clone());
-    spawn_local(reload(hup, read, move |mut new: Platform| {
-        new.limits.sockets = descriptors::within(new.limits.sockets, given);
+    spawn_local(reload(hup, read, move |mut new: PlatformConfig| {
+        new.limits.max_sockets = descriptors::within(new.limits.max_sockets, given);
         let kept = config.needs_restart(&new);
-        at.send_if_modified(|at| std::mem::replace(at, new.journal) != new.journal);
+        at.send_if_modified(|at| std::mem::replace(at, new.journal_address) != new.journal_address);
         reconfigured.limit(&new.limits);
-        relimited.upstream().within(new.limits.sockets);
+        relimited.upstream().within(new.limits.max_sockets);
         Ok(kept)
     }));
 
@@ -145,22 +150,22 @@
 /// Serves MySQL clients until SIGTERM and the last answer.
 async fn serve_mysql(file: &str, given: usize) -> Result<(), Error> {
     let (mut term, hup) = (Signals::new(SIGTERM)?, Signals::new(SIGHUP)?);
-    let mut config = Mysql::read(file)?;
+    let mut config = MysqlConfig::read(file)?;
     let pool = BufferPool::default();
     let bounds = CoreLimits {
-        max_open_requests: config.sockets.most_open,
+        max_open_requests: config.sockets.max_open_requests,
         answer_margin: MARGIN,
         page_timeout: PAGE_WAIT,
     };
-    let core = Core::new(config.settings.clone(), unix_ms() as u64, bounds)?;
+    let core = Core::new(config.settings.clone(), unix_time_millis() as u64, bounds)?;
     let names = config.names.clone();
     let (spools, done) = Spools::open(&config.spool, names.classes, names.tenants)
-        .map_err(|e| format!("spool.dir ({:?}): {e}", config.spool.dir))?;
+        .map_err(|e| format!("spool.dir ({:?}): {e}", config.spool.directory))?;
     spawn_local(spools.clone().run(done));
-    let access = config.access.clone();
+    let access = config.engine_credentials.clone();
     let upstream = MysqlUpstream::new(access, config.sockets.clone(), pool.clone(), spools.clone());
     let router = RequestRouter::new(core, config.names.clone(), upstream);
-    let listener = listener::listen(config.listen, config.inherited).await?;
+    let listener = listener::listen(config.listen, config.inherited_descriptor).await?;
     let listen = listener.local_addr()?;
     let frontend = mysql::Frontend::new(
         router.clone(),
@@ -181,7 +186,7 @@
         spawn_local(TlsKeys::attend(Rc::downgrade(keys)));
     }
     let (sharing, spooling) = (frontend.clone(), spools.clone());
-    let shared = share(&router, config.state.as_deref(), move |living| {
+    let shared = share(&router, config.state_directory.as_deref(), move |living| {
         sharing.share(living);
         spooling.set_process_count(living);
     })?;
@@ -194,14 +199,17 @@
         &router,
         &pool,
         &shared,
-        config.admin,
+        config.admin_address,
         watched,
         Shares::of(machine, 1).callers,
     )
     .await?;
     let stand = standing(&router, &shared);
     // The folder of this dispatcher's own, which `share` has made.
-    let state = config.state.as_ref().map(|s| s.join("hitchwinch"));
+    let state = config
+        .state_directory
+        .as_ref()
+        .map(|s| s.join("hitchwinch"));
     let following = Following {
         router: router.clone(),
         state,
@@ -213,13 +221,16 @@
     spawn_local(router.clone().run_clock());
     spawn_local(process_metrics::tell());
     let accepting = spawn_local(frontend.clone().accept(listener));
-    say!("the MySQL front listens on {listen}");
-    let (longest, handed_over) = (config.sockets.longest, config.inherited.is_some());
+    log_line!("the MySQL front listens on {listen}");
+    let (longest, handed_over) = (
+        config.sockets.longest_deadline,
+        config.inherited_descriptor.is_some(),
+    );
     let (path, changed, reconfigured) = (file.to_string(), following.clone(), frontend.clone());
     spawn_local(reload(
         hup,
-        move || Mysql::read(&path),
-        move |new: Mysql| {
+        move || MysqlConfig::read(&path),
+        move |new: MysqlConfig| {
             if let Some(key) = config.needs_restart(&new) {
                 return Err(format!("{key}: a change of it needs a restart").into());
             }
@@ -267,7 +278,7 @@
     let listener = TcpListener::bind(at)
         .await
         .map_err(|e| format!("admin_addr {at}: {e}"))?;
-    say!("operators call at {}", listener.local_addr()?);
+    log_line!("operators call at {}", listener.local_addr()?);
     spawn_local(
         Admin::new(
             router.clone(),
@@ -319,19 +330,19 @@
             tokio::time::sleep(FOLLOW).await;
             match following.processes() {
                 Ok(living) if living != before => {
-                    say!("{living} processes of this dispatcher share its limits");
+                    log_line!("{living} processes of this dispatcher share its limits");
                     divide(&router, living);
                     before = living;
                 }
                 Ok(_) => {}
-                Err(e) => say!("the folder for state: {e}"),
+                Err(e) => log_line!("the folder for state: {e}"),
             }
             match following.drained_engines() {
                 Ok(out) => out
                     .iter()
                     .for_each(|out| router.apply_administrative_drains(out)),
                 // What cannot be read changes nothing.
-                Err(e) => say!("the folder for state: {e}"),
+                Err(e) => log_line!("the folder for state: {e}"),
             }
         }
     });
@@ -349,7 +360,7 @@
 
 /// The tasks that follow a registry.
 struct Registry {
-    source: watch::Sender<Rc<EurekaSource>>,
+    source: watch::Sender<Rc<EurekaSettings>>,
     tasks: Vec<AbortHandle>,
     lease: Option<Rc<Lease>>,
     keeping: Option<AbortHandle>,
@@ -358,9 +369,9 @@
 impl Following {
     /// Takes the engines from where the configuration says. A registry that takes another's place finds what was
     /// believed.
-    fn follow(&mut self, source: &Source, stand: &Rc<dyn Fn() -> Standing>) {
+    fn follow(&mut self, source: &EndpointSource, stand: &Rc<dyn Fn() -> Standing>) {
         match source {
-            Source::Fixed(engines) => {
+            EndpointSource::Static(engines) => {
                 if let Some(registry) = self.registry.take() {
                     registry
                         .tasks
@@ -373,19 +384,19 @@
                 self.router.upstream().watch(None);
                 self.router.update_endpoints(&fixed(engines));
             }
-            Source::Eureka(source) => {
+            EndpointSource::Eureka(source) => {
                 let source = Rc::new((**source).clone());
                 let members = self.members.borrow().clone();
                 match (&mut self.registry, members) {
                     (Some(registry), Some(members)) => {
                         members.configure(&source);
-                        let same = registry.source.borrow().register == source.register
+                        let same = registry.source.borrow().registration == source.registration
                             && registry.source.borrow().servers == source.servers;
                         registry.source.send_replace(source.clone());
                         if !same {
                             registry.keeping.take().iter().for_each(AbortHandle::abort);
                             let old = registry.lease.take();
-                            if source.register.is_none() {
+                            if source.registration.is_none() {
                                 spawn_local(async move { cancel(old.as_deref()).await });
                             }
                             (registry.lease, registry.keeping) =
@@ -424,7 +435,7 @@
 
 /// Registers this dispatcher, if the configuration says so.
 fn keep_lease(
-    source: &Rc<EurekaSource>,
+    source: &Rc<EurekaSettings>,
     members: &Rc<MembershipDriver>,
     stand: &Rc<dyn Fn() -> Standing>,
 ) -> (Option<Rc<Lease>>, Option<AbortHandle>) {
@@ -453,11 +464,11 @@
 ) {
     while hup.recv().await.is_some() {
         match read().map_err(Error::from).and_then(&mut take) {
-            Ok(None) => say!("SIGHUP: the configuration is in force"),
+            Ok(None) => log_line!("SIGHUP: the configuration is in force"),
             Ok(Some(key)) => {
-                say!("SIGHUP: the configuration is in force, but {key} needs a restart")
+                log_line!("SIGHUP: the configuration is in force, but {key} needs a restart")
             }
-            Err(e) => say!("SIGHUP: {e}; the configuration before stays in force"),
+            Err(e) => log_line!("SIGHUP: {e}; the configuration before stays in force"),
         }
     }
 }
@@ -477,11 +488,11 @@
     term.recv().await;
     let began = tokio::time::Instant::now();
     let span = frames::stop_span(longest, handed_over);
-    router.begin_shutdown(unix_ms() + span.as_secs_f64() * 1000.0);
+    router.begin_shutdown(unix_time_millis() + span.as_secs_f64() * 1000.0);
     if handed_over {
         tell(Near::Goodbye);
     }
-    say!(
+    log_line!(
         "SIGTERM: {} requests are open",
         router.unanswered_requests()
     );
@@ -497,7 +508,7 @@
     {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    say!("stopped after {} ms", began.elapsed().as_millis());
+    log_line!("stopped after {} ms", began.elapsed().as_millis());
 }
 
 /// How near the end is, as fronts are told.
--- a/src/server/process_metrics.rs
+++ b/src/server/process_metrics.rs
@@ -48,7 +48,7 @@
     loop {
         every.tick().await;
         if let Some(m) = now() {
-            crate::say!(
+            crate::log_line!(
                 "memory: {} kB resident, {} kB at most",
                 m.resident_kb,
                 m.peak_kb
--- a/src/spool_io/disk.rs
+++ b/src/spool_io/disk.rs
@@ -4,7 +4,7 @@
 //! Each process has a folder of its own below the operators' one, locked while it lives. Folders whose lock is free
 //! are taken over at the start; those of living processes are only read.
 
-use crate::say;
+use crate::log_line;
 use crate::storage::segments::{BlockDevice, Directory, Recovered, Rules, SegmentError, Segments};
 use bytes::Bytes;
 use std::collections::HashMap;
@@ -142,7 +142,7 @@
             let (segments, recovered) = match Segments::open(Directory::new(&path)?, rules) {
                 Ok(opened) => opened,
                 Err(e) => {
-                    say!("spools: {}: {e}; it is left alone", path.display());
+                    log_line!("spools: {}: {e}; it is left alone", path.display());
                     continue;
                 }
             };
@@ -153,7 +153,7 @@
                 ..
             } = recovered;
             if dropped + missing > 0 || torn > 0 {
-                say!(
+                log_line!(
                     "spools: {}: {dropped} results were not whole, {torn} bytes torn, {missing} segments missing",
                     path.display()
                 );
--- a/src/spool_io/mod.rs
+++ b/src/spool_io/mod.rs
@@ -8,10 +8,10 @@
 pub use reader::{ResultReader, SpoolError};
 pub use writer::{MAX_STATEMENT_CHARS, ResultOwner, ResultWriter, StoredResult};
 
-use crate::clock::unix_ms;
-use crate::config::SpoolSource;
+use crate::clock::unix_time_millis;
+use crate::config::SpoolSettings;
 use crate::decision::model::Millis;
-use crate::say;
+use crate::log_line;
 use crate::spool::disk_health::Wrote;
 use crate::spool::{
     Admission, AdmissionRequest, DiskState, Handles, Order, Placement, ResumeError, SpoolId,
@@ -158,20 +158,20 @@
     /// # Errors
     /// The folder cannot be used.
     pub fn open(
-        source: &SpoolSource,
+        source: &SpoolSettings,
         classes: Vec<String>,
         tenants: Vec<String>,
     ) -> io::Result<(Rc<Self>, Option<mpsc::UnboundedReceiver<Done>>)> {
         let mut ledger = SpoolIndex::new(source.rules.clone(), classes.len());
         let (mut handles, mut held, mut disk, mut done) =
             (Handles::default(), BTreeMap::new(), None, None);
-        if let (Some(dir), Some(most)) = (&source.dir, source.rules.disk_bytes) {
+        if let (Some(dir), Some(most)) = (&source.directory, source.rules.disk_bytes) {
             let (started, told, found) = Disk::start(dir, most, 1)?;
             let n = found.len();
             for (id, kept) in found {
                 if let Some(h) = again(&kept, &classes, &tenants) {
                     let bytes = kept.pages.iter().map(|p| u64::from(p.1)).sum();
-                    ledger.found(unix_ms(), id, h.0.request, bytes, h.2);
+                    ledger.found(unix_time_millis(), id, h.0.request, bytes, h.2);
                     handles.put(id, &h.0.owner.user, &h.1);
                     held.insert(id, h.0);
                 } else {
@@ -179,7 +179,7 @@
                 }
             }
             if n > 0 {
-                say!(
+                log_line!(
                     "spools: {} results of earlier processes are there",
                     held.len()
                 );
@@ -194,7 +194,7 @@
             pending: Cell::new(0),
             written: Notify::new(),
             page_rows: Cell::new(source.page_rows),
-            stall: Cell::new(source.stall),
+            stall: Cell::new(source.stall_timeout),
             classes,
             tenants,
             rules: RefCell::new(source.rules.clone()),
@@ -209,10 +209,10 @@
     }
 
     /// Other bounds are in force; what waits stays.
-    pub fn configure(&self, source: &SpoolSource) {
+    pub fn configure(&self, source: &SpoolSettings) {
         *self.rules.borrow_mut() = source.rules.clone();
         self.page_rows.set(source.page_rows);
-        self.stall.set(source.stall);
+        self.stall.set(source.stall_timeout);
         self.set_process_count(self.processes.get() as u32);
     }
 
@@ -239,7 +239,7 @@
 
     /// Is a request to be sent at all?
     pub fn admit(&self, ask: AdmissionRequest) -> Admission {
-        self.ledger.borrow_mut().admit(unix_ms(), ask)
+        self.ledger.borrow_mut().admit(unix_time_millis(), ask)
     }
 
     /// For the result of one attempt.
@@ -257,7 +257,7 @@
         who: ResultOwner,
         head: Bytes,
     ) -> Result<SpoolId, SpoolRejection> {
-        let now = unix_ms();
+        let now = unix_time_millis();
         let (id, orders) = self.ledger.borrow_mut().open(now, ask)?;
         let mut random = [0; 16];
         if getrandom::fill(&mut random).is_err() {
@@ -289,7 +289,7 @@
     /// A page of a result that is still coming. Waits while too much is on its way to the disk.
     async fn page(&self, id: SpoolId, rows: u32, bytes: Bytes) -> Result<(), SpoolRejection> {
         let n = bytes.len() as u64;
-        let (taken, orders) = self.ledger.borrow_mut().take(unix_ms(), id, n);
+        let (taken, orders) = self.ledger.borrow_mut().take(unix_time_millis(), id, n);
         let Ok(taken) = taken else {
             self.carry_out(orders);
             return taken.map(|_| ());
@@ -311,7 +311,7 @@
 
     /// The last packet is here. What can be, goes to the disk: so it outlives the process.
     fn whole(&self, id: SpoolId, tail: Bytes) {
-        let now = unix_ms();
+        let now = unix_time_millis();
         if let Some(held) = self.held.borrow_mut().get_mut(&id) {
             held.trailer = Some(tail);
         }
@@ -411,7 +411,7 @@
             let ending = Ending {
                 rows: held.rows,
                 bytes: held.bytes,
-                whole: unix_ms(),
+                whole: unix_time_millis(),
             };
             held.ended = disk.order(disk::Order::End {
                 spool: id,
@@ -437,7 +437,7 @@
     }
 
     fn look(&self) {
-        let over = self.ledger.borrow_mut().expire(unix_ms());
+        let over = self.ledger.borrow_mut().expire(unix_time_millis());
         for id in over {
             self.drop_pages(id);
             self.handles.borrow_mut().expire(id);
@@ -446,7 +446,7 @@
         self.unforgotten
             .borrow_mut()
             .retain(|id| !disk.order(disk::Order::Forget { spool: *id }));
-        if self.stuck.get() && self.ledger.borrow().watch.takes(unix_ms()) {
+        if self.stuck.get() && self.ledger.borrow().watch.takes(unix_time_millis()) {
             self.stuck.set(false);
             self.again_to_disk();
         }
@@ -462,14 +462,14 @@
             .map(|h| *h.0)
             .collect();
         for id in late {
-            let orders = self.ledger.borrow_mut().persist(unix_ms(), id);
+            let orders = self.ledger.borrow_mut().persist(unix_time_millis(), id);
             self.carry_out(orders);
             self.push_out(id);
         }
     }
 
     fn done(&self, d: Done) {
-        let now = unix_ms();
+        let now = unix_time_millis();
         let what = match &d.result {
             Ok(()) => Some(Wrote::Well),
             Err(Failure::Full) => Some(Wrote::Full),
@@ -479,7 +479,7 @@
         if let Some(what) = what
             && self.ledger.borrow_mut().wrote(now, d.took_ms, what)
         {
-            say!(
+            log_line!(
                 "spools: the disk is {}",
                 told(self.ledger.borrow().watch.state(), now)
             );
@@ -529,7 +529,7 @@
     pub fn reader(self: &Rc<Self>, id: SpoolId, from: u32) -> Option<ResultReader> {
         self.ledger
             .borrow_mut()
-            .attach(unix_ms(), id)
+            .attach(unix_time_millis(), id)
             .then(|| ResultReader::new(self.clone(), id, from))
     }
 
@@ -572,7 +572,7 @@
                 break;
             }
         }
-        let (now, held) = (unix_ms(), self.held.borrow());
+        let (now, held) = (unix_time_millis(), self.held.borrow());
         let own = held
             .iter()
             .filter(|(_, h)| h.owner.user == user && h.trailer.is_some());
@@ -620,7 +620,7 @@
         let bytes = kept.pages.iter().map(|p| u64::from(p.1)).sum();
         self.ledger
             .borrow_mut()
-            .found(unix_ms(), id, held.request, bytes, whole);
+            .found(unix_time_millis(), id, held.request, bytes, whole);
         self.handles.borrow_mut().put(id, &held.owner.user, &handle);
         self.held.borrow_mut().insert(id, held);
         Some(id)
@@ -639,7 +639,11 @@
 
     /// `GET /_spools`, as JSON.
     pub fn status_page(&self) -> String {
-        let (now, ledger, handles) = (unix_ms(), self.ledger.borrow(), self.handles.borrow());
+        let (now, ledger, handles) = (
+            unix_time_millis(),
+            self.ledger.borrow(),
+            self.handles.borrow(),
+        );
         let (memory, on_disk) = ledger.used();
         let rules = ledger.rules();
         let name = |t: &Option<usize>| {
--- a/src/spool_io/reader.rs
+++ b/src/spool_io/reader.rs
@@ -1,6 +1,6 @@
 //! A result page by page, at its reader's pace.
 
-use crate::clock::unix_ms;
+use crate::clock::unix_time_millis;
 use crate::spool::SpoolId;
 use crate::spool_io::disk::{Order, ReadError};
 use crate::spool_io::{Page, Spools};
@@ -66,7 +66,10 @@
             Some(Some(None)) => self.ask_disk().await?,
         };
         self.next += 1;
-        self.spools.ledger.borrow_mut().reading(unix_ms(), self.id);
+        self.spools
+            .ledger
+            .borrow_mut()
+            .reading(unix_time_millis(), self.id);
         Ok(Some(bytes))
     }
 
@@ -101,6 +104,6 @@
         self.spools
             .ledger
             .borrow_mut()
-            .detach(unix_ms(), self.id, self.to_the_end);
+            .detach(unix_time_millis(), self.id, self.to_the_end);
     }
 }
--- a/src/transport/listener.rs
+++ b/src/transport/listener.rs
@@ -74,7 +74,7 @@
         Err(e) if refused(&e) => {
             // A system-call filter (such as the fleet bench's) or a kernel before 5.6: the address is bound
             // here instead, which works wherever the holder lets others bind it too.
-            crate::say!(
+            crate::log_line!(
                 "descriptor {number}: pidfd_getfd is refused ({e}); listening on {at} without it"
             );
             return bind(at).map_err(|b| ListenError::Fallback(number, e, at, b));
--- a/src/transport/tls.rs
+++ b/src/transport/tls.rs
@@ -2,9 +2,9 @@
 //! is taken and what is told of it decides [`crate::certificates`].
 
 use crate::certificates::{self, CertificateError, ExpiryWarning, Validity};
-use crate::clock::unix_ms;
-use crate::config::tls::TlsSource;
-use crate::say;
+use crate::clock::unix_time_millis;
+use crate::config::tls::TlsSettings;
+use crate::log_line;
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
 use std::rc::{Rc, Weak};
@@ -72,7 +72,7 @@
 
 /// The keys in force.
 pub struct TlsKeys {
-    source: RefCell<TlsSource>,
+    source: RefCell<TlsSettings>,
     loaded: RefCell<Loaded>,
     stamp: RefCell<Stamp>,
     notices: RefCell<Vec<ExpiryWarning>>,
@@ -81,9 +81,9 @@
 impl TlsKeys {
     /// # Errors
     /// A file cannot be used; the error names it.
-    pub fn open(source: &TlsSource) -> Result<Rc<Self>, TlsError> {
+    pub fn open(source: &TlsSettings) -> Result<Rc<Self>, TlsError> {
         let stamp = stamp(source);
-        let loaded = load(source, unix_ms())?;
+        let loaded = load(source, unix_time_millis())?;
         let notices = RefCell::new(vec![ExpiryWarning::default(); loaded.ends.len()]);
         let (loaded, stamp, source) = (
             RefCell::new(loaded),
@@ -112,9 +112,9 @@
     ///
     /// # Errors
     /// A file cannot be used: the keys before stay.
-    pub fn take(&self, source: &TlsSource) -> Result<(), TlsError> {
+    pub fn take(&self, source: &TlsSettings) -> Result<(), TlsError> {
         let stamp = stamp(source);
-        let loaded = load(source, unix_ms())?;
+        let loaded = load(source, unix_time_millis())?;
         *self.notices.borrow_mut() = vec![ExpiryWarning::default(); loaded.ends.len()];
         *self.loaded.borrow_mut() = loaded;
         *self.stamp.borrow_mut() = stamp;
@@ -138,23 +138,23 @@
             // Told once for each state of the files, whatever comes of it.
             *self.stamp.borrow_mut() = now;
             match self.take(&source) {
-                Ok(()) => say!("tls: the keys have changed and are in force"),
-                Err(e) => say!("tls: {e}; the keys before stay in force"),
+                Ok(()) => log_line!("tls: the keys have changed and are in force"),
+                Err(e) => log_line!("tls: {e}; the keys before stay in force"),
             }
         }
         let loaded = self.loaded.borrow();
         for ((file, until), notice) in loaded.ends.iter().zip(self.notices.borrow_mut().iter_mut())
         {
-            match notice.due(unix_ms(), *until) {
-                Some(left) if left < 0.0 => say!("tls: {}: it has expired", file.display()),
-                Some(left) => say!("tls: {}: it expires in {left:.1} days", file.display()),
+            match notice.due(unix_time_millis(), *until) {
+                Some(left) if left < 0.0 => log_line!("tls: {}: it has expired", file.display()),
+                Some(left) => log_line!("tls: {}: it expires in {left:.1} days", file.display()),
                 None => {}
             }
         }
     }
 }
 
-fn stamp(source: &TlsSource) -> Stamp {
+fn stamp(source: &TlsSettings) -> Stamp {
     let one = |p: &Path| {
         std::fs::metadata(p)
             .ok()
@@ -220,7 +220,7 @@
     Some(name)
 }
 
-fn load(source: &TlsSource, now: f64) -> Result<Loaded, TlsError> {
+fn load(source: &TlsSettings, now: f64) -> Result<Loaded, TlsError> {
     let provider = Arc::new(ring::default_provider());
     let (mut all, mut ends) = (vec![], vec![]);
     for (cert, key) in &source.keys {
--- a/src/upstream/mysql/downstream.rs
+++ b/src/upstream/mysql/downstream.rs
@@ -1,7 +1,7 @@
 //! A session's client, as whoever writes to an engine on its behalf sees it at that very moment. The session's task hears
 //! of its client's end when the runtime does, which may be a long turn later; the machine knows at once.
 
-use crate::clock::unix_ms;
+use crate::clock::unix_time_millis;
 use crate::decision::model::Millis;
 use crate::protocol::mysql::packet::PacketError;
 use crate::transport::client_socket::Watch;
@@ -75,7 +75,7 @@
             match self.look() {
                 Look::Waits => return Ok(()),
                 Look::Gone => return Err(PacketError::Gone),
-                Look::Unheard if unix_ms() >= until => {
+                Look::Unheard if unix_time_millis() >= until => {
                     return Err(PacketError::Protocol(
                         "what its client has said was not read in time",
                     ));
--- a/src/upstream/mysql/mod.rs
+++ b/src/upstream/mysql/mod.rs
@@ -5,20 +5,20 @@
 pub mod sticky;
 pub mod work;
 
-use crate::clock::span;
-use crate::clock::unix_ms;
-use crate::config::{Access, Sockets};
+use crate::clock::duration_from_millis;
+use crate::clock::unix_time_millis;
+use crate::config::{EngineCredentials, SocketSettings};
 use crate::core::AttemptId;
 use crate::decision::model::*;
 use crate::discovery::Change;
 use crate::discovery::membership_driver::Witness;
 use crate::dispatch::request_router::{RequestRouter, StartAttempt, Upstream};
+use crate::log_line;
 use crate::membership::Observation;
 use crate::protocol::mysql::auth;
 use crate::protocol::mysql::error::{SqlError, code};
 use crate::protocol::mysql::packet::*;
 use crate::protocol::mysql::session::{Context, INSERT_ID};
-use crate::say;
 use crate::spool_io::{ResultWriter, Spools, StoredResult};
 use crate::transport::framed::{self, BufferPool, FramedConnection, PendingInput};
 use crate::upstream::mysql::sticky::{Ended, Telling, Told};
@@ -207,8 +207,8 @@
     running: RefCell<HashMap<AttemptId, Running>>,
     kills: Cell<usize>,
     processes: Cell<usize>,
-    access: Access,
-    pub(super) sockets: Sockets,
+    access: EngineCredentials,
+    pub(super) sockets: SocketSettings,
     pool: BufferPool,
     spools: Rc<Spools>,
     /// Who is told what connections show.
@@ -242,7 +242,12 @@
 }
 
 impl MysqlUpstream {
-    pub fn new(access: Access, sockets: Sockets, pool: BufferPool, spools: Rc<Spools>) -> Self {
+    pub fn new(
+        access: EngineCredentials,
+        sockets: SocketSettings,
+        pool: BufferPool,
+        spools: Rc<Spools>,
+    ) -> Self {
         MysqlUpstream(Rc::new_cyclic(|weak| Shared {
             weak: weak.clone(),
             engines: RefCell::default(),
@@ -294,7 +299,7 @@
             }
         });
         let address = self.0.engines.borrow().get(&engine).and_then(|s| s.address);
-        let opened = unix_ms();
+        let opened = unix_time_millis();
         let running = Running {
             task: task.abort_handle(),
             engine,
@@ -414,7 +419,7 @@
                     c
                 }
                 Err(e) => {
-                    say!("engine {}: {e}", start.engine);
+                    log_line!("engine {}: {e}", start.engine);
                     if matches!(&e, PacketError::Io(e) if e.kind() == io::ErrorKind::ConnectionRefused)
                     {
                         self.report(
@@ -499,7 +504,7 @@
             // The statement ran and a second run would bring as much: that is the answer.
             Err(PacketError::SpoolRejection(e)) if wrote => {
                 let mut packets = Packets::default();
-                say!("engine {}: {e}", start.engine);
+                log_line!("engine {}: {e}", start.engine);
                 let text = format!("the statement ran, but {e}");
                 packets.push(&err(&SqlError::new(code::RESULT, text)));
                 Ok(Output::Short(packets))
@@ -509,7 +514,7 @@
                 let text = format!(
                     "the statement ran, but its result has a packet of {n} bytes, above max_packet"
                 );
-                say!("engine {}: a packet of {n} bytes", start.engine);
+                log_line!("engine {}: a packet of {n} bytes", start.engine);
                 packets.push(&err(&SqlError::new(code::RESULT, text)));
                 Ok(Output::Short(packets))
             }
@@ -521,7 +526,7 @@
                 Ok(Output::Short(packets))
             }
             Err(e) => {
-                say!("engine {}: {e}", start.engine);
+                log_line!("engine {}: {e}", start.engine);
                 Err(match (wrote, &e) {
                     (false, PacketError::Sql(e)) if full(e.code) => Outcome::Rejected,
                     (false, _) => Outcome::Unreachable,
@@ -536,8 +541,8 @@
     fn take(&self, engine: &str, work: &Work) -> Result<Option<Connection>, Outcome> {
         let mut engines = self.engines.borrow_mut();
         let slot = engines.get_mut(engine).ok_or(Outcome::Unreachable)?;
-        let idle = span(self.sockets.idle * 0.8);
-        let most = (self.access.connections / self.processes.get()).max(1);
+        let idle = duration_from_millis(self.sockets.idle_timeout * 0.8);
+        let most = (self.access.max_connections / self.processes.get()).max(1);
         // Sessions that hold connections leave some to statements that need none for long.
         let pin = matches!(work.job, Job::Pin(_));
         if pin && slot.pinned >= (most - most / 4).max(1) {
@@ -622,14 +627,14 @@
 
     /// Connects and logs in, each within the time for a connection.
     async fn open(&self, address: SocketAddr) -> Result<Connection, PacketError> {
-        let limit = span(self.sockets.connect_timeout);
-        let opened = unix_ms();
+        let limit = duration_from_millis(self.sockets.connect_timeout);
+        let opened = unix_time_millis();
         let tcp = tokio::time::timeout(limit, TcpStream::connect(address))
             .await
             .map_err(io::Error::from)??;
         tcp.set_nodelay(true)?;
         let codec = PacketCodec {
-            most: self.access.most_packet,
+            most: self.access.max_packet,
             sequence: 0,
         };
         let mut wire = FramedConnection::new(&self.pool, tcp, codec);
@@ -669,7 +674,7 @@
             plugin,
             ends: Ends::default(),
         };
-        wire.send(&login.write(a.most_packet as u32)[..]).await?;
+        wire.send(&login.write(a.max_packet as u32)[..]).await?;
         loop {
             let p = next(wire).await?;
             match p.first() {
@@ -705,11 +710,11 @@
         };
         shared.kills.set(shared.kills.get() + 1);
         spawn_local(async move {
-            let limit = span(4.0 * shared.sockets.connect_timeout);
+            let limit = duration_from_millis(4.0 * shared.sockets.connect_timeout);
             let kill = tokio::time::timeout(limit, shared.kill(address, number)).await;
             shared.kills.set(shared.kills.get() - 1);
             if !matches!(kill, Ok(Ok(()))) {
-                say!("engine at {address}: connection {number} could not be killed");
+                log_line!("engine at {address}: connection {number} could not be killed");
             }
         });
     }
@@ -765,7 +770,7 @@
         let mark = (c.address, c.number);
         let gate = || -> Result<(), PacketError> {
             // The connection took its time: the engine may drain by now, or the time be over.
-            if !in_service() || unix_ms() >= until {
+            if !in_service() || unix_time_millis() >= until {
                 return Err(PacketError::Protocol("no longer in service, or too late"));
             }
             Ok(())
--- a/src/upstream/mysql/sticky.rs
+++ b/src/upstream/mysql/sticky.rs
@@ -1,8 +1,8 @@
 //! The engine's end of a pin: one attempt that holds a connection and carries out what its session sends, until
 //! nothing holds it there, a bound ends it, or the connection breaks. When it ends is [`crate::sticky_sessions`]'s to say.
 
-use crate::clock::span;
-use crate::clock::unix_ms;
+use crate::clock::duration_from_millis;
+use crate::clock::unix_time_millis;
 use crate::core::AttemptId;
 use crate::decision::model::{Millis, ProgressNote};
 use crate::dispatch::request_router::{RequestRouter, Upstream};
@@ -168,8 +168,8 @@
             ));
         };
         told.holds();
-        let mut pin = StickySession::new(pinned.terms.clone(), unix_ms());
-        let mut asked = unix_ms();
+        let mut pin = StickySession::new(pinned.terms.clone(), unix_time_millis());
+        let mut asked = unix_time_millis();
         if let Some(first) = &pinned.first {
             self.settle(c, QUERY, first).await?;
         }
@@ -183,7 +183,7 @@
                 // Nothing is owed: whatever comes is the end of it.
                 said = next(&mut c.wire) => return Err(said.err().unwrap_or(PacketError::Order)),
                 () = tokio::time::sleep(LOOK) => {
-                    let now = unix_ms();
+                    let now = unix_time_millis();
                     if !told.in_service() {
                         pin.on_engine_draining(now);
                     }
@@ -200,7 +200,7 @@
                 }
             };
             let Order { work, step, reply } = order;
-            pin.on_statement_sent(unix_ms(), step);
+            pin.on_statement_sent(unix_time_millis(), step);
             told.works();
             written.set(None);
             let (always, sent) = (|| true, || told.sent());
@@ -211,7 +211,7 @@
                     tokio::select! {
                         result = &mut run => break Some(result),
                         () = tokio::time::sleep(LOOK) => {
-                            let now = unix_ms();
+                            let now = unix_time_millis();
                             if !told.in_service() {
                                 pin.on_engine_draining(now);
                             }
@@ -228,7 +228,7 @@
                 self.put_down(c);
                 return Err(PacketError::Cut);
             };
-            asked = unix_ms();
+            asked = unix_time_millis();
             let output = match result {
                 Ok(output) => output,
                 // The schema, a setting or the statement is wrong, and nothing ran: that is the answer.
@@ -270,7 +270,7 @@
             c.under_way = false;
             Ok::<_, PacketError>(p)
         };
-        let limit = span(4.0 * self.sockets.connect_timeout);
+        let limit = duration_from_millis(4.0 * self.sockets.connect_timeout);
         let p = tokio::time::timeout(limit, answered)
             .await
             .map_err(std::io::Error::from)??;
--- a/src/upstream/resp.rs
+++ b/src/upstream/resp.rs
@@ -1,14 +1,14 @@
 //! The upstream on the platform: RESP over pooled connections, results page by page, notes.
 
-use crate::clock::span;
-use crate::clock::unix_ms;
-use crate::config::Sockets;
+use crate::clock::duration_from_millis;
+use crate::clock::unix_time_millis;
+use crate::config::SocketSettings;
 use crate::core::AttemptId;
 use crate::decision::model::*;
 use crate::discovery::Change;
 use crate::dispatch::request_router::{RequestRouter, StartAttempt, Upstream};
 use crate::frontend::frames::Work;
-use crate::say;
+use crate::log_line;
 use crate::transport::descriptors::Shares;
 use crate::transport::framed::{
     self, Buffer, BufferPool, ConnectionEvent, PendingInput, ReadInterest,
@@ -287,7 +287,7 @@
     engines: RefCell<HashMap<String, Slot>>,
     /// Where each attempt is: its connection and its id there.
     attempts: RefCell<HashMap<AttemptId, (Rc<Connection>, String)>>,
-    sockets: Sockets,
+    sockets: SocketSettings,
     report_fields: Vec<String>,
     pool: BufferPool,
     next: Cell<u64>,
@@ -306,7 +306,7 @@
 pub struct RespUpstream(Rc<Shared>);
 
 impl RespUpstream {
-    pub fn new(sockets: Sockets, report_fields: Vec<String>, pool: BufferPool) -> Self {
+    pub fn new(sockets: SocketSettings, report_fields: Vec<String>, pool: BufferPool) -> Self {
         RespUpstream(Rc::new(Shared {
             engines: RefCell::default(),
             attempts: RefCell::default(),
@@ -346,16 +346,16 @@
         let mut engines = self.0.engines.borrow_mut();
         let slot = engines.get_mut(engine)?;
         let address = slot.address?;
-        let now = unix_ms();
+        let now = unix_time_millis();
         let fits = |c: &&Rc<Connection>| {
             let (pending, given_up) = (c.pending.borrow(), c.given_up.borrow());
             // One that has stopped short stays open, and nothing on it comes to an end.
-            let notes = self.0.sockets.notes;
+            let notes = self.0.sockets.progress_interval;
             let silent = notes > 0.0 && !pending.is_empty() && now > c.heard.get() + SILENT * notes;
             !c.closing.get()
                 && !c.stands.get()
                 && !silent
-                && pending.len() < self.0.sockets.streams
+                && pending.len() < self.0.sockets.max_streams_per_connection
                 && !pending.contains_key(txn)
                 && !given_up.iter().any(|g| g.0 == id_of(txn) && now < g.1)
         };
@@ -390,7 +390,7 @@
         let connection = Rc::new(Connection {
             number,
             address,
-            opened: unix_ms(),
+            opened: unix_time_millis(),
             orders,
             up: Cell::new(false),
             pending: RefCell::default(),
@@ -399,7 +399,7 @@
             unwanted: Cell::default(),
             closing: Cell::new(false),
             stands: Cell::new(false),
-            heard: Cell::new(unix_ms()),
+            heard: Cell::new(unix_time_millis()),
             cut: tokio::sync::Notify::new(),
             look: tokio::sync::Notify::new(),
         });
@@ -412,7 +412,7 @@
                 .run(&router, &engine, &mine, inbox, &mut connected)
                 .await
             {
-                say!("engine {engine} at {}: {e}", mine.address);
+                log_line!("engine {engine} at {}: {e}", mine.address);
             }
             shared.close(&router, &engine, &mine, connected);
         });
@@ -444,7 +444,7 @@
             return router.attempt_ended(attempt, Outcome::Unreachable, vec![]);
         }
         if c.pending.borrow().is_empty() {
-            c.heard.set(unix_ms());
+            c.heard.set(unix_time_millis());
         }
         c.pending.borrow_mut().insert(txn.clone(), pending);
         self.0.attempts.borrow_mut().insert(attempt, (c, txn));
@@ -464,7 +464,7 @@
         {
             c.give_up(&txn, f64::INFINITY);
             if c.half.borrow().as_ref() == Some(&txn) {
-                let now = unix_ms();
+                let now = unix_time_millis();
                 c.unwanted
                     .set(Some(c.unwanted.get().map_or(now, |at| at.min(now))));
                 c.look.notify_one();
@@ -561,7 +561,7 @@
 
     /// The oldest are forgotten, so that a connection's memory does not grow with all that it ever carried.
     fn give_up(&self, txn: &str, until: Millis) {
-        let (mut given_up, now) = (self.given_up.borrow_mut(), unix_ms());
+        let (mut given_up, now) = (self.given_up.borrow_mut(), unix_time_millis());
         given_up.retain(|g| now < g.1);
         if given_up.len() >= REMEMBERED {
             given_up.pop_front();
@@ -652,7 +652,7 @@
             }
         };
         let connect = tokio::time::timeout(
-            span(self.sockets.connect_timeout),
+            duration_from_millis(self.sockets.connect_timeout),
             TcpStream::connect(c.address),
         );
         let tcp = tokio::select! {
@@ -679,8 +679,8 @@
         framed: &mut FramedConnection,
     ) -> Result<(), RespError> {
         // Closed by us well before the engine does: a request must not cross its close.
-        let idle = span(self.sockets.idle * 0.8);
-        let mut check = tokio::time::interval(span(CHECK));
+        let idle = duration_from_millis(self.sockets.idle_timeout * 0.8);
+        let mut check = tokio::time::interval(duration_from_millis(CHECK));
         // Looks that were missed while the process stood still or nothing was to be seen are not made up for.
         check.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let (mut partial, mut gets) = (0, 0);
@@ -706,7 +706,10 @@
             if none && framed.written() {
                 framed.rest();
             }
-            let unwanted = c.unwanted.get().map(|at| span(at + HALF - unix_ms()));
+            let unwanted = c
+                .unwanted
+                .get()
+                .map(|at| duration_from_millis(at + HALF - unix_time_millis()));
             tokio::select! {
                 biased;
                 () = c.cut.notified() => return Ok(()),
@@ -724,7 +727,7 @@
                     ConnectionEvent::Heard(answer) => {
                         partial = 0;
                         c.stands.set(false);
-                        c.heard.set(unix_ms());
+                        c.heard.set(unix_time_millis());
                         self.answer(router, c, &answer, framed)?;
                     }
                 },
@@ -746,8 +749,8 @@
                     partial = if framed.read_buffer().is_empty() { 0 } else { partial + 1 };
                     // One look may fall between two reads of it.
                     c.stands.set(partial > 1);
-                    let now = unix_ms();
-                    if partial > 5 || c.stalled(now) || c.dead(now, self.sockets.notes) || framed.stuck(WRITE) {
+                    let now = unix_time_millis();
+                    if partial > 5 || c.stalled(now) || c.dead(now, self.sockets.progress_interval) || framed.stuck(WRITE) {
                         return Err(RespError::Stalled);
                     }
                 }
@@ -790,7 +793,7 @@
         else {
             return Ok(0);
         };
-        let (now, write_by) = (unix_ms(), start.write_by);
+        let (now, write_by) = (unix_time_millis(), start.write_by);
         let left = start.until - now;
         let late = left < 1.0 || now >= write_by;
         // The connection took its time: the engine may drain by now, or the time be over, its own or that of a repeat. It
@@ -846,7 +849,7 @@
             ..
         }) = c.pending.borrow_mut().remove(txn)
         {
-            c.give_up(txn, unix_ms() + ANSWERED);
+            c.give_up(txn, unix_time_millis() + ANSWERED);
         }
         self.attempts.borrow_mut().remove(&attempt);
     }
@@ -920,7 +923,7 @@
     ) -> Result<(), RespError> {
         let number = |name: &str| field(fields, name).and_then(|t| t.parse::<usize>().ok());
         let txn = std::str::from_utf8(id).map_err(|_| RespError::Form)?;
-        let (now, first) = (unix_ms(), word == "ACK");
+        let (now, first) = (unix_time_millis(), word == "ACK");
         let mut wanted = 0;
         match c.pending.borrow_mut().get_mut(txn).map(|p| &mut p.stage) {
             Some(stage @ Stage::Written) if first => {
@@ -988,7 +991,7 @@
             return;
         }
         let pending = c.pending.borrow_mut().remove(txn);
-        c.give_up(txn, unix_ms() + ANSWERED);
+        c.give_up(txn, unix_time_millis() + ANSWERED);
         self.attempts.borrow_mut().remove(&attempt);
         if let Some(Pending {
             stage: Stage::Paging { pages, report, .. },
--- a/tests/client_disconnect_races.rs
+++ b/tests/client_disconnect_races.rs
@@ -6,8 +6,8 @@
 
 use bytes::Bytes;
 use protocol::*;
-use query_dispatcher::clock::unix_ms;
-use query_dispatcher::config::{Machine, Names, Sockets};
+use query_dispatcher::clock::unix_time_millis;
+use query_dispatcher::config::{MachineLimits, NameTable, SocketSettings};
 use query_dispatcher::core::{Core, NewRequest};
 use query_dispatcher::dispatch::request_router::{Reply, RequestRouter};
 use query_dispatcher::frontend::frames::{Frontend, Work};
@@ -36,14 +36,14 @@
 }
 
 /// A dispatcher before one engine that this test plays itself.
-async fn stand(engine: TcpListener, tweak: impl FnOnce(&mut Sockets)) -> Stand {
+async fn stand(engine: TcpListener, tweak: impl FnOnce(&mut SocketSettings)) -> Stand {
     stand_with(core(), engine, tweak).await
 }
 
 async fn stand_with(
-    (core, names, mut sockets): (Core, Names, Sockets),
+    (core, names, mut sockets): (Core, NameTable, SocketSettings),
     engine: TcpListener,
-    tweak: impl FnOnce(&mut Sockets),
+    tweak: impl FnOnce(&mut SocketSettings),
 ) -> Stand {
     tweak(&mut sockets);
     let pool = BufferPool::default();
@@ -63,9 +63,9 @@
     let frontend = Frontend::new(
         router.clone(),
         pool,
-        &Machine {
+        &MachineLimits {
             memory_mb: 64,
-            sockets: 64,
+            max_sockets: 64,
         },
     );
     spawn_local(frontend.clone().accept(listener));
@@ -86,9 +86,9 @@
         |_| {},
     )
     .await;
-    s.frontend.limit(&Machine {
+    s.frontend.limit(&MachineLimits {
         memory_mb: 64,
-        sockets: 1024,
+        max_sockets: 1024,
     });
     s
 }
@@ -173,7 +173,7 @@
         class,
         tenant: Some(0),
         group: None,
-        deadline: unix_ms() + 5000.0,
+        deadline: unix_time_millis() + 5000.0,
         work: None,
         memory_mb: None,
     };
@@ -926,7 +926,7 @@
         get(&mut engine).await;
         s.holds();
         ask(&s, 2, 1, &answers);
-        s.router.begin_shutdown(unix_ms() + 100.0);
+        s.router.begin_shutdown(unix_time_millis() + 100.0);
         s.lets_go();
         let mut told = vec![];
         while s.router.unanswered_requests() > 0 {
--- a/tests/external/configuration.rs
+++ b/tests/external/configuration.rs
@@ -1,7 +1,7 @@
 //! Every key of both configurations, broken in every way that its type allows, and the message that each gives.
 
 use crate::recorded::data;
-use query_dispatcher::config::{Mysql, Platform};
+use query_dispatcher::config::{MysqlConfig, PlatformConfig};
 use serde_json::{Value, json};
 
 const UNKNOWN_KEY: &str = "unknown_key";
@@ -11,7 +11,7 @@
 pub type Read = fn(&Value) -> Result<(), String>;
 
 pub fn read_platform(document: &Value) -> Result<(), String> {
-    Platform::parse(&document.to_string(), |_| None)
+    PlatformConfig::parse(&document.to_string(), |_| None)
         .map(drop)
         .map_err(|error| error.to_string())
 }
@@ -22,7 +22,7 @@
 }
 
 pub fn read_mysql_text(text: &str) -> Result<(), String> {
-    Mysql::parse(text, |_| None)
+    MysqlConfig::parse(text, |_| None)
         .map(drop)
         .map_err(|error| error.to_string())
 }
--- a/tests/frames.rs
+++ b/tests/frames.rs
@@ -2,7 +2,7 @@
 
 mod scenario;
 
-use query_dispatcher::config::Machine;
+use query_dispatcher::config::MachineLimits;
 use query_dispatcher::dispatch::request_router::RequestRouter;
 use query_dispatcher::frontend::frames::Frontend;
 use query_dispatcher::transport::framed::BufferPool;
@@ -213,7 +213,7 @@
 async fn set_up_with_notes(notes: f64) -> SetUp {
     let (addresses, seen) = engines(engine).await;
     let (core, names, mut sockets) = core();
-    sockets.notes = notes;
+    sockets.progress_interval = notes;
     let pool = BufferPool::default();
     let router = RequestRouter::new(
         core,
@@ -228,9 +228,9 @@
         Frontend::new(
             router.clone(),
             pool,
-            &Machine {
+            &MachineLimits {
                 memory_mb: 4,
-                sockets: 20,
+                max_sockets: 20,
             },
         )
         .accept(listener),
--- a/tests/mysql_client_disconnect.rs
+++ b/tests/mysql_client_disconnect.rs
@@ -9,8 +9,8 @@
 use bytes::{Bytes, BytesMut};
 use futures_util::SinkExt;
 use query_dispatcher::ListUpdate;
-use query_dispatcher::config::tls::TlsSource;
-use query_dispatcher::config::{Access, MysqlFrontendConfig, SpoolSource};
+use query_dispatcher::config::tls::TlsSettings;
+use query_dispatcher::config::{EngineCredentials, MysqlFrontendConfig, SpoolSettings};
 use query_dispatcher::core::{Core, CoreLimits};
 use query_dispatcher::discovery::Change;
 use query_dispatcher::dispatch::request_router::RequestRouter;
@@ -264,12 +264,12 @@
     )
     .unwrap();
     let pool = BufferPool::default();
-    let large = SpoolSource::plain(64 << 20);
+    let large = SpoolSettings::in_memory(64 << 20);
     let (spools, done) =
         Spools::open(&large, names.classes.clone(), names.tenants.clone()).unwrap();
     spawn_local(spools.clone().run(done));
-    let access = Access {
-        connections: 1,
+    let access = EngineCredentials {
+        max_connections: 1,
         ..access()
     };
     let router = RequestRouter::new(
@@ -285,14 +285,14 @@
     let pins = StickySessionLimits {
         max_sessions: 1,
         max_sessions_per_tenant: 1,
-        ..config.pins.clone()
+        ..config.sticky_sessions.clone()
     };
     let frontend = Frontend::new(
         router.clone(),
         pool,
         MysqlFrontendConfig {
             max_clients: 400,
-            pins,
+            sticky_sessions: pins,
             ..config
         },
         spools,
@@ -808,7 +808,7 @@
     let (cert, key) = (folder.path().join("a.pem"), folder.path().join("a.key"));
     std::fs::write(&cert, own.cert.pem()).unwrap();
     std::fs::write(&key, own.signing_key.serialize_pem()).unwrap();
-    let source = TlsSource {
+    let source = TlsSettings {
         only_13: false,
         required: false,
         client_ca: None,
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -8,8 +8,8 @@
 use bytes::Bytes;
 use protocol::*;
 use query_dispatcher::admin::{Admin, Watched};
-use query_dispatcher::clock::unix_ms;
-use query_dispatcher::config::{Machine, Sockets};
+use query_dispatcher::clock::unix_time_millis;
+use query_dispatcher::config::{MachineLimits, SocketSettings};
 use query_dispatcher::core::{Core, CoreLimits, NewRequest};
 use query_dispatcher::dispatch::request_router::{Reply, RequestRouter};
 use query_dispatcher::frontend::frames::{Frontend, Work};
@@ -47,7 +47,7 @@
 async fn stand(
     engine: TcpListener,
     keyed: (DeduplicationScope, f64),
-    tweak: impl FnOnce(&mut Sockets),
+    tweak: impl FnOnce(&mut SocketSettings),
 ) -> Stand {
     let (_, mut names, mut sockets) = scenario::core();
     tweak(&mut sockets);
@@ -85,9 +85,9 @@
     let frontend = Frontend::new(
         router.clone(),
         pool,
-        &Machine {
+        &MachineLimits {
             memory_mb: 64,
-            sockets: 64,
+            max_sockets: 64,
         },
     );
     spawn_local(frontend.clone().accept(listener));
@@ -126,7 +126,7 @@
 
     /// The same with its deadline and the size of its statement.
     fn ask_for(&self, txn: u64, class: usize, ms: f64, size: usize) {
-        let deadline = unix_ms() + ms;
+        let deadline = unix_time_millis() + ms;
         let new = NewRequest {
             class,
             tenant: Some(0),
@@ -578,7 +578,7 @@
     on_one_thread(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let s = stand(listener, (DeduplicationScope::All, 0.0), |sockets| {
-            sockets.idle = 200.0
+            sockets.idle_timeout = 200.0
         })
         .await;
         s.ask_for(1, LOOKUP, 60.0, 1);
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -27,7 +27,8 @@
 
 use query_dispatcher::admin::{Admin, Watched};
 use query_dispatcher::config::{
-    Access, ClassRules, MysqlFrontendConfig, Names, Sockets, SpoolSource, User,
+    ClassRules, EngineCredentials, MysqlFrontendConfig, NameTable, SocketSettings, SpoolSettings,
+    User,
 };
 use query_dispatcher::core::{Core, CoreLimits};
 use query_dispatcher::discovery::{Change, Engine};
@@ -79,13 +80,13 @@
     s
 }
 
-pub fn core() -> (Core, Names, Sockets) {
+pub fn core() -> (Core, NameTable, SocketSettings) {
     core_with(100)
 }
 
 /// One that holds so many requests open.
-pub fn core_with(open: usize) -> (Core, Names, Sockets) {
-    let names = Names {
+pub fn core_with(open: usize) -> (Core, NameTable, SocketSettings) {
+    let names = NameTable {
         classes: vec!["lookup".into(), "load".into()],
         kinds: vec!["std".into()],
         zones: vec![],
@@ -93,13 +94,13 @@
         reports_cost: false,
         report_fields: vec![],
     };
-    let sockets = Sockets {
+    let sockets = SocketSettings {
         connect_timeout: 250.0,
-        idle: 30_000.0,
-        streams: 100,
-        notes: 0.0,
-        most_open: 100,
-        longest: 5000.0,
+        idle_timeout: 30_000.0,
+        max_streams_per_connection: 100,
+        progress_interval: 0.0,
+        max_open_requests: 100,
+        longest_deadline: 5000.0,
     };
     let bounds = CoreLimits {
         max_open_requests: open,
@@ -124,7 +125,7 @@
             zone: None,
             kind: Some("std".into()),
             cell: 0,
-            started: is("restart").then(|| query_dispatcher::clock::unix_ms() + 1.0),
+            started: is("restart").then(|| query_dispatcher::clock::unix_time_millis() + 1.0),
         }
     };
     Change {
@@ -133,18 +134,18 @@
     }
 }
 
-pub fn access() -> Access {
-    Access {
+pub fn access() -> EngineCredentials {
+    EngineCredentials {
         user: "engine".into(),
         password: "inner".into(),
-        connections: 4,
-        most_packet: 65_536,
+        max_connections: 4,
+        max_packet: 65_536,
     }
 }
 
 /// Results of up to 64 KB, in memory.
-pub fn spools() -> SpoolSource {
-    SpoolSource::plain(65_536)
+pub fn spools() -> SpoolSettings {
+    SpoolSettings::in_memory(65_536)
 }
 
 pub fn mysql_front() -> MysqlFrontendConfig {
@@ -153,21 +154,21 @@
         max_clients: 8,
         max_packet: 65_536,
         max_statements: 3,
-        idle: Duration::from_secs(60),
-        version: "8.0.0-test".into(),
+        idle_timeout: Duration::from_secs(60),
+        server_version: "8.0.0-test".into(),
         users: [(
             "ann".to_string(),
             User {
                 password: "secret".into(),
-                certificate: None,
+                certificate_common_name: None,
                 tenant: Some(0),
             },
         )]
         .into(),
-        rules: ClassRules::new(1, 0, classes, vec![]),
+        class_rules: ClassRules::new(1, 0, classes, vec![]),
         deadlines: vec![5000.0, 5000.0],
         transaction_class: 1,
-        pins: query_dispatcher::sticky_sessions::StickySessionLimits {
+        sticky_sessions: query_dispatcher::sticky_sessions::StickySessionLimits {
             idle_timeout: 60_000.0,
             max_lifetime: 60_000.0,
             drain_timeout: 500.0,
