--- a/crates/mysql-conformance/src/lib.rs
+++ b/crates/mysql-conformance/src/lib.rs
@@ -78,7 +78,7 @@
         started: None,
     });
     router.update_endpoints(&Change {
-        update: ListUpdate::Whole,
+        update: ListUpdate::Snapshot,
         engines: listed.collect(),
     });
     spawn_local(router.clone().run_clock());
--- a/crates/testbed/src/model/engine.rs
+++ b/crates/testbed/src/model/engine.rs
@@ -430,10 +430,10 @@
             notes.push(match r.state {
                 State::InLine => (*id, ProgressNote::WaitsForMemory),
                 State::Stands(_) => (*id, ProgressNote::WaitsForLoad),
-                State::Runs => (*id, ProgressNote::Done(r.done / r.total)),
+                State::Runs => (*id, ProgressNote::Completed(r.done / r.total)),
             });
             if r.state == State::Runs && short > 0.5 {
-                notes.push((*id, ProgressNote::Spills(short)));
+                notes.push((*id, ProgressNote::SpilledMemory(short)));
             }
         }
         notes
--- a/crates/testbed/src/model/tests.rs
+++ b/crates/testbed/src/model/tests.rs
@@ -224,7 +224,7 @@
         "{notes:?}"
     );
     assert!(
-        notes.contains(&(7, query_dispatcher::ProgressNote::Spills(60.0))),
+        notes.contains(&(7, query_dispatcher::ProgressNote::SpilledMemory(60.0))),
         "{notes:?}"
     );
 }
--- a/src/bin/hitchwinch-simhost/main.rs
+++ b/src/bin/hitchwinch-simhost/main.rs
@@ -197,7 +197,9 @@
                     },
                 )
             }
-            In::ClientLeft { gateway_id, corr } => (gateway_id, Event::ClientLeft(corr.into())),
+            In::ClientLeft { gateway_id, corr } => {
+                (gateway_id, Event::ClientDisconnected(corr.into()))
+            }
             In::Ring { gateway_id, nonce } => (gateway_id, Event::Timer(nonce)),
             In::UnderWay {
                 gateway_id,
--- a/src/bin/hitchwinch-simhost/wire.rs
+++ b/src/bin/hitchwinch-simhost/wire.rs
@@ -191,7 +191,7 @@
 pub fn engines(names: &NameTable, how: How, members: Option<&Vec<Member>>) -> Event {
     let update = match how {
         How::Patch => ListUpdate::Patch,
-        How::Whole => ListUpdate::Whole,
+        How::Whole => ListUpdate::Snapshot,
         How::StaleCopy => ListUpdate::Stale,
         How::Broken => return Event::DiscoveryFailed,
     };
@@ -219,8 +219,8 @@
 
 pub fn note(kind: u32, x: Option<f64>) -> Option<ProgressNote> {
     match kind {
-        1 => x.map(ProgressNote::Done),
-        2 => x.map(ProgressNote::Spills),
+        1 => x.map(ProgressNote::Completed),
+        2 => x.map(ProgressNote::SpilledMemory),
         3 if x == Some(2.0) => Some(ProgressNote::WaitsForLoad),
         3 => Some(ProgressNote::WaitsForMemory),
         _ => None,
--- a/src/config/profile.rs
+++ b/src/config/profile.rs
@@ -260,10 +260,10 @@
                 order_quiet_period: r.turn_gap.unwrap_or(0.0),
                 retry_budget: match budget {
                     (None, None, None) => None,
-                    (span, free, share) => Some(RetryBudget {
-                        span: span.unwrap_or(0.0),
-                        free: free.unwrap_or(0.0),
-                        share: share.unwrap_or(0.0),
+                    (window, min_retries, retry_ratio) => Some(RetryBudget {
+                        window: window.unwrap_or(0.0),
+                        min_retries: min_retries.unwrap_or(0.0),
+                        retry_ratio: retry_ratio.unwrap_or(0.0),
                     }),
                 },
             },
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -288,7 +288,7 @@
         r.answered = true;
         self.touched.push(request);
         self.drop_all(now, request);
-        self.report(now, Report::Left(request));
+        self.report(now, Report::ClientDisconnected(request));
     }
 
     /// A part of the attempt's result is here; more parts follow.
@@ -511,7 +511,7 @@
                 },
             );
             self.drop_all(now, id);
-            self.report(now, Report::Left(id));
+            self.report(now, Report::ClientDisconnected(id));
         }
     }
 
@@ -701,7 +701,7 @@
     /// So many processes of this dispatcher live: each takes its part of what is bounded for all.
     pub fn set_process_count(&mut self, processes: u32) {
         self.processes = processes.max(1) as usize;
-        self.facade.share(processes);
+        self.facade.set_process_count(processes);
     }
 
     /// The last byte of an attempt is written.
@@ -710,7 +710,7 @@
     }
 
     pub fn metrics(&self) -> Metrics {
-        let avoided = |name: &&String| !self.is_in_service(name) || self.facade.avoids(name);
+        let avoided = |name: &&String| !self.is_in_service(name) || self.facade.is_ejected(name);
         Metrics {
             concurrent: self.unanswered_requests(),
             targets: self.listed.len(),
--- a/src/decision/controller.rs
+++ b/src/decision/controller.rs
@@ -138,7 +138,7 @@
             Event::Streaming { id, .. } => {
                 self.held.get_mut(&id).into_iter().for_each(|h| h.streaming = true);
             }
-            Event::ClientLeft(id) => self.left(id, out),
+            Event::ClientDisconnected(id) => self.left(id, out),
             Event::Timer(_) => {}
         }
         // What may go now goes before the look gives up what may not.
@@ -718,13 +718,13 @@
     }
 
     /// So many processes make the decisions of this gateway now, and share what a cold engine may get.
-    pub fn share(&mut self, processes: u32) {
+    pub fn set_process_count(&mut self, processes: u32) {
         self.shared = (self.processes, self.now);
         self.processes = f64::from(processes.max(1));
     }
 
     /// Whether this engine is left out now, by its name.
-    pub fn avoids(&self, engine: &str) -> bool {
+    pub fn is_ejected(&self, engine: &str) -> bool {
         self.names.get(engine).is_some_and(|&e| self.doubtful(e))
     }
 
@@ -855,7 +855,7 @@
             return self.rescue(id, attempt, out);
         }
         let (granted, threads) = (r.granted, r.threads);
-        if let ProgressNote::Spills(short) = note {
+        if let ProgressNote::SpilledMemory(short) = note {
             // Its need is known now, at its start: elsewhere it gets that (an engine's own choice is taken
             // for its threads' part). Guards against estimates far too low or none; harm: an attempt and a
             // restart, in vain where no engine has the memory, so only once.
@@ -869,7 +869,7 @@
             }
             return;
         }
-        let ProgressNote::Done(done) = note else { return };
+        let ProgressNote::Completed(done) = note else { return };
         r.done = if done.is_finite() { done.clamp(0.0, 1.0) } else { return };
         let elapsed = self.now - r.sent;
         let (work, done) = (r.work, r.done.max(1e-3));
@@ -1097,9 +1097,9 @@
 
     fn further_left(&self) -> bool {
         let Some(b) = self.s.rules.retry_budget else { return true };
-        let used = self.further.since((self.now - b.span).next_down());
-        let taken = self.taken.iter().filter(|&&t| t > self.now - b.span).count() as f64;
-        used + 1.0 <= b.free + b.share * taken
+        let used = self.further.since((self.now - b.window).next_down());
+        let taken = self.taken.iter().filter(|&&t| t > self.now - b.window).count() as f64;
+        used + 1.0 <= b.min_retries + b.retry_ratio * taken
     }
 
     /// Every attempt goes through here.
@@ -1124,7 +1124,7 @@
             out.push(Action::Terms { id, priority, memory_mb: granted });
         }
         let now = self.now;
-        let horizon = self.s.rules.retry_budget.map_or(0.0, |b| b.span);
+        let horizon = self.s.rules.retry_budget.map_or(0.0, |b| b.window);
         let Some(h) = self.held.get_mut(&id) else { return false };
         let attempt = h.attempts.len() as u32;
         self.further.charge(now, horizon, f64::from(attempt.min(1)));
--- a/src/decision/controller/tests.rs
+++ b/src/decision/controller/tests.rs
@@ -58,7 +58,7 @@
     let engine = "e".to_string();
     let state = EngineState::Ready;
     let e = EngineEntry { engine, state, started: None, kind: Some(0), zone: None, cell: 0 };
-    c.handle(0.0, Event::EngineList { update: ListUpdate::Whole, entries: vec![e] }, &mut vec![]);
+    c.handle(0.0, Event::EngineList { update: ListUpdate::Snapshot, entries: vec![e] }, &mut vec![]);
     c
 }
 
@@ -120,7 +120,7 @@
     assert!(!c.send(1, 0, &mut out), "a second copy, no caller can bypass the guard");
     c.s.limits.hedging = true;
     assert!(c.send(1, 0, &mut out), "where copies are allowed");
-    c.handle(2.0, Event::ClientLeft(1), &mut out);
+    c.handle(2.0, Event::ClientDisconnected(1), &mut out);
     assert!(!c.send(1, 0, &mut out), "nothing after the end");
 }
 
@@ -140,7 +140,7 @@
             zone: None,
             cell: 0,
         };
-        c.handle(3.0, Event::EngineList { update: ListUpdate::Whole, entries: vec![e] }, &mut vec![]);
+        c.handle(3.0, Event::EngineList { update: ListUpdate::Snapshot, entries: vec![e] }, &mut vec![]);
     }
     assert!(c.engines.len() <= 3 && c.names.len() <= 3, "{} are kept", c.engines.len());
     assert_eq!(c.engines[c.held[&1].attempts[0].engine].out.len(), 1, "the one with a query out is");
@@ -154,7 +154,7 @@
     let started = Some(10.0);
     let state = EngineState::Ready;
     let e = EngineEntry { engine: "new".into(), state, started, kind: Some(0), zone: None, cell: 0 };
-    c.handle(10.0, Event::EngineList { update: ListUpdate::Whole, entries: vec![e] }, &mut vec![]);
+    c.handle(10.0, Event::EngineList { update: ListUpdate::Snapshot, entries: vec![e] }, &mut vec![]);
     let new = c.names["new"];
     // The most of one query's work that fits, alone in its window: 0.6 x 3 x 8 cores x 1 s x the capacity.
     for (age, capacity) in [(0.0, 0.3), (500.0, 0.65), (1000.0, 1.0), (1500.0, 1.0)] {
@@ -182,7 +182,7 @@
     };
     let met = (0..2 * REACH).map(|n| entry(n, None));
     let entries = met.chain([entry(0, Some(4000.0))]).collect();
-    c.handle(5000.0, Event::EngineList { update: ListUpdate::Whole, entries }, &mut vec![]);
+    c.handle(5000.0, Event::EngineList { update: ListUpdate::Snapshot, entries }, &mut vec![]);
     c.engines.iter_mut().filter(|x| x.started.is_none()).for_each(|x| x.heard = 4900.0);
     let ask = |c: &mut Controller, ids: std::ops::Range<u64>, work| {
         let mut out = vec![];
--- a/src/decision/facade.rs
+++ b/src/decision/facade.rs
@@ -42,7 +42,7 @@
         note: ProgressNote,
     },
     /// Nobody waits for it any more.
-    Left(QueryId),
+    ClientDisconnected(QueryId),
     /// A peer's news of an engine's load.
     PeerLoadReport {
         engine: String,
@@ -85,7 +85,7 @@
                     attempt,
                     note,
                 },
-                Report::Left(query) => Event::ClientLeft(query),
+                Report::ClientDisconnected(query) => Event::ClientDisconnected(query),
                 Report::PeerLoadReport { engine, report } => Event::EngineReport {
                     engine,
                     outcome: Outcome::Served,
@@ -107,13 +107,13 @@
     }
 
     /// So many processes share this gateway's part.
-    pub fn share(&mut self, processes: u32) {
-        self.controller.share(processes);
+    pub fn set_process_count(&mut self, processes: u32) {
+        self.controller.set_process_count(processes);
     }
 
     /// The module leaves this engine out while others are well. Read only, for operators.
-    pub fn avoids(&self, engine: &str) -> bool {
-        self.controller.avoids(engine)
+    pub fn is_ejected(&self, engine: &str) -> bool {
+        self.controller.is_ejected(engine)
     }
 
     /// When the next tick is due.
--- a/src/decision/model/mod.rs
+++ b/src/decision/model/mod.rs
@@ -129,9 +129,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    pub free: f64,
-    pub share: f64,
-    pub span: Millis,
+    pub min_retries: f64,
+    pub retry_ratio: f64,
+    pub window: Millis,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -186,9 +186,9 @@
             ("rules.order_rest".into(), r.order_quiet_period),
         ];
         if let Some(b) = r.retry_budget {
-            values.push(("rules.attempt_budget.free".into(), b.free));
-            values.push(("rules.attempt_budget.share".into(), b.share));
-            values.push(("rules.attempt_budget.span".into(), b.span));
+            values.push(("rules.attempt_budget.free".into(), b.min_retries));
+            values.push(("rules.attempt_budget.share".into(), b.retry_ratio));
+            values.push(("rules.attempt_budget.span".into(), b.window));
         }
         for (i, c) in self.classes.iter().enumerate() {
             values.push((format!("classes[{i}].worth"), c.priority_weight));
@@ -257,7 +257,7 @@
     /// Only what changed.
     Patch,
     /// The complete list; an engine that is absent is gone.
-    Whole,
+    Snapshot,
     /// The complete list as last seen before a restart.
     Stale,
 }
@@ -313,15 +313,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProgressNote {
     /// Share of the work done so far.
-    Done(f64),
+    Completed(f64),
     /// Spills: this many MB short.
-    Spills(f64),
+    SpilledMemory(f64),
     WaitsForMemory,
     WaitsForLoad,
     /// Its client holds it and asks nothing of it now, so that it takes no thread; the engine answers.
     Idle,
     /// Its client has asked for something again.
-    Works,
+    Active,
 }
 
 #[derive(Clone, Debug)]
@@ -348,7 +348,7 @@
         id: QueryId,
         attempt: u32,
     },
-    ClientLeft(QueryId),
+    ClientDisconnected(QueryId),
     Timer(u64),
 }
 
--- a/src/discovery/journal.rs
+++ b/src/discovery/journal.rs
@@ -56,7 +56,7 @@
 impl Hosts {
     fn change(self) -> Change {
         let update = if self.reset {
-            ListUpdate::Whole
+            ListUpdate::Snapshot
         } else {
             ListUpdate::Patch
         };
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -30,7 +30,7 @@
         started: None,
     };
     Change {
-        update: ListUpdate::Whole,
+        update: ListUpdate::Snapshot,
         engines: engines.iter().map(engine).collect(),
     }
 }
--- a/src/membership/registry_view.rs
+++ b/src/membership/registry_view.rs
@@ -786,7 +786,7 @@
         };
         engines.sort_by_key(rank);
         let update = if first {
-            ListUpdate::Whole
+            ListUpdate::Snapshot
         } else {
             ListUpdate::Patch
         };
--- a/src/upstream/mysql/sticky.rs
+++ b/src/upstream/mysql/sticky.rs
@@ -135,7 +135,7 @@
         self.router
             .upgrade()
             .into_iter()
-            .for_each(|router| router.progress(self.attempt, ProgressNote::Works));
+            .for_each(|router| router.progress(self.attempt, ProgressNote::Active));
     }
 }
 
--- a/src/upstream/resp.rs
+++ b/src/upstream/resp.rs
@@ -204,8 +204,8 @@
 fn note(fields: &str) -> Option<ProgressNote> {
     let value: f64 = field(fields, "datum")?.parse().ok()?;
     match field(fields, "tell")? {
-        "frac" => Some(ProgressNote::Done(value)),
-        "missing" => Some(ProgressNote::Spills(value)),
+        "frac" => Some(ProgressNote::Completed(value)),
+        "missing" => Some(ProgressNote::SpilledMemory(value)),
         "parked" if value == 2.0 => Some(ProgressNote::WaitsForLoad),
         "parked" => Some(ProgressNote::WaitsForMemory),
         _ => None,
--- a/tests/decision_regressions.rs
+++ b/tests/decision_regressions.rs
@@ -173,7 +173,7 @@
                 g.does(Event::Progress {
                     id: 1,
                     attempt: 0,
-                    note: ProgressNote::Done(0.1),
+                    note: ProgressNote::Completed(0.1),
                 });
             }
             g.end(id, 0, Outcome::Served);
@@ -258,7 +258,7 @@
         let out = g.does(Event::Progress {
             id,
             attempt: 0,
-            note: ProgressNote::Done(0.5),
+            note: ProgressNote::Completed(0.5),
         });
         assert!(
             !out.iter().any(|a| matches!(a, Action::Cancel { .. })),
@@ -268,7 +268,7 @@
     let out = g.does(Event::Progress {
         id: 4,
         attempt: 0,
-        note: ProgressNote::Done(0.03),
+        note: ProgressNote::Completed(0.03),
     });
     assert!(out.contains(&Action::Cancel { id: 4, attempt: 0 }));
     assert_eq!(sends(&g.end(4, 0, Outcome::Cancelled)).len(), 1);
@@ -422,7 +422,7 @@
     let out = g.does(Event::Progress {
         id: 1,
         attempt: 0,
-        note: ProgressNote::Spills(200.0),
+        note: ProgressNote::SpilledMemory(200.0),
     });
     assert!(out.contains(&Action::Cancel { id: 1, attempt: 0 }));
     let out = g.end(1, 0, Outcome::Cancelled);
@@ -435,7 +435,7 @@
     let out = g.does(Event::Progress {
         id: 1,
         attempt: 1,
-        note: ProgressNote::Spills(50.0),
+        note: ProgressNote::SpilledMemory(50.0),
     });
     assert!(
         !out.iter().any(|a| matches!(a, Action::Cancel { .. })),
@@ -448,7 +448,7 @@
     let out = g.does(Event::Progress {
         id: 2,
         attempt: 0,
-        note: ProgressNote::Spills(5.0),
+        note: ProgressNote::SpilledMemory(5.0),
     });
     assert!(
         !out.iter().any(|a| matches!(a, Action::Cancel { .. })),
@@ -475,13 +475,13 @@
         let out = g.does(Event::Progress {
             id: 1,
             attempt: 0,
-            note: ProgressNote::Done(0.3),
+            note: ProgressNote::Completed(0.3),
         });
         assert_eq!(finals(&out), [0; 0], "2.3 s to go of 3");
         let out = g.does(Event::Progress {
             id: 1,
             attempt: 0,
-            note: ProgressNote::Done(0.05),
+            note: ProgressNote::Completed(0.05),
         });
         assert!(
             out.contains(&Action::Cancel { id: 1, attempt: 0 }),
@@ -646,7 +646,7 @@
     let out = g.does(Event::Progress {
         id: 1,
         attempt: 0,
-        note: ProgressNote::Spills(700.0),
+        note: ProgressNote::SpilledMemory(700.0),
     });
     assert!(out.contains(&Action::Cancel { id: 1, attempt: 0 }));
     let out = g.end(1, 0, Outcome::Cancelled);
@@ -658,7 +658,7 @@
     let out = g.does(Event::Progress {
         id: 1,
         attempt: 1,
-        note: ProgressNote::Spills(700.0),
+        note: ProgressNote::SpilledMemory(700.0),
     });
     assert!(
         !out.iter().any(|a| matches!(a, Action::Cancel { .. })),
--- a/tests/dispatch_rules.rs
+++ b/tests/dispatch_rules.rs
@@ -32,7 +32,7 @@
     let out = g.pass(4000.0);
     assert_eq!(finals(&out), [1]);
     let out = g.does(Event::EngineList {
-        update: ListUpdate::Whole,
+        update: ListUpdate::Snapshot,
         entries: vec![entry("a")],
     });
     assert!(sends(&out).is_empty());
@@ -165,7 +165,7 @@
         assert_eq!(sends(&g.take(query(id, 0)))[0].1, "b");
     }
     g.does(Event::EngineList {
-        update: ListUpdate::Whole,
+        update: ListUpdate::Snapshot,
         entries: vec![entry("a")],
     });
     assert_eq!(sends(&g.take(query(99, 0)))[0].1, "a");
@@ -190,7 +190,7 @@
         }
         let ids: Vec<u64> = (0..id).collect();
         for id in ids.iter().rev().take(3) {
-            g.does(Event::ClientLeft(*id));
+            g.does(Event::ClientDisconnected(*id));
             g.end(*id, 0, Outcome::Cancelled);
         }
     }
@@ -232,7 +232,7 @@
         1
     );
     assert!(
-        sends(&g.does(Event::ClientLeft(1))).is_empty(),
+        sends(&g.does(Event::ClientDisconnected(1))).is_empty(),
         "its attempt is still out"
     );
     let out = g.does(Event::AttemptEnded(Ended {
@@ -287,9 +287,9 @@
 fn rule_7_retries_stay_within_the_retry_budget() {
     let mut s = settings(vec![class(1.0, 3000.0)]);
     s.rules.retry_budget = Some(RetryBudget {
-        free: 2.0,
-        share: 0.1,
-        span: 10000.0,
+        min_retries: 2.0,
+        retry_ratio: 0.1,
+        window: 10000.0,
     });
     let mut g = Gateway::new(s, vec![entry("a"), entry("b"), entry("c")]);
     let (mut taken, mut further) = (0.0, 0.0);
@@ -326,7 +326,7 @@
             let note = if idle {
                 ProgressNote::Idle
             } else {
-                ProgressNote::Works
+                ProgressNote::Active
             };
             g.does(Event::Progress {
                 id,
@@ -345,7 +345,7 @@
                 drop(g.does(Event::Progress {
                     id,
                     attempt: 0,
-                    note: ProgressNote::Works,
+                    note: ProgressNote::Active,
                 }))
             });
             assert_eq!(sends(&g.take(query(12, 0))), vec![]);
--- a/tests/many_dispatchers.rs
+++ b/tests/many_dispatchers.rs
@@ -69,7 +69,7 @@
     let own: std::collections::BTreeSet<String> = (0..40).map(|id| turn(&mut g, id)).collect();
     // As many again as there were: in the gateway's order some of them come before what it has.
     g.does(Event::EngineList {
-        update: ListUpdate::Whole,
+        update: ListUpdate::Snapshot,
         entries: fleet(40),
     });
     for id in 40..120 {
@@ -442,7 +442,7 @@
 fn duplicate_or_unknown_list_entries_change_nothing() {
     let mut g = Gateway::new(one_of(1, false), fleet(3));
     let out = sends(&g.take(query(1, 0)));
-    for update in [ListUpdate::Patch, ListUpdate::Whole, ListUpdate::Patch] {
+    for update in [ListUpdate::Patch, ListUpdate::Snapshot, ListUpdate::Patch] {
         let repeated = g.does(Event::EngineList {
             update,
             entries: fleet(3),
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -548,7 +548,7 @@
             let (router, client, addresses, mut seen) = set_up().await;
             let mut w = log_in(client.address, "ann", "secret").await.unwrap();
             router.update_endpoints(&Change {
-                update: ListUpdate::Whole,
+                update: ListUpdate::Snapshot,
                 engines: vec![],
             });
             command(&mut w, QUERY, &[b"insert into sales_17.orders values (1)"]).await;
--- a/tests/mysql_client_disconnect.rs
+++ b/tests/mysql_client_disconnect.rs
@@ -730,7 +730,7 @@
     on_one_thread(async {
         let stand = stand(1).await;
         stand.router.update_endpoints(&Change {
-            update: ListUpdate::Whole,
+            update: ListUpdate::Snapshot,
             engines: vec![],
         });
         let mut all = vec![];
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -48,9 +48,9 @@
     (s.dispatchers, s.limits.probes) = (50, true);
     s.rules.initial_warm_up_capacity = 1.0; // and cold engines still get their draws
     s.rules.retry_budget = Some(RetryBudget {
-        free: 2.0,
-        share: 0.3,
-        span: SPAN,
+        min_retries: 2.0,
+        retry_ratio: 0.3,
+        window: SPAN,
     });
     s
 }
@@ -164,9 +164,9 @@
                     1 => Event::Progress {
                         id,
                         attempt: 9,
-                        note: ProgressNote::Done(f64::NAN),
+                        note: ProgressNote::Completed(f64::NAN),
                     },
-                    _ => Event::ClientLeft(id),
+                    _ => Event::ClientDisconnected(id),
                 });
             }
             6 => {
@@ -192,7 +192,7 @@
                 Event::EngineList { entries, .. } => {
                     states.extend(entries.iter().map(|e| (e.engine.clone(), e.clone())));
                 }
-                Event::ClientLeft(id) => {
+                Event::ClientDisconnected(id) => {
                     if let Some(q) = seen.get_mut(id) {
                         q.over = true;
                     }
--- a/tests/recorded_decisions/controller_stream.rs
+++ b/tests/recorded_decisions/controller_stream.rs
@@ -418,7 +418,7 @@
         let update = if self.random.chance(0.3) {
             Update::Stale
         } else {
-            Update::Whole
+            Update::Snapshot
         };
         let listed: Vec<ToyEngine> = self
             .engines
@@ -439,14 +439,14 @@
     fn share(&mut self) {
         let processes = self.random.pick(&[0, 1, 2, 2]);
         self.record.line("share", &processes.to_string());
-        self.controller.share(processes);
+        self.controller.set_process_count(processes);
         self.repeat(700.0, Step::Share);
     }
 
     /// Records which engines are avoided now.
     fn survey(&mut self) {
         for engine in &self.engines {
-            if self.controller.avoids(&engine.name) {
+            if self.controller.is_ejected(&engine.name) {
                 self.record.line("avoided", &engine.name);
             }
         }
@@ -472,7 +472,7 @@
             1 => arrival_event(arrival(known, 0, f64::NAN)),
             2 => client_left_event(unknown),
             3 => note_event(unknown, 0, ProgressNote::Idle),
-            4 => note_event(known, 9, ProgressNote::Works),
+            4 => note_event(known, 9, ProgressNote::Active),
             5 => load_event("nobody", Ending::Unreachable, vec![1.0]),
             _ => streaming_event(unknown, 0),
         };
--- a/tests/recorded_decisions/core_stream.rs
+++ b/tests/recorded_decisions/core_stream.rs
@@ -344,7 +344,7 @@
         );
         self.core.update_endpoints(
             self.now,
-            if first { Update::Stale } else { Update::Whole },
+            if first { Update::Stale } else { Update::Snapshot },
             entries,
         );
         self.repeat(1000.0, Step::WholeList);
--- a/tests/recorded_decisions/profiles.rs
+++ b/tests/recorded_decisions/profiles.rs
@@ -184,9 +184,9 @@
                 .map(|quota_per_s| Tenant { quota_per_s })
                 .to_vec();
             settings.rules.retry_budget = Some(RetryBudget {
-                free: 2.0,
-                share: 0.1,
-                span: 1000.0,
+                min_retries: 2.0,
+                retry_ratio: 0.1,
+                window: 1000.0,
             });
             traffic = Traffic {
                 trouble: 10,
--- a/tests/recorded_decisions/vocabulary.rs
+++ b/tests/recorded_decisions/vocabulary.rs
@@ -139,7 +139,7 @@
 }
 
 pub fn client_left_event(request: u64) -> Event {
-    Event::ClientLeft(request)
+    Event::ClientDisconnected(request)
 }
 
 pub fn timer_event(token: u64) -> Event {
@@ -154,7 +154,7 @@
             ..
         } => "list-patch",
         Event::EngineList {
-            update: ListUpdate::Whole,
+            update: ListUpdate::Snapshot,
             ..
         } => "list-whole",
         Event::EngineList {
@@ -167,7 +167,7 @@
         Event::EngineReport { .. } => "load-report",
         Event::Progress { note, .. } => note_word(*note),
         Event::Streaming { .. } => "streaming",
-        Event::ClientLeft(_) => "client-left",
+        Event::ClientDisconnected(_) => "client-left",
         Event::Timer(_) => "timer",
     }
 }
@@ -187,12 +187,12 @@
 
 pub fn note_word(note: ProgressNote) -> &'static str {
     match note {
-        ProgressNote::Done(_) => "note-done",
-        ProgressNote::Spills(_) => "note-spills",
+        ProgressNote::Completed(_) => "note-done",
+        ProgressNote::SpilledMemory(_) => "note-spills",
         ProgressNote::WaitsForMemory => "note-waits-memory",
         ProgressNote::WaitsForLoad => "note-waits-load",
         ProgressNote::Idle => "note-idle",
-        ProgressNote::Works => "note-works",
+        ProgressNote::Active => "note-works",
     }
 }
 
@@ -344,13 +344,13 @@
 pub fn draw_note(random: &mut Random, done: f64) -> ProgressNote {
     let short = random.between(10.0, 4000.0);
     random.weighted(&[
-        (ProgressNote::Done(done), 60),
-        (ProgressNote::Done(f64::NAN), 1),
-        (ProgressNote::Spills(short), 8),
+        (ProgressNote::Completed(done), 60),
+        (ProgressNote::Completed(f64::NAN), 1),
+        (ProgressNote::SpilledMemory(short), 8),
         (ProgressNote::WaitsForMemory, 5),
         (ProgressNote::WaitsForLoad, 5),
         (ProgressNote::Idle, 4),
-        (ProgressNote::Works, 4),
+        (ProgressNote::Active, 4),
     ])
 }
 
--- a/tests/recorded_state/registry_text.rs
+++ b/tests/recorded_state/registry_text.rs
@@ -32,7 +32,7 @@
 
 pub fn update_kind(update: ListUpdate) -> &'static str {
     match update {
-        ListUpdate::Whole => "change whole",
+        ListUpdate::Snapshot => "change whole",
         ListUpdate::Patch => "change patch",
         ListUpdate::Stale => "change stale",
     }
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -129,7 +129,7 @@
         }
     };
     Change {
-        update: ListUpdate::Whole,
+        update: ListUpdate::Snapshot,
         engines: addresses.iter().enumerate().map(engine).collect(),
     }
 }
