--- a/crates/mysql-conformance/src/lib.rs
+++ b/crates/mysql-conformance/src/lib.rs
@@ -11,7 +11,7 @@
 use query_dispatcher::frontend::mysql::Frontend;
 use query_dispatcher::protocol::mysql::packet::{PacketError, QUERY, Reader, eof_status, ok_tail};
 use query_dispatcher::spool_io::Spools;
-use query_dispatcher::transport::framed::BufferPool;
+use query_dispatcher::transport::buffer_pool::BufferPool;
 use query_dispatcher::upstream::mysql::MysqlUpstream;
 use query_dispatcher::{EngineState, ListUpdate};
 use std::fmt::Write;
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -6,8 +6,10 @@
 use crate::log_line;
 use crate::server::instance_registry::{self, InstanceRegistry};
 use crate::spool_io::Spools;
+use crate::transport::buffer_pool::BufferPool;
 use crate::transport::connection_limiter::{Activity, ConnectionLimiter, PermitGuard};
-use crate::transport::framed::{self, BufferPool, FramedConnection, PendingInput};
+use crate::transport::framed_connection::FramedConnection;
+use crate::transport::pending_input::{self, PendingInput};
 use bytes::{BufMut, BytesMut};
 use futures_util::SinkExt;
 use std::cell::RefCell;
@@ -169,7 +171,7 @@
                 call = tokio::time::timeout_at(by, wire.heard()) => break call,
                 () = place.cut.notified(), if !yields => yields = true,
                 // What the machine holds of its call is read first.
-                () = std::future::ready(()), if yields && framed::unread(wire.get_ref()) != PendingInput::Bytes => {
+                () = std::future::ready(()), if yields && pending_input::unread(wire.get_ref()) != PendingInput::Bytes => {
                     return Ok(());
                 }
             }
--- a/src/frontend/frames/connection.rs
+++ b/src/frontend/frames/connection.rs
@@ -11,9 +11,11 @@
     ANSWER, ASK, FAILED, Frontend, GOODBYE, LEAVE, Phase, REFUSED, REQUEST, SERVED, STATE,
 };
 use crate::protocol::frames::{Frame, FrameCodec, FrameError, Send};
+use crate::transport::buffer_pool::{self, Buffer};
 use crate::transport::client_socket::{ClientSocket, Watch};
 use crate::transport::connection_limiter::{self, Activity, ConnectionPermit};
-use crate::transport::framed::{self, Buffer, ConnectionEvent, PendingInput, ReadInterest, Socket};
+use crate::transport::framed_connection::{self, ConnectionEvent, ReadInterest, Socket};
+use crate::transport::pending_input::{self, PendingInput};
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
 use std::io;
@@ -40,7 +42,7 @@
 /// Frames, and bytes in them, that are read ahead: all that may be open, twice. While the client has to wait, requests
 /// beyond are refused unread, and so are no reason to stop reading.
 const AHEAD: usize = 2 * STREAMS;
-const AHEAD_BYTES: usize = 4 * framed::SIZE;
+const AHEAD_BYTES: usize = 4 * buffer_pool::SIZE;
 /// Frames that are turned away so and not answered yet. A client that sends more, and takes no answers, is cut off: by that
 /// it has left as well.
 const TURNED_AWAY: usize = 8192;
@@ -53,10 +55,10 @@
 /// many bytes a millisecond, where a frame counts for `FRAME` at least. At that pace all that the machine holds unread
 /// for a connection (6 MB), and all that may be turned away, is through in half of the 0.1 s after which nothing may
 /// begin for a client that has gone; and others have their share of the processor.
-const PACE: usize = 16 * framed::SIZE;
+const PACE: usize = 16 * buffer_pool::SIZE;
 const FRAME: usize = 1024;
 
-pub(super) type FramedConnection = framed::FramedConnection<FrameCodec, ClientSocket>;
+pub(super) type FramedConnection = framed_connection::FramedConnection<FrameCodec, ClientSocket>;
 
 type Open = Rc<RefCell<HashMap<u32, RequestId>>>;
 
@@ -178,7 +180,7 @@
             wire.rest();
             if closing
                 && wire.read_buffer().is_empty()
-                && framed::unread(wire.get_ref().tcp()) != PendingInput::Bytes
+                && pending_input::unread(wire.get_ref().tcp()) != PendingInput::Bytes
             {
                 // What the machine has taken its client may not have: a word of that one's would reset the connection. One that
                 // gives way is waited for no longer than another is told beside it.
@@ -199,7 +201,7 @@
                 return Ok(());
             }
         }
-        let room = wire.write_buffer().len() < framed::SIZE;
+        let room = wire.write_buffer().len() < buffer_pool::SIZE;
         let takes_up = room && !client.ahead.is_empty() && client.pause <= Instant::now();
         let reads = match &fault {
             _ if useless >= PACE || burst >= BURST || client.full() && takes_up => {
--- a/src/frontend/frames/request.rs
+++ b/src/frontend/frames/request.rs
@@ -9,7 +9,7 @@
 use crate::protocol::frames::{Frame, FrameError, fields};
 use crate::protocol::statement;
 use crate::transport::client_socket::Watch;
-use crate::transport::framed::PendingInput;
+use crate::transport::pending_input::PendingInput;
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
--- a/src/frontend/mysql/mod.rs
+++ b/src/frontend/mysql/mod.rs
@@ -28,12 +28,14 @@
     put_packet,
 };
 use crate::sticky_sessions::StickySessionTable;
+use crate::transport::buffer_pool::BufferPool;
 use crate::transport::connection_limiter::{
     Activity, ConnectionLimiter, ConnectionPermit, PermitGuard,
 };
 use crate::transport::descriptors::Shares;
-use crate::transport::framed::{BufferPool, FramedConnection, PendingInput};
+use crate::transport::framed_connection::FramedConnection;
 use crate::transport::listener;
+use crate::transport::pending_input::PendingInput;
 use crate::transport::stream::Stream;
 use crate::transport::tls::{self, TlsKeys};
 use crate::upstream::mysql::downstream::Downstream;
--- a/src/protocol/frames.rs
+++ b/src/protocol/frames.rs
@@ -1,6 +1,6 @@
 //! The platform's frames: their bytes, read and written.
 
-use crate::transport::framed;
+use crate::transport::buffer_pool;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::io;
 use tokio_util::codec::{Decoder, Encoder};
@@ -57,8 +57,8 @@
         let payload = Bytes::copy_from_slice(&src[..length - LEAST]);
         src.advance(length - LEAST);
         // A large frame's room is given back: kept by every connection, it would fill the memory.
-        if src.is_empty() && src.capacity() > 2 * framed::SIZE {
-            *src = BytesMut::with_capacity(framed::SIZE);
+        if src.is_empty() && src.capacity() > 2 * buffer_pool::SIZE {
+            *src = BytesMut::with_capacity(buffer_pool::SIZE);
         }
         Ok(Some(Frame {
             kind,
--- a/src/transport/client_socket.rs
+++ b/src/transport/client_socket.rs
@@ -2,7 +2,9 @@
 //! has closed its connection, or has said something that is not read yet. The task that reads the socket may not have
 //! had its turn since.
 
-use crate::transport::framed::{self, PendingInput, Socket};
+use crate::transport::framed_connection::Socket;
+
+use crate::transport::pending_input::{self, PendingInput};
 use std::io;
 use std::pin::Pin;
 use std::rc::{Rc, Weak};
@@ -34,7 +36,7 @@
     pub fn unread(&self) -> PendingInput {
         self.0
             .upgrade()
-            .map_or(PendingInput::End, |tcp| framed::unread(&tcp))
+            .map_or(PendingInput::End, |tcp| pending_input::unread(&tcp))
     }
 }
 
--- a/src/transport/framed.rs
+++ b/src/transport/framed_connection.rs
@@ -1,78 +1,21 @@
-//! Buffers of one size, used again: results and the connections' own buffers come from here.
+//! A connection with a codec, whose buffers come from the pool while it has something to read or write.
 
-use bytes::{Buf, BytesMut};
-use std::cell::RefCell;
+use crate::transport::buffer_pool::BufferPool;
+use bytes::Buf;
 use std::future::poll_fn;
 use std::io;
 use std::ops::{Deref, DerefMut};
 use std::pin::Pin;
-use std::rc::Rc;
 use std::task::{Context, Poll, ready};
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, ReadBuf};
 use tokio::net::TcpStream;
 use tokio_util::codec::{Decoder, Encoder, Framed};
 
-/// Holds two pages of a result with their frames; a larger result grows its buffer, which is then not kept. At
-/// the size of the largest (48,000 bytes) the buffers in use filled memory through the whole of a long day.
-pub const SIZE: usize = 16 * 1024;
 /// A peer may take the last words, and close, for this long after them.
 const PART: Duration = Duration::from_millis(500);
 /// Bytes that are read away, or ahead, at a time.
 const AWAY: usize = 16 * 1024;
-/// Idle buffers kept; more are given back to the machine.
-const KEPT: usize = 64;
-
-#[derive(Clone, Default)]
-pub struct BufferPool(Rc<RefCell<Vec<BytesMut>>>);
-
-impl BufferPool {
-    pub fn take(&self) -> Buffer {
-        let bytes = self
-            .0
-            .borrow_mut()
-            .pop()
-            .unwrap_or_else(|| BytesMut::with_capacity(SIZE));
-        Buffer {
-            bytes,
-            home: self.clone(),
-        }
-    }
-
-    fn give(&self, mut bytes: BytesMut) {
-        bytes.clear();
-        let mut idle = self.0.borrow_mut();
-        // One that a large frame has grown is not kept: all kept ones have the one size.
-        if idle.len() < KEPT && (SIZE..=SIZE + SIZE / 8).contains(&bytes.capacity()) {
-            idle.push(bytes);
-        }
-    }
-}
-
-/// A buffer on loan.
-pub struct Buffer {
-    bytes: BytesMut,
-    home: BufferPool,
-}
-
-impl Deref for Buffer {
-    type Target = BytesMut;
-    fn deref(&self) -> &BytesMut {
-        &self.bytes
-    }
-}
-
-impl DerefMut for Buffer {
-    fn deref_mut(&mut self) -> &mut BytesMut {
-        &mut self.bytes
-    }
-}
-
-impl Drop for Buffer {
-    fn drop(&mut self) {
-        self.home.give(std::mem::take(&mut self.bytes));
-    }
-}
 
 /// What a connection is made on.
 pub trait Socket: AsyncRead + AsyncWrite + Unpin {
@@ -116,34 +59,6 @@
     Broken(E),
 }
 
-/// What a look at a connection itself shows, past what the runtime has been told of it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PendingInput {
-    Nothing,
-    Bytes,
-    /// Its peer has closed or reset it.
-    End,
-}
-
-/// Looks at what the machine holds for this connection, unread. The runtime's own notion of it is as old as the last
-/// time it waited: what has come since would be overlooked.
-pub fn unread(tcp: &TcpStream) -> PendingInput {
-    let mut byte = [std::mem::MaybeUninit::uninit()];
-    match socket2::SockRef::from(tcp).peek(&mut byte) {
-        Ok(0) => PendingInput::End,
-        Ok(_) => PendingInput::Bytes,
-        Err(e)
-            if matches!(
-                e.kind(),
-                io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
-            ) =>
-        {
-            PendingInput::Nothing
-        }
-        Err(_) => PendingInput::End,
-    }
-}
-
 impl<C, S> FramedConnection<C, S> {
     pub fn new(pool: &BufferPool, stream: S, codec: C) -> Self
     where
@@ -151,8 +66,8 @@
         S: AsyncRead + AsyncWrite,
     {
         let mut parts = Framed::new(stream, codec).into_parts();
-        parts.read_buf = std::mem::take(&mut pool.take().bytes);
-        parts.write_buf = std::mem::take(&mut pool.take().bytes);
+        parts.read_buf = pool.take().into_bytes();
+        parts.write_buf = pool.take().into_bytes();
         let owed = (0, Instant::now());
         FramedConnection {
             framed: Some(Framed::from_parts(parts)),
@@ -178,8 +93,8 @@
     /// Takes buffers again, before something is read or written.
     pub fn wake(&mut self) {
         if let Some(framed) = self.framed.as_mut().filter(|_| self.resting) {
-            *framed.read_buffer_mut() = std::mem::take(&mut self.pool.take().bytes);
-            *framed.write_buffer_mut() = std::mem::take(&mut self.pool.take().bytes);
+            *framed.read_buffer_mut() = self.pool.take().into_bytes();
+            *framed.write_buffer_mut() = self.pool.take().into_bytes();
             self.resting = false;
         }
     }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,9 +1,11 @@
 //! Sockets below any protocol: listener, connection limits, framed connections, TLS, descriptors.
 
+pub mod buffer_pool;
 pub mod client_socket;
 pub mod connection_limiter;
 pub mod descriptors;
-pub mod framed;
+pub mod framed_connection;
 pub mod listener;
+pub mod pending_input;
 pub mod stream;
 pub mod tls;
--- a/src/transport/stream.rs
+++ b/src/transport/stream.rs
@@ -1,7 +1,7 @@
 //! A client's connection, in the clear or in TLS.
 
 use crate::transport::client_socket::{ClientSocket, Watch};
-use crate::transport::framed::PendingInput;
+use crate::transport::pending_input::PendingInput;
 use bytes::BytesMut;
 use std::io;
 use std::pin::Pin;
--- a/src/upstream/mysql/downstream.rs
+++ b/src/upstream/mysql/downstream.rs
@@ -5,7 +5,7 @@
 use crate::decision::model::Millis;
 use crate::protocol::mysql::packet::PacketError;
 use crate::transport::client_socket::Watch;
-use crate::transport::framed::PendingInput;
+use crate::transport::pending_input::PendingInput;
 use std::cell::Cell;
 use tokio::sync::Notify;
 
--- a/src/upstream/mysql/mod.rs
+++ b/src/upstream/mysql/mod.rs
@@ -20,7 +20,9 @@
 use crate::protocol::mysql::packet::*;
 use crate::protocol::mysql::session::{Context, INSERT_ID};
 use crate::spool_io::{ResultWriter, Spools, StoredResult};
-use crate::transport::framed::{self, BufferPool, FramedConnection, PendingInput};
+use crate::transport::buffer_pool::BufferPool;
+use crate::transport::framed_connection::FramedConnection;
+use crate::transport::pending_input::{self, PendingInput};
 use crate::upstream::mysql::sticky::{Ended, Telling, Told};
 use crate::upstream::mysql::work::{Job, Output, Packets, Work};
 use bytes::{BufMut, Bytes};
@@ -141,7 +143,7 @@
     /// statement: what breaks after the write may have run.
     fn rests(&mut self) -> bool {
         // The machine is asked as well: the runtime may not have heard yet of what came in this very turn.
-        let unheard = framed::unread(self.wire.get_ref());
+        let unheard = pending_input::unread(self.wire.get_ref());
         let Some(said) = self.wire.next().now_or_never() else {
             if unheard == PendingInput::End
                 && let Some(live) = &mut self.live
--- a/src/upstream/resp.rs
+++ b/src/upstream/resp.rs
@@ -9,10 +9,10 @@
 use crate::dispatch::request_router::{RequestRouter, StartAttempt, Upstream};
 use crate::frontend::frames::Work;
 use crate::log_line;
+use crate::transport::buffer_pool::{self, Buffer, BufferPool};
 use crate::transport::descriptors::Shares;
-use crate::transport::framed::{
-    self, Buffer, BufferPool, ConnectionEvent, PendingInput, ReadInterest,
-};
+use crate::transport::framed_connection::{self, ConnectionEvent, ReadInterest};
+use crate::transport::pending_input::{self, PendingInput};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -575,7 +575,7 @@
     }
 }
 
-type FramedConnection = framed::FramedConnection<RespCodec>;
+type FramedConnection = framed_connection::FramedConnection<RespCodec>;
 
 /// A descriptor for a connection to an engine.
 struct Held<'a>(&'a Shared);
@@ -662,7 +662,7 @@
         tcp.set_nodelay(true)?;
         // What the machine holds unsent can't be called back, so that it holds little. Where that can't be said, it
         // holds what it likes.
-        let _ = socket2::SockRef::from(&tcp).set_send_buffer_size(framed::SIZE);
+        let _ = socket2::SockRef::from(&tcp).set_send_buffer_size(buffer_pool::SIZE);
         *connected = true;
         c.up.set(true);
         let mut framed = FramedConnection::new(&self.pool, tcp, RespCodec);
@@ -816,7 +816,7 @@
         let first = !std::mem::replace(looked, true);
         let unread = || {
             client == PendingInput::Bytes
-                || framed::unread(framed.get_ref()) != PendingInput::Nothing
+                || pending_input::unread(framed.get_ref()) != PendingInput::Nothing
         };
         if client == PendingInput::End || first && unread() {
             *waits = Some((Do::Get(txn), For::Reading));
--- a/tests/client_disconnect_races.rs
+++ b/tests/client_disconnect_races.rs
@@ -11,7 +11,7 @@
 use query_dispatcher::core::{Core, NewRequest};
 use query_dispatcher::dispatch::request_router::{Reply, RequestRouter};
 use query_dispatcher::frontend::frames::{Frontend, Work};
-use query_dispatcher::transport::framed::BufferPool;
+use query_dispatcher::transport::buffer_pool::BufferPool;
 use query_dispatcher::upstream::resp::RespUpstream;
 use scenario::{change, core, core_with, on_one_thread};
 use socket2::SockRef;
--- a/tests/frames.rs
+++ b/tests/frames.rs
@@ -5,7 +5,7 @@
 use query_dispatcher::config::MachineLimits;
 use query_dispatcher::dispatch::request_router::RequestRouter;
 use query_dispatcher::frontend::frames::Frontend;
-use query_dispatcher::transport::framed::BufferPool;
+use query_dispatcher::transport::buffer_pool::BufferPool;
 use query_dispatcher::upstream::resp::RespUpstream;
 use scenario::*;
 use std::collections::HashMap;
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -12,7 +12,7 @@
 use query_dispatcher::protocol::mysql::error::SqlError;
 use query_dispatcher::protocol::mysql::packet::*;
 use query_dispatcher::spool_io::Spools;
-use query_dispatcher::transport::framed::BufferPool;
+use query_dispatcher::transport::buffer_pool::BufferPool;
 use query_dispatcher::upstream::mysql::MysqlUpstream;
 use scenario::*;
 use std::collections::HashMap;
--- a/tests/mysql_client_disconnect.rs
+++ b/tests/mysql_client_disconnect.rs
@@ -20,7 +20,7 @@
 use query_dispatcher::protocol::mysql::packet::*;
 use query_dispatcher::spool_io::Spools;
 use query_dispatcher::sticky_sessions::StickySessionLimits;
-use query_dispatcher::transport::framed::BufferPool;
+use query_dispatcher::transport::buffer_pool::BufferPool;
 use query_dispatcher::transport::tls::TlsKeys;
 use query_dispatcher::upstream::mysql::MysqlUpstream;
 use scenario::*;
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -14,7 +14,7 @@
 use query_dispatcher::dispatch::request_router::{Reply, RequestRouter};
 use query_dispatcher::frontend::frames::{Frontend, Work};
 use query_dispatcher::server::instance_registry::InstanceRegistry;
-use query_dispatcher::transport::framed::BufferPool;
+use query_dispatcher::transport::buffer_pool::BufferPool;
 use query_dispatcher::upstream::resp::RespUpstream;
 use query_dispatcher::{DeduplicationScope, Idempotency};
 use scenario::{change, on_one_thread};
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -34,7 +34,7 @@
 use query_dispatcher::discovery::{Change, Engine};
 use query_dispatcher::dispatch::request_router::{RequestRouter, Upstream};
 use query_dispatcher::server::instance_registry::InstanceRegistry;
-use query_dispatcher::transport::framed::BufferPool;
+use query_dispatcher::transport::buffer_pool::BufferPool;
 use query_dispatcher::*;
 use std::net::SocketAddr;
 use std::rc::Rc;
