--- a/crates/testbed/src/raw.rs
+++ b/crates/testbed/src/raw.rs
@@ -5,7 +5,7 @@
 use query_dispatcher::protocol::mysql::auth;
 use query_dispatcher::protocol::mysql::error::SqlError;
 use query_dispatcher::protocol::mysql::packet::*;
-use query_dispatcher::transport::stream::{Ahead, Stream};
+use query_dispatcher::transport::stream::{PrereadStream, Stream};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -136,7 +136,7 @@
             let host = ServerName::try_from(host.to_string());
             let host = host.map_err(|_| PacketError::Protocol("the host is no name"))?;
             let secured = TlsConnector::from(config)
-                .connect(host, Ahead::new(BytesMut::new(), tcp))
+                .connect(host, PrereadStream::new(BytesMut::new(), tcp))
                 .await?;
             parts.io = Stream::Tls(Box::new(TlsStream::Client(secured)));
             wire = Framed::from_parts(parts);
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -137,7 +137,7 @@
             pool,
             shared,
             watched,
-            places: ConnectionLimiter::new(callers, Activity::Silent),
+            places: ConnectionLimiter::new(callers, Activity::NoRequest),
         })
     }
 
@@ -168,16 +168,16 @@
         let call = loop {
             tokio::select! {
                 biased;
-                call = tokio::time::timeout_at(by, wire.heard()) => break call,
-                () = place.cut.notified(), if !yields => yields = true,
+                call = tokio::time::timeout_at(by, wire.next_item()) => break call,
+                () = place.eviction.notified(), if !yields => yields = true,
                 // What the machine holds of its call is read first.
-                () = std::future::ready(()), if yields && pending_input::unread(wire.get_ref()) != PendingInput::Bytes => {
+                () = std::future::ready(()), if yields && pending_input::peek(wire.get_ref()) != PendingInput::Bytes => {
                     return Ok(());
                 }
             }
         };
         // From here on it ends within the time for its answer, and gives way to nobody.
-        place.uses(Activity::Busy, Instant::now());
+        place.set_activity(Activity::Busy, Instant::now());
         let answer = match call {
             Ok(None) => return Ok(()),
             Ok(Some(Ok(call))) => self.call(&call),
@@ -188,7 +188,7 @@
         tokio::time::timeout(CALL, wire.send(&answer))
             .await
             .map_err(io::Error::from)??;
-        wire.part().await;
+        wire.close_gracefully().await;
         Ok(())
     }
 
@@ -258,7 +258,7 @@
     /// Kept first, so that a yes holds whatever becomes of this process.
     fn administratively_drained(&self, engine: Option<&str>, out: bool) -> Answer {
         let Some(id) = engine
-            .and_then(instance_registry::decoded)
+            .and_then(instance_registry::decode_engine_id)
             .filter(|id| self.router.is_known(id))
         else {
             return answer(404, "no engine has this id\n");
--- a/src/discovery/membership_driver.rs
+++ b/src/discovery/membership_driver.rs
@@ -33,7 +33,7 @@
 const MOST_FILE: usize = 64 << 20;
 
 /// Sees connections to engines.
-pub trait Witness {
+pub trait ConnectionObserver {
     /// Something that needs no answer.
     fn report(&self, engine: &str, seen: Observation);
     /// One was opened, begun at `at`. True if the engine has started anew: nothing that was meant for the engine
@@ -269,7 +269,7 @@
     }
 }
 
-impl Witness for MembershipDriver {
+impl ConnectionObserver for MembershipDriver {
     fn report(&self, engine: &str, seen: Observation) {
         let mut queue = self.seen.borrow_mut();
         if queue.len() >= MOST_SEEN {
--- a/src/frontend/frames/connection.rs
+++ b/src/frontend/frames/connection.rs
@@ -12,7 +12,7 @@
 };
 use crate::protocol::frames::{Frame, FrameCodec, FrameError, Send};
 use crate::transport::buffer_pool::{self, Buffer};
-use crate::transport::client_socket::{ClientSocket, Watch};
+use crate::transport::client_socket::{ClientSocket, SocketProbe};
 use crate::transport::connection_limiter::{self, Activity, ConnectionPermit};
 use crate::transport::framed_connection::{self, ConnectionEvent, ReadInterest, Socket};
 use crate::transport::pending_input::{self, PendingInput};
@@ -42,7 +42,7 @@
 /// Frames, and bytes in them, that are read ahead: all that may be open, twice. While the client has to wait, requests
 /// beyond are refused unread, and so are no reason to stop reading.
 const AHEAD: usize = 2 * STREAMS;
-const AHEAD_BYTES: usize = 4 * buffer_pool::SIZE;
+const AHEAD_BYTES: usize = 4 * buffer_pool::BUFFER_BYTES;
 /// Frames that are turned away so and not answered yet. A client that sends more, and takes no answers, is cut off: by that
 /// it has left as well.
 const TURNED_AWAY: usize = 8192;
@@ -55,7 +55,7 @@
 /// many bytes a millisecond, where a frame counts for `FRAME` at least. At that pace all that the machine holds unread
 /// for a connection (6 MB), and all that may be turned away, is through in half of the 0.1 s after which nothing may
 /// begin for a client that has gone; and others have their share of the processor.
-const PACE: usize = 16 * buffer_pool::SIZE;
+const PACE: usize = 16 * buffer_pool::BUFFER_BYTES;
 const FRAME: usize = 1024;
 
 pub(super) type FramedConnection = framed_connection::FramedConnection<FrameCodec, ClientSocket>;
@@ -123,7 +123,7 @@
     place: &'a ConnectionPermit,
     open: Open,
     streams: Streams,
-    socket: Watch,
+    socket: SocketProbe,
     /// Read, and not taken up yet; when; and the bytes in them.
     ahead: VecDeque<(Frame, Millis)>,
     bytes: usize,
@@ -151,7 +151,7 @@
         place,
         open: open.clone(),
         streams: Streams::default(),
-        socket: wire.get_ref().watch(),
+        socket: wire.get_ref().probe(),
         ahead: VecDeque::new(),
         bytes: 0,
         record_rejection: VecDeque::new(),
@@ -169,46 +169,47 @@
     let mut fault: Option<FrameError> = None;
     let (mut useless, mut useless_from) = (0, Instant::now());
     loop {
-        if client.owes_nothing() && wire.written() {
+        if client.owes_nothing() && wire.is_flushed() {
             if fault.is_some() {
-                wire.part().await;
+                wire.close_gracefully().await;
                 return fault.map_or(Ok(()), Err);
             }
-            if place.state().0 == Activity::Busy {
-                place.uses(Activity::Idle, Instant::now());
+            if place.activity().0 == Activity::Busy {
+                place.set_activity(Activity::Idle, Instant::now());
             }
-            wire.rest();
+            wire.release_buffers();
             if closing
                 && wire.read_buffer().is_empty()
-                && pending_input::unread(wire.get_ref().tcp()) != PendingInput::Bytes
+                && pending_input::peek(wire.get_ref().tcp()) != PendingInput::Bytes
             {
                 // What the machine has taken its client may not have: a word of that one's would reset the connection. One that
                 // gives way is waited for no longer than another is told beside it.
-                let (state, since) = place.state();
+                let (state, since) = place.activity();
                 let spent = since.elapsed();
-                if state != Activity::Silent
-                    && place.gives_way()
-                    && spent < connection_limiter::LEAVE
+                if state != Activity::NoRequest
+                    && place.is_evicted()
+                    && spent < connection_limiter::EVICTION_GRACE
                 {
-                    wire.part_within(connection_limiter::LEAVE).await;
-                } else if state != Activity::Silent
-                    && !place.gives_way()
+                    wire.close_gracefully_within(connection_limiter::EVICTION_GRACE)
+                        .await;
+                } else if state != Activity::NoRequest
+                    && !place.is_evicted()
                     && spent < WRITE
                     && frontend.may_part()
                 {
-                    wire.part().await;
+                    wire.close_gracefully().await;
                 }
                 return Ok(());
             }
         }
-        let room = wire.write_buffer().len() < buffer_pool::SIZE;
+        let room = wire.write_buffer().len() < buffer_pool::BUFFER_BYTES;
         let takes_up = room && !client.ahead.is_empty() && client.pause <= Instant::now();
         let reads = match &fault {
             _ if useless >= PACE || burst >= BURST || client.full() && takes_up => {
-                ReadInterest::Nothing
+                ReadInterest::Paused
             }
             // Without its length, nothing tells where the next frame begins.
-            Some(FrameError::Length(_)) => ReadInterest::Away,
+            Some(FrameError::Length(_)) => ReadInterest::Discard,
             _ => ReadInterest::Items,
         };
         tokio::select! {
@@ -219,14 +220,14 @@
                     answer(wire, stream, reply)?;
                 }
             }
-            turn = wire.turn(reads, false) => match turn {
-                ConnectionEvent::Written | ConnectionEvent::Room => {}
-                ConnectionEvent::Away(n) => useless += n,
-                ConnectionEvent::End => return fault.map_or(Ok(()), Err),
-                ConnectionEvent::Broken(FrameError::Io(e)) if e.kind() == io::ErrorKind::ConnectionReset => return Ok(()),
-                ConnectionEvent::Broken(FrameError::Io(e)) => return Err(e.into()),
-                ConnectionEvent::Broken(e) => fail(wire, &mut fault, e)?,
-                ConnectionEvent::Heard(frame) => {
+            turn = wire.next_event(reads, false) => match turn {
+                ConnectionEvent::Written | ConnectionEvent::Writable => {}
+                ConnectionEvent::Discarded(n) => useless += n,
+                ConnectionEvent::Closed => return fault.map_or(Ok(()), Err),
+                ConnectionEvent::Failed(FrameError::Io(e)) if e.kind() == io::ErrorKind::ConnectionReset => return Ok(()),
+                ConnectionEvent::Failed(FrameError::Io(e)) => return Err(e.into()),
+                ConnectionEvent::Failed(e) => fail(wire, &mut fault, e)?,
+                ConnectionEvent::Item(frame) => {
                     (partial, burst) = (Duration::ZERO, burst + 1);
                     if fault.is_some() || client.full() {
                         useless += FRAME.max(frame.payload.len());
@@ -243,11 +244,11 @@
             Ok(()) = phase.changed() => {
                 let now = *phase.borrow_and_update();
                 if told < Phase::Goodbye && now >= Phase::Goodbye {
-                    wire.put(Send { kind: GOODBYE, stream: 0, code: None, fields: &[], body: &[] })?;
+                    wire.enqueue(Send { kind: GOODBYE, stream: 0, code: None, fields: &[], body: &[] })?;
                 }
                 (told, closing) = (now, closing || now == Phase::Ending);
             }
-            () = place.cut.notified() => closing = true,
+            () = place.eviction.notified() => closing = true,
             () = tokio::time::sleep_until(client.pause.into()), if room && !client.ahead.is_empty() => {
                 burst = 0;
                 if let Err(e) = client.take_up(wire) {
@@ -259,16 +260,16 @@
                 (useless, useless_from) = (0, Instant::now());
             }
             _ = check.tick() => {
-                if wire.stuck(WRITE) {
+                if wire.is_write_stalled(WRITE) {
                     return Err(io::Error::from(io::ErrorKind::TimedOut).into());
                 }
                 let waits = !wire.read_buffer().is_empty() && fault.is_none();
                 partial = if waits { partial + CHECK } else { Duration::ZERO };
-                let (state, since) = place.state();
-                if fault.is_none() && (partial > WHOLE || waits && state == Activity::Silent && since.elapsed() > WHOLE) {
+                let (state, since) = place.activity();
+                if fault.is_none() && (partial > WHOLE || waits && state == Activity::NoRequest && since.elapsed() > WHOLE) {
                     fail(wire, &mut fault, FrameError::Stalled)?;
                 } else if client.owes_nothing() {
-                    closing |= since.elapsed() > if state == Activity::Silent { WHOLE } else { IDLE };
+                    closing |= since.elapsed() > if state == Activity::NoRequest { WHOLE } else { IDLE };
                 }
             }
             () = tokio::task::yield_now(), if burst >= BURST => burst = 0,
@@ -292,7 +293,7 @@
         }
     } else {
         let reason = e.to_string();
-        wire.put(Send {
+        wire.enqueue(Send {
             kind: ANSWER,
             stream: 0,
             code: Some(FAILED),
@@ -329,7 +330,7 @@
         Reply::TimedOut { retry_safe: true } => (REFUSED, b"the time is over"),
         Reply::TimedOut { retry_safe: false } => (FAILED, b"the time is over; it may have run"),
     };
-    wire.put(Send {
+    wire.enqueue(Send {
         kind: ANSWER,
         stream,
         code: Some(code),
@@ -359,8 +360,10 @@
             return Err(FrameError::Kind(frame.kind));
         }
         if self.open.borrow().is_empty() {
-            self.place
-                .uses(self.place.state().0.max(Activity::Asked), Instant::now());
+            self.place.set_activity(
+                self.place.activity().0.max(Activity::Probed),
+                Instant::now(),
+            );
         }
         match frame.kind {
             REQUEST if !self.streams.take(frame.stream) => {
@@ -410,7 +413,7 @@
         } else {
             REFUSED
         };
-        wire.put(Send {
+        wire.enqueue(Send {
             kind: STATE,
             stream,
             code: Some(code),
@@ -464,7 +467,7 @@
                     .into_iter()
                     .for_each(|c| frontend.router.record_rejection(c, RequestOutcome::Error));
                 let body = reason.as_bytes();
-                return wire.put(Send {
+                return wire.enqueue(Send {
                     kind: ANSWER,
                     stream,
                     code: Some(FAILED),
@@ -490,7 +493,7 @@
         };
         work.hold(held, named, self.socket.clone());
         self.useless = 0;
-        self.place.uses(Activity::Busy, Instant::now());
+        self.place.set_activity(Activity::Busy, Instant::now());
         // The answer may come before the id is known, so its place is taken first.
         self.open.borrow_mut().insert(stream, 0);
         let tx = self.answers.clone();
--- a/src/frontend/frames/mod.rs
+++ b/src/frontend/frames/mod.rs
@@ -12,7 +12,7 @@
 use crate::log_line;
 use crate::transport::buffer_pool::{Buffer, BufferPool};
 use crate::transport::connection_limiter::{Activity, ConnectionLimiter, PermitGuard};
-use crate::transport::descriptors::Shares;
+use crate::transport::descriptors::DescriptorBudget;
 use crate::transport::listener;
 use request::Ids;
 use std::cell::{Cell, RefCell};
@@ -96,7 +96,7 @@
             .most
             .set(limits.memory_mb * 1024 * 1024 / 4 / processes);
         self.places
-            .bound(Shares::of(limits.max_sockets, processes).clients);
+            .set_limit(DescriptorBudget::per_process(limits.max_sockets, processes).clients);
     }
 
     /// No new request is wanted on any connection; what comes all the same is answered. `to_another`: another
@@ -136,7 +136,7 @@
                 Err(e) => {
                     // Out of descriptors: some have to come back.
                     log_line!("accept: {e}");
-                    self.places.give_way();
+                    self.places.evict_one();
                     tokio::time::sleep(Duration::from_millis(20)).await;
                 }
             }
@@ -145,12 +145,16 @@
             true => vec![],
             // Beyond the bound, which is for as long as they last.
             false => {
-                let last = Shares::of(self.limits.borrow().max_sockets, self.processes.get()).last;
+                let last = DescriptorBudget::per_process(
+                    self.limits.borrow().max_sockets,
+                    self.processes.get(),
+                )
+                .final_clients;
                 listener::accepted(listener, last)
             }
         };
-        for tcp in self.places.at_the_door().into_iter().chain(last) {
-            let place = self.places.beyond(Instant::now());
+        for tcp in self.places.take_pending_accept().into_iter().chain(last) {
+            let place = self.places.acquire_beyond_limit(Instant::now());
             self.clone().serve(tcp, place);
         }
     }
@@ -161,7 +165,7 @@
             let ended = tokio::select! {
                 biased;
                 ended = connection::connection(&self, &place, tcp) => ended,
-                () = place.overdue() => Ok(()),
+                () = place.evicted_before_request() => Ok(()),
             };
             if let Err(e) = ended {
                 log_line!("client: {e}");
--- a/src/frontend/frames/request.rs
+++ b/src/frontend/frames/request.rs
@@ -8,7 +8,7 @@
 use crate::dispatch::request_router::{RequestRouter, Upstream};
 use crate::protocol::frames::{Frame, FrameError, fields};
 use crate::protocol::statement;
-use crate::transport::client_socket::Watch;
+use crate::transport::client_socket::SocketProbe;
 use crate::transport::pending_input::PendingInput;
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
@@ -23,7 +23,7 @@
     pub statement: Bytes,
     held: Held,
     named: Named,
-    client: Option<Watch>,
+    client: Option<SocketProbe>,
 }
 
 /// Bytes of statements held in all; more are refused, or a few connections could fill the memory.
@@ -107,7 +107,7 @@
     }
 
     /// It holds its bytes and its id for as long as it lives, and is its client's.
-    pub(super) fn hold(&mut self, held: Held, named: Named, client: Watch) {
+    pub(super) fn hold(&mut self, held: Held, named: Named, client: SocketProbe) {
         (self.held, self.named, self.client) = (held, named, Some(client));
     }
 
@@ -115,7 +115,7 @@
     pub fn client(&self) -> PendingInput {
         self.client
             .as_ref()
-            .map_or(PendingInput::Nothing, Watch::unread)
+            .map_or(PendingInput::Empty, SocketProbe::pending_input)
     }
 }
 
--- a/src/frontend/mysql/mod.rs
+++ b/src/frontend/mysql/mod.rs
@@ -32,7 +32,7 @@
 use crate::transport::connection_limiter::{
     Activity, ConnectionLimiter, ConnectionPermit, PermitGuard,
 };
-use crate::transport::descriptors::Shares;
+use crate::transport::descriptors::DescriptorBudget;
 use crate::transport::framed_connection::FramedConnection;
 use crate::transport::listener;
 use crate::transport::pending_input::PendingInput;
@@ -187,7 +187,7 @@
     ) -> Rc<Self> {
         let (stopping, _) = tokio::sync::watch::channel(false);
         // Sessions keep their place while they are idle, for they hold what they prepared.
-        let places = ConnectionLimiter::new(config.max_clients, Activity::Silent);
+        let places = ConnectionLimiter::new(config.max_clients, Activity::NoRequest);
         let config = RefCell::new(Rc::new(config));
         Rc::new(Frontend {
             router,
@@ -230,11 +230,11 @@
             self.config().max_clients / self.processes.get(),
             self.shares(),
         );
-        self.places.bound(most.min(shares.clients).max(1));
+        self.places.set_limit(most.min(shares.clients).max(1));
     }
 
-    fn shares(&self) -> Shares {
-        Shares::of(self.descriptors.get(), self.processes.get())
+    fn shares(&self) -> DescriptorBudget {
+        DescriptorBudget::per_process(self.descriptors.get(), self.processes.get())
     }
 
     /// The machine lets this dispatcher's processes hold so many descriptors: no more clients are let in than leave enough
@@ -274,11 +274,11 @@
             match accepted {
                 Ok((tcp, peer)) => {
                     let frontend = self.clone();
-                    let place: Option<PermitGuard> = self.places.take(Instant::now());
+                    let place: Option<PermitGuard> = self.places.try_acquire(Instant::now());
                     let away = usize::from(place.is_none());
                     // Those that are turned away politely are bounded as well.
                     if frontend.record_rejection.get() + away
-                        > TURNED_AWAY.min(frontend.shares().last)
+                        > TURNED_AWAY.min(frontend.shares().final_clients)
                     {
                         continue;
                     }
@@ -306,7 +306,7 @@
         if self.handed_over.get() {
             return;
         }
-        for tcp in listener::accepted(listener, TURNED_AWAY.min(self.shares().last)) {
+        for tcp in listener::accepted(listener, TURNED_AWAY.min(self.shares().final_clients)) {
             let frontend = self.clone();
             spawn_local(async move {
                 let codec = PacketCodec {
@@ -350,7 +350,7 @@
         let login = tokio::select! {
             login = tokio::time::timeout(LOGIN, self.log_in(&mut wire, host)) => Some(login),
             _ = stopping.wait_for(|s| *s) => None,
-            () = place.cut.notified() => return Ok(()),
+            () = place.eviction.notified() => return Ok(()),
         };
         let Some(login) = login else {
             return self.shut_down(&mut wire).await;
@@ -358,9 +358,9 @@
         let Some(known) = login.map_err(|e| PacketError::from(io::Error::from(e)))?? else {
             return Ok(());
         };
-        place.uses(Activity::Idle, Instant::now());
+        place.set_activity(Activity::Idle, Instant::now());
         let state = State::new(known.schema);
-        let downstream = Rc::new(Downstream::new(wire.get_ref().watch()));
+        let downstream = Rc::new(Downstream::new(wire.get_ref().probe()));
         let own = (known.user.clone(), downstream.clone());
         self.sessions.borrow_mut().insert(known.number, own);
         let session = Session {
@@ -406,7 +406,7 @@
                 let ahead = BytesMut::from(&wire.read_buffer()[..]);
                 wire.read_buffer_mut().clear();
                 wire.get_mut()
-                    .secure(ahead, keys.config())
+                    .upgrade_to_tls(ahead, keys.server_config())
                     .await
                     .map_err(PacketError::from)?;
                 first = crate::upstream::mysql::next(wire).await?;
@@ -494,7 +494,7 @@
     tokio::time::timeout(WRITE, wire.send(&err(&SqlError::new(code, text))[..]))
         .await
         .map_err(|e| PacketError::from(io::Error::from(e)))??;
-    wire.part().await;
+    wire.close_gracefully().await;
     Ok(())
 }
 
@@ -533,24 +533,23 @@
         loop {
             self.wire.codec_mut().sequence = 0;
             let command = tokio::select! {
-                biased;
-                command = tokio_stream::StreamExt::next(&mut *self.wire) => command,
-                _ = stopping.wait_for(|s| *s) => {
-                    // What it has asked by now is answered first.
-                    if self.wire.get_ref().unread() == PendingInput::Bytes {
-                        tokio::task::yield_now().await;
-                        continue;
-                    }
-                    return self.frontend.shut_down(&mut self.wire).await;
-                }
-                () = tokio::time::sleep(self.frontend.config().idle_timeout) => {
-                    if self.wire.get_ref().unread() != PendingInput::Bytes {
-                        return Ok(());
-                    }
-                    tokio::task::yield_now().await;
-                    continue;
-                }
-            };
+                            biased;
+                            command = tokio_stream::StreamExt::next(&mut *self.wire) => command,
+                            _ = stopping.wait_for(|s| *s) => {
+                                // What it has asked by now is answered first.
+                                if self.wire.get_ref().pending_input() == PendingInput::Bytes {
+                                    tokio::task::yield_now().await;
+                                    continue;
+                                }
+                                return self.frontend.shut_down(&mut self.wire).await;
+                            }
+            ()= tokio::time::sleep(self.frontend.config().idle_timeout)=> { if self.wire.get_ref().pending_input()!= PendingInput::Bytes {
+                                    return Ok(());
+                                }
+                                tokio::task::yield_now().await;
+                                continue;
+                            }
+                        };
             let command = match command {
                 None => return Ok(()),
                 Some(Ok(command)) => command,
@@ -848,7 +847,7 @@
             reply = &mut answer => Ok(reply.unwrap_or(Reply::Failed { reason: "the request was lost" })),
             () = self.downstream.killed() => Ok(Reply::Failed { reason: KILLED }),
             // A client that sends its next command early has not left; one that quits has, and one that closes.
-            gone = self.wire.ahead(AHEAD, quits) => Err(left(gone)),
+            gone = self.wire.read_ahead(AHEAD, quits) => Err(left(gone)),
         }
     }
 
@@ -861,8 +860,11 @@
                 match self.frontend.spools.reader(spool, 0) {
                     Some(reader) => self.stream(reader).await,
                     None => {
-                        self.say(&SqlError::new(code::RESULT, SpoolError::Removed.to_string()))
-                            .await
+                        self.say(&SqlError::new(
+                            code::RESULT,
+                            SpoolError::Removed.to_string(),
+                        ))
+                        .await
                     }
                 }
             }
@@ -917,7 +919,10 @@
         let Some((head, tail)) = spools.with_result(id, |h| (h.header.clone(), h.trailer.clone()))
         else {
             return self
-                .say(&SqlError::new(code::RESULT, SpoolError::Removed.to_string()))
+                .say(&SqlError::new(
+                    code::RESULT,
+                    SpoolError::Removed.to_string(),
+                ))
                 .await;
         };
         let head = self.columns(&head);
@@ -1124,8 +1129,8 @@
                 let id = spools.resume(&self.user, handle).await;
                 let id = id.map_err(|e| SqlError::new(code::HANDLE, e.to_string()))?;
                 let head = spools.with_result(id, |h| h.header.clone());
-                let head =
-                    head.ok_or_else(|| SqlError::new(code::HANDLE, SpoolError::Removed.to_string()))?;
+                let head = head
+                    .ok_or_else(|| SqlError::new(code::HANDLE, SpoolError::Removed.to_string()))?;
                 packets(&head).map(<[u8]>::to_vec).collect()
             }
         };
@@ -1211,7 +1216,10 @@
                 let head = spools.with_result(id, |h| h.header.clone());
                 let (Some(head), Some(reader)) = (head, spools.reader(id, 0)) else {
                     return self
-                        .say(&SqlError::new(code::RESULT, SpoolError::Removed.to_string()))
+                        .say(&SqlError::new(
+                            code::RESULT,
+                            SpoolError::Removed.to_string(),
+                        ))
                         .await;
                 };
                 (head, Cursor::paged(reader))
--- a/src/frontend/mysql/sticky.rs
+++ b/src/frontend/mysql/sticky.rs
@@ -250,7 +250,7 @@
                 },
                 // The engine is told by its connection's end: what is open is rolled back.
                 () = self.downstream.killed() => Err(lost(KILLED, TransactionOutcome::of_lost_connection(Some(step)))),
-                gone = self.wire.ahead(AHEAD, quits) => return Err(left(gone)),
+                gone = self.wire.read_ahead(AHEAD, quits) => return Err(left(gone)),
                 () = tokio::time::sleep_until(hold.until), if !hold.pinned.begun() => {
                     Ok(Reply::TimedOut { retry_safe: true })
                 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -19,7 +19,7 @@
 use query_dispatcher::spool_io::Spools;
 use query_dispatcher::transport::buffer_pool::BufferPool;
 use query_dispatcher::transport::descriptors;
-use query_dispatcher::transport::descriptors::Shares;
+use query_dispatcher::transport::descriptors::DescriptorBudget;
 use query_dispatcher::transport::listener;
 use query_dispatcher::transport::tls::TlsKeys;
 use query_dispatcher::upstream::mysql::MysqlUpstream;
@@ -53,7 +53,7 @@
 fn main() {
     let run = || -> Result<(), Error> {
         let args: Vec<String> = std::env::args().skip(1).collect();
-        let given = descriptors::given();
+        let given = descriptors::inherited();
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
@@ -76,7 +76,7 @@
     let read = || PlatformConfig::from_env(|v| std::env::var(v).ok());
     let mut config = read()?;
     // What the machine lets the process hold may be less than the settings say.
-    config.limits.max_sockets = descriptors::within(config.limits.max_sockets, given);
+    config.limits.max_sockets = descriptors::effective_limit(config.limits.max_sockets, given);
     let pool = BufferPool::default();
     let bounds = CoreLimits {
         max_open_requests: config.sockets.max_open_requests,
@@ -101,7 +101,7 @@
     let shared = share(&router, config.state_directory.as_deref(), move |living| {
         sharing.share(living)
     })?;
-    let callers = Shares::of(config.limits.max_sockets, 1).callers;
+    let callers = DescriptorBudget::per_process(config.limits.max_sockets, 1).operators;
     operators(
         &router,
         &pool,
@@ -127,7 +127,7 @@
     );
     let (reconfigured, relimited) = (frontend.clone(), router.clone());
     spawn_local(reload(hup, read, move |mut new: PlatformConfig| {
-        new.limits.max_sockets = descriptors::within(new.limits.max_sockets, given);
+        new.limits.max_sockets = descriptors::effective_limit(new.limits.max_sockets, given);
         let kept = config.needs_restart(&new);
         at.send_if_modified(|at| std::mem::replace(at, new.journal_address) != new.journal_address);
         reconfigured.limit(&new.limits);
@@ -173,17 +173,17 @@
         config.frontend.clone(),
         spools.clone(),
     );
-    let machine = descriptors::within(usize::MAX, given);
+    let machine = descriptors::effective_limit(usize::MAX, given);
     frontend.within(machine);
     let keys = config
         .tls
         .as_ref()
-        .map(TlsKeys::open)
+        .map(TlsKeys::load)
         .transpose()
         .map_err(|e| format!("tls: {e}"))?;
     if let Some(keys) = &keys {
         frontend.secure(keys.clone());
-        spawn_local(TlsKeys::attend(Rc::downgrade(keys)));
+        spawn_local(TlsKeys::watch_files(Rc::downgrade(keys)));
     }
     let (sharing, spooling) = (frontend.clone(), spools.clone());
     let shared = share(&router, config.state_directory.as_deref(), move |living| {
@@ -201,7 +201,7 @@
         &shared,
         config.admin_address,
         watched,
-        Shares::of(machine, 1).callers,
+        DescriptorBudget::per_process(machine, 1).operators,
     )
     .await?;
     let stand = standing(&router, &shared);
@@ -235,7 +235,7 @@
                 return Err(format!("{key}: a change of it needs a restart").into());
             }
             if let (Some(keys), Some(source)) = (&keys, &new.tls) {
-                keys.take(source).map_err(|e| format!("tls: {e}"))?;
+                keys.replace(source).map_err(|e| format!("tls: {e}"))?;
             }
             reconfigured.configure(new.frontend.clone());
             spools.configure(&new.spool);
--- a/src/protocol/frames.rs
+++ b/src/protocol/frames.rs
@@ -57,8 +57,8 @@
         let payload = Bytes::copy_from_slice(&src[..length - LEAST]);
         src.advance(length - LEAST);
         // A large frame's room is given back: kept by every connection, it would fill the memory.
-        if src.is_empty() && src.capacity() > 2 * buffer_pool::SIZE {
-            *src = BytesMut::with_capacity(buffer_pool::SIZE);
+        if src.is_empty() && src.capacity() > 2 * buffer_pool::BUFFER_BYTES {
+            *src = BytesMut::with_capacity(buffer_pool::BUFFER_BYTES);
         }
         Ok(Some(Frame {
             kind,
--- a/src/server/instance_registry.rs
+++ b/src/server/instance_registry.rs
@@ -95,7 +95,7 @@
             out.extend(
                 name.to_str()
                     .and_then(|n| n.strip_prefix("out-"))
-                    .and_then(decoded),
+                    .and_then(decode_engine_id),
             );
         }
         Ok(Some(out))
@@ -105,7 +105,7 @@
         let Some(Folder { path: folder, .. }) = &self.0 else {
             return Ok(None);
         };
-        let name = format!("out-{}", encoded(engine));
+        let name = format!("out-{}", encode_engine_id(engine));
         match name.len() {
             0..=NAME => Ok(Some(folder.join(name))),
             _ => Err(io::Error::other("the engine's name is too long to be kept")),
@@ -114,7 +114,7 @@
 }
 
 /// An engine's id as a part of a path: what could be read as anything else is written `%XX`.
-pub fn encoded(id: &str) -> String {
+pub fn encode_engine_id(id: &str) -> String {
     let plain = |b: &u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
     id.bytes()
         .map(|b| {
@@ -128,7 +128,7 @@
 }
 
 /// The id behind it, if it is one.
-pub fn decoded(text: &str) -> Option<String> {
+pub fn decode_engine_id(text: &str) -> Option<String> {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
     while let Some((&b, after)) = rest.split_first() {
@@ -182,6 +182,6 @@
             "it could not be kept, so there is no yes"
         );
         std::fs::remove_dir_all(folder).unwrap();
-        assert_eq!(decoded("%4"), None);
+        assert_eq!(decode_engine_id("%4"), None);
     }
 }
--- a/src/transport/buffer_pool.rs
+++ b/src/transport/buffer_pool.rs
@@ -7,9 +7,9 @@
 
 /// Holds two pages of a result with their frames; a larger result grows its buffer, which is then not kept. At
 /// the size of the largest (48,000 bytes) the buffers in use filled memory through the whole of a long day.
-pub const SIZE: usize = 16 * 1024;
+pub const BUFFER_BYTES: usize = 16 * 1024;
 /// Idle buffers kept; more are given back to the machine.
-const KEPT: usize = 64;
+const MAX_IDLE_BUFFERS: usize = 64;
 
 #[derive(Clone, Default)]
 pub struct BufferPool(Rc<RefCell<Vec<BytesMut>>>);
@@ -20,24 +20,26 @@
             .0
             .borrow_mut()
             .pop()
-            .unwrap_or_else(|| BytesMut::with_capacity(SIZE));
+            .unwrap_or_else(|| BytesMut::with_capacity(BUFFER_BYTES));
         Buffer {
             bytes,
-            home: self.clone(),
+            pool: self.clone(),
         }
     }
 
     /// Idle buffers in it.
     #[cfg(test)]
-    pub(super) fn idle(&self) -> usize {
+    pub(super) fn idle_buffers(&self) -> usize {
         self.0.borrow().len()
     }
 
-    pub(super) fn give(&self, mut bytes: BytesMut) {
+    pub(super) fn give_back(&self, mut bytes: BytesMut) {
         bytes.clear();
         let mut idle = self.0.borrow_mut();
         // One that a large frame has grown is not kept: all kept ones have the one size.
-        if idle.len() < KEPT && (SIZE..=SIZE + SIZE / 8).contains(&bytes.capacity()) {
+        if idle.len() < MAX_IDLE_BUFFERS
+            && (BUFFER_BYTES..=BUFFER_BYTES + BUFFER_BYTES / 8).contains(&bytes.capacity())
+        {
             idle.push(bytes);
         }
     }
@@ -46,7 +48,7 @@
 /// A buffer on loan.
 pub struct Buffer {
     bytes: BytesMut,
-    home: BufferPool,
+    pool: BufferPool,
 }
 
 impl Buffer {
@@ -71,7 +73,7 @@
 
 impl Drop for Buffer {
     fn drop(&mut self) {
-        self.home.give(std::mem::take(&mut self.bytes));
+        self.pool.give_back(std::mem::take(&mut self.bytes));
     }
 }
 
--- a/src/transport/buffer_pool/tests.rs
+++ b/src/transport/buffer_pool/tests.rs
@@ -12,7 +12,7 @@
         b.is_empty() && b.as_ptr() == place,
         "the same buffer, emptied"
     );
-    b.reserve(4 * SIZE);
+    b.reserve(4 * BUFFER_BYTES);
     drop(b);
     assert!(pool.0.borrow().is_empty(), "a grown one is not kept");
 }
--- a/src/transport/client_socket.rs
+++ b/src/transport/client_socket.rs
@@ -17,7 +17,7 @@
 
 /// A look at a client's socket. It does not keep it open.
 #[derive(Clone, Debug, Default)]
-pub struct Watch(Weak<TcpStream>);
+pub struct SocketProbe(Weak<TcpStream>);
 
 impl From<TcpStream> for ClientSocket {
     fn from(tcp: TcpStream) -> Self {
@@ -26,17 +26,17 @@
 }
 
 impl ClientSocket {
-    pub fn watch(&self) -> Watch {
-        Watch(Rc::downgrade(&self.0))
+    pub fn probe(&self) -> SocketProbe {
+        SocketProbe(Rc::downgrade(&self.0))
     }
 }
 
-impl Watch {
+impl SocketProbe {
     /// What the machine holds of the client, unread; a socket that is closed here has none either.
-    pub fn unread(&self) -> PendingInput {
+    pub fn pending_input(&self) -> PendingInput {
         self.0
             .upgrade()
-            .map_or(PendingInput::End, |tcp| pending_input::unread(&tcp))
+            .map_or(PendingInput::Closed, |tcp| pending_input::peek(&tcp))
     }
 }
 
--- a/src/transport/descriptors/tests.rs
+++ b/src/transport/descriptors/tests.rs
@@ -3,9 +3,9 @@
 #[test]
 fn all_shares_together_are_within_the_limit() {
     for limit in 64..5000 {
-        let s = Shares::of(limit, 1);
+        let s = DescriptorBudget::per_process(limit, 1);
         assert!(
-            OWN + s.clients + s.last + s.callers + s.engines <= limit,
+            RESERVED + s.clients + s.final_clients + s.operators + s.engines <= limit,
             "{limit}: {s:?}"
         );
         assert!(
@@ -13,32 +13,32 @@
             "the protocol's third: {limit}: {s:?}"
         );
         assert!(
-            s.callers > 1 && s.last > 0 && s.engines >= ENGINES,
+            s.operators > 1 && s.final_clients > 0 && s.engines >= MIN_ENGINES,
             "{limit}: {s:?}"
         );
     }
     for limit in 128..5000 {
-        let s = Shares::of(limit, 2);
+        let s = DescriptorBudget::per_process(limit, 2);
         assert!(
-            2 * (OWN + s.clients + s.last + s.callers + s.engines) <= limit,
+            2 * (RESERVED + s.clients + s.final_clients + s.operators + s.engines) <= limit,
             "{limit}: {s:?}"
         );
     }
     assert_eq!(
-        Shares::of(64, 1),
-        Shares {
+        DescriptorBudget::per_process(64, 1),
+        DescriptorBudget {
             clients: 25,
-            last: 6,
-            callers: 4,
+            final_clients: 6,
+            operators: 4,
             engines: 9
         }
     );
     assert_eq!(
-        Shares::of(1024, 1),
-        Shares {
+        DescriptorBudget::per_process(1024, 1),
+        DescriptorBudget {
             clients: 409,
-            last: 102,
-            callers: 24,
+            final_clients: 102,
+            operators: 24,
             engines: 469
         }
     );
@@ -55,5 +55,9 @@
         None
     );
     assert_eq!(parse(""), None);
-    assert!(within(usize::MAX, 0) >= 64 && within(64, 0) == 64 && within(64, 3) == 61);
+    assert!(
+        effective_limit(usize::MAX, 0) >= 64
+            && effective_limit(64, 0) == 64
+            && effective_limit(64, 3) == 61
+    );
 }
--- a/src/transport/framed_connection.rs
+++ b/src/transport/framed_connection.rs
@@ -13,9 +13,9 @@
 use tokio_util::codec::{Decoder, Encoder, Framed};
 
 /// A peer may take the last words, and close, for this long after them.
-const PART: Duration = Duration::from_millis(500);
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Bytes that are read away, or ahead, at a time.
-const AWAY: usize = 16 * 1024;
+const READ_CHUNK_BYTES: usize = 16 * 1024;
 
 /// What a connection is made on.
 pub trait Socket: AsyncRead + AsyncWrite + Unpin {
@@ -32,7 +32,7 @@
 pub struct FramedConnection<C, S = TcpStream> {
     framed: Option<Framed<S, C>>,
     pool: BufferPool,
-    resting: bool,
+    buffers_released: bool,
     /// Bytes that the peer has to take, and since when: what stood to be written when that span began.
     owed: (usize, Instant),
 }
@@ -42,21 +42,21 @@
 pub enum ReadInterest {
     Items,
     /// What comes is of no use any more: only its end is of interest.
-    Away,
-    Nothing,
+    Discard,
+    Paused,
 }
 
 /// What a turn of a connection has come to.
 pub enum ConnectionEvent<I, E> {
     Written,
-    Heard(I),
+    Item(I),
     /// So many bytes were read away.
-    Away(usize),
+    Discarded(usize),
     /// The machine takes bytes again, or an error shows with the next.
-    Room,
+    Writable,
     /// Its peer has closed it.
-    End,
-    Broken(E),
+    Closed,
+    Failed(E),
 }
 
 impl<C, S> FramedConnection<C, S> {
@@ -72,39 +72,41 @@
         FramedConnection {
             framed: Some(Framed::from_parts(parts)),
             pool: pool.clone(),
-            resting: false,
+            buffers_released: false,
             owed,
         }
     }
 
     /// Gives the buffers back while nothing is in them: with a hundred idle connections, each holding what its
     /// largest answer once needed, memory would grow for as long as new ones come.
-    pub fn rest(&mut self) {
-        let Some(framed) = self.framed.as_mut().filter(|_| !self.resting) else {
+    pub fn release_buffers(&mut self) {
+        let Some(framed) = self.framed.as_mut().filter(|_| !self.buffers_released) else {
             return;
         };
         if framed.read_buffer().is_empty() && framed.write_buffer().is_empty() {
-            self.pool.give(std::mem::take(framed.read_buffer_mut()));
-            self.pool.give(std::mem::take(framed.write_buffer_mut()));
-            self.resting = true;
+            self.pool
+                .give_back(std::mem::take(framed.read_buffer_mut()));
+            self.pool
+                .give_back(std::mem::take(framed.write_buffer_mut()));
+            self.buffers_released = true;
         }
     }
 
     /// Takes buffers again, before something is read or written.
-    pub fn wake(&mut self) {
-        if let Some(framed) = self.framed.as_mut().filter(|_| self.resting) {
+    pub fn acquire_buffers(&mut self) {
+        if let Some(framed) = self.framed.as_mut().filter(|_| self.buffers_released) {
             *framed.read_buffer_mut() = self.pool.take().into_bytes();
             *framed.write_buffer_mut() = self.pool.take().into_bytes();
-            self.resting = false;
+            self.buffers_released = false;
         }
     }
 
     /// Puts something into what is to be written; it never waits.
-    pub fn put<I>(&mut self, item: I) -> Result<(), C::Error>
+    pub fn enqueue<I>(&mut self, item: I) -> Result<(), C::Error>
     where
         C: Encoder<I>,
     {
-        self.wake();
+        self.acquire_buffers();
         let mut bytes = std::mem::take(self.write_buffer_mut());
         if bytes.is_empty() {
             self.owed.0 = 0;
@@ -115,16 +117,16 @@
     }
 
     /// Nothing is left to be written.
-    pub fn written(&self) -> bool {
+    pub fn is_flushed(&self) -> bool {
         self.write_buffer().is_empty()
     }
 
     /// Its peer has not taken for so long what stood to be written that long ago.
-    pub fn stuck(&self, limit: Duration) -> bool {
-        !self.written() && self.owed.0 > 0 && self.owed.1.elapsed() > limit
+    pub fn is_write_stalled(&self, limit: Duration) -> bool {
+        !self.is_flushed() && self.owed.0 > 0 && self.owed.1.elapsed() > limit
     }
 
-    fn took(&mut self, n: usize) {
+    fn record_written(&mut self, n: usize) {
         let left = self.write_buffer().len();
         self.owed.0 = self.owed.0.saturating_sub(n);
         if self.owed.0 == 0 {
@@ -132,12 +134,12 @@
         }
     }
 
-    fn poll_out(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>>
+    fn poll_flush_queue(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>>
     where
         S: AsyncWrite + Unpin,
     {
-        self.took(0);
-        while !self.written() {
+        self.record_written(0);
+        while !self.is_flushed() {
             let bytes = std::mem::take(self.write_buffer_mut());
             let wrote = Pin::new(self.get_mut()).poll_write(cx, &bytes);
             *self.write_buffer_mut() = bytes;
@@ -146,7 +148,7 @@
                 return Poll::Ready(Err(io::ErrorKind::WriteZero.into()));
             }
             self.write_buffer_mut().advance(n);
-            self.took(n);
+            self.record_written(n);
         }
         Pin::new(self.get_mut()).poll_flush(cx)
     }
@@ -155,18 +157,18 @@
 impl<C, S: Socket> FramedConnection<C, S> {
     /// Puts something where nothing is left to be written, and writes what the machine takes at once. False if that is not
     /// a byte: then nothing of it stays here.
-    pub fn begin<I>(&mut self, item: I) -> Result<bool, <C as Encoder<I>>::Error>
+    pub fn start_write<I>(&mut self, item: I) -> Result<bool, <C as Encoder<I>>::Error>
     where
         C: Encoder<I>,
     {
-        if let Err(e) = self.put(item) {
+        if let Err(e) = self.enqueue(item) {
             self.write_buffer_mut().clear();
             return Err(e);
         }
         match self.get_ref().tcp().try_write(self.write_buffer()) {
             Ok(n) => {
                 self.write_buffer_mut().advance(n);
-                self.took(n);
+                self.record_written(n);
                 Ok(n > 0)
             }
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
@@ -177,72 +179,72 @@
         }
     }
 
-    fn poll_heard(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<C::Item, C::Error>>>
+    fn poll_item(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<C::Item, C::Error>>>
     where
         C: Decoder,
     {
-        if self.resting {
+        if self.buffers_released {
             // An error here is met again by the read.
             drop(ready!(self.get_ref().tcp().poll_read_ready(cx)));
-            self.wake();
+            self.acquire_buffers();
         }
         futures_util::Stream::poll_next(Pin::new(&mut **self), cx)
     }
 
-    fn poll_away(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
+    fn poll_discard(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
         self.read_buffer_mut().clear();
-        let mut bytes = [0; AWAY];
+        let mut bytes = [0; READ_CHUNK_BYTES];
         let mut bytes = ReadBuf::new(&mut bytes);
         ready!(Pin::new(self.get_mut()).poll_read(cx, &mut bytes))?;
         Poll::Ready(Ok(bytes.filled().len()))
     }
 
     /// What comes next, awake only once there is something.
-    pub async fn heard(&mut self) -> Option<Result<C::Item, C::Error>>
+    pub async fn next_item(&mut self) -> Option<Result<C::Item, C::Error>>
     where
         C: Decoder,
     {
-        poll_fn(|cx| self.poll_heard(cx)).await
+        poll_fn(|cx| self.poll_item(cx)).await
     }
 
     /// The next thing that happens: all is written, something is here, or (if asked for) the machine takes bytes. Neither
     /// half waits for the other, and nothing is lost if it is dropped.
-    pub async fn turn(
+    pub async fn next_event(
         &mut self,
         reads: ReadInterest,
-        room: bool,
+        until_writable: bool,
     ) -> ConnectionEvent<C::Item, C::Error>
     where
         C: Decoder,
     {
         poll_fn(|cx| {
-            if !self.written()
-                && let Poll::Ready(out) = self.poll_out(cx)
+            if !self.is_flushed()
+                && let Poll::Ready(out) = self.poll_flush_queue(cx)
             {
                 return Poll::Ready(out.map_or_else(
-                    |e| ConnectionEvent::Broken(e.into()),
+                    |e| ConnectionEvent::Failed(e.into()),
                     |()| ConnectionEvent::Written,
                 ));
             }
             let read = match reads {
-                ReadInterest::Nothing => Poll::Pending,
-                ReadInterest::Items => self.poll_heard(cx).map(|heard| match heard {
-                    Some(Ok(item)) => ConnectionEvent::Heard(item),
-                    Some(Err(e)) => ConnectionEvent::Broken(e),
-                    None => ConnectionEvent::End,
+                ReadInterest::Paused => Poll::Pending,
+                ReadInterest::Items => self.poll_item(cx).map(|heard| match heard {
+                    Some(Ok(item)) => ConnectionEvent::Item(item),
+                    Some(Err(e)) => ConnectionEvent::Failed(e),
+                    None => ConnectionEvent::Closed,
                 }),
-                ReadInterest::Away => self.poll_away(cx).map(|read| match read {
-                    Ok(0) => ConnectionEvent::End,
-                    Ok(n) => ConnectionEvent::Away(n),
-                    Err(e) => ConnectionEvent::Broken(e.into()),
+                ReadInterest::Discard => self.poll_discard(cx).map(|read| match read {
+                    Ok(0) => ConnectionEvent::Closed,
+                    Ok(n) => ConnectionEvent::Discarded(n),
+                    Err(e) => ConnectionEvent::Failed(e.into()),
                 }),
             };
             match read {
-                Poll::Pending if room => self
+                Poll::Pending if until_writable => self
                     .get_ref()
                     .tcp()
                     .poll_write_ready(cx)
-                    .map(|_| ConnectionEvent::Room),
+                    .map(|_| ConnectionEvent::Writable),
                 read => read,
             }
         })
@@ -256,7 +258,7 @@
     ///
     /// # Errors
     /// Its peer says more than `most` bytes, or the connection is broken.
-    pub async fn ahead(&mut self, most: usize, last: impl Fn(&[u8]) -> bool) -> io::Result<()>
+    pub async fn read_ahead(&mut self, most: usize, last: impl Fn(&[u8]) -> bool) -> io::Result<()>
     where
         C: Decoder,
     {
@@ -268,7 +270,7 @@
                 return Err(io::ErrorKind::InvalidData.into());
             }
             let read = poll_fn(|cx| {
-                let mut bytes = [0; AWAY];
+                let mut bytes = [0; READ_CHUNK_BYTES];
                 let mut bytes = ReadBuf::new(&mut bytes);
                 ready!(Pin::new(self.get_mut()).poll_read(cx, &mut bytes))?;
                 self.read_buffer_mut().extend_from_slice(bytes.filled());
@@ -287,12 +289,12 @@
 
     /// Ends a conversation whose peer may still be sending: what it sends is read away for a moment, since a
     /// close over unread bytes would reset the connection and take the last words with it.
-    pub async fn part(&mut self) {
-        self.part_within(PART).await;
+    pub async fn close_gracefully(&mut self) {
+        self.close_gracefully_within(CLOSE_TIMEOUT).await;
     }
 
     /// The same, within so long.
-    pub async fn part_within(&mut self, limit: Duration) {
+    pub async fn close_gracefully_within(&mut self, limit: Duration) {
         let Some(framed) = &mut self.framed else {
             return;
         };
@@ -322,8 +324,8 @@
     fn drop(&mut self) {
         if let Some(framed) = self.framed.take() {
             let parts = framed.into_parts();
-            self.pool.give(parts.read_buf);
-            self.pool.give(parts.write_buf);
+            self.pool.give_back(parts.read_buf);
+            self.pool.give_back(parts.write_buf);
         }
     }
 }
--- a/src/transport/framed_connection/tests.rs
+++ b/src/transport/framed_connection/tests.rs
@@ -14,12 +14,12 @@
             .unwrap();
         let pool = BufferPool::default();
         let mut wire = FramedConnection::new(&pool, listener.accept().await.unwrap().0, LinesCodec::new());
-        wire.rest();
-        assert_eq!(pool.idle(), 2, "both are back");
+        wire.release_buffers();
+        assert_eq!(pool.idle_buffers(), 2, "both are back");
         peer.write_all(b"one\ntwo\n").await.unwrap();
-        assert!(matches!(wire.turn(ReadInterest::Items, false).await, ConnectionEvent::Heard(line) if line == "one"));
-        wire.rest();
-        assert_eq!(pool.idle(), 0, "not while something is in them");
-        assert!(matches!(wire.turn(ReadInterest::Items, false).await, ConnectionEvent::Heard(line) if line == "two"));
+        assert!(matches!(wire.next_event(ReadInterest::Items, false).await, ConnectionEvent::Item(line) if line == "one"));
+        wire.release_buffers();
+        assert_eq!(pool.idle_buffers(), 0, "not while something is in them");
+        assert!(matches!(wire.next_event(ReadInterest::Items, false).await, ConnectionEvent::Item(line) if line == "two"));
     });
 }
--- a/src/transport/pending_input.rs
+++ b/src/transport/pending_input.rs
@@ -6,18 +6,18 @@
 /// What a look at a connection itself shows, past what the runtime has been told of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PendingInput {
-    Nothing,
+    Empty,
     Bytes,
     /// Its peer has closed or reset it.
-    End,
+    Closed,
 }
 
 /// Looks at what the machine holds for this connection, unread. The runtime's own notion of it is as old as the last
 /// time it waited: what has come since would be overlooked.
-pub fn unread(tcp: &TcpStream) -> PendingInput {
+pub fn peek(tcp: &TcpStream) -> PendingInput {
     let mut byte = [std::mem::MaybeUninit::uninit()];
     match socket2::SockRef::from(tcp).peek(&mut byte) {
-        Ok(0) => PendingInput::End,
+        Ok(0) => PendingInput::Closed,
         Ok(_) => PendingInput::Bytes,
         Err(e)
             if matches!(
@@ -25,8 +25,8 @@
                 io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
             ) =>
         {
-            PendingInput::Nothing
+            PendingInput::Empty
         }
-        Err(_) => PendingInput::End,
+        Err(_) => PendingInput::Closed,
     }
 }
--- a/src/transport/stream.rs
+++ b/src/transport/stream.rs
@@ -1,6 +1,6 @@
 //! A client's connection, in the clear or in TLS.
 
-use crate::transport::client_socket::{ClientSocket, Watch};
+use crate::transport::client_socket::{ClientSocket, SocketProbe};
 use crate::transport::pending_input::PendingInput;
 use bytes::BytesMut;
 use std::io;
@@ -13,22 +13,22 @@
 use tokio_rustls::{TlsAcceptor, TlsStream};
 
 /// A connection with what was read of it too early: a client sends its first words of TLS right behind its wish for it.
-pub struct Ahead {
+pub struct PrereadStream {
     bytes: BytesMut,
     tcp: ClientSocket,
 }
 
-impl Ahead {
+impl PrereadStream {
     pub fn new(bytes: BytesMut, tcp: ClientSocket) -> Self {
-        Ahead { bytes, tcp }
+        PrereadStream { bytes, tcp }
     }
 }
 
 pub enum Stream {
     Plain(ClientSocket),
-    Tls(Box<TlsStream<Ahead>>),
+    Tls(Box<TlsStream<PrereadStream>>),
     /// Its handshake failed, and nothing is left of it.
-    Gone,
+    Closed,
 }
 
 impl From<TcpStream> for Stream {
@@ -43,11 +43,15 @@
     ///
     /// # Errors
     /// The handshake fails; the connection is done.
-    pub async fn secure(&mut self, bytes: BytesMut, config: Arc<ServerConfig>) -> io::Result<()> {
-        match std::mem::replace(self, Stream::Gone) {
+    pub async fn upgrade_to_tls(
+        &mut self,
+        bytes: BytesMut,
+        config: Arc<ServerConfig>,
+    ) -> io::Result<()> {
+        match std::mem::replace(self, Stream::Closed) {
             Stream::Plain(tcp) => {
                 let tls = TlsAcceptor::from(config)
-                    .accept(Ahead::new(bytes, tcp))
+                    .accept(PrereadStream::new(bytes, tcp))
                     .await?;
                 *self = Stream::Tls(Box::new(TlsStream::Server(tls)));
                 Ok(())
@@ -70,21 +74,21 @@
     }
 
     /// A look at its socket, in the clear or not, for whoever acts for its peer.
-    pub fn watch(&self) -> Watch {
+    pub fn probe(&self) -> SocketProbe {
         match self {
-            Stream::Plain(tcp) => tcp.watch(),
-            Stream::Tls(tls) => tls.get_ref().0.tcp.watch(),
-            Stream::Gone => Watch::default(),
+            Stream::Plain(tcp) => tcp.probe(),
+            Stream::Tls(tls) => tls.get_ref().0.tcp.probe(),
+            Stream::Closed => SocketProbe::default(),
         }
     }
 
     /// What the machine holds unread of the peer, in the clear or not.
-    pub fn unread(&self) -> PendingInput {
-        self.watch().unread()
+    pub fn pending_input(&self) -> PendingInput {
+        self.probe().pending_input()
     }
 }
 
-impl AsyncRead for Ahead {
+impl AsyncRead for PrereadStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -99,7 +103,7 @@
     }
 }
 
-impl AsyncWrite for Ahead {
+impl AsyncWrite for PrereadStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -124,7 +128,7 @@
         match self.get_mut() {
             Stream::Plain(s) => Pin::new(s).poll_read(cx, buffer),
             Stream::Tls(s) => Pin::new(s).poll_read(cx, buffer),
-            Stream::Gone => Poll::Ready(Ok(())),
+            Stream::Closed => Poll::Ready(Ok(())),
         }
     }
 }
@@ -138,21 +142,21 @@
         match self.get_mut() {
             Stream::Plain(s) => Pin::new(s).poll_write(cx, bytes),
             Stream::Tls(s) => Pin::new(s).poll_write(cx, bytes),
-            Stream::Gone => Poll::Ready(Err(io::ErrorKind::BrokenPipe.into())),
+            Stream::Closed => Poll::Ready(Err(io::ErrorKind::BrokenPipe.into())),
         }
     }
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         match self.get_mut() {
             Stream::Plain(s) => Pin::new(s).poll_flush(cx),
             Stream::Tls(s) => Pin::new(s).poll_flush(cx),
-            Stream::Gone => Poll::Ready(Ok(())),
+            Stream::Closed => Poll::Ready(Ok(())),
         }
     }
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         match self.get_mut() {
             Stream::Plain(s) => Pin::new(s).poll_shutdown(cx),
             Stream::Tls(s) => Pin::new(s).poll_shutdown(cx),
-            Stream::Gone => Poll::Ready(Ok(())),
+            Stream::Closed => Poll::Ready(Ok(())),
         }
     }
 }
--- a/src/transport/tls.rs
+++ b/src/transport/tls.rs
@@ -19,9 +19,9 @@
 use x509_parser::prelude::{FromDer, GeneralName, X509Certificate};
 
 /// How often the files are looked at, and the keys' ends.
-const LOOK: Duration = Duration::from_secs(2);
+const WATCH_INTERVAL: Duration = Duration::from_secs(2);
 /// Bytes of one file at most.
-const LARGEST: u64 = 1 << 20;
+const MAX_FILE_BYTES: u64 = 1 << 20;
 
 /// Why keys are not taken into use. Names the file.
 #[derive(Debug, thiserror::Error)]
@@ -81,9 +81,9 @@
 impl TlsKeys {
     /// # Errors
     /// A file cannot be used; the error names it.
-    pub fn open(source: &TlsSettings) -> Result<Rc<Self>, TlsError> {
+    pub fn load(source: &TlsSettings) -> Result<Rc<Self>, TlsError> {
         let stamp = stamp(source);
-        let loaded = load(source, unix_time_millis())?;
+        let loaded = read_all(source, unix_time_millis())?;
         let notices = RefCell::new(vec![ExpiryWarning::default(); loaded.ends.len()]);
         let (loaded, stamp, source) = (
             RefCell::new(loaded),
@@ -99,7 +99,7 @@
     }
 
     /// For the next handshake.
-    pub fn config(&self) -> Arc<ServerConfig> {
+    pub fn server_config(&self) -> Arc<ServerConfig> {
         self.loaded.borrow().config.clone()
     }
 
@@ -112,9 +112,9 @@
     ///
     /// # Errors
     /// A file cannot be used: the keys before stay.
-    pub fn take(&self, source: &TlsSettings) -> Result<(), TlsError> {
+    pub fn replace(&self, source: &TlsSettings) -> Result<(), TlsError> {
         let stamp = stamp(source);
-        let loaded = load(source, unix_time_millis())?;
+        let loaded = read_all(source, unix_time_millis())?;
         *self.notices.borrow_mut() = vec![ExpiryWarning::default(); loaded.ends.len()];
         *self.loaded.borrow_mut() = loaded;
         *self.stamp.borrow_mut() = stamp;
@@ -123,9 +123,9 @@
     }
 
     /// Looks at the files and the clock, until the keys are gone.
-    pub async fn attend(keys: Weak<Self>) {
+    pub async fn watch_files(keys: Weak<Self>) {
         loop {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(WATCH_INTERVAL).await;
             let Some(keys) = keys.upgrade() else { return };
             keys.look();
         }
@@ -137,7 +137,7 @@
         if now != *self.stamp.borrow() {
             // Told once for each state of the files, whatever comes of it.
             *self.stamp.borrow_mut() = now;
-            match self.take(&source) {
+            match self.replace(&source) {
                 Ok(()) => log_line!("tls: the keys have changed and are in force"),
                 Err(e) => log_line!("tls: {e}; the keys before stay in force"),
             }
@@ -166,7 +166,7 @@
 
 fn read(path: &Path) -> Result<Vec<u8>, TlsError> {
     let failed = |e| TlsError::File(path.into(), e);
-    if std::fs::metadata(path).map_err(failed)?.len() > LARGEST {
+    if std::fs::metadata(path).map_err(failed)?.len() > MAX_FILE_BYTES {
         return Err(TlsError::Large(path.into()));
     }
     std::fs::read(path).map_err(failed)
@@ -220,7 +220,7 @@
     Some(name)
 }
 
-fn load(source: &TlsSettings, now: f64) -> Result<Loaded, TlsError> {
+fn read_all(source: &TlsSettings, now: f64) -> Result<Loaded, TlsError> {
     let provider = Arc::new(ring::default_provider());
     let (mut all, mut ends) = (vec![], vec![]);
     for (cert, key) in &source.keys {
--- a/src/upstream/mysql/downstream.rs
+++ b/src/upstream/mysql/downstream.rs
@@ -4,7 +4,7 @@
 use crate::clock::unix_time_millis;
 use crate::decision::model::Millis;
 use crate::protocol::mysql::packet::PacketError;
-use crate::transport::client_socket::Watch;
+use crate::transport::client_socket::SocketProbe;
 use crate::transport::pending_input::PendingInput;
 use std::cell::Cell;
 use tokio::sync::Notify;
@@ -23,14 +23,14 @@
 /// The client of one session.
 #[derive(Debug)]
 pub struct Downstream {
-    socket: Watch,
+    socket: SocketProbe,
     /// Another session of its user has killed what it asks.
     killed: Cell<bool>,
     told: Notify,
 }
 
 impl Downstream {
-    pub fn new(socket: Watch) -> Self {
+    pub fn new(socket: SocketProbe) -> Self {
         Downstream {
             socket,
             killed: Cell::new(false),
@@ -57,11 +57,11 @@
     }
 
     pub fn look(&self) -> Look {
-        match self.socket.unread() {
+        match self.socket.pending_input() {
             _ if self.killed.get() => Look::Gone,
-            PendingInput::Nothing => Look::Waits,
+            PendingInput::Empty => Look::Waits,
             PendingInput::Bytes => Look::Unheard,
-            PendingInput::End => Look::Gone,
+            PendingInput::Closed => Look::Gone,
         }
     }
 
--- a/src/upstream/mysql/mod.rs
+++ b/src/upstream/mysql/mod.rs
@@ -11,7 +11,7 @@
 use crate::core::AttemptId;
 use crate::decision::model::*;
 use crate::discovery::Change;
-use crate::discovery::membership_driver::Witness;
+use crate::discovery::membership_driver::ConnectionObserver;
 use crate::dispatch::request_router::{RequestRouter, StartAttempt, Upstream};
 use crate::log_line;
 use crate::membership::Observation;
@@ -125,7 +125,7 @@
             before()?;
             self.under_way = true;
             self.wire.codec_mut().sequence = 0;
-            self.wire.put(&p[..])?;
+            self.wire.enqueue(&p[..])?;
             loop {
                 if let Some(flushed) = SinkExt::<&[u8]>::flush(&mut *self.wire).now_or_never() {
                     return flushed;
@@ -143,14 +143,14 @@
     /// statement: what breaks after the write may have run.
     fn rests(&mut self) -> bool {
         // The machine is asked as well: the runtime may not have heard yet of what came in this very turn.
-        let unheard = pending_input::unread(self.wire.get_ref());
+        let unheard = pending_input::peek(self.wire.get_ref());
         let Some(said) = self.wire.next().now_or_never() else {
-            if unheard == PendingInput::End
+            if unheard == PendingInput::Closed
                 && let Some(live) = &mut self.live
             {
                 live.broken = true;
             }
-            return unheard == PendingInput::Nothing;
+            return unheard == PendingInput::Empty;
         };
         // An engine that is tired of waiting says so, and has not ended.
         let tired =
@@ -214,7 +214,7 @@
     pool: BufferPool,
     spools: Rc<Spools>,
     /// Who is told what connections show.
-    witness: RefCell<Option<Rc<dyn Witness>>>,
+    witness: RefCell<Option<Rc<dyn ConnectionObserver>>>,
 }
 
 pub struct MysqlUpstream(Rc<Shared>);
@@ -265,7 +265,7 @@
     }
 
     /// From now on this one is told what connections show; nobody, if none is given.
-    pub fn watch(&self, witness: Option<Rc<dyn Witness>>) {
+    pub fn watch(&self, witness: Option<Rc<dyn ConnectionObserver>>) {
         *self.0.witness.borrow_mut() = witness;
     }
 
--- a/src/upstream/resp.rs
+++ b/src/upstream/resp.rs
@@ -10,7 +10,7 @@
 use crate::frontend::frames::Work;
 use crate::log_line;
 use crate::transport::buffer_pool::{self, Buffer, BufferPool};
-use crate::transport::descriptors::Shares;
+use crate::transport::descriptors::DescriptorBudget;
 use crate::transport::framed_connection::{self, ConnectionEvent, ReadInterest};
 use crate::transport::pending_input::{self, PendingInput};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
@@ -327,7 +327,7 @@
     /// The process may hold so many descriptors, of which connections to engines have their share.
     pub fn within(&self, descriptors: usize) {
         self.0.descriptors.set(descriptors);
-        let all = Shares::of(descriptors, self.0.processes.get()).engines;
+        let all = DescriptorBudget::per_process(descriptors, self.0.processes.get()).engines;
         self.0.all.set(all);
         // What is beyond a lower bound gives way as it rests.
         (all..self.0.held.get()).for_each(|_| self.0.give_way());
@@ -662,7 +662,7 @@
         tcp.set_nodelay(true)?;
         // What the machine holds unsent can't be called back, so that it holds little. Where that can't be said, it
         // holds what it likes.
-        let _ = socket2::SockRef::from(&tcp).set_send_buffer_size(buffer_pool::SIZE);
+        let _ = socket2::SockRef::from(&tcp).set_send_buffer_size(buffer_pool::BUFFER_BYTES);
         *connected = true;
         c.up.set(true);
         let mut framed = FramedConnection::new(&self.pool, tcp, RespCodec);
@@ -687,7 +687,7 @@
         // An order that cannot be written yet: it stays here, where it can be called back.
         let mut waits: Option<(Do, For)> = None;
         loop {
-            if framed.written() {
+            if framed.is_flushed() {
                 *c.half.borrow_mut() = None;
                 c.unwanted.set(None);
                 // Only now is the last byte of each written.
@@ -697,67 +697,66 @@
                     .for_each(|router| router.record_dispatches(std::mem::take(&mut gets)));
             }
             let none = c.pending.borrow().is_empty();
-            if c.closing.get() && none && framed.written() {
+            if c.closing.get() && none && framed.is_flushed() {
                 return Ok(());
             }
-            if none && framed.written() && self.waiting.get() > 0 {
+            if none && framed.is_flushed() && self.waiting.get() > 0 {
                 return Ok(());
             }
-            if none && framed.written() {
-                framed.rest();
+            if none && framed.is_flushed() {
+                framed.release_buffers();
             }
             let unwanted = c
                 .unwanted
                 .get()
                 .map(|at| duration_from_millis(at + HALF - unix_time_millis()));
             tokio::select! {
-                biased;
-                () = c.cut.notified() => return Ok(()),
-                // Before orders: a reset while it was idle must be seen before a request is written into it,
-                // for that one would count as run.
-                turn = framed.turn(ReadInterest::Items, matches!(waits, Some((_, For::Room)))) => match turn {
-                    ConnectionEvent::Written | ConnectionEvent::Away(_) => {}
-                    ConnectionEvent::Room => {
-                        if let Some((order, _)) = waits.take() {
-                            gets += self.order(router, engine, c, order, framed, &mut waits)?;
+                            biased;
+                            () = c.cut.notified() => return Ok(()),
+                            // Before orders: a reset while it was idle must be seen before a request is written into it,
+                            // for that one would count as run.
+                            turn = framed.next_event(ReadInterest::Items, matches!(waits, Some((_, For::Room)))) => match turn {
+                                ConnectionEvent::Written | ConnectionEvent::Discarded(_) => {}
+                                ConnectionEvent::Writable => {
+                                    if let Some((order, _)) = waits.take() {
+                                        gets += self.order(router, engine, c, order, framed, &mut waits)?;
+                                    }
+                                }
+                                ConnectionEvent::Closed => return Ok(()),
+                                ConnectionEvent::Failed(e) => return Err(e),
+                                ConnectionEvent::Item(answer) => {
+                                    partial = 0;
+                                    c.stands.set(false);
+                                    c.heard.set(unix_time_millis());
+                                    self.answer(router, c, &answer, framed)?;
+                                }
+                            },
+                            order = inbox.recv(), if framed.is_flushed() && waits.is_none() => {
+                                let Some(order) = order else { return Ok(()) };
+                                gets += self.order(router, engine, c, order, framed, &mut waits)?;
+                            }
+                            // After that the runtime has heard of all that the machine has unread, and the turn above came first.
+                            () = tokio::task::yield_now(), if matches!(waits, Some((_, For::Reading))) => {
+                                if let Some((order, _)) = waits.take() {
+                                    gets += self.order(router, engine, c, order, framed, &mut waits)?;
+                                }
+                            }
+                            () = tokio::time::sleep(unwanted.unwrap_or_default()), if unwanted.is_some() => {
+                                return Err(RespError::Stalled);
+                            }
+                            () = c.look.notified() => {}
+                            _ = check.tick(), if !none || !framed.is_flushed() || !framed.read_buffer().is_empty() => {
+                                partial = if framed.read_buffer().is_empty() { 0 } else { partial + 1 };
+                                // One look may fall between two reads of it.
+                                c.stands.set(partial > 1);
+            let now = unix_time_millis(); if partial > 5 || c.stalled(now)|| c.dead(now, self.sockets.progress_interval)|| framed.is_write_stalled(WRITE){
+                                    return Err(RespError::Stalled);
+                                }
+                            }
+                            () = tokio::time::sleep(idle), if none => {
+                                c.closing.set(true);
+                            }
                         }
-                    }
-                    ConnectionEvent::End => return Ok(()),
-                    ConnectionEvent::Broken(e) => return Err(e),
-                    ConnectionEvent::Heard(answer) => {
-                        partial = 0;
-                        c.stands.set(false);
-                        c.heard.set(unix_time_millis());
-                        self.answer(router, c, &answer, framed)?;
-                    }
-                },
-                order = inbox.recv(), if framed.written() && waits.is_none() => {
-                    let Some(order) = order else { return Ok(()) };
-                    gets += self.order(router, engine, c, order, framed, &mut waits)?;
-                }
-                // After that the runtime has heard of all that the machine has unread, and the turn above came first.
-                () = tokio::task::yield_now(), if matches!(waits, Some((_, For::Reading))) => {
-                    if let Some((order, _)) = waits.take() {
-                        gets += self.order(router, engine, c, order, framed, &mut waits)?;
-                    }
-                }
-                () = tokio::time::sleep(unwanted.unwrap_or_default()), if unwanted.is_some() => {
-                    return Err(RespError::Stalled);
-                }
-                () = c.look.notified() => {}
-                _ = check.tick(), if !none || !framed.written() || !framed.read_buffer().is_empty() => {
-                    partial = if framed.read_buffer().is_empty() { 0 } else { partial + 1 };
-                    // One look may fall between two reads of it.
-                    c.stands.set(partial > 1);
-                    let now = unix_time_millis();
-                    if partial > 5 || c.stalled(now) || c.dead(now, self.sockets.progress_interval) || framed.stuck(WRITE) {
-                        return Err(RespError::Stalled);
-                    }
-                }
-                () = tokio::time::sleep(idle), if none => {
-                    c.closing.set(true);
-                }
-            }
         }
     }
 
@@ -774,7 +773,7 @@
         waits: &mut Option<(Do, For)>,
     ) -> Result<usize, RespError> {
         let txn = match order {
-            Do::Drop(txn) => return framed.put(&[b"DROP", txn.as_bytes()][..]).map(|()| 0),
+            Do::Drop(txn) => return framed.enqueue(&[b"DROP", txn.as_bytes()][..]).map(|()| 0),
             Do::Get(txn) => txn,
         };
         let Some(router) = router.upgrade() else {
@@ -816,9 +815,9 @@
         let first = !std::mem::replace(looked, true);
         let unread = || {
             client == PendingInput::Bytes
-                || pending_input::unread(framed.get_ref()) != PendingInput::Nothing
+                || pending_input::peek(framed.get_ref()) != PendingInput::Empty
         };
-        if client == PendingInput::End || first && unread() {
+        if client == PendingInput::Closed || first && unread() {
             *waits = Some((Do::Get(txn), For::Reading));
             return Ok(0);
         }
@@ -826,7 +825,8 @@
         if start.memory_mb >= 1.0 {
             fields.push_str(&format!(",pool={}", start.memory_mb.round() as u64));
         }
-        let begun = framed.begin(&[b"GET", txn.as_bytes(), fields.as_bytes(), &work.statement][..]);
+        let begun =
+            framed.start_write(&[b"GET", txn.as_bytes(), fields.as_bytes(), &work.statement][..]);
         if !begun? {
             *looked = false;
             *waits = Some((Do::Get(txn), For::Room));
@@ -834,7 +834,7 @@
         }
         // From here on it counts as reached, even if the write breaks off half way.
         p.stage = Stage::Written;
-        if !framed.written() {
+        if !framed.is_flushed() {
             *c.half.borrow_mut() = Some(txn);
             // A repeat that is not whole by its time never comes whole.
             c.unwanted
@@ -973,7 +973,7 @@
             Some(Stage::Paging { .. }) | None => {}
         }
         for n in 1..=wanted {
-            framed.put(&[b"PAGE", id, n.to_string().as_bytes()][..])?;
+            framed.enqueue(&[b"PAGE", id, n.to_string().as_bytes()][..])?;
         }
         Ok(())
     }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -5,7 +5,7 @@
 mod process;
 
 use process::*;
-use query_dispatcher::transport::descriptors::OWN;
+use query_dispatcher::transport::descriptors::RESERVED;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::Command;
@@ -128,7 +128,7 @@
     other.wait().unwrap();
     let held = program.descriptors() - given;
     println!("{held} descriptors");
-    assert!(held <= OWN, "{held} descriptors");
+    assert!(held <= RESERVED, "{held} descriptors");
 }
 
 #[test]
--- a/tests/mysql_client_disconnect.rs
+++ b/tests/mysql_client_disconnect.rs
@@ -827,7 +827,7 @@
     on_one_thread(async {
         for way in ["its end", "quit", "a ping and quit", "closed", "reset"] {
             let stand = stand(1).await;
-            stand.frontend.secure(TlsKeys::open(&source).unwrap());
+            stand.frontend.secure(TlsKeys::load(&source).unwrap());
             let mut w = wire(connect(stand.address).await);
             let greeting = Greeting::read(packet(&mut w).await).unwrap();
             let mut wish = (CAPABILITIES | SSL).to_le_bytes().to_vec();
