--- a/crates/mysql-conformance/src/cases.rs
+++ b/crates/mysql-conformance/src/cases.rs
@@ -77,7 +77,7 @@
 const OTHER: &str = "Other statements";
 
 pub const CASES: &[Case] = &[
-    case(TEXT, "COM_PING", Alike, &[Command(PING, b"", Ok)]),
+    case(TEXT, "COM_PING", Alike, &[Command(COM_PING, b"", Ok)]),
     case(
         TEXT,
         "COM_QUERY with rows",
@@ -95,18 +95,23 @@
         "COM_INIT_DB",
         Alike,
         &[
-            Command(INIT_DB, b"sales_17", Ok),
+            Command(COM_INIT_DB, b"sales_17", Ok),
             Sql("select a from t", Rows(1)),
         ],
     ),
-    case(TEXT, "COM_STATISTICS", No, &[Command(STATISTICS, b"", Any)]),
+    case(
+        TEXT,
+        "COM_STATISTICS",
+        No,
+        &[Command(COM_STATISTICS, b"", Any)],
+    ),
     case(
         TEXT,
         "COM_RESET_CONNECTION",
         No,
         &[
             Sql("set time_zone = '+04:00', @x = 1", Ok),
-            Command(RESET_CONNECTION, b"", Ok),
+            Command(COM_RESET_CONNECTION, b"", Ok),
             Sql("select @@time_zone, @x", First(&["SYSTEM", "NULL"])),
         ],
     ),
@@ -130,13 +135,13 @@
         TEXT,
         "COM_SET_OPTION, several statements off",
         No,
-        &[Command(SET_OPTION, &[1, 0], Any)],
+        &[Command(COM_SET_OPTION, &[1, 0], Any)],
     ),
     case(
         TEXT,
         "COM_SET_OPTION, several statements on",
         No,
-        &[Command(SET_OPTION, &[0, 0], Code(1235))],
+        &[Command(COM_SET_OPTION, &[0, 0], Code(1235))],
     ),
     case(
         TEXT,
@@ -181,14 +186,18 @@
         PREPARED,
         "fetch without a cursor",
         No,
-        &[Command(STMT_FETCH, &[9, 0, 0, 0, 1, 0, 0, 0], Code(1243))],
+        &[Command(
+            COM_STMT_FETCH,
+            &[9, 0, 0, 0, 1, 0, 0, 0],
+            Code(1243),
+        )],
     ),
     case(
         PREPARED,
         "execute of what was never prepared",
         Alike,
         &[Command(
-            STMT_EXECUTE,
+            COM_STMT_EXECUTE,
             &[99, 0, 0, 0, 0, 1, 0, 0, 0],
             Code(1243),
         )],
@@ -347,9 +356,18 @@
         "BEGIN, COMMIT",
         Alike,
         &[
-            Sql("begin", Status(IN_TRANSACTION | AUTOCOMMIT, 0)),
-            Sql("insert into t values (1)", Status(IN_TRANSACTION, 0)),
-            Sql("commit", Status(AUTOCOMMIT, IN_TRANSACTION)),
+            Sql(
+                "begin",
+                Status(SERVER_STATUS_IN_TRANS | SERVER_STATUS_AUTOCOMMIT, 0),
+            ),
+            Sql(
+                "insert into t values (1)",
+                Status(SERVER_STATUS_IN_TRANS, 0),
+            ),
+            Sql(
+                "commit",
+                Status(SERVER_STATUS_AUTOCOMMIT, SERVER_STATUS_IN_TRANS),
+            ),
         ],
     ),
     case(
@@ -357,8 +375,11 @@
         "START TRANSACTION, ROLLBACK",
         Alike,
         &[
-            Sql("start transaction read write", Status(IN_TRANSACTION, 0)),
-            Sql("rollback", Status(0, IN_TRANSACTION)),
+            Sql(
+                "start transaction read write",
+                Status(SERVER_STATUS_IN_TRANS, 0),
+            ),
+            Sql("rollback", Status(0, SERVER_STATUS_IN_TRANS)),
         ],
     ),
     case(
@@ -366,13 +387,16 @@
         "autocommit = 0",
         Alike,
         &[
-            Sql("SET autocommit = 0", Status(0, AUTOCOMMIT)),
+            Sql("SET autocommit = 0", Status(0, SERVER_STATUS_AUTOCOMMIT)),
             Sql(
                 "insert into t values (1)",
-                Status(IN_TRANSACTION, AUTOCOMMIT),
+                Status(SERVER_STATUS_IN_TRANS, SERVER_STATUS_AUTOCOMMIT),
             ),
-            Sql("commit", Status(0, IN_TRANSACTION | AUTOCOMMIT)),
-            Sql("SET autocommit = 1", Status(AUTOCOMMIT, 0)),
+            Sql(
+                "commit",
+                Status(0, SERVER_STATUS_IN_TRANS | SERVER_STATUS_AUTOCOMMIT),
+            ),
+            Sql("SET autocommit = 1", Status(SERVER_STATUS_AUTOCOMMIT, 0)),
         ],
     ),
     case(
@@ -381,8 +405,14 @@
         Alike,
         &[
             Sql("SET autocommit = 0", Any),
-            Sql("insert into t values (1)", Status(IN_TRANSACTION, 0)),
-            Sql("SET autocommit = 1", Status(AUTOCOMMIT, IN_TRANSACTION)),
+            Sql(
+                "insert into t values (1)",
+                Status(SERVER_STATUS_IN_TRANS, 0),
+            ),
+            Sql(
+                "SET autocommit = 1",
+                Status(SERVER_STATUS_AUTOCOMMIT, SERVER_STATUS_IN_TRANS),
+            ),
         ],
     ),
     case(
@@ -392,7 +422,7 @@
         &[
             Sql("begin", Any),
             Sql("savepoint a", Any),
-            Sql("rollback to savepoint a", Status(IN_TRANSACTION, 0)),
+            Sql("rollback to savepoint a", Status(SERVER_STATUS_IN_TRANS, 0)),
             Sql("release savepoint a", Any),
             Sql("rollback", Any),
         ],
@@ -417,7 +447,7 @@
         &[
             Sql("create temporary table x (a int)", Any),
             Sql("SET TRANSACTION READ ONLY", Ok),
-            Sql("begin", Status(IN_TRANSACTION, 0)),
+            Sql("begin", Status(SERVER_STATUS_IN_TRANS, 0)),
             Sql("commit", Any),
         ],
     ),
@@ -427,8 +457,8 @@
         Alike,
         &[
             Sql("begin", Any),
-            Sql("commit and chain", Status(IN_TRANSACTION, 0)),
-            Sql("rollback", Status(0, IN_TRANSACTION)),
+            Sql("commit and chain", Status(SERVER_STATUS_IN_TRANS, 0)),
+            Sql("rollback", Status(0, SERVER_STATUS_IN_TRANS)),
         ],
     ),
     case(
@@ -443,7 +473,10 @@
         Alike,
         &[
             Sql("begin", Any),
-            Prepared("insert into t values (1)", &[Status(IN_TRANSACTION, 0)]),
+            Prepared(
+                "insert into t values (1)",
+                &[Status(SERVER_STATUS_IN_TRANS, 0)],
+            ),
             Sql("commit", Any),
         ],
     ),
--- a/crates/mysql-conformance/src/lib.rs
+++ b/crates/mysql-conformance/src/lib.rs
@@ -9,7 +9,9 @@
 use query_dispatcher::discovery::{Change, Engine as Listed};
 use query_dispatcher::dispatch::request_router::RequestRouter;
 use query_dispatcher::frontend::mysql::Frontend;
-use query_dispatcher::protocol::mysql::packet::{PacketError, QUERY, Reader, eof_status, ok_tail};
+use query_dispatcher::protocol::mysql::packet::{
+    COM_QUERY, PacketError, PayloadReader, eof_status, parse_ok_status,
+};
 use query_dispatcher::spool_io::Spools;
 use query_dispatcher::transport::buffer_pool::BufferPool;
 use query_dispatcher::upstream::mysql::MysqlUpstream;
@@ -171,7 +173,7 @@
                 self.engines
                     .iter()
                     .for_each(|e| e.work(Duration::from_secs(3)));
-                s.send(QUERY, &[sql.as_bytes()])
+                s.send(COM_QUERY, &[sql.as_bytes()])
                     .await
                     .map_err(|e| e.to_string())?;
                 tokio::time::sleep(Duration::from_millis(100)).await;
@@ -200,14 +202,14 @@
     binary: bool,
 ) -> Result<Option<(u16, String)>, String> {
     let answer = match (came, want) {
-        (Err(PacketError::Sql(e)), Want::Code(code)) if e.code == code => {
+        (Err(PacketError::Server(e)), Want::Code(code)) if e.code == code => {
             return Ok(Some((code, e.message)));
         }
         (Err(e), _) => return Err(e.to_string()),
         (Ok(answer), _) => answer,
     };
     let status = || match answer.last.first() {
-        Some(0) => ok_tail(&answer.last).map_or(0, |t| t.0),
+        Some(0) => parse_ok_status(&answer.last).map_or(0, |t| t.0),
         _ => eof_status(&answer.last).unwrap_or(0),
     };
     let right = match want {
@@ -237,7 +239,7 @@
 
 /// The texts of a row; NULL by its name.
 fn columns(row: bytes::Bytes, binary: bool) -> Vec<String> {
-    let mut r = Reader(row.slice(if binary { 2 } else { 0 }..));
+    let mut r = PayloadReader(row.slice(if binary { 2 } else { 0 }..));
     let mut all = vec![];
     while !r.0.is_empty() {
         if r.0.first() == Some(&0xfb) {
@@ -245,7 +247,7 @@
             let _ = r.u8();
             continue;
         }
-        match r.lenenc_bytes() {
+        match r.length_encoded_bytes() {
             Ok(b) => all.push(String::from_utf8_lossy(&b).into_owned()),
             Err(_) => break,
         }
--- a/crates/mysql-conformance/src/tests.rs
+++ b/crates/mysql-conformance/src/tests.rs
@@ -14,7 +14,12 @@
 fn what_is_not_as_wanted_is_told() {
     let eof: &[u8] = &[0xfe, 0, 0, 3, 0];
     let row: &[u8] = b"\x01a\xfb";
-    let wrong = || Err(PacketError::Sql(SqlError::new((1045, "28000"), "denied")));
+    let wrong = || {
+        Err(PacketError::Server(SqlError::new(
+            (1045, "28000"),
+            "denied",
+        )))
+    };
     assert!(judge(Want::Rows(1), answer(&[row], eof), false).is_ok());
     assert!(judge(Want::Rows(2), answer(&[row], eof), false).is_err());
     assert!(judge(Want::First(&["a", "NULL"]), answer(&[row], eof), false).is_ok());
--- a/crates/testbed/src/engine.rs
+++ b/crates/testbed/src/engine.rs
@@ -229,20 +229,20 @@
         let greeting = Greeting {
             connection: number,
             nonce,
-            plugin: auth::NATIVE.into(),
-            capabilities: CAPABILITIES,
+            plugin: auth::MYSQL_NATIVE_PASSWORD.into(),
+            capabilities: BASE_CAPABILITIES,
         };
         wire.send(&greeting.write("8.0.0-lab")[..]).await?;
         let Some(login) = wire.next().await else {
             return Ok(());
         };
         let login = Login::read(login?)?;
-        if !auth::proves(&login.plugin, PASSWORD, &greeting.nonce, &login.auth) {
+        if !auth::verify_auth_response(&login.plugin, PASSWORD, &greeting.nonce, &login.auth) {
             return wire
-                .send(&err(&SqlError::new(code::ACCESS, "wrong password"))[..])
+                .send(&err_packet(&SqlError::new(code::ER_ACCESS_DENIED, "wrong password"))[..])
                 .await;
         }
-        wire.send(&ok()[..]).await?;
+        wire.send(&ok_packet()[..]).await?;
         let mut statements: HashMap<u32, String> = HashMap::new();
         let mut next = 0;
         let mut session = Session::new(number, &self.0.name);
@@ -256,14 +256,14 @@
                 return Ok(());
             };
             let said = String::from_utf8_lossy(body).into_owned();
-            let id = Reader(command.slice(1..)).u32().unwrap_or(0);
+            let id = PayloadReader(command.slice(1..)).u32().unwrap_or(0);
             let (sql, binary) = match kind {
-                QUIT => return Ok(()),
-                QUERY if said.starts_with("SET ") || said.starts_with("KILL ") => {
+                COM_QUIT => return Ok(()),
+                COM_QUERY if said.starts_with("SET ") || said.starts_with("KILL ") => {
                     match session.says(&said) {
                         Some(Said::Error(code, state, text)) => {
                             wire.send(
-                                &err(&SqlError {
+                                &err_packet(&SqlError {
                                     code,
                                     state,
                                     message: text,
@@ -276,29 +276,32 @@
                     self.0.lasting.borrow_mut().append(&mut session.lasting);
                     continue;
                 }
-                QUERY => (said, false),
-                STMT_EXECUTE => match statements.get(&id) {
+                COM_QUERY => (said, false),
+                COM_STMT_EXECUTE => match statements.get(&id) {
                     Some(sql) => (sql.clone(), true),
                     None => {
                         wire.send(
-                            &err(&SqlError::new(code::NO_STATEMENT, "unknown statement"))[..],
+                            &err_packet(&SqlError::new(
+                                code::ER_UNKNOWN_STMT_HANDLER,
+                                "unknown statement",
+                            ))[..],
                         )
                         .await?;
                         continue;
                     }
                 },
-                STMT_PREPARE => {
+                COM_STMT_PREPARE => {
                     next += 1;
                     self.prepared(&mut wire, next, &said, session.columns(&said))
                         .await?;
                     statements.insert(next, said);
                     continue;
                 }
-                STMT_CLOSE => {
+                COM_STMT_CLOSE => {
                     statements.remove(&id);
                     continue;
                 }
-                STMT_SEND_LONG_DATA => continue,
+                COM_STMT_SEND_LONG_DATA => continue,
                 _ => {
                     wire.send(&done(session.status())[..]).await?;
                     continue;
@@ -380,7 +383,7 @@
             tokio::time::sleep(inner.work.get()).await;
         }
         drop(running);
-        let mut end = eof(session.status());
+        let mut end = eof_packet(session.status());
         end[1..3].copy_from_slice(&session.warnings().to_le_bytes());
         if let Some(said) = said {
             self.tell(wire, said, binary, session.status()).await?;
@@ -435,7 +438,7 @@
             Said::Error(code, state, message) => {
                 return wire
                     .send(
-                        &err(&SqlError {
+                        &err_packet(&SqlError {
                             code,
                             state,
                             message,
@@ -450,7 +453,7 @@
         for name in &names {
             wire.feed(&column(name)[..]).await?;
         }
-        wire.feed(&eof(status)[..]).await?;
+        wire.feed(&eof_packet(status)[..]).await?;
         for row in &rows {
             let mut p = if binary {
                 vec![0; 1 + (row.len() + 9) / 8]
@@ -466,7 +469,7 @@
             }
             wire.feed(&p[..]).await?;
         }
-        wire.feed(&eof(status)[..]).await?;
+        wire.feed(&eof_packet(status)[..]).await?;
         SinkExt::<&[u8]>::flush(wire).await
     }
 
@@ -523,7 +526,7 @@
 
 fn text(s: &str) -> Vec<u8> {
     let mut p = vec![];
-    put_lenenc(&mut p, s.len() as u64);
+    put_length_encoded_integer(&mut p, s.len() as u64);
     p.extend(s.bytes());
     p
 }
@@ -535,7 +538,7 @@
         .collect();
     [
         &words[..],
-        &[0x0c, UTF8, 0, 0, 1, 0, 0, 0xfd, 0, 0, 0, 0, 0],
+        &[0x0c, UTF8MB4_GENERAL_CI, 0, 0, 1, 0, 0, 0xfd, 0, 0, 0, 0, 0],
     ]
     .concat()
 }
--- a/crates/testbed/src/raw.rs
+++ b/crates/testbed/src/raw.rs
@@ -20,8 +20,8 @@
 /// What a session asks for at log-in, beside what every client does.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Wants {
-    pub ok_for_eof: bool,
-    pub tracks: bool,
+    pub deprecate_eof: bool,
+    pub session_track: bool,
     /// The machine keeps so few bytes for it that are not read, if that is said.
     pub receive: Option<u32>,
 }
@@ -31,7 +31,7 @@
     /// Its number, as the greeting told it.
     pub number: u32,
     wire: Framed<Stream, PacketCodec>,
-    ok_for_eof: bool,
+    deprecate_eof: bool,
 }
 
 /// A result's packets: columns, rows, and what came last.
@@ -111,20 +111,29 @@
             return broken();
         };
         let greeting = Greeting::read(greeting?)?;
-        let proof = auth::proof(&greeting.plugin, password, &greeting.nonce).unwrap_or_default();
-        let ends = Ends::default();
+        let proof =
+            auth::auth_response(&greeting.plugin, password, &greeting.nonce).unwrap_or_default();
+        let ends = ResultFormat::default();
         let login = Login {
             user: user.into(),
             auth: proof,
             schema: None,
             plugin: greeting.plugin,
-            ends,
+            result_format: ends,
         };
         let mut login = login.write(1 << 24);
         let mut flags = u32::from_le_bytes([login[0], login[1], login[2], login[3]]);
-        flags |= if wants.ok_for_eof { DEPRECATE_EOF } else { 0 };
-        flags |= if wants.tracks { SESSION_TRACK } else { 0 };
-        flags |= if tls.is_some() { SSL } else { 0 };
+        flags |= if wants.deprecate_eof {
+            CLIENT_DEPRECATE_EOF
+        } else {
+            0
+        };
+        flags |= if wants.session_track {
+            CLIENT_SESSION_TRACK
+        } else {
+            0
+        };
+        flags |= if tls.is_some() { CLIENT_SSL } else { 0 };
         login[..4].copy_from_slice(&flags.to_le_bytes());
         if let Some((config, host)) = tls {
             // The same head alone, then all of it again in TLS.
@@ -145,12 +154,12 @@
         let mut s = Session {
             number: greeting.connection,
             wire,
-            ok_for_eof: wants.ok_for_eof,
+            deprecate_eof: wants.deprecate_eof,
         };
         let p = s.next().await?;
         match p.first() {
             Some(0) => Ok(s),
-            _ => Err(PacketError::Sql(read_err(&p))),
+            _ => Err(PacketError::Server(parse_err_packet(&p))),
         }
     }
 
@@ -161,22 +170,22 @@
     pub async fn change_user(&mut self, user: &str, password: &str) -> Result<(), PacketError> {
         // Whatever stands as its proof, the server asks anew with a nonce of its own.
         self.send(
-            CHANGE_USER,
+            COM_CHANGE_USER,
             &[
                 user.as_bytes(),
-                &[0, 0, 0, UTF8, 0],
-                auth::NATIVE.as_bytes(),
+                &[0, 0, 0, UTF8MB4_GENERAL_CI, 0],
+                auth::MYSQL_NATIVE_PASSWORD.as_bytes(),
                 &[0],
             ],
         )
         .await?;
         let p = self.next().await?;
-        let mut r = Reader(p.slice(1..));
-        if p.first() != Some(&0xfe) || r.text() != auth::NATIVE {
+        let mut r = PayloadReader(p.slice(1..));
+        if p.first() != Some(&0xfe) || r.text() != auth::MYSQL_NATIVE_PASSWORD {
             return Err(PacketError::Protocol("it asks for no proof"));
         }
-        let proof = auth::proof(
-            auth::NATIVE,
+        let proof = auth::auth_response(
+            auth::MYSQL_NATIVE_PASSWORD,
             password,
             r.0.strip_suffix(&[0]).unwrap_or(&r.0),
         );
@@ -184,7 +193,7 @@
         let p = self.next().await?;
         match p.first() {
             Some(0) => Ok(()),
-            _ => Err(PacketError::Sql(read_err(&p))),
+            _ => Err(PacketError::Server(parse_err_packet(&p))),
         }
     }
 
@@ -217,7 +226,7 @@
     /// # Errors
     /// The connection's, or the server's, also one that breaks a result off.
     pub async fn query(&mut self, sql: &str) -> Result<Answer, PacketError> {
-        self.send(QUERY, &[sql.as_bytes()]).await?;
+        self.send(COM_QUERY, &[sql.as_bytes()]).await?;
         self.answer().await
     }
 
@@ -229,7 +238,7 @@
         self.wire.codec_mut().sequence = 1;
         let first = self.next().await?;
         match first.first() {
-            Some(0xff) => return Err(PacketError::Sql(read_err(&first))),
+            Some(0xff) => return Err(PacketError::Server(parse_err_packet(&first))),
             Some(0) => {
                 return Ok(Answer {
                     columns: 0,
@@ -240,7 +249,7 @@
             _ => {}
         }
         let columns = usize::from(first[0]);
-        for _ in 0..columns + usize::from(!self.ok_for_eof) {
+        for _ in 0..columns + usize::from(!self.deprecate_eof) {
             self.next().await?;
         }
         self.rows(columns).await
@@ -255,8 +264,8 @@
         loop {
             let p = self.next().await?;
             match p.first() {
-                Some(0xff) => return Err(PacketError::Sql(read_err(&p))),
-                Some(0xfe) if p.len() < 0xff_ffff && (self.ok_for_eof || p.len() < 9) => {
+                Some(0xff) => return Err(PacketError::Server(parse_err_packet(&p))),
+                Some(0xfe) if p.len() < 0xff_ffff && (self.deprecate_eof || p.len() < 9) => {
                     return Ok(Answer {
                         columns,
                         rows,
@@ -277,19 +286,19 @@
         sql: &str,
         mut row: impl FnMut(u64, &Bytes),
     ) -> Result<u64, PacketError> {
-        self.send(QUERY, &[sql.as_bytes()]).await?;
+        self.send(COM_QUERY, &[sql.as_bytes()]).await?;
         let first = self.next().await?;
         if first.first() == Some(&0xff) {
-            return Err(PacketError::Sql(read_err(&first)));
+            return Err(PacketError::Server(parse_err_packet(&first)));
         }
-        for _ in 0..usize::from(first[0]) + usize::from(!self.ok_for_eof) {
+        for _ in 0..usize::from(first[0]) + usize::from(!self.deprecate_eof) {
             self.next().await?;
         }
         let mut n = 0;
         loop {
             let p = self.next().await?;
             match p.first() {
-                Some(0xff) => return Err(PacketError::Sql(read_err(&p))),
+                Some(0xff) => return Err(PacketError::Server(parse_err_packet(&p))),
                 Some(0xfe) if p.len() < 9 => return Ok(n),
                 _ => row(n, &p),
             }
@@ -302,14 +311,14 @@
     /// # Errors
     /// The connection's, or the server's.
     pub async fn prepare(&mut self, sql: &str) -> Result<(u32, usize), PacketError> {
-        self.send(STMT_PREPARE, &[sql.as_bytes()]).await?;
+        self.send(COM_STMT_PREPARE, &[sql.as_bytes()]).await?;
         let first = self.next().await?;
         if first.first() == Some(&0xff) {
-            return Err(PacketError::Sql(read_err(&first)));
+            return Err(PacketError::Server(parse_err_packet(&first)));
         }
-        let mut r = Reader(first.slice(1..));
+        let mut r = PayloadReader(first.slice(1..));
         let (id, columns) = (r.u32()?, usize::from(r.u16()?));
-        for _ in 0..columns + usize::from(!self.ok_for_eof && columns > 0) {
+        for _ in 0..columns + usize::from(!self.deprecate_eof && columns > 0) {
             self.next().await?;
         }
         Ok((id, columns))
@@ -321,7 +330,7 @@
     /// The connection's, or the server's.
     pub async fn execute(&mut self, id: u32, cursor: bool) -> Result<Answer, PacketError> {
         self.send(
-            STMT_EXECUTE,
+            COM_STMT_EXECUTE,
             &[&id.to_le_bytes(), &[u8::from(cursor), 1, 0, 0, 0]],
         )
         .await?;
@@ -330,7 +339,7 @@
         }
         let first = self.next().await?;
         if first.first() == Some(&0xff) {
-            return Err(PacketError::Sql(read_err(&first)));
+            return Err(PacketError::Server(parse_err_packet(&first)));
         }
         let columns = usize::from(first[0]);
         for _ in 0..columns {
@@ -349,7 +358,7 @@
     /// # Errors
     /// The connection's, or the server's.
     pub async fn fetch(&mut self, id: u32, rows: u32) -> Result<Answer, PacketError> {
-        self.send(STMT_FETCH, &[&id.to_le_bytes(), &rows.to_le_bytes()])
+        self.send(COM_STMT_FETCH, &[&id.to_le_bytes(), &rows.to_le_bytes()])
             .await?;
         self.rows(0).await
     }
@@ -379,17 +388,17 @@
 
 /// The text of a row's first column.
 pub fn text(row: &Bytes, binary: bool) -> Option<String> {
-    let mut r = Reader(row.slice(if binary { 2 } else { 0 }..));
-    r.lenenc_bytes()
+    let mut r = PayloadReader(row.slice(if binary { 2 } else { 0 }..));
+    r.length_encoded_bytes()
         .ok()
         .map(|b| String::from_utf8_lossy(&b).into_owned())
 }
 
 /// All columns of a row of texts.
 pub fn texts(row: &Bytes) -> Vec<String> {
-    let mut r = Reader(row.clone());
+    let mut r = PayloadReader(row.clone());
     std::iter::from_fn(|| {
-        r.lenenc_bytes()
+        r.length_encoded_bytes()
             .ok()
             .map(|b| String::from_utf8_lossy(&b).into_owned())
     })
@@ -399,7 +408,7 @@
 /// The server's error in a result.
 pub fn error<T>(result: Result<T, PacketError>) -> Option<SqlError> {
     match result {
-        Err(PacketError::Sql(e)) => Some(e),
+        Err(PacketError::Server(e)) => Some(e),
         _ => None,
     }
 }
--- a/src/frontend/mysql/mod.rs
+++ b/src/frontend/mysql/mod.rs
@@ -113,7 +113,7 @@
 fn quits(mut bytes: &[u8]) -> bool {
     while let [a, b, c, _, rest @ ..] = bytes {
         let length = u32::from_le_bytes([*a, *b, *c, 0]) as usize;
-        if length > 0 && rest.first() == Some(&QUIT) {
+        if length > 0 && rest.first() == Some(&COM_QUIT) {
             return true;
         }
         bytes = rest.get(length..).unwrap_or_default();
@@ -124,7 +124,7 @@
 /// Why a session ends whose client is owed an answer: it has gone, or does not keep to its turn.
 fn left(gone: io::Result<()>) -> End {
     match gone {
-        Err(e) if e.kind() == io::ErrorKind::InvalidData => End::Broken(PacketError::Order),
+        Err(e) if e.kind() == io::ErrorKind::InvalidData => End::Broken(PacketError::OutOfOrder),
         _ => End::Quit,
     }
 }
@@ -154,7 +154,7 @@
     user: String,
     tenant: Option<usize>,
     schema: Option<String>,
-    ends: Ends,
+    result_format: ResultFormat,
 }
 
 /// A request that its client may leave at any time.
@@ -328,7 +328,7 @@
     async fn shut_down(&self, wire: &mut FramedConnection<PacketCodec, Stream>) -> Result<(), End> {
         let _busy = Busy::new(&self.busy);
         let text = "the dispatcher shuts down; connect again".to_string();
-        turn_away(wire, code::SHUTDOWN, text).await
+        turn_away(wire, code::ER_SERVER_SHUTDOWN, text).await
     }
 
     async fn session(
@@ -344,7 +344,7 @@
         };
         let mut wire = FramedConnection::new(&self.pool, Stream::from(tcp), codec);
         let Some(place) = place else {
-            return turn_away(&mut wire, code::TOO_MANY, "Too many connections".into()).await;
+            return turn_away(&mut wire, code::ER_CON_COUNT, "Too many connections".into()).await;
         };
         let mut stopping = self.stopping.subscribe();
         let login = tokio::select! {
@@ -368,7 +368,7 @@
             wire,
             tenant: known.tenant,
             user: known.user,
-            ends: known.ends,
+            result_format: known.result_format,
             state,
             number: known.number,
             downstream,
@@ -391,11 +391,11 @@
         self.next.set(connection.wrapping_add(1));
         let nonce = nonce()?;
         let keys = self.keys.borrow().clone();
-        let capabilities = FRONT | if keys.is_some() { SSL } else { 0 };
+        let capabilities = FRONTEND_CAPABILITIES | if keys.is_some() { CLIENT_SSL } else { 0 };
         let greeting = Greeting {
             connection,
             nonce: nonce.to_vec(),
-            plugin: auth::NATIVE.into(),
+            plugin: auth::MYSQL_NATIVE_PASSWORD.into(),
             capabilities,
         };
         wire.send(&greeting.write(&self.config().server_version)[..])
@@ -413,8 +413,10 @@
             } else if keys.required() {
                 let text =
                     "Connections using insecure transport are prohibited: this one is not in TLS";
-                wire.send(&err(&SqlError::new(code::INSECURE, text))[..])
-                    .await?;
+                wire.send(
+                    &err_packet(&SqlError::new(code::ER_SECURE_TRANSPORT_REQUIRED, text))[..],
+                )
+                .await?;
                 return Ok(None);
             }
         }
@@ -425,7 +427,7 @@
             user: login.user,
             tenant,
             schema: login.schema,
-            ends: login.ends,
+            result_format: login.result_format,
         }))
     }
 
@@ -440,12 +442,19 @@
         let (mut plugin, mut proof) = (login.plugin.clone(), login.auth.clone());
         // One that names no way knows the oldest only.
         if plugin.is_empty() {
-            plugin = auth::NATIVE.into();
+            plugin = auth::MYSQL_NATIVE_PASSWORD.into();
         }
         // A client that answered for another way is asked again, for one that is known here.
-        if plugin != auth::NATIVE && plugin != auth::SHA2 {
-            plugin = auth::NATIVE.into();
-            let ask = [&[0xfe][..], auth::NATIVE.as_bytes(), &[0], nonce, &[0]].concat();
+        if plugin != auth::MYSQL_NATIVE_PASSWORD && plugin != auth::CACHING_SHA2_PASSWORD {
+            plugin = auth::MYSQL_NATIVE_PASSWORD.into();
+            let ask = [
+                &[0xfe][..],
+                auth::MYSQL_NATIVE_PASSWORD.as_bytes(),
+                &[0],
+                nonce,
+                &[0],
+            ]
+            .concat();
             wire.send(&ask[..]).await?;
             proof = crate::upstream::mysql::next(wire).await?.to_vec();
         }
@@ -455,7 +464,7 @@
         let given = if proof == [0] { &[][..] } else { &proof };
         let shown = || wire.get_ref().certificate().and_then(tls::common_name);
         let known = user
-            .filter(|u| auth::proves(&plugin, &u.password, nonce, given))
+            .filter(|u| auth::verify_auth_response(&plugin, &u.password, nonce, given))
             .filter(|u| {
                 u.certificate_common_name.is_none() || u.certificate_common_name == shown()
             });
@@ -465,14 +474,14 @@
                 "Access denied for user '{}'@'{host}' (using password: {with})",
                 login.user
             );
-            wire.send(&err(&SqlError::new(code::ACCESS, text))[..])
+            wire.send(&err_packet(&SqlError::new(code::ER_ACCESS_DENIED, text))[..])
                 .await?;
             return Ok(None);
         };
-        if plugin == auth::SHA2 && !given.is_empty() {
+        if plugin == auth::CACHING_SHA2_PASSWORD && !given.is_empty() {
             wire.send(&[1u8, 3][..]).await?;
         }
-        wire.send(&ok()[..]).await?;
+        wire.send(&ok_packet()[..]).await?;
         Ok(Some(user.tenant))
     }
 }
@@ -491,9 +500,12 @@
     code: code::Code,
     text: String,
 ) -> Result<(), End> {
-    tokio::time::timeout(WRITE, wire.send(&err(&SqlError::new(code, text))[..]))
-        .await
-        .map_err(|e| PacketError::from(io::Error::from(e)))??;
+    tokio::time::timeout(
+        WRITE,
+        wire.send(&err_packet(&SqlError::new(code, text))[..]),
+    )
+    .await
+    .map_err(|e| PacketError::from(io::Error::from(e)))??;
     wire.close_gracefully().await;
     Ok(())
 }
@@ -503,7 +515,7 @@
     wire: FramedConnection<PacketCodec, Stream>,
     tenant: Option<usize>,
     user: String,
-    ends: Ends,
+    result_format: ResultFormat,
     state: State,
     /// Its number here, as the greeting told it.
     number: u32,
@@ -563,8 +575,12 @@
                     return Ok(());
                 }
                 Some(Err(e)) => {
-                    let long = matches!(e, PacketError::Length(_));
-                    let reason = if long { code::PACKET } else { code::MALFORMED };
+                    let long = matches!(e, PacketError::TooLarge(_));
+                    let reason = if long {
+                        code::ER_NET_PACKET_TOO_LARGE
+                    } else {
+                        code::ER_MALFORMED_PACKET
+                    };
                     self.wire.codec_mut().sequence = 1;
                     turn_away(&mut self.wire, reason, e.to_string()).await?;
                     return Err(e.into());
@@ -583,57 +599,59 @@
     async fn command(&mut self, command: Bytes) -> Result<(), End> {
         let Some(&kind) = command.first() else {
             return self
-                .say(&SqlError::new(code::MALFORMED, "an empty packet"))
+                .say(&SqlError::new(code::ER_MALFORMED_PACKET, "an empty packet"))
                 .await;
         };
         let body = command.slice(1..);
         let answer: Answer = match kind {
-            QUIT => return Err(End::Quit),
-            PING => Ok(None),
-            INIT_DB => {
+            COM_QUIT => return Err(End::Quit),
+            COM_PING => Ok(None),
+            COM_INIT_DB => {
                 self.state
                     .stand_in(String::from_utf8_lossy(&body).into_owned());
                 Ok(None)
             }
-            RESET_CONNECTION => {
+            COM_RESET_CONNECTION => {
                 self.forget();
                 Ok(None)
             }
-            CHANGE_USER => return self.change_user(body).await,
+            COM_CHANGE_USER => return self.change_user(body).await,
             // Several statements in one are not carried; that they are off is no news.
-            SET_OPTION if body[..] == [1, 0] => {
-                return self.write([&eof(AUTOCOMMIT)[..]].into_iter()).await;
+            COM_SET_OPTION if body[..] == [1, 0] => {
+                return self
+                    .write([&eof_packet(SERVER_STATUS_AUTOCOMMIT)[..]].into_iter())
+                    .await;
             }
-            SET_OPTION => Err(SqlError::new(
-                code::NOT_CARRIED,
+            COM_SET_OPTION => Err(SqlError::new(
+                code::ER_NOT_SUPPORTED_YET,
                 "several statements at once are not carried",
             )),
-            STATISTICS => {
+            COM_STATISTICS => {
                 let text = format!("Sessions: {}", self.frontend.sessions.borrow().len());
                 return self.write([text.as_bytes()].into_iter()).await;
             }
-            QUERY => return self.query(body).await,
-            STMT_PREPARE => return self.prepare(body).await,
-            STMT_EXECUTE => return self.execute(body).await,
+            COM_QUERY => return self.query(body).await,
+            COM_STMT_PREPARE => return self.prepare(body).await,
+            COM_STMT_EXECUTE => return self.execute(body).await,
             // Neither has an answer, whatever it names.
-            STMT_SEND_LONG_DATA => {
+            COM_STMT_SEND_LONG_DATA => {
                 self.long_data(body);
                 return Ok(());
             }
-            STMT_CLOSE => {
-                let id = Reader(body).u32().unwrap_or(0);
+            COM_STMT_CLOSE => {
+                let id = PayloadReader(body).u32().unwrap_or(0);
                 self.statements.remove(&id);
                 return Ok(());
             }
-            STMT_RESET => self.statement(&body).map(|s| {
+            COM_STMT_RESET => self.statement(&body).map(|s| {
                 s.long.clear();
                 s.too_long = false;
                 s.cursor = None;
                 None
             }),
-            STMT_FETCH => return self.fetch(body).await,
+            COM_STMT_FETCH => return self.fetch(body).await,
             other => Err(SqlError::new(
-                code::COMMAND,
+                code::ER_UNKNOWN_COM,
                 format!("command {other:#04x} is not known"),
             )),
         };
@@ -657,14 +675,21 @@
 
     /// Another user takes the session over, if it can prove that it is that one; else it ends.
     async fn change_user(&mut self, body: Bytes) -> Result<(), End> {
-        let mut r = Reader(body);
+        let mut r = PayloadReader(body);
         let user = r.text();
         let n = r.u8()?;
         r.take(n.into())?;
         let schema = Some(r.text()).filter(|s| !s.is_empty());
         let nonce = nonce()?;
         // Whatever it has sent was made for the nonce of its log-in: it is asked for a new one.
-        let ask = [&[0xfe][..], auth::NATIVE.as_bytes(), &[0], &nonce, &[0]].concat();
+        let ask = [
+            &[0xfe][..],
+            auth::MYSQL_NATIVE_PASSWORD.as_bytes(),
+            &[0],
+            &nonce,
+            &[0],
+        ]
+        .concat();
         self.wire.send(&ask[..]).await?;
         let proof = tokio::time::timeout(LOGIN, crate::upstream::mysql::next(&mut self.wire)).await;
         let auth = proof
@@ -674,8 +699,8 @@
             user,
             auth,
             schema,
-            plugin: auth::NATIVE.into(),
-            ends: self.ends,
+            plugin: auth::MYSQL_NATIVE_PASSWORD.into(),
+            result_format: self.result_format,
         };
         let frontend = self.frontend;
         let Some(tenant) = frontend
@@ -715,11 +740,11 @@
                 Ok(())
             }
             Some(_) => Err(SqlError::new(
-                code::OWNER,
+                code::ER_KILL_DENIED,
                 format!("You are not owner of thread {number}"),
             )),
             None => Err(SqlError::new(
-                code::NO_THREAD,
+                code::ER_NO_SUCH_THREAD,
                 format!("Unknown thread id: {number}"),
             )),
         };
@@ -733,7 +758,7 @@
     }
 
     async fn say(&mut self, e: &SqlError) -> Result<(), End> {
-        self.write([&err(e)[..]].into_iter()).await
+        self.write([&err_packet(e)[..]].into_iter()).await
     }
 
     async fn write<'b>(&mut self, packets: impl Iterator<Item = &'b [u8]>) -> Result<(), End> {
@@ -751,10 +776,10 @@
     }
 
     fn statement(&mut self, body: &Bytes) -> Result<&mut Prepared, SqlError> {
-        let id = Reader(body.clone()).u32().unwrap_or(0);
+        let id = PayloadReader(body.clone()).u32().unwrap_or(0);
         let unknown = || {
             SqlError::new(
-                code::NO_STATEMENT,
+                code::ER_UNKNOWN_STMT_HANDLER,
                 format!("Unknown prepared statement {id}"),
             )
         };
@@ -861,7 +886,7 @@
                     Some(reader) => self.stream(reader).await,
                     None => {
                         self.say(&SqlError::new(
-                            code::RESULT,
+                            code::ER_TOO_BIG_SELECT,
                             SpoolError::Removed.to_string(),
                         ))
                         .await
@@ -875,13 +900,13 @@
 
     /// A whole short result, with its ends as the client wants them.
     async fn hand_over(&mut self, all: Bytes) -> Result<(), End> {
-        let ends = self.ends;
-        if ends == Ends::default() {
+        let ends = self.result_format;
+        if ends == ResultFormat::default() {
             return self.write(packets(&all)).await;
         }
         match cut(&all) {
             Some((head, rows, tail)) => {
-                let status = eof_status(&tail).unwrap_or(AUTOCOMMIT);
+                let status = eof_status(&tail).unwrap_or(SERVER_STATUS_AUTOCOMMIT);
                 let last = ends.last(status, None);
                 let head = self.columns(&head);
                 let all = head
@@ -908,7 +933,7 @@
 
     /// What stands before rows, as the client wants it.
     fn columns(&self, head: &[u8]) -> Vec<Vec<u8>> {
-        let wanted = |p: &&[u8]| !(self.ends.ok_for_eof && eof_status(p).is_some());
+        let wanted = |p: &&[u8]| !(self.result_format.deprecate_eof && eof_status(p).is_some());
         packets(head).filter(wanted).map(<[u8]>::to_vec).collect()
     }
 
@@ -920,7 +945,7 @@
         else {
             return self
                 .say(&SqlError::new(
-                    code::RESULT,
+                    code::ER_TOO_BIG_SELECT,
                     SpoolError::Removed.to_string(),
                 ))
                 .await;
@@ -938,15 +963,20 @@
                 Err(e) => {
                     return self
                         .say(&SqlError::new(
-                            code::RESULT,
+                            code::ER_TOO_BIG_SELECT,
                             format!("the result breaks off: {e}"),
                         ))
                         .await;
                 }
             }
         }
-        let status = tail.as_deref().and_then(eof_status).unwrap_or(AUTOCOMMIT);
-        let last = self.ends.last(status, spools.handle(id).as_deref());
+        let status = tail
+            .as_deref()
+            .and_then(eof_status)
+            .unwrap_or(SERVER_STATUS_AUTOCOMMIT);
+        let last = self
+            .result_format
+            .last(status, spools.handle(id).as_deref());
         self.write([&last[..]].into_iter()).await
     }
 
@@ -981,11 +1011,18 @@
     async fn query(&mut self, sql: Bytes) -> Result<(), End> {
         match administrative_statements::parse(&sql) {
             Some(Ok(statement)) => return self.answer_ours(statement, false).await,
-            Some(Err(e)) => return self.say(&SqlError::new(code::SYNTAX, e.to_string())).await,
+            Some(Err(e)) => {
+                return self
+                    .say(&SqlError::new(code::ER_PARSE, e.to_string()))
+                    .await;
+            }
             None => {}
         }
         match statement::kind(&sql) {
-            Kind::NotCarried(reason) => self.say(&SqlError::new(code::NOT_CARRIED, reason)).await,
+            Kind::NotCarried(reason) => {
+                self.say(&SqlError::new(code::ER_NOT_SUPPORTED_YET, reason))
+                    .await
+            }
             Kind::Warnings => self.warnings().await,
             Kind::Kill(number) => self.kill(number).await,
             Kind::Set => self.set(sql).await,
@@ -1015,7 +1052,11 @@
             Ours::Fetch { handle, from } => {
                 let id = match spools.resume(&self.user, &handle).await {
                     Ok(id) => id,
-                    Err(e) => return self.say(&SqlError::new(code::HANDLE, e.to_string())).await,
+                    Err(e) => {
+                        return self
+                            .say(&SqlError::new(code::ER_NONEXISTING_GRANT, e.to_string()))
+                            .await;
+                    }
                 };
                 match self.resumable(id, from, binary) {
                     Ok(reader) => self.stream(reader).await,
@@ -1027,7 +1068,7 @@
 
     fn resumable(&self, id: SpoolId, from: u32, binary: bool) -> Result<ResultReader, SqlError> {
         let spools = &self.frontend.spools;
-        let gone = || SqlError::new(code::HANDLE, SpoolError::Removed.to_string());
+        let gone = || SqlError::new(code::ER_NONEXISTING_GRANT, SpoolError::Removed.to_string());
         let (pages, is_binary) = spools
             .with_result(id, |h| (h.page_count(), h.owner.binary))
             .ok_or_else(gone)?;
@@ -1036,11 +1077,11 @@
                 true => "this result is of a prepared statement: prepare the FETCH as well",
                 false => "this result is of a plain statement: send the FETCH as one",
             };
-            return Err(SqlError::new(code::NOT_CARRIED, text));
+            return Err(SqlError::new(code::ER_NOT_SUPPORTED_YET, text));
         }
         if from as usize >= pages.max(1) {
             return Err(SqlError::new(
-                code::HANDLE,
+                code::ER_NONEXISTING_GRANT,
                 format!("it has {pages} pages, counted from 0"),
             ));
         }
@@ -1049,7 +1090,11 @@
 
     async fn prepare(&mut self, sql: Bytes) -> Result<(), End> {
         let own = match administrative_statements::parse(&sql) {
-            Some(Err(e)) => return self.say(&SqlError::new(code::SYNTAX, e.to_string())).await,
+            Some(Err(e)) => {
+                return self
+                    .say(&SqlError::new(code::ER_PARSE, e.to_string()))
+                    .await;
+            }
             Some(Ok(own)) => Some(own),
             None => None,
         };
@@ -1063,11 +1108,18 @@
             _ => None,
         };
         if let Some(reason) = reason {
-            return self.say(&SqlError::new(code::NOT_CARRIED, reason)).await;
+            return self
+                .say(&SqlError::new(code::ER_NOT_SUPPORTED_YET, reason))
+                .await;
         }
         if self.statements.len() >= self.frontend.config().max_statements {
             let text = "too many prepared statements in this session; close some";
-            return self.say(&SqlError::new(code::STATEMENTS, text)).await;
+            return self
+                .say(&SqlError::new(
+                    code::ER_MAX_PREPARED_STMT_COUNT_REACHED,
+                    text,
+                ))
+                .await;
         }
         let mut all: Vec<Vec<u8>> = match &own {
             Some(own) => match self.prepared_ours(own).await {
@@ -1112,8 +1164,8 @@
             };
             self.statements.insert(id, prepared);
         }
-        let ends = self.ends;
-        let wanted = |p: &&Vec<u8>| !(ends.ok_for_eof && eof_status(p).is_some());
+        let ends = self.result_format;
+        let wanted = |p: &&Vec<u8>| !(ends.deprecate_eof && eof_status(p).is_some());
         self.write(all.iter().filter(wanted).map(|p| &p[..])).await
     }
 
@@ -1127,10 +1179,12 @@
             Ours::Fetch { handle, .. } => {
                 let spools = &self.frontend.spools;
                 let id = spools.resume(&self.user, handle).await;
-                let id = id.map_err(|e| SqlError::new(code::HANDLE, e.to_string()))?;
+                let id =
+                    id.map_err(|e| SqlError::new(code::ER_NONEXISTING_GRANT, e.to_string()))?;
                 let head = spools.with_result(id, |h| h.header.clone());
-                let head = head
-                    .ok_or_else(|| SqlError::new(code::HANDLE, SpoolError::Removed.to_string()))?;
+                let head = head.ok_or_else(|| {
+                    SqlError::new(code::ER_NONEXISTING_GRANT, SpoolError::Removed.to_string())
+                })?;
                 packets(&head).map(<[u8]>::to_vec).collect()
             }
         };
@@ -1150,22 +1204,22 @@
             s.cursor = None;
             if std::mem::take(&mut s.too_long) {
                 return Err(SqlError::new(
-                    code::PACKET,
+                    code::ER_NET_PACKET_TOO_LARGE,
                     "the long data is above the bound",
                 ));
             }
-            let short = |_| SqlError::new(code::MALFORMED, "the command ends too early");
-            let mut r = Reader(body.slice(4..));
+            let short = |_| SqlError::new(code::ER_MALFORMED_PACKET, "the command ends too early");
+            let mut r = PayloadReader(body.slice(4..));
             let flags = r.u8().map_err(short)?;
             if flags & !CURSOR_READ_ONLY != 0 {
                 return Err(SqlError::new(
-                    code::NOT_CARRIED,
+                    code::ER_NOT_SUPPORTED_YET,
                     "only read-only cursors are carried",
                 ));
             }
             if r.u32().map_err(short)? != 1 {
                 return Err(SqlError::new(
-                    code::ARGUMENTS,
+                    code::ER_WRONG_ARGUMENTS,
                     "the number of iterations is not 1",
                 ));
             }
@@ -1217,7 +1271,7 @@
                 let (Some(head), Some(reader)) = (head, spools.reader(id, 0)) else {
                     return self
                         .say(&SqlError::new(
-                            code::RESULT,
+                            code::ER_TOO_BIG_SELECT,
                             SpoolError::Removed.to_string(),
                         ))
                         .await;
@@ -1230,7 +1284,10 @@
         }
         let mut all: Vec<Vec<u8>> = packets(&head).map(<[u8]>::to_vec).collect();
         all.pop();
-        all.push(self.ends.last(AUTOCOMMIT | CURSOR_EXISTS, None));
+        all.push(
+            self.result_format
+                .last(SERVER_STATUS_AUTOCOMMIT | SERVER_STATUS_CURSOR_EXISTS, None),
+        );
         self.write(all.iter().map(|p| &p[..])).await
     }
 
@@ -1246,7 +1303,7 @@
         let Some(mut cursor) = cursor else {
             return self
                 .say(&SqlError::new(
-                    code::NO_CURSOR,
+                    code::ER_STMT_HAS_NO_OPEN_CURSOR,
                     "no cursor is open on this statement",
                 ))
                 .await;
@@ -1257,7 +1314,7 @@
             Err(e) => {
                 return self
                     .say(&SqlError::new(
-                        code::RESULT,
+                        code::ER_TOO_BIG_SELECT,
                         format!("the result breaks off: {e}"),
                     ))
                     .await;
@@ -1268,21 +1325,23 @@
             self.write_slowly(&page, stall).await?;
         }
         let status = if more {
-            CURSOR_EXISTS
+            SERVER_STATUS_CURSOR_EXISTS
         } else {
-            CURSOR_EXISTS | LAST_ROW_SENT
+            SERVER_STATUS_CURSOR_EXISTS | SERVER_STATUS_LAST_ROW_SENT
         };
         if more && let Ok(s) = self.statement(&body) {
             s.cursor = Some(cursor);
         }
-        let last = self.ends.last(AUTOCOMMIT | status, None);
+        let last = self
+            .result_format
+            .last(SERVER_STATUS_AUTOCOMMIT | status, None);
         self.write([&last[..]].into_iter()).await
     }
 
     fn long_data(&mut self, body: Bytes) {
         let most = self.frontend.config().max_packet;
         let Ok(s) = self.statement(&body) else { return };
-        let mut r = Reader(body.slice(4..));
+        let mut r = PayloadReader(body.slice(4..));
         let Ok(parameter) = r.u16() else { return };
         let held: usize = s.long.values().map(BytesMut::len).sum();
         // Head and data have to fit one packet to the engine.
@@ -1328,7 +1387,7 @@
 fn table(columns: &[&str], rows: impl Iterator<Item = Vec<String>>, binary: bool) -> Vec<Vec<u8>> {
     let text = |s: &str| {
         let mut p = vec![];
-        put_lenenc(&mut p, s.len() as u64);
+        put_length_encoded_integer(&mut p, s.len() as u64);
         p.extend(s.bytes());
         p
     };
@@ -1340,20 +1399,20 @@
         // 512 bytes of utf8mb4 at most, a string.
         [
             &words[..],
-            &[0x0c, UTF8, 0, 0, 2, 0, 0, 0xfd, 0, 0, 0, 0, 0],
+            &[0x0c, UTF8MB4_GENERAL_CI, 0, 0, 2, 0, 0, 0xfd, 0, 0, 0, 0, 0],
         ]
         .concat()
     };
     let mut all = vec![vec![columns.len() as u8]];
     all.extend(columns.iter().map(|c| column(c)));
-    all.push(eof(AUTOCOMMIT).to_vec());
+    all.push(eof_packet(SERVER_STATUS_AUTOCOMMIT).to_vec());
     for fields in rows {
         // A row of the binary protocol: its mark, no NULL among so few columns.
         let mut row = if binary { vec![0, 0, 0] } else { vec![] };
         fields.iter().for_each(|f| row.extend(text(f)));
         all.push(row);
     }
-    all.push(eof(AUTOCOMMIT).to_vec());
+    all.push(eof_packet(SERVER_STATUS_AUTOCOMMIT).to_vec());
     all
 }
 
--- a/src/frontend/mysql/settings.rs
+++ b/src/frontend/mysql/settings.rs
@@ -59,7 +59,7 @@
             let select = Bytes::from(format!("SELECT {expression}"));
             if statement::kind(&select) != Kind::Read {
                 let reason = "SET takes values that can be read without leaving anything behind";
-                return Ok(Err(SqlError::new(code::NOT_CARRIED, reason)));
+                return Ok(Err(SqlError::new(code::ER_NOT_SUPPORTED_YET, reason)));
             }
             let context = self.context_for(&select);
             match self.carry(&Kind::Read, context, select, Job::Query).await? {
@@ -73,7 +73,7 @@
         Ok(match self.state.set(&changes, &values) {
             Ok(Taken::Changed { state, checked }) => Ok((state, checked && self.hold.is_none())),
             Ok(Taken::Asks(_)) => Err(SqlError::new(
-                code::NOT_CARRIED,
+                code::ER_NOT_SUPPORTED_YET,
                 "a value of SET is not known",
             )),
             Err(e) => Err(told(&e)),
@@ -91,9 +91,9 @@
 
 fn told(e: &SetError) -> SqlError {
     let code = if matches!(e, SetError::Syntax { .. }) {
-        code::SYNTAX
+        code::ER_PARSE
     } else {
-        code::NOT_CARRIED
+        code::ER_NOT_SUPPORTED_YET
     };
     SqlError::new(code, e.to_string())
 }
@@ -110,21 +110,26 @@
     if let Some(e) = error_of(reply) {
         return Err(e);
     }
-    let several = || SqlError::new(code::NOT_CARRIED, "SET takes one value that is not long");
+    let several = || {
+        SqlError::new(
+            code::ER_NOT_SUPPORTED_YET,
+            "SET takes one value that is not long",
+        )
+    };
     let Reply::Served(Output::Short(packets)) = reply else {
         return Err(several());
     };
     let all: Vec<Bytes> = packets.iter().map(Bytes::copy_from_slice).collect();
     match &all[..] {
-        [e] if e.first() == Some(&0xff) => Err(read_err(e)),
+        [e] if e.first() == Some(&0xff) => Err(parse_err_packet(e)),
         // One column, its end, one row, its end.
         [count, column, _, row, _] if count[..] == [1] => {
             let null = row.first() == Some(&0xfb);
-            let mut r = Reader(row.clone());
+            let mut r = PayloadReader(row.clone());
             let value = if null {
                 None
             } else {
-                Some(r.lenenc_bytes().map_err(|_| several())?)
+                Some(r.length_encoded_bytes().map_err(|_| several())?)
             };
             let numeric = column_type(column).is_some_and(|t| matches!(t, 0..=5 | 8 | 9 | 0xf6));
             Ok(literal(value.as_deref(), numeric))
@@ -135,11 +140,11 @@
 
 /// The type of a column, by its definition.
 fn column_type(column: &Bytes) -> Option<u8> {
-    let mut r = Reader(column.clone());
+    let mut r = PayloadReader(column.clone());
     for _ in 0..6 {
-        r.lenenc_bytes().ok()?;
+        r.length_encoded_bytes().ok()?;
     }
-    r.lenenc().ok()?;
+    r.length_encoded_integer().ok()?;
     r.take(6).ok()?;
     r.u8().ok()
 }
--- a/src/frontend/mysql/sticky.rs
+++ b/src/frontend/mysql/sticky.rs
@@ -35,8 +35,8 @@
     pub(super) fn ok(&self) -> Vec<u8> {
         let open = self.hold.as_ref().is_some_and(|h| h.open);
         let flags = [
-            (AUTOCOMMIT, self.state.autocommit()),
-            (IN_TRANSACTION, open),
+            (SERVER_STATUS_AUTOCOMMIT, self.state.autocommit()),
+            (SERVER_STATUS_IN_TRANS, open),
         ]
         .into_iter()
         .filter(|f| f.1);
@@ -72,7 +72,7 @@
         {
             match p.first() {
                 Some(0) if runs => self.state.inserted(insert_id(p).unwrap_or(0)),
-                Some(0xff) => self.failed = Some(read_err(&Bytes::copy_from_slice(p))),
+                Some(0xff) => self.failed = Some(parse_err_packet(&Bytes::copy_from_slice(p))),
                 _ => {}
             }
         }
@@ -104,8 +104,12 @@
         let (config, frontend) = (self.frontend.config(), self.frontend);
         let terms = config.sticky_sessions.clone();
         let booked = frontend.book.borrow_mut().acquire(&terms, self.tenant);
-        booked
-            .map_err(|e| SqlError::new(code::PINS, format!("{e}; nothing ran, try again later")))?;
+        booked.map_err(|e| {
+            SqlError::new(
+                code::ER_TOO_MANY_USER_CONNECTIONS,
+                format!("{e}; nothing ran, try again later"),
+            )
+        })?;
         let booked = Booked(frontend, self.tenant);
         let class = config.transaction_class;
         let limit = config.deadlines.get(class).copied().unwrap_or(10_000.0);
@@ -265,7 +269,7 @@
 
 /// The id of a new row that an OK tells of.
 fn insert_id(ok: &[u8]) -> Result<u64, PacketError> {
-    let mut r = Reader(Bytes::copy_from_slice(ok).slice(1..));
-    r.lenenc()?;
-    r.lenenc()
+    let mut r = PayloadReader(Bytes::copy_from_slice(ok).slice(1..));
+    r.length_encoded_integer()?;
+    r.length_encoded_integer()
 }
--- a/src/protocol/mysql/auth.rs
+++ b/src/protocol/mysql/auth.rs
@@ -4,8 +4,8 @@
 use sha1::Sha1;
 use sha2::{Digest, Sha256};
 
-pub const NATIVE: &str = "mysql_native_password";
-pub const SHA2: &str = "caching_sha2_password";
+pub const MYSQL_NATIVE_PASSWORD: &str = "mysql_native_password";
+pub const CACHING_SHA2_PASSWORD: &str = "caching_sha2_password";
 
 fn xor(a: impl AsRef<[u8]>, b: impl AsRef<[u8]>) -> Vec<u8> {
     a.as_ref()
@@ -16,12 +16,12 @@
 }
 
 /// What a client sends to prove that it knows the password; none for an unknown plugin.
-pub fn proof(plugin: &str, password: &str, nonce: &[u8]) -> Option<Vec<u8>> {
+pub fn auth_response(plugin: &str, password: &str, nonce: &[u8]) -> Option<Vec<u8>> {
     if password.is_empty() {
         return Some(vec![]);
     }
     match plugin {
-        NATIVE => {
+        MYSQL_NATIVE_PASSWORD => {
             let once = Sha1::digest(password);
             let seed = Sha1::new()
                 .chain_update(nonce)
@@ -29,7 +29,7 @@
                 .finalize();
             Some(xor(once, seed))
         }
-        SHA2 => {
+        CACHING_SHA2_PASSWORD => {
             let once = Sha256::digest(password);
             let seed = Sha256::new()
                 .chain_update(Sha256::digest(once))
@@ -42,8 +42,8 @@
 }
 
 /// Compares without telling by its time how much was right.
-pub fn proves(plugin: &str, password: &str, nonce: &[u8], given: &[u8]) -> bool {
-    let Some(wanted) = proof(plugin, password, nonce) else {
+pub fn verify_auth_response(plugin: &str, password: &str, nonce: &[u8], given: &[u8]) -> bool {
+    let Some(wanted) = auth_response(plugin, password, nonce) else {
         return false;
     };
     wanted.len() == given.len() && wanted.iter().zip(given).fold(0, |d, (a, b)| d | (a ^ b)) == 0
@@ -58,26 +58,26 @@
     #[test]
     fn a_proof_opens_with_the_stored_hash_and_only_with_it() {
         let nonce = [7u8; 20];
-        let given = proof(NATIVE, "secret", &nonce).unwrap();
+        let given = auth_response(MYSQL_NATIVE_PASSWORD, "secret", &nonce).unwrap();
         let stored = Sha1::digest(Sha1::digest("secret"));
         let seed = Sha1::new()
             .chain_update(nonce)
             .chain_update(stored)
             .finalize();
         assert_eq!(Sha1::digest(xor(&given, seed)), stored);
-        let given = proof(SHA2, "secret", &nonce).unwrap();
+        let given = auth_response(CACHING_SHA2_PASSWORD, "secret", &nonce).unwrap();
         let stored = Sha256::digest(Sha256::digest("secret"));
         let seed = Sha256::new()
             .chain_update(stored)
             .chain_update(nonce)
             .finalize();
         assert_eq!(Sha256::digest(xor(&given, seed)), stored);
-        for plugin in [NATIVE, SHA2] {
-            let given = proof(plugin, "secret", &nonce).unwrap();
-            assert!(proves(plugin, "secret", &nonce, &given));
-            assert!(!proves(plugin, "Secret", &nonce, &given));
-            assert!(!proves(plugin, "secret", &[8; 20], &given));
-            assert!(!proves(plugin, "secret", &nonce, &[]));
+        for plugin in [MYSQL_NATIVE_PASSWORD, CACHING_SHA2_PASSWORD] {
+            let given = auth_response(plugin, "secret", &nonce).unwrap();
+            assert!(verify_auth_response(plugin, "secret", &nonce, &given));
+            assert!(!verify_auth_response(plugin, "Secret", &nonce, &given));
+            assert!(!verify_auth_response(plugin, "secret", &[8; 20], &given));
+            assert!(!verify_auth_response(plugin, "secret", &nonce, &[]));
         }
     }
 }
--- a/src/protocol/mysql/values.rs
+++ b/src/protocol/mysql/values.rs
@@ -2,7 +2,7 @@
 //! them without having seen earlier ones.
 
 use crate::protocol::mysql::error::{SqlError, code};
-use crate::protocol::mysql::packet::{PacketError, Reader};
+use crate::protocol::mysql::packet::{PacketError, PayloadReader};
 use bytes::{BufMut, Bytes, BytesMut};
 use std::collections::BTreeMap;
 
@@ -19,7 +19,7 @@
 pub type Type = [u8; 2];
 
 /// Reads over one value of this type.
-fn skip(r: &mut Reader, kind: u8) -> Result<(), PacketError> {
+fn skip(r: &mut PayloadReader, kind: u8) -> Result<(), PacketError> {
     match kind {
         0x06 => {}                              // NULL
         0x01 => drop(r.take(1)?),               // TINY
@@ -31,7 +31,7 @@
             _ => return Err(PacketError::Protocol("a date has no such length")),
         },
         // decimals, strings, blobs, JSON, bits and the like
-        0x00 | 0x0f | 0x10 | 0xf5..=0xff => drop(r.lenenc_bytes()?),
+        0x00 | 0x0f | 0x10 | 0xf5..=0xff => drop(r.length_encoded_bytes()?),
         _ => return Err(PacketError::Protocol("a parameter has an unknown type")),
     }
     Ok(())
@@ -48,7 +48,7 @@
 ) -> Result<Execute, SqlError> {
     let bad = |e: PacketError| {
         SqlError::new(
-            code::ARGUMENTS,
+            code::ER_WRONG_ARGUMENTS,
             format!("the parameters cannot be read: {e}"),
         )
     };
@@ -63,7 +63,7 @@
             long: vec![],
         });
     }
-    let mut r = Reader(body);
+    let mut r = PayloadReader(body);
     let nulls = r.take(count.div_ceil(8)).map_err(bad)?;
     match r.u8().map_err(bad)? {
         1 => {
--- a/src/upstream/mysql/downstream.rs
+++ b/src/upstream/mysql/downstream.rs
@@ -74,7 +74,7 @@
         loop {
             match self.look() {
                 Look::Waits => return Ok(()),
-                Look::Gone => return Err(PacketError::Gone),
+                Look::Gone => return Err(PacketError::ClientDisconnected),
                 Look::Unheard if unix_time_millis() >= until => {
                     return Err(PacketError::Protocol(
                         "what its client has said was not read in time",
--- a/src/upstream/mysql/mod.rs
+++ b/src/upstream/mysql/mod.rs
@@ -153,8 +153,7 @@
             return unheard == PendingInput::Empty;
         };
         // An engine that is tired of waiting says so, and has not ended.
-        let tired =
-            matches!(&said, Some(Ok(p)) if p.first() == Some(&0xff) && read_err(p).code == TIRED);
+        let tired = matches!(&said, Some(Ok(p)) if p.first() == Some(&0xff) && parse_err_packet(p).code == TIRED);
         if !tired && let Some(live) = &mut self.live {
             live.broken = true;
         }
@@ -431,7 +430,7 @@
                             },
                         );
                     }
-                    let full = matches!(&e, PacketError::Sql(e) if full(e.code));
+                    let full = matches!(&e, PacketError::Server(e) if full(e.code));
                     return Err(if full {
                         Outcome::Rejected
                     } else {
@@ -449,7 +448,7 @@
                 };
                 let held = tokio::select! {
                     held = held => held,
-                    () = cut.notified() => Err(PacketError::Cut),
+                    () = cut.notified() => Err(PacketError::EndpointReplaced),
                 };
                 match held {
                     Ok(Ended::Free(reply, carried)) => {
@@ -470,7 +469,7 @@
                 let until = start.until.min(start.write_by);
                 tokio::select! {
                     result = self.run(&mut c, work, written, &in_service, &sent, until) => result,
-                    () = cut.notified() => Err(PacketError::Cut),
+                    () = cut.notified() => Err(PacketError::EndpointReplaced),
                 }
             }
         };
@@ -484,7 +483,7 @@
             slot.keep(Connection::rests);
         }
         let begun = matches!(&work.job, Job::Pin(pinned) if pinned.begun());
-        if matches!(result, Err(PacketError::Gone)) {
+        if matches!(result, Err(PacketError::ClientDisconnected)) {
             // A connection with nothing of it serves others. Its session hears of the same and drops this attempt.
             match c.under_way || begun {
                 false => self.give(place, c),
@@ -498,7 +497,7 @@
                 let outcome = verdict(&output);
                 c.used = Instant::now();
                 // A transaction that a plain statement has left open is nobody's: it ends with its connection.
-                if c.status & IN_TRANSACTION == 0 {
+                if c.status & SERVER_STATUS_IN_TRANS == 0 {
                     self.give(place, c);
                 }
                 outcome.map_or(Ok(output), Err)
@@ -508,31 +507,31 @@
                 let mut packets = Packets::default();
                 log_line!("engine {}: {e}", start.engine);
                 let text = format!("the statement ran, but {e}");
-                packets.push(&err(&SqlError::new(code::RESULT, text)));
+                packets.push(&err_packet(&SqlError::new(code::ER_TOO_BIG_SELECT, text)));
                 Ok(Output::Short(packets))
             }
-            Err(PacketError::Length(n)) if wrote => {
+            Err(PacketError::TooLarge(n)) if wrote => {
                 let mut packets = Packets::default();
                 let text = format!(
                     "the statement ran, but its result has a packet of {n} bytes, above max_packet"
                 );
                 log_line!("engine {}: a packet of {n} bytes", start.engine);
-                packets.push(&err(&SqlError::new(code::RESULT, text)));
+                packets.push(&err_packet(&SqlError::new(code::ER_TOO_BIG_SELECT, text)));
                 Ok(Output::Short(packets))
             }
-            Err(PacketError::Sql(e)) if !wrote && !full(e.code) && !passing(e.code) => {
+            Err(PacketError::Server(e)) if !wrote && !full(e.code) && !passing(e.code) => {
                 // The schema or the statement is wrong: no other engine would say otherwise.
                 let mut packets = Packets::default();
-                packets.push(&err(&e));
+                packets.push(&err_packet(&e));
                 self.give(place, c);
                 Ok(Output::Short(packets))
             }
             Err(e) => {
                 log_line!("engine {}: {e}", start.engine);
                 Err(match (wrote, &e) {
-                    (false, PacketError::Sql(e)) if full(e.code) => Outcome::Rejected,
+                    (false, PacketError::Server(e)) if full(e.code) => Outcome::Rejected,
                     (false, _) => Outcome::Unreachable,
-                    (true, PacketError::Io(_) | PacketError::Cut) => Outcome::Reset,
+                    (true, PacketError::Io(_) | PacketError::EndpointReplaced) => Outcome::Reset,
                     (true, _) => Outcome::Error,
                 })
             }
@@ -661,12 +660,13 @@
     async fn log_in(&self, wire: &mut FramedConnection<PacketCodec>) -> Result<u32, PacketError> {
         let greeting = Greeting::read(next(wire).await?)?;
         let a = &self.access;
-        let known = auth::proof(&greeting.plugin, &a.password, &greeting.nonce);
+        let known = auth::auth_response(&greeting.plugin, &a.password, &greeting.nonce);
         let (plugin, proof) = match known {
             Some(proof) => (greeting.plugin, proof),
             None => (
-                auth::NATIVE.into(),
-                auth::proof(auth::NATIVE, &a.password, &greeting.nonce).unwrap_or_default(),
+                auth::MYSQL_NATIVE_PASSWORD.into(),
+                auth::auth_response(auth::MYSQL_NATIVE_PASSWORD, &a.password, &greeting.nonce)
+                    .unwrap_or_default(),
             ),
         };
         let login = Login {
@@ -674,19 +674,19 @@
             auth: proof,
             schema: None,
             plugin,
-            ends: Ends::default(),
+            result_format: ResultFormat::default(),
         };
         wire.send(&login.write(a.max_packet as u32)[..]).await?;
         loop {
             let p = next(wire).await?;
             match p.first() {
                 Some(0) => return Ok(greeting.connection),
-                Some(0xff) => return Err(PacketError::Sql(read_err(&p))),
+                Some(0xff) => return Err(PacketError::Server(parse_err_packet(&p))),
                 Some(0xfe) => {
-                    let mut r = Reader(p.slice(1..));
+                    let mut r = PayloadReader(p.slice(1..));
                     let plugin = r.text();
                     let nonce = r.0.strip_suffix(&[0]).unwrap_or(&r.0);
-                    let proof = auth::proof(&plugin, &a.password, nonce).ok_or(
+                    let proof = auth::auth_response(&plugin, &a.password, nonce).ok_or(
                         PacketError::Protocol("it asks for an unknown way of authentication"),
                     )?;
                     wire.send(&proof[..]).await?;
@@ -724,9 +724,9 @@
     async fn kill(&self, address: SocketAddr, number: u32) -> Result<(), PacketError> {
         let mut c = self.open(address).await?;
         let sql = format!("KILL {number}");
-        command(&mut c.wire, QUERY, &[sql.as_bytes()]).await?;
+        command(&mut c.wire, COM_QUERY, &[sql.as_bytes()]).await?;
         next(&mut c.wire).await?;
-        command(&mut c.wire, QUIT, &[]).await
+        command(&mut c.wire, COM_QUIT, &[]).await
     }
 
     /// Runs the work on a connection. `written` is set right before the first byte that may make it run:
@@ -744,7 +744,7 @@
             .carry_out(c, work, written, in_service, sent, until)
             .await;
         // Then its last answer is here whole.
-        if matches!(result, Ok(_) | Err(PacketError::Sql(_))) {
+        if matches!(result, Ok(_) | Err(PacketError::Server(_))) {
             c.under_way = false;
         }
         result
@@ -783,11 +783,12 @@
             Ok(())
         };
         match &work.job {
-            Job::Enter => Ok(Output::Short(Packets::one(&ok()))),
+            Job::Enter => Ok(Output::Short(Packets::one(&ok_packet()))),
             // A pin carries out what others bring, and is brought by none.
             Job::Pin(_) => Err(PacketError::Protocol("a pin within a pin")),
             Job::Query => {
-                c.command(work, until, QUERY, &[&work.sql], mark).await?;
+                c.command(work, until, COM_QUERY, &[&work.sql], mark)
+                    .await?;
                 sent();
                 self.answered(c, work, until).await
             }
@@ -806,7 +807,9 @@
                             if let Some(p) =
                                 packets.iter().next().filter(|p| p.first() == Some(&0xff))
                             {
-                                return Err(PacketError::Sql(read_err(&Bytes::copy_from_slice(p))));
+                                return Err(PacketError::Server(parse_err_packet(
+                                    &Bytes::copy_from_slice(p),
+                                )));
                             }
                             *c.statements
                                 .get(&key)
@@ -816,12 +819,14 @@
                     // By these alone nothing runs.
                     for (parameter, data) in &e.long {
                         let head = [&id.to_le_bytes()[..], &parameter.to_le_bytes()].concat();
-                        c.command(work, until, STMT_SEND_LONG_DATA, &[&head, data], || Ok(()))
-                            .await?;
+                        c.command(work, until, COM_STMT_SEND_LONG_DATA, &[&head, data], || {
+                            Ok(())
+                        })
+                        .await?;
                     }
                     // No cursor, one iteration.
                     let head = [&id.to_le_bytes()[..], &[0, 1, 0, 0, 0]].concat();
-                    c.command(work, until, STMT_EXECUTE, &[&head, &e.body], mark)
+                    c.command(work, until, COM_STMT_EXECUTE, &[&head, &e.body], mark)
                         .await?;
                     // An engine that no longer knew it was sent the same attempt.
                     if !again {
@@ -829,7 +834,7 @@
                     }
                     let output = self.answered(c, work, until).await?;
                     let unknown = matches!(&output, Output::Short(packets) if packets.iter().next().is_some_and(|p| {
-                        p.first() == Some(&0xff) && p.get(1..3) == Some(&code::NO_STATEMENT.0.to_le_bytes())
+                        p.first() == Some(&0xff) && p.get(1..3) == Some(&code::ER_UNKNOWN_STMT_HANDLER.0.to_le_bytes())
                     }));
                     if again || !unknown {
                         return Ok(output);
@@ -850,7 +855,7 @@
         before: impl FnOnce() -> Result<(), PacketError>,
         sent: &impl Fn(),
     ) -> Result<Packets, PacketError> {
-        c.command(work, until, STMT_PREPARE, &[&work.sql], before)
+        c.command(work, until, COM_STMT_PREPARE, &[&work.sql], before)
             .await?;
         sent();
         let mut packets = Packets::default();
@@ -860,7 +865,7 @@
             c.under_way = false;
             return Ok(packets);
         }
-        let mut r = Reader(first.slice(1..));
+        let mut r = PayloadReader(first.slice(1..));
         let (id, columns, params) = (r.u32()?, r.u16()?, r.u16()?);
         for n in [params, columns] {
             for _ in 0..if n == 0 { 0 } else { usize::from(n) + 1 } {
@@ -872,13 +877,13 @@
         // The oldest make room, so that an engine's own bound is never reached.
         while c.oldest.len() >= STATEMENTS {
             if let Some(old) = c.oldest.pop_front().and_then(|k| c.statements.remove(&k)) {
-                command(&mut c.wire, STMT_CLOSE, &[&old.to_le_bytes()]).await?;
+                command(&mut c.wire, COM_STMT_CLOSE, &[&old.to_le_bytes()]).await?;
             }
         }
         let key = (work.context.clone(), work.sql.clone());
         c.oldest.retain(|k| *k != key);
         if let Some(old) = c.statements.insert(key.clone(), id) {
-            command(&mut c.wire, STMT_CLOSE, &[&old.to_le_bytes()]).await?;
+            command(&mut c.wire, COM_STMT_CLOSE, &[&old.to_le_bytes()]).await?;
         }
         c.oldest.push_back(key);
         c.under_way = false;
@@ -909,7 +914,7 @@
             return Ok(());
         }
         let show = format!("SHOW WARNINGS LIMIT {WARNINGS}");
-        c.command(work, until, QUERY, &[show.as_bytes()], || Ok(()))
+        c.command(work, until, COM_QUERY, &[show.as_bytes()], || Ok(()))
             .await?;
         let (mut packets, mut ends) = (Packets::default(), 0);
         while ends < 2 {
@@ -928,7 +933,7 @@
     /// What is told of a statement before it runs stays small.
     fn bound(&self, packets: &Packets) -> Result<(), PacketError> {
         match packets.size() > MOST_PREPARED {
-            true => Err(PacketError::Length(packets.size())),
+            true => Err(PacketError::TooLarge(packets.size())),
             false => Ok(()),
         }
     }
@@ -948,12 +953,12 @@
             Ok(Output::Short(packets))
         };
         match first.first() {
-            None => return Err(PacketError::Short),
+            None => return Err(PacketError::Truncated),
             Some(0xff) => return alone(&first),
             Some(0xfb) => return Err(PacketError::Protocol("it asks for a local file")),
             Some(0) => {
-                (*last, *warnings) = ok_tail(&first)?;
-                if *last & MORE_RESULTS != 0 {
+                (*last, *warnings) = parse_ok_status(&first)?;
+                if *last & SERVER_MORE_RESULTS_EXISTS != 0 {
                     return Err(SEVERAL);
                 }
                 return alone(&first);
@@ -965,13 +970,15 @@
             loop {
                 let p = next(wire).await?;
                 match (eof_status(&p), rows) {
-                    (Some(status), _) if status & MORE_RESULTS != 0 => return Err(SEVERAL),
+                    (Some(status), _) if status & SERVER_MORE_RESULTS_EXISTS != 0 => {
+                        return Err(SEVERAL);
+                    }
                     (Some(_), false) => {
                         writer.add_header(&p)?;
                         break;
                     }
                     (Some(status), true) => {
-                        (*last, *warnings) = (status, eof_warnings(&p));
+                        (*last, *warnings) = (status, eof_warning_count(&p));
                         return Ok(match writer.finish(Some(&p)).await? {
                             StoredResult::Inline(bytes) => Output::Short(bytes.into()),
                             StoredResult::Spooled(spool) => Output::Long(spool),
@@ -1003,7 +1010,7 @@
         return None;
     };
     let p = packets.iter().next().filter(|p| p.first() == Some(&0xff))?;
-    let number = read_err(&Bytes::copy_from_slice(p)).code;
+    let number = parse_err_packet(&Bytes::copy_from_slice(p)).code;
     match number {
         n if full(n) => Some(Outcome::Rejected),
         n if passing(n) => Some(Outcome::Error),
--- a/src/upstream/mysql/sticky.rs
+++ b/src/upstream/mysql/sticky.rs
@@ -171,7 +171,7 @@
         let mut pin = StickySession::new(pinned.terms.clone(), unix_time_millis());
         let mut asked = unix_time_millis();
         if let Some(first) = &pinned.first {
-            self.settle(c, QUERY, first).await?;
+            self.settle(c, COM_QUERY, first).await?;
         }
         loop {
             let order = tokio::select! {
@@ -181,7 +181,7 @@
                     None => return Ok(Ended::Closed),
                 },
                 // Nothing is owed: whatever comes is the end of it.
-                said = next(&mut c.wire) => return Err(said.err().unwrap_or(PacketError::Order)),
+                said = next(&mut c.wire) => return Err(said.err().unwrap_or(PacketError::OutOfOrder)),
                 () = tokio::time::sleep(LOOK) => {
                     let now = unix_time_millis();
                     if !told.in_service() {
@@ -193,7 +193,7 @@
                     }
                     if now >= asked + ASK {
                         asked = now;
-                        self.settle(c, PING, "").await?;
+                        self.settle(c, COM_PING, "").await?;
                         told.idle();
                     }
                     continue;
@@ -226,22 +226,22 @@
             // What runs is killed, or the engine would go on with it.
             let Some(result) = result else {
                 self.put_down(c);
-                return Err(PacketError::Cut);
+                return Err(PacketError::EndpointReplaced);
             };
             asked = unix_time_millis();
             let output = match result {
                 Ok(output) => output,
                 // The schema, a setting or the statement is wrong, and nothing ran: that is the answer.
-                Err(PacketError::Sql(e)) => Output::Short(Packets::one(&err(&e))),
+                Err(PacketError::Server(e)) => Output::Short(Packets::one(&err_packet(&e))),
                 // Its session hears of the same and ends the pin, and says why.
-                Err(PacketError::Gone) => std::future::pending().await,
+                Err(PacketError::ClientDisconnected) => std::future::pending().await,
                 Err(e) => return Err(e),
             };
             told.idle();
             let after = match error_code(&output) {
                 Some(code) => EngineResponse::Error(code),
                 None => EngineResponse::Status {
-                    in_transaction: c.status & IN_TRANSACTION != 0,
+                    in_transaction: c.status & SERVER_STATUS_IN_TRANS != 0,
                 },
             };
             let next = pin.on_response(asked, after);
@@ -276,10 +276,10 @@
             .map_err(std::io::Error::from)??;
         match p.first() {
             Some(0) => {
-                c.status = ok_tail(&p)?.0;
+                c.status = parse_ok_status(&p)?.0;
                 Ok(())
             }
-            Some(0xff) => Err(PacketError::Sql(read_err(&p))),
+            Some(0xff) => Err(PacketError::Server(parse_err_packet(&p))),
             _ => Err(PacketError::Protocol("it answers rows to a setting")),
         }
     }
@@ -298,7 +298,7 @@
             .filter(|_| c.context.schema != context.schema)
         {
             downstream.heed(until).await?;
-            self.settle(c, INIT_DB, &schema).await?;
+            self.settle(c, COM_INIT_DB, &schema).await?;
             c.context.schema = Some(schema);
         }
         if let Some(names) = context
@@ -307,14 +307,15 @@
             .filter(|_| c.context.names != context.names)
         {
             downstream.heed(until).await?;
-            self.settle(c, QUERY, &format!("SET NAMES {names}")).await?;
+            self.settle(c, COM_QUERY, &format!("SET NAMES {names}"))
+                .await?;
             c.context.names = Some(names);
         }
         if let Some(set) =
             crate::protocol::mysql::session::turn(&c.context.settings, &context.settings)
         {
             downstream.heed(until).await?;
-            self.settle(c, QUERY, &set).await?;
+            self.settle(c, COM_QUERY, &set).await?;
             c.context.settings = context.settings.clone();
         }
         Ok(())
@@ -327,7 +328,7 @@
         return None;
     };
     let p = packets.iter().next().filter(|p| p.first() == Some(&0xff))?;
-    Some(read_err(&Bytes::copy_from_slice(p)).code)
+    Some(parse_err_packet(&Bytes::copy_from_slice(p)).code)
 }
 
 /// Why a pin was lost, in words.
@@ -343,14 +344,14 @@
         TransactionOutcome::RolledBack => {
             let text =
                 format!("the transaction is rolled back, {reason}; begin it again from its start");
-            SqlError::new(code::ROLLED_BACK, text)
+            SqlError::new(code::ER_LOCK_DEADLOCK, text)
         }
         TransactionOutcome::Unknown => {
             let text = format!(
                 "the commit was sent and not answered, {reason}: it is not known whether it holds"
             );
             SqlError::new(
-                code::FAILED,
+                code::ER_QUERY_INTERRUPTED,
                 format!("{text}; look before you send it again"),
             )
         }
--- a/src/upstream/mysql/work.rs
+++ b/src/upstream/mysql/work.rs
@@ -102,18 +102,21 @@
             let when = retry_after.map_or(String::new(), |ms| {
                 format!(" after {} ms", ms.max(0.0).ceil())
             });
-            SqlError::new(code::REFUSED, format!("refused: {reason}; {again}{when}"))
+            SqlError::new(
+                code::ER_SERVER_ISNT_AVAILABLE,
+                format!("refused: {reason}; {again}{when}"),
+            )
         }
         Reply::TimedOut { retry_safe: true } => SqlError::new(
-            code::TIMED_OUT,
+            code::ER_QUERY_TIMEOUT,
             format!("the statement's time is over; {again}"),
         ),
         Reply::TimedOut { retry_safe: false } => SqlError::new(
-            code::TIMED_OUT,
+            code::ER_QUERY_TIMEOUT,
             "the statement's time is over; it may have run: do not send it again unchecked",
         ),
         Reply::Failed { reason } => SqlError::new(
-            code::FAILED,
+            code::ER_QUERY_INTERRUPTED,
             format!("failed: {reason}; it may have run: do not send it again unchecked"),
         ),
     })
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -62,8 +62,8 @@
     let greeting = Greeting {
         connection: 7,
         nonce,
-        plugin: auth::SHA2.into(),
-        capabilities: CAPABILITIES,
+        plugin: auth::CACHING_SHA2_PASSWORD.into(),
+        capabilities: BASE_CAPABILITIES,
     };
     w.send(&greeting.write("8.0.0")[..]).await.unwrap();
     let Some(Ok(login)) = w.next().await else {
@@ -71,14 +71,14 @@
     };
     let login = Login::read(login).unwrap();
     assert_eq!(login.user, "engine");
-    assert!(auth::proves(
+    assert!(auth::verify_auth_response(
         &login.plugin,
         "inner",
         &greeting.nonce,
         &login.auth
     ));
     w.send(&[1u8, 3][..]).await.unwrap();
-    w.send(&ok()[..]).await.unwrap();
+    w.send(&ok_packet()[..]).await.unwrap();
     let (orders, mut inbox) = mpsc::unbounded_channel::<&'static str>();
     let mut statements: HashMap<u32, String> = HashMap::new();
     let mut long = String::new();
@@ -88,7 +88,7 @@
         let text = String::from_utf8_lossy(&p[1..]).into_owned();
         let id = || u32::from_le_bytes(p[1..5].try_into().unwrap());
         let sql = match p[0] {
-            STMT_PREPARE => {
+            COM_STMT_PREPARE => {
                 let id = number as u32 * 1000 + statements.len() as u32 + 500;
                 let params = text.matches('?').count() as u8;
                 let head = [&[0][..], &id.to_le_bytes(), &[1, 0, params, 0, 0, 0, 0]].concat();
@@ -105,21 +105,21 @@
                 statements.insert(id, text);
                 continue;
             }
-            STMT_SEND_LONG_DATA => {
+            COM_STMT_SEND_LONG_DATA => {
                 long.push_str(&text[6..]);
                 continue;
             }
-            STMT_CLOSE => {
+            COM_STMT_CLOSE => {
                 statements
                     .remove(&id())
                     .expect("a statement of this connection is closed");
                 continue;
             }
-            INIT_DB => {
-                w.send(&ok()[..]).await.unwrap();
+            COM_INIT_DB => {
+                w.send(&ok_packet()[..]).await.unwrap();
                 continue;
             }
-            STMT_EXECUTE => {
+            COM_STMT_EXECUTE => {
                 let sql = statements
                     .get(&id())
                     .expect("a statement of this very connection")
@@ -135,12 +135,12 @@
                 }
                 sql
             }
-            QUERY if text.starts_with("SET NAMES utf8mb4") => {
-                w.send(&ok()[..]).await.unwrap();
+            COM_QUERY if text.starts_with("SET NAMES utf8mb4") => {
+                w.send(&ok_packet()[..]).await.unwrap();
                 continue;
             }
-            QUERY => text,
-            QUIT => return,
+            COM_QUERY => text,
+            COM_QUIT => return,
             other => panic!("engine got command {other}"),
         };
         let class = match () {
@@ -155,7 +155,7 @@
         })
         .unwrap();
         if class == "dropped" {
-            w.send(&ok()[..]).await.unwrap();
+            w.send(&ok_packet()[..]).await.unwrap();
             continue;
         }
         let mut half = false;
@@ -166,11 +166,14 @@
                 gone = w.next(), if !half => { assert!(!matches!(gone, Some(Ok(_)))); return }
             };
             let answer = match order {
-                Some("rows") if class == "load" => vec![ok()],
+                Some("rows") if class == "load" => vec![ok_packet()],
                 Some("rows") => rows(&ROW, true),
                 Some("half") => rows(&ROW, false),
-                Some("full") => vec![err(&SqlError::new((1040, "08004"), "Too many connections"))],
-                Some("error") => vec![err(&SqlError::new((1317, "70100"), "interrupted"))],
+                Some("full") => vec![err_packet(&SqlError::new(
+                    (1040, "08004"),
+                    "Too many connections",
+                ))],
+                Some("error") => vec![err_packet(&SqlError::new((1317, "70100"), "interrupted"))],
                 _ => return,
             };
             for p in answer {
@@ -199,18 +202,19 @@
 ) -> Result<FramedConnection, SqlError> {
     let mut w = wire(TcpStream::connect(address).await.unwrap());
     let greeting = Greeting::read(w.next().await.unwrap().unwrap()).unwrap();
-    let proof = auth::proof(auth::NATIVE, password, &greeting.nonce).unwrap();
+    let proof =
+        auth::auth_response(auth::MYSQL_NATIVE_PASSWORD, password, &greeting.nonce).unwrap();
     let login = Login {
         user: user.into(),
         auth: proof,
         schema: None,
-        plugin: auth::NATIVE.into(),
-        ends: Ends::default(),
+        plugin: auth::MYSQL_NATIVE_PASSWORD.into(),
+        result_format: ResultFormat::default(),
     };
     w.send(&login.write(1 << 20)[..]).await.unwrap();
     let p = w.next().await.unwrap().unwrap();
     if p[0] == 0xff {
-        Err(read_err(&p))
+        Err(parse_err_packet(&p))
     } else {
         Ok(w)
     }
@@ -232,7 +236,7 @@
     let mut all = vec![packet(w).await];
     match all[0][0] {
         0 => return Ok(all),
-        0xff => return Err(read_err(&all[0])),
+        0xff => return Err(parse_err_packet(&all[0])),
         _ => {}
     }
     let mut ends = 0;
@@ -245,10 +249,10 @@
 }
 
 async fn prepare(w: &mut FramedConnection, sql: &str) -> Result<u32, SqlError> {
-    command(w, STMT_PREPARE, &[sql.as_bytes()]).await;
+    command(w, COM_STMT_PREPARE, &[sql.as_bytes()]).await;
     let p = packet(w).await;
     if p[0] == 0xff {
-        return Err(read_err(&p));
+        return Err(parse_err_packet(&p));
     }
     let (columns, params) = (p[5], p[7]);
     for _ in 0..columns + u8::from(columns > 0) + params + u8::from(params > 0) {
@@ -262,7 +266,7 @@
     let types: &[u8] = if typed { &[1, 0xfd, 0] } else { &[0] };
     command(
         w,
-        STMT_EXECUTE,
+        COM_STMT_EXECUTE,
         &[&id.to_le_bytes(), &[0, 1, 0, 0, 0], &[0], types, b"\x03par"],
     )
     .await;
@@ -434,14 +438,14 @@
             "load data local infile 'x' into table t",
             "call p()",
         ] {
-            command(&mut w, QUERY, &[sql.as_bytes()]).await;
+            command(&mut w, COM_QUERY, &[sql.as_bytes()]).await;
             assert_eq!(result(&mut w).await.unwrap_err().code, 1235, "{sql}");
         }
         for (kind, code) in [
-            (STMT_FETCH, 1243),
+            (COM_STMT_FETCH, 1243),
             (0x77, 1047),
-            (STMT_RESET, 1243),
-            (STMT_EXECUTE, 1243),
+            (COM_STMT_RESET, 1243),
+            (COM_STMT_EXECUTE, 1243),
         ] {
             command(&mut w, kind, &[&[9, 0, 0, 0]]).await;
             assert_eq!(
@@ -451,9 +455,9 @@
             );
         }
         for (kind, body) in [
-            (PING, ""),
-            (INIT_DB, "sales_17"),
-            (QUERY, "set names utf8mb4"),
+            (COM_PING, ""),
+            (COM_INIT_DB, "sales_17"),
+            (COM_QUERY, "set names utf8mb4"),
         ] {
             command(&mut w, kind, &[body.as_bytes()]).await;
             assert!(result(&mut w).await.is_ok(), "command {kind}");
@@ -463,7 +467,7 @@
             .unwrap();
         command(
             &mut w,
-            STMT_EXECUTE,
+            COM_STMT_EXECUTE,
             &[
                 &id.to_le_bytes(),
                 &[2, 1, 0, 0, 0, 0, 1, 0xfd, 0],
@@ -478,7 +482,7 @@
         );
         command(
             &mut w,
-            STMT_EXECUTE,
+            COM_STMT_EXECUTE,
             &[
                 &id.to_le_bytes(),
                 &[0, 1, 0, 0, 0, 0, 1, 0xfd, 0],
@@ -495,29 +499,29 @@
         for piece in [&b"long "[..], b"par"] {
             command(
                 &mut w,
-                STMT_SEND_LONG_DATA,
+                COM_STMT_SEND_LONG_DATA,
                 &[&id.to_le_bytes(), &[0, 0], piece],
             )
             .await;
         }
         let execute = [&id.to_le_bytes()[..], &[0, 1, 0, 0, 0, 0, 1, 0xfd, 0]].concat();
-        command(&mut w, STMT_EXECUTE, &[&execute]).await;
+        command(&mut w, COM_STMT_EXECUTE, &[&execute]).await;
         let asked = seen.recv().await.unwrap();
         asked.orders.send("rows").unwrap();
         assert_eq!(result(&mut w).await.unwrap()[3][..], ROW);
         command(
             &mut w,
-            STMT_SEND_LONG_DATA,
+            COM_STMT_SEND_LONG_DATA,
             &[&id.to_le_bytes(), &[0, 0], &[b'x'; 70_000][..65_000]],
         )
         .await;
         command(
             &mut w,
-            STMT_SEND_LONG_DATA,
+            COM_STMT_SEND_LONG_DATA,
             &[&id.to_le_bytes(), &[0, 0], &[b'x'; 1000]],
         )
         .await;
-        command(&mut w, STMT_EXECUTE, &[&execute]).await;
+        command(&mut w, COM_STMT_EXECUTE, &[&execute]).await;
         assert_eq!(
             result(&mut w).await.unwrap_err().code,
             1153,
@@ -526,10 +530,10 @@
         prepare(&mut w, "select 2").await.unwrap();
         let third = prepare(&mut w, "select 3").await.unwrap();
         assert_eq!(prepare(&mut w, "select 4").await.unwrap_err().code, 1461);
-        command(&mut w, STMT_CLOSE, &[&third.to_le_bytes()]).await;
+        command(&mut w, COM_STMT_CLOSE, &[&third.to_le_bytes()]).await;
         prepare(&mut w, "select 4").await.unwrap();
         assert!(seen.try_recv().is_err(), "nothing of that ran");
-        command(&mut w, QUERY, &[&[b' '; 70_000]]).await;
+        command(&mut w, COM_QUERY, &[&[b' '; 70_000]]).await;
         assert_eq!(
             result(&mut w).await.unwrap_err().code,
             1153,
@@ -551,17 +555,22 @@
                 update: ListUpdate::Snapshot,
                 engines: vec![],
             });
-            command(&mut w, QUERY, &[b"insert into sales_17.orders values (1)"]).await;
+            command(
+                &mut w,
+                COM_QUERY,
+                &[b"insert into sales_17.orders values (1)"],
+            )
+            .await;
             while router.unanswered_requests() == 0 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             let kept = match how {
                 "quit" => {
-                    command(&mut w, QUIT, &[]).await;
+                    command(&mut w, COM_QUIT, &[]).await;
                     Some(w)
                 }
                 "early and closed" => {
-                    command(&mut w, PING, &[]).await;
+                    command(&mut w, COM_PING, &[]).await;
                     drop(w);
                     None
                 }
@@ -585,7 +594,7 @@
             );
             router.update_endpoints(&change(&addresses, None));
             let mut other = log_in(client.address, "ann", "secret").await.unwrap();
-            command(&mut other, QUERY, &[b"select n from sales_17.orders"]).await;
+            command(&mut other, COM_QUERY, &[b"select n from sales_17.orders"]).await;
             assert_eq!(seen.recv().await.unwrap().class, "lookup", "{how}");
             drop(kept);
         }
@@ -598,9 +607,9 @@
     on_one_thread(async {
         let (_hub, client, _, mut seen) = set_up().await;
         let mut w = log_in(client.address, "ann", "secret").await.unwrap();
-        command(&mut w, QUERY, &[b"select n from sales_17.orders"]).await;
+        command(&mut w, COM_QUERY, &[b"select n from sales_17.orders"]).await;
         let first = seen.recv().await.unwrap();
-        command(&mut w, PING, &[]).await;
+        command(&mut w, COM_PING, &[]).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
         first.orders.send("rows").unwrap();
         w.codec_mut().sequence = 1;
@@ -619,7 +628,11 @@
         let mut idle = log_in(client.address, "ann", "secret").await.unwrap();
         // All before the runtime hears of any.
         let queued = std::net::TcpStream::connect(client.address).unwrap();
-        let sql = [&[30, 0, 0, 0, QUERY][..], b"select n from sales_17.orders"].concat();
+        let sql = [
+            &[30, 0, 0, 0, COM_QUERY][..],
+            b"select n from sales_17.orders",
+        ]
+        .concat();
         assert_eq!(asked.get_ref().try_write(&sql).unwrap(), sql.len());
         frontend.stop(false);
         seen.recv().await.unwrap().orders.send("rows").unwrap();
@@ -627,10 +640,10 @@
         assert!(result(&mut asked).await.is_ok());
         for w in [&mut asked, &mut idle] {
             w.codec_mut().sequence = 0;
-            assert_eq!(read_err(&packet(w).await).code, 1053);
+            assert_eq!(parse_err_packet(&packet(w).await).code, 1053);
         }
         queued.set_nonblocking(true).unwrap();
         let mut queued = wire(TcpStream::from_std(queued).unwrap());
-        assert_eq!(read_err(&packet(&mut queued).await).code, 1053);
+        assert_eq!(parse_err_packet(&packet(&mut queued).await).code, 1053);
     });
 }
--- a/tests/mysql_client_disconnect.rs
+++ b/tests/mysql_client_disconnect.rs
@@ -128,12 +128,12 @@
     let greeting = Greeting {
         connection: 7,
         nonce: vec![9; 20],
-        plugin: auth::NATIVE.into(),
-        capabilities: CAPABILITIES,
+        plugin: auth::MYSQL_NATIVE_PASSWORD.into(),
+        capabilities: BASE_CAPABILITIES,
     };
     w.send(&greeting.write("8.0.0")[..]).await.unwrap();
     let Some(Ok(_)) = w.next().await else { return };
-    let word = framed(2, [&ok()[..]]);
+    let word = framed(2, [&ok_packet()[..]]);
     if engines.holds("login") {
         *engines.held.borrow_mut() = Some(Held { wire: w, word });
         return;
@@ -151,7 +151,7 @@
 
 /// Answers whatever comes whole, and keeps account of it.
 async fn serve(engines: Rc<Engines>, mut w: FramedConnection) {
-    let mut status = AUTOCOMMIT;
+    let mut status = SERVER_STATUS_AUTOCOMMIT;
     loop {
         w.codec_mut().sequence = 0;
         let p = tokio::select! {
@@ -161,15 +161,17 @@
         let Some(Ok(p)) = p else { return };
         let text = String::from_utf8_lossy(&p[1..]).into_owned();
         let what = match p[0] {
-            QUERY => text,
-            STMT_PREPARE => format!("prepare {text}"),
-            STMT_EXECUTE => "execute".into(),
-            QUIT => return,
+            COM_QUERY => text,
+            COM_STMT_PREPARE => format!("prepare {text}"),
+            COM_STMT_EXECUTE => "execute".into(),
+            COM_QUIT => return,
             other => format!("command {other}"),
         };
         status = match &what[..] {
-            begin if begin.starts_with("begin") => AUTOCOMMIT | IN_TRANSACTION,
-            "commit" | "rollback" => AUTOCOMMIT,
+            begin if begin.starts_with("begin") => {
+                SERVER_STATUS_AUTOCOMMIT | SERVER_STATUS_IN_TRANS
+            }
+            "commit" | "rollback" => SERVER_STATUS_AUTOCOMMIT,
             _ => status,
         };
         let done = [0, 0, 0, status as u8, 0, 0, 0];
@@ -180,7 +182,7 @@
                 [
                     &[0, 1, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0][..],
                     &column(),
-                    &eof(AUTOCOMMIT),
+                    &eof_packet(SERVER_STATUS_AUTOCOMMIT),
                 ],
             ),
             prepare if prepare.starts_with("prepare") => {
@@ -213,7 +215,7 @@
 
 /// More than the machine keeps unread and unsent of one connection.
 fn large_result() -> Vec<u8> {
-    let (column, end) = (column(), eof(AUTOCOMMIT));
+    let (column, end) = (column(), eof_packet(SERVER_STATUS_AUTOCOMMIT));
     let row = [&[0xfc][..], &60_000u16.to_le_bytes(), &[b'x'; 60_000]].concat();
     let rows = std::iter::repeat_n(&row[..], 200);
     framed(
@@ -358,9 +360,14 @@
         );
         let mut other = self.session().await;
         for sql in ["begin", "insert into sales_17.other values (1)", "commit"] {
-            ask(&mut other, QUERY, sql).await;
+            ask(&mut other, COM_QUERY, sql).await;
             let p = packet(&mut other).await;
-            assert_eq!(p[0], 0, "{tells}: another's {sql}: {:?}", read_err(&p));
+            assert_eq!(
+                p[0],
+                0,
+                "{tells}: another's {sql}: {:?}",
+                parse_err_packet(&p)
+            );
         }
         assert_eq!(
             self.since(),
@@ -382,20 +389,21 @@
     w: &mut FramedConnection<S>,
     greeting: Option<Greeting>,
 ) -> u32 {
-    let flags = if greeting.is_some() { SSL } else { 0 };
+    let flags = if greeting.is_some() { CLIENT_SSL } else { 0 };
     let greeting = match greeting {
         Some(greeting) => greeting,
         None => Greeting::read(packet(w).await).unwrap(),
     };
-    let proof = auth::proof(auth::NATIVE, "secret", &greeting.nonce).unwrap();
-    let ends = Ends::default();
-    let plugin = auth::NATIVE.into();
+    let proof =
+        auth::auth_response(auth::MYSQL_NATIVE_PASSWORD, "secret", &greeting.nonce).unwrap();
+    let ends = ResultFormat::default();
+    let plugin = auth::MYSQL_NATIVE_PASSWORD.into();
     let mut login = Login {
         user: "ann".into(),
         auth: proof,
         schema: None,
         plugin,
-        ends,
+        result_format: ends,
     }
     .write(1 << 20);
     let flags = u32::from_le_bytes(login[..4].try_into().unwrap()) | flags;
@@ -419,7 +427,7 @@
 async fn told(w: &mut FramedConnection) -> Result<(), SqlError> {
     let p = packet(w).await;
     if p[0] == 0xff {
-        Err(read_err(&p))
+        Err(parse_err_packet(&p))
     } else {
         Ok(())
     }
@@ -444,17 +452,17 @@
     if way.starts_with("a statement") {
         send_now(
             tcp,
-            &command(QUERY, "insert into sales_17.leaver values (2)"),
+            &command(COM_QUERY, "insert into sales_17.leaver values (2)"),
         );
     }
     if way.contains("ping") {
-        send_now(tcp, &command(PING, ""));
+        send_now(tcp, &command(COM_PING, ""));
     }
     if way == "reset" {
         reset(tcp);
     }
     if way.ends_with("quit") {
-        send_now(tcp, &command(QUIT, ""));
+        send_now(tcp, &command(COM_QUIT, ""));
         return Some(w);
     }
     None
@@ -467,7 +475,7 @@
             let stand = stand(1).await;
             let mut w = stand.session().await;
             stand.engines.hold.set(Some("login"));
-            ask(&mut w, QUERY, LEAVERS).await;
+            ask(&mut w, COM_QUERY, LEAVERS).await;
             stand.in_one_turn(way, || leave(w, way)).await;
         }
     });
@@ -480,7 +488,7 @@
             let stand = stand(1).await;
             let mut w = stand.session().await;
             stand.engines.hold.set(Some("login"));
-            ask(&mut w, QUERY, "begin /* leaver */").await;
+            ask(&mut w, COM_QUERY, "begin /* leaver */").await;
             stand.in_one_turn(way, || leave(w, way)).await;
         }
     });
@@ -493,11 +501,16 @@
         for way in WAYS {
             let stand = stand(1).await;
             let mut other = stand.session().await;
-            ask(&mut other, QUERY, "insert into sales_17.other values (0)").await;
+            ask(
+                &mut other,
+                COM_QUERY,
+                "insert into sales_17.other values (0)",
+            )
+            .await;
             told(&mut other).await.unwrap();
             let w = stand.session().await;
             stand.leaves();
-            send_now(w.get_ref(), &command(QUERY, LEAVERS));
+            send_now(w.get_ref(), &command(COM_QUERY, LEAVERS));
             let kept = leave(w, way);
             std::thread::sleep(LATE);
             stand.nothing_more(way).await;
@@ -513,8 +526,8 @@
         let stand = stand(1).await;
         let mut w = stand.session().await;
         stand.engines.hold.set(Some("login"));
-        ask(&mut w, QUERY, LEAVERS).await;
-        let more = command(QUERY, &format!("{LEAVERS} /* {} */", "x".repeat(4_000)));
+        ask(&mut w, COM_QUERY, LEAVERS).await;
+        let more = command(COM_QUERY, &format!("{LEAVERS} /* {} */", "x".repeat(4_000)));
         let leave = || {
             let said = (0..25)
                 .filter(|_| SockRef::from(w.get_ref()).send(&more).is_ok())
@@ -537,8 +550,8 @@
             let stand = stand(1).await;
             let mut w = stand.session().await;
             match hold {
-                "set " => ask(&mut w, QUERY, "set time_zone = '+04:00'").await,
-                _ => ask(&mut w, STMT_PREPARE, LEAVERS).await,
+                "set " => ask(&mut w, COM_QUERY, "set time_zone = '+04:00'").await,
+                _ => ask(&mut w, COM_STMT_PREPARE, LEAVERS).await,
             }
             let first = packet(&mut w).await;
             assert_eq!(first[0], 0);
@@ -546,9 +559,9 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
             stand.engines.hold.set(Some(hold));
             match hold {
-                "set " => ask(&mut w, QUERY, LEAVERS).await,
+                "set " => ask(&mut w, COM_QUERY, LEAVERS).await,
                 _ => {
-                    let execute = [&[STMT_EXECUTE], &first[1..5], &[0, 1, 0, 0, 0]].concat();
+                    let execute = [&[COM_STMT_EXECUTE], &first[1..5], &[0, 1, 0, 0, 0]].concat();
                     w.codec_mut().sequence = 0;
                     w.send(&execute[..]).await.unwrap();
                 }
@@ -567,10 +580,10 @@
         for way in WAYS {
             let stand = stand(1).await;
             let mut w = stand.session().await;
-            ask(&mut w, QUERY, "begin").await;
+            ask(&mut w, COM_QUERY, "begin").await;
             assert_eq!(packet(&mut w).await[0], 0);
             stand.engines.hold.set(Some("insert"));
-            ask(&mut w, QUERY, LEAVERS).await;
+            ask(&mut w, COM_QUERY, LEAVERS).await;
             let held = stand.engines.held().await;
             stand.leaves();
             let kept = leave(w, way);
@@ -590,7 +603,7 @@
             let stand = stand(2).await;
             let mut w = stand.session().await;
             stand.engines.hold.set(Some("select"));
-            ask(&mut w, QUERY, "select n from sales_17.leaver").await;
+            ask(&mut w, COM_QUERY, "select n from sales_17.leaver").await;
             let held = stand.engines.held().await;
             stand.leaves();
             reset(held.wire.get_ref());
@@ -610,7 +623,7 @@
         let stand = stand(1).await;
         let mut w = stand.session().await;
         stand.engines.hold.set(Some("login"));
-        ask(&mut w, QUERY, LEAVERS).await;
+        ask(&mut w, COM_QUERY, LEAVERS).await;
         let held = stand.engines.held().await;
         stand.leaves();
         let kept = leave(w, "a statement, a ping and quit");
@@ -634,16 +647,16 @@
             let mut w = wire(socket.connect(stand.address).await.unwrap());
             w.get_ref().set_nodelay(true).unwrap();
             prove(&mut w, None).await;
-            ask(&mut w, QUERY, "select large from sales_17.orders").await;
+            ask(&mut w, COM_QUERY, "select large from sales_17.orders").await;
             while stand.engines.came.borrow().is_empty() || stand.router.unanswered_requests() > 0 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             stand.leaves();
             let tcp = w.get_ref();
-            send_now(tcp, &command(QUERY, LEAVERS));
-            send_now(tcp, &command(PING, ""));
+            send_now(tcp, &command(COM_QUERY, LEAVERS));
+            send_now(tcp, &command(COM_PING, ""));
             match way {
-                "quit" => send_now(tcp, &command(QUIT, "")),
+                "quit" => send_now(tcp, &command(COM_QUIT, "")),
                 _ => SockRef::from(tcp)
                     .shutdown(std::net::Shutdown::Write)
                     .unwrap(),
@@ -675,11 +688,11 @@
                 stand.engines.hold.set(Some(first));
                 if first != "silent" {
                     match first {
-                        "begin" => ask(&mut w, QUERY, "begin").await,
+                        "begin" => ask(&mut w, COM_QUERY, "begin").await,
                         _ => {
                             ask(
                                 &mut w,
-                                STMT_PREPARE,
+                                COM_STMT_PREPARE,
                                 "insert into sales_17.leaver values (?)",
                             )
                             .await
@@ -697,15 +710,15 @@
                         packet(&mut w).await;
                         ask(
                             &mut w,
-                            STMT_SEND_LONG_DATA,
+                            COM_STMT_SEND_LONG_DATA,
                             &format!("\u{1}\0\0\0\0\0{much}"),
                         )
                         .await;
                         w.codec_mut().sequence = 0;
-                        let execute = [STMT_EXECUTE, 1, 0, 0, 0, 0, 1, 0, 0, 0, 0, 1, 0xfd, 0];
+                        let execute = [COM_STMT_EXECUTE, 1, 0, 0, 0, 0, 1, 0, 0, 0, 0, 1, 0xfd, 0];
                         w.send(&execute[..]).await.unwrap();
                     }
-                    _ => ask(&mut w, QUERY, &format!("{LEAVERS} /* {much} */")).await,
+                    _ => ask(&mut w, COM_QUERY, &format!("{LEAVERS} /* {much} */")).await,
                 }
                 let held = stand.engines.held().await;
                 tokio::time::sleep(Duration::from_millis(30)).await;
@@ -738,7 +751,7 @@
             let mut w = stand.session().await;
             ask(
                 &mut w,
-                QUERY,
+                COM_QUERY,
                 &format!("insert into sales_17.leaver values ('{way}')"),
             )
             .await;
@@ -771,12 +784,12 @@
                 let (mut victim, number) = stand.numbered().await;
                 let mut killer = stand.session().await;
                 stand.engines.hold.set(Some("login"));
-                ask(&mut victim, QUERY, sql).await;
+                ask(&mut victim, COM_QUERY, sql).await;
                 let held = stand.engines.held().await;
                 stand.leaves();
                 send_now(
                     killer.get_ref(),
-                    &command(QUERY, &format!("KILL QUERY {number}")),
+                    &command(COM_QUERY, &format!("KILL QUERY {number}")),
                 );
                 killer.codec_mut().sequence = 1;
                 if !one_turn {
@@ -793,7 +806,7 @@
                 stand
                     .nothing_more(&format!("{sql}, in one turn: {one_turn}"))
                     .await;
-                ask(&mut victim, PING, "").await;
+                ask(&mut victim, COM_PING, "").await;
                 told(&mut victim).await.unwrap();
             }
         }
@@ -830,7 +843,7 @@
             stand.frontend.secure(TlsKeys::load(&source).unwrap());
             let mut w = wire(connect(stand.address).await);
             let greeting = Greeting::read(packet(&mut w).await).unwrap();
-            let mut wish = (CAPABILITIES | SSL).to_le_bytes().to_vec();
+            let mut wish = (BASE_CAPABILITIES | CLIENT_SSL).to_le_bytes().to_vec();
             wish.resize(32, 0);
             w.send(&wish[..]).await.unwrap();
             let host = ServerName::try_from("a.example").unwrap();
@@ -839,14 +852,14 @@
             w.codec_mut().sequence = 2;
             prove(&mut w, Some(greeting)).await;
             stand.engines.hold.set(Some("login"));
-            ask(&mut w, QUERY, LEAVERS).await;
+            ask(&mut w, COM_QUERY, LEAVERS).await;
             let leave = move || {
                 let (tcp, tls) = w.get_mut().get_mut();
                 match way {
                     "its end" => tls.send_close_notify(),
-                    "quit" => tls.writer().write_all(&command(QUIT, "")).unwrap(),
+                    "quit" => tls.writer().write_all(&command(COM_QUIT, "")).unwrap(),
                     "a ping and quit" => {
-                        let both = [command(PING, ""), command(QUIT, "")].concat();
+                        let both = [command(COM_PING, ""), command(COM_QUIT, "")].concat();
                         tls.writer().write_all(&both).unwrap();
                     }
                     "reset" => reset(tcp),
--- a/tests/mysql_sessions.rs
+++ b/tests/mysql_sessions.rs
@@ -3,7 +3,7 @@
 
 use mysql_async::prelude::Queryable;
 use mysql_async::{Conn, IsolationLevel, OptsBuilder, TxOpts};
-use query_dispatcher::protocol::mysql::packet::{QUERY, RESET_CONNECTION};
+use query_dispatcher::protocol::mysql::packet::{COM_QUERY, COM_RESET_CONNECTION};
 use std::path::Path;
 use std::time::Duration;
 use testbed::engine::Engine;
@@ -385,7 +385,7 @@
             }
             match ends {
                 "" => {
-                    s.send(RESET_CONNECTION, &[]).await.unwrap();
+                    s.send(COM_RESET_CONNECTION, &[]).await.unwrap();
                     s.answer().await.unwrap();
                     pass(50).await;
                     assert_ne!(
@@ -422,7 +422,7 @@
             "select engine()",
         ];
         for sql in all {
-            s.send(QUERY, &[sql.as_bytes()]).await.unwrap();
+            s.send(COM_QUERY, &[sql.as_bytes()]).await.unwrap();
         }
         for (sql, rows) in all.into_iter().zip([0, 0, 1, 0, 1]) {
             assert_eq!(s.answer().await.unwrap().rows.len(), rows, "{sql}");
--- a/tests/spool.rs
+++ b/tests/spool.rs
@@ -1,7 +1,9 @@
 //! Results that wait for their readers, on the program itself: slow, gone and returning clients, quotas, kills, torn
 //! pages. Engines are stand-ins that keep account of how long each result held them.
 
-use query_dispatcher::protocol::mysql::packet::{CURSOR_EXISTS, HANDLE, LAST_ROW_SENT, eof_status};
+use query_dispatcher::protocol::mysql::packet::{
+    RESULT_HANDLE_VARIABLE, SERVER_STATUS_CURSOR_EXISTS, SERVER_STATUS_LAST_ROW_SENT, eof_status,
+};
 use serde_json::Value;
 use std::path::Path;
 use std::time::Duration;
@@ -611,9 +613,9 @@
             &file(&engines, "dir = \"FOLDER/spool\"\npage_rows = 70"),
         )
         .await;
-        for ok_for_eof in [false, true] {
+        for deprecate_eof in [false, true] {
             let wants = Wants {
-                ok_for_eof,
+                deprecate_eof,
                 ..Wants::default()
             };
             let mut s = Session::log_in(program.address, "guest", "guest", wants)
@@ -625,7 +627,10 @@
                 let opened = s.execute(id, true).await.unwrap();
                 assert_eq!((opened.columns, columns, opened.last[0]), (2, 2, 0xfe));
                 let status = |p: &bytes::Bytes| eof_status(p).unwrap();
-                assert_eq!(status(&opened.last) & CURSOR_EXISTS, CURSOR_EXISTS);
+                assert_eq!(
+                    status(&opened.last) & SERVER_STATUS_CURSOR_EXISTS,
+                    SERVER_STATUS_CURSOR_EXISTS
+                );
                 let ran = engines[0].ran().iter().filter(|r| !r.answered).count();
                 assert_eq!(ran, 0, "the engine is free before the first fetch");
                 let (mut rows, mut fetches) = (vec![], 0);
@@ -634,7 +639,7 @@
                     assert!(page.rows.len() <= 64);
                     rows.extend(page.rows);
                     fetches += 1;
-                    if status(&page.last) & LAST_ROW_SENT != 0 {
+                    if status(&page.last) & SERVER_STATUS_LAST_ROW_SENT != 0 {
                         break;
                     }
                 }
@@ -748,8 +753,8 @@
         let folder = folder("track");
         let program = start(&folder, "a", &file(&engines, "keep_s = 600")).await;
         let wants = Wants {
-            ok_for_eof: true,
-            tracks: true,
+            deprecate_eof: true,
+            session_track: true,
             receive: None,
         };
         let mut s = Session::log_in(program.address, "guest", "guest", wants)
@@ -760,12 +765,12 @@
         let last = String::from_utf8_lossy(&answer.last).into_owned();
         let handle = &handles(&mut s).await[0][0];
         assert!(
-            last.contains(HANDLE) && last.contains(handle.as_str()),
+            last.contains(RESULT_HANDLE_VARIABLE) && last.contains(handle.as_str()),
             "{last:?}"
         );
         // A short result is no spool, and has none.
         let short = s.query("select engine from stock").await.unwrap();
-        assert!(!String::from_utf8_lossy(&short.last).contains(HANDLE));
+        assert!(!String::from_utf8_lossy(&short.last).contains(RESULT_HANDLE_VARIABLE));
         assert!(s.query("insert into t values (1)").await.is_ok());
     });
 }
