--- a/crates/mysql-conformance/src/lib.rs
+++ b/crates/mysql-conformance/src/lib.rs
@@ -209,7 +209,7 @@
         (Ok(answer), _) => answer,
     };
     let status = || match answer.last.first() {
-        Some(0) => parse_ok_status(&answer.last).map_or(0, |t| t.0),
+        Some(0) => parse_ok_status(&answer.last).map_or(0, |status| status.flags),
         _ => eof_status(&answer.last).unwrap_or(0),
     };
     let right = match want {
--- a/crates/mysql-conformance/src/tests.rs
+++ b/crates/mysql-conformance/src/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use query_dispatcher::protocol::mysql::error::SqlError;
+use query_dispatcher::protocol::mysql::error::{ErrorCode, SqlError};
 
 fn answer(rows: &[&'static [u8]], last: &'static [u8]) -> Result<Answer, PacketError> {
     let rows: Vec<_> = rows.iter().map(|r| bytes::Bytes::from_static(r)).collect();
@@ -16,7 +16,7 @@
     let row: &[u8] = b"\x01a\xfb";
     let wrong = || {
         Err(PacketError::Server(SqlError::new(
-            (1045, "28000"),
+            ErrorCode::new(1045, "28000"),
             "denied",
         )))
     };
--- a/crates/testbed/src/engine.rs
+++ b/crates/testbed/src/engine.rs
@@ -217,7 +217,7 @@
         let mut wire = Framed::new(
             tcp,
             PacketCodec {
-                most: 1 << 22,
+                max_packet: 1 << 22,
                 sequence: 0,
             },
         );
--- a/crates/testbed/src/raw.rs
+++ b/crates/testbed/src/raw.rs
@@ -103,7 +103,7 @@
         let mut wire = Framed::new(
             stream,
             PacketCodec {
-                most: (1 << 24) - 2,
+                max_packet: (1 << 24) - 2,
                 sequence: 0,
             },
         );
--- a/src/frontend/frames/request.rs
+++ b/src/frontend/frames/request.rs
@@ -177,7 +177,7 @@
         let new = NewRequest {
             class: index,
             tenant,
-            group: statement::group(&statement),
+            group: statement::table_group(&statement),
             deadline: arrived + ms,
             work: number("cpu", MAX_ESTIMATED_WORK_MS)?.filter(|v| *v > 0.0),
             memory_mb: number("mem", MAX_ESTIMATED_MEMORY_MB)?.filter(|v| *v > 0.0),
--- a/src/frontend/mysql/mod.rs
+++ b/src/frontend/mysql/mod.rs
@@ -17,11 +17,11 @@
 use crate::frontend::mysql::cursor::{Cursor, cut};
 use crate::log_line;
 use crate::protocol::mysql::auth;
-use crate::protocol::mysql::error::{SqlError, code};
+use crate::protocol::mysql::error::{ErrorCode, SqlError, code};
 use crate::protocol::mysql::packet::*;
-use crate::protocol::mysql::session::{Context, State};
-use crate::protocol::mysql::values::{self, Type};
-use crate::protocol::statement::{self, Kind};
+use crate::protocol::mysql::session::{SessionContext, SessionState};
+use crate::protocol::mysql::values::{self, ParameterType};
+use crate::protocol::statement::{self, Hints, StatementKind};
 use crate::spool::{Admission, AdmissionRequest, SpoolId};
 use crate::spool_io::{
     MAX_STATEMENT_CHARS, ResultListing, ResultOwner, ResultReader, SpoolError, Spools, packets,
@@ -136,10 +136,10 @@
     /// Names were resolved where the session stood then.
     schema: Option<String>,
     sql: Bytes,
-    kind: Kind,
+    kind: StatementKind,
     parameters: usize,
-    bound: Option<Vec<Type>>,
-    long: BTreeMap<u16, BytesMut>,
+    bound: Option<Vec<ParameterType>>,
+    long_data: BTreeMap<u16, BytesMut>,
     /// Long data went past its bound; told at the execute, since the command itself has no answer.
     too_long: bool,
     /// It is one of ours, answered here.
@@ -310,7 +310,7 @@
             let frontend = self.clone();
             spawn_local(async move {
                 let codec = PacketCodec {
-                    most: frontend.config().max_packet,
+                    max_packet: frontend.config().max_packet,
                     sequence: 0,
                 };
                 frontend
@@ -339,7 +339,7 @@
     ) -> Result<(), End> {
         tcp.set_nodelay(true).map_err(PacketError::from)?;
         let codec = PacketCodec {
-            most: self.config().max_packet,
+            max_packet: self.config().max_packet,
             sequence: 0,
         };
         let mut wire = FramedConnection::new(&self.pool, Stream::from(tcp), codec);
@@ -359,7 +359,7 @@
             return Ok(());
         };
         place.set_activity(Activity::Idle, Instant::now());
-        let state = State::new(known.schema);
+        let state = SessionState::new(known.schema);
         let downstream = Rc::new(Downstream::new(wire.get_ref().probe()));
         let own = (known.user.clone(), downstream.clone());
         self.sessions.borrow_mut().insert(known.number, own);
@@ -400,7 +400,7 @@
         };
         wire.send(&greeting.write(&self.config().server_version)[..])
             .await?;
-        let mut first = crate::upstream::mysql::next(wire).await?;
+        let mut first = read_packet(&mut **wire).await?;
         if let Some(keys) = &keys {
             if Login::asks_tls(&first) {
                 let ahead = BytesMut::from(&wire.read_buffer()[..]);
@@ -409,7 +409,7 @@
                     .upgrade_to_tls(ahead, keys.server_config())
                     .await
                     .map_err(PacketError::from)?;
-                first = crate::upstream::mysql::next(wire).await?;
+                first = read_packet(&mut **wire).await?;
             } else if keys.required() {
                 let text =
                     "Connections using insecure transport are prohibited: this one is not in TLS";
@@ -456,7 +456,7 @@
             ]
             .concat();
             wire.send(&ask[..]).await?;
-            proof = crate::upstream::mysql::next(wire).await?.to_vec();
+            proof = read_packet(&mut **wire).await?.to_vec();
         }
         let config = self.config();
         let user = config.users.get(&login.user);
@@ -497,7 +497,7 @@
 
 async fn turn_away(
     wire: &mut FramedConnection<PacketCodec, Stream>,
-    code: code::Code,
+    code: ErrorCode,
     text: String,
 ) -> Result<(), End> {
     tokio::time::timeout(
@@ -516,7 +516,7 @@
     tenant: Option<usize>,
     user: String,
     result_format: ResultFormat,
-    state: State,
+    state: SessionState,
     /// Its number here, as the greeting told it.
     number: u32,
     /// Its client, for those who act for it.
@@ -608,7 +608,7 @@
             COM_PING => Ok(None),
             COM_INIT_DB => {
                 self.state
-                    .stand_in(String::from_utf8_lossy(&body).into_owned());
+                    .use_schema(String::from_utf8_lossy(&body).into_owned());
                 Ok(None)
             }
             COM_RESET_CONNECTION => {
@@ -644,7 +644,7 @@
                 return Ok(());
             }
             COM_STMT_RESET => self.statement(&body).map(|s| {
-                s.long.clear();
+                s.long_data.clear();
                 s.too_long = false;
                 s.cursor = None;
                 None
@@ -678,7 +678,7 @@
         let mut r = PayloadReader(body);
         let user = r.text();
         let n = r.u8()?;
-        r.take(n.into())?;
+        r.bytes(n.into())?;
         let schema = Some(r.text()).filter(|s| !s.is_empty());
         let nonce = nonce()?;
         // Whatever it has sent was made for the nonce of its log-in: it is asked for a new one.
@@ -691,7 +691,7 @@
         ]
         .concat();
         self.wire.send(&ask[..]).await?;
-        let proof = tokio::time::timeout(LOGIN, crate::upstream::mysql::next(&mut self.wire)).await;
+        let proof = tokio::time::timeout(LOGIN, read_packet(&mut *self.wire)).await;
         let auth = proof
             .map_err(|e| PacketError::from(io::Error::from(e)))??
             .to_vec();
@@ -710,7 +710,7 @@
             return Err(End::Quit);
         };
         self.forget();
-        self.state = State::new(login.schema);
+        self.state = SessionState::new(login.schema);
         (self.tenant, self.user) = (tenant, login.user);
         let own = (self.user.clone(), self.downstream.clone());
         frontend.sessions.borrow_mut().insert(self.number, own);
@@ -789,32 +789,34 @@
     /// Sends a request through the core and waits for its one answer, or for the client to leave.
     async fn ask(
         &mut self,
-        kind: &Kind,
-        context: Context,
+        kind: &StatementKind,
+        context: SessionContext,
         sql: Bytes,
         job: Job,
     ) -> Result<Reply<Output>, End> {
         let config = self.frontend.config();
-        let hints = statement::hints(&sql);
-        let hint = |name: &str| hints.iter().find(|h| h.0 == name).map(|h| h.1.as_str());
+        let hints = Hints::parse(&sql);
         // A hint out of range is none.
         let number = |name: &str, most: f64| {
-            hint(name)
+            hints
+                .get(name)
                 .and_then(|v| v.parse::<f64>().ok())
                 .filter(|v| *v > 0.0 && *v <= most)
         };
-        let group = statement::group(&sql);
+        let group = statement::table_group(&sql);
         let class = match job {
             // Preparing runs nothing, so it may be repeated, whatever the statement does.
             Job::Prepare => config.class_rules.read_class,
-            _ => config
-                .class_rules
-                .class_of(*kind == Kind::Read, hint("class"), &sql),
+            _ => {
+                config
+                    .class_rules
+                    .class_of(*kind == StatementKind::Read, hints.get("class"), &sql)
+            }
         };
         let ask = AdmissionRequest {
             tenant: self.tenant,
             class,
-            protected: *kind != Kind::Read,
+            protected: *kind != StatementKind::Read,
         };
         // Where its result could not be kept, nothing is sent: nothing has run.
         if !matches!(job, Job::Prepare)
@@ -1018,16 +1020,16 @@
             }
             None => {}
         }
-        match statement::kind(&sql) {
-            Kind::NotCarried(reason) => {
+        match statement::classify(&sql) {
+            StatementKind::Unsupported(reason) => {
                 self.say(&SqlError::new(code::ER_NOT_SUPPORTED_YET, reason))
                     .await
             }
-            Kind::Warnings => self.warnings().await,
-            Kind::Kill(number) => self.kill(number).await,
-            Kind::Set => self.set(sql).await,
-            Kind::Use(schema) => {
-                self.state.stand_in(schema);
+            StatementKind::ShowWarnings => self.warnings().await,
+            StatementKind::KillQuery(number) => self.kill(number).await,
+            StatementKind::Set => self.set(sql).await,
+            StatementKind::Use(schema) => {
+                self.state.use_schema(schema);
                 let ok = self.ok();
                 self.write([&ok[..]].into_iter()).await
             }
@@ -1098,13 +1100,14 @@
             Some(Ok(own)) => Some(own),
             None => None,
         };
-        let kind = statement::kind(&sql);
+        let kind = statement::classify(&sql);
         let reason = match kind {
             _ if own.is_some() => None,
-            Kind::NotCarried(reason) => Some(reason),
-            Kind::Set | Kind::Use(_) | Kind::Warnings | Kind::Kill(_) => {
-                Some("this is not to be prepared")
-            }
+            StatementKind::Unsupported(reason) => Some(reason),
+            StatementKind::Set
+            | StatementKind::Use(_)
+            | StatementKind::ShowWarnings
+            | StatementKind::KillQuery(_) => Some("this is not to be prepared"),
             _ => None,
         };
         if let Some(reason) = reason {
@@ -1157,7 +1160,7 @@
                 kind,
                 parameters,
                 bound: None,
-                long,
+                long_data: long,
                 too_long: false,
                 ours: own,
                 cursor: None,
@@ -1200,7 +1203,7 @@
 
     async fn execute(&mut self, body: Bytes) -> Result<(), End> {
         let ready = self.statement(&body).and_then(|s| {
-            let long = std::mem::take(&mut s.long);
+            let long = std::mem::take(&mut s.long_data);
             s.cursor = None;
             if std::mem::take(&mut s.too_long) {
                 return Err(SqlError::new(
@@ -1223,7 +1226,7 @@
                     "the number of iterations is not 1",
                 ));
             }
-            let execute = values::complete(s.parameters, r.0, &mut s.bound, &long)?;
+            let execute = values::complete_parameters(s.parameters, r.0, &mut s.bound, &long)?;
             let cursor = flags == CURSOR_READ_ONLY;
             Ok((
                 s.kind.clone(),
@@ -1238,7 +1241,7 @@
             Ok((_, _, _, _, Some(own), _)) => self.answer_ours(own, true).await,
             Ok((kind, schema, sql, execute, None, cursor)) => {
                 // Names as they were, all else as the session stands now.
-                let context = Context {
+                let context = SessionContext {
                     schema,
                     ..self.context_for(&sql)
                 };
@@ -1343,13 +1346,16 @@
         let Ok(s) = self.statement(&body) else { return };
         let mut r = PayloadReader(body.slice(4..));
         let Ok(parameter) = r.u16() else { return };
-        let held: usize = s.long.values().map(BytesMut::len).sum();
+        let held: usize = s.long_data.values().map(BytesMut::len).sum();
         // Head and data have to fit one packet to the engine.
         if held + r.0.len() + 16 > most || usize::from(parameter) >= s.parameters {
             s.too_long = true;
             return;
         }
-        s.long.entry(parameter).or_default().extend_from_slice(&r.0);
+        s.long_data
+            .entry(parameter)
+            .or_default()
+            .extend_from_slice(&r.0);
     }
 }
 
--- a/src/frontend/mysql/settings.rs
+++ b/src/frontend/mysql/settings.rs
@@ -1,17 +1,21 @@
 //! SET: what a session sets is taken in as data, after an engine has agreed where it may say no.
 
 use crate::frontend::mysql::*;
-use crate::protocol::mysql::session::Taken;
 use crate::protocol::mysql::session::set::{self, Change, SetError};
-use crate::protocol::mysql::session::{State, literal};
+use crate::protocol::mysql::session::{SessionState, sql_literal};
+use crate::protocol::mysql::session::{SetOutcome, Validation};
 
 impl<U: Upstream<Work = Work, Output = Output>> Session<'_, U> {
     pub(super) async fn set(&mut self, sql: Bytes) -> Result<(), End> {
         // On a pin the next transaction begins on its connection, which has to hear of it.
-        if self.hold.is_some() && set::parse(&sql).is_ok_and(|c| matches!(c[..], [Change::Next(_)]))
+        if self.hold.is_some()
+            && set::parse(&sql).is_ok_and(|c| matches!(c[..], [Change::NextTransaction(_)]))
         {
             let context = self.state.context().clone();
-            return match self.carry(&Kind::Within, context, sql, Job::Query).await? {
+            return match self
+                .carry(&StatementKind::WithinTransaction, context, sql, Job::Query)
+                .await?
+            {
                 Ok(reply) => self.pass_on(reply).await,
                 Err(e) => self.say(&e).await,
             };
@@ -20,7 +24,7 @@
             Ok((state, false)) => {
                 let context = state.context().clone();
                 match self
-                    .carry(&Kind::Read, context, Bytes::new(), Job::Enter)
+                    .carry(&StatementKind::Read, context, Bytes::new(), Job::Enter)
                     .await?
                 {
                     Ok(reply) if agreed(&reply) => {
@@ -42,27 +46,33 @@
     }
 
     /// The state after this SET; true if no engine need be asked.
-    async fn taken(&mut self, sql: &Bytes) -> Result<Result<(State, bool), SqlError>, End> {
+    async fn taken(&mut self, sql: &Bytes) -> Result<Result<(SessionState, bool), SqlError>, End> {
         let changes = match set::parse(sql) {
             Ok(changes) => changes,
             Err(e) => return Ok(Err(told(&e))),
         };
         let asks = match self.state.set(&changes, &[]) {
-            Ok(Taken::Asks(asks)) => asks,
-            Ok(Taken::Changed { state, checked }) => {
-                return Ok(Ok((state, checked && self.hold.is_none())));
+            Ok(SetOutcome::NeedsValues(asks)) => asks,
+            Ok(SetOutcome::Changed { state, validation }) => {
+                return Ok(Ok((
+                    state,
+                    validation == Validation::Done && self.hold.is_none(),
+                )));
             }
             Err(e) => return Ok(Err(told(&e))),
         };
         let mut values = vec![];
         for expression in asks {
             let select = Bytes::from(format!("SELECT {expression}"));
-            if statement::kind(&select) != Kind::Read {
+            if statement::classify(&select) != StatementKind::Read {
                 let reason = "SET takes values that can be read without leaving anything behind";
                 return Ok(Err(SqlError::new(code::ER_NOT_SUPPORTED_YET, reason)));
             }
             let context = self.context_for(&select);
-            match self.carry(&Kind::Read, context, select, Job::Query).await? {
+            match self
+                .carry(&StatementKind::Read, context, select, Job::Query)
+                .await?
+            {
                 Ok(reply) => match one_value(&reply) {
                     Ok(value) => values.push(value),
                     Err(e) => return Ok(Err(e)),
@@ -71,8 +81,10 @@
             }
         }
         Ok(match self.state.set(&changes, &values) {
-            Ok(Taken::Changed { state, checked }) => Ok((state, checked && self.hold.is_none())),
-            Ok(Taken::Asks(_)) => Err(SqlError::new(
+            Ok(SetOutcome::Changed { state, validation }) => {
+                Ok((state, validation == Validation::Done && self.hold.is_none()))
+            }
+            Ok(SetOutcome::NeedsValues(_)) => Err(SqlError::new(
                 code::ER_NOT_SUPPORTED_YET,
                 "a value of SET is not known",
             )),
@@ -81,8 +93,8 @@
     }
 
     /// Where a statement stands; one that asks for it gets the session's LAST_INSERT_ID.
-    pub(super) fn context_for(&self, sql: &[u8]) -> Context {
-        match statement::asks_insert_id(sql) {
+    pub(super) fn context_for(&self, sql: &[u8]) -> SessionContext {
+        match statement::reads_last_insert_id(sql) {
             true => self.state.context_with_insert_id(),
             false => self.state.context().clone(),
         }
@@ -132,7 +144,7 @@
                 Some(r.length_encoded_bytes().map_err(|_| several())?)
             };
             let numeric = column_type(column).is_some_and(|t| matches!(t, 0..=5 | 8 | 9 | 0xf6));
-            Ok(literal(value.as_deref(), numeric))
+            Ok(sql_literal(value.as_deref(), numeric))
         }
         _ => Err(several()),
     }
@@ -145,6 +157,6 @@
         r.length_encoded_bytes().ok()?;
     }
     r.length_encoded_integer().ok()?;
-    r.take(6).ok()?;
+    r.bytes(6).ok()?;
     r.u8().ok()
 }
--- a/src/frontend/mysql/sticky.rs
+++ b/src/frontend/mysql/sticky.rs
@@ -47,18 +47,23 @@
     /// Carries a statement out where the session stands: on its pin, on a new one if it needs that, else anywhere.
     pub(super) async fn carry(
         &mut self,
-        kind: &Kind,
-        context: Context,
+        kind: &StatementKind,
+        context: SessionContext,
         sql: Bytes,
         job: Job,
     ) -> Result<Came, End> {
-        let idle = matches!(kind, Kind::Ends | Kind::Within | Kind::UnlockTables);
+        let idle = matches!(
+            kind,
+            StatementKind::EndsTransaction
+                | StatementKind::WithinTransaction
+                | StatementKind::UnlockTables
+        );
         if self.hold.is_none() && idle && !matches!(job, Job::Prepare) {
             return Ok(Ok(Reply::Served(Output::Short(Packets::one(&self.ok())))));
         }
         let runs = !matches!(job, Job::Prepare | Job::Enter);
         *self.left.borrow_mut() = None;
-        let needs = matches!(kind, Kind::Pins(_)) || !self.state.autocommit();
+        let needs = matches!(kind, StatementKind::MakesSticky(_)) || !self.state.autocommit();
         let came = match self.hold.is_some() || runs && needs {
             true => self.order(kind, context, sql, job).await?,
             false => Ok(self.ask(kind, context, sql, job).await?),
@@ -71,7 +76,7 @@
             && let Some(p) = packets.iter().next()
         {
             match p.first() {
-                Some(0) if runs => self.state.inserted(insert_id(p).unwrap_or(0)),
+                Some(0) if runs => self.state.record_insert_id(insert_id(p).unwrap_or(0)),
                 Some(0xff) => self.failed = Some(parse_err_packet(&Bytes::copy_from_slice(p))),
                 _ => {}
             }
@@ -79,22 +84,22 @@
         Ok(came)
     }
 
-    fn step(&self, kind: &Kind, sql: &[u8], job: &Job) -> StatementEffect {
+    fn step(&self, kind: &StatementKind, sql: &[u8], job: &Job) -> StatementEffect {
         let held = self.hold.is_some();
         let commits = match (job, kind) {
             // A setting may be autocommit, which commits.
             (Job::Enter, _) => true,
-            (Job::Prepare, _) | (_, Kind::Within) => false,
-            (_, Kind::Ends) => !statement::rolls_back(sql),
-            _ => held && statement::commits_by_the_way(sql),
+            (Job::Prepare, _) | (_, StatementKind::WithinTransaction) => false,
+            (_, StatementKind::EndsTransaction) => !statement::is_rollback(sql),
+            _ => held && statement::commits_implicitly(sql),
         };
         let acquires = match kind {
-            Kind::Pins(reason) if !matches!(job, Job::Prepare) => Some(*reason),
+            StatementKind::MakesSticky(reason) if !matches!(job, Job::Prepare) => Some(*reason),
             _ => None,
         };
         StatementEffect {
             acquires,
-            unlocks_tables: *kind == Kind::UnlockTables,
+            unlocks_tables: *kind == StatementKind::UnlockTables,
             commits,
         }
     }
@@ -114,7 +119,7 @@
         let class = config.transaction_class;
         let limit = config.deadlines.get(class).copied().unwrap_or(10_000.0);
         let longest = terms.max_lifetime;
-        let (pinned, orders) = Pinned::new(terms, self.state.next_transaction());
+        let (pinned, orders) = Pinned::new(terms, self.state.next_transaction_statement());
         let ask = AdmissionRequest {
             tenant: self.tenant,
             class,
@@ -164,17 +169,19 @@
     /// Sends a statement to the session's pin and waits for its answer.
     async fn order(
         &mut self,
-        kind: &Kind,
-        context: Context,
+        kind: &StatementKind,
+        context: SessionContext,
         sql: Bytes,
         job: Job,
     ) -> Result<Came, End> {
         let config = self.frontend.config();
-        let class = config.class_rules.class_of(*kind == Kind::Read, None, &sql);
+        let class = config
+            .class_rules
+            .class_of(*kind == StatementKind::Read, None, &sql);
         let ask = AdmissionRequest {
             tenant: self.tenant,
             class,
-            protected: *kind != Kind::Read,
+            protected: *kind != StatementKind::Read,
         };
         if !matches!(job, Job::Prepare | Job::Enter)
             && let Admission::Rejected {
@@ -188,7 +195,7 @@
             }));
         }
         let step = self.step(kind, &sql, &job);
-        let rolls_back = *kind == Kind::Ends && !step.commits;
+        let rolls_back = *kind == StatementKind::EndsTransaction && !step.commits;
         if self.hold.is_none()
             && let Err(e) = self.begin()
         {
@@ -239,7 +246,7 @@
                 carried = &mut carried => match carried {
                     Ok(Carried { output, next, open }) => {
                         hold.open = open;
-                        self.state.began();
+                        self.state.transaction_began();
                         if next == ConnectionDisposition::Release {
                             self.hold = None;
                         }
--- a/src/protocol/mysql/auth.rs
+++ b/src/protocol/mysql/auth.rs
@@ -1,83 +1,74 @@
-//! Proofs of a password that do not send it: `mysql_native_password` and the fast path of
+//! Password authentication without sending the password: `mysql_native_password` and the fast path of
 //! `caching_sha2_password`.
 
+#[cfg(test)]
+mod tests;
+
 use sha1::Sha1;
 use sha2::{Digest, Sha256};
 
+/// The plugin of MySQL before 8.0, which every client knows.
 pub const MYSQL_NATIVE_PASSWORD: &str = "mysql_native_password";
+/// The default plugin since MySQL 8.0.
 pub const CACHING_SHA2_PASSWORD: &str = "caching_sha2_password";
 
-fn xor(a: impl AsRef<[u8]>, b: impl AsRef<[u8]>) -> Vec<u8> {
-    a.as_ref()
+fn xor(left: impl AsRef<[u8]>, right: impl AsRef<[u8]>) -> Vec<u8> {
+    left.as_ref()
         .iter()
-        .zip(b.as_ref())
-        .map(|(a, b)| a ^ b)
+        .zip(right.as_ref())
+        .map(|(left, right)| left ^ right)
         .collect()
 }
 
-/// What a client sends to prove that it knows the password; none for an unknown plugin.
+/// What a client sends to prove that it knows the password; `None` for an unknown plugin.
+///
+/// An empty password has an empty response.
 pub fn auth_response(plugin: &str, password: &str, nonce: &[u8]) -> Option<Vec<u8>> {
     if password.is_empty() {
         return Some(vec![]);
     }
     match plugin {
-        MYSQL_NATIVE_PASSWORD => {
-            let once = Sha1::digest(password);
-            let seed = Sha1::new()
-                .chain_update(nonce)
-                .chain_update(Sha1::digest(once))
-                .finalize();
-            Some(xor(once, seed))
-        }
-        CACHING_SHA2_PASSWORD => {
-            let once = Sha256::digest(password);
-            let seed = Sha256::new()
-                .chain_update(Sha256::digest(once))
-                .chain_update(nonce)
-                .finalize();
-            Some(xor(once, seed))
-        }
+        MYSQL_NATIVE_PASSWORD => Some(native_password_response(password, nonce)),
+        CACHING_SHA2_PASSWORD => Some(caching_sha2_response(password, nonce)),
         _ => None,
     }
 }
 
-/// Compares without telling by its time how much was right.
-pub fn verify_auth_response(plugin: &str, password: &str, nonce: &[u8], given: &[u8]) -> bool {
-    let Some(wanted) = auth_response(plugin, password, nonce) else {
-        return false;
-    };
-    wanted.len() == given.len() && wanted.iter().zip(given).fold(0, |d, (a, b)| d | (a ^ b)) == 0
+/// `SHA1(password) XOR SHA1(nonce, SHA1(SHA1(password)))`.
+fn native_password_response(password: &str, nonce: &[u8]) -> Vec<u8> {
+    let password_hash = Sha1::digest(password);
+    let mask = Sha1::new()
+        .chain_update(nonce)
+        .chain_update(Sha1::digest(password_hash))
+        .finalize();
+    xor(password_hash, mask)
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+/// `SHA256(password) XOR SHA256(SHA256(SHA256(password)), nonce)`.
+fn caching_sha2_response(password: &str, nonce: &[u8]) -> Vec<u8> {
+    let password_hash = Sha256::digest(password);
+    let mask = Sha256::new()
+        .chain_update(Sha256::digest(password_hash))
+        .chain_update(nonce)
+        .finalize();
+    xor(password_hash, mask)
+}
 
-    /// The server's side of the public specification: from the stored hash of the hash alone, the hash is
-    /// recovered from the proof and hashed again.
-    #[test]
-    fn a_proof_opens_with_the_stored_hash_and_only_with_it() {
-        let nonce = [7u8; 20];
-        let given = auth_response(MYSQL_NATIVE_PASSWORD, "secret", &nonce).unwrap();
-        let stored = Sha1::digest(Sha1::digest("secret"));
-        let seed = Sha1::new()
-            .chain_update(nonce)
-            .chain_update(stored)
-            .finalize();
-        assert_eq!(Sha1::digest(xor(&given, seed)), stored);
-        let given = auth_response(CACHING_SHA2_PASSWORD, "secret", &nonce).unwrap();
-        let stored = Sha256::digest(Sha256::digest("secret"));
-        let seed = Sha256::new()
-            .chain_update(stored)
-            .chain_update(nonce)
-            .finalize();
-        assert_eq!(Sha256::digest(xor(&given, seed)), stored);
-        for plugin in [MYSQL_NATIVE_PASSWORD, CACHING_SHA2_PASSWORD] {
-            let given = auth_response(plugin, "secret", &nonce).unwrap();
-            assert!(verify_auth_response(plugin, "secret", &nonce, &given));
-            assert!(!verify_auth_response(plugin, "Secret", &nonce, &given));
-            assert!(!verify_auth_response(plugin, "secret", &[8; 20], &given));
-            assert!(!verify_auth_response(plugin, "secret", &nonce, &[]));
-        }
+/// Whether `response` proves knowledge of the password.
+///
+/// Responses of the right length are compared in constant time, so that timing reveals nothing about the password.
+pub fn verify_auth_response(plugin: &str, password: &str, nonce: &[u8], response: &[u8]) -> bool {
+    let Some(expected) = auth_response(plugin, password, nonce) else {
+        return false;
+    };
+    if expected.len() != response.len() {
+        return false;
     }
+    let difference = expected
+        .iter()
+        .zip(response)
+        .fold(0, |difference, (expected, given)| {
+            difference | (expected ^ given)
+        });
+    difference == 0
 }
--- a/src/protocol/mysql/mod.rs
+++ b/src/protocol/mysql/mod.rs
@@ -1,4 +1,4 @@
-//! The MySQL client/server protocol: packets, authentication, binary values, session state and errors.
+//! The MySQL client/server protocol: packets, authentication, binary parameters, session state and errors.
 
 pub mod auth;
 pub mod error;
--- /dev/null
+++ b/src/protocol/mysql/packet/codec.rs
@@ -0,0 +1,78 @@
+//! Framing: a three-byte length, a sequence number and the payload.
+
+use super::error::PacketError;
+use bytes::{Buf, BufMut, Bytes, BytesMut};
+use futures_util::{Stream, StreamExt};
+use std::io;
+use tokio_util::codec::{Decoder, Encoder};
+
+/// Length (3 bytes, little-endian) and sequence number (1 byte).
+const HEADER_BYTES: usize = 4;
+/// A payload of this length or more would be split into several packets, which is not supported.
+const SPLIT_PAYLOAD_BYTES: usize = 0xff_ffff;
+
+/// Packets of up to `max_packet` bytes, numbered within a command.
+pub struct PacketCodec {
+    /// Limit of a received payload in bytes; below 16 MiB, so that none comes in parts.
+    pub max_packet: usize,
+    /// The sequence number of the next packet, in either direction.
+    pub sequence: u8,
+}
+
+impl Decoder for PacketCodec {
+    type Item = Bytes;
+    type Error = PacketError;
+
+    fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Bytes>, PacketError> {
+        let Some((&[low, middle, high, sequence], _)) = buffer.split_first_chunk::<HEADER_BYTES>()
+        else {
+            return Ok(None);
+        };
+        let length = u32::from_le_bytes([low, middle, high, 0]) as usize;
+        if length > self.max_packet {
+            return Err(PacketError::TooLarge(length));
+        }
+        if sequence != self.sequence {
+            return Err(PacketError::OutOfOrder);
+        }
+        let packet_bytes = HEADER_BYTES + length;
+        if buffer.len() < packet_bytes {
+            buffer.reserve(packet_bytes - buffer.len());
+            return Ok(None);
+        }
+        self.sequence = sequence.wrapping_add(1);
+        buffer.advance(HEADER_BYTES);
+        let payload = Bytes::copy_from_slice(&buffer[..length]);
+        buffer.advance(length);
+        Ok(Some(payload))
+    }
+}
+
+impl Encoder<&[u8]> for PacketCodec {
+    type Error = PacketError;
+
+    fn encode(&mut self, payload: &[u8], buffer: &mut BytesMut) -> Result<(), PacketError> {
+        if payload.len() >= SPLIT_PAYLOAD_BYTES {
+            return Err(PacketError::TooLarge(payload.len()));
+        }
+        buffer.reserve(HEADER_BYTES + payload.len());
+        buffer.put_slice(&(payload.len() as u32).to_le_bytes()[..3]);
+        buffer.put_u8(self.sequence);
+        buffer.put_slice(payload);
+        self.sequence = self.sequence.wrapping_add(1);
+        Ok(())
+    }
+}
+
+/// The next packet's payload; the end of the stream is a reset connection.
+///
+/// # Errors
+/// Those of the codec and of the connection.
+pub async fn read_packet(
+    packets: &mut (impl Stream<Item = Result<Bytes, PacketError>> + Unpin),
+) -> Result<Bytes, PacketError> {
+    match packets.next().await {
+        Some(packet) => packet,
+        None => Err(io::Error::from(io::ErrorKind::ConnectionReset).into()),
+    }
+}
--- a/src/protocol/mysql/session/mod.rs
+++ b/src/protocol/mysql/session/mod.rs
@@ -1,280 +1,278 @@
-//! What a client's session is, as data: where it stands, what it has set. All of it can be set anew on any engine
-//! connection, so that sessions move; what cannot is for [`crate::sticky_sessions`]. Pure.
+//! A client's session as data: its schema and what it has set. All of it can be set on any engine connection, so that
+//! sessions can migrate; what cannot be is the business of [`crate::sticky_sessions`]. Pure.
 
 pub mod set;
+mod variables;
 
 #[cfg(test)]
 mod tests;
 
+pub use variables::{LAST_INSERT_ID_VARIABLE, SessionVariables, set_statement, sql_literal};
+
 use set::{Change, SetError, Value};
-use std::collections::BTreeMap;
 use std::rc::Rc;
+use variables::{is_unicode, unsupported_reason};
 
-/// Variables by name, `@name` for a user's, each with a literal that any engine takes.
-pub type Settings = BTreeMap<String, String>;
-
-/// Variables that one session may hold, and bytes of names and values of all together.
-const MOST: usize = 64;
-const MOST_BYTES: usize = 16 * 1024;
+/// Limit of the variables that one session sets.
+const MAX_VARIABLES: usize = 64;
+/// Limit of the names and values of all its variables together, in bytes.
+const MAX_VARIABLE_BYTES: usize = 16 * 1024;
+/// The answer to a character set that is not a form of Unicode.
+const ONLY_UNICODE: &str = "only Unicode is carried";
 
-/// What of a session an engine connection has to stand in before it can carry a statement out.
+/// The part of a session that an engine connection has to be in before it can execute a statement.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Context {
+pub struct SessionContext {
+    /// The default schema.
     pub schema: Option<String>,
-    /// The words behind SET NAMES.
+    /// The operand of SET NAMES.
     pub names: Option<String>,
-    pub settings: Rc<Settings>,
+    /// The variables that the session has set.
+    pub variables: Rc<SessionVariables>,
+}
+
+/// Whether an engine has to agree before a change takes effect.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Validation {
+    /// The change was checked here.
+    Done,
+    /// Only an engine can tell whether the change is valid.
+    NeedsEngine,
 }
 
-/// Variables that make an engine speak otherwise than is understood here, or that belong to replication.
-const BARRED: [(&str, &str); 9] = [
-    (
-        "resultset_metadata",
-        "results without their columns are not carried",
-    ),
-    ("sql_log_bin", "replication is the engines' operators' own"),
-    ("gtid_next", "replication is the engines' operators' own"),
-    (
-        "pseudo_thread_id",
-        "replication is the engines' operators' own",
-    ),
-    ("character_set_client", "only Unicode is carried"),
-    ("character_set_connection", "only Unicode is carried"),
-    ("character_set_results", "only Unicode is carried"),
-    ("collation_connection", "only Unicode is carried"),
-    ("session_track_gtids", "session tracking is the front's own"),
-];
-/// Of one result of the list above: these go with a Unicode value.
-const CHARSETS: &str = "only Unicode is carried";
+impl Validation {
+    fn and(self, other: Self) -> Self {
+        match (self, other) {
+            (Validation::Done, Validation::Done) => Validation::Done,
+            _ => Validation::NeedsEngine,
+        }
+    }
+}
 
-/// What a SET comes to.
+/// The outcome of a SET.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Taken {
-    /// The session as it is after it; `checked` is false where an engine has to say whether that can be.
-    Changed { state: State, checked: bool },
-    /// These expressions are to be worked out first, and the SET taken in with their values.
-    Asks(Vec<String>),
+pub enum SetOutcome {
+    /// The session after the SET.
+    Changed {
+        /// The new state.
+        state: SessionState,
+        /// Whether an engine has to agree first.
+        validation: Validation,
+    },
+    /// These expressions have to be evaluated first, and the SET applied with their values.
+    NeedsValues(Vec<String>),
+}
+
+/// Who ends a transaction.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+enum CommitMode {
+    /// Each statement commits by itself.
+    #[default]
+    Automatic,
+    /// The client commits.
+    Manual,
 }
 
-/// A session's state. Changes make a new one, so that what an engine refuses is never half taken in.
+/// A session's state. Changes make a new one, so that what an engine rejects is never half applied.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct State {
-    context: Context,
-    /// SET TRANSACTION, for the next one.
-    next: Option<String>,
-    /// What LAST_INSERT_ID() is.
-    insert_id: u64,
-    manual: bool,
+pub struct SessionState {
+    context: SessionContext,
+    /// The operand of SET TRANSACTION, for the next transaction.
+    next_transaction: Option<String>,
+    /// The value of LAST_INSERT_ID().
+    last_insert_id: u64,
+    commit_mode: CommitMode,
 }
 
-impl State {
+impl SessionState {
+    /// A new session with this default schema.
     pub fn new(schema: Option<String>) -> Self {
-        State {
-            context: Context {
+        SessionState {
+            context: SessionContext {
                 schema,
-                ..Context::default()
+                ..SessionContext::default()
             },
             ..Self::default()
         }
     }
 
-    /// Where statements stand from now on.
-    pub fn context(&self) -> &Context {
+    /// The context in which statements run from now on.
+    pub fn context(&self) -> &SessionContext {
         &self.context
     }
 
-    /// The same with LAST_INSERT_ID, for a statement that asks for it.
-    pub fn context_with_insert_id(&self) -> Context {
-        let mut c = self.context.clone();
-        Rc::make_mut(&mut c.settings).insert(INSERT_ID.into(), self.insert_id.to_string());
-        c
+    /// The same with LAST_INSERT_ID, for a statement that reads it.
+    pub fn context_with_insert_id(&self) -> SessionContext {
+        let mut context = self.context.clone();
+        Rc::make_mut(&mut context.variables).insert(
+            LAST_INSERT_ID_VARIABLE.into(),
+            self.last_insert_id.to_string(),
+        );
+        context
     }
 
-    /// Each statement commits by itself.
+    /// Whether each statement commits by itself.
     pub fn autocommit(&self) -> bool {
-        !self.manual
+        self.commit_mode == CommitMode::Automatic
     }
 
-    pub fn stand_in(&mut self, schema: String) {
+    /// Changes the default schema.
+    pub fn use_schema(&mut self, schema: String) {
         self.context.schema = Some(schema);
     }
 
-    /// A statement was answered with this id of a new row; 0 is none.
-    pub fn inserted(&mut self, id: u64) {
+    /// Records the insert id of a statement's answer; 0 is none.
+    pub fn record_insert_id(&mut self, id: u64) {
         if id != 0 {
-            self.insert_id = id;
+            self.last_insert_id = id;
         }
     }
 
-    /// The statement that gives the next transaction what was said of it.
-    pub fn next_transaction(&self) -> Option<String> {
-        self.next
+    /// The statement that gives the next transaction its characteristics.
+    pub fn next_transaction_statement(&self) -> Option<String> {
+        self.next_transaction
             .as_ref()
-            .map(|words| format!("SET TRANSACTION {words}"))
+            .map(|characteristics| format!("SET TRANSACTION {characteristics}"))
     }
 
-    /// A transaction has begun: what was said of it is spent. One that was refused has not.
-    pub fn began(&mut self) {
-        self.next = None;
+    /// A transaction has begun and used up the characteristics set for it. One that was rejected has not begun.
+    pub fn transaction_began(&mut self) {
+        self.next_transaction = None;
     }
 
     /// COM_RESET_CONNECTION: all but the schema as at the start.
     pub fn reset(&mut self) {
-        *self = State::new(self.context.schema.take());
+        *self = SessionState::new(self.context.schema.take());
     }
 
-    /// What the session is after these changes. `values` are those of the expressions, as literals, in the order
-    /// in which they were asked for.
+    /// The session after these changes. `values` are those of the expressions, as literals, in the order in which
+    /// [`SetOutcome::NeedsValues`] listed them.
     ///
     /// # Errors
-    /// Something of it is not carried, or it would grow beyond its bounds.
-    pub fn set(&self, changes: &[Change], values: &[String]) -> Result<Taken, SetError> {
-        let mut asks: Vec<String> = vec![];
-        let (mut state, mut checked) = (self.clone(), true);
+    /// Some change is not supported, or the session would grow beyond its limits.
+    pub fn set(&self, changes: &[Change], values: &[String]) -> Result<SetOutcome, SetError> {
+        let mut expressions: Vec<String> = vec![];
+        let mut state = self.clone();
+        let mut validation = Validation::Done;
         for change in changes {
             match change {
-                Change::Names(words) => checked &= state.names(words)?,
-                Change::Next(words) => state.next = Some(words.clone()),
+                Change::Names(operand) => validation = validation.and(state.set_names(operand)?),
+                Change::NextTransaction(characteristics) => {
+                    state.next_transaction = Some(characteristics.clone());
+                }
                 Change::Assign { name, value } => {
                     let literal = match value {
-                        Value::Literal(l) => Some(l.clone()),
+                        Value::Literal(literal) => Some(literal.clone()),
                         Value::Default => None,
-                        Value::Expression(e) => {
-                            asks.push(e.clone());
-                            match values.get(asks.len() - 1) {
-                                Some(v) => Some(v.clone()),
+                        Value::Expression(expression) => {
+                            expressions.push(expression.clone());
+                            match values.get(expressions.len() - 1) {
+                                Some(value) => Some(value.clone()),
                                 None => continue,
                             }
                         }
                     };
-                    checked &= state.assign(name, literal)?;
+                    validation = validation.and(state.assign(name, literal)?);
                 }
             }
         }
-        if asks.len() > values.len() {
-            return Ok(Taken::Asks(asks));
+        if expressions.len() > values.len() {
+            return Ok(SetOutcome::NeedsValues(expressions));
         }
-        let s = &state.context.settings;
-        if s.len() > MOST || s.iter().map(|(n, v)| n.len() + v.len()).sum::<usize>() > MOST_BYTES {
-            return Err(SetError::NotCarried(
+        state.check_limits()?;
+        Ok(SetOutcome::Changed { state, validation })
+    }
+
+    fn check_limits(&self) -> Result<(), SetError> {
+        let variables = &self.context.variables;
+        let bytes: usize = variables
+            .iter()
+            .map(|(name, value)| name.len() + value.len())
+            .sum();
+        if variables.len() > MAX_VARIABLES || bytes > MAX_VARIABLE_BYTES {
+            return Err(SetError::Unsupported(
                 "a session holds 64 variables and 16 KB of them at most",
             ));
         }
-        Ok(Taken::Changed { state, checked })
+        Ok(())
     }
 
-    /// True if no engine need be asked whether this can be.
-    fn names(&mut self, words: &str) -> Result<bool, SetError> {
-        let plain = |w: &str| w.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'_');
-        let (set, collation) = words
-            .split_once(" COLLATE ")
-            .map_or((words, None), |(s, c)| (s, Some(c)));
-        let set = set.to_ascii_lowercase();
-        if !unicode(&set) || !collation.is_none_or(|c| c.starts_with("utf8") && plain(c)) {
-            return Err(SetError::NotCarried(CHARSETS));
+    fn set_names(&mut self, operand: &str) -> Result<Validation, SetError> {
+        let is_plain = |name: &str| {
+            name.bytes()
+                .all(|byte| byte.is_ascii_alphanumeric() || byte == b'_')
+        };
+        let (character_set, collation) = match operand.split_once(" COLLATE ") {
+            Some((character_set, collation)) => (character_set, Some(collation)),
+            None => (operand, None),
+        };
+        let character_set = character_set.to_ascii_lowercase();
+        let collation_is_unicode =
+            collation.is_none_or(|name| name.starts_with("utf8") && is_plain(name));
+        if !is_unicode(&character_set) || !collation_is_unicode {
+            return Err(SetError::Unsupported(ONLY_UNICODE));
         }
-        self.context.names = Some(collation.map_or(set.clone(), |c| format!("{set} COLLATE {c}")));
-        Rc::make_mut(&mut self.context.settings)
-            .retain(|n, _| !n.starts_with("character_set_") && n != "collation_connection");
-        Ok(collation.is_none())
+        self.context.names = Some(match collation {
+            Some(collation) => format!("{character_set} COLLATE {collation}"),
+            None => character_set,
+        });
+        Rc::make_mut(&mut self.context.variables).retain(|name, _| {
+            !name.starts_with("character_set_") && name != "collation_connection"
+        });
+        Ok(match collation {
+            Some(_) => Validation::NeedsEngine,
+            None => Validation::Done,
+        })
     }
 
-    fn assign(&mut self, name: &str, value: Option<String>) -> Result<bool, SetError> {
+    fn assign(&mut self, name: &str, value: Option<String>) -> Result<Validation, SetError> {
         // Old names of the same variables.
         let name = match name {
             "tx_isolation" => "transaction_isolation",
             "tx_read_only" => "transaction_read_only",
             other => other,
         };
-        let bare = value
+        let unquoted = value
             .as_deref()
-            .map(|v| v.trim_matches(['\'', '"']).to_ascii_lowercase());
-        if let Some((_, reason)) = BARRED.iter().find(|b| b.0 == name) {
-            let speaks = bare
-                .as_deref()
-                .is_none_or(|v| unicode(v) || v == "null" || v.starts_with("utf8"));
-            if *reason != CHARSETS || !speaks {
-                return Err(SetError::NotCarried(reason));
-            }
+            .map(|value| value.trim_matches(['\'', '"']).to_ascii_lowercase());
+        if let Some(reason) = unsupported_reason(name, unquoted.as_deref()) {
+            return Err(SetError::Unsupported(reason));
         }
-        let settings = Rc::make_mut(&mut self.context.settings);
         if name == "autocommit" {
-            let on = match bare.as_deref() {
-                None | Some("1" | "on" | "true") => true,
-                Some("0" | "off" | "false") => false,
-                Some(_) => {
-                    return Err(SetError::Syntax {
-                        at: 1,
-                        what: "autocommit is ON or OFF".into(),
-                    });
-                }
-            };
-            self.manual = !on;
-            settings.remove(name);
-            if !on {
-                settings.insert(name.into(), "0".into());
-            }
-            return Ok(true);
+            return self.set_autocommit(unquoted.as_deref());
         }
-        // NULL is what a user's variable is that nobody has set.
-        let unset = value.is_none() || name.starts_with('@') && bare.as_deref() == Some("null");
+        let is_user_variable = name.starts_with('@');
+        // NULL is the value of a user variable that was never set.
+        let is_null = is_user_variable && unquoted.as_deref() == Some("null");
+        let variables = Rc::make_mut(&mut self.context.variables);
         match value {
-            Some(v) if !unset => drop(settings.insert(name.to_string(), v)),
-            _ => drop(settings.remove(name)),
+            Some(value) if !is_null => drop(variables.insert(name.to_string(), value)),
+            _ => drop(variables.remove(name)),
         }
-        Ok(name.starts_with('@'))
-    }
-}
-
-/// LAST_INSERT_ID(), as a variable that can be set.
-pub const INSERT_ID: &str = "last_insert_id";
-
-fn unicode(set: &str) -> bool {
-    matches!(set, "utf8" | "utf8mb3" | "utf8mb4")
-}
-
-/// The one SET that takes a connection from these settings to those; none if nothing differs.
-pub fn turn(from: &Settings, to: &Settings) -> Option<String> {
-    let one = |name: &str, value: &str| match name.starts_with('@') {
-        true => format!("{} = {value}", quoted(name)),
-        false => format!("SESSION {name} = {value}"),
-    };
-    let set = to
-        .iter()
-        .filter(|(n, v)| from.get(*n) != Some(v))
-        .map(|(n, v)| one(n, v));
-    let gone = from.keys().filter(|n| !to.contains_key(*n));
-    let unset = gone.map(|n| {
-        one(
-            n,
-            if n.starts_with('@') {
-                "NULL"
-            } else {
-                "DEFAULT"
-            },
-        )
-    });
-    let all: Vec<String> = unset.chain(set).collect();
-    (!all.is_empty()).then(|| format!("SET {}", all.join(", ")))
-}
-
-/// A user's variable, quoted where its name needs that.
-fn quoted(name: &str) -> String {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'_' || b == b'$';
-    match name[1..].bytes().all(plain) {
-        true => name.to_string(),
-        false => format!("@`{}`", &name[1..]),
+        Ok(match is_user_variable {
+            true => Validation::Done,
+            false => Validation::NeedsEngine,
+        })
     }
-}
 
-/// A value that an engine worked out, as a literal. `numeric` tells its type; none is NULL.
-pub fn literal(value: Option<&[u8]>, numeric: bool) -> String {
-    let Some(value) = value else {
-        return "NULL".into();
-    };
-    let text = String::from_utf8_lossy(value);
-    match numeric && text.parse::<f64>().is_ok() {
-        true => text.into_owned(),
-        false => format!("'{}'", text.replace('\\', "\\\\").replace('\'', "''")),
+    fn set_autocommit(&mut self, value: Option<&str>) -> Result<Validation, SetError> {
+        const NAME: &str = "autocommit";
+        let commit_mode = match value {
+            None | Some("1" | "on" | "true") => CommitMode::Automatic,
+            Some("0" | "off" | "false") => CommitMode::Manual,
+            Some(_) => {
+                return Err(SetError::Syntax {
+                    at: 1,
+                    message: "autocommit is ON or OFF".into(),
+                });
+            }
+        };
+        self.commit_mode = commit_mode;
+        let variables = Rc::make_mut(&mut self.context.variables);
+        variables.remove(NAME);
+        if commit_mode == CommitMode::Manual {
+            variables.insert(NAME.into(), "0".into());
+        }
+        Ok(Validation::Done)
     }
 }
--- /dev/null
+++ b/src/protocol/mysql/session/set/parser.rs
@@ -0,0 +1,279 @@
+//! The grammar of SET.
+
+use super::{Change, Value};
+use winnow::ascii::{Caseless, digit1, multispace1};
+use winnow::combinator::{alt, delimited, eof, opt, peek, preceded, repeat, separated, terminated};
+use winnow::error::{ContextError, ErrMode, StrContext, StrContextValue};
+use winnow::prelude::*;
+use winnow::token::{any, none_of, one_of, take_while};
+
+type Result<T> = winnow::Result<T, ErrMode<ContextError>>;
+
+/// Where a SET takes effect.
+#[derive(Clone, Copy, PartialEq)]
+pub(super) enum Scope {
+    /// The session.
+    Session,
+    /// Not given: for a transaction this is the next one.
+    Unspecified,
+    /// The whole engine.
+    Global,
+}
+
+/// A SET with all its changes, up to the end of the text.
+pub(super) fn statement(input: &mut &str) -> Result<Vec<(Scope, Change)>> {
+    (space, keyword("set")).parse_next(input)?;
+    let mut all: Vec<(Scope, Change)> = vec![];
+    loop {
+        all.extend(changes.parse_next(input)?);
+        space.parse_next(input)?;
+        if opt((',', space)).parse_next(input)?.is_none() {
+            break;
+        }
+    }
+    (opt((';', space)), eof)
+        .void()
+        .context(expected("a comma or the end"))
+        .parse_next(input)?;
+    Ok(all)
+}
+
+fn changes(input: &mut &str) -> Result<Vec<(Scope, Change)>> {
+    let names = alt((
+        preceded(keyword("names"), names),
+        preceded((keyword("character"), keyword("set")), names),
+        preceded(keyword("charset"), names),
+    ));
+    if let Some(change) = opt(names).parse_next(input)? {
+        return Ok(vec![(Scope::Session, change)]);
+    }
+    if let Some((_, name)) = opt(('@', name)).parse_next(input)? {
+        let value = preceded((assignment_operator, space), value).parse_next(input)?;
+        let name = format!("@{}", name.to_ascii_lowercase());
+        return Ok(vec![(Scope::Session, Change::Assign { name, value })]);
+    }
+    let scope = scope.parse_next(input)?;
+    if opt(keyword("transaction")).parse_next(input)?.is_some() {
+        return transaction(scope, input);
+    }
+    let name = name.parse_next(input)?.to_ascii_lowercase();
+    let value = preceded((assignment_operator, space), value).parse_next(input)?;
+    Ok(vec![(scope, Change::Assign { name, value })])
+}
+
+/// What follows SET TRANSACTION.
+fn transaction(scope: Scope, input: &mut &str) -> Result<Vec<(Scope, Change)>> {
+    let all: Vec<Characteristic> =
+        separated(1.., characteristic, (',', space)).parse_next(input)?;
+    if scope == Scope::Unspecified {
+        let sql: Vec<&str> = all.iter().map(|one| one.sql).collect();
+        return Ok(vec![(scope, Change::NextTransaction(sql.join(", ")))]);
+    }
+    let assign = |one: Characteristic| Change::Assign {
+        name: one.variable.into(),
+        value: Value::Literal(one.value.into()),
+    };
+    Ok(all.into_iter().map(|one| (scope, assign(one))).collect())
+}
+
+/// A transaction characteristic.
+#[derive(Clone, Copy)]
+struct Characteristic {
+    /// The session variable that holds it.
+    variable: &'static str,
+    /// The variable's value.
+    value: &'static str,
+    /// As it is written in SET TRANSACTION.
+    sql: &'static str,
+}
+
+const fn isolation(value: &'static str, sql: &'static str) -> Characteristic {
+    Characteristic {
+        variable: "transaction_isolation",
+        value,
+        sql,
+    }
+}
+
+const fn access(value: &'static str, sql: &'static str) -> Characteristic {
+    Characteristic {
+        variable: "transaction_read_only",
+        value,
+        sql,
+    }
+}
+
+const READ_UNCOMMITTED: Characteristic =
+    isolation("'READ-UNCOMMITTED'", "ISOLATION LEVEL READ UNCOMMITTED");
+const READ_COMMITTED: Characteristic =
+    isolation("'READ-COMMITTED'", "ISOLATION LEVEL READ COMMITTED");
+const REPEATABLE_READ: Characteristic =
+    isolation("'REPEATABLE-READ'", "ISOLATION LEVEL REPEATABLE READ");
+const SERIALIZABLE: Characteristic = isolation("'SERIALIZABLE'", "ISOLATION LEVEL SERIALIZABLE");
+const READ_ONLY: Characteristic = access("1", "READ ONLY");
+const READ_WRITE: Characteristic = access("0", "READ WRITE");
+
+fn characteristic(input: &mut &str) -> Result<Characteristic> {
+    let level = alt((
+        (keyword("read"), keyword("uncommitted")).value(READ_UNCOMMITTED),
+        (keyword("read"), keyword("committed")).value(READ_COMMITTED),
+        (keyword("repeatable"), keyword("read")).value(REPEATABLE_READ),
+        keyword("serializable").value(SERIALIZABLE),
+    ));
+    let level = preceded((keyword("isolation"), keyword("level")), level);
+    let access = alt((
+        keyword("only").value(READ_ONLY),
+        keyword("write").value(READ_WRITE),
+    ));
+    let access = preceded(keyword("read"), access);
+    alt((level, access))
+        .context(expected("ISOLATION LEVEL or READ ONLY or READ WRITE"))
+        .parse_next(input)
+}
+
+fn scope(input: &mut &str) -> Result<Scope> {
+    let dotted = |prefix: &'static str| (Caseless(prefix), '.', space).void();
+    let global_prefix = alt((
+        dotted("@@global"),
+        dotted("@@persist_only"),
+        dotted("@@persist"),
+    ));
+    let global_keyword = alt((
+        keyword("global"),
+        keyword("persist_only"),
+        keyword("persist"),
+    ));
+    alt((
+        global_prefix.value(Scope::Global),
+        alt((dotted("@@session"), dotted("@@local"))).value(Scope::Session),
+        ("@@", space).value(Scope::Unspecified),
+        global_keyword.value(Scope::Global),
+        alt((keyword("session"), keyword("local"))).value(Scope::Session),
+        "".value(Scope::Unspecified),
+    ))
+    .parse_next(input)
+}
+
+/// The operand of SET NAMES.
+fn names(input: &mut &str) -> Result<Change> {
+    let text = |input: &mut &str| -> Result<String> {
+        let quoted = string.map(|string: &str| string[1..string.len() - 1].to_string());
+        terminated(alt((quoted, name)), space).parse_next(input)
+    };
+    let (character_set, collation) =
+        (text, opt(preceded(keyword("collate"), text))).parse_next(input)?;
+    Ok(Change::Names(match collation {
+        Some(collation) => format!("{character_set} COLLATE {collation}"),
+        None => character_set,
+    }))
+}
+
+fn assignment_operator(input: &mut &str) -> Result<()> {
+    alt((":=", "="))
+        .void()
+        .context(expected("= and a value"))
+        .parse_next(input)
+}
+
+/// Keywords that stand for a value.
+const VALUE_KEYWORDS: [&str; 5] = ["on", "off", "true", "false", "null"];
+
+/// A value, up to the comma behind it or the end. Words without quotes (`utf8mb4`) are text to MySQL.
+fn value(input: &mut &str) -> Result<Value> {
+    let text = repeat::<_, _, (), _, _>(1.., value_part)
+        .take()
+        .context(expected("a value"))
+        .parse_next(input)?
+        .trim();
+    if text.is_empty() {
+        return Err(ErrMode::Cut(ContextError::new()));
+    }
+    let is_literal = alt((string, number)).parse(text).is_ok();
+    let is_bare = text.chars().all(is_name_character);
+    Ok(match text.to_ascii_lowercase().as_str() {
+        "default" => Value::Default,
+        word if VALUE_KEYWORDS.contains(&word) => Value::Literal(word.to_string()),
+        _ if is_literal => Value::Literal(text.to_string()),
+        _ if is_bare => Value::Literal(format!("'{text}'")),
+        _ => Value::Expression(text.to_string()),
+    })
+}
+
+fn value_part(input: &mut &str) -> Result<()> {
+    let plain = none_of([',', ';', '(', ')', '\'', '"', '`']).void();
+    let quoted = ('`', take_while(0.., |character| character != '`'), '`').void();
+    alt((string.void(), quoted, parenthesized, plain)).parse_next(input)
+}
+
+fn parenthesized(input: &mut &str) -> Result<()> {
+    let inner = alt((value_part, one_of([',', ';']).void()));
+    ('(', repeat::<_, _, (), _, _>(0.., inner), ')')
+        .void()
+        .parse_next(input)
+}
+
+/// A string as it is written, quotes included.
+fn string<'s>(input: &mut &'s str) -> Result<&'s str> {
+    let quoted_by = |quote: char| {
+        let escaped = ('\\', any).void();
+        let doubled = (quote, quote).void();
+        let plain = none_of([quote, '\\']).void();
+        let inner = repeat::<_, _, (), _, _>(0.., alt((escaped, doubled, plain)));
+        (quote, inner, quote).take()
+    };
+    alt((quoted_by('\''), quoted_by('"'))).parse_next(input)
+}
+
+fn number<'s>(input: &mut &'s str) -> Result<&'s str> {
+    let exponent = (one_of(['e', 'E']), opt(one_of(['+', '-'])), digit1);
+    let decimal = (
+        opt(one_of(['+', '-'])),
+        digit1,
+        opt(('.', digit1)),
+        opt(exponent),
+    )
+        .take();
+    let hex = (
+        "0x",
+        take_while(1.., |digit: char| digit.is_ascii_hexdigit()),
+    )
+        .take();
+    alt((hex, decimal)).parse_next(input)
+}
+
+fn name(input: &mut &str) -> Result<String> {
+    let bare = take_while(1.., is_name_character).map(str::to_string);
+    let quoted = delimited('`', take_while(1.., |character| character != '`'), '`');
+    let quoted = quoted.map(str::to_string);
+    terminated(alt((quoted, bare)), space)
+        .context(expected("a name"))
+        .parse_next(input)
+}
+
+/// A keyword with what is blank behind it.
+fn keyword<'s>(text: &'static str) -> impl FnMut(&mut &'s str) -> Result<()> {
+    move |input: &mut &'s str| {
+        let end = alt((
+            eof.void(),
+            one_of(|character| !is_name_character(character)).void(),
+        ));
+        (Caseless(text), peek(end), space).void().parse_next(input)
+    }
+}
+
+/// Blanks and comments.
+fn space(input: &mut &str) -> Result<()> {
+    let comment = ("/*", winnow::token::take_until(0.., "*/"), "*/").void();
+    repeat::<_, _, (), _, _>(0.., alt((multispace1.void(), comment))).parse_next(input)
+}
+
+fn is_name_character(character: char) -> bool {
+    character.is_ascii_alphanumeric()
+        || character == '_'
+        || character == '$'
+        || !character.is_ascii()
+}
+
+fn expected(what: &'static str) -> StrContext {
+    StrContext::Expected(StrContextValue::Description(what))
+}
--- a/src/protocol/mysql/session/tests.rs
+++ b/src/protocol/mysql/session/tests.rs
@@ -1,21 +1,19 @@
 use super::set::parse;
 use super::*;
 
-fn after(state: &State, sql: &str) -> Result<(State, bool), SetError> {
+fn after(state: &SessionState, sql: &str) -> Result<SessionState, SetError> {
     match state.set(&parse(sql.as_bytes())?, &[])? {
-        Taken::Changed { state, checked } => Ok((state, checked)),
-        Taken::Asks(asks) => panic!("{sql} asks {asks:?}"),
+        SetOutcome::Changed { state, .. } => Ok(state),
+        SetOutcome::NeedsValues(expressions) => panic!("{sql} needs {expressions:?}"),
     }
 }
 
-fn one(sql: &str) -> State {
-    after(&State::default(), sql)
-        .unwrap_or_else(|e| panic!("{sql}: {e}"))
-        .0
+fn state_after(sql: &str) -> SessionState {
+    after(&SessionState::default(), sql).unwrap_or_else(|error| panic!("{sql}: {error}"))
 }
 
 #[test]
-fn what_connectors_set_at_their_start_is_taken_in() {
+fn what_connectors_set_at_their_start_is_applied() {
     let all = [
         ("SET AUTOCOMMIT = 0", "SET SESSION autocommit = 0"),
         (
@@ -63,54 +61,67 @@
             "SET SESSION default_storage_engine = 'InnoDB'",
         ),
     ];
-    for (sql, wanted) in all {
-        let s = one(sql);
+    for (sql, expected) in all {
+        let state = state_after(sql);
         assert_eq!(
-            turn(&Settings::new(), &s.context().settings).as_deref(),
-            Some(wanted),
+            set_statement(&SessionVariables::new(), &state.context().variables).as_deref(),
+            Some(expected),
             "{sql}"
         );
     }
     assert_eq!(
-        one("SET NAMES 'utf8mb4' COLLATE 'utf8mb4_0900_ai_ci'")
+        state_after("SET NAMES 'utf8mb4' COLLATE 'utf8mb4_0900_ai_ci'")
             .context()
             .names
             .as_deref(),
         Some("utf8mb4 COLLATE utf8mb4_0900_ai_ci")
     );
     assert_eq!(
-        one("set character set utf8").context().names.as_deref(),
+        state_after("set character set utf8")
+            .context()
+            .names
+            .as_deref(),
         Some("utf8")
     );
-    assert_eq!(one("SET autocommit=1"), State::default());
+    assert_eq!(state_after("SET autocommit=1"), SessionState::default());
 }
 
 #[test]
-fn an_expression_is_asked_for_and_its_value_taken_in() {
+fn an_expression_is_evaluated_and_its_value_applied() {
     let sql = "SET sql_mode=(SELECT CONCAT(@@sql_mode, ',PIPES_AS_CONCAT')),time_zone='+00:00',NAMES utf8mb4 COLLATE utf8mb4_unicode_ci;";
     let changes = parse(sql.as_bytes()).unwrap();
-    let Ok(Taken::Asks(asks)) = State::default().set(&changes, &[]) else {
-        panic!("nothing is asked")
+    let Ok(SetOutcome::NeedsValues(expressions)) = SessionState::default().set(&changes, &[])
+    else {
+        panic!("no value is needed")
     };
-    assert_eq!(asks, ["(SELECT CONCAT(@@sql_mode, ',PIPES_AS_CONCAT'))"]);
-    let value = literal(Some(b"STRICT_TRANS_TABLES,PIPES_AS_CONCAT"), false);
-    let Ok(Taken::Changed { state, checked }) = State::default().set(&changes, &[value]) else {
+    assert_eq!(
+        expressions,
+        ["(SELECT CONCAT(@@sql_mode, ',PIPES_AS_CONCAT'))"]
+    );
+    let value = sql_literal(Some(b"STRICT_TRANS_TABLES,PIPES_AS_CONCAT"), false);
+    let Ok(SetOutcome::Changed { state, validation }) =
+        SessionState::default().set(&changes, &[value])
+    else {
         panic!()
     };
-    assert!(!checked, "an engine has to agree");
     assert_eq!(
-        state.context().settings["sql_mode"],
+        validation,
+        Validation::NeedsEngine,
+        "an engine has to agree"
+    );
+    assert_eq!(
+        state.context().variables["sql_mode"],
         "'STRICT_TRANS_TABLES,PIPES_AS_CONCAT'"
     );
-    assert_eq!(state.context().settings["time_zone"], "'+00:00'");
+    assert_eq!(state.context().variables["time_zone"], "'+00:00'");
     assert!(state.context().names.is_some());
-    assert_eq!(literal(Some(b"12"), true), "12");
-    assert_eq!(literal(Some(b"it's \\ 1"), false), "'it''s \\\\ 1'");
-    assert_eq!(literal(None, true), "NULL");
+    assert_eq!(sql_literal(Some(b"12"), true), "12");
+    assert_eq!(sql_literal(Some(b"it's \\ 1"), false), "'it''s \\\\ 1'");
+    assert_eq!(sql_literal(None, true), "NULL");
 }
 
 #[test]
-fn what_reaches_beyond_the_session_or_cannot_be_read_is_refused_and_changes_nothing() {
+fn what_reaches_beyond_the_session_or_cannot_be_parsed_is_rejected_and_changes_nothing() {
     for (sql, syntax) in [
         ("SET GLOBAL max_connections = 1", false),
         ("SET @@global.x = 1, y = 2", false),
@@ -130,69 +141,92 @@
         ("SET TRANSACTION LEVEL 3", true),
         ("SET names utf8mb4; drop table t", true),
     ] {
-        match after(&State::default(), sql) {
+        match after(&SessionState::default(), sql) {
             Err(SetError::Syntax { .. }) => assert!(syntax, "{sql}"),
-            Err(SetError::NotCarried(_)) => assert!(!syntax, "{sql}"),
-            Ok(s) => panic!("{sql}: {s:?}"),
+            Err(SetError::Unsupported(_)) => assert!(!syntax, "{sql}"),
+            Ok(state) => panic!("{sql}: {state:?}"),
         }
     }
 }
 
 /// A connection is taken from one session's settings to another's, and nothing of the first stays behind.
 #[test]
-fn a_connection_is_turned_from_one_session_to_another_and_leaves_nothing_behind() {
-    let a = one("SET sql_mode = 'ANSI', @x = 1, time_zone = '+02:00'");
-    let b = one("SET time_zone = '+00:00', autocommit = 0");
-    let (a, b) = (&a.context().settings, &b.context().settings);
-    assert_eq!(turn(a, a), None);
+fn a_connection_is_set_from_one_session_to_another_and_keeps_nothing_of_the_first() {
+    let first = state_after("SET sql_mode = 'ANSI', @x = 1, time_zone = '+02:00'");
+    let second = state_after("SET time_zone = '+00:00', autocommit = 0");
+    let first = &first.context().variables;
+    let second = &second.context().variables;
+    assert_eq!(set_statement(first, first), None);
     assert_eq!(
-        turn(a, b).unwrap(),
+        set_statement(first, second).unwrap(),
         "SET @x = NULL, SESSION sql_mode = DEFAULT, SESSION autocommit = 0, SESSION time_zone = '+00:00'"
     );
     assert_eq!(
-        turn(b, &Settings::new()).unwrap(),
+        set_statement(second, &SessionVariables::new()).unwrap(),
         "SET SESSION autocommit = DEFAULT, SESSION time_zone = DEFAULT"
     );
 }
 
 #[test]
-fn what_holds_for_the_next_transaction_is_told_until_one_has_begun() {
-    let mut s = one("SET TRANSACTION ISOLATION LEVEL REPEATABLE READ, READ ONLY");
-    assert!(s.context().settings.is_empty());
+fn characteristics_of_the_next_transaction_are_set_until_one_has_begun() {
+    let mut state = state_after("SET TRANSACTION ISOLATION LEVEL REPEATABLE READ, READ ONLY");
+    assert!(state.context().variables.is_empty());
     for _ in 0..2 {
-        let told = s.next_transaction().unwrap();
+        let statement = state.next_transaction_statement().unwrap();
         assert_eq!(
-            told,
+            statement,
             "SET TRANSACTION ISOLATION LEVEL REPEATABLE READ, READ ONLY"
         );
     }
-    s.began();
-    assert_eq!(s.next_transaction(), None);
+    state.transaction_began();
+    assert_eq!(state.next_transaction_statement(), None);
 }
 
 #[test]
-fn names_take_the_place_of_the_character_sets_set_before() {
-    let s = one("SET collation_connection = utf8mb4_bin, NAMES utf8mb4");
-    assert!(s.context().settings.is_empty() && s.context().names.is_some());
+fn set_names_replaces_the_character_sets_set_before() {
+    let state = state_after("SET collation_connection = utf8mb4_bin, NAMES utf8mb4");
+    assert!(state.context().variables.is_empty() && state.context().names.is_some());
 }
 
 #[test]
-fn a_reset_leaves_the_schema_and_an_insert_id_is_set_anew_where_it_is_asked_for() {
-    let mut s = one("SET sql_mode = 'ANSI', autocommit = 0");
-    s.stand_in("sales_17".into());
-    s.inserted(9);
-    s.inserted(0);
-    assert_eq!(s.context_with_insert_id().settings[INSERT_ID], "9");
-    assert!(!s.context().settings.contains_key(INSERT_ID));
-    s.reset();
-    assert_eq!(s, State::new(Some("sales_17".into())));
+fn a_reset_keeps_the_schema_and_an_insert_id_is_set_for_a_statement_that_reads_it() {
+    let mut state = state_after("SET sql_mode = 'ANSI', autocommit = 0");
+    state.use_schema("sales_17".into());
+    state.record_insert_id(9);
+    state.record_insert_id(0);
+    assert_eq!(
+        state.context_with_insert_id().variables[LAST_INSERT_ID_VARIABLE],
+        "9"
+    );
+    assert!(
+        !state
+            .context()
+            .variables
+            .contains_key(LAST_INSERT_ID_VARIABLE)
+    );
+    state.reset();
+    assert_eq!(state, SessionState::new(Some("sales_17".into())));
 }
 
 #[test]
-fn a_session_holds_a_bounded_number_of_variables() {
-    let many: Vec<String> = (0..=MOST).map(|i| format!("@v{i} = {i}")).collect();
-    assert!(after(&State::default(), &format!("SET {}", many.join(", "))).is_err());
-    assert!(after(&State::default(), &format!("SET {}", many[1..].join(", "))).is_ok());
-    let long = format!("SET @a = '{}'", "x".repeat(MOST_BYTES));
-    assert!(after(&State::default(), &long).is_err());
+fn a_session_holds_a_limited_number_of_variables() {
+    let many: Vec<String> = (0..=MAX_VARIABLES)
+        .map(|i| format!("@v{i} = {i}"))
+        .collect();
+    assert!(
+        after(
+            &SessionState::default(),
+            &format!("SET {}", many.join(", "))
+        )
+        .is_err()
+    );
+    assert!(
+        after(
+            &SessionState::default(),
+            &format!("SET {}", many[1..].join(", "))
+        )
+        .is_ok()
+    );
+    let long = format!("SET @a = '{}'", "x".repeat(MAX_VARIABLE_BYTES));
+    assert!(after(&SessionState::default(), &long).is_err());
 }
--- /dev/null
+++ b/src/protocol/mysql/session/variables.rs
@@ -0,0 +1,87 @@
+//! Session variables, and the statements that set them on an engine connection.
+
+use super::ONLY_UNICODE;
+use std::collections::BTreeMap;
+
+/// Variables by name, `@name` for a user variable, each with a literal that any engine takes.
+pub type SessionVariables = BTreeMap<String, String>;
+
+/// LAST_INSERT_ID(), as a variable that can be set.
+pub const LAST_INSERT_ID_VARIABLE: &str = "last_insert_id";
+
+const REPLICATION: &str = "replication is the engines' operators' own";
+
+/// Variables that change the protocol in a way that is not supported here, or that belong to replication; with the
+/// answer to a client that sets one.
+const UNSUPPORTED: [(&str, &str); 9] = [
+    (
+        "resultset_metadata",
+        "results without their columns are not carried",
+    ),
+    ("sql_log_bin", REPLICATION),
+    ("gtid_next", REPLICATION),
+    ("pseudo_thread_id", REPLICATION),
+    ("character_set_client", ONLY_UNICODE),
+    ("character_set_connection", ONLY_UNICODE),
+    ("character_set_results", ONLY_UNICODE),
+    ("collation_connection", ONLY_UNICODE),
+    ("session_track_gtids", "session tracking is the front's own"),
+];
+
+/// Why a variable may not be set to this value (lower case, without quotes; `None` is the default).
+pub(super) fn unsupported_reason(name: &str, value: Option<&str>) -> Option<&'static str> {
+    let (_, reason) = UNSUPPORTED
+        .iter()
+        .find(|(unsupported, _)| *unsupported == name)?;
+    let is_unicode_value =
+        value.is_none_or(|value| is_unicode(value) || value == "null" || value.starts_with("utf8"));
+    let supported = *reason == ONLY_UNICODE && is_unicode_value;
+    (!supported).then_some(reason)
+}
+
+pub(super) fn is_unicode(character_set: &str) -> bool {
+    matches!(character_set, "utf8" | "utf8mb3" | "utf8mb4")
+}
+
+/// The one SET that takes a connection from these variables to those; `None` if they are equal.
+pub fn set_statement(from: &SessionVariables, to: &SessionVariables) -> Option<String> {
+    let removed = from.keys().filter(|name| !to.contains_key(*name));
+    let unset = removed.map(|name| match name.starts_with('@') {
+        true => assignment(name, "NULL"),
+        false => assignment(name, "DEFAULT"),
+    });
+    let set = to
+        .iter()
+        .filter(|(name, value)| from.get(*name) != Some(value))
+        .map(|(name, value)| assignment(name, value));
+    let assignments: Vec<String> = unset.chain(set).collect();
+    (!assignments.is_empty()).then(|| format!("SET {}", assignments.join(", ")))
+}
+
+fn assignment(name: &str, value: &str) -> String {
+    match name.starts_with('@') {
+        true => format!("{} = {value}", quoted_user_variable(name)),
+        false => format!("SESSION {name} = {value}"),
+    }
+}
+
+/// A user variable, quoted where its name needs that.
+fn quoted_user_variable(name: &str) -> String {
+    let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'_' || byte == b'$';
+    match name[1..].bytes().all(is_plain) {
+        true => name.to_string(),
+        false => format!("@`{}`", &name[1..]),
+    }
+}
+
+/// A value that an engine evaluated, as a literal. `numeric` is its column's type; no value is NULL.
+pub fn sql_literal(value: Option<&[u8]>, numeric: bool) -> String {
+    let Some(value) = value else {
+        return "NULL".into();
+    };
+    let text = String::from_utf8_lossy(value);
+    match numeric && text.parse::<f64>().is_ok() {
+        true => text.into_owned(),
+        false => format!("'{}'", text.replace('\\', "\\\\").replace('\'', "''")),
+    }
+}
--- a/src/protocol/mysql/values.rs
+++ b/src/protocol/mysql/values.rs
@@ -1,175 +1,165 @@
-//! The binary parameters of COM_STMT_EXECUTE: checked, and completed so that any engine connection can run
+//! The binary parameters of `COM_STMT_EXECUTE`: checked, and completed so that any engine connection can execute
 //! them without having seen earlier ones.
 
+#[cfg(test)]
+mod tests;
+
 use crate::protocol::mysql::error::{SqlError, code};
 use crate::protocol::mysql::packet::{PacketError, PayloadReader};
 use bytes::{BufMut, Bytes, BytesMut};
 use std::collections::BTreeMap;
 
-/// The body of COM_STMT_EXECUTE, with what is needed to run it for the first time on a connection.
+/// The body of `COM_STMT_EXECUTE`, complete for the first execution on a connection.
 #[derive(Debug)]
 pub struct Execute {
-    /// Null bitmap, `new types` flag, types and values.
+    /// Null bitmap, the `new types` flag, types and values.
     pub body: Bytes,
-    /// Parameters sent ahead in pieces.
-    pub long: Vec<(u16, Bytes)>,
+    /// Parameters that were sent ahead in pieces, by their index.
+    pub long_data: Vec<(u16, Bytes)>,
 }
 
 /// The two bytes of a parameter's type: its code, and whether it is unsigned.
-pub type Type = [u8; 2];
+pub type ParameterType = [u8; 2];
+
+/// The `new types` flag: types follow.
+const TYPES_FOLLOW: u8 = 1;
+/// The `new types` flag: the types of the execution before are used.
+const TYPES_AS_BEFORE: u8 = 0;
+
+/// Type codes of the binary protocol (`MYSQL_TYPE_*`).
+mod type_code {
+    pub(super) const DECIMAL: u8 = 0x00;
+    pub(super) const TINY: u8 = 0x01;
+    pub(super) const SHORT: u8 = 0x02;
+    pub(super) const LONG: u8 = 0x03;
+    pub(super) const FLOAT: u8 = 0x04;
+    pub(super) const DOUBLE: u8 = 0x05;
+    pub(super) const NULL: u8 = 0x06;
+    pub(super) const TIMESTAMP: u8 = 0x07;
+    pub(super) const LONGLONG: u8 = 0x08;
+    pub(super) const INT24: u8 = 0x09;
+    pub(super) const DATE: u8 = 0x0a;
+    pub(super) const DATETIME: u8 = 0x0c;
+    pub(super) const YEAR: u8 = 0x0d;
+    pub(super) const VARCHAR: u8 = 0x0f;
+    pub(super) const BIT: u8 = 0x10;
+    /// JSON; the codes from here on are decimals, strings and blobs.
+    pub(super) const JSON: u8 = 0xf5;
+}
 
 /// Reads over one value of this type.
-fn skip(r: &mut PayloadReader, kind: u8) -> Result<(), PacketError> {
+fn skip_value(reader: &mut PayloadReader, kind: u8) -> Result<(), PacketError> {
     match kind {
-        0x06 => {}                              // NULL
-        0x01 => drop(r.take(1)?),               // TINY
-        0x02 | 0x0d => drop(r.take(2)?),        // SHORT, YEAR
-        0x03 | 0x04 | 0x09 => drop(r.take(4)?), // LONG, FLOAT, INT24
-        0x05 | 0x08 => drop(r.take(8)?),        // DOUBLE, LONGLONG
-        0x07 | 0x0a..=0x0c => match r.u8()? {
-            n @ (0 | 4 | 7 | 8 | 11 | 12) => drop(r.take(n.into())?), // dates and times
+        type_code::NULL => {}
+        type_code::TINY => drop(reader.bytes(1)?),
+        type_code::SHORT | type_code::YEAR => drop(reader.bytes(2)?),
+        type_code::LONG | type_code::FLOAT | type_code::INT24 => drop(reader.bytes(4)?),
+        type_code::DOUBLE | type_code::LONGLONG => drop(reader.bytes(8)?),
+        type_code::TIMESTAMP | type_code::DATE..=type_code::DATETIME => match reader.u8()? {
+            // The lengths of a DATE, TIME or DATETIME, with parts that are zero left out.
+            length @ (0 | 4 | 7 | 8 | 11 | 12) => drop(reader.bytes(length.into())?),
             _ => return Err(PacketError::Protocol("a date has no such length")),
         },
-        // decimals, strings, blobs, JSON, bits and the like
-        0x00 | 0x0f | 0x10 | 0xf5..=0xff => drop(r.length_encoded_bytes()?),
+        type_code::DECIMAL | type_code::VARCHAR | type_code::BIT | type_code::JSON..=0xff => {
+            drop(reader.length_encoded_bytes()?);
+        }
         _ => return Err(PacketError::Protocol("a parameter has an unknown type")),
     }
     Ok(())
 }
 
-/// Completes what a client sent: types from its earlier execute where it names none now, and long data in
-/// place. Clients may leave the types out after the first execute, but an engine connection that sees the
-/// statement for the first time needs them.
-pub fn complete(
+fn unreadable(error: PacketError) -> SqlError {
+    SqlError::new(
+        code::ER_WRONG_ARGUMENTS,
+        format!("the parameters cannot be read: {error}"),
+    )
+}
+
+/// Completes what a client sent: types from its earlier execution where it names none, and long data in place.
+///
+/// Clients may leave the types out after the first execution, but an engine connection that sees the statement for
+/// the first time needs them. `count` is the statement's number of parameters, `bound_types` those named last.
+///
+/// # Errors
+/// `ER_WRONG_ARGUMENTS`: the parameters cannot be read.
+pub fn complete_parameters(
     count: usize,
     body: Bytes,
-    bound: &mut Option<Vec<Type>>,
-    long: &BTreeMap<u16, BytesMut>,
+    bound_types: &mut Option<Vec<ParameterType>>,
+    long_data: &BTreeMap<u16, BytesMut>,
 ) -> Result<Execute, SqlError> {
-    let bad = |e: PacketError| {
-        SqlError::new(
-            code::ER_WRONG_ARGUMENTS,
-            format!("the parameters cannot be read: {e}"),
-        )
-    };
-    if long.keys().any(|&k| usize::from(k) >= count) {
-        return Err(bad(PacketError::Protocol(
+    complete(count, body, bound_types, long_data).map_err(unreadable)
+}
+
+fn complete(
+    count: usize,
+    body: Bytes,
+    bound_types: &mut Option<Vec<ParameterType>>,
+    long_data: &BTreeMap<u16, BytesMut>,
+) -> Result<Execute, PacketError> {
+    if long_data.keys().any(|&index| usize::from(index) >= count) {
+        return Err(PacketError::Protocol(
             "long data for a parameter that is not there",
-        )));
+        ));
     }
     if count == 0 {
         return Ok(Execute {
             body: Bytes::new(),
-            long: vec![],
+            long_data: vec![],
         });
     }
-    let mut r = PayloadReader(body);
-    let nulls = r.take(count.div_ceil(8)).map_err(bad)?;
-    match r.u8().map_err(bad)? {
-        1 => {
-            let types = r.take(2 * count).map_err(bad)?;
-            *bound = Some(types.chunks_exact(2).map(|t| [t[0], t[1]]).collect());
-        }
-        0 => {}
-        _ => {
-            return Err(bad(PacketError::Protocol(
-                "the types' flag is neither 0 nor 1",
-            )));
-        }
-    }
-    let Some(types) = bound.as_ref().filter(|t| t.len() == count) else {
-        return Err(bad(PacketError::Protocol("no types were ever named")));
+    let mut reader = PayloadReader(body);
+    let null_bitmap = reader.bytes(count.div_ceil(8))?;
+    read_types(&mut reader, count, bound_types)?;
+    let Some(types) = bound_types.as_ref().filter(|types| types.len() == count) else {
+        return Err(PacketError::Protocol("no types were ever named"));
     };
-    let values = r.0.clone();
-    for (i, kind) in types.iter().enumerate() {
-        let null = nulls[i / 8] >> (i % 8) & 1 == 1;
-        if !null && !long.contains_key(&(i as u16)) {
-            skip(&mut r, kind[0]).map_err(bad)?;
+    let values = reader.0.clone();
+    for (index, kind) in types.iter().enumerate() {
+        let is_null = null_bitmap[index / 8] >> (index % 8) & 1 == 1;
+        if !is_null && !long_data.contains_key(&(index as u16)) {
+            skip_value(&mut reader, kind[0])?;
         }
     }
-    if !r.0.is_empty() {
-        return Err(bad(PacketError::Protocol("bytes follow the last value")));
+    if !reader.0.is_empty() {
+        return Err(PacketError::Protocol("bytes follow the last value"));
     }
-    let mut whole = BytesMut::with_capacity(nulls.len() + 1 + 2 * count + values.len());
-    whole.put_slice(&nulls);
-    whole.put_u8(1);
-    types.iter().for_each(|t| whole.put_slice(t));
-    whole.put_slice(&values);
-    let long = long.iter().map(|(&k, v)| (k, v.clone().freeze())).collect();
+    let long_data = long_data
+        .iter()
+        .map(|(&index, data)| (index, data.clone().freeze()))
+        .collect();
     Ok(Execute {
-        body: whole.freeze(),
-        long,
+        body: complete_body(&null_bitmap, types, &values),
+        long_data,
     })
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn run(body: &[u8], bound: &mut Option<Vec<Type>>) -> Result<Vec<u8>, u16> {
-        complete(2, Bytes::copy_from_slice(body), bound, &BTreeMap::new())
-            .map(|e| e.body.to_vec())
-            .map_err(|e| e.code)
-    }
-
-    #[test]
-    fn types_are_remembered_for_engines_that_never_saw_them() {
-        let mut bound = None;
-        assert_eq!(
-            run(&[0, 0, 5, 1, b'a'], &mut bound),
-            Err(1210),
-            "no types were ever named"
-        );
-        let first = [0, 1, 1, 0, 0xfd, 0, 5, 1, b'a'];
-        assert_eq!(run(&first, &mut bound), Ok(first.to_vec()));
-        assert_eq!(
-            run(&[2, 0, 7], &mut bound),
-            Ok(vec![2, 1, 1, 0, 0xfd, 0, 7]),
-            "the second is NULL"
-        );
-    }
-
-    #[test]
-    fn values_that_end_early_or_late_are_turned_away() {
-        for body in [
-            &[0u8, 1, 1, 0, 0xfd, 0, 5][..],
-            &[0, 1, 1, 0, 0xfd, 0, 5, 9, b'a'],
-            &[0, 1, 1],
-            &[],
-        ] {
-            assert_eq!(run(body, &mut None), Err(1210), "{body:?}");
+/// Reads the `new types` flag and the types behind it, if there are any.
+fn read_types(
+    reader: &mut PayloadReader,
+    count: usize,
+    bound_types: &mut Option<Vec<ParameterType>>,
+) -> Result<(), PacketError> {
+    match reader.u8()? {
+        TYPES_FOLLOW => {
+            let types = reader.bytes(2 * count)?;
+            let types = types.chunks_exact(2).map(|bytes| [bytes[0], bytes[1]]);
+            *bound_types = Some(types.collect());
+            Ok(())
         }
-        assert_eq!(
-            run(&[0, 1, 1, 0, 0xfd, 0, 5, 1, b'a', 0], &mut None),
-            Err(1210)
-        );
-        assert_eq!(
-            run(&[0, 1, 1, 0, 0x0c, 0, 5, 3, 1, 1, 1], &mut None),
-            Err(1210),
-            "a date of 3 bytes"
-        );
+        TYPES_AS_BEFORE => Ok(()),
+        _ => Err(PacketError::Protocol("the types' flag is neither 0 nor 1")),
     }
+}
 
-    #[test]
-    fn long_data_stands_for_its_value() {
-        let long = BTreeMap::from([(1u16, BytesMut::from(&b"long"[..]))]);
-        let e = complete(
-            2,
-            Bytes::from_static(&[0, 1, 1, 0, 0xfc, 0, 5]),
-            &mut None,
-            &long,
-        )
-        .unwrap();
-        assert_eq!(e.long, vec![(1, Bytes::from_static(b"long"))]);
-        let far = BTreeMap::from([(2u16, BytesMut::new())]);
-        assert!(
-            complete(
-                2,
-                Bytes::from_static(&[0, 1, 1, 0, 1, 0, 5, 6]),
-                &mut None,
-                &far
-            )
-            .is_err()
-        );
+fn complete_body(null_bitmap: &[u8], types: &[ParameterType], values: &[u8]) -> Bytes {
+    let length = null_bitmap.len() + 1 + 2 * types.len() + values.len();
+    let mut body = BytesMut::with_capacity(length);
+    body.put_slice(null_bitmap);
+    body.put_u8(TYPES_FOLLOW);
+    for kind in types {
+        body.put_slice(kind);
     }
+    body.put_slice(values);
+    body.freeze()
 }
--- /dev/null
+++ b/src/protocol/statement/classify.rs
@@ -0,0 +1,348 @@
+//! What kind a statement is, so far as the dispatcher has to know.
+
+use super::scanner::{Token, tokens};
+use super::words::{
+    KEEP_TRANSACTION_OPEN, KEYWORDS_BEFORE_PARENTHESIS, READ_ONLY_FUNCTIONS, WRITE_KEYWORDS,
+};
+use crate::sticky_sessions::StickyReason;
+
+/// What a MySQL statement is to a dispatcher.
+#[derive(Clone, Debug, PartialEq)]
+pub enum StatementKind {
+    /// Plainly reads, and needs nothing that an earlier statement left behind.
+    Read,
+    /// May write, so far as can be seen.
+    Write,
+    /// `USE schema`
+    Use(String),
+    /// Changes the session's state; parsed by [`crate::protocol::mysql::session::set`].
+    Set,
+    /// COMMIT or ROLLBACK.
+    EndsTransaction,
+    /// SAVEPOINT and the like: useful in a transaction, and harmless outside.
+    WithinTransaction,
+    /// UNLOCK TABLES.
+    UnlockTables,
+    /// SHOW WARNINGS or SHOW ERRORS: about the statement before.
+    ShowWarnings,
+    /// KILL QUERY, of a session by its number here.
+    KillQuery(u32),
+    /// Leaves state on its connection that no other connection has.
+    MakesSticky(StickyReason),
+    /// Not supported, and why: sessions migrate between engines, and each statement stands alone.
+    Unsupported(&'static str),
+}
+
+const ENGINE_ADMINISTRATION: StatementKind =
+    StatementKind::Unsupported("engines are not administered through the dispatcher");
+const PREPARED_BY_SQL: StatementKind =
+    StatementKind::Unsupported("statements are prepared by the protocol, not by SQL");
+const ASSIGNMENT: [Token; 2] = [Token::Punctuation(b':'), Token::Punctuation(b'=')];
+const USER_LOCK_FUNCTIONS: [&str; 3] = ["get_lock", "release_lock", "release_all_locks"];
+const COUNT_FUNCTIONS: [&str; 2] = ["found_rows", "row_count"];
+
+/// What kind a MySQL statement is. Doubt counts as a write.
+pub fn classify(sql: &[u8]) -> StatementKind {
+    let statement = Statement::scan(sql);
+    if let Some(kind) = unsupported_form(&statement) {
+        return kind;
+    }
+    transaction_control(&statement)
+        .or_else(|| table_lock(&statement))
+        .or_else(|| session_statement(&statement, sql))
+        .or_else(|| unsupported_statement(&statement))
+        .or_else(|| sticky_statement(&statement))
+        .unwrap_or_else(|| read_or_write(&statement))
+}
+
+/// A statement's tokens, with what the classification asks of them.
+struct Statement {
+    tokens: Vec<Token>,
+    /// The bare names in lower case, by the index of their token; empty for any other token.
+    words: Vec<String>,
+    /// Index of the first token that is no opening parenthesis.
+    start: usize,
+    /// Index behind the last token that is no semicolon.
+    end: usize,
+}
+
+impl Statement {
+    fn scan(sql: &[u8]) -> Self {
+        let tokens: Vec<Token> = tokens(sql).collect();
+        let words = tokens.iter().map(bare_word).collect();
+        let start = tokens
+            .iter()
+            .position(|token| *token != Token::Punctuation(b'('));
+        let last = tokens
+            .iter()
+            .rposition(|token| *token != Token::Punctuation(b';'));
+        Statement {
+            tokens,
+            words,
+            start: start.unwrap_or(0),
+            end: last.map_or(0, |index| index + 1),
+        }
+    }
+
+    /// The word at this index; empty if there is none.
+    fn word(&self, index: usize) -> &str {
+        self.words.get(index).map_or("", String::as_str)
+    }
+
+    fn first_word(&self) -> &str {
+        self.word(self.start)
+    }
+
+    fn second_word(&self) -> &str {
+        self.word(self.start + 1)
+    }
+
+    /// The words up to the end.
+    fn body(&self) -> &[String] {
+        &self.words[..self.end]
+    }
+
+    fn has(&self, word: &str) -> bool {
+        self.body().iter().any(|other| other == word)
+    }
+
+    fn is_punctuation(&self, index: usize, byte: u8) -> bool {
+        self.tokens.get(index) == Some(&Token::Punctuation(byte))
+    }
+
+    /// Whether the statement has exactly so many tokens from its first word on.
+    fn has_length(&self, tokens: usize) -> bool {
+        self.end == self.start + tokens
+    }
+
+    fn calls_any(&self, functions: &[&str]) -> bool {
+        (0..self.end).any(|index| {
+            functions.contains(&self.word(index)) && self.is_punctuation(index + 1, b'(')
+        })
+    }
+
+    fn has_assignment(&self) -> bool {
+        self.tokens[..self.end]
+            .windows(2)
+            .any(|pair| pair == ASSIGNMENT)
+    }
+
+    /// One `@` begins a user variable, two begin one of the engine's own.
+    fn is_user_variable(&self, index: usize) -> bool {
+        self.is_punctuation(index, b'@')
+            && !self.is_punctuation(index + 1, b'@')
+            && (index == 0 || !self.is_punctuation(index - 1, b'@'))
+    }
+}
+
+fn bare_word(token: &Token) -> String {
+    match token {
+        Token::Name {
+            text,
+            quoted: false,
+        } => text.to_ascii_lowercase(),
+        _ => String::new(),
+    }
+}
+
+/// Forms that are not supported whatever else they hold.
+fn unsupported_form(statement: &Statement) -> Option<StatementKind> {
+    let first = statement.first_word();
+    if first == "xa" {
+        return Some(StatementKind::Unsupported(
+            "distributed transactions are not carried",
+        ));
+    }
+    let ends_transaction = matches!(first, "commit" | "rollback");
+    if ends_transaction && statement.has("release") && !statement.has("no") && !statement.has("to")
+    {
+        return Some(StatementKind::Unsupported(
+            "RELEASE is not carried: close the connection",
+        ));
+    }
+    let is_several = (0..statement.end).any(|index| statement.is_punctuation(index, b';'));
+    is_several.then_some(StatementKind::Unsupported(
+        "several statements at once are not carried",
+    ))
+}
+
+fn transaction_control(statement: &Statement) -> Option<StatementKind> {
+    match statement.first_word() {
+        "begin" => Some(StatementKind::MakesSticky(StickyReason::Transaction)),
+        "start" if statement.second_word() == "transaction" => {
+            Some(StatementKind::MakesSticky(StickyReason::Transaction))
+        }
+        "commit" => Some(StatementKind::EndsTransaction),
+        "rollback" if statement.has("to") => Some(StatementKind::WithinTransaction),
+        "rollback" => Some(StatementKind::EndsTransaction),
+        "savepoint" | "release" => Some(StatementKind::WithinTransaction),
+        _ => None,
+    }
+}
+
+fn table_lock(statement: &Statement) -> Option<StatementKind> {
+    let of_tables = matches!(statement.second_word(), "table" | "tables");
+    match statement.first_word() {
+        "lock" if of_tables => Some(StatementKind::MakesSticky(StickyReason::TableLocks)),
+        "unlock" if of_tables => Some(StatementKind::UnlockTables),
+        _ => None,
+    }
+}
+
+/// Statements about the session itself, which are answered without an engine or change what engines are set to.
+fn session_statement(statement: &Statement, sql: &[u8]) -> Option<StatementKind> {
+    match statement.first_word() {
+        "kill" if statement.second_word() == "query" => Some(kill_query(statement, sql)),
+        "show"
+            if statement.has_length(2)
+                && matches!(statement.second_word(), "warnings" | "errors") =>
+        {
+            Some(StatementKind::ShowWarnings)
+        }
+        "use" => Some(match statement.tokens.get(statement.start + 1) {
+            Some(Token::Name { text, .. }) if statement.has_length(2) => {
+                StatementKind::Use(text.clone())
+            }
+            _ => StatementKind::Unsupported("USE takes the name of a schema"),
+        }),
+        "set" => Some(StatementKind::Set),
+        _ => None,
+    }
+}
+
+fn kill_query(statement: &Statement, sql: &[u8]) -> StatementKind {
+    let number = String::from_utf8_lossy(sql)
+        .split_ascii_whitespace()
+        .nth(2)
+        .and_then(|number| number.trim_end_matches(';').parse().ok());
+    match number {
+        Some(number) if statement.has_length(3) => StatementKind::KillQuery(number),
+        _ => StatementKind::Unsupported("KILL QUERY takes the number of a session"),
+    }
+}
+
+fn unsupported_statement(statement: &Statement) -> Option<StatementKind> {
+    match statement.first_word() {
+        "lock" | "unlock" | "start" | "kill" | "shutdown" | "restart" | "flush" | "reset"
+        | "install" | "uninstall" | "clone" => Some(ENGINE_ADMINISTRATION),
+        "prepare" | "execute" | "deallocate" => Some(PREPARED_BY_SQL),
+        "handler" | "declare" | "open" | "fetch" | "close" => {
+            Some(StatementKind::Unsupported("cursors are not carried"))
+        }
+        "call" => Some(StatementKind::Unsupported(
+            "stored procedures are not carried",
+        )),
+        "load" if statement.has("local") => {
+            Some(StatementKind::Unsupported("LOCAL INFILE is not carried"))
+        }
+        _ => None,
+    }
+}
+
+/// Statements that leave state on their connection, or read what an earlier one left there.
+fn sticky_statement(statement: &Statement) -> Option<StatementKind> {
+    if statement.has("temporary") && matches!(statement.first_word(), "create" | "drop") {
+        return Some(StatementKind::MakesSticky(StickyReason::TemporaryTable));
+    }
+    if statement.calls_any(&USER_LOCK_FUNCTIONS) {
+        return Some(StatementKind::MakesSticky(StickyReason::UserLock));
+    }
+    if statement.calls_any(&COUNT_FUNCTIONS) {
+        return Some(StatementKind::Unsupported(
+            "what the statement before has counted is not carried",
+        ));
+    }
+    // A user variable that is read is set wherever the statement runs; one that is assigned stays on its connection.
+    let uses_variable = (0..statement.end).any(|index| statement.is_user_variable(index));
+    let assigns = statement.has_assignment() || statement.has("into");
+    (uses_variable && assigns).then_some(StatementKind::MakesSticky(StickyReason::SessionVariable))
+}
+
+fn read_or_write(statement: &Statement) -> StatementKind {
+    let is_read = is_read_keyword(statement.first_word())
+        && !locks_rows(statement)
+        && !has_write_keyword(statement)
+        && !calls_unknown_function(statement)
+        && !statement.tokens.contains(&Token::ExecutableComment)
+        && !statement.has_assignment();
+    match is_read {
+        true => StatementKind::Read,
+        false => StatementKind::Write,
+    }
+}
+
+fn is_read_keyword(word: &str) -> bool {
+    matches!(
+        word,
+        "select" | "with" | "show" | "describe" | "desc" | "explain" | "values" | "table"
+    )
+}
+
+/// FOR UPDATE or FOR SHARE. Its locks end with the statement, unless a transaction is open.
+fn locks_rows(statement: &Statement) -> bool {
+    let for_update = |pair: &[String]| pair[0] == "for" && pair[1] == "update";
+    statement.has("for") && (statement.has("share") || statement.body().windows(2).any(for_update))
+}
+
+fn has_write_keyword(statement: &Statement) -> bool {
+    (0..statement.end).any(|index| {
+        let word = statement.word(index);
+        let is_function =
+            || statement.is_punctuation(index + 1, b'(') && READ_ONLY_FUNCTIONS.contains(word);
+        WRITE_KEYWORDS.contains(word) && !is_function()
+    })
+}
+
+fn calls_unknown_function(statement: &Statement) -> bool {
+    (1..statement.end).any(|index| {
+        let is_call = matches!(statement.tokens[index], Token::Name { .. })
+            && statement.is_punctuation(index + 1, b'(');
+        // A name after WITH or a comma, with its columns, is a table of the statement itself.
+        let is_common_table = || {
+            statement.first_word() == "with"
+                && statement.words[1..index]
+                    .iter()
+                    .all(|word| word != "select")
+        };
+        let word = statement.word(index);
+        let is_known = || {
+            !word.is_empty()
+                && (READ_ONLY_FUNCTIONS.contains(word)
+                    || KEYWORDS_BEFORE_PARENTHESIS.contains(word))
+        };
+        is_call && !is_common_table() && !is_known()
+    })
+}
+
+/// Whether the statement calls LAST_INSERT_ID().
+pub fn reads_last_insert_id(statement: &[u8]) -> bool {
+    const NAME: &str = "last_insert_id";
+    // Nearly none does: only those that hold the word are scanned.
+    if !statement
+        .windows(NAME.len())
+        .any(|window| window.eq_ignore_ascii_case(NAME.as_bytes()))
+    {
+        return false;
+    }
+    let mut tokens = tokens(statement).peekable();
+    while let Some(token) = tokens.next() {
+        let is_name = matches!(token, Token::Name { text, .. } if text.eq_ignore_ascii_case(NAME));
+        if is_name && tokens.peek() == Some(&Token::Punctuation(b'(')) {
+            return true;
+        }
+    }
+    false
+}
+
+/// Whether a statement that ends a transaction is a ROLLBACK, not a COMMIT.
+pub fn is_rollback(statement: &[u8]) -> bool {
+    matches!(tokens(statement).next(), Some(Token::Name { text, .. }) if text.eq_ignore_ascii_case("rollback"))
+}
+
+/// Whether the statement commits an open transaction implicitly: what defines tables, users or locks does.
+pub fn commits_implicitly(statement: &[u8]) -> bool {
+    let first = tokens(statement)
+        .map(|token| bare_word(&token))
+        .find(|word| !word.is_empty());
+    !first.is_some_and(|word| KEEP_TRANSACTION_OPEN.contains(&word))
+}
--- /dev/null
+++ b/src/protocol/statement/scanner.rs
@@ -0,0 +1,154 @@
+//! Splits a statement into tokens.
+
+/// A token of a statement.
+#[derive(Clone, Debug, PartialEq)]
+pub(super) enum Token {
+    /// A bare or quoted name; bare ones may be keywords.
+    Name {
+        text: String,
+        quoted: bool,
+    },
+    Number,
+    /// A string.
+    Text,
+    /// A single character of punctuation.
+    Punctuation(u8),
+    /// `/*! ... */` and `/*+ ... */`: MySQL acts on what they hold.
+    ExecutableComment,
+}
+
+/// The tokens of a statement, from the left.
+pub(super) struct Tokens<'a> {
+    sql: &'a [u8],
+    position: usize,
+    /// The last token was a dot.
+    after_dot: bool,
+}
+
+pub(super) fn tokens(sql: &[u8]) -> Tokens<'_> {
+    Tokens {
+        sql,
+        position: 0,
+        after_dot: false,
+    }
+}
+
+fn is_name_byte(byte: u8) -> bool {
+    byte.is_ascii_alphanumeric() || byte == b'_' || byte == b'$' || byte >= 0x80
+}
+
+/// Whether a backslash escapes the byte after it.
+#[derive(Clone, Copy, PartialEq)]
+enum Escapes {
+    Backslash,
+    None,
+}
+
+impl Tokens<'_> {
+    /// The content of what a quote opens; a doubled quote stands for itself, and so does an escaped one.
+    fn quoted(&mut self, quote: u8, escapes: Escapes) -> String {
+        let mut text = vec![];
+        self.position += 1;
+        while let Some(&byte) = self.sql.get(self.position) {
+            self.position += 1;
+            if byte == b'\\' && escapes == Escapes::Backslash {
+                text.extend(self.sql.get(self.position));
+                self.position += 1;
+            } else if byte == quote {
+                if self.sql.get(self.position) != Some(&quote) {
+                    break;
+                }
+                text.push(quote);
+                self.position += 1;
+            } else {
+                text.push(byte);
+            }
+        }
+        String::from_utf8_lossy(&text).into_owned()
+    }
+
+    /// A string to MySQL, a name elsewhere; only a name has a dot beside it.
+    fn double_quoted(&mut self, after_dot: bool) -> Token {
+        let text = self.quoted(b'"', Escapes::Backslash);
+        let before_dot = self.sql.get(self.position) == Some(&b'.');
+        if after_dot || before_dot {
+            Token::Name { text, quoted: true }
+        } else {
+            Token::Text
+        }
+    }
+
+    fn number(&mut self, rest: &[u8]) -> Token {
+        self.position += rest
+            .iter()
+            .take_while(|&&byte| is_name_byte(byte) || byte == b'.')
+            .count();
+        Token::Number
+    }
+
+    fn name(&mut self, rest: &[u8]) -> Token {
+        let length = rest.iter().take_while(|&&byte| is_name_byte(byte)).count();
+        self.position += length;
+        Token::Name {
+            text: String::from_utf8_lossy(&rest[..length]).into_owned(),
+            quoted: false,
+        }
+    }
+
+    /// Skips a comment; one that MySQL executes is a token.
+    fn block_comment(&mut self, rest: &[u8]) -> Option<Token> {
+        let executable = matches!(rest.get(2), Some(b'!' | b'+'));
+        self.position += 2;
+        self.skip_past(b"*/");
+        executable.then_some(Token::ExecutableComment)
+    }
+
+    fn skip_past(&mut self, end: &[u8]) {
+        let rest = self.sql.get(self.position..).unwrap_or_default();
+        let found = rest.windows(end.len()).position(|window| window == end);
+        self.position = match found {
+            Some(offset) => self.position + offset + end.len(),
+            None => self.sql.len(),
+        };
+    }
+}
+
+impl Iterator for Tokens<'_> {
+    type Item = Token;
+
+    fn next(&mut self) -> Option<Token> {
+        let after_dot = std::mem::take(&mut self.after_dot);
+        let sql = self.sql;
+        loop {
+            let rest = sql.get(self.position..)?;
+            let &byte = rest.first()?;
+            if byte.is_ascii_whitespace() {
+                self.position += 1;
+            } else if rest.starts_with(b"/*") {
+                if let Some(token) = self.block_comment(rest) {
+                    return Some(token);
+                }
+            } else if rest.starts_with(b"--") || byte == b'#' {
+                self.skip_past(b"\n");
+            } else if byte == b'\'' {
+                self.quoted(byte, Escapes::Backslash);
+                return Some(Token::Text);
+            } else if byte == b'"' {
+                return Some(self.double_quoted(after_dot));
+            } else if byte == b'`' {
+                return Some(Token::Name {
+                    text: self.quoted(byte, Escapes::None),
+                    quoted: true,
+                });
+            } else if byte.is_ascii_digit() {
+                return Some(self.number(rest));
+            } else if is_name_byte(byte) {
+                return Some(self.name(rest));
+            } else {
+                self.position += 1;
+                self.after_dot = byte == b'.';
+                return Some(Token::Punctuation(byte));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/protocol/statement/tests.rs
@@ -0,0 +1,134 @@
+use super::*;
+
+#[test]
+fn only_what_plainly_reads_is_a_read() {
+    let cases = [
+        (
+            "select a, count(*) from x where b in (1, 2) group by a;",
+            "read",
+        ),
+        ("(select 1) union (select 2)", "read"),
+        ("with w(a) as (select 1) select max(a) from w", "read"),
+        ("select replace(a, 'x', 'y'), `update` from t", "read"),
+        ("select 'delete', \"into\" from t -- drop", "read"),
+        ("select @@version_comment limit 1", "read"),
+        ("show tables", "read"),
+        ("insert into t values (1)", "write"),
+        ("with w as (select 1) delete from t", "write"),
+        ("select * into outfile '/x' from t", "write"),
+        ("select /*! sql_no_cache */ 1", "write"),
+        ("select my_function(1)", "write"),
+        ("select db.f(1)", "write"),
+        ("explain analyze delete from t", "write"),
+        ("replace into t values (1)", "write"),
+        ("/* class=lookup */ update t set a = 1", "write"),
+        ("", "write"),
+        ("begin", "sticky"),
+        ("START TRANSACTION READ ONLY;", "sticky"),
+        ("begin; commit", "unsupported"),
+        ("start replica", "unsupported"),
+        ("commit and no chain no release", "ends"),
+        ("commit release", "unsupported"),
+        ("rollback", "ends"),
+        ("show warnings;", "warnings"),
+        ("show errors", "warnings"),
+        ("show warnings limit 2", "read"),
+        ("KILL QUERY 17;", "kill"),
+        ("kill query 17, 18", "unsupported"),
+        ("kill 17", "unsupported"),
+        ("rollback to savepoint a", "within"),
+        ("savepoint a", "within"),
+        ("lock tables t write", "sticky"),
+        ("lock instance for backup", "unsupported"),
+        ("unlock tables", "unlock"),
+        ("xa start 'x'", "unsupported"),
+        ("set autocommit=0", "set"),
+        ("select @x", "read"),
+        ("select @x := 1", "sticky"),
+        ("select a into @x from t", "sticky"),
+        ("select get_lock('a', 1)", "sticky"),
+        ("select row_count()", "unsupported"),
+        ("select 1; delete from t", "unsupported"),
+        ("select * from t for update", "write"),
+        ("create temporary table x (a int)", "sticky"),
+        ("select last_insert_id()", "read"),
+        ("load data local infile 'x' into table t", "unsupported"),
+        ("SET NAMES 'utf8mb4'", "set"),
+        ("use `a b`", "use"),
+    ];
+    for (text, expected) in cases {
+        let found = match classify(text.as_bytes()) {
+            StatementKind::Read => "read",
+            StatementKind::Write => "write",
+            StatementKind::Use(_) => "use",
+            StatementKind::Set => "set",
+            StatementKind::EndsTransaction => "ends",
+            StatementKind::WithinTransaction => "within",
+            StatementKind::UnlockTables => "unlock",
+            StatementKind::ShowWarnings => "warnings",
+            StatementKind::KillQuery(session) => {
+                assert_eq!(session, 17, "{text}");
+                "kill"
+            }
+            StatementKind::MakesSticky(_) => "sticky",
+            StatementKind::Unsupported(_) => "unsupported",
+        };
+        assert_eq!(found, expected, "{text}");
+    }
+    assert!(reads_last_insert_id(
+        b"insert into t values (LAST_INSERT_ID())"
+    ));
+    assert!(!reads_last_insert_id(
+        b"select 'last_insert_id()', last_insert_id from t"
+    ));
+    assert!(
+        commits_implicitly(b"/* x */ alter table t add a int")
+            && commits_implicitly(b"lock tables t read")
+    );
+    assert!(!commits_implicitly(b"(select 1)") && !commits_implicitly(b"insert into t values (1)"));
+    let hints = Hints::parse(b" /* class=report, limit:1500 */ select 1");
+    assert_eq!(
+        hints,
+        Hints(vec![
+            ("class".into(), "report".into()),
+            ("limit".into(), "1500".into())
+        ])
+    );
+    assert_eq!(hints.get("class"), Some("report"));
+    assert_eq!(
+        Hints::parse(b"select 1 /* class=report */"),
+        Hints::default()
+    );
+}
+
+#[test]
+fn the_table_group_is_found_in_awkward_statements() {
+    let cases: [(&str, Option<u64>); 17] = [
+        ("select * from sales_17.orders", Some(17)),
+        ("SELECT a.x FROM `kit_sales_3`.`o r` AS a", Some(3)),
+        ("select 'from a_1.b' from c_2.d", Some(2)),
+        (
+            "select 'it''s a_1.b', 'x\\' from a_9.t' from c_2.d",
+            Some(2),
+        ),
+        ("select 1 -- from a_1.b\nfrom c_2.d", Some(2)),
+        ("select /* a_1.b */ 1 from c_2.d", Some(2)),
+        ("# a_1.b\nselect 1 from c_2.d", Some(2)),
+        ("insert into staging.x select * from c_2.d", Some(2)),
+        (
+            "insert into c_5.t select * from Staging.x join a_2.y on 1",
+            Some(5),
+        ),
+        ("select t_4.id from c_2.d t_4", Some(2)),
+        ("select * from (select * from c_2 . d) x", Some(2)),
+        ("select * from cat.c_2.d", Some(2)),
+        ("select * from \"c_2\".\"d\"", Some(2)),
+        ("select \"from a_1.b\" from c_2.d", Some(2)),
+        ("select 1.5, x from t", None),
+        ("select * from sales.orders_17", None),
+        ("select 'unfinished a_1.b", None),
+    ];
+    for (text, expected) in cases {
+        assert_eq!(table_group(text.as_bytes()), expected, "{text}");
+    }
+}
--- a/src/upstream/mysql/mod.rs
+++ b/src/upstream/mysql/mod.rs
@@ -18,7 +18,7 @@
 use crate::protocol::mysql::auth;
 use crate::protocol::mysql::error::{SqlError, code};
 use crate::protocol::mysql::packet::*;
-use crate::protocol::mysql::session::{Context, INSERT_ID};
+use crate::protocol::mysql::session::{LAST_INSERT_ID_VARIABLE, SessionContext};
 use crate::spool_io::{ResultWriter, Spools, StoredResult};
 use crate::transport::buffer_pool::BufferPool;
 use crate::transport::framed_connection::FramedConnection;
@@ -53,7 +53,7 @@
 /// An engine closes a connection that was idle for too long.
 const TIRED: u16 = 4031;
 
-type Key = (Context, Bytes);
+type Key = (SessionContext, Bytes);
 
 /// Counts an engine's connections that are logged in, and tells how each ended.
 struct Live {
@@ -88,7 +88,7 @@
     /// Its number at the engine, by which it can be killed.
     number: u32,
     address: SocketAddr,
-    pub(super) context: Context,
+    pub(super) context: SessionContext,
     statements: HashMap<Key, u32>,
     oldest: VecDeque<Key>,
     opened: Millis,
@@ -161,7 +161,7 @@
     }
 
     /// It can be taken there: what it has set can be set anew, but not unset.
-    fn can_enter(&self, context: &Context) -> bool {
+    fn can_enter(&self, context: &SessionContext) -> bool {
         let has = &self.context;
         (context.schema.is_some() || has.schema.is_none())
             && (context.names.is_some() || has.names.is_none())
@@ -448,7 +448,7 @@
                 };
                 let held = tokio::select! {
                     held = held => held,
-                    () = cut.notified() => Err(PacketError::EndpointReplaced),
+                    () = cut.notified() => Err(PacketError::ConnectionAbandoned),
                 };
                 match held {
                     Ok(Ended::Free(reply, carried)) => {
@@ -469,7 +469,7 @@
                 let until = start.until.min(start.write_by);
                 tokio::select! {
                     result = self.run(&mut c, work, written, &in_service, &sent, until) => result,
-                    () = cut.notified() => Err(PacketError::EndpointReplaced),
+                    () = cut.notified() => Err(PacketError::ConnectionAbandoned),
                 }
             }
         };
@@ -531,7 +531,7 @@
                 Err(match (wrote, &e) {
                     (false, PacketError::Server(e)) if full(e.code) => Outcome::Rejected,
                     (false, _) => Outcome::Unreachable,
-                    (true, PacketError::Io(_) | PacketError::EndpointReplaced) => Outcome::Reset,
+                    (true, PacketError::Io(_) | PacketError::ConnectionAbandoned) => Outcome::Reset,
                     (true, _) => Outcome::Error,
                 })
             }
@@ -635,7 +635,7 @@
             .map_err(io::Error::from)??;
         tcp.set_nodelay(true)?;
         let codec = PacketCodec {
-            most: self.access.max_packet,
+            max_packet: self.access.max_packet,
             sequence: 0,
         };
         let mut wire = FramedConnection::new(&self.pool, tcp, codec);
@@ -648,7 +648,7 @@
             warnings: 0,
             number,
             address,
-            context: Context::default(),
+            context: SessionContext::default(),
             statements: HashMap::new(),
             oldest: VecDeque::new(),
             opened,
@@ -766,8 +766,8 @@
         }
         self.enter(c, work, until).await?;
         // Statements change it: it is set anew for whoever asks for it next.
-        if c.context.settings.contains_key(INSERT_ID) {
-            Rc::make_mut(&mut c.context.settings).remove(INSERT_ID);
+        if c.context.variables.contains_key(LAST_INSERT_ID_VARIABLE) {
+            Rc::make_mut(&mut c.context.variables).remove(LAST_INSERT_ID_VARIABLE);
         }
         let mark = (c.address, c.number);
         let gate = || -> Result<(), PacketError> {
@@ -817,7 +817,7 @@
                         }
                     };
                     // By these alone nothing runs.
-                    for (parameter, data) in &e.long {
+                    for (parameter, data) in &e.long_data {
                         let head = [&id.to_le_bytes()[..], &parameter.to_le_bytes()].concat();
                         c.command(work, until, COM_STMT_SEND_LONG_DATA, &[&head, data], || {
                             Ok(())
@@ -834,7 +834,7 @@
                     }
                     let output = self.answered(c, work, until).await?;
                     let unknown = matches!(&output, Output::Short(packets) if packets.iter().next().is_some_and(|p| {
-                        p.first() == Some(&0xff) && p.get(1..3) == Some(&code::ER_UNKNOWN_STMT_HANDLER.0.to_le_bytes())
+                        p.first() == Some(&0xff) && p.get(1..3) == Some(&code::ER_UNKNOWN_STMT_HANDLER.number.to_le_bytes())
                     }));
                     if again || !unknown {
                         return Ok(output);
@@ -957,7 +957,9 @@
             Some(0xff) => return alone(&first),
             Some(0xfb) => return Err(PacketError::Protocol("it asks for a local file")),
             Some(0) => {
-                (*last, *warnings) = parse_ok_status(&first)?;
+                let ok = parse_ok_status(&first)?;
+                *last = ok.flags;
+                *warnings = ok.warnings;
                 if *last & SERVER_MORE_RESULTS_EXISTS != 0 {
                     return Err(SEVERAL);
                 }
--- a/src/upstream/mysql/sticky.rs
+++ b/src/upstream/mysql/sticky.rs
@@ -8,7 +8,7 @@
 use crate::dispatch::request_router::{RequestRouter, Upstream};
 use crate::protocol::mysql::error::{SqlError, code};
 use crate::protocol::mysql::packet::*;
-use crate::protocol::mysql::session::Context;
+use crate::protocol::mysql::session::SessionContext;
 use crate::sticky_sessions::{
     ConnectionDisposition, EngineResponse, Expired, StatementEffect, StickySession,
     StickySessionLimits, TransactionOutcome,
@@ -226,7 +226,7 @@
             // What runs is killed, or the engine would go on with it.
             let Some(result) = result else {
                 self.put_down(c);
-                return Err(PacketError::EndpointReplaced);
+                return Err(PacketError::ConnectionAbandoned);
             };
             asked = unix_time_millis();
             let output = match result {
@@ -276,7 +276,7 @@
             .map_err(std::io::Error::from)??;
         match p.first() {
             Some(0) => {
-                c.status = parse_ok_status(&p)?.0;
+                c.status = parse_ok_status(&p)?.flags;
                 Ok(())
             }
             Some(0xff) => Err(PacketError::Server(parse_err_packet(&p))),
@@ -291,7 +291,7 @@
         work: &Work,
         until: Millis,
     ) -> Result<(), PacketError> {
-        let (context, downstream): (&Context, _) = (&work.context, &work.downstream);
+        let (context, downstream): (&SessionContext, _) = (&work.context, &work.downstream);
         if let Some(schema) = context
             .schema
             .clone()
@@ -312,11 +312,11 @@
             c.context.names = Some(names);
         }
         if let Some(set) =
-            crate::protocol::mysql::session::turn(&c.context.settings, &context.settings)
+            crate::protocol::mysql::session::set_statement(&c.context.variables, &context.variables)
         {
             downstream.heed(until).await?;
             self.settle(c, COM_QUERY, &set).await?;
-            c.context.settings = context.settings.clone();
+            c.context.variables = context.variables.clone();
         }
         Ok(())
     }
--- a/src/upstream/mysql/work.rs
+++ b/src/upstream/mysql/work.rs
@@ -2,7 +2,7 @@
 
 use crate::dispatch::request_router::Reply;
 use crate::protocol::mysql::error::{SqlError, code};
-use crate::protocol::mysql::session::Context;
+use crate::protocol::mysql::session::SessionContext;
 use crate::protocol::mysql::values::Execute;
 use crate::spool::{AdmissionRequest, SpoolId};
 use crate::spool_io::{self, ResultOwner};
@@ -15,7 +15,7 @@
 /// What a client asked for, as an engine connection can carry it out alone.
 #[derive(Debug)]
 pub struct Work {
-    pub context: Context,
+    pub context: SessionContext,
     pub sql: Bytes,
     pub job: Job,
     /// Whose result it brings, for the account of results that wait.
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -9,7 +9,7 @@
 use query_dispatcher::dispatch::request_router::RequestRouter;
 use query_dispatcher::frontend::mysql::Frontend;
 use query_dispatcher::protocol::mysql::auth;
-use query_dispatcher::protocol::mysql::error::SqlError;
+use query_dispatcher::protocol::mysql::error::{ErrorCode, SqlError};
 use query_dispatcher::protocol::mysql::packet::*;
 use query_dispatcher::spool_io::Spools;
 use query_dispatcher::transport::buffer_pool::BufferPool;
@@ -31,7 +31,7 @@
     Framed::new(
         tcp,
         PacketCodec {
-            most: 1 << 20,
+            max_packet: 1 << 20,
             sequence: 0,
         },
     )
@@ -170,10 +170,13 @@
                 Some("rows") => rows(&ROW, true),
                 Some("half") => rows(&ROW, false),
                 Some("full") => vec![err_packet(&SqlError::new(
-                    (1040, "08004"),
+                    ErrorCode::new(1040, "08004"),
                     "Too many connections",
                 ))],
-                Some("error") => vec![err_packet(&SqlError::new((1317, "70100"), "interrupted"))],
+                Some("error") => vec![err_packet(&SqlError::new(
+                    ErrorCode::new(1317, "70100"),
+                    "interrupted",
+                ))],
                 _ => return,
             };
             for p in answer {
--- a/tests/mysql_client_disconnect.rs
+++ b/tests/mysql_client_disconnect.rs
@@ -55,7 +55,7 @@
     Framed::new(
         io,
         PacketCodec {
-            most: 1 << 20,
+            max_packet: 1 << 20,
             sequence: 0,
         },
     )
@@ -65,7 +65,7 @@
 fn framed<'a>(sequence: u8, packets: impl IntoIterator<Item = &'a [u8]>) -> Vec<u8> {
     let (mut codec, mut bytes) = (
         PacketCodec {
-            most: 1 << 20,
+            max_packet: 1 << 20,
             sequence,
         },
         BytesMut::new(),
