--- a/tests/client_disconnect_races.rs
+++ b/tests/client_disconnect_races.rs
@@ -1,175 +1,114 @@
-//! Two events that cross: each test forces the bad order on real connections, by holding a read, writing half a frame, or
-//! letting both happen before the runtime hears of either. `docs/RACES.md` has the list.
+//! Races of client disconnects with requests. Each test forces the bad order on real connections: by holding a read,
+//! writing half a frame, or letting both events happen before the runtime polls either. `docs/RACES.md` has the list.
 
 mod protocol;
 mod scenario;
 
 use bytes::Bytes;
+use protocol::fixture::{DispatcherFixture, Parts};
 use protocol::*;
 use query_dispatcher::clock::unix_time_millis;
 use query_dispatcher::config::{MachineLimits, NameTable, SocketSettings};
 use query_dispatcher::core::{Core, NewRequest};
-use query_dispatcher::dispatch::request_router::{Reply, RequestRouter};
-use query_dispatcher::frontend::frames::{Frontend, Work};
-use query_dispatcher::transport::buffer_pool::BufferPool;
-use query_dispatcher::upstream::resp::RespUpstream;
+use query_dispatcher::dispatch::request_router::Reply;
+use query_dispatcher::frontend::frames::Work;
 use scenario::{change, core, core_with, on_one_thread};
 use socket2::SockRef;
 use std::cell::RefCell;
 use std::io::{ErrorKind, Write};
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpListener, TcpSocket, TcpStream};
-use tokio::task::spawn_local;
+use tokio::net::{TcpListener, TcpStream};
 
-/// Past it, nothing is sent on for a client that has left.
-const TERM: Duration = Duration::from_millis(100);
+/// Nothing is forwarded for a client that disconnected longer ago than this.
+const DISCONNECT_DETECTION_LIMIT: Duration = Duration::from_millis(100);
 
-struct Stand {
-    router: Rc<RequestRouter<RespUpstream>>,
-    frontend: Rc<Frontend<RespUpstream>>,
-    at: SocketAddr,
-    engine: TcpListener,
-    engines: Vec<SocketAddr>,
-}
-
-/// A dispatcher before one engine that this test plays itself.
-async fn stand(engine: TcpListener, tweak: impl FnOnce(&mut SocketSettings)) -> Stand {
-    stand_with(core(), engine, tweak).await
+async fn start(engine: TcpListener, adjust: impl FnOnce(&mut SocketSettings)) -> DispatcherFixture {
+    start_with(core(), engine, adjust).await
 }
 
-async fn stand_with(
+async fn start_with(
     (core, names, mut sockets): (Core, NameTable, SocketSettings),
     engine: TcpListener,
-    tweak: impl FnOnce(&mut SocketSettings),
-) -> Stand {
-    tweak(&mut sockets);
-    let pool = BufferPool::default();
-    let router = RequestRouter::new(
+    adjust: impl FnOnce(&mut SocketSettings),
+) -> DispatcherFixture {
+    adjust(&mut sockets);
+    let parts = Parts {
         core,
         names,
-        RespUpstream::new(sockets, vec![], pool.clone()),
-    );
-    let engines = vec![engine.local_addr().unwrap()];
-    router.update_endpoints(&change(&engines, None));
-    spawn_local(router.clone().run_clock());
-    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    SockRef::from(&listener)
-        .set_send_buffer_size(SMALL)
-        .unwrap();
-    let at = listener.local_addr().unwrap();
-    let frontend = Frontend::new(
-        router.clone(),
-        pool,
-        &MachineLimits {
-            memory_mb: 64,
-            max_sockets: 64,
-        },
-    );
-    spawn_local(frontend.clone().accept(listener));
-    Stand {
-        router,
-        frontend,
-        at,
+        sockets,
         engine,
-        engines,
-    }
+        client_send_buffer: SMALL_BUFFER_BYTES,
+    };
+    DispatcherFixture::start(parts).await
 }
 
-/// One with room for hundreds of clients.
-async fn large() -> Stand {
-    let s = stand_with(
+/// A dispatcher that admits hundreds of clients.
+async fn start_with_many_clients() -> DispatcherFixture {
+    let fixture = start_with(
         core_with(1000),
         TcpListener::bind("127.0.0.1:0").await.unwrap(),
         |_| {},
     )
     .await;
-    s.frontend.limit(&MachineLimits {
+    fixture.frontend.limit(&MachineLimits {
         memory_mb: 64,
         max_sockets: 1024,
     });
-    s
+    fixture
 }
 
-async fn plain() -> Stand {
-    stand(TcpListener::bind("127.0.0.1:0").await.unwrap(), |_| {}).await
+async fn start_default() -> DispatcherFixture {
+    start(TcpListener::bind("127.0.0.1:0").await.unwrap(), |_| {}).await
 }
 
-/// An engine that keeps little of what it does not read.
-async fn narrow() -> Stand {
-    let socket = TcpSocket::new_v4().unwrap();
-    socket.set_recv_buffer_size(SMALL as u32).unwrap();
-    socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
-    stand(socket.listen(16).unwrap(), |_| {}).await
+/// A dispatcher whose engine buffers little of what it does not read.
+async fn start_with_slow_engine() -> DispatcherFixture {
+    start(small_buffer_listener(), |_| {}).await
 }
 
-impl Stand {
-    /// All that comes in waits from now on: the engine drains.
-    fn holds(&self) {
-        self.router
-            .update_endpoints(&change(&self.engines, Some((0, "drain"))));
-    }
-
-    /// What waits is let go.
-    fn lets_go(&self) {
-        self.router.update_endpoints(&change(&self.engines, None));
-    }
-
-    async fn owes(&self, n: usize) {
-        until("what is owed", || self.router.unanswered_requests() == n).await;
-    }
+/// Drains the engine: requests that arrive from now on are queued.
+fn drain_engine(dispatcher: &DispatcherFixture) {
+    let drained = change(&dispatcher.engines, Some((0, "drain")));
+    dispatcher.router.update_endpoints(&drained);
+}
 
-    /// The engine's next connection.
-    async fn dialled(&self) -> TcpStream {
-        within("a connection", self.engine.accept())
-            .await
-            .unwrap()
-            .0
-    }
+/// Restores the engine: queued requests are dispatched.
+fn restore_engine(dispatcher: &DispatcherFixture) {
+    dispatcher
+        .router
+        .update_endpoints(&change(&dispatcher.engines, None));
+}
 
-    /// A request that nobody else has sent reaches the engine next: what waited before it never comes.
-    async fn nothing_but(&self, txn: u64) {
-        let mut client = Client::new(self.at).await;
-        client.say(&request(1, txn, "lookup", "")).await;
-        let mut engine = self.dialled().await;
-        assert_eq!(get(&mut engine).await, name(txn));
-    }
+/// A request of another client is the next to reach the engine: none that was queued before it does.
+async fn expect_only(dispatcher: &DispatcherFixture, txn: u64) {
+    let mut client = Client::connect(dispatcher.address).await;
+    client.send(&request(1, txn, "lookup", "")).await;
+    let mut engine = dispatcher.accept_upstream().await;
+    assert_eq!(read_request_id(&mut engine).await, request_id(txn));
 }
 
-fn request(stream: u32, txn: u64, class: &str, more: &str) -> Vec<u8> {
-    let mut p = vec![4];
-    for (n, v) in [
-        ("verb", class),
-        ("txn", &name(txn)),
-        ("limit", "5000"),
-        ("team", "acme"),
-    ] {
-        p.extend(
-            [
-                &[n.len() as u8],
-                n.as_bytes(),
-                &(v.len() as u16).to_be_bytes(),
-                v.as_bytes(),
-            ]
-            .concat(),
-        );
-    }
-    p.extend(format!("select a from t where b = '{more}'").bytes());
-    frame(2, stream, &p)
+fn request(stream: u32, txn: u64, class: &str, literal: &str) -> Vec<u8> {
+    let statement = format!("select a from t where b = '{literal}'");
+    encode_request(stream, txn, class, &statement)
 }
 
-/// Requests of no class, which are failed one by one, and their client made to wait.
-fn useless(from: u32, n: u32) -> Vec<u8> {
-    (from..from + n)
-        .flat_map(|s| request(s, s.into(), "nonsense", ""))
+/// Requests of an unknown class, which are failed one by one while their client is throttled.
+fn malformed_requests(from: u32, count: u32) -> Vec<u8> {
+    (from..from + count)
+        .flat_map(|stream| request(stream, stream.into(), "nonsense", ""))
         .collect()
 }
 
-/// A request straight at the hub, in the same turn as what the test does before; its answer is pushed there.
-fn ask(s: &Stand, txn: u64, class: usize, answers: &Rc<RefCell<Vec<&'static str>>>) {
-    let new = NewRequest {
+/// Submits a request to the router, in the same poll as what the test did before; its answer is recorded.
+fn submit(
+    fixture: &DispatcherFixture,
+    txn: u64,
+    class: usize,
+    answers: &Rc<RefCell<Vec<&'static str>>>,
+) {
+    let request = NewRequest {
         class,
         tenant: Some(0),
         group: None,
@@ -178,12 +117,12 @@
         memory_mb: None,
     };
     let work = Work::free(
-        &name(txn),
+        &request_id(txn),
         ["lookup", "load"][class],
         Bytes::from_static(b"select 1"),
     );
     let answers = answers.clone();
-    let told = move |reply| {
+    let record = move |reply| {
         answers.borrow_mut().push(match reply {
             Reply::Served(_) => "served",
             Reply::Rejected { .. } => "refused",
@@ -191,263 +130,283 @@
             Reply::TimedOut { .. } => "late",
         })
     };
-    s.router.open(new, work, Box::new(told));
+    fixture.router.open(request, work, Box::new(record));
 }
 
-// ---- a client that leaves, against its request that waits
+// ---- client disconnect and its queued request
 
-/// A request waits, its client leaves in this way, and the term later it would be let go.
-async fn left_while_it_waits(
+/// Requests are queued, their client disconnects in this way, and after the detection limit they could be dispatched.
+async fn disconnect_while_queued(
     before: impl AsyncFnOnce(&mut Client),
     open: usize,
-    leaves: impl AsyncFnOnce(Client) -> Option<Client>,
+    disconnect: impl AsyncFnOnce(Client) -> Option<Client>,
 ) {
-    let s = plain().await;
-    s.holds();
-    let mut client = Client::narrow(s.at).await;
-    for n in 1..=open {
-        client.say(&request(n as u32, n as u64, "lookup", "")).await;
+    let fixture = start_default().await;
+    drain_engine(&fixture);
+    let mut client = Client::with_small_buffer(fixture.address).await;
+    for number in 1..=open {
+        client
+            .send(&request(number as u32, number as u64, "lookup", ""))
+            .await;
     }
-    s.owes(open).await;
+    fixture.wait_for_open(open).await;
     before(&mut client).await;
-    let kept = leaves(client).await;
-    tokio::time::sleep(TERM).await;
+    let still_open = disconnect(client).await;
+    tokio::time::sleep(DISCONNECT_DETECTION_LIMIT).await;
     assert_eq!(
-        s.router.unanswered_requests(),
+        fixture.router.unanswered_requests(),
         0,
-        "it is left by now, and what it held is free"
+        "the disconnect is seen and the request removed"
     );
-    s.lets_go();
-    s.nothing_but(1).await;
-    drop(kept);
+    restore_engine(&fixture);
+    expect_only(&fixture, 1).await;
+    drop(still_open);
 }
 
-async fn by_type_8(mut c: Client) -> Option<Client> {
-    c.say(&frame(8, 1, &[])).await;
-    Some(c)
+async fn cancel(mut client: Client) -> Option<Client> {
+    client.send(&encode_frame(8, 1, &[])).await;
+    Some(client)
 }
 
-async fn by_closing(c: Client) -> Option<Client> {
-    drop(c);
+async fn close(client: Client) -> Option<Client> {
+    drop(client);
     None
 }
 
-async fn by_reset(c: Client) -> Option<Client> {
-    c.resets();
+async fn by_reset(client: Client) -> Option<Client> {
+    client.reset();
     None
 }
 
 #[test]
 fn no_request_is_forwarded_after_a_cancel_frame_close_or_reset() {
     on_one_thread(async {
-        left_while_it_waits(async |_| {}, 1, by_type_8).await;
-        left_while_it_waits(async |_| {}, 1, by_closing).await;
-        left_while_it_waits(async |_| {}, 1, by_reset).await;
-        left_while_it_waits(async |_| {}, 32, by_closing).await;
+        disconnect_while_queued(async |_| {}, 1, cancel).await;
+        disconnect_while_queued(async |_| {}, 1, close).await;
+        disconnect_while_queued(async |_| {}, 1, by_reset).await;
+        disconnect_while_queued(async |_| {}, 32, close).await;
     });
 }
 
-/// Fourteen useless frames hold the next back for some two seconds.
+/// Fourteen malformed frames delay the next by some two seconds.
 #[test]
 fn disconnect_behind_malformed_frames_is_seen_while_the_client_is_throttled() {
     on_one_thread(async {
-        let junk = async |c: &mut Client| c.say(&useless(100, 14)).await;
-        left_while_it_waits(junk, 1, by_type_8).await;
-        left_while_it_waits(junk, 1, by_closing).await;
-        left_while_it_waits(junk, 1, by_reset).await;
+        let junk = async |client: &mut Client| client.send(&malformed_requests(100, 14)).await;
+        disconnect_while_queued(junk, 1, cancel).await;
+        disconnect_while_queued(junk, 1, close).await;
+        disconnect_while_queued(junk, 1, by_reset).await;
     });
 }
 
-/// Behind any number of them: as many as are made to wait, as are turned away, and more than may be.
+/// As many malformed frames as are delayed, as are rejected, and more than are allowed.
 #[test]
 fn disconnect_is_seen_behind_any_number_of_malformed_frames() {
     on_one_thread(async {
-        for n in [65, 500, 4000] {
-            let junk = async |c: &mut Client| c.say(&useless(100, n)).await;
-            left_while_it_waits(junk, 1, by_type_8).await;
-            left_while_it_waits(junk, 1, by_closing).await;
-            left_while_it_waits(junk, 1, by_reset).await;
+        for count in [65, 500, 4000] {
+            let junk =
+                async |client: &mut Client| client.send(&malformed_requests(100, count)).await;
+            disconnect_while_queued(junk, 1, cancel).await;
+            disconnect_while_queued(junk, 1, close).await;
+            disconnect_while_queued(junk, 1, by_reset).await;
         }
-        // What it sends it need not even be able to send: it is cut off, or has closed.
-        let flood = async |c: &mut Client| {
-            let _ = c.0.try_write(&useless(100, 40_000)).unwrap();
+        // The client need not be able to send all of it: it is disconnected, or has closed.
+        let flood = async |client: &mut Client| {
+            let _ = client
+                .0
+                .try_write(&malformed_requests(100, 40_000))
+                .unwrap();
         };
-        left_while_it_waits(flood, 1, by_closing).await;
+        disconnect_while_queued(flood, 1, close).await;
     });
 }
 
-/// Large useless frames, too, which fill what may be kept of them.
+/// Large malformed frames fill the read-ahead buffer.
 #[test]
 fn disconnect_is_seen_behind_large_malformed_frames() {
     on_one_thread(async {
-        let junk = async |c: &mut Client| {
+        let junk = async |client: &mut Client| {
             let large = "x".repeat(60_000);
             let all: Vec<u8> = (100..120)
-                .flat_map(|s| request(s, s.into(), "nonsense", &large))
+                .flat_map(|stream| request(stream, stream.into(), "nonsense", &large))
                 .collect();
-            c.say(&all).await;
+            client.send(&all).await;
         };
-        left_while_it_waits(junk, 1, by_type_8).await;
-        left_while_it_waits(junk, 1, by_closing).await;
+        disconnect_while_queued(junk, 1, cancel).await;
+        disconnect_while_queued(junk, 1, close).await;
     });
 }
 
-/// Each of its frames has an answer, the useless ones, those that were turned away and its question; and one that asks
-/// well after them is served.
+/// Each frame has an answer: the malformed ones, the rejected ones and the readiness query; and a valid request after
+/// them is served.
 #[test]
 fn every_frame_of_a_burst_is_answered() {
     on_one_thread(async {
-        let s = plain().await;
-        let mut client = Client::new(s.at).await;
-        // Four fill what may be kept; others are turned away meanwhile.
+        let fixture = start_default().await;
+        let mut client = Client::connect(fixture.address).await;
+        // Four fill the read-ahead buffer; others are rejected meanwhile.
         let large = "x".repeat(20_000);
         let all: Vec<u8> = (1..=100)
-            .flat_map(|n| request(n, n.into(), "nonsense", &large))
+            .flat_map(|stream| request(stream, stream.into(), "nonsense", &large))
             .collect();
-        client.say(&[all, frame(16, 101, &[0])].concat()).await;
-        let mut told = std::collections::BTreeMap::new();
-        while told.len() < 101 {
-            let (kind, stream, payload) = client.hear().await.expect("every answer");
+        client
+            .send(&[all, encode_frame(16, 101, &[0])].concat())
+            .await;
+        let mut answers_by_stream = std::collections::BTreeMap::new();
+        while answers_by_stream.len() < 101 {
+            let (kind, stream, payload) = client.receive().await.expect("every answer");
             assert!(
-                told.insert(stream, (kind, payload[0])).is_none(),
+                answers_by_stream
+                    .insert(stream, (kind, payload[0]))
+                    .is_none(),
                 "one answer each"
             );
         }
-        assert_eq!(told.remove(&101), Some((32, 0)));
-        let failed = told.values().filter(|a| **a == (4, 2)).count();
-        let refused = told.values().filter(|a| **a == (4, 14)).count();
+        assert_eq!(answers_by_stream.remove(&101), Some((32, 0)));
+        let failed = answers_by_stream
+            .values()
+            .filter(|answer| **answer == (4, 2))
+            .count();
+        let refused = answers_by_stream
+            .values()
+            .filter(|answer| **answer == (4, 14))
+            .count();
         assert_eq!(failed + refused, 100);
         assert!(
             failed >= 4 && refused > 50,
             "{failed} failed, {refused} refused"
         );
-        client.say(&request(1000, 1, "lookup", "")).await;
-        let mut engine = s.dialled().await;
-        let id = get(&mut engine).await;
-        serve(&mut engine, &id, 1).await;
+        client.send(&request(1000, 1, "lookup", "")).await;
+        let mut engine = fixture.accept_upstream().await;
+        let id = read_request_id(&mut engine).await;
+        serve_pages(&mut engine, &id, 1).await;
         assert_eq!(
-            client.hear().await.map(|f| (f.0, f.1, f.2[0])),
+            client.receive().await.map(|f| (f.0, f.1, f.2[0])),
             Some((4, 1000, 0))
         );
     });
 }
 
-/// It is cut off once more is owed to it than may be, and by that has left all that it asked.
+/// The client is disconnected once too many responses are pending, which cancels all of its requests.
 #[test]
 fn client_that_sends_without_reading_is_disconnected() {
     on_one_thread(async {
-        let s = plain().await;
-        s.holds();
-        let mut client = Client::narrow(s.at).await;
-        client.say(&request(1, 1, "lookup", "")).await;
-        s.owes(1).await;
-        let flood = useless(100, 60_000);
-        let sent = within("an end", client.0.write_all(&flood)).await;
+        let fixture = start_default().await;
+        drain_engine(&fixture);
+        let mut client = Client::with_small_buffer(fixture.address).await;
+        client.send(&request(1, 1, "lookup", "")).await;
+        fixture.wait_for_open(1).await;
+        let flood = malformed_requests(100, 60_000);
+        let sent = expect_soon("an end", client.0.write_all(&flood)).await;
         assert!(sent.is_err(), "it has been closed");
-        s.owes(0).await;
-        s.lets_go();
-        s.nothing_but(2).await;
+        fixture.wait_for_open(0).await;
+        restore_engine(&fixture);
+        expect_only(&fixture, 2).await;
     });
 }
 
-/// Hundreds of clients with requests that wait close in one turn: the last of them is heeded as well.
+/// Hundreds of clients with queued requests disconnect in one poll: the last of them is seen as well.
 #[test]
 fn hundreds_of_disconnects_in_one_poll_are_all_seen() {
     on_one_thread(async {
-        let s = large().await;
-        s.holds();
-        let mut crowd = vec![];
-        for n in 0..200u64 {
-            let mut c = Client::new(s.at).await;
-            c.say(
-                &[
-                    request(1, 2 * n + 10, "lookup", ""),
-                    request(2, 2 * n + 11, "lookup", ""),
-                ]
-                .concat(),
-            )
-            .await;
-            crowd.push(c);
+        let fixture = start_with_many_clients().await;
+        drain_engine(&fixture);
+        let mut clients = vec![];
+        for number in 0..200u64 {
+            let mut client = Client::connect(fixture.address).await;
+            client
+                .send(
+                    &[
+                        request(1, 2 * number + 10, "lookup", ""),
+                        request(2, 2 * number + 11, "lookup", ""),
+                    ]
+                    .concat(),
+                )
+                .await;
+            clients.push(client);
         }
-        s.owes(400).await;
-        let mut ways = crowd.into_iter().enumerate();
-        let kept: Vec<_> = ways
+        fixture.wait_for_open(400).await;
+        let mut disconnects = clients.into_iter().enumerate();
+        let still_open: Vec<_> = disconnects
             .by_ref()
-            .filter_map(|(n, c)| match n % 3 {
+            .filter_map(|(number, client)| match number % 3 {
                 0 => {
-                    c.0.try_write(&[frame(8, 1, &[]), frame(8, 2, &[])].concat())
+                    client
+                        .0
+                        .try_write(&[encode_frame(8, 1, &[]), encode_frame(8, 2, &[])].concat())
                         .unwrap();
-                    Some(c)
+                    Some(client)
                 }
                 1 => {
-                    c.resets();
+                    client.reset();
                     None
                 }
                 _ => None,
             })
             .collect();
-        tokio::time::sleep(TERM).await;
-        assert_eq!(s.router.unanswered_requests(), 0);
-        s.lets_go();
-        s.nothing_but(1).await;
-        drop(kept);
+        tokio::time::sleep(DISCONNECT_DETECTION_LIMIT).await;
+        assert_eq!(fixture.router.unanswered_requests(), 0);
+        restore_engine(&fixture);
+        expect_only(&fixture, 1).await;
+        drop(still_open);
     });
 }
 
-/// What was read ahead and not taken up is never sent either.
+/// A request that was read ahead and not accepted is never forwarded either.
 #[test]
 fn request_behind_malformed_frames_is_dropped_on_disconnect() {
     on_one_thread(async {
-        let s = plain().await;
-        for leave in [true, false] {
-            let mut client = Client::new(s.at).await;
-            let mut all = [useless(100, 10), request(1, 7, "lookup", "")].concat();
-            if leave {
-                all.extend(frame(8, 1, &[]));
+        let fixture = start_default().await;
+        for disconnect in [true, false] {
+            let mut client = Client::connect(fixture.address).await;
+            let mut all = [malformed_requests(100, 10), request(1, 7, "lookup", "")].concat();
+            if disconnect {
+                all.extend(encode_frame(8, 1, &[]));
             }
-            client.say(&all).await;
-            let kept = leave.then_some(client);
-            // Ten useless frames hold it back for a second.
-            let come = tokio::time::timeout(Duration::from_millis(1500), s.engine.accept()).await;
-            if let Ok(come) = come {
-                let mut engine = come.unwrap().0;
-                panic!("{:?}", command(&mut engine).await);
+            client.send(&all).await;
+            let still_open = disconnect.then_some(client);
+            // Ten malformed frames delay it for a second.
+            let accepted =
+                tokio::time::timeout(Duration::from_millis(1500), fixture.engine.accept()).await;
+            if let Ok(accepted) = accepted {
+                let mut engine = accepted.unwrap().0;
+                panic!("{:?}", read_command(&mut engine).await);
             }
-            drop(kept);
+            drop(still_open);
         }
-        s.nothing_but(8).await;
+        expect_only(&fixture, 8).await;
     });
 }
 
 #[test]
 fn disconnect_is_seen_while_a_response_write_is_blocked() {
     on_one_thread(async {
-        for leaves in [true, false] {
-            let s = plain().await;
-            let mut client = Client::narrow(s.at).await;
-            client.say(&request(1, 1, "lookup", "")).await;
-            let mut engine = s.dialled().await;
-            let id = get(&mut engine).await;
-            s.holds();
-            client.say(&request(2, 2, "lookup", "")).await;
-            s.owes(2).await;
-            serve(&mut engine, &id, 9).await;
-            // The answer is given, and stands before a client that reads none of it.
-            s.owes(1).await;
-            let kept = match leaves {
+        for disconnect in [true, false] {
+            let fixture = start_default().await;
+            let mut client = Client::with_small_buffer(fixture.address).await;
+            client.send(&request(1, 1, "lookup", "")).await;
+            let mut engine = fixture.accept_upstream().await;
+            let id = read_request_id(&mut engine).await;
+            drain_engine(&fixture);
+            client.send(&request(2, 2, "lookup", "")).await;
+            fixture.wait_for_open(2).await;
+            serve_pages(&mut engine, &id, 9).await;
+            // The response is being written to a client that reads none of it.
+            fixture.wait_for_open(1).await;
+            let still_open = match disconnect {
                 true => {
-                    client.say(&frame(8, 2, &[])).await;
+                    client.send(&encode_frame(8, 2, &[])).await;
                     Some(client)
                 }
-                false => by_closing(client).await,
+                false => close(client).await,
             };
-            tokio::time::sleep(TERM).await;
-            assert_eq!(s.router.unanswered_requests(), 0);
-            s.lets_go();
-            let mut other = Client::new(s.at).await;
-            other.say(&request(1, 3, "lookup", "")).await;
-            assert_eq!(get(&mut engine).await, name(3));
-            drop(kept);
+            tokio::time::sleep(DISCONNECT_DETECTION_LIMIT).await;
+            assert_eq!(fixture.router.unanswered_requests(), 0);
+            restore_engine(&fixture);
+            let mut other = Client::connect(fixture.address).await;
+            other.send(&request(1, 3, "lookup", "")).await;
+            assert_eq!(read_request_id(&mut engine).await, request_id(3));
+            drop(still_open);
         }
     });
 }
@@ -455,181 +414,193 @@
 #[test]
 fn close_is_seen_after_a_protocol_error() {
     on_one_thread(async {
-        let fault = async |c: &mut Client| {
-            c.say(&[&frame(99, 1, &[])[..], &[7; 100_000]].concat())
+        let fault = async |client: &mut Client| {
+            client
+                .send(&[&encode_frame(99, 1, &[])[..], &[7; 100_000]].concat())
                 .await
         };
-        left_while_it_waits(fault, 1, by_closing).await;
-        left_while_it_waits(fault, 1, by_reset).await;
+        disconnect_while_queued(fault, 1, close).await;
+        disconnect_while_queued(fault, 1, by_reset).await;
     });
 }
 
-/// After what cannot be used, where frames can still be told apart, a request that waits can still be left.
+/// After a malformed frame whose end is known, a queued request can still be cancelled.
 #[test]
 fn cancel_frame_is_honoured_after_a_protocol_error() {
     on_one_thread(async {
-        let unknown = async |c: &mut Client| c.say(&frame(99, 1, &[])).await;
-        left_while_it_waits(unknown, 1, by_type_8).await;
-        let twice = async |c: &mut Client| c.say(&request(1, 9, "lookup", "")).await;
-        left_while_it_waits(twice, 1, by_type_8).await;
-        let short = async |c: &mut Client| c.say(&frame(2, 9, &[4, 200])).await;
-        left_while_it_waits(short, 1, by_type_8).await;
+        let unknown = async |client: &mut Client| client.send(&encode_frame(99, 1, &[])).await;
+        disconnect_while_queued(unknown, 1, cancel).await;
+        let twice = async |client: &mut Client| client.send(&request(1, 9, "lookup", "")).await;
+        disconnect_while_queued(twice, 1, cancel).await;
+        let short = async |client: &mut Client| client.send(&encode_frame(2, 9, &[4, 200])).await;
+        disconnect_while_queued(short, 1, cancel).await;
     });
 }
 
-/// All that the machine holds of a client after a fault is through in time, and its end seen.
+/// All that the kernel buffers of a client after a protocol error is read in time, and its close is seen.
 #[test]
 fn close_is_seen_behind_megabytes_after_a_protocol_error() {
     on_one_thread(async {
-        let flood = async |c: &mut Client| {
-            c.say(&[255; 8]).await;
+        let flood = async |client: &mut Client| {
+            client.send(&[255; 8]).await;
             let all = vec![7; 4 << 20];
             let mut sent = 0;
-            while let Ok(n) = c.0.try_write(&all[sent..]) {
+            while let Ok(n) = client.0.try_write(&all[sent..]) {
                 sent += n;
             }
-            assert!(sent > 100_000, "the machine takes much: {sent}");
+            assert!(sent > 100_000, "the kernel buffers much: {sent}");
         };
-        left_while_it_waits(flood, 1, by_closing).await;
-        left_while_it_waits(flood, 1, by_reset).await;
+        disconnect_while_queued(flood, 1, close).await;
+        disconnect_while_queued(flood, 1, by_reset).await;
     });
 }
 
-/// The dispatcher has had no turn since its client has gone, longer than the term: all that it hears at once is that the
-/// request may go, with its connection to the engine up.
-async fn gone_while_it_had_no_turn(leaves: impl AsyncFnOnce(Client) -> Option<Client>) {
-    let s = plain().await;
-    let mut other = Client::new(s.at).await;
-    other.say(&request(1, 1, "lookup", "")).await;
-    let mut engine = s.dialled().await;
-    let id = get(&mut engine).await;
-    serve(&mut engine, &id, 1).await;
-    s.owes(0).await;
-    s.holds();
-    let mut client = Client::new(s.at).await;
-    client.say(&request(1, 2, "lookup", "")).await;
-    s.owes(1).await;
-    let kept = leaves(client).await;
-    std::thread::sleep(TERM * 3 / 2);
-    s.lets_go();
-    other.say(&request(2, 3, "lookup", "")).await;
+/// The process is stalled from the disconnect on, for longer than the detection limit: then it learns at once that the
+/// request may be dispatched, with its upstream connection established.
+async fn disconnect_during_stall(disconnect: impl AsyncFnOnce(Client) -> Option<Client>) {
+    let fixture = start_default().await;
+    let mut other = Client::connect(fixture.address).await;
+    other.send(&request(1, 1, "lookup", "")).await;
+    let mut engine = fixture.accept_upstream().await;
+    let id = read_request_id(&mut engine).await;
+    serve_pages(&mut engine, &id, 1).await;
+    fixture.wait_for_open(0).await;
+    drain_engine(&fixture);
+    let mut client = Client::connect(fixture.address).await;
+    client.send(&request(1, 2, "lookup", "")).await;
+    fixture.wait_for_open(1).await;
+    let still_open = disconnect(client).await;
+    std::thread::sleep(DISCONNECT_DETECTION_LIMIT * 3 / 2);
+    restore_engine(&fixture);
+    other.send(&request(2, 3, "lookup", "")).await;
     assert_eq!(
-        get(&mut engine).await,
-        name(3),
-        "nothing of the one that has gone"
+        read_request_id(&mut engine).await,
+        request_id(3),
+        "nothing of the disconnected client"
     );
-    drop(kept);
+    drop(still_open);
 }
 
 #[test]
 fn no_attempt_starts_for_a_client_lost_while_the_process_was_stalled() {
     on_one_thread(async {
-        let by_type_8 = async |c: Client| {
-            c.0.try_write(&frame(8, 1, &[])).unwrap();
-            Some(c)
+        let cancel = async |client: Client| {
+            client.0.try_write(&encode_frame(8, 1, &[])).unwrap();
+            Some(client)
         };
-        gone_while_it_had_no_turn(by_type_8).await;
-        gone_while_it_had_no_turn(by_closing).await;
-        gone_while_it_had_no_turn(by_reset).await;
+        disconnect_during_stall(cancel).await;
+        disconnect_during_stall(close).await;
+        disconnect_during_stall(by_reset).await;
     });
 }
 
-/// In one turn, without one between: the engine's connection is reset and the client leaves. No second attempt begins.
+/// In one poll the engine's connection is reset and the client disconnects. No second attempt begins.
 #[test]
 fn no_retry_when_client_disconnect_and_engine_reset_arrive_together() {
     on_one_thread(async {
         for client_first in [true, false] {
             for by_reset in [true, false] {
-                let s = plain().await;
-                // A second connection, at rest: there a retry would be written at once.
-                let (mut one, mut two) = (Client::new(s.at).await, Client::new(s.at).await);
-                one.say(&request(1, 1, "load", "")).await;
-                let mut first = s.dialled().await;
-                let a = get(&mut first).await;
-                two.say(&request(1, 2, "load", "")).await;
-                let mut second = s.dialled().await;
-                let b = get(&mut second).await;
-                serve(&mut first, &a, 1).await;
-                serve(&mut second, &b, 1).await;
-                s.owes(0).await;
-                one.say(&request(2, 3, "lookup", "")).await;
+                let fixture = start_default().await;
+                // A second connection, idle: there a retry would be written at once.
+                let (mut first_client, mut second_client) = (
+                    Client::connect(fixture.address).await,
+                    Client::connect(fixture.address).await,
+                );
+                first_client.send(&request(1, 1, "load", "")).await;
+                let mut first = fixture.accept_upstream().await;
+                let first_id = read_request_id(&mut first).await;
+                second_client.send(&request(1, 2, "load", "")).await;
+                let mut second = fixture.accept_upstream().await;
+                let second_id = read_request_id(&mut second).await;
+                serve_pages(&mut first, &first_id, 1).await;
+                serve_pages(&mut second, &second_id, 1).await;
+                fixture.wait_for_open(0).await;
+                first_client.send(&request(2, 3, "lookup", "")).await;
                 let on_first = tokio::select! {
                     read = async { first.peek(&mut [0]).await } => read.is_ok(),
                     read = async { second.peek(&mut [0]).await } => read.is_err(),
                 };
-                let (mut busy, mut rests) = if on_first {
+                let (mut busy, mut idle) = if on_first {
                     (first, second)
                 } else {
                     (second, first)
                 };
-                assert_eq!(get(&mut busy).await, name(3));
-                let leave = |c: Client| if by_reset { c.resets() } else { drop(c) };
+                assert_eq!(read_request_id(&mut busy).await, request_id(3));
+                let disconnect = |client: Client| {
+                    if by_reset {
+                        client.reset()
+                    } else {
+                        drop(client)
+                    }
+                };
                 if client_first {
-                    leave(one);
-                    Client(busy).resets();
+                    disconnect(first_client);
+                    Client(busy).reset();
                 } else {
-                    Client(busy).resets();
-                    leave(one);
+                    Client(busy).reset();
+                    disconnect(first_client);
                 }
-                std::thread::sleep(TERM * 3 / 2);
-                s.owes(0).await;
-                two.say(&request(2, 4, "lookup", "")).await;
+                std::thread::sleep(DISCONNECT_DETECTION_LIMIT * 3 / 2);
+                fixture.wait_for_open(0).await;
+                second_client.send(&request(2, 4, "lookup", "")).await;
                 assert_eq!(
-                    get(&mut rests).await,
-                    name(4),
-                    "nothing of the one that has gone"
+                    read_request_id(&mut idle).await,
+                    request_id(4),
+                    "nothing of the disconnected client"
                 );
             }
         }
     });
 }
 
-/// Its connection to the engine is not up yet: the engine's queue is full.
+/// The upstream connection is not established yet: the engine's accept queue is full.
 #[test]
 fn late_upstream_connection_sends_nothing_for_a_disconnected_client() {
     on_one_thread(async {
-        let engine = tight();
+        let engine = listener_without_backlog();
         let filler = TcpStream::connect(engine.local_addr().unwrap())
             .await
             .unwrap();
-        let s = stand(engine, |sockets| sockets.connect_timeout = 4000.0).await;
-        let mut client = Client::new(s.at).await;
-        client.say(&request(1, 1, "lookup", "")).await;
-        s.owes(1).await;
-        client.say(&frame(8, 1, &[])).await;
-        s.owes(0).await;
-        drop((s.dialled().await, filler));
-        let mut late = s.dialled().await;
-        let mut other = Client::new(s.at).await;
-        other.say(&request(1, 2, "lookup", "")).await;
+        let fixture = start(engine, |sockets| sockets.connect_timeout = 4000.0).await;
+        let mut client = Client::connect(fixture.address).await;
+        client.send(&request(1, 1, "lookup", "")).await;
+        fixture.wait_for_open(1).await;
+        client.send(&encode_frame(8, 1, &[])).await;
+        fixture.wait_for_open(0).await;
+        drop((fixture.accept_upstream().await, filler));
+        let mut late = fixture.accept_upstream().await;
+        let mut other = Client::connect(fixture.address).await;
+        other.send(&request(1, 2, "lookup", "")).await;
         assert_eq!(
-            get(&mut late).await,
-            name(2),
-            "it is up, and the first that it carries is another's"
+            read_request_id(&mut late).await,
+            request_id(2),
+            "it is established, and its first request is another client's"
         );
     });
 }
 
-/// A request is half on the wire when its client leaves: it never comes whole.
+/// A request is half written when its client disconnects: the rest is never written.
 #[test]
 fn partly_written_request_is_not_completed_after_disconnect() {
     on_one_thread(async {
-        let s = narrow().await;
-        let mut client = Client::new(s.at).await;
+        let fixture = start_with_slow_engine().await;
+        let mut client = Client::connect(fixture.address).await;
         client
-            .say(&request(1, 1, "lookup", &"x".repeat(250_000)))
+            .send(&request(1, 1, "lookup", &"x".repeat(250_000)))
             .await;
-        let mut engine = s.dialled().await;
+        let mut engine = fixture.accept_upstream().await;
         let mut first = [0; 1];
-        within("a byte", engine.read_exact(&mut first))
+        expect_soon("a byte", engine.read_exact(&mut first))
             .await
             .unwrap();
-        SockRef::from(&engine).set_recv_buffer_size(SMALL).unwrap();
-        client.say(&frame(8, 1, &[])).await;
-        s.owes(0).await;
-        tokio::time::sleep(TERM).await;
+        SockRef::from(&engine)
+            .set_recv_buffer_size(SMALL_BUFFER_BYTES)
+            .unwrap();
+        client.send(&encode_frame(8, 1, &[])).await;
+        fixture.wait_for_open(0).await;
+        tokio::time::sleep(DISCONNECT_DETECTION_LIMIT).await;
         let mut all = vec![];
-        let end = within("an end", engine.read_to_end(&mut all)).await;
+        let end = expect_soon("an end", engine.read_to_end(&mut all)).await;
         assert!(
             end.is_err() || all.len() < 250_000,
             "{} bytes came",
@@ -638,244 +609,269 @@
     });
 }
 
-/// One large request stands half written; behind it, in the same turn, one whose client then leaves, or whose engine
-/// then drains.
-async fn behind_a_stalled_write(crosses: impl AsyncFnOnce(&Stand, &mut Client)) {
-    let s = narrow().await;
-    let mut client = Client::new(s.at).await;
+/// One large request is half written; behind it, in the same poll, are two whose client then cancels them, or whose
+/// engine then drains.
+async fn behind_a_stalled_write(event: impl AsyncFnOnce(&DispatcherFixture, &mut Client)) {
+    let fixture = start_with_slow_engine().await;
+    let mut client = Client::connect(fixture.address).await;
     let mut large = request(1, 1, "lookup", &"x".repeat(250_000));
     large.extend(request(2, 2, "lookup", ""));
     large.extend(request(3, 3, "lookup", ""));
-    client.say(&large).await;
-    s.owes(3).await;
-    let mut engine = s.dialled().await;
-    within("a byte", engine.peek(&mut [0])).await.unwrap();
-    crosses(&s, &mut client).await;
-    tokio::time::sleep(TERM).await;
-    assert_eq!(get(&mut engine).await, name(1), "it was begun before");
-    client.say(&frame(8, 1, &[])).await;
+    client.send(&large).await;
+    fixture.wait_for_open(3).await;
+    let mut engine = fixture.accept_upstream().await;
+    expect_soon("a byte", engine.peek(&mut [0])).await.unwrap();
+    event(&fixture, &mut client).await;
+    tokio::time::sleep(DISCONNECT_DETECTION_LIMIT).await;
     assert_eq!(
-        command(&mut engine).await.unwrap(),
-        ["DROP", &name(1)],
+        read_request_id(&mut engine).await,
+        request_id(1),
+        "it was begun before"
+    );
+    client.send(&encode_frame(8, 1, &[])).await;
+    assert_eq!(
+        read_command(&mut engine).await.unwrap(),
+        ["DROP", &request_id(1)],
         "nothing but its end"
     );
 }
 
 #[test]
 fn request_behind_a_stalled_write_is_withdrawn_on_disconnect() {
-    on_one_thread(behind_a_stalled_write(async |s, client| {
+    on_one_thread(behind_a_stalled_write(async |fixture, client| {
         client
-            .say(&[frame(8, 2, &[]), frame(8, 3, &[])].concat())
+            .send(&[encode_frame(8, 2, &[]), encode_frame(8, 3, &[])].concat())
             .await;
-        s.owes(1).await;
+        fixture.wait_for_open(1).await;
     }));
 }
 
 #[test]
 fn request_behind_a_stalled_write_is_not_sent_to_a_draining_engine() {
-    on_one_thread(behind_a_stalled_write(async |s, _| s.holds()));
+    on_one_thread(behind_a_stalled_write(async |fixture, _| {
+        drain_engine(fixture)
+    }));
 }
 
-/// In one turn, before the runtime hears of either: the request is let go, and its client leaves.
+/// In one poll the request is dispatched and its client disconnects.
 #[test]
 fn disconnect_in_the_poll_that_dispatches_the_request_prevents_forwarding() {
     on_one_thread(async {
-        let s = plain().await;
+        let fixture = start_default().await;
         let answers = Rc::default();
-        s.holds();
-        ask(&s, 1, 0, &answers);
-        s.lets_go();
-        s.router.abandon(1);
-        s.nothing_but(2).await;
-        assert!(answers.borrow().is_empty(), "and it is owed nothing");
+        drain_engine(&fixture);
+        submit(&fixture, 1, 0, &answers);
+        restore_engine(&fixture);
+        fixture.router.abandon(1);
+        expect_only(&fixture, 2).await;
+        assert!(answers.borrow().is_empty(), "and it gets no answer");
     });
 }
 
-/// Its connection broke, and the retry waits for another to come up: its client leaves.
+/// The upstream connection broke and the retry waits for another: its client disconnects.
 #[test]
 fn pending_retry_is_dropped_on_disconnect() {
     on_one_thread(async {
-        let s = stand(tight(), |sockets| sockets.connect_timeout = 4000.0).await;
-        let mut client = Client::new(s.at).await;
-        client.say(&request(1, 1, "lookup", "")).await;
-        let mut engine = s.dialled().await;
-        get(&mut engine).await;
-        let filler = TcpStream::connect(s.engines[0]).await.unwrap();
+        let fixture = start(listener_without_backlog(), |sockets| {
+            sockets.connect_timeout = 4000.0
+        })
+        .await;
+        let mut client = Client::connect(fixture.address).await;
+        client.send(&request(1, 1, "lookup", "")).await;
+        let mut engine = fixture.accept_upstream().await;
+        read_request_id(&mut engine).await;
+        let filler = TcpStream::connect(fixture.engines[0]).await.unwrap();
         drop(engine);
         // The dispatcher has seen the break once it has answered what came after it.
-        client.say(&frame(16, 9, &[0])).await;
-        assert_eq!(client.hear().await.unwrap().0, 32);
-        assert_eq!(s.router.unanswered_requests(), 1, "it is tried again");
+        client.send(&encode_frame(16, 9, &[0])).await;
+        assert_eq!(client.receive().await.unwrap().0, 32);
+        assert_eq!(fixture.router.unanswered_requests(), 1, "it is retried");
         drop(client);
-        s.owes(0).await;
-        drop((s.dialled().await, filler));
-        let mut other = Client::new(s.at).await;
-        other.say(&request(1, 2, "lookup", "")).await;
-        let mut late = s.dialled().await;
-        assert_eq!(get(&mut late).await, name(2));
+        fixture.wait_for_open(0).await;
+        drop((fixture.accept_upstream().await, filler));
+        let mut other = Client::connect(fixture.address).await;
+        other.send(&request(1, 2, "lookup", "")).await;
+        let mut late = fixture.accept_upstream().await;
+        assert_eq!(read_request_id(&mut late).await, request_id(2));
     });
 }
 
-// ---- connections, against requests
+// ---- connections and requests
 
-/// The engine closes a connection at rest, and a request is given to it before the runtime has heard of that.
+/// The engine closes an idle connection, and a request is assigned to it before the runtime sees the close.
 #[test]
 fn load_on_a_just_closed_upstream_connection_never_ran() {
     on_one_thread(async {
-        let s = plain().await;
+        let fixture = start_default().await;
         let answers = Rc::default();
-        ask(&s, 1, 0, &answers);
-        let mut engine = s.dialled().await;
-        let id = get(&mut engine).await;
-        serve(&mut engine, &id, 1).await;
-        s.owes(0).await;
+        submit(&fixture, 1, 0, &answers);
+        let mut engine = fixture.accept_upstream().await;
+        let id = read_request_id(&mut engine).await;
+        serve_pages(&mut engine, &id, 1).await;
+        fixture.wait_for_open(0).await;
         drop(engine);
-        ask(&s, 2, 1, &answers);
-        let mut engine = s.dialled().await;
-        let id = get(&mut engine).await;
-        serve(&mut engine, &id, 1).await;
-        s.owes(0).await;
+        submit(&fixture, 2, 1, &answers);
+        let mut engine = fixture.accept_upstream().await;
+        let id = read_request_id(&mut engine).await;
+        serve_pages(&mut engine, &id, 1).await;
+        fixture.wait_for_open(0).await;
         assert_eq!(*answers.borrow(), ["served", "served"]);
     });
 }
 
-/// A client asks on its idle connection in the very turn in which that gives way to another.
+/// A client sends a request on its idle connection in the poll in which that connection is evicted.
 #[test]
 fn request_crossing_an_idle_close_is_served() {
     on_one_thread(async {
-        let s = plain().await;
-        let places = 64 * 2 / 5;
+        let fixture = start_default().await;
+        let connection_limit = 64 * 2 / 5;
         let mut idle = vec![];
-        for _ in 0..places {
-            let mut c = Client::new(s.at).await;
-            c.say(&frame(16, 1, &[0])).await;
-            assert_eq!(c.hear().await.unwrap().0, 32);
-            idle.push(c);
+        for _ in 0..connection_limit {
+            let mut client = Client::connect(fixture.address).await;
+            client.send(&encode_frame(16, 1, &[0])).await;
+            assert_eq!(client.receive().await.unwrap().0, 32);
+            idle.push(client);
         }
-        // Both before the runtime hears of either, the newcomer first.
-        let newcomer = std::net::TcpStream::connect(s.at).unwrap();
-        let asked = idle[0].0.try_write(&request(2, 1, "lookup", "")).unwrap();
-        assert!(asked > 0);
-        let mut engine = s.dialled().await;
-        let id = get(&mut engine).await;
-        serve(&mut engine, &id, 1).await;
-        let (kind, stream, payload) = idle[0].hear().await.expect("its answer");
+        // Both before the runtime polls either, the new connection first.
+        let newcomer = std::net::TcpStream::connect(fixture.address).unwrap();
+        let written = idle[0].0.try_write(&request(2, 1, "lookup", "")).unwrap();
+        assert!(written > 0);
+        let mut engine = fixture.accept_upstream().await;
+        let id = read_request_id(&mut engine).await;
+        serve_pages(&mut engine, &id, 1).await;
+        let (kind, stream, payload) = idle[0].receive().await.expect("its answer");
         assert_eq!((kind, stream, payload[0]), (4, 2, 0));
-        assert!(idle[0].hear().await.is_none(), "and then it has given way");
+        assert!(idle[0].receive().await.is_none(), "and then it is evicted");
         drop(newcomer);
     });
 }
 
-/// An id is used again while a second answer to its first request is still to come.
+/// An id is reused while a duplicate response to its first request is still to come.
 #[test]
 fn duplicate_response_is_not_matched_to_a_later_request_with_the_same_id() {
     on_one_thread(async {
-        let s = plain().await;
+        let fixture = start_default().await;
         let answers = Rc::default();
         for second in ["ACK", "EIO"] {
-            ask(&s, 1, 0, &answers);
-            let mut engine = s.dialled().await;
-            let id = get(&mut engine).await;
-            serve(&mut engine, &id, 1).await;
-            s.owes(0).await;
-            ask(&s, 1, 0, &answers);
-            let mut other = s.dialled().await;
-            assert_eq!(get(&mut other).await, id, "on another connection");
+            submit(&fixture, 1, 0, &answers);
+            let mut engine = fixture.accept_upstream().await;
+            let id = read_request_id(&mut engine).await;
+            serve_pages(&mut engine, &id, 1).await;
+            fixture.wait_for_open(0).await;
+            submit(&fixture, 1, 0, &answers);
+            let mut other = fixture.accept_upstream().await;
+            assert_eq!(
+                read_request_id(&mut other).await,
+                id,
+                "on another connection"
+            );
             let fields = if second == "ACK" { "total=1" } else { "-" };
-            reply(&mut engine, [&id, second, fields, "x\ty\tz\n"]).await;
+            send_reply(&mut engine, [&id, second, fields, "x\ty\tz\n"]).await;
             tokio::task::yield_now().await;
-            reply(&mut other, [&id, "EIO", "-", ""]).await;
+            send_reply(&mut other, [&id, "EIO", "-", ""]).await;
             drop((engine, other));
-            let mut third = s.dialled().await;
-            assert_eq!(get(&mut third).await, id, "the second answer was nobody's");
-            serve(&mut third, &id, 1).await;
-            s.owes(0).await;
+            let mut third = fixture.accept_upstream().await;
+            assert_eq!(
+                read_request_id(&mut third).await,
+                id,
+                "the duplicate response was discarded"
+            );
+            serve_pages(&mut third, &id, 1).await;
+            fixture.wait_for_open(0).await;
             drop(third);
         }
         assert_eq!(*answers.borrow(), ["served"; 4]);
     });
 }
 
-/// Without notes, silence tells nothing: long queries on all connections, and a healthy engine takes another.
+/// Without progress reports silence means nothing: a healthy engine accepts a further request beside long queries.
 #[test]
 fn engine_without_progress_reports_accepts_more_during_long_queries() {
     on_one_thread(async {
-        let s = plain().await;
+        let fixture = start_default().await;
         let answers = Rc::default();
-        ask(&s, 1, 0, &answers);
-        let mut engine = s.dialled().await;
-        get(&mut engine).await;
+        submit(&fixture, 1, 0, &answers);
+        let mut engine = fixture.accept_upstream().await;
+        read_request_id(&mut engine).await;
         tokio::time::sleep(Duration::from_millis(1100)).await;
-        ask(&s, 2, 0, &answers);
-        assert_eq!(get(&mut engine).await, name(2), "on the same connection");
+        submit(&fixture, 2, 0, &answers);
+        assert_eq!(
+            read_request_id(&mut engine).await,
+            request_id(2),
+            "on the same connection"
+        );
     });
 }
 
-/// A result that began breaks off, or an answer never ends, while others share the connection.
+/// A result breaks off or a response never ends while other requests share the connection.
 #[test]
 fn broken_shared_connection_loses_no_idempotent_request() {
     on_one_thread(async {
-        for how in ["reset", "endless", "spoilt"] {
-            let s = plain().await;
+        for fault in ["reset", "endless", "spoilt"] {
+            let fixture = start_default().await;
             let answers = Rc::default();
-            (1..=3).for_each(|n| ask(&s, n, 0, &answers));
-            let mut engine = s.dialled().await;
+            (1..=3).for_each(|n| submit(&fixture, n, 0, &answers));
+            let mut engine = fixture.accept_upstream().await;
             let mut ids = vec![];
             for _ in 0..3 {
-                ids.push(get(&mut engine).await);
+                ids.push(read_request_id(&mut engine).await);
             }
-            reply(&mut engine, [&ids[0], "ACK", "total=3", "a\tb\tc\n"]).await;
-            command(&mut engine).await.expect("a page is asked for");
-            match how {
+            send_reply(&mut engine, [&ids[0], "ACK", "total=3", "a\tb\tc\n"]).await;
+            read_command(&mut engine)
+                .await
+                .expect("a page is asked for");
+            match fault {
                 "reset" => SockRef::from(&engine)
                     .set_linger(Some(Duration::ZERO))
                     .unwrap(),
                 "endless" => engine.write_all(b"*4\r\n$16\r\n00000000").await.unwrap(),
-                _ => reply(&mut engine, [&ids[0], "BLOCK", "index=1", "no rows"]).await,
+                _ => send_reply(&mut engine, [&ids[0], "BLOCK", "index=1", "no rows"]).await,
             }
-            let kept = (how == "endless").then_some(engine);
-            let mut again = s.dialled().await;
+            let still_open = (fault == "endless").then_some(engine);
+            let mut retry_connection = fixture.accept_upstream().await;
             let mut served = 0;
             while served < 3 {
-                let Some(words) = command(&mut again).await else {
-                    again = s.dialled().await;
+                let Some(arguments) = read_command(&mut retry_connection).await else {
+                    retry_connection = fixture.accept_upstream().await;
                     continue;
                 };
-                if words[0] == "GET" {
-                    serve(&mut again, &words[1], 1).await;
+                if arguments[0] == "GET" {
+                    serve_pages(&mut retry_connection, &arguments[1], 1).await;
                     served += 1;
                 }
             }
-            s.owes(0).await;
-            assert_eq!(*answers.borrow(), ["served"; 3], "{how}");
-            drop(kept);
+            fixture.wait_for_open(0).await;
+            assert_eq!(*answers.borrow(), ["served"; 3], "{fault}");
+            drop(still_open);
         }
     });
 }
 
-// ---- the end, against what is in the pipes
+// ---- shutdown and data in transit
 
-/// A connection that the machine has accepted, with its request written, and the goodbye in the same turn.
+/// The kernel accepted a connection and its request is written; shutdown begins in the same poll.
 #[test]
 fn connection_accepted_by_the_kernel_is_served_during_shutdown() {
     on_one_thread(async {
-        let s = plain().await;
+        let fixture = start_default().await;
         tokio::task::yield_now().await;
-        let mut client = std::net::TcpStream::connect(s.at).unwrap();
+        let mut client = std::net::TcpStream::connect(fixture.address).unwrap();
         client.write_all(&request(1, 1, "lookup", "")).unwrap();
-        s.frontend.goodbye(false);
+        fixture.frontend.goodbye(false);
         client.set_nonblocking(true).unwrap();
         let mut client = Client(TcpStream::from_std(client).unwrap());
-        assert_eq!(client.hear().await.unwrap().0, 64, "it is told");
-        let mut engine = s.dialled().await;
-        let id = get(&mut engine).await;
-        serve(&mut engine, &id, 1).await;
+        assert_eq!(client.receive().await.unwrap().0, 64, "it is told");
+        let mut engine = fixture.accept_upstream().await;
+        let id = read_request_id(&mut engine).await;
+        serve_pages(&mut engine, &id, 1).await;
         assert_eq!(
-            client.hear().await.map(|f| (f.0, f.1, f.2[0])),
+            client.receive().await.map(|f| (f.0, f.1, f.2[0])),
             Some((4, 1, 0)),
             "and served"
         );
-        let refused = TcpStream::connect(s.at).await.map_err(|e| e.kind());
+        let refused = TcpStream::connect(fixture.address)
+            .await
+            .map_err(|e| e.kind());
         assert!(
             matches!(refused, Err(ErrorKind::ConnectionRefused)),
             "later ones go elsewhere"
@@ -883,92 +879,109 @@
     });
 }
 
-/// Half a frame is here when connections are to end, then its rest; and a client that takes its answer late.
+/// Half a frame has arrived when connections are to close, then its rest; its client reads the response late.
 #[test]
 fn connections_close_only_after_responses_are_fully_read() {
     on_one_thread(async {
-        let s = plain().await;
-        let mut client = Client::narrow(s.at).await;
-        let asks = request(1, 1, "lookup", "");
-        client.say(&asks[..asks.len() / 2]).await;
-        let mut idle = Client::new(s.at).await;
-        until("both", || s.frontend.connections() == 2).await;
-        s.frontend.goodbye(true);
-        s.frontend.end();
-        assert_eq!(idle.hear().await.unwrap().0, 64);
-        assert!(idle.hear().await.is_none(), "nothing is owed on it");
-        client.say(&asks[asks.len() / 2..]).await;
-        let mut engine = s.dialled().await;
-        let id = get(&mut engine).await;
-        serve(&mut engine, &id, 9).await;
-        s.owes(0).await;
+        let fixture = start_default().await;
+        let mut client = Client::with_small_buffer(fixture.address).await;
+        let request_bytes = request(1, 1, "lookup", "");
+        client.send(&request_bytes[..request_bytes.len() / 2]).await;
+        let mut idle = Client::connect(fixture.address).await;
+        wait_until("both", || fixture.frontend.connections() == 2).await;
+        fixture.frontend.goodbye(true);
+        fixture.frontend.end();
+        assert_eq!(idle.receive().await.unwrap().0, 64);
+        assert!(idle.receive().await.is_none(), "nothing is owed on it");
+        client.send(&request_bytes[request_bytes.len() / 2..]).await;
+        let mut engine = fixture.accept_upstream().await;
+        let id = read_request_id(&mut engine).await;
+        serve_pages(&mut engine, &id, 9).await;
+        fixture.wait_for_open(0).await;
         assert_eq!(
-            s.frontend.connections(),
+            fixture.frontend.connections(),
             1,
-            "the answer is given, and not taken"
+            "the response is written, and not read"
         );
-        assert_eq!(client.hear().await.unwrap().0, 64);
-        let (kind, stream, payload) = client.hear().await.unwrap();
+        assert_eq!(client.receive().await.unwrap().0, 64);
+        let (kind, stream, payload) = client.receive().await.unwrap();
         assert_eq!((kind, stream, payload.len()), (4, 1, 2 + 9 * 5005));
-        assert!(client.hear().await.is_none());
-        until("none", || s.frontend.connections() == 0).await;
+        assert!(client.receive().await.is_none());
+        wait_until("none", || fixture.frontend.connections() == 0).await;
     });
 }
 
-/// SIGTERM's order comes while one load is out and one waits: the first may have run, the second never did.
+/// SIGTERM arrives while one load is in flight and one is queued: the first may have run, the second never did.
 #[test]
 fn shutdown_fails_a_sent_load_and_rejects_a_queued_one() {
     on_one_thread(async {
-        let s = plain().await;
+        let fixture = start_default().await;
         let answers = Rc::default();
-        ask(&s, 1, 1, &answers);
-        let mut engine = s.dialled().await;
-        get(&mut engine).await;
-        s.holds();
-        ask(&s, 2, 1, &answers);
-        s.router.begin_shutdown(unix_time_millis() + 100.0);
-        s.lets_go();
-        let mut told = vec![];
-        while s.router.unanswered_requests() > 0 {
+        submit(&fixture, 1, 1, &answers);
+        let mut engine = fixture.accept_upstream().await;
+        read_request_id(&mut engine).await;
+        drain_engine(&fixture);
+        submit(&fixture, 2, 1, &answers);
+        fixture.router.begin_shutdown(unix_time_millis() + 100.0);
+        restore_engine(&fixture);
+        let mut sorted_answers = vec![];
+        while fixture.router.unanswered_requests() > 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        told.extend(answers.borrow().iter().copied());
-        told.sort_unstable();
+        sorted_answers.extend(answers.borrow().iter().copied());
+        sorted_answers.sort_unstable();
         assert!(
-            told == ["failed", "late"] || told == ["failed", "refused"] || told == ["late", "late"],
-            "{told:?}"
+            sorted_answers == ["failed", "late"]
+                || sorted_answers == ["failed", "refused"]
+                || sorted_answers == ["late", "late"],
+            "{sorted_answers:?}"
         );
-        let next = command(&mut engine).await.unwrap();
-        assert_eq!(next, ["DROP", &name(1)], "and neither is sent again");
+        let next = read_command(&mut engine).await.unwrap();
+        assert_eq!(next, ["DROP", &request_id(1)], "and neither is sent again");
     });
 }
 
-/// Clients that send much at once and go: nothing of theirs is sent on, and others are served beside them.
+/// Clients send many frames and disconnect: none of their requests is forwarded, and other clients are served.
 #[test]
 fn clients_that_flood_and_disconnect_do_not_affect_others() {
     on_one_thread(async {
-        let s = plain().await;
-        let mut crowd = vec![];
-        for n in 0..20 {
-            let mut c = Client::new(s.at).await;
-            let mine = (1..=5)
-                .flat_map(|k| request(1000 + k, u64::from(1000 * (n + 1) + k), "lookup", ""));
-            c.say(&[useless(1, 40), mine.collect()].concat()).await;
-            crowd.push(c);
+        let fixture = start_default().await;
+        let mut clients = vec![];
+        for number in 0..20 {
+            let mut client = Client::connect(fixture.address).await;
+            let requests = (1..=5).flat_map(|index| {
+                request(
+                    1000 + index,
+                    u64::from(1000 * (number + 1) + index),
+                    "lookup",
+                    "",
+                )
+            });
+            client
+                .send(&[malformed_requests(1, 40), requests.collect()].concat())
+                .await;
+            clients.push(client);
         }
-        drop(crowd);
-        let mut client = Client::new(s.at).await;
+        drop(clients);
+        let mut client = Client::connect(fixture.address).await;
         let began = std::time::Instant::now();
-        client.say(&request(1, 7, "lookup", "")).await;
-        let mut engine = s.dialled().await;
-        assert_eq!(get(&mut engine).await, name(7));
-        serve(&mut engine, &name(7), 1).await;
-        assert_eq!(client.hear().await.unwrap().2[0], 0);
+        client.send(&request(1, 7, "lookup", "")).await;
+        let mut engine = fixture.accept_upstream().await;
+        assert_eq!(read_request_id(&mut engine).await, request_id(7));
+        serve_pages(&mut engine, &request_id(7), 1).await;
+        assert_eq!(client.receive().await.unwrap().2[0], 0);
         assert!(began.elapsed() < Duration::from_secs(1));
-        // As long as forty useless frames of each would have held the rest back.
+        // As long as forty malformed frames of each would have delayed the rest.
         tokio::time::sleep(Duration::from_millis(1200)).await;
-        client.say(&request(2, 8, "lookup", "")).await;
-        assert_eq!(get(&mut engine).await, name(8), "nothing of the crowd's");
-        until("they are gone", || s.frontend.connections() == 1).await;
+        client.send(&request(2, 8, "lookup", "")).await;
+        assert_eq!(
+            read_request_id(&mut engine).await,
+            request_id(8),
+            "no request of the disconnected clients"
+        );
+        wait_until("their connections to close", || {
+            fixture.frontend.connections() == 1
+        })
+        .await;
     });
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,8 +1,9 @@
-//! Scripted events for one gateway.
+//! The decision module under scripted events: settings, an engine list, queries and a controller with its clock.
 #![allow(dead_code)]
 
 use query_dispatcher::*;
 
+/// An idempotent single-threaded class with this priority weight and latency objective in milliseconds.
 pub fn class(priority_weight: f64, latency_objective: f64) -> Class {
     Class {
         priority_weight,
@@ -19,7 +20,8 @@
     }
 }
 
-pub fn settings(classes: Vec<Class>) -> Settings {
+/// Settings of a single dispatcher with these classes and two kinds of engine.
+pub fn test_settings(classes: Vec<Class>) -> Settings {
     Settings {
         dispatchers: 1,
         zone: None,
@@ -69,7 +71,8 @@
     }
 }
 
-pub fn entry(engine: &str) -> EngineEntry {
+/// A ready, warm engine of the first kind in the first zone.
+pub fn engine_entry(engine: &str) -> EngineEntry {
     EngineEntry {
         engine: engine.into(),
         state: EngineState::Ready,
@@ -80,6 +83,7 @@
     }
 }
 
+/// A query without estimates that waits for four seconds.
 pub fn query(id: QueryId, class: ClassId) -> Query {
     Query {
         id,
@@ -93,55 +97,69 @@
     }
 }
 
-pub struct Gateway {
-    pub c: Controller,
+/// This many engines, `e0` and on, all ready and warm.
+pub fn fleet(engine_count: usize) -> Vec<EngineEntry> {
+    (0..engine_count)
+        .map(|i| engine_entry(&format!("e{i}")))
+        .collect()
+}
+
+/// The decision module with a clock of its own, in milliseconds.
+pub struct TestController {
+    pub inner: Controller,
     pub now: f64,
 }
 
-impl Gateway {
+impl TestController {
+    /// A controller with seed 1 and this engine list.
     pub fn new(s: Settings, engines: Vec<EngineEntry>) -> Self {
         Self::seeded(s, engines, 1)
     }
 
+    /// A controller with this seed and engine list.
     pub fn seeded(s: Settings, engines: Vec<EngineEntry>, seed: u64) -> Self {
-        let mut g = Gateway {
-            c: Controller::new(s, seed).unwrap(),
+        let mut controller = TestController {
+            inner: Controller::new(s, seed).unwrap(),
             now: 1000.0,
         };
-        g.does(Event::EngineList {
+        controller.handle(Event::EngineList {
             update: ListUpdate::Stale,
             entries: engines,
         });
-        g
+        controller
     }
 
-    pub fn does(&mut self, event: Event) -> Vec<Action> {
+    /// Handles an event now and gives the actions.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = vec![];
-        self.c.handle(self.now, event, &mut out);
+        self.inner.handle(self.now, event, &mut out);
         out
     }
 
-    /// Moves the clock on and lets the timer ring.
-    pub fn pass(&mut self, ms: f64) -> Vec<Action> {
+    /// Advances the clock by this many milliseconds, with a timer event each 20 ms, and gives the actions.
+    pub fn advance(&mut self, ms: f64) -> Vec<Action> {
         let end = self.now + ms;
         let mut all = vec![];
         while self.now < end {
             self.now = (self.now + 20.0).min(end);
-            all.extend(self.does(Event::Timer(0)));
+            all.extend(self.handle(Event::Timer(0)));
         }
         all
     }
 
-    pub fn take(&mut self, q: Query) -> Vec<Action> {
-        self.does(Event::Query(q))
+    /// A query arrives now.
+    pub fn submit(&mut self, q: Query) -> Vec<Action> {
+        self.handle(Event::Query(q))
     }
 
-    pub fn end(&mut self, id: QueryId, attempt: u32, outcome: Outcome) -> Vec<Action> {
-        self.does(Event::AttemptEnded(ended(id, attempt, outcome)))
+    /// An attempt ends now with this outcome.
+    pub fn end_attempt(&mut self, id: QueryId, attempt: u32, outcome: Outcome) -> Vec<Action> {
+        self.handle(Event::AttemptEnded(attempt_ended(id, attempt, outcome)))
     }
 }
 
-pub fn ended(id: QueryId, attempt: u32, outcome: Outcome) -> Ended {
+/// The event of an attempt that ended with this outcome.
+pub fn attempt_ended(id: QueryId, attempt: u32, outcome: Outcome) -> Ended {
     let last = outcome == Outcome::Served;
     Ended {
         id,
@@ -155,28 +173,30 @@
     }
 }
 
-pub fn sends(actions: &[Action]) -> Vec<(QueryId, String)> {
+/// The query and the engine of each attempt that these actions send.
+pub fn sent_attempts(actions: &[Action]) -> Vec<(QueryId, String)> {
     actions
         .iter()
-        .filter_map(|a| match a {
+        .filter_map(|action| match action {
             Action::Send { id, engine, .. } => Some((*id, engine.clone())),
             _ => None,
         })
         .collect()
 }
 
-/// The memory granted by the first terms.
-pub fn granted(actions: &[Action]) -> Option<f64> {
-    actions.iter().find_map(|a| match a {
+/// The memory granted by the first terms among these actions, in megabytes.
+pub fn granted_memory(actions: &[Action]) -> Option<f64> {
+    actions.iter().find_map(|action| match action {
         Action::Terms { memory_mb, .. } => Some(*memory_mb),
         _ => None,
     })
 }
 
-pub fn finals(actions: &[Action]) -> Vec<QueryId> {
+/// The queries that these actions refuse or fail.
+pub fn final_answers(actions: &[Action]) -> Vec<QueryId> {
     actions
         .iter()
-        .filter_map(|a| match a {
+        .filter_map(|action| match action {
             Action::Refuse { id, .. } | Action::Fail { id } => Some(*id),
             _ => None,
         })
--- a/tests/many_dispatchers.rs
+++ b/tests/many_dispatchers.rs
@@ -1,16 +1,16 @@
-//! What holds when each of many gateways sees little, as scripted events.
+//! Properties that hold when each of many dispatchers sees only a little of the traffic, as scripted events.
 
 mod common;
 use common::*;
 use query_dispatcher::*;
 
-fn one_of(dispatchers: u32, probes: bool) -> Settings {
-    let mut s = settings(vec![class(1.0, 2000.0)]);
-    (s.dispatchers, s.limits.probes) = (dispatchers, probes);
-    s
+fn settings_of_one(dispatchers: u32, probes: bool) -> Settings {
+    let mut settings = test_settings(vec![class(1.0, 2000.0)]);
+    (settings.dispatchers, settings.limits.probes) = (dispatchers, probes);
+    settings
 }
 
-fn probed(actions: &[Action]) -> Vec<String> {
+fn probed_engines(actions: &[Action]) -> Vec<String> {
     let name = |a: &Action| {
         if let Action::Probe { engine } = a {
             Some(engine.clone())
@@ -21,7 +21,7 @@
     actions.iter().filter_map(name).collect()
 }
 
-fn answer(engine: &str, inflight: f64) -> Event {
+fn engine_report(engine: &str, inflight: f64) -> Event {
     let report = vec![inflight, 0.1];
     Event::EngineReport {
         engine: engine.into(),
@@ -30,28 +30,25 @@
     }
 }
 
-fn fleet(n: usize) -> Vec<EngineEntry> {
-    (0..n).map(|i| entry(&format!("e{i}"))).collect()
-}
-
-/// Seen with 100 gateways and 30 engines: each held a connection to nearly all, 4,296 for 11,825 requests.
+/// Seen with 100 dispatchers and 30 engines: each held a connection to nearly all, 4,296 for 11,825 requests.
 #[test]
 fn each_dispatcher_uses_a_small_subset_and_together_they_balance() {
     let mut used = std::collections::BTreeMap::<String, usize>::new();
     for seed in 0..60 {
-        let mut g = Gateway::seeded(one_of(100, false), fleet(30), seed);
-        let mut own = std::collections::BTreeSet::new();
+        let mut controller = TestController::seeded(settings_of_one(100, false), fleet(30), seed);
+        let mut subset = std::collections::BTreeSet::new();
         for id in 0..40 {
-            let sent = sends(&g.take(query(id, 0)));
+            let sent = sent_attempts(&controller.submit(query(id, 0)));
             assert_eq!(sent.len(), 1);
-            own.insert(sent[0].1.clone());
-            g.end(id, 0, Outcome::Served);
+            subset.insert(sent[0].1.clone());
+            controller.end_attempt(id, 0, Outcome::Served);
         }
         assert!(
-            (2..=6).contains(&own.len()),
-            "gateway {seed} keeps to {own:?}"
+            (2..=6).contains(&subset.len()),
+            "gateway {seed} keeps to {subset:?}"
         );
-        own.into_iter()
+        subset
+            .into_iter()
             .for_each(|e| *used.entry(e).or_default() += 1);
     }
     assert_eq!(used.len(), 30, "every engine has its gateways");
@@ -60,23 +57,24 @@
 
 #[test]
 fn new_engines_are_not_tried_while_the_subset_has_capacity() {
-    let mut g = Gateway::new(one_of(100, false), fleet(10));
-    let turn = |g: &mut Gateway, id| {
-        let engine = sends(&g.take(query(id, 0)))[0].1.clone();
-        g.end(id, 0, Outcome::Served);
+    let mut controller = TestController::new(settings_of_one(100, false), fleet(10));
+    let serve_query = |controller: &mut TestController, id| {
+        let engine = sent_attempts(&controller.submit(query(id, 0)))[0].1.clone();
+        controller.end_attempt(id, 0, Outcome::Served);
         engine
     };
-    let own: std::collections::BTreeSet<String> = (0..40).map(|id| turn(&mut g, id)).collect();
-    // As many again as there were: in the gateway's order some of them come before what it has.
-    g.does(Event::EngineList {
+    let subset: std::collections::BTreeSet<String> =
+        (0..40).map(|id| serve_query(&mut controller, id)).collect();
+    // Thirty more engines: in the dispatcher's own order some of them come before its subset.
+    controller.handle(Event::EngineList {
         update: ListUpdate::Snapshot,
         entries: fleet(40),
     });
     for id in 40..120 {
-        let engine = turn(&mut g, id);
+        let engine = serve_query(&mut controller, id);
         assert!(
-            own.contains(&engine),
-            "{engine} is new, and {own:?} have room"
+            subset.contains(&engine),
+            "{engine} is new, and {subset:?} have room"
         );
     }
 }
@@ -85,49 +83,59 @@
 /// bound in the settings, by what it can do at its age when the window begins.
 #[test]
 fn warming_engine_stays_under_its_limit_with_3_30_and_100_dispatchers() {
-    for n in [3u32, 30, 100] {
-        let s = one_of(n, false);
-        let (r, cores) = (s.rules.clone(), s.kinds[0].cores);
-        let cold = EngineEntry {
+    for dispatchers in [3u32, 30, 100] {
+        let settings = settings_of_one(dispatchers, false);
+        let (rules, cores) = (settings.rules.clone(), settings.kinds[0].cores);
+        let warming_engine = EngineEntry {
             started: Some(1000.0),
-            ..entry("new")
+            ..engine_entry("new")
         };
-        let mut all: Vec<Gateway> = (0..n)
-            .map(|seed| Gateway::seeded(s.clone(), vec![cold.clone()], u64::from(seed) + 7))
+        let mut controllers: Vec<TestController> = (0..dispatchers)
+            .map(|seed| {
+                TestController::seeded(
+                    settings.clone(),
+                    vec![warming_engine.clone()],
+                    u64::from(seed) + 7,
+                )
+            })
             .collect();
         let mut sent: Vec<(f64, f64)> = vec![];
         for step in 0..300u64 {
             let now = 1000.0 + step as f64 * 20.0;
-            for (g, x) in all.iter_mut().enumerate() {
-                x.now = now;
-                x.does(Event::Timer(0));
-                if !(step + g as u64).is_multiple_of(5) {
+            for (index, controller) in controllers.iter_mut().enumerate() {
+                controller.now = now;
+                controller.handle(Event::Timer(0));
+                if !(step + index as u64).is_multiple_of(5) {
                     continue;
                 }
-                let q = Query {
+                let query = Query {
                     work: Some(500.0),
                     time_left: 200.0,
                     ..query(step, 0)
                 };
-                for (id, _) in sends(&x.take(q)) {
+                for (id, _) in sent_attempts(&controller.submit(query)) {
                     sent.push((now, 500.0));
-                    x.end(id, 0, Outcome::Served);
+                    controller.end_attempt(id, 0, Outcome::Served);
                 }
             }
         }
-        assert!(sent.len() > 20, "{n} gateways use it, {} sends", sent.len());
+        assert!(
+            sent.len() > 20,
+            "{dispatchers} gateways use it, {} sends",
+            sent.len()
+        );
         for (start, _) in &sent {
-            let able = r.initial_warm_up_capacity
-                + (1.0 - r.initial_warm_up_capacity)
-                    * ((start - 1000.0) / r.warm_up_period).min(1.0);
-            let bound = r.overload_multiple * able * cores * r.overload_window;
+            let capacity = rules.initial_warm_up_capacity
+                + (1.0 - rules.initial_warm_up_capacity)
+                    * ((start - 1000.0) / rules.warm_up_period).min(1.0);
+            let bound = rules.overload_multiple * capacity * cores * rules.overload_window;
             let window = sent
                 .iter()
-                .filter(|(t, _)| t >= start && *t < start + r.overload_window);
-            let sum: f64 = window.map(|(_, w)| w).sum();
+                .filter(|(at, _)| at >= start && *at < start + rules.overload_window);
+            let sum: f64 = window.map(|(_, work)| work).sum();
             assert!(
                 sum <= bound,
-                "{n} gateways: {sum} of {bound} in the window from {start}"
+                "{dispatchers} gateways: {sum} of {bound} in the window from {start}"
             );
         }
     }
@@ -135,10 +143,10 @@
 
 #[test]
 fn subset_is_widened_when_it_has_no_capacity() {
-    let mut g = Gateway::new(one_of(100, false), fleet(30));
+    let mut controller = TestController::new(settings_of_one(100, false), fleet(30));
     let mut full = std::collections::BTreeSet::new();
     for id in 0..12 {
-        let sent = sends(&g.take(query(id, 0)));
+        let sent = sent_attempts(&controller.submit(query(id, 0)));
         assert_eq!(
             sent.len(),
             1,
@@ -149,20 +157,23 @@
             "{} was full a moment ago",
             sent[0].1
         );
-        let moved = sends(&g.end(id, 0, Outcome::Rejected));
+        let moved = sent_attempts(&controller.end_attempt(id, 0, Outcome::Rejected));
         assert!(!full.contains(&moved[0].1));
-        g.end(id, 1, Outcome::Served);
+        controller.end_attempt(id, 1, Outcome::Served);
     }
 }
 
 #[test]
 fn idle_dispatcher_probes_two_engines_and_picks_the_less_loaded() {
     for crowded in 0..2 {
-        let mut g = Gateway::new(one_of(100, true), fleet(9));
-        let pair = probed(&g.take(query(1, 0)));
+        let mut controller = TestController::new(settings_of_one(100, true), fleet(9));
+        let pair = probed_engines(&controller.submit(query(1, 0)));
         assert_eq!(pair.len(), 2);
-        assert_eq!(sends(&g.does(answer(&pair[crowded], 12.0))), vec![]);
-        let sent = sends(&g.does(answer(&pair[1 - crowded], 2.0)));
+        assert_eq!(
+            sent_attempts(&controller.handle(engine_report(&pair[crowded], 12.0))),
+            vec![]
+        );
+        let sent = sent_attempts(&controller.handle(engine_report(&pair[1 - crowded], 2.0)));
         assert_eq!(sent, vec![(1, pair[1 - crowded].clone())]);
     }
 }
@@ -170,69 +181,72 @@
 #[test]
 fn only_a_loaded_fleet_is_probed_for_each_query() {
     for (inflight, asks) in [(1.0, false), (9.0, true)] {
-        let mut g = Gateway::new(one_of(100, true), fleet(9));
+        let mut controller = TestController::new(settings_of_one(100, true), fleet(9));
         for i in 0..6 {
-            g.does(answer(&format!("e{i}"), inflight));
+            controller.handle(engine_report(&format!("e{i}"), inflight));
         }
-        g.now += 600.0;
-        let out = g.take(query(1, 0));
+        controller.now += 600.0;
+        let out = controller.submit(query(1, 0));
         assert_eq!(
-            sends(&out).is_empty(),
+            sent_attempts(&out).is_empty(),
             asks,
             "reports of {inflight} queries an engine"
         );
-        assert_eq!(probed(&out).len() >= 2, asks);
+        assert_eq!(probed_engines(&out).len() >= 2, asks);
     }
 }
 
 #[test]
 fn lost_late_duplicate_or_malformed_probes_delay_nothing() {
-    let mut g = Gateway::new(one_of(100, true), fleet(9));
-    let pair = probed(&g.take(query(1, 0)));
-    g.does(answer("unknown", 1.0));
-    g.does(answer(&pair[0], f64::NAN));
-    g.does(answer(&pair[0], -4.0));
+    let mut controller = TestController::new(settings_of_one(100, true), fleet(9));
+    let pair = probed_engines(&controller.submit(query(1, 0)));
+    controller.handle(engine_report("unknown", 1.0));
+    controller.handle(engine_report(&pair[0], f64::NAN));
+    controller.handle(engine_report(&pair[0], -4.0));
     assert_eq!(
-        sends(&g.pass(60.0)).len(),
+        sent_attempts(&controller.advance(60.0)).len(),
         1,
         "sent once the wait for probes is over"
     );
     for _ in 0..3 {
-        assert_eq!(sends(&g.does(answer(&pair[1], 3.0))), vec![]);
+        assert_eq!(
+            sent_attempts(&controller.handle(engine_report(&pair[1], 3.0))),
+            vec![]
+        );
     }
 }
 
 #[test]
 fn dispatchers_with_whole_queries_of_budget_do_not_wait_for_probes() {
-    let mut g = Gateway::new(one_of(2, true), fleet(4));
-    assert_eq!(sends(&g.take(query(1, 0))).len(), 1);
+    let mut controller = TestController::new(settings_of_one(2, true), fleet(4));
+    assert_eq!(sent_attempts(&controller.submit(query(1, 0))).len(), 1);
 }
 
-/// Sends of many gateways with different seeds, each holding a few queries for under a period.
-fn all_send(s: &Settings, entries: &[EngineEntry], inflight: f64) -> usize {
+/// Attempts that many dispatchers with different seeds send, each with a few queries for less than a sampling period.
+fn total_sends(settings: &Settings, entries: &[EngineEntry], inflight: f64) -> usize {
     let mut total = 0;
-    for seed in 0..u64::from(s.dispatchers) {
-        let mut g = Gateway {
-            c: Controller::new(s.clone(), seed).unwrap(),
+    for seed in 0..u64::from(settings.dispatchers) {
+        let mut controller = TestController {
+            inner: Controller::new(settings.clone(), seed).unwrap(),
             now: 1000.0,
         };
-        g.does(Event::EngineList {
+        controller.handle(Event::EngineList {
             update: ListUpdate::Stale,
             entries: entries.to_vec(),
         });
-        g.pass(2100.0); // one sampling period: the draws are made
+        controller.advance(2100.0); // one sampling period: the draws are made
         let mut out = vec![];
         for id in 0..3 {
-            out.extend(g.take(query(id, 0)));
+            out.extend(controller.submit(query(id, 0)));
         }
         for _ in 0..60 {
-            total += sends(&out).len();
-            let asked = probed(&out);
-            out = asked
+            total += sent_attempts(&out).len();
+            let probed_engines = probed_engines(&out);
+            out = probed_engines
                 .iter()
-                .flat_map(|e| g.does(answer(e, inflight)))
+                .flat_map(|e| controller.handle(engine_report(e, inflight)))
                 .collect();
-            out.extend(g.pass(20.0));
+            out.extend(controller.advance(20.0));
         }
     }
     total
@@ -240,7 +254,7 @@
 
 #[test]
 fn all_dispatchers_under_load_stay_near_an_engines_budget() {
-    let sent = all_send(&one_of(100, true), &fleet(4), 40.0);
+    let sent = total_sends(&settings_of_one(100, true), &fleet(4), 40.0);
     assert!(
         (16..=80).contains(&sent),
         "{sent} sends for budgets of 4 x 16 threads"
@@ -249,169 +263,187 @@
 
 #[test]
 fn all_dispatchers_use_a_warming_engines_budget_and_no_more() {
-    let s = one_of(200, false);
-    let cold = EngineEntry {
+    let settings = settings_of_one(200, false);
+    let warming_engine = EngineEntry {
         started: Some(1000.0),
-        ..entry("cold")
+        ..engine_entry("cold")
     };
-    let r = &s.rules;
-    let usual = s.classes[0].latency_objective / (1.0 + s.classes[0].latency_objective_slowdown);
-    let stands =
-        r.overload_multiple * r.initial_warm_up_capacity * s.kinds[0].cores * r.overload_window
-            / usual;
-    let sent = all_send(&s, &[cold], 0.0) as f64;
-    assert!(sent <= stands, "{sent} sends, it stands {stands}");
+    let rules = &settings.rules;
+    let mean_work = settings.classes[0].latency_objective
+        / (1.0 + settings.classes[0].latency_objective_slowdown);
+    let limit = rules.overload_multiple
+        * rules.initial_warm_up_capacity
+        * settings.kinds[0].cores
+        * rules.overload_window
+        / mean_work;
+    let sent = total_sends(&settings, &[warming_engine], 0.0) as f64;
+    assert!(sent <= limit, "{sent} sends, it stands {limit}");
     assert!(
-        sent > 0.1 * stands,
-        "{sent} sends leave it idle, it stands {stands}"
+        sent > 0.1 * limit,
+        "{sent} sends leave it idle, it stands {limit}"
     );
 }
 
-/// What a fleet of its own, played against one gateway, has seen: each query's end, and who got what when.
+/// What a fake fleet saw of one dispatcher: the final answers of each query, and which engine got an attempt when.
 #[derive(Default)]
-struct Played {
+struct RunResult {
     ends: std::collections::BTreeMap<QueryId, u32>,
     sent: Vec<(f64, String)>,
     served: u32,
 }
 
 /// One query each 10 ms for `steps`, each needing 100 ms of work; `answers` says how an attempt ends after 40 ms.
-fn play(g: &mut Gateway, steps: u64, answers: impl Fn(f64, &str) -> Outcome) -> Played {
-    let mut p = Played::default();
-    let mut out: Vec<(f64, QueryId, u32, String)> = vec![];
-    let mut tries = std::collections::BTreeMap::<QueryId, u32>::new();
-    let first = g.now as QueryId * 1000;
+fn play(
+    controller: &mut TestController,
+    steps: u64,
+    answers: impl Fn(f64, &str) -> Outcome,
+) -> RunResult {
+    let mut result = RunResult::default();
+    let mut in_flight: Vec<(f64, QueryId, u32, String)> = vec![];
+    let mut attempts = std::collections::BTreeMap::<QueryId, u32>::new();
+    let first = controller.now as QueryId * 1000;
     for step in 0..steps + 100 {
-        let mut todo = g.pass(10.0);
+        let mut actions = controller.advance(10.0);
         if step < steps {
-            todo.extend(g.take(Query {
+            actions.extend(controller.submit(Query {
                 work: Some(100.0),
                 time_left: 600.0,
                 ..query(first + step, 0)
             }));
         }
         loop {
-            for (id, engine) in sends(&todo) {
-                p.sent.push((g.now, engine.clone()));
-                let attempt = tries.entry(id).or_default();
-                out.push((g.now + 40.0, id, *attempt, engine));
+            for (id, engine) in sent_attempts(&actions) {
+                result.sent.push((controller.now, engine.clone()));
+                let attempt = attempts.entry(id).or_default();
+                in_flight.push((controller.now + 40.0, id, *attempt, engine));
                 *attempt += 1;
             }
-            finals(&todo)
+            final_answers(&actions)
                 .into_iter()
-                .for_each(|id| *p.ends.entry(id).or_default() += 1);
-            todo.clear();
-            let Some(i) = out.iter().position(|o| o.0 <= g.now) else {
+                .for_each(|id| *result.ends.entry(id).or_default() += 1);
+            actions.clear();
+            let Some(index) = in_flight.iter().position(|o| o.0 <= controller.now) else {
                 break;
             };
-            let (_, id, attempt, engine) = out.swap_remove(i);
-            let outcome = answers(g.now, &engine);
+            let (_, id, attempt, engine) = in_flight.swap_remove(index);
+            let outcome = answers(controller.now, &engine);
             if outcome == Outcome::Served {
-                *p.ends.entry(id).or_default() += 1;
-                p.served += 1;
+                *result.ends.entry(id).or_default() += 1;
+                result.served += 1;
             }
-            todo = g.end(id, attempt, outcome);
+            actions = controller.end_attempt(id, attempt, outcome);
         }
     }
-    assert_eq!(p.ends.len() as u64, steps, "every query came to an end");
+    assert_eq!(
+        result.ends.len() as u64,
+        steps,
+        "every query came to an end"
+    );
     assert!(
-        p.ends.values().all(|n| *n == 1),
+        result.ends.values().all(|n| *n == 1),
         "one final answer each: {:?}",
-        p.ends
+        result.ends
     );
-    p
+    result
 }
 
-/// Most work that was sent to one engine in any window of the settings.
-fn most_in_a_window(p: &Played, engine: &str, window: f64) -> f64 {
-    let of: Vec<f64> = p
+/// The most work that was sent to one engine in any window of this many milliseconds.
+fn peak_work_in_window(result: &RunResult, engine: &str, window: f64) -> f64 {
+    let send_times: Vec<f64> = result
         .sent
         .iter()
-        .filter(|s| s.1 == engine)
-        .map(|s| s.0)
+        .filter(|settings| settings.1 == engine)
+        .map(|settings| settings.0)
         .collect();
-    let from = |t: &f64| of.iter().filter(|u| *u >= t && **u < t + window).count();
-    of.iter().map(from).max().unwrap_or(0) as f64 * 100.0
+    let work_in_window = |t: &f64| {
+        send_times
+            .iter()
+            .filter(|u| *u >= t && **u < t + window)
+            .count()
+    };
+    send_times.iter().map(work_in_window).max().unwrap_or(0) as f64 * 100.0
 }
 
 #[test]
 fn all_warming_engines_are_used_to_their_limit_and_every_query_is_answered() {
-    let mut s = one_of(1, false);
-    s.kinds[0].cores = 2.0;
-    let r = s.rules.clone();
-    let cold = |i| EngineEntry {
+    let mut settings = settings_of_one(1, false);
+    settings.kinds[0].cores = 2.0;
+    let rules = settings.rules.clone();
+    let warming_engine = |i| EngineEntry {
         started: Some(1000.0),
-        ..entry(&format!("e{i}"))
+        ..engine_entry(&format!("e{i}"))
     };
-    let mut g = Gateway::new(s, (0..3).map(cold).collect());
-    let p = play(&mut g, 150, |_, _| Outcome::Served);
-    for e in ["e0", "e1", "e2"] {
-        let able = r.initial_warm_up_capacity
-            + (1.0 - r.initial_warm_up_capacity) * 1500.0 / r.warm_up_period;
-        let (most, bound) = (
-            most_in_a_window(&p, e, r.overload_window),
-            r.overload_multiple * able * 2.0 * 1500.0,
+    let mut controller = TestController::new(settings, (0..3).map(warming_engine).collect());
+    let result = play(&mut controller, 150, |_, _| Outcome::Served);
+    for engine in ["e0", "e1", "e2"] {
+        let capacity = rules.initial_warm_up_capacity
+            + (1.0 - rules.initial_warm_up_capacity) * 1500.0 / rules.warm_up_period;
+        let (peak, bound) = (
+            peak_work_in_window(&result, engine, rules.overload_window),
+            rules.overload_multiple * capacity * 2.0 * 1500.0,
         );
-        assert!(most <= bound, "{e}: {most} of {bound}");
+        assert!(peak <= bound, "{engine}: {peak} of {bound}");
         assert!(
-            most > 0.5 * bound,
-            "{e} is cold, not closed: {most} of {bound}"
+            peak > 0.5 * bound,
+            "{engine} is cold, not closed: {peak} of {bound}"
         );
     }
     assert!(
-        p.served >= 60 && p.ends.len() as u32 > p.served,
+        result.served >= 60 && result.ends.len() as u32 > result.served,
         "{} served, the rest refused",
-        p.served
+        result.served
     );
 }
 
 #[test]
 fn full_fleet_replacement_uses_only_the_new_engines() {
-    let mut g = Gateway::new(one_of(1, false), fleet(4));
-    play(&mut g, 40, |_, _| Outcome::Served);
+    let mut controller = TestController::new(settings_of_one(1, false), fleet(4));
+    play(&mut controller, 40, |_, _| Outcome::Served);
     // Queries are out on the old ones when they go: their connections break with them.
-    let held: Vec<QueryId> = (1..=6).collect();
-    let out: Vec<_> = held
+    let in_flight: Vec<QueryId> = (1..=6).collect();
+    let out: Vec<_> = in_flight
         .iter()
-        .flat_map(|&id| sends(&g.take(query(id, 0))))
+        .flat_map(|&id| sent_attempts(&controller.submit(query(id, 0))))
         .collect();
     assert_eq!(out.len(), 6);
-    let at = g.now;
-    let gone = fleet(4).into_iter().map(|e| EngineEntry {
+    let replaced_at = controller.now;
+    let removed = fleet(4).into_iter().map(|e| EngineEntry {
         state: EngineState::Gone,
         ..e
     });
     let new = (0..4).map(|i| EngineEntry {
-        started: Some(at),
-        ..entry(&format!("new{i}"))
+        started: Some(replaced_at),
+        ..engine_entry(&format!("new{i}"))
     });
-    let mut again = g.does(Event::EngineList {
+    let mut actions = controller.handle(Event::EngineList {
         update: ListUpdate::Patch,
-        entries: gone.chain(new).collect(),
+        entries: removed.chain(new).collect(),
     });
-    held.iter()
-        .for_each(|&id| again.extend(g.end(id, 0, Outcome::Reset)));
-    again.extend(g.pass(100.0));
-    let moved = sends(&again);
+    in_flight
+        .iter()
+        .for_each(|&id| actions.extend(controller.end_attempt(id, 0, Outcome::Reset)));
+    actions.extend(controller.advance(100.0));
+    let moved = sent_attempts(&actions);
     assert_eq!(
         moved.len(),
         6,
-        "what is harmless to repeat goes on: {again:?}"
+        "what is harmless to repeat goes on: {actions:?}"
     );
     assert!(moved.iter().all(|(_, e)| e.starts_with("new")), "{moved:?}");
-    held.iter()
-        .for_each(|&id| drop(g.end(id, 1, Outcome::Served)));
-    let p = play(&mut g, 100, |_, _| Outcome::Served);
-    assert!(p.sent.iter().all(|(_, e)| e.starts_with("new")));
-    assert!(p.served > 80, "{} of 100", p.served);
+    in_flight
+        .iter()
+        .for_each(|&id| drop(controller.end_attempt(id, 1, Outcome::Served)));
+    let result = play(&mut controller, 100, |_, _| Outcome::Served);
+    assert!(result.sent.iter().all(|(_, e)| e.starts_with("new")));
+    assert!(result.served > 80, "{} of 100", result.served);
 }
 
 #[test]
 fn engine_out_of_connections_is_retried_once_a_second_and_loses_no_query() {
-    let mut asked = 0;
+    let mut connections = 0;
     for seed in 0..30 {
-        let mut g = Gateway::seeded(one_of(30, false), fleet(6), seed);
-        let p = play(&mut g, 500, |_, e| {
+        let mut controller = TestController::seeded(settings_of_one(30, false), fleet(6), seed);
+        let result = play(&mut controller, 500, |_, e| {
             if e == "e0" {
                 Outcome::Unreachable
             } else {
@@ -419,82 +451,87 @@
             }
         });
         assert_eq!(
-            p.served, 500,
+            result.served, 500,
             "gateway {seed}: the next engine serves what was refused"
         );
-        let at: Vec<f64> = p.sent.iter().filter(|s| s.1 == "e0").map(|s| s.0).collect();
+        let attempt_times: Vec<f64> = result
+            .sent
+            .iter()
+            .filter(|settings| settings.1 == "e0")
+            .map(|settings| settings.0)
+            .collect();
         // One is at work on the connection while others may be sent: a try is what begins a second later.
-        let rounds = at
+        let rounds = attempt_times
             .iter()
-            .zip(std::iter::once(&f64::MIN).chain(&at))
+            .zip(std::iter::once(&f64::MIN).chain(&attempt_times))
             .filter(|(t, u)| **t > **u + 900.0);
         assert!(
-            rounds.count() <= 6 && at.len() <= 30,
+            rounds.count() <= 6 && attempt_times.len() <= 30,
             "gateway {seed}: {} connections in 5 s",
-            at.len()
+            attempt_times.len()
         );
-        asked += at.len();
+        connections += attempt_times.len();
     }
-    assert!(asked > 0, "nobody met it: the test tells nothing");
+    assert!(connections > 0, "nobody met it: the test tells nothing");
 }
 
 #[test]
 fn duplicate_or_unknown_list_entries_change_nothing() {
-    let mut g = Gateway::new(one_of(1, false), fleet(3));
-    let out = sends(&g.take(query(1, 0)));
+    let mut controller = TestController::new(settings_of_one(1, false), fleet(3));
+    let out = sent_attempts(&controller.submit(query(1, 0)));
     for update in [ListUpdate::Patch, ListUpdate::Snapshot, ListUpdate::Patch] {
-        let repeated = g.does(Event::EngineList {
+        let repeated = controller.handle(Event::EngineList {
             update,
             entries: fleet(3),
         });
         assert_eq!(
-            (sends(&repeated), finals(&repeated)),
+            (sent_attempts(&repeated), final_answers(&repeated)),
             (vec![], vec![]),
             "what is out stays out"
         );
     }
-    let gone = EngineEntry {
+    let removed = EngineEntry {
         state: EngineState::Gone,
-        ..entry("never")
+        ..engine_entry("never")
     };
-    g.does(Event::EngineList {
+    controller.handle(Event::EngineList {
         update: ListUpdate::Patch,
-        entries: vec![gone.clone(), gone],
+        entries: vec![removed.clone(), removed],
     });
-    let p = play(&mut g, 60, |_, _| Outcome::Served);
-    assert!(p.sent.iter().all(|(_, e)| e != "never"));
-    assert_eq!((out.len(), p.served), (1, 60));
+    let result = play(&mut controller, 60, |_, _| Outcome::Served);
+    assert!(result.sent.iter().all(|(_, e)| e != "never"));
+    assert_eq!((out.len(), result.served), (1, 60));
     // The id of one that has gone comes back as a new process: it is cold, and what was known of it is forgotten.
-    let gone = EngineEntry {
+    let removed = EngineEntry {
         state: EngineState::Gone,
-        ..entry("e0")
+        ..engine_entry("e0")
     };
-    g.does(Event::EngineList {
+    controller.handle(Event::EngineList {
         update: ListUpdate::Patch,
-        entries: vec![gone],
+        entries: vec![removed],
     });
-    let new = EngineEntry {
-        started: Some(g.now),
-        ..entry("e0")
+    let restarted = EngineEntry {
+        started: Some(controller.now),
+        ..engine_entry("e0")
     };
-    g.does(Event::EngineList {
+    controller.handle(Event::EngineList {
         update: ListUpdate::Patch,
-        entries: vec![new],
+        entries: vec![restarted],
     });
-    let p = play(&mut g, 100, |_, _| Outcome::Served);
-    let r = settings(vec![class(1.0, 1.0)]).rules;
-    let bound = r.overload_multiple
-        * (r.initial_warm_up_capacity + 0.7 * 1500.0 / r.warm_up_period)
+    let result = play(&mut controller, 100, |_, _| Outcome::Served);
+    let rules = test_settings(vec![class(1.0, 1.0)]).rules;
+    let bound = rules.overload_multiple
+        * (rules.initial_warm_up_capacity + 0.7 * 1500.0 / rules.warm_up_period)
         * 8.0
-        * r.overload_window;
-    assert!(most_in_a_window(&p, "e0", r.overload_window) <= bound);
+        * rules.overload_window;
+    assert!(peak_work_in_window(&result, "e0", rules.overload_window) <= bound);
 }
 
 /// Its failures and its crowd were true half a minute ago; nobody has met it since.
 #[test]
 fn rarely_used_engine_is_not_evaluated_by_old_observations() {
-    let mut g = Gateway::new(one_of(1, false), fleet(2));
-    let p = play(&mut g, 60, |_, e| {
+    let mut controller = TestController::new(settings_of_one(1, false), fleet(2));
+    let result = play(&mut controller, 60, |_, e| {
         if e == "e0" {
             Outcome::Error
         } else {
@@ -502,12 +539,25 @@
         }
     });
     assert!(
-        p.sent.iter().filter(|s| s.1 == "e0").count() < 30,
+        result
+            .sent
+            .iter()
+            .filter(|settings| settings.1 == "e0")
+            .count()
+            < 30,
         "left while it fails"
     );
-    g.does(answer("e0", 60.0));
-    g.pass(30_000.0);
-    let p = play(&mut g, 100, |_, _| Outcome::Served);
-    let of = p.sent.iter().filter(|s| s.1 == "e0").count();
-    assert!(of >= 25, "{of} of {} half a minute later", p.sent.len());
+    controller.handle(engine_report("e0", 60.0));
+    controller.advance(30_000.0);
+    let result = play(&mut controller, 100, |_, _| Outcome::Served);
+    let recent_sends = result
+        .sent
+        .iter()
+        .filter(|settings| settings.1 == "e0")
+        .count();
+    assert!(
+        recent_sends >= 25,
+        "{recent_sends} of {} half a minute later",
+        result.sent.len()
+    );
 }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,4 +1,4 @@
-//! Random legal event sequences: what can be checked from outside holds for every one.
+//! Random legal sequences of events: the dispatch rules hold in every one, as far as an observer can check them.
 
 mod common;
 use common::*;
@@ -8,25 +8,25 @@
 use std::collections::BTreeMap;
 
 /// What an outside observer knows of a query.
-struct Seen {
+struct ObservedQuery {
     class: ClassId,
     key: Option<String>,
     deadline: f64,
-    over: bool,
-    out: Vec<(u32, String, f64)>,
+    finished: bool,
+    attempts_in_flight: Vec<(u32, String, f64)>,
     attempts: u32,
     first_run: Option<(f64, i64)>,
 }
 
 const KEYED_WINDOW: f64 = 800.0;
-const SPAN: f64 = 3000.0;
+const RETRY_BUDGET_SPAN: f64 = 3000.0;
 
-fn world() -> Settings {
+fn scenario_settings() -> Settings {
     let keyed = Idempotency::Keyed {
         group: DeduplicationScope::Cell,
         window: KEYED_WINDOW,
     };
-    let mut s = settings(vec![
+    let mut settings = test_settings(vec![
         class(1.0, 500.0),
         Class {
             idempotency: Idempotency::NonIdempotent,
@@ -45,92 +45,103 @@
         },
     ]);
     // Our part of a budget is below one query, so that pairs are probed.
-    (s.dispatchers, s.limits.probes) = (50, true);
-    s.rules.initial_warm_up_capacity = 1.0; // and cold engines still get their draws
-    s.rules.retry_budget = Some(RetryBudget {
+    (settings.dispatchers, settings.limits.probes) = (50, true);
+    settings.rules.initial_warm_up_capacity = 1.0; // and cold engines still get their draws
+    settings.rules.retry_budget = Some(RetryBudget {
         min_retries: 2.0,
         retry_ratio: 0.3,
-        window: SPAN,
+        window: RETRY_BUDGET_SPAN,
     });
-    s
+    settings
 }
 
-fn engine(i: u8, state: EngineState, started: Option<f64>) -> EngineEntry {
-    let i = i % 5;
+fn engine(index: u8, state: EngineState, started: Option<f64>) -> EngineEntry {
+    let index = index % 5;
     EngineEntry {
         state,
         started,
-        kind: Some(usize::from(i % 2)),
-        zone: Some(usize::from(i / 3)),
-        cell: i64::from(i / 2),
-        ..entry(&format!("e{i}"))
+        kind: Some(usize::from(index % 2)),
+        zone: Some(usize::from(index / 3)),
+        cell: i64::from(index / 2),
+        ..engine_entry(&format!("e{index}"))
     }
 }
 
 fn play(steps: &[(u8, u8, u16)]) -> Result<Vec<Action>, TestCaseError> {
-    let s = world();
-    let mut g = Gateway::new(
-        s.clone(),
+    let settings = scenario_settings();
+    let mut controller = TestController::new(
+        settings.clone(),
         (0..5)
             .map(|i| engine(i, EngineState::Ready, None))
             .collect(),
     );
-    let mut seen: BTreeMap<QueryId, Seen> = BTreeMap::new();
+    let mut seen: BTreeMap<QueryId, ObservedQuery> = BTreeMap::new();
     let mut states: BTreeMap<String, EngineEntry> = (0..5)
         .map(|i| (format!("e{i}"), engine(i, EngineState::Ready, None)))
         .collect();
-    let (mut taken, mut further): (Vec<f64>, Vec<f64>) = (vec![], vec![]);
-    let mut rests: BTreeMap<String, (QueryId, f64)> = BTreeMap::new();
-    let mut all = vec![];
+    let (mut arrivals, mut retries): (Vec<f64>, Vec<f64>) = (vec![], vec![]);
+    let mut quiet_until: BTreeMap<String, (QueryId, f64)> = BTreeMap::new();
+    let mut all_actions = vec![];
     let mut next = 0;
-    for &(kind, pick, x) in steps {
-        g.now += f64::from(x % 50);
-        let due: Vec<(QueryId, u32)> = seen
+    for &(kind, pick, variation) in steps {
+        controller.now += f64::from(variation % 50);
+        let expired: Vec<(QueryId, u32)> = seen
             .iter()
-            .flat_map(|(&id, q)| q.out.iter().map(move |(a, _, _)| (id, *a, q.deadline)))
-            .filter(|(_, _, d)| *d <= g.now)
+            .flat_map(|(&id, observed)| {
+                observed
+                    .attempts_in_flight
+                    .iter()
+                    .map(move |(a, _, _)| (id, *a, observed.deadline))
+            })
+            .filter(|(_, _, d)| *d <= controller.now)
             .map(|(id, a, _)| (id, a))
             .collect();
         let mut events: Vec<Event> = vec![];
-        for (id, attempt) in due {
-            let last = seen[&id].over;
+        for (id, attempt) in expired {
+            let last = seen[&id].finished;
             events.push(Event::AttemptEnded(Ended {
                 last,
-                ..ended(id, attempt, Outcome::TimedOut)
+                ..attempt_ended(id, attempt, Outcome::TimedOut)
             }));
         }
-        let flying: Vec<(QueryId, u32)> = seen
+        let in_flight: Vec<(QueryId, u32)> = seen
             .iter()
-            .filter(|(_, q)| q.deadline > g.now)
-            .flat_map(|(&id, q)| q.out.iter().map(move |(a, _, _)| (id, *a)))
+            .filter(|(_, observed)| observed.deadline > controller.now)
+            .flat_map(|(&id, observed)| {
+                observed
+                    .attempts_in_flight
+                    .iter()
+                    .map(move |(a, _, _)| (id, *a))
+            })
             .collect();
         match kind % 7 {
             0 | 1 => {
                 let class = usize::from(pick % 4);
                 let key = (class == 3).then(|| format!("k{}", pick / 4 % 2));
-                let q = Query {
+                let arrival = Query {
                     key,
-                    time_left: f64::from(x % 3000) + 1.0,
-                    work: [None, Some(f64::NAN), Some(100.0), Some(1e300)][usize::from(x % 4)],
+                    time_left: f64::from(variation % 3000) + 1.0,
+                    work: [None, Some(f64::NAN), Some(100.0), Some(1e300)]
+                        [usize::from(variation % 4)],
                     ..query(next, class)
                 };
                 next += 1;
-                taken.push(g.now);
-                let deadline = g.now + q.time_left;
-                let entry = Seen {
+                arrivals.push(controller.now);
+                let deadline = controller.now + arrival.time_left;
+                let new_entry = ObservedQuery {
                     class,
-                    key: q.key.clone(),
+                    key: arrival.key.clone(),
                     deadline,
-                    over: false,
-                    out: vec![],
+                    finished: false,
+                    attempts_in_flight: vec![],
                     attempts: 0,
                     first_run: None,
                 };
-                seen.insert(q.id, entry);
-                events.push(Event::Query(q));
+                seen.insert(arrival.id, new_entry);
+                events.push(Event::Query(arrival));
             }
-            2 | 3 if !flying.is_empty() => {
-                let (id, attempt) = flying[usize::from(pick) % flying.len()];
+            2 | 3 if !in_flight.is_empty() => {
+                let (id, attempt) = in_flight[usize::from(pick) % in_flight.len()];
                 let outcome = [
                     Outcome::Served,
                     Outcome::Served,
@@ -138,29 +149,29 @@
                     Outcome::Rejected,
                     Outcome::Unreachable,
                     Outcome::Reset,
-                ][usize::from(x % 6)];
-                let last = outcome == Outcome::Served || seen[&id].over;
+                ][usize::from(variation % 6)];
+                let last = outcome == Outcome::Served || seen[&id].finished;
                 events.push(Event::AttemptEnded(Ended {
                     last,
                     work: Some(120.0),
                     report: vec![f64::from(pick), 0.5],
-                    ..ended(id, attempt, outcome)
+                    ..attempt_ended(id, attempt, outcome)
                 }));
             }
             4 => {
                 let state = [EngineState::Ready, EngineState::Draining, EngineState::Gone]
-                    [usize::from(x % 3)];
-                let e = engine(pick, state, (x % 5 == 0).then_some(g.now));
+                    [usize::from(variation % 3)];
+                let changed = engine(pick, state, (variation % 5 == 0).then_some(controller.now));
                 events.push(Event::EngineList {
                     update: ListUpdate::Patch,
-                    entries: vec![e],
+                    entries: vec![changed],
                 });
             }
             5 => {
                 let id = u64::from(pick);
                 // Odd but harmless: unknown ids, attempts never made, queries long over.
-                events.push(match x % 3 {
-                    0 => Event::AttemptEnded(ended(id + 100_000, 3, Outcome::Served)),
+                events.push(match variation % 3 {
+                    0 => Event::AttemptEnded(attempt_ended(id + 100_000, 3, Outcome::Served)),
                     1 => Event::Progress {
                         id,
                         attempt: 9,
@@ -180,8 +191,8 @@
                 events.push(Event::EngineReport {
                     engine: format!("e{}", pick % 7),
                     outcome: [Outcome::Served, Outcome::Unreachable, Outcome::Rejected]
-                        [usize::from(x % 3)],
-                    report: report[usize::from(x % 4)].clone(),
+                        [usize::from(variation % 3)],
+                    report: report[usize::from(variation % 4)].clone(),
                 });
             }
             _ => {}
@@ -190,105 +201,139 @@
         for event in events {
             match &event {
                 Event::EngineList { entries, .. } => {
-                    states.extend(entries.iter().map(|e| (e.engine.clone(), e.clone())));
+                    states.extend(
+                        entries
+                            .iter()
+                            .map(|changed| (changed.engine.clone(), changed.clone())),
+                    );
                 }
                 Event::ClientDisconnected(id) => {
-                    if let Some(q) = seen.get_mut(id) {
-                        q.over = true;
+                    if let Some(observed) = seen.get_mut(id) {
+                        observed.finished = true;
                     }
                 }
                 _ => {}
             }
-            if let Event::AttemptEnded(e) = &event
-                && let Some(q) = seen.get_mut(&e.id)
+            if let Event::AttemptEnded(ending) = &event
+                && let Some(observed) = seen.get_mut(&ending.id)
             {
-                let proven = matches!(e.outcome, Outcome::Rejected | Outcome::Unreachable);
-                if let Some(k) = q.out.iter().position(|(a, _, _)| *a == e.attempt) {
-                    let (_, name, sent) = q.out.remove(k);
-                    if !proven && q.first_run.is_none() {
-                        q.first_run = Some((sent, states[&name].cell));
+                let proven = matches!(ending.outcome, Outcome::Rejected | Outcome::Unreachable);
+                if let Some(position) = observed
+                    .attempts_in_flight
+                    .iter()
+                    .position(|(a, _, _)| *a == ending.attempt)
+                {
+                    let (_, name, sent) = observed.attempts_in_flight.remove(position);
+                    if !proven && observed.first_run.is_none() {
+                        observed.first_run = Some((sent, states[&name].cell));
                     }
-                    if let (Some(key), false, true) = (&q.key, proven, e.outcome != Outcome::Served)
+                    if let (Some(key), false, true) =
+                        (&observed.key, proven, ending.outcome != Outcome::Served)
                     {
-                        rests.insert(key.clone(), (e.id, g.now + s.rules.order_quiet_period));
+                        quiet_until.insert(
+                            key.clone(),
+                            (
+                                ending.id,
+                                controller.now + settings.rules.order_quiet_period,
+                            ),
+                        );
                     }
                 }
-                q.over |= e.last;
+                observed.finished |= ending.last;
             }
-            let actions = g.does(event);
-            for a in &actions {
-                match a {
+            let actions = controller.handle(event);
+            for action in &actions {
+                match action {
                     Action::Send { id, engine, .. } => {
-                        let q = &seen[id];
-                        let c = &s.classes[q.class];
-                        let e = &states[engine];
-                        prop_assert!(!q.over && g.now < q.deadline, "sent after the end");
-                        prop_assert!(q.out.is_empty(), "two attempts out");
-                        prop_assert!(q.attempts < s.limits.max_attempts);
-                        prop_assert_eq!(e.state, EngineState::Ready);
+                        let observed = &seen[id];
+                        let class_settings = &settings.classes[observed.class];
+                        let target = &states[engine];
+                        prop_assert!(
+                            !observed.finished && controller.now < observed.deadline,
+                            "sent after the end"
+                        );
+                        prop_assert!(observed.attempts_in_flight.is_empty(), "two attempts out");
+                        prop_assert!(observed.attempts < settings.limits.max_attempts);
+                        prop_assert_eq!(target.state, EngineState::Ready);
                         prop_assert!(
-                            c.allowed_kinds
+                            class_settings
+                                .allowed_kinds
                                 .as_ref()
-                                .is_none_or(|k| k.contains(&e.kind.unwrap()))
+                                .is_none_or(|k| k.contains(&target.kind.unwrap()))
                         );
                         prop_assert!(
-                            c.allowed_zones
+                            class_settings
+                                .allowed_zones
                                 .as_ref()
-                                .is_none_or(|z| z.contains(&e.zone.unwrap()))
+                                .is_none_or(|z| z.contains(&target.zone.unwrap()))
                         );
-                        if let Some((sent, cell)) = q.first_run {
+                        if let Some((sent, cell)) = observed.first_run {
                             prop_assert!(
-                                c.idempotency != Idempotency::NonIdempotent,
+                                class_settings.idempotency != Idempotency::NonIdempotent,
                                 "an effect may happen twice"
                             );
-                            if let Idempotency::Keyed { .. } = c.idempotency {
-                                prop_assert!(g.now < sent + KEYED_WINDOW && e.cell == cell);
+                            if let Idempotency::Keyed { .. } = class_settings.idempotency {
+                                prop_assert!(
+                                    controller.now < sent + KEYED_WINDOW && target.cell == cell
+                                );
                             }
                         }
-                        if let Some(key) = &q.key {
-                            for (&other, o) in seen.range(..*id) {
-                                let same = o.key.as_ref() == Some(key);
-                                let free = o.over && o.out.is_empty();
+                        if let Some(key) = &observed.key {
+                            for (&other, earlier) in seen.range(..*id) {
+                                let same = earlier.key.as_ref() == Some(key);
+                                let free =
+                                    earlier.finished && earlier.attempts_in_flight.is_empty();
                                 prop_assert!(!same || free, "{other} of the same key is not over");
                             }
-                            let (by, until) = rests.get(key).copied().unwrap_or((*id, 0.0));
-                            prop_assert!(by == *id || g.now >= until, "the key rests");
+                            let (by, until) = quiet_until.get(key).copied().unwrap_or((*id, 0.0));
+                            prop_assert!(by == *id || controller.now >= until, "the key rests");
                         }
-                        if q.attempts > 0 {
-                            further.push(g.now);
-                            let used =
-                                further.iter().filter(|t| **t >= g.now - SPAN).count() as f64;
-                            let base = taken.iter().filter(|t| **t > g.now - SPAN).count() as f64;
+                        if observed.attempts > 0 {
+                            retries.push(controller.now);
+                            let used = retries
+                                .iter()
+                                .filter(|t| **t >= controller.now - RETRY_BUDGET_SPAN)
+                                .count() as f64;
+                            let base = arrivals
+                                .iter()
+                                .filter(|t| **t > controller.now - RETRY_BUDGET_SPAN)
+                                .count() as f64;
                             prop_assert!(used <= 2.0 + 0.3 * base, "over the ration");
                         }
-                        let q = seen.get_mut(id).unwrap();
-                        q.out.push((q.attempts, engine.clone(), g.now));
-                        q.attempts += 1;
+                        let observed = seen.get_mut(id).unwrap();
+                        observed.attempts_in_flight.push((
+                            observed.attempts,
+                            engine.clone(),
+                            controller.now,
+                        ));
+                        observed.attempts += 1;
                     }
                     Action::Refuse { id, .. } | Action::Fail { id } => {
-                        let q = seen.get_mut(id).unwrap();
-                        prop_assert!(!q.over, "a second final answer");
-                        if matches!(a, Action::Refuse { .. }) {
-                            let safe = s.classes[q.class].idempotency == Idempotency::Idempotent;
+                        let observed = seen.get_mut(id).unwrap();
+                        prop_assert!(!observed.finished, "a second final answer");
+                        if matches!(action, Action::Refuse { .. }) {
+                            let safe = settings.classes[observed.class].idempotency
+                                == Idempotency::Idempotent;
                             prop_assert!(
-                                safe || q.first_run.is_none(),
+                                safe || observed.first_run.is_none(),
                                 "a refusal that promises too much"
                             );
                         }
-                        q.over = true;
+                        observed.finished = true;
                     }
                     _ => {}
                 }
             }
-            all.extend(actions);
+            all_actions.extend(actions);
         }
-        for (id, q) in &seen {
-            let answered =
-                q.over || g.now <= q.deadline + s.rules.answer_grace + 50.0 || !q.out.is_empty();
+        for (id, observed) in &seen {
+            let answered = observed.finished
+                || controller.now <= observed.deadline + settings.rules.answer_grace + 50.0
+                || !observed.attempts_in_flight.is_empty();
             prop_assert!(answered, "query {} was lost", id);
         }
     }
-    Ok(all)
+    Ok(all_actions)
 }
 
 #[test]
--- /dev/null
+++ b/tests/protocol/fixture.rs
@@ -0,0 +1,83 @@
+//! A dispatcher on loopback before one engine that the test plays itself.
+
+use super::{expect_soon, wait_until};
+use crate::scenario::change;
+use query_dispatcher::config::{MachineLimits, NameTable, SocketSettings};
+use query_dispatcher::core::Core;
+use query_dispatcher::dispatch::request_router::RequestRouter;
+use query_dispatcher::frontend::frames::Frontend;
+use query_dispatcher::transport::buffer_pool::BufferPool;
+use query_dispatcher::upstream::resp::RespUpstream;
+use socket2::SockRef;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::spawn_local;
+
+/// What a dispatcher of these tests is built from.
+pub struct Parts {
+    pub core: Core,
+    pub names: NameTable,
+    pub sockets: SocketSettings,
+    /// The listener of its one engine.
+    pub engine: TcpListener,
+    /// The send buffer of its client connections, in bytes.
+    pub client_send_buffer: usize,
+}
+
+/// A running dispatcher with a frames frontend and one engine.
+pub struct DispatcherFixture {
+    pub router: Rc<RequestRouter<RespUpstream>>,
+    pub frontend: Rc<Frontend<RespUpstream>>,
+    /// Where clients connect.
+    pub address: SocketAddr,
+    pub engine: TcpListener,
+    /// The addresses in the endpoint list.
+    pub engines: Vec<SocketAddr>,
+}
+
+impl DispatcherFixture {
+    /// Starts a dispatcher of these parts on the current thread.
+    pub async fn start(parts: Parts) -> Self {
+        let pool = BufferPool::default();
+        let upstream = RespUpstream::new(parts.sockets, vec![], pool.clone());
+        let router = RequestRouter::new(parts.core, parts.names, upstream);
+        let engines = vec![parts.engine.local_addr().unwrap()];
+        router.update_endpoints(&change(&engines, None));
+        spawn_local(router.clone().run_clock());
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        SockRef::from(&listener)
+            .set_send_buffer_size(parts.client_send_buffer)
+            .unwrap();
+        let address = listener.local_addr().unwrap();
+        let machine = MachineLimits {
+            memory_mb: 64,
+            max_sockets: 64,
+        };
+        let frontend = Frontend::new(router.clone(), pool, &machine);
+        spawn_local(frontend.clone().accept(listener));
+        DispatcherFixture {
+            router,
+            frontend,
+            address,
+            engine: parts.engine,
+            engines,
+        }
+    }
+
+    /// Waits until this many requests are unanswered.
+    pub async fn wait_for_open(&self, count: usize) {
+        wait_until("open requests", || {
+            self.router.unanswered_requests() == count
+        })
+        .await;
+    }
+
+    /// The engine's next connection.
+    pub async fn accept_upstream(&self) -> TcpStream {
+        expect_soon("a connection", self.engine.accept())
+            .await
+            .unwrap()
+            .0
+    }
+}
--- a/tests/protocol/mod.rs
+++ b/tests/protocol/mod.rs
@@ -1,90 +1,100 @@
-//! The platform's wires as tests play their far ends: a client's frames, and an engine's commands and answers.
+//! The peers of a dispatcher on the frame protocol and the RESP protocol, as tests play them: a client's frames, and an
+//! engine's commands and replies.
 #![allow(dead_code)]
 
+pub mod fixture;
+
 use socket2::SockRef;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// A socket keeps so little of what is not read or sent that what is large stands.
-pub const SMALL: usize = 4096;
+/// A socket buffer so small that a large message blocks half written.
+pub const SMALL_BUFFER_BYTES: usize = 4096;
 
-pub async fn within<T>(what: &str, f: impl Future<Output = T>) -> T {
-    tokio::time::timeout(Duration::from_secs(6), f)
+/// The future's output, which has to come within six seconds.
+pub async fn expect_soon<T>(what: &str, future: impl Future<Output = T>) -> T {
+    tokio::time::timeout(Duration::from_secs(6), future)
         .await
         .unwrap_or_else(|_| panic!("no {what}"))
 }
 
-pub async fn until(what: &str, holds: impl Fn() -> bool) {
-    within(what, async {
-        while !holds() {
+/// Waits until the condition holds, for six seconds at most.
+pub async fn wait_until(what: &str, condition: impl Fn() -> bool) {
+    expect_soon(what, async {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     })
     .await;
 }
 
-pub fn name(txn: u64) -> String {
+/// The id of a request in the form that the protocols carry.
+pub fn request_id(txn: u64) -> String {
     format!("{txn:016x}")
 }
 
-pub fn frame(kind: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
+/// One frame: length, type, stream and payload.
+pub fn encode_frame(kind: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
     let length = (payload.len() as u32 + 5).to_be_bytes();
     [&length[..], &[kind], &stream.to_be_bytes(), payload].concat()
 }
 
+/// A client's connection.
 pub struct Client(pub TcpStream);
 
 impl Client {
-    pub async fn new(at: SocketAddr) -> Self {
+    pub async fn connect(at: SocketAddr) -> Self {
         let tcp = TcpStream::connect(at).await.unwrap();
         tcp.set_nodelay(true).unwrap();
         Client(tcp)
     }
 
-    /// One whose machine keeps little of what it does not read.
-    pub async fn narrow(at: SocketAddr) -> Self {
+    /// A client whose socket buffers little of what it does not read.
+    pub async fn with_small_buffer(at: SocketAddr) -> Self {
         let socket = TcpSocket::new_v4().unwrap();
-        socket.set_recv_buffer_size(SMALL as u32).unwrap();
+        socket
+            .set_recv_buffer_size(SMALL_BUFFER_BYTES as u32)
+            .unwrap();
         Client(socket.connect(at).await.unwrap())
     }
 
-    pub async fn say(&mut self, bytes: &[u8]) {
+    pub async fn send(&mut self, bytes: &[u8]) {
         self.0.write_all(bytes).await.unwrap();
     }
 
-    /// Type, stream and payload of the next frame; none at the end.
-    pub async fn hear(&mut self) -> Option<(u8, u32, Vec<u8>)> {
+    /// Type, stream and payload of the next frame; none once the connection is closed.
+    pub async fn receive(&mut self) -> Option<(u8, u32, Vec<u8>)> {
         let read = async {
-            let n = self.0.read_u32().await.ok()?;
-            let mut f = vec![0; n as usize];
-            self.0.read_exact(&mut f).await.ok()?;
+            let length = self.0.read_u32().await.ok()?;
+            let mut body = vec![0; length as usize];
+            self.0.read_exact(&mut body).await.ok()?;
             Some((
-                f[0],
-                u32::from_be_bytes(f[1..5].try_into().unwrap()),
-                f[5..].to_vec(),
+                body[0],
+                u32::from_be_bytes(body[1..5].try_into().unwrap()),
+                body[5..].to_vec(),
             ))
         };
-        within("frame", read).await
+        expect_soon("frame", read).await
     }
 
-    /// It has asked on this stream, and is served.
-    pub async fn is_served(&mut self, stream: u32) {
-        let (kind, on, payload) = self.hear().await.expect("its answer");
+    /// Expects that the next frame serves the request of this stream.
+    pub async fn expect_served(&mut self, stream: u32) {
+        let (kind, on, payload) = self.receive().await.expect("its answer");
         assert_eq!((kind, on, payload[0]), (4, stream, 0));
     }
 
-    /// Its connection is reset.
-    pub fn resets(self) {
+    /// Resets the connection.
+    pub fn reset(self) {
         SockRef::from(&self.0)
             .set_linger(Some(Duration::ZERO))
             .unwrap();
     }
 }
 
-/// The next command's words; none at the connection's end.
-pub async fn command(engine: &mut TcpStream) -> Option<Vec<String>> {
+/// The arguments of the next command; none once the connection is closed.
+pub async fn read_command(engine: &mut TcpStream) -> Option<Vec<String>> {
     async fn number(engine: &mut TcpStream) -> Option<usize> {
         let mut line = String::new();
         while !line.ends_with('\n') {
@@ -93,53 +103,89 @@
         line[1..].trim().parse().ok()
     }
     let read = async {
-        let mut words = vec![];
+        let mut arguments = vec![];
         for _ in 0..number(engine).await? {
-            let mut word = vec![0; number(engine).await? + 2];
-            engine.read_exact(&mut word).await.ok()?;
-            words.push(String::from_utf8_lossy(&word[..word.len() - 2]).into_owned());
+            let mut argument = vec![0; number(engine).await? + 2];
+            engine.read_exact(&mut argument).await.ok()?;
+            arguments.push(String::from_utf8_lossy(&argument[..argument.len() - 2]).into_owned());
         }
-        Some(words)
+        Some(arguments)
     };
-    within("command", read).await
+    expect_soon("command", read).await
 }
 
-/// The id of the next request.
-pub async fn get(engine: &mut TcpStream) -> String {
-    let words = command(engine).await.expect("a command");
-    assert_eq!(words[0], "GET", "{words:?}");
-    words[1].clone()
+/// Reads the next command, which must be a request, and gives the request's id.
+pub async fn read_request_id(engine: &mut TcpStream) -> String {
+    let command = read_command(engine).await.expect("a command");
+    assert_eq!(command[0], "GET", "{command:?}");
+    command[1].clone()
 }
 
-pub fn array(words: [&str; 4]) -> Vec<u8> {
-    let bulk: String = words
+/// A reply of four fields as a RESP array of bulk strings.
+pub fn encode_reply(fields: [&str; 4]) -> Vec<u8> {
+    let bulk: String = fields
         .iter()
-        .map(|w| format!("${}\r\n{w}\r\n", w.len()))
+        .map(|field| format!("${}\r\n{field}\r\n", field.len()))
         .collect();
     format!("*4\r\n{bulk}").into_bytes()
 }
 
-pub async fn reply(engine: &mut TcpStream, words: [&str; 4]) {
-    engine.write_all(&array(words)).await.unwrap();
+/// Sends a reply of these fields.
+pub async fn send_reply(engine: &mut TcpStream, fields: [&str; 4]) {
+    engine.write_all(&encode_reply(fields)).await.unwrap();
 }
 
-/// A result of as many full pages.
-pub async fn serve(engine: &mut TcpStream, txn: &str, pages: usize) {
+/// Answers with a result of this many full pages, each as it is requested.
+pub async fn serve_pages(engine: &mut TcpStream, txn: &str, pages: usize) {
     let page = format!("{}\tb\tc\n", "a".repeat(5000));
-    reply(engine, [txn, "ACK", &format!("total={pages}"), &page]).await;
+    send_reply(engine, [txn, "ACK", &format!("total={pages}"), &page]).await;
     for _ in 1..pages {
-        let asked = command(engine).await.expect("a page is asked for");
-        assert_eq!(asked[0], "PAGE");
-        reply(
+        let request = read_command(engine).await.expect("a page is asked for");
+        assert_eq!(request[0], "PAGE");
+        send_reply(
             engine,
-            [txn, "BLOCK", &format!("index={}", asked[2]), &page],
+            [txn, "BLOCK", &format!("index={}", request[2]), &page],
         )
         .await;
     }
 }
 
-/// An engine's listener with room in its queue for one connection: what comes after that is up a second late.
-pub fn tight() -> TcpListener {
+/// The fields of a request's header: their count, then each name and value with its length.
+pub fn encode_fields(fields: &[(&str, &str)]) -> Vec<u8> {
+    let mut encoded = vec![fields.len() as u8];
+    for (name, value) in fields {
+        encoded.push(name.len() as u8);
+        encoded.extend(name.as_bytes());
+        encoded.extend((value.len() as u16).to_be_bytes());
+        encoded.extend(value.as_bytes());
+    }
+    encoded
+}
+
+/// A request frame of the tenant `acme` with five seconds to its deadline.
+pub fn encode_request(stream: u32, txn: u64, class: &str, statement: &str) -> Vec<u8> {
+    let mut payload = encode_fields(&[
+        ("verb", class),
+        ("txn", &request_id(txn)),
+        ("limit", "5000"),
+        ("team", "acme"),
+    ]);
+    payload.extend(statement.bytes());
+    encode_frame(2, stream, &payload)
+}
+
+/// An engine's listener whose connections buffer little of what the engine does not read.
+pub fn small_buffer_listener() -> TcpListener {
+    let socket = TcpSocket::new_v4().unwrap();
+    socket
+        .set_recv_buffer_size(SMALL_BUFFER_BYTES as u32)
+        .unwrap();
+    socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
+    socket.listen(16).unwrap()
+}
+
+/// An engine's listener with one slot in its accept queue: a further connection is established a second late.
+pub fn listener_without_backlog() -> TcpListener {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     socket.listen(0).unwrap()
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -1,30 +1,30 @@
-//! Narrow moments, each forced on real connections: a request in the turn of a close, half an answer at a close, late
-//! connects, answers without an end, repeats that come too late, and clients that write in pieces. `docs/RACES.md` has
-//! the list; what needs the process's own end is in `program.rs`.
+//! Race conditions, each forced on real connections: a request in the poll of a close, a partial response at a close, late
+//! connects, unterminated responses, late retries, and clients that write in fragments. `docs/RACES.md` has
+//! the list; races with the exit of the process are in `program.rs`.
 
 mod protocol;
 mod scenario;
 
 use bytes::Bytes;
+use protocol::fixture::{DispatcherFixture, Parts};
 use protocol::*;
 use query_dispatcher::admin::{Admin, Watched};
 use query_dispatcher::clock::unix_time_millis;
-use query_dispatcher::config::{MachineLimits, SocketSettings};
+use query_dispatcher::config::SocketSettings;
 use query_dispatcher::core::{Core, CoreLimits, NewRequest};
-use query_dispatcher::dispatch::request_router::{Reply, RequestRouter};
-use query_dispatcher::frontend::frames::{Frontend, Work};
+use query_dispatcher::dispatch::request_router::Reply;
+use query_dispatcher::frontend::frames::Work;
 use query_dispatcher::server::instance_registry::InstanceRegistry;
 use query_dispatcher::transport::buffer_pool::BufferPool;
-use query_dispatcher::upstream::resp::RespUpstream;
 use query_dispatcher::{DeduplicationScope, Idempotency};
 use scenario::{change, on_one_thread};
 use socket2::SockRef;
 use std::cell::RefCell;
-use std::net::SocketAddr;
+use std::ops::Deref;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpListener, TcpSocket, TcpStream};
+use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
 const LOOKUP: usize = 0;
@@ -34,23 +34,28 @@
 
 type Answers = Rc<RefCell<Vec<(u64, &'static str)>>>;
 
-struct Stand {
-    router: Rc<RequestRouter<RespUpstream>>,
-    frontend: Rc<Frontend<RespUpstream>>,
-    at: SocketAddr,
-    engine: TcpListener,
-    engines: Vec<SocketAddr>,
+/// A dispatcher, and the answers to the requests that were submitted to its router.
+struct RaceFixture {
+    dispatcher: DispatcherFixture,
     answers: Answers,
 }
 
-/// A dispatcher before one engine that this test plays itself.
-async fn stand(
+impl Deref for RaceFixture {
+    type Target = DispatcherFixture;
+
+    fn deref(&self) -> &DispatcherFixture {
+        &self.dispatcher
+    }
+}
+
+/// Starts a dispatcher whose class `keyed` has this deduplication scope and window in milliseconds.
+async fn start(
     engine: TcpListener,
     keyed: (DeduplicationScope, f64),
-    tweak: impl FnOnce(&mut SocketSettings),
-) -> Stand {
+    adjust: impl FnOnce(&mut SocketSettings),
+) -> RaceFixture {
     let (_, mut names, mut sockets) = scenario::core();
-    tweak(&mut sockets);
+    adjust(&mut sockets);
     let mut settings = scenario::settings();
     let idempotency = Idempotency::Keyed {
         group: keyed.0,
@@ -67,42 +72,22 @@
         page_timeout: 600.0,
     };
     let core = Core::new(settings, 1, bounds).unwrap();
-    let pool = BufferPool::default();
-    let router = RequestRouter::new(
+    let parts = Parts {
         core,
         names,
-        RespUpstream::new(sockets, vec![], pool.clone()),
-    );
-    let engines = vec![engine.local_addr().unwrap()];
-    router.update_endpoints(&change(&engines, None));
-    spawn_local(router.clone().run_clock());
-    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    // The machine takes any answer whole, whether or not its client does.
-    SockRef::from(&listener)
-        .set_send_buffer_size(256 * 1024)
-        .unwrap();
-    let at = listener.local_addr().unwrap();
-    let frontend = Frontend::new(
-        router.clone(),
-        pool,
-        &MachineLimits {
-            memory_mb: 64,
-            max_sockets: 64,
-        },
-    );
-    spawn_local(frontend.clone().accept(listener));
-    Stand {
-        router,
-        frontend,
-        at,
+        sockets,
         engine,
-        engines,
+        // Large enough for the kernel to take any response in full, whether or not its client reads.
+        client_send_buffer: 256 * 1024,
+    };
+    RaceFixture {
+        dispatcher: DispatcherFixture::start(parts).await,
         answers: Rc::default(),
     }
 }
 
-async fn plain() -> Stand {
-    stand(
+async fn start_default() -> RaceFixture {
+    start(
         TcpListener::bind("127.0.0.1:0").await.unwrap(),
         (DeduplicationScope::All, 0.0),
         |_| {},
@@ -110,24 +95,16 @@
     .await
 }
 
-/// An engine that keeps little of what it does not read.
-fn narrow() -> TcpListener {
-    let socket = TcpSocket::new_v4().unwrap();
-    socket.set_recv_buffer_size(SMALL as u32).unwrap();
-    socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
-    socket.listen(16).unwrap()
-}
-
-impl Stand {
-    /// A request straight at the hub; its answer is kept with its number.
-    fn ask(&self, txn: u64, class: usize) {
-        self.ask_for(txn, class, 5000.0, 1);
+impl RaceFixture {
+    /// Submits a request to the router; its answer is recorded with its number.
+    fn submit(&self, txn: u64, class: usize) {
+        self.submit_with(txn, class, 5000.0, 1);
     }
 
-    /// The same with its deadline and the size of its statement.
-    fn ask_for(&self, txn: u64, class: usize, ms: f64, size: usize) {
+    /// Submits a request with this time to its deadline, in milliseconds, and this size of its statement.
+    fn submit_with(&self, txn: u64, class: usize, ms: f64, size: usize) {
         let deadline = unix_time_millis() + ms;
-        let new = NewRequest {
+        let request = NewRequest {
             class,
             tenant: Some(0),
             group: None,
@@ -137,301 +114,293 @@
         };
         let statement = Bytes::from(format!("select '{}'", "x".repeat(size)));
         let answers = self.answers.clone();
-        let told = move |reply| {
-            let told = match reply {
+        let record = move |reply| {
+            let answer = match reply {
                 Reply::Served(_) => "served",
                 Reply::Rejected { .. } => "refused",
                 Reply::Failed { .. } => "failed",
                 Reply::TimedOut { retry_safe: true } => "refused as late",
                 Reply::TimedOut { retry_safe: false } => "failed as late",
             };
-            answers.borrow_mut().push((txn, told));
+            answers.borrow_mut().push((txn, answer));
         };
         self.router.open(
-            new,
-            Work::free(&name(txn), CLASSES[class], statement),
-            Box::new(told),
+            request,
+            Work::free(&request_id(txn), CLASSES[class], statement),
+            Box::new(record),
         );
     }
 
-    /// Each has one answer, and it is this.
-    fn answered(&self, wanted: &[(u64, &'static str)]) {
-        let mut told = self.answers.borrow().clone();
-        told.sort_unstable();
-        assert_eq!(told, wanted);
+    /// Each request has exactly one answer, and it is this.
+    fn expect_answers(&self, expected: &[(u64, &'static str)]) {
+        let mut answers = self.answers.borrow().clone();
+        answers.sort_unstable();
+        assert_eq!(answers, expected);
     }
 
-    async fn owes(&self, n: usize) {
-        until("what is owed", || self.router.unanswered_requests() == n).await;
-    }
-
-    /// The engine's next connection.
-    async fn dialled(&self) -> TcpStream {
-        within("a connection", self.engine.accept())
-            .await
-            .unwrap()
-            .0
-    }
-
-    /// Nothing more comes up at the engine.
-    async fn undialled(&self, ms: u64) {
-        let come = tokio::time::timeout(Duration::from_millis(ms), self.engine.accept()).await;
-        assert!(come.is_err(), "nobody calls");
+    /// The engine gets no further connection.
+    async fn expect_no_connection(&self, ms: u64) {
+        let accepted = tokio::time::timeout(Duration::from_millis(ms), self.engine.accept()).await;
+        assert!(accepted.is_err(), "no connection comes");
     }
 }
 
-async fn pass(ms: u64) {
+async fn sleep_ms(ms: u64) {
     tokio::time::sleep(Duration::from_millis(ms)).await;
 }
 
-fn fields(all: &[(&str, &str)]) -> Vec<u8> {
-    let mut p = vec![all.len() as u8];
-    for (n, v) in all {
-        p.extend(
-            [
-                &[n.len() as u8],
-                n.as_bytes(),
-                &(v.len() as u16).to_be_bytes(),
-                v.as_bytes(),
-            ]
-            .concat(),
-        );
-    }
-    p
-}
-
 fn request(stream: u32, txn: u64, class: &str) -> Vec<u8> {
-    let mut p = fields(&[
-        ("verb", class),
-        ("txn", &name(txn)),
-        ("limit", "5000"),
-        ("team", "acme"),
-    ]);
-    p.extend(b"select a from t");
-    frame(2, stream, &p)
+    encode_request(stream, txn, class, "select a from t")
 }
 
-/// The first half of an answer's bytes.
-async fn half(engine: &mut TcpStream, words: [&str; 4]) {
-    let all = array(words);
-    engine.write_all(&all[..all.len() / 2]).await.unwrap();
+/// Sends the first half of a reply's bytes.
+async fn send_half_reply(engine: &mut TcpStream, fields: [&str; 4]) {
+    let reply = encode_reply(fields);
+    engine.write_all(&reply[..reply.len() / 2]).await.unwrap();
 }
 
-// ---- repeats, against the window in which engines know them
+// ---- retries and the deduplication window of the engines
 
-/// By group: what a client is told of a request that may have run and can't be sent again.
+/// By scope: the answer to a request that may have run and can't be retried.
 const GROUPS: [(DeduplicationScope, &str); 3] = [
     (DeduplicationScope::All, "refused"),
     (DeduplicationScope::Zone, "failed"),
     (DeduplicationScope::Cell, "failed"),
 ];
 
-/// Its connection breaks, and the repeat waits for another that comes up a second later.
-async fn repeat_before_a_late_connection(group: DeduplicationScope, told: &'static str) {
-    let s = stand(tight(), (group, 300.0), |sockets| {
+/// The connection breaks, and the retry waits for another that is established a second later.
+async fn retry_before_a_late_connection(group: DeduplicationScope, expected: &'static str) {
+    let fixture = start(listener_without_backlog(), (group, 300.0), |sockets| {
         sockets.connect_timeout = 4000.0
     })
     .await;
-    s.ask(1, KEYED);
-    let mut engine = s.dialled().await;
-    assert_eq!(get(&mut engine).await, name(1));
-    let filler = TcpStream::connect(s.engines[0]).await.unwrap();
+    fixture.submit(1, KEYED);
+    let mut engine = fixture.accept_upstream().await;
+    assert_eq!(read_request_id(&mut engine).await, request_id(1));
+    let filler = TcpStream::connect(fixture.engines[0]).await.unwrap();
     drop(engine);
-    pass(350).await;
+    sleep_ms(350).await;
     assert_eq!(
-        s.router.unanswered_requests(),
+        fixture.router.unanswered_requests(),
         1,
-        "its repeat waits, and the window is over"
+        "its retry is pending, and the window has ended"
     );
-    drop((s.dialled().await, filler));
-    let mut late = s.dialled().await;
-    s.ask(2, LOOKUP);
+    drop((fixture.accept_upstream().await, filler));
+    let mut late = fixture.accept_upstream().await;
+    fixture.submit(2, LOOKUP);
     assert_eq!(
-        get(&mut late).await,
-        name(2),
-        "the first that it carries is another's"
+        read_request_id(&mut late).await,
+        request_id(2),
+        "its first request is another one"
     );
-    serve(&mut late, &name(2), 1).await;
-    s.owes(0).await;
-    s.answered(&[(1, told), (2, "served")]);
+    serve_pages(&mut late, &request_id(2), 1).await;
+    fixture.wait_for_open(0).await;
+    fixture.expect_answers(&[(1, expected), (2, "served")]);
 }
 
 #[test]
 fn retry_is_not_sent_past_its_window_on_a_late_connection() {
     on_one_thread(async {
-        let [a, b, c] = GROUPS.map(|(group, told)| repeat_before_a_late_connection(group, told));
-        tokio::join!(a, b, c);
+        let [all, zone, cell] =
+            GROUPS.map(|(group, expected)| retry_before_a_late_connection(group, expected));
+        tokio::join!(all, zone, cell);
     });
 }
 
-/// Its engine fails it, and the repeat stands behind a request that is half on the wire.
-async fn repeat_behind_a_stalled_write(group: DeduplicationScope, told: &'static str) {
-    let s = stand(narrow(), (group, 250.0), |_| {}).await;
-    s.ask(1, LOAD);
-    let mut stalled = s.dialled().await;
-    get(&mut stalled).await;
-    s.ask(2, KEYED);
-    let mut engine = s.dialled().await;
-    assert_eq!(get(&mut engine).await, name(2), "not beside a load");
-    serve(&mut stalled, &name(1), 1).await;
-    s.owes(1).await;
-    s.ask_for(3, LOOKUP, 5000.0, 250_000);
-    within("a byte", stalled.peek(&mut [0])).await.unwrap();
-    reply(&mut engine, [&name(2), "EIO", "-", ""]).await;
-    pass(300).await;
+/// The engine fails the request, and its retry is queued behind a request that is half written.
+async fn retry_behind_a_stalled_write(group: DeduplicationScope, expected: &'static str) {
+    let fixture = start(small_buffer_listener(), (group, 250.0), |_| {}).await;
+    fixture.submit(1, LOAD);
+    let mut stalled = fixture.accept_upstream().await;
+    read_request_id(&mut stalled).await;
+    fixture.submit(2, KEYED);
+    let mut engine = fixture.accept_upstream().await;
     assert_eq!(
-        s.router.unanswered_requests(),
+        read_request_id(&mut engine).await,
+        request_id(2),
+        "not beside a load"
+    );
+    serve_pages(&mut stalled, &request_id(1), 1).await;
+    fixture.wait_for_open(1).await;
+    fixture.submit_with(3, LOOKUP, 5000.0, 250_000);
+    expect_soon("a byte", stalled.peek(&mut [0])).await.unwrap();
+    send_reply(&mut engine, [&request_id(2), "EIO", "-", ""]).await;
+    sleep_ms(300).await;
+    assert_eq!(
+        fixture.router.unanswered_requests(),
         2,
-        "its repeat waits, and the window is over"
+        "its retry is pending, and the window has ended"
     );
-    assert_eq!(get(&mut stalled).await, name(3), "it was begun before");
-    serve(&mut stalled, &name(3), 1).await;
-    s.ask(4, LOOKUP);
     assert_eq!(
-        get(&mut stalled).await,
-        name(4),
-        "nothing else stood behind it"
+        read_request_id(&mut stalled).await,
+        request_id(3),
+        "its write began before"
     );
-    serve(&mut stalled, &name(4), 1).await;
-    s.owes(0).await;
-    s.answered(&[(1, "served"), (2, told), (3, "served"), (4, "served")]);
+    serve_pages(&mut stalled, &request_id(3), 1).await;
+    fixture.submit(4, LOOKUP);
+    assert_eq!(
+        read_request_id(&mut stalled).await,
+        request_id(4),
+        "nothing else was queued behind it"
+    );
+    serve_pages(&mut stalled, &request_id(4), 1).await;
+    fixture.wait_for_open(0).await;
+    fixture.expect_answers(&[(1, "served"), (2, expected), (3, "served"), (4, "served")]);
 }
 
 #[test]
 fn retry_is_not_sent_past_its_window_behind_a_stalled_write() {
     on_one_thread(async {
-        let [a, b, c] = GROUPS.map(|(group, told)| repeat_behind_a_stalled_write(group, told));
-        tokio::join!(a, b, c);
+        let [all, zone, cell] =
+            GROUPS.map(|(group, expected)| retry_behind_a_stalled_write(group, expected));
+        tokio::join!(all, zone, cell);
     });
 }
 
-/// The window passes while the repeat is half on the wire: it never comes whole.
+/// The window ends while the retry is half written: the rest is never written.
 #[test]
 fn partly_written_retry_is_not_completed_past_its_window() {
     on_one_thread(async {
-        let s = stand(narrow(), (DeduplicationScope::Cell, 1000.0), |_| {}).await;
-        s.ask_for(1, KEYED, 5000.0, 100_000);
-        let mut engine = s.dialled().await;
-        get(&mut engine).await;
-        reply(&mut engine, [&name(1), "EIO", "-", ""]).await;
-        let mut again = s.dialled().await;
-        within("a byte", again.read_exact(&mut [0])).await.unwrap();
-        pass(1050).await;
+        let fixture = start(
+            small_buffer_listener(),
+            (DeduplicationScope::Cell, 1000.0),
+            |_| {},
+        )
+        .await;
+        fixture.submit_with(1, KEYED, 5000.0, 100_000);
+        let mut engine = fixture.accept_upstream().await;
+        read_request_id(&mut engine).await;
+        send_reply(&mut engine, [&request_id(1), "EIO", "-", ""]).await;
+        let mut retry_connection = fixture.accept_upstream().await;
+        expect_soon("a byte", retry_connection.read_exact(&mut [0]))
+            .await
+            .unwrap();
+        sleep_ms(1050).await;
         let mut all = vec![];
-        let end =
-            tokio::time::timeout(Duration::from_millis(500), again.read_to_end(&mut all)).await;
+        let end = tokio::time::timeout(
+            Duration::from_millis(500),
+            retry_connection.read_to_end(&mut all),
+        )
+        .await;
         assert!(all.len() < 100_000, "{} bytes came ({end:?})", all.len());
-        s.owes(0).await;
-        s.answered(&[(1, "failed")]);
-        s.undialled(100).await;
+        fixture.wait_for_open(0).await;
+        fixture.expect_answers(&[(1, "failed")]);
+        fixture.expect_no_connection(100).await;
     });
 }
 
-/// Windows down to nothing: whatever of the retry's own course is longer, nothing goes out twice and too late.
+/// Windows down to zero: no second attempt is sent after its window, whichever step of the retry takes longer.
 #[test]
 fn short_deduplication_windows_get_no_retry_past_them() {
     on_one_thread(async {
-        for (group, told) in GROUPS {
+        for (group, expected) in GROUPS {
             for window in [0.0, 5.0, 20.0] {
-                let s = stand(
+                let fixture = start(
                     TcpListener::bind("127.0.0.1:0").await.unwrap(),
                     (group, window),
                     |_| {},
                 )
                 .await;
-                s.ask(1, KEYED);
-                let mut engine = s.dialled().await;
-                get(&mut engine).await;
+                fixture.submit(1, KEYED);
+                let mut engine = fixture.accept_upstream().await;
+                read_request_id(&mut engine).await;
                 drop(engine);
-                s.owes(0).await;
-                s.answered(&[(1, told)]);
-                s.undialled(20).await;
+                fixture.wait_for_open(0).await;
+                fixture.expect_answers(&[(1, expected)]);
+                fixture.expect_no_connection(20).await;
             }
         }
     });
 }
 
-/// Its time ends with it out: that is no refusal where only some engines would know a repeat.
+/// The deadline passes with the request in flight: no rejection where only some engines would detect a duplicate.
 #[test]
 fn expired_keyed_request_is_rejected_only_with_fleet_wide_deduplication() {
     on_one_thread(async {
-        for (group, told) in [
+        for (group, expected) in [
             (DeduplicationScope::All, "refused as late"),
             (DeduplicationScope::Zone, "failed as late"),
             (DeduplicationScope::Cell, "failed as late"),
         ] {
-            let s = stand(
+            let fixture = start(
                 TcpListener::bind("127.0.0.1:0").await.unwrap(),
                 (group, 100.0),
                 |_| {},
             )
             .await;
-            s.ask_for(1, KEYED, 150.0, 1);
-            let mut engine = s.dialled().await;
-            get(&mut engine).await;
-            s.owes(0).await;
-            s.answered(&[(1, told)]);
+            fixture.submit_with(1, KEYED, 150.0, 1);
+            let mut engine = fixture.accept_upstream().await;
+            read_request_id(&mut engine).await;
+            fixture.wait_for_open(0).await;
+            fixture.expect_answers(&[(1, expected)]);
         }
     });
 }
 
-// ---- closes, against what is in the pipes
+// ---- closes and data in transit
 
-/// The process stands still while connections become idle for too long, and one of their clients asks: it is served. The
-/// other is closed, and what it sends on that connection then is read by nobody, so that it may send it anew.
+/// The process is stalled while two connections exceed the idle limit and one client sends a request: it is served. The
+/// other connection is closed, and what its client sends there then is not read, so that the client may send it again.
 #[test]
 fn request_in_the_poll_of_an_idle_close_is_served_and_a_later_one_is_not_read() {
     on_one_thread(async {
-        let s = plain().await;
-        let mut asks = Client::new(s.at).await;
-        let mut rests = Client::new(s.at).await;
-        for c in [&mut asks, &mut rests] {
-            c.say(&frame(16, 1, &[0])).await;
-            assert_eq!(c.hear().await.unwrap().0, 32);
+        let fixture = start_default().await;
+        let mut active_client = Client::connect(fixture.address).await;
+        let mut idle_client = Client::connect(fixture.address).await;
+        for client in [&mut active_client, &mut idle_client] {
+            client.send(&encode_frame(16, 1, &[0])).await;
+            assert_eq!(client.receive().await.unwrap().0, 32);
         }
-        pass(4700).await;
-        // Both events before the runtime hears of either.
-        assert!(asks.0.try_write(&request(2, 1, "lookup")).unwrap() > 0);
+        sleep_ms(4700).await;
+        // Both events before the runtime polls either.
+        assert!(active_client.0.try_write(&request(2, 1, "lookup")).unwrap() > 0);
         std::thread::sleep(Duration::from_millis(900));
-        let mut engine = s.dialled().await;
-        assert_eq!(get(&mut engine).await, name(1));
-        serve(&mut engine, &name(1), 1).await;
-        asks.is_served(2).await;
-        assert!(rests.hear().await.is_none(), "idle for too long");
-        let _ = rests.0.write_all(&request(2, 2, "lookup")).await;
-        assert!(rests.hear().await.is_none(), "nobody answers there");
-        let mut anew = Client::new(s.at).await;
-        anew.say(&request(1, 2, "lookup")).await;
-        assert_eq!(get(&mut engine).await, name(2), "for the first time");
-        serve(&mut engine, &name(2), 1).await;
-        anew.is_served(1).await;
+        let mut engine = fixture.accept_upstream().await;
+        assert_eq!(read_request_id(&mut engine).await, request_id(1));
+        serve_pages(&mut engine, &request_id(1), 1).await;
+        active_client.expect_served(2).await;
+        assert!(idle_client.receive().await.is_none(), "idle for too long");
+        let _ = idle_client.0.write_all(&request(2, 2, "lookup")).await;
+        assert!(
+            idle_client.receive().await.is_none(),
+            "nothing is answered there"
+        );
+        let mut new_client = Client::connect(fixture.address).await;
+        new_client.send(&request(1, 2, "lookup")).await;
+        assert_eq!(
+            read_request_id(&mut engine).await,
+            request_id(2),
+            "for the first time"
+        );
+        serve_pages(&mut engine, &request_id(2), 1).await;
+        new_client.expect_served(1).await;
     });
 }
 
-/// At the end of all connections, in one turn: a client's request is on its way, another's comes after its close.
+/// When all connections are closed: one client's request is in transit, another's arrives after its close.
 #[test]
 fn request_in_the_poll_of_the_final_close_is_served_and_a_later_one_is_not_read() {
     on_one_thread(async {
-        let s = plain().await;
-        let mut asks = Client::new(s.at).await;
-        let mut rests = Client::new(s.at).await;
-        until("both", || s.frontend.connections() == 2).await;
-        s.frontend.goodbye(true);
-        for c in [&mut asks, &mut rests] {
-            assert_eq!(c.hear().await.unwrap().0, 64);
+        let fixture = start_default().await;
+        let mut active_client = Client::connect(fixture.address).await;
+        let mut idle_client = Client::connect(fixture.address).await;
+        wait_until("both", || fixture.frontend.connections() == 2).await;
+        fixture.frontend.goodbye(true);
+        for client in [&mut active_client, &mut idle_client] {
+            assert_eq!(client.receive().await.unwrap().0, 64);
         }
-        s.frontend.end();
-        assert!(asks.0.try_write(&request(1, 1, "lookup")).unwrap() > 0);
-        let mut engine = s.dialled().await;
-        assert_eq!(get(&mut engine).await, name(1));
-        assert!(rests.hear().await.is_none());
-        let _ = rests.0.write_all(&request(1, 2, "lookup")).await;
-        assert!(rests.hear().await.is_none());
-        serve(&mut engine, &name(1), 1).await;
-        asks.is_served(1).await;
-        assert!(asks.hear().await.is_none());
-        drop(rests);
-        until("none", || s.frontend.connections() == 0).await;
+        fixture.frontend.end();
+        assert!(active_client.0.try_write(&request(1, 1, "lookup")).unwrap() > 0);
+        let mut engine = fixture.accept_upstream().await;
+        assert_eq!(read_request_id(&mut engine).await, request_id(1));
+        assert!(idle_client.receive().await.is_none());
+        let _ = idle_client.0.write_all(&request(1, 2, "lookup")).await;
+        assert!(idle_client.receive().await.is_none());
+        serve_pages(&mut engine, &request_id(1), 1).await;
+        active_client.expect_served(1).await;
+        assert!(active_client.receive().await.is_none());
+        drop(idle_client);
+        wait_until("none", || fixture.frontend.connections() == 0).await;
         assert!(
             tokio::time::timeout(Duration::from_millis(50), engine.read_u8())
                 .await
@@ -441,49 +410,49 @@
     });
 }
 
-/// The machine has taken an answer whole and its client has not, when the connection ends and the client asks again: it
-/// has its answer whole all the same.
+/// The kernel has taken a response in full and its client has not when the connection is closed and the client sends
+/// another request: the client still gets the whole response.
 #[test]
 fn response_in_transit_survives_client_data_after_close() {
     on_one_thread(async {
-        let s = plain().await;
-        let mut client = Client::narrow(s.at).await;
-        client.say(&request(1, 1, "lookup")).await;
-        let mut engine = s.dialled().await;
-        let id = get(&mut engine).await;
-        serve(&mut engine, &id, 9).await;
-        s.owes(0).await;
-        pass(20).await;
-        s.frontend.end();
-        pass(20).await;
-        client.say(&request(2, 2, "lookup")).await;
-        pass(20).await;
-        let (kind, stream, payload) = client.hear().await.expect("its answer");
+        let fixture = start_default().await;
+        let mut client = Client::with_small_buffer(fixture.address).await;
+        client.send(&request(1, 1, "lookup")).await;
+        let mut engine = fixture.accept_upstream().await;
+        let id = read_request_id(&mut engine).await;
+        serve_pages(&mut engine, &id, 9).await;
+        fixture.wait_for_open(0).await;
+        sleep_ms(20).await;
+        fixture.frontend.end();
+        sleep_ms(20).await;
+        client.send(&request(2, 2, "lookup")).await;
+        sleep_ms(20).await;
+        let (kind, stream, payload) = client.receive().await.expect("its answer");
         assert_eq!((kind, stream, payload.len()), (4, 1, 2 + 9 * 5005));
-        assert_eq!(client.hear().await.map(|f| f.0), Some(64));
-        assert!(client.hear().await.is_none());
+        assert_eq!(client.receive().await.map(|f| f.0), Some(64));
+        assert!(client.receive().await.is_none());
         assert_eq!(
-            s.router.unanswered_requests(),
+            fixture.router.unanswered_requests(),
             0,
-            "what it asked too late is not taken up"
+            "the late request is not accepted"
         );
         drop(client);
-        until("none", || s.frontend.connections() == 0).await;
+        wait_until("none", || fixture.frontend.connections() == 0).await;
     });
 }
 
-/// Operators connect in such a number that all callers before give way, and those call in that turn, or one of the next
-/// few: what a caller has written before its end is seen is answered, and none of the connections is reset.
+/// So many operators connect that all earlier callers are evicted, and these send a request in that poll or one of the
+/// next few: a request written before its eviction is seen is answered, and no connection is reset.
 #[test]
 fn admin_request_in_the_poll_of_its_eviction_is_answered() {
     on_one_thread(async {
-        let s = plain().await;
+        let fixture = start_default().await;
         for turns in 0..10 {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let at = listener.local_addr().unwrap();
             let shared = Rc::new(InstanceRegistry::open(None).unwrap());
             let admin = Admin::new(
-                s.router.clone(),
+                fixture.router.clone(),
                 BufferPool::default(),
                 shared,
                 Watched::default(),
@@ -494,7 +463,7 @@
             for _ in 0..24 {
                 callers.push(TcpStream::connect(at).await.unwrap());
             }
-            pass(10).await;
+            sleep_ms(10).await;
             let newcomers: Vec<_> = callers
                 .iter()
                 .map(|_| std::net::TcpStream::connect(at).unwrap())
@@ -502,9 +471,9 @@
             for _ in 0..turns {
                 tokio::task::yield_now().await;
             }
-            // Those that have been closed by now have been closed with nothing unread.
-            let open = |c: &TcpStream| {
-                SockRef::from(c)
+            // Connections that are closed by now were closed with nothing unread.
+            let open = |client: &TcpStream| {
+                SockRef::from(client)
                     .peek(&mut [std::mem::MaybeUninit::uninit()])
                     .is_err()
             };
@@ -516,7 +485,7 @@
             }
             for caller in &mut callers {
                 let mut answer = String::new();
-                let read = within("an answer", caller.read_to_string(&mut answer)).await;
+                let read = expect_soon("an answer", caller.read_to_string(&mut answer)).await;
                 assert!(
                     read.is_ok() && answer.starts_with("HTTP/1.1 200 "),
                     "{turns}: {read:?} {answer}"
@@ -527,31 +496,31 @@
     });
 }
 
-// ---- half an answer, against the end of its connection
+// ---- partial responses and the close of their connection
 
-/// Half an answer's bytes, or half of a result's pages, and the engine closes: nothing of it is served.
+/// Half of a reply's bytes or of a result's pages, and the engine closes: nothing of it is served.
 #[test]
 fn partial_response_before_engine_close_ends_by_its_class_rule() {
     on_one_thread(async {
         for paged in [false, true] {
             for reset in [false, true] {
-                let s = plain().await;
-                s.ask(1, LOOKUP);
-                let mut first = s.dialled().await;
-                get(&mut first).await;
-                s.ask(2, LOAD);
-                let mut second = s.dialled().await;
-                get(&mut second).await;
-                for (engine, id) in [(&mut first, name(1)), (&mut second, name(2))] {
+                let fixture = start_default().await;
+                fixture.submit(1, LOOKUP);
+                let mut first = fixture.accept_upstream().await;
+                read_request_id(&mut first).await;
+                fixture.submit(2, LOAD);
+                let mut second = fixture.accept_upstream().await;
+                read_request_id(&mut second).await;
+                for (engine, id) in [(&mut first, request_id(1)), (&mut second, request_id(2))] {
                     if paged {
-                        reply(engine, [&id, "ACK", "total=2", "a\tb\tc\n"]).await;
-                        assert_eq!(command(engine).await.unwrap()[0], "PAGE");
-                        half(engine, [&id, "BLOCK", "index=1", "a\tb\tc\n"]).await;
+                        send_reply(engine, [&id, "ACK", "total=2", "a\tb\tc\n"]).await;
+                        assert_eq!(read_command(engine).await.unwrap()[0], "PAGE");
+                        send_half_reply(engine, [&id, "BLOCK", "index=1", "a\tb\tc\n"]).await;
                     } else {
-                        half(engine, [&id, "ACK", "total=1", "a\tb\tc\n"]).await;
+                        send_half_reply(engine, [&id, "ACK", "total=1", "a\tb\tc\n"]).await;
                     }
                 }
-                pass(10).await;
+                sleep_ms(10).await;
                 if reset {
                     for engine in [&first, &second] {
                         SockRef::from(engine)
@@ -560,276 +529,294 @@
                     }
                 }
                 drop((first, second));
-                let mut again = s.dialled().await;
-                assert_eq!(get(&mut again).await, name(1));
-                serve(&mut again, &name(1), 1).await;
-                s.owes(0).await;
-                s.answered(&[(1, "served"), (2, "failed")]);
-                s.undialled(20).await;
+                let mut retry_connection = fixture.accept_upstream().await;
+                assert_eq!(read_request_id(&mut retry_connection).await, request_id(1));
+                serve_pages(&mut retry_connection, &request_id(1), 1).await;
+                fixture.wait_for_open(0).await;
+                fixture.expect_answers(&[(1, "served"), (2, "failed")]);
+                fixture.expect_no_connection(20).await;
             }
         }
     });
 }
 
-/// Half an answer to a request that is over comes in the turn in which we close its connection as idle: a load that is
-/// asked for in the same turn runs all the same, and the half is served to nobody.
+/// Half a reply to a finished request arrives in the poll in which its connection is closed as idle: a load that is
+/// submitted in the same poll runs all the same, and the half is discarded.
 #[test]
 fn partial_response_in_the_poll_of_an_idle_close_is_discarded() {
     on_one_thread(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let s = stand(listener, (DeduplicationScope::All, 0.0), |sockets| {
+        let fixture = start(listener, (DeduplicationScope::All, 0.0), |sockets| {
             sockets.idle_timeout = 200.0
         })
         .await;
-        s.ask_for(1, LOOKUP, 60.0, 1);
-        let mut engine = s.dialled().await;
-        get(&mut engine).await;
-        s.owes(0).await;
-        assert_eq!(command(&mut engine).await.unwrap()[0], "DROP");
-        pass(100).await;
-        let all = array([&name(1), "ACK", "total=1", "a\tb\tc\n"]);
+        fixture.submit_with(1, LOOKUP, 60.0, 1);
+        let mut engine = fixture.accept_upstream().await;
+        read_request_id(&mut engine).await;
+        fixture.wait_for_open(0).await;
+        assert_eq!(read_command(&mut engine).await.unwrap()[0], "DROP");
+        sleep_ms(100).await;
+        let all = encode_reply([&request_id(1), "ACK", "total=1", "a\tb\tc\n"]);
         engine.try_write(&all[..20]).unwrap();
         std::thread::sleep(Duration::from_millis(200));
-        assert!(command(&mut engine).await.is_none(), "idle for too long");
-        s.ask(2, LOAD);
-        let mut other = s.dialled().await;
-        assert_eq!(get(&mut other).await, name(2));
-        serve(&mut other, &name(2), 1).await;
-        s.owes(0).await;
-        s.answered(&[(1, "refused as late"), (2, "served")]);
+        assert!(
+            read_command(&mut engine).await.is_none(),
+            "idle for too long"
+        );
+        fixture.submit(2, LOAD);
+        let mut other = fixture.accept_upstream().await;
+        assert_eq!(read_request_id(&mut other).await, request_id(2));
+        serve_pages(&mut other, &request_id(2), 1).await;
+        fixture.wait_for_open(0).await;
+        fixture.expect_answers(&[(1, "refused as late"), (2, "served")]);
     });
 }
 
-/// Half an answer to a request that is over, and never its rest: no later request stands behind it, and it is not held.
+/// Half a reply to a finished request, and never its rest: no later request is sent behind it, and it is not buffered.
 #[test]
 fn partial_response_to_a_finished_request_is_discarded_without_failing_a_load() {
     on_one_thread(async {
-        let s = plain().await;
-        s.ask_for(1, LOOKUP, 100.0, 1);
-        let mut engine = s.dialled().await;
-        get(&mut engine).await;
-        half(&mut engine, [&name(1), "ACK", "total=1", "a\tb\tc\n"]).await;
-        s.owes(0).await;
-        assert_eq!(command(&mut engine).await.unwrap()[0], "DROP");
-        pass(350).await;
-        s.ask(2, LOAD);
-        let other = tokio::time::timeout(Duration::from_millis(300), s.engine.accept()).await;
+        let fixture = start_default().await;
+        fixture.submit_with(1, LOOKUP, 100.0, 1);
+        let mut engine = fixture.accept_upstream().await;
+        read_request_id(&mut engine).await;
+        send_half_reply(&mut engine, [&request_id(1), "ACK", "total=1", "a\tb\tc\n"]).await;
+        fixture.wait_for_open(0).await;
+        assert_eq!(read_command(&mut engine).await.unwrap()[0], "DROP");
+        sleep_ms(350).await;
+        fixture.submit(2, LOAD);
+        let other = tokio::time::timeout(Duration::from_millis(300), fixture.engine.accept()).await;
         let mut other = other.expect("on another connection").unwrap().0;
-        assert_eq!(get(&mut other).await, name(2));
-        serve(&mut other, &name(2), 1).await;
-        s.owes(0).await;
-        s.answered(&[(1, "refused as late"), (2, "served")]);
+        assert_eq!(read_request_id(&mut other).await, request_id(2));
+        serve_pages(&mut other, &request_id(2), 1).await;
+        fixture.wait_for_open(0).await;
+        fixture.expect_answers(&[(1, "refused as late"), (2, "served")]);
         let end = tokio::time::timeout(Duration::from_millis(1500), engine.read_u8()).await;
         assert!(
             matches!(end, Ok(Err(_))),
-            "and the one that stands in the middle is closed"
+            "and the connection with the partial reply is closed"
         );
     });
 }
 
-/// The process stands still, half an answer comes meanwhile, and its rest right after: the time in which nobody looked
-/// counts against no engine.
+/// The process is stalled, half a reply arrives meanwhile, and its rest right after: the stall
+/// does not count against the engine.
 #[test]
 fn partial_response_after_a_process_stall_is_awaited() {
     on_one_thread(async {
-        let s = plain().await;
-        s.ask(1, LOAD);
-        let mut engine = s.dialled().await;
-        get(&mut engine).await;
-        pass(50).await;
-        let all = array([&name(1), "ACK", "total=1", "a\tb\tc\n"]);
+        let fixture = start_default().await;
+        fixture.submit(1, LOAD);
+        let mut engine = fixture.accept_upstream().await;
+        read_request_id(&mut engine).await;
+        sleep_ms(50).await;
+        let all = encode_reply([&request_id(1), "ACK", "total=1", "a\tb\tc\n"]);
         let (first, rest) = all.split_at(all.len() / 2);
         engine.try_write(first).unwrap();
         std::thread::sleep(Duration::from_millis(1200));
-        pass(20).await;
+        sleep_ms(20).await;
         engine.write_all(rest).await.unwrap();
-        s.owes(0).await;
-        s.answered(&[(1, "served")]);
+        fixture.wait_for_open(0).await;
+        fixture.expect_answers(&[(1, "served")]);
     });
 }
 
-// ---- connections that come up late, or never
+// ---- connections that are established late, or never
 
-/// One connection to an engine is up and rests, another is still coming up: what comes in is not made to wait.
+/// One upstream connection is idle, another is still being established: a new request uses the idle one at once.
 #[test]
 fn request_uses_the_established_connection_not_the_pending_one() {
     on_one_thread(async {
-        let engine = tight();
+        let engine = listener_without_backlog();
         let filler = TcpStream::connect(engine.local_addr().unwrap())
             .await
             .unwrap();
-        let s = stand(engine, (DeduplicationScope::All, 0.0), |sockets| {
+        let fixture = start(engine, (DeduplicationScope::All, 0.0), |sockets| {
             sockets.connect_timeout = 4000.0
         })
         .await;
-        s.ask(1, LOOKUP);
-        pass(50).await;
-        drop((s.dialled().await, filler));
-        s.ask(2, LOAD);
-        let mut up = s.dialled().await;
-        assert_eq!(get(&mut up).await, name(2), "alone on one of its own");
-        serve(&mut up, &name(2), 1).await;
-        s.owes(1).await;
-        s.ask(3, LOOKUP);
-        let first = tokio::time::timeout(Duration::from_millis(400), get(&mut up)).await;
-        assert_eq!(first.as_deref(), Ok(&name(3)[..]), "at once");
-        serve(&mut up, &name(3), 1).await;
-        s.owes(1).await;
-        let mut late = s.dialled().await;
-        assert_eq!(get(&mut late).await, name(1));
-        serve(&mut late, &name(1), 1).await;
-        s.owes(0).await;
-        s.answered(&[(1, "served"), (2, "served"), (3, "served")]);
+        fixture.submit(1, LOOKUP);
+        sleep_ms(50).await;
+        drop((fixture.accept_upstream().await, filler));
+        fixture.submit(2, LOAD);
+        let mut up = fixture.accept_upstream().await;
+        assert_eq!(
+            read_request_id(&mut up).await,
+            request_id(2),
+            "alone on one of its own"
+        );
+        serve_pages(&mut up, &request_id(2), 1).await;
+        fixture.wait_for_open(1).await;
+        fixture.submit(3, LOOKUP);
+        let first =
+            tokio::time::timeout(Duration::from_millis(400), read_request_id(&mut up)).await;
+        assert_eq!(first.as_deref(), Ok(&request_id(3)[..]), "at once");
+        serve_pages(&mut up, &request_id(3), 1).await;
+        fixture.wait_for_open(1).await;
+        let mut late = fixture.accept_upstream().await;
+        assert_eq!(read_request_id(&mut late).await, request_id(1));
+        serve_pages(&mut late, &request_id(1), 1).await;
+        fixture.wait_for_open(0).await;
+        fixture.expect_answers(&[(1, "served"), (2, "served"), (3, "served")]);
     });
 }
 
-/// It does not come up within the settings' time: what waits on it goes to another engine, loads too, for none ever ran.
+/// A connection is not established in time: its requests go to another engine, loads too, since none ever ran.
 #[test]
 fn connect_timeout_loses_no_request() {
     on_one_thread(async {
-        let engine = tight();
+        let engine = listener_without_backlog();
         let at = engine.local_addr().unwrap();
         let filler = TcpStream::connect(at).await.unwrap();
-        let s = stand(engine, (DeduplicationScope::Cell, 50.0), |sockets| {
+        let fixture = start(engine, (DeduplicationScope::Cell, 50.0), |sockets| {
             sockets.connect_timeout = 150.0
         })
         .await;
         let healthy = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        (0..3).for_each(|class| s.ask(class as u64, class));
-        pass(50).await;
-        s.router
+        (0..3).for_each(|class| fixture.submit(class as u64, class));
+        sleep_ms(50).await;
+        fixture
+            .router
             .update_endpoints(&change(&[at, healthy.local_addr().unwrap()], None));
         let mut served = 0;
         let serving = async {
             let mut open = vec![];
             while served < 3 {
                 let mut tcp = healthy.accept().await.unwrap().0;
-                // On one connection or several: each is read until nothing more comes.
+                // On one connection or several: each is read until no further request comes.
                 while let Ok(id) =
-                    tokio::time::timeout(Duration::from_millis(30), get(&mut tcp)).await
+                    tokio::time::timeout(Duration::from_millis(30), read_request_id(&mut tcp)).await
                 {
-                    serve(&mut tcp, &id, 1).await;
+                    serve_pages(&mut tcp, &id, 1).await;
                     served += 1;
                 }
                 open.push(tcp);
             }
         };
-        within("three", serving).await;
-        s.owes(0).await;
-        s.answered(&[(0, "served"), (1, "served"), (2, "served")]);
-        drop((s.dialled().await, filler));
-        s.undialled(1200).await;
+        expect_soon("three", serving).await;
+        fixture.wait_for_open(0).await;
+        fixture.expect_answers(&[(0, "served"), (1, "served"), (2, "served")]);
+        drop((fixture.accept_upstream().await, filler));
+        fixture.expect_no_connection(1200).await;
     });
 }
 
-/// A connection that is up a second late, and by then its request is over, its engine drains, or is gone: it carries
-/// nothing, and each request has its answer.
-async fn late_and_unwanted(how: &str, told: &'static str) {
-    let engine = tight();
+/// A connection is established a second late, and by then its request is finished, or its engine drains or was removed:
+/// it carries nothing, and each request has its answer.
+async fn late_connection_is_unused(how: &str, expected: &'static str) {
+    let engine = listener_without_backlog();
     let at = engine.local_addr().unwrap();
     let filler = TcpStream::connect(at).await.unwrap();
-    let s = stand(engine, (DeduplicationScope::All, 0.0), |sockets| {
+    let fixture = start(engine, (DeduplicationScope::All, 0.0), |sockets| {
         sockets.connect_timeout = 4000.0
     })
     .await;
-    s.ask_for(1, LOAD, if how == "over" { 400.0 } else { 2000.0 }, 1);
-    pass(50).await;
-    drop((s.dialled().await, filler));
+    fixture.submit_with(1, LOAD, if how == "over" { 400.0 } else { 2000.0 }, 1);
+    sleep_ms(50).await;
+    drop((fixture.accept_upstream().await, filler));
     match how {
-        "drains" => s
+        "drains" => fixture
             .router
-            .update_endpoints(&change(&s.engines, Some((0, "drain")))),
-        "gone" => s.router.update_endpoints(&change(&[], None)),
-        _ => s.owes(0).await,
+            .update_endpoints(&change(&fixture.engines, Some((0, "drain")))),
+        "gone" => fixture.router.update_endpoints(&change(&[], None)),
+        _ => fixture.wait_for_open(0).await,
     }
-    let mut late = s.dialled().await;
+    let mut late = fixture.accept_upstream().await;
     let first = tokio::time::timeout(Duration::from_millis(200), late.read_u8()).await;
     assert!(!matches!(first, Ok(Ok(_))), "{how}: it carries something");
-    s.owes(0).await;
-    s.answered(&[(1, told)]);
+    fixture.wait_for_open(0).await;
+    fixture.expect_answers(&[(1, expected)]);
 }
 
 #[test]
 fn late_connection_sends_nothing_for_finished_requests_or_draining_or_removed_engines() {
     on_one_thread(async {
         tokio::join!(
-            late_and_unwanted("over", "failed as late"),
-            late_and_unwanted("drains", "refused"),
-            late_and_unwanted("gone", "refused"),
+            late_connection_is_unused("over", "failed as late"),
+            late_connection_is_unused("drains", "refused"),
+            late_connection_is_unused("gone", "refused"),
         );
     });
 }
 
-// ---- answers without an end
-
-/// The first page is there and the last never comes; or a length promises more than comes. A deadline that is near gets
-/// its answer then, and nothing is held after; with time left, safe ones are sent again and loads are failed.
-async fn without_an_end(class: usize, ms: f64, promises: bool, told: &'static str) {
-    let s = plain().await;
-    s.ask_for(1, class, ms, 1);
-    let mut engine = s.dialled().await;
-    get(&mut engine).await;
-    if promises {
+// ---- unterminated responses
+
+/// The first page arrives and the last never does; or a length announces more than arrives. A request with a near deadline
+/// is answered then, and nothing stays reserved; with time left, idempotent ones are retried and loads are failed.
+async fn unterminated_response(
+    class: usize,
+    ms: f64,
+    length_too_large: bool,
+    expected: &'static str,
+) {
+    let fixture = start_default().await;
+    fixture.submit_with(1, class, ms, 1);
+    let mut engine = fixture.accept_upstream().await;
+    read_request_id(&mut engine).await;
+    if length_too_large {
         engine
             .write_all(b"*4\r\n$16\r\n0000000000000001\r\n$3\r\nACK\r\n$7\r\ntotal=1\r\n$5000\r\na\tb\tc\n")
             .await
             .unwrap();
     } else {
-        reply(&mut engine, [&name(1), "ACK", "total=3", "a\tb\tc\n"]).await;
+        send_reply(&mut engine, [&request_id(1), "ACK", "total=3", "a\tb\tc\n"]).await;
         for _ in 0..2 {
-            assert_eq!(command(&mut engine).await.unwrap()[0], "PAGE");
+            assert_eq!(read_command(&mut engine).await.unwrap()[0], "PAGE");
         }
-        reply(&mut engine, [&name(1), "BLOCK", "index=1", "a\tb\tc\n"]).await;
+        send_reply(
+            &mut engine,
+            [&request_id(1), "BLOCK", "index=1", "a\tb\tc\n"],
+        )
+        .await;
     }
-    let asked = std::time::Instant::now();
-    if told == "served" {
-        let mut again = s.dialled().await;
-        assert_eq!(get(&mut again).await, name(1));
-        serve(&mut again, &name(1), 1).await;
+    let started = std::time::Instant::now();
+    if expected == "served" {
+        let mut retry_connection = fixture.accept_upstream().await;
+        assert_eq!(read_request_id(&mut retry_connection).await, request_id(1));
+        serve_pages(&mut retry_connection, &request_id(1), 1).await;
     }
-    s.owes(0).await;
-    assert!(asked.elapsed().as_secs_f64() * 1000.0 < ms, "in time");
-    pass(1200).await;
-    s.answered(&[(1, told)]);
-    s.ask(2, LOAD);
+    fixture.wait_for_open(0).await;
+    assert!(started.elapsed().as_secs_f64() * 1000.0 < ms, "in time");
+    sleep_ms(1200).await;
+    fixture.expect_answers(&[(1, expected)]);
+    fixture.submit(2, LOAD);
     let next = async {
-        // What was cut off in its middle is closed by now, and what was not goes on.
-        match command(&mut engine).await.filter(|w| w[0] == "DROP") {
-            Some(_) if !promises => get(&mut engine).await,
-            _ if told == "served" => String::new(),
-            _ => get(&mut s.dialled().await).await,
+        // A connection that broke off in the middle of a reply is closed by now; another one goes on.
+        match read_command(&mut engine).await.filter(|w| w[0] == "DROP") {
+            Some(_) if !length_too_large => read_request_id(&mut engine).await,
+            _ if expected == "served" => String::new(),
+            _ => read_request_id(&mut fixture.accept_upstream().await).await,
         }
     };
     let next = tokio::time::timeout(Duration::from_secs(1), next).await;
     let next = next.unwrap_or_else(|_| {
-        panic!("something is held after {told} in {ms} ms, promises: {promises}")
+        panic!("something stays reserved after {expected} in {ms} ms, length too large: {length_too_large}")
     });
-    assert!([name(2), String::new()].contains(&next));
+    assert!([request_id(2), String::new()].contains(&next));
 }
 
 #[test]
 fn unterminated_response_gives_one_answer_and_releases_everything() {
     on_one_thread(async {
         tokio::join!(
-            without_an_end(LOOKUP, 300.0, false, "refused as late"),
-            without_an_end(LOOKUP, 300.0, true, "refused as late"),
-            without_an_end(LOAD, 300.0, false, "failed as late"),
-            without_an_end(LOAD, 300.0, true, "failed as late"),
-            without_an_end(LOOKUP, 4000.0, false, "served"),
-            without_an_end(LOOKUP, 4000.0, true, "served"),
-            without_an_end(LOAD, 4000.0, false, "failed"),
-            without_an_end(LOAD, 4000.0, true, "failed"),
+            unterminated_response(LOOKUP, 300.0, false, "refused as late"),
+            unterminated_response(LOOKUP, 300.0, true, "refused as late"),
+            unterminated_response(LOAD, 300.0, false, "failed as late"),
+            unterminated_response(LOAD, 300.0, true, "failed as late"),
+            unterminated_response(LOOKUP, 4000.0, false, "served"),
+            unterminated_response(LOOKUP, 4000.0, true, "served"),
+            unterminated_response(LOAD, 4000.0, false, "failed"),
+            unterminated_response(LOAD, 4000.0, true, "failed"),
         );
     });
 }
 
-// ---- clients' messages in pieces, and in every form
+// ---- fragmented messages and every message form
 
-/// All that a client may send, in forms that the protocol allows; how many requests are among it.
-fn forms() -> (Vec<u8>, u32) {
-    let (txn, team) = (|n| name(n), ("team", "acme"));
+/// Everything that a client may send, in every form that the protocol allows; and how many requests are among it.
+fn message_forms() -> (Vec<u8>, u32) {
+    let (txn, team) = (|number| request_id(number), ("team", "acme"));
     let requests = [
-        fields(&[
+        encode_fields(&[
             ("verb", "lookup"),
             ("txn", &txn(1)),
             ("limit", "5000"),
@@ -837,7 +824,7 @@
             ("cpu", "820.0"),
             ("mem", "96"),
         ]),
-        fields(&[
+        encode_fields(&[
             team,
             ("mem", "96"),
             ("limit", "5000"),
@@ -845,7 +832,7 @@
             ("txn", &txn(2)),
             ("verb", "lookup"),
         ]),
-        fields(&[
+        encode_fields(&[
             ("", ""),
             ("verb", "lookup"),
             ("x", &"y".repeat(60_000)),
@@ -853,14 +840,14 @@
             team,
             ("limit", "5000"),
         ]),
-        fields(&[
+        encode_fields(&[
             ("verb", "lookup"),
             ("txn", "ABCDEFABCDEFABCD"),
             ("limit", "5000.0"),
             team,
             ("Verb", "load"),
         ]),
-        fields(&[
+        encode_fields(&[
             ("verb", "lookup"),
             ("txn", &txn(4)),
             ("limit", "5000"),
@@ -869,61 +856,65 @@
         ]),
     ];
     let mut all = vec![];
-    // Asked with no fields, with none at all, and with some; left on a stream that nobody knows, with a payload.
-    for (stream, payload) in [(900, &[][..]), (901, &[0]), (902, &fields(&[("a", "b")]))] {
-        all.extend(frame(16, stream, payload));
-        all.extend(frame(8, stream + 50, payload));
+    // Readiness queries with no payload, no fields, and some fields; cancels of unknown streams, with a payload.
+    for (stream, payload) in [
+        (900, &[][..]),
+        (901, &[0]),
+        (902, &encode_fields(&[("a", "b")])),
+    ] {
+        all.extend(encode_frame(16, stream, payload));
+        all.extend(encode_frame(8, stream + 50, payload));
     }
-    let n = requests.len() as u32;
+    let count = requests.len() as u32;
     // Streams in any order.
-    for (i, mut payload) in requests.into_iter().enumerate() {
+    for (index, mut payload) in requests.into_iter().enumerate() {
         payload.extend(b"select a\n\tfrom \"t\"\r\n");
-        all.extend(frame(2, 100 - i as u32, &payload));
+        all.extend(encode_frame(2, 100 - index as u32, &payload));
     }
     // As large as a frame may be.
-    let mut largest = fields(&[
+    let mut largest = encode_fields(&[
         ("verb", "lookup"),
         ("txn", &txn(5)),
         ("limit", "5000"),
         team,
     ]);
     largest.resize(262_144 - 5, b'x');
-    all.extend(frame(2, 1000, &largest));
-    (all, n + 1)
+    all.extend(encode_frame(2, 1000, &largest));
+    (all, count + 1)
 }
 
 #[test]
 fn every_message_form_is_served_alike_in_any_fragmentation() {
     on_one_thread(async {
         for piece in [usize::MAX, 1, 3, 4096] {
-            let s = plain().await;
-            let mut client = Client::new(s.at).await;
-            let (all, n) = forms();
-            // Byte by byte only the small ones: the large take the machine long, and bring nothing else to light.
+            let fixture = start_default().await;
+            let mut client = Client::connect(fixture.address).await;
+            let (all, count) = message_forms();
+            // Byte by byte only the small ones: the large ones take long and test nothing else.
             let slow = if piece < 4 { 1024 } else { all.len() };
             let (first, rest) = all.split_at(slow.min(all.len()));
             let engine = async {
-                let mut engine = s.dialled().await;
+                let mut engine = fixture.accept_upstream().await;
                 let mut seen = vec![];
-                for _ in 0..n {
-                    let words = command(&mut engine).await.unwrap();
-                    assert_eq!(words[0], "GET");
-                    seen.push((words[1].clone(), words[3].len()));
-                    serve(&mut engine, &words[1], 1).await;
+                for _ in 0..count {
+                    let arguments = read_command(&mut engine).await.unwrap();
+                    assert_eq!(arguments[0], "GET");
+                    seen.push((arguments[1].clone(), arguments[3].len()));
+                    serve_pages(&mut engine, &arguments[1], 1).await;
                 }
                 (engine, seen)
             };
-            let talk = async {
+            let client_side = async {
                 for part in first.chunks(piece) {
-                    client.say(part).await;
+                    client.send(part).await;
                     if piece < 4096 {
                         tokio::task::yield_now().await;
                     }
                 }
-                client.say(rest).await;
+                client.send(rest).await;
                 let (mut ready, mut served) = (vec![], vec![]);
-                while ready.len() < 3 || served.len() < n as usize {
-                    let (kind, stream, payload) = client.hear().await.expect("an answer");
+                while ready.len() < 3 || served.len() < count as usize {
+                    let (kind, stream, payload) = client.receive().await.expect("an answer");
                     match kind {
                         32 => ready.push((stream, payload[0])),
                         _ => served.push((kind, stream, payload[0])),
@@ -931,53 +922,56 @@
                 }
                 served.sort_unstable();
                 assert_eq!(ready, [(900, 0), (901, 0), (902, 0)]);
-                assert_eq!(served, [96, 97, 98, 99, 100, 1000].map(|s| (4, s, 0)));
+                assert_eq!(
+                    served,
+                    [96, 97, 98, 99, 100, 1000].map(|stream| (4, stream, 0))
+                );
             };
-            let ((_engine, mut seen), ()) = tokio::join!(engine, talk);
+            let ((_engine, mut seen), ()) = tokio::join!(engine, client_side);
             seen.sort_unstable();
             let largest = 262_144
                 - 5
-                - fields(&[
+                - encode_fields(&[
                     ("verb", "lookup"),
-                    ("txn", &name(5)),
+                    ("txn", &request_id(5)),
                     ("limit", "5000"),
                     ("team", "acme"),
                 ])
                 .len();
-            let ids = [1, 2, 3, 4].map(|n| (name(n), 20));
+            let ids = [1, 2, 3, 4].map(|number| (request_id(number), 20));
             assert_eq!(seen[..4], ids);
             assert_eq!(
                 seen[4..],
-                [(name(5), largest), ("ABCDEFABCDEFABCD".into(), 20)]
+                [(request_id(5), largest), ("ABCDEFABCDEFABCD".into(), 20)]
             );
         }
     });
 }
 
-/// One byte at a time, over many turns, while another request of its connection runs; then its last bytes come in the turn
-/// of the goodbye.
+/// One byte at a time, over many polls, while another request of the connection runs; its last byte arrives in the poll
+/// in which shutdown begins.
 #[test]
 fn slow_writer_is_served_while_writing_and_at_shutdown() {
     on_one_thread(async {
-        let s = plain().await;
-        let mut client = Client::new(s.at).await;
-        client.say(&request(1, 1, "lookup")).await;
-        let mut engine = s.dialled().await;
-        get(&mut engine).await;
+        let fixture = start_default().await;
+        let mut client = Client::connect(fixture.address).await;
+        client.send(&request(1, 1, "lookup")).await;
+        let mut engine = fixture.accept_upstream().await;
+        read_request_id(&mut engine).await;
         let slow = request(2, 2, "lookup");
         for byte in &slow[..slow.len() - 1] {
-            client.say(&[*byte]).await;
-            pass(4).await;
+            client.send(&[*byte]).await;
+            sleep_ms(4).await;
         }
-        serve(&mut engine, &name(1), 1).await;
-        client.is_served(1).await;
-        s.frontend.goodbye(true);
-        s.frontend.end();
+        serve_pages(&mut engine, &request_id(1), 1).await;
+        client.expect_served(1).await;
+        fixture.frontend.goodbye(true);
+        fixture.frontend.end();
         client.0.try_write(&slow[slow.len() - 1..]).unwrap();
-        assert_eq!(get(&mut engine).await, name(2));
-        serve(&mut engine, &name(2), 1).await;
-        assert_eq!(client.hear().await.unwrap().0, 64);
-        client.is_served(2).await;
-        assert!(client.hear().await.is_none());
+        assert_eq!(read_request_id(&mut engine).await, request_id(2));
+        serve_pages(&mut engine, &request_id(2), 1).await;
+        assert_eq!(client.receive().await.unwrap().0, 64);
+        client.expect_served(2).await;
+        assert!(client.receive().await.is_none());
     });
 }
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -69,7 +69,7 @@
         threads: 2.0,
         ..common::class(4.0, 5000.0)
     };
-    let mut s = common::settings(vec![common::class(1.0, 5000.0), load]);
+    let mut s = common::test_settings(vec![common::class(1.0, 5000.0), load]);
     s.engines = EngineCapabilities {
         accepts_memory_grants: false,
         accepts_priority: false,
