--- a/tests/slow_start_budget.rs
+++ b/tests/slow_start_budget.rs
@@ -9,7 +9,7 @@
 
 mod common;
 
-use common::{class, entry};
+use common::{class, engine_entry};
 use oorandom::Rand64;
 use query_dispatcher::core::{Answer, AttemptId, Command, Core, CoreLimits, NewRequest, RequestId};
 use query_dispatcher::*;
@@ -72,7 +72,7 @@
 
 /// The site's rules, an engine of eight cores.
 fn settings(dispatchers: u32) -> Settings {
-    let mut s = common::settings(vec![]);
+    let mut s = common::test_settings(vec![]);
     s.dispatchers = dispatchers;
     s.rules.initial_warm_up_capacity = 0.3;
     s.rules.overload_multiple = 4.0;
@@ -142,13 +142,13 @@
     fn list(&mut self, now: f64) {
         let engine = |started| EngineEntry {
             started,
-            ..entry(NAME)
+            ..engine_entry(NAME)
         };
         // Those that know of the start see the engine from then on; the others took it for a warm one before.
         if !self.listed && (now >= START || !self.told) {
             let mut all = vec![engine(self.told.then_some(START))];
             if self.case.hung {
-                all.push(entry("hung"));
+                all.push(engine_entry("hung"));
             }
             self.core.update_endpoints(now, ListUpdate::Stale, all);
             self.listed = true;
