--- a/crates/mysql-conformance/src/lib.rs
+++ b/crates/mysql-conformance/src/lib.rs
@@ -19,9 +19,9 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::time::Duration;
-use testbed::engine::Engine;
-use testbed::raw::{Answer, Session, Wants};
-use testbed::stand;
+use testbed::clients::mysql::{Answer, Session, SessionOptions};
+use testbed::fakes::engine::Engine;
+use testbed::fixture;
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
@@ -49,7 +49,10 @@
             e.address()
         )
     });
-    let config = MysqlConfig::parse(&stand::file("", &list.collect::<String>()), |_| None)?;
+    let config = MysqlConfig::parse(
+        &fixture::dispatcher_file("", &list.collect::<String>()),
+        |_| None,
+    )?;
     let pool = BufferPool::default();
     let bounds = CoreLimits {
         max_open_requests: config.sockets.max_open_requests,
@@ -102,7 +105,13 @@
 
 impl Target<'_> {
     async fn session(&self) -> Result<Session, PacketError> {
-        Session::log_in(self.address, self.user, self.password, Wants::default()).await
+        Session::log_in(
+            self.address,
+            self.user,
+            self.password,
+            SessionOptions::default(),
+        )
+        .await
     }
 
     /// Plays one case on a session of its own.
@@ -263,7 +272,7 @@
 /// # Errors
 /// Engines or front cannot be set up.
 pub async fn play() -> Result<Vec<Line>, Error> {
-    let engines = stand::engines(2, Duration::from_millis(1)).await?;
+    let engines = fixture::engines(2, Duration::from_millis(1)).await?;
     let address = frontend(&engines).await?;
     let at_front = Target {
         address,
@@ -275,7 +284,7 @@
     let at_engine = Target {
         address,
         user: "lab",
-        password: testbed::engine::PASSWORD,
+        password: testbed::fakes::engine::PASSWORD,
         engines: &engines,
     };
     let mut all = vec![];
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/clients/load.rs
@@ -27,7 +27,7 @@
 
 /// What clients saw.
 #[derive(Default)]
-pub struct Account {
+pub struct LoadSummary {
     pub ends: RefCell<BTreeMap<End, u64>>,
     /// Microseconds from the moment that a request was due, so that waiting for the one before counts.
     latency: RefCell<Option<Histogram<u64>>>,
@@ -36,7 +36,7 @@
     next: Cell<u64>,
 }
 
-impl Account {
+impl LoadSummary {
     fn note(&self, end: End, due: f64, text: Option<String>) {
         *self.ends.borrow_mut().entry(end).or_default() += 1;
         let mut latency = self.latency.borrow_mut();
@@ -85,7 +85,7 @@
 
 /// Clients under way. They stop with the handle.
 pub struct Clients {
-    pub account: Rc<Account>,
+    pub account: Rc<LoadSummary>,
     tasks: Vec<JoinHandle<()>>,
     stop: Rc<Cell<bool>>,
 }
@@ -105,7 +105,7 @@
 
 impl Clients {
     pub fn start(address: SocketAddr, load: Load) -> Self {
-        let account = Rc::new(Account::default());
+        let account = Rc::new(LoadSummary::default());
         let stop = Rc::new(Cell::new(false));
         let tasks = (0..load.clients).map(|n| {
             let (account, stop) = (account.clone(), stop.clone());
@@ -119,7 +119,7 @@
     }
 
     /// Lets every client have its last answer.
-    pub async fn stop(mut self) -> Rc<Account> {
+    pub async fn stop(mut self) -> Rc<LoadSummary> {
         self.stop.set(true);
         for task in std::mem::take(&mut self.tasks) {
             let _ = task.await;
@@ -134,7 +134,13 @@
     }
 }
 
-async fn client(n: usize, address: SocketAddr, load: Load, account: &Account, stop: &Cell<bool>) {
+async fn client(
+    n: usize,
+    address: SocketAddr,
+    load: Load,
+    account: &LoadSummary,
+    stop: &Cell<bool>,
+) {
     let mut conn: Option<Conn> = None;
     // Clients do not ask in step.
     let phase = load.gap.mul_f64(n as f64 / load.clients.max(1) as f64);
--- a/crates/testbed/src/raw.rs
+++ b/crates/testbed/src/clients/mysql.rs
@@ -19,7 +19,7 @@
 
 /// What a session asks for at log-in, beside what every client does.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Wants {
+pub struct SessionOptions {
     pub deprecate_eof: bool,
     pub session_track: bool,
     /// The machine keeps so few bytes for it that are not read, if that is said.
@@ -53,7 +53,7 @@
         address: SocketAddr,
         user: &str,
         password: &str,
-        wants: Wants,
+        wants: SessionOptions,
     ) -> Result<Self, PacketError> {
         let socket = TcpSocket::new_v4()?;
         if let Some(bytes) = wants.receive {
@@ -82,7 +82,7 @@
             stream,
             user,
             password,
-            Wants::default(),
+            SessionOptions::default(),
             Some((config, host)),
         )
         .await
@@ -97,7 +97,7 @@
         stream: Stream,
         user: &str,
         password: &str,
-        wants: Wants,
+        wants: SessionOptions,
         tls: Option<(Arc<ClientConfig>, &str)>,
     ) -> Result<Self, PacketError> {
         let mut wire = Framed::new(
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/comparison.rs
@@ -2,9 +2,9 @@
 
 use crate::random::{Stream, Streams};
 use crate::scenario::{Scenario, ScenarioError};
-use crate::world::day::Day;
-use crate::world::play;
-use crate::world::policy::Policy;
+use crate::simulation::play;
+use crate::simulation::policy::Policy;
+use crate::simulation::report::RunReport;
 use rayon::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
@@ -88,7 +88,7 @@
 pub struct Series {
     pub scenario: Scenario,
     pub policy: Policy,
-    pub days: Vec<Day>,
+    pub days: Vec<RunReport>,
 }
 
 /// Plays everything, on all cores; `done` is called after each day.
@@ -104,7 +104,7 @@
             plays.extend((1..=seeds).map(|seed| (s, *p, seed)));
         }
     }
-    let played: Vec<((usize, Policy), Day)> = plays
+    let played: Vec<((usize, Policy), RunReport)> = plays
         .into_par_iter()
         .map(|(s, policy, seed)| {
             let day = play(&days[s], policy, seed);
--- a/crates/testbed/src/engine.rs
+++ b/crates/testbed/src/fakes/engine.rs
@@ -1,8 +1,8 @@
 //! A stand-in for an engine that speaks MySQL: it runs every statement for a while, keeps an exact account of what
 //! it was sent and when, and can end, return, and hang.
 
+use crate::fakes::engine_session::{Session, SessionResponse};
 use crate::now;
-use crate::session::{Said, Session};
 use bytes::Bytes;
 use futures_util::SinkExt;
 use query_dispatcher::protocol::mysql::auth;
@@ -26,7 +26,7 @@
 
 /// One statement that an engine was sent whole.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ran {
+pub struct Execution {
     /// When its last byte was here, in milliseconds.
     pub at: f64,
     pub sql: String,
@@ -83,7 +83,7 @@
     process: Cell<u32>,
     /// When this process started, in milliseconds.
     started: Cell<f64>,
-    ran: RefCell<Vec<Ran>>,
+    ran: RefCell<Vec<Execution>>,
     /// Changes of rows that are committed, in that order.
     lasting: RefCell<Vec<String>>,
     /// A COMMIT is carried out and its answer lost with its connection; once.
@@ -184,7 +184,7 @@
     }
 
     /// All that it was sent, in order.
-    pub fn ran(&self) -> Vec<Ran> {
+    pub fn executions(&self) -> Vec<Execution> {
         self.0.ran.borrow().clone()
     }
 
@@ -261,7 +261,7 @@
                 COM_QUIT => return Ok(()),
                 COM_QUERY if said.starts_with("SET ") || said.starts_with("KILL ") => {
                     match session.says(&said) {
-                        Some(Said::Error(code, state, text)) => {
+                        Some(SessionResponse::Error(code, state, text)) => {
                             wire.send(
                                 &err_packet(&SqlError {
                                     code,
@@ -354,7 +354,7 @@
         wire: &mut Wire,
         sql: String,
         binary: bool,
-        said: Option<Said>,
+        said: Option<SessionResponse>,
         session: &Session,
     ) -> Result<(), PacketError> {
         let inner = &*self.0;
@@ -363,7 +363,7 @@
             if ran.len() >= REMEMBERED {
                 return Err(PacketError::Protocol("the account is full"));
             }
-            ran.push(Ran {
+            ran.push(Execution {
                 at: now(),
                 sql: sql.clone(),
                 process: inner.process.get(),
@@ -429,13 +429,13 @@
     async fn tell(
         &self,
         wire: &mut Wire,
-        said: Said,
+        said: SessionResponse,
         binary: bool,
         status: u16,
     ) -> Result<(), PacketError> {
         let (names, rows) = match said {
-            Said::Ok => return wire.send(&done(status)[..]).await,
-            Said::Error(code, state, message) => {
+            SessionResponse::Ok => return wire.send(&done(status)[..]).await,
+            SessionResponse::Error(code, state, message) => {
                 return wire
                     .send(
                         &err_packet(&SqlError {
@@ -446,8 +446,8 @@
                     )
                     .await;
             }
-            Said::Row(names, row) => (names, vec![row]),
-            Said::Rows(names, rows) => (names, rows),
+            SessionResponse::Row(names, row) => (names, vec![row]),
+            SessionResponse::Rows(names, rows) => (names, rows),
         };
         wire.feed(&[names.len() as u8][..]).await?;
         for name in &names {
--- a/crates/testbed/src/session.rs
+++ b/crates/testbed/src/fakes/engine_session.rs
@@ -36,7 +36,7 @@
 
 /// What a statement comes to that an engine answers without touching a table.
 #[derive(Debug, PartialEq)]
-pub enum Said {
+pub enum SessionResponse {
     Ok,
     /// Names of columns and one row; none is NULL.
     Row(Vec<String>, Vec<Option<String>>),
@@ -97,12 +97,12 @@
     }
 
     /// What it answers by itself; none for what reads or changes tables, of which it takes note.
-    pub fn says(&mut self, sql: &str) -> Option<Said> {
+    pub fn says(&mut self, sql: &str) -> Option<SessionResponse> {
         let text = plain(sql);
         let lower = text.to_ascii_lowercase();
         let words: Vec<&str> = lower.split_ascii_whitespace().collect();
         match words[..] {
-            ["set", "transaction", ..] => return Some(Said::Ok),
+            ["set", "transaction", ..] => return Some(SessionResponse::Ok),
             ["set", "names", ref rest @ ..] => {
                 let set = rest.first().map_or("", |w| w.trim_matches(['\'', '"']));
                 for v in [
@@ -112,33 +112,36 @@
                 ] {
                     self.variables.insert(v.into(), set.into());
                 }
-                return Some(Said::Ok);
+                return Some(SessionResponse::Ok);
             }
             ["set", ..] => return Some(self.set(&text[3..])),
-            ["kill", ..] => return Some(Said::Ok),
+            ["kill", ..] => return Some(SessionResponse::Ok),
             ["begin"] | ["start", "transaction", ..] => {
                 self.commit();
                 self.open = true;
-                return Some(Said::Ok);
+                return Some(SessionResponse::Ok);
             }
             ["commit", ref rest @ ..] => {
                 self.commit();
                 self.open = rest.contains(&"chain") && !rest.contains(&"no");
-                return Some(Said::Ok);
+                return Some(SessionResponse::Ok);
             }
             ["rollback"] => {
                 self.pending.clear();
                 self.open = false;
-                return Some(Said::Ok);
+                return Some(SessionResponse::Ok);
             }
             ["rollback" | "savepoint" | "release" | "lock" | "unlock", ..] => {
-                return Some(Said::Ok);
+                return Some(SessionResponse::Ok);
             }
             ["show", "warnings", ..] => {
                 let columns = ["Level", "Code", "Message"].map(String::from).to_vec();
                 let row =
                     |w: &String| vec![Some("Warning".into()), Some("1265".into()), Some(w.clone())];
-                return Some(Said::Rows(columns, self.warned.iter().map(row).collect()));
+                return Some(SessionResponse::Rows(
+                    columns,
+                    self.warned.iter().map(row).collect(),
+                ));
             }
             ["show", "variables" | "session", ..] => {
                 let like = text
@@ -154,7 +157,7 @@
                 let rows = rows
                     .map(|(n, v)| vec![Some(n.clone()), Some(v.clone())])
                     .collect();
-                return Some(Said::Rows(
+                return Some(SessionResponse::Rows(
                     vec!["Variable_name".into(), "Value".into()],
                     rows,
                 ));
@@ -192,11 +195,11 @@
         None
     }
 
-    fn set(&mut self, list: &str) -> Said {
+    fn set(&mut self, list: &str) -> SessionResponse {
         let mut new = (self.variables.clone(), self.users.clone());
         for one in split(list) {
             let Some((name, value)) = one.split_once('=') else {
-                return Said::Error(1064, "42000", format!("near {one}"));
+                return SessionResponse::Error(1064, "42000", format!("near {one}"));
             };
             let name = name
                 .trim()
@@ -206,7 +209,7 @@
             let value = value.trim();
             if let Some(user) = name.strip_prefix('@').filter(|n| !n.starts_with('@')) {
                 let Some(v) = self.value(value) else {
-                    return Said::Error(1064, "42000", value.into());
+                    return SessionResponse::Error(1064, "42000", value.into());
                 };
                 new.1.insert(user.trim_matches('`').into(), v);
                 continue;
@@ -217,7 +220,11 @@
                 .unwrap_or(&name)
                 .to_string();
             let Some((_, default)) = VARIABLES.iter().find(|v| v.0 == name) else {
-                return Said::Error(1193, "HY000", format!("Unknown system variable '{name}'"));
+                return SessionResponse::Error(
+                    1193,
+                    "HY000",
+                    format!("Unknown system variable '{name}'"),
+                );
             };
             let value = match value.to_ascii_lowercase().as_str() {
                 "default" => Some((*default).to_string()),
@@ -227,7 +234,7 @@
             };
             let value = value.unwrap_or_default();
             if name == "sql_mode" && value.split(',').any(|m| m == "NONSENSE") {
-                return Said::Error(
+                return SessionResponse::Error(
                     1231,
                     "42000",
                     format!("Variable 'sql_mode' can't be set to '{value}'"),
@@ -239,7 +246,7 @@
         if self.variables["autocommit"] == "1" {
             self.commit();
         }
-        Said::Ok
+        SessionResponse::Ok
     }
 
     /// A value that needs no table; none if that cannot be told, `Some(None)` for NULL.
@@ -303,12 +310,12 @@
             .filter(|w| w.eq_ignore_ascii_case("select"))
             .map(|_| &text[6..])?;
         match self.select(list)? {
-            Said::Row(names, _) => Some(names.len()),
+            SessionResponse::Row(names, _) => Some(names.len()),
             _ => None,
         }
     }
 
-    fn select(&self, list: &str) -> Option<Said> {
+    fn select(&self, list: &str) -> Option<SessionResponse> {
         let list = list.trim();
         let list = list
             .strip_suffix("LIMIT 1")
@@ -322,7 +329,7 @@
             row.push(self.value(value)?);
             names.push(name.trim_matches('`').to_string());
         }
-        Some(Said::Row(names, row))
+        Some(SessionResponse::Row(names, row))
     }
 }
 
@@ -367,9 +374,9 @@
         let mut s = Session::new(7, "e");
         assert_eq!(
             s.says("SET SESSION time_zone = '+02:00', @x = 'it''s'"),
-            Some(Said::Ok)
+            Some(SessionResponse::Ok)
         );
-        let row = Said::Row(
+        let row = SessionResponse::Row(
             vec!["@@time_zone".into(), "x".into(), "n".into()],
             vec![Some("+02:00".into()), Some("it's".into()), Some("7".into())],
         );
@@ -379,7 +386,7 @@
         );
         assert!(matches!(
             s.says("SET SESSION nonsense = 1, time_zone = 'x'"),
-            Some(Said::Error(1193, ..))
+            Some(SessionResponse::Error(1193, ..))
         ));
         assert_eq!(s.variables["time_zone"], "+02:00", "all or nothing");
         s.says("SET SESSION time_zone = DEFAULT, sql_mode = (SELECT CONCAT(@@sql_mode, ',ANSI'))");
--- a/crates/testbed/src/stand.rs
+++ b/crates/testbed/src/fixture.rs
@@ -1,16 +1,16 @@
 //! What a dispatcher stands in: engines, and the operators' file that leads it to registries; and the rules that are
 //! checked of what engines were sent.
 
-use crate::engine::Engine;
+use crate::fakes::engine::Engine;
+use crate::fakes::registry::{Instance, Node};
 use crate::now;
-use crate::registry::{Instance, Node};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// A free port of this machine.
-pub fn free() -> SocketAddr {
+pub fn ephemeral_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -21,13 +21,13 @@
 pub async fn engines(n: usize, work: Duration) -> io::Result<Vec<Engine>> {
     let mut all = vec![];
     for i in 0..n {
-        all.push(Engine::start(&format!("engine-{i}"), free(), work).await?);
+        all.push(Engine::start(&format!("engine-{i}"), ephemeral_address(), work).await?);
     }
     Ok(all)
 }
 
 /// Registers engines as `ENGINES`, alike at each of these registries; up for a minute, so that none is cold.
-pub fn register(nodes: &[&Node], engines: &[Engine]) {
+pub fn register_engines(nodes: &[&Node], engines: &[Engine]) {
     for e in engines {
         let long_up = now() - 60_000.0;
         let instance = Instance::engine("ENGINES", e.name(), e.address().port(), now());
@@ -41,7 +41,7 @@
 }
 
 /// The operators' file of a dispatcher: `eureka` is its `[eureka]` and what belongs there, `top` further keys.
-pub fn file(top: &str, eureka: &str) -> String {
+pub fn dispatcher_file(top: &str, eureka: &str) -> String {
     format!(
         r#"listen = "127.0.0.1:0"
 admin_addr = "127.0.0.1:0"
@@ -73,12 +73,12 @@
 
 {eureka}
 "#,
-        password = crate::engine::PASSWORD,
+        password = crate::fakes::engine::PASSWORD,
     )
 }
 
 /// `[eureka]` with these servers, a round every 200 ms, and further keys.
-pub fn eureka(nodes: &[&Node], more: &str) -> String {
+pub fn eureka_section(nodes: &[&Node], more: &str) -> String {
     let urls: Vec<String> = nodes.iter().map(|n| format!("{:?}", n.url())).collect();
     format!(
         "[eureka]\nservers = [{}]\napp = \"ENGINES\"\nperiod_s = 0.2\ntimeout_ms = 1000\n{more}",
@@ -88,7 +88,7 @@
 
 /// A rule that a run broke, with the first event that did.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Broken {
+pub enum RuleViolation {
     #[error("{engine} was sent {sql:?} {late:.0} ms after the notice that it drains")]
     Drain {
         engine: String,
@@ -100,7 +100,7 @@
     #[error(
         "{engine} was sent {sent} statements within {within:.0} ms of its start, where {most} were allowed"
     )]
-    Cold {
+    SlowStart {
         engine: String,
         sent: usize,
         most: usize,
@@ -112,11 +112,11 @@
 ///
 /// # Errors
 /// The first statement that came later.
-pub fn drained(engine: &Engine, notice: f64) -> Result<f64, Broken> {
-    let ran = engine.ran();
+pub fn check_drain(engine: &Engine, notice: f64) -> Result<f64, RuleViolation> {
+    let ran = engine.executions();
     let after: Vec<_> = ran.iter().filter(|r| r.at > notice).collect();
     match after.iter().find(|r| r.at > notice + 1000.0) {
-        Some(r) => Err(Broken::Drain {
+        Some(r) => Err(RuleViolation::Drain {
             engine: engine.name().into(),
             sql: r.sql.clone(),
             late: r.at - notice,
@@ -129,18 +129,18 @@
 ///
 /// # Errors
 /// The first that did.
-pub fn loads_once(engines: &[Engine]) -> Result<usize, Broken> {
+pub fn check_loads_run_once(engines: &[Engine]) -> Result<usize, RuleViolation> {
     let mut times: BTreeMap<String, usize> = BTreeMap::new();
     for r in engines
         .iter()
-        .flat_map(Engine::ran)
+        .flat_map(Engine::executions)
         .filter(|r| r.sql.starts_with("insert"))
     {
         *times.entry(r.sql).or_default() += 1;
     }
     let n = times.len();
     match times.into_iter().find(|(_, times)| *times > 1) {
-        Some((sql, times)) => Err(Broken::LoadTwice { sql, times }),
+        Some((sql, times)) => Err(RuleViolation::LoadTwice { sql, times }),
         None => Ok(n),
     }
 }
@@ -150,12 +150,12 @@
 ///
 /// # Errors
 /// One did. Else the most that any span brought, and all since the start.
-pub fn spared(
+pub fn check_slow_start(
     engine: &Engine,
     within: f64,
     most: impl Fn(f64) -> usize,
-) -> Result<(usize, usize), Broken> {
-    let (started, ran) = (engine.started(), engine.ran());
+) -> Result<(usize, usize), RuleViolation> {
+    let (started, ran) = (engine.started(), engine.executions());
     let times: Vec<f64> = ran
         .iter()
         .map(|r| r.at)
@@ -169,7 +169,7 @@
             .count();
         let most = most(from - started);
         if sent > most {
-            return Err(Broken::Cold {
+            return Err(RuleViolation::SlowStart {
                 engine: engine.name().into(),
                 sent,
                 most,
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,23 +1,17 @@
-//! Stand-ins for what stands round a dispatcher, written from public specifications, and the tools that measure it.
+//! Fakes of what surrounds a dispatcher, a simulation of a whole fleet in virtual time, and the tools that measure both.
 //! Tests, measurements and examples share them. Everything stays on loopback and on one thread.
 
-pub mod client;
-pub mod compare;
-pub mod engine;
-pub mod measure;
-pub mod measure_sessions;
-pub mod measure_spool;
-pub mod model;
+pub mod clients;
+pub mod comparison;
+pub mod fakes;
+pub mod fixture;
+pub mod measurements;
 pub mod program;
 pub mod random;
-pub mod raw;
-pub mod registry;
 pub mod scenario;
-pub mod session;
-pub mod stand;
-pub mod world;
+pub mod simulation;
 
-/// The machine's Unix clock, in milliseconds: the stand-ins' logs and the checkers run on it.
+/// The machine's Unix clock, in milliseconds: the fakes' logs and the checkers use it.
 pub fn now() -> f64 {
     query_dispatcher::clock::unix_time_millis()
 }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -5,10 +5,10 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
-use testbed::measure::{self, Subject};
-use testbed::measure_sessions;
-use testbed::measure_spool::{self, Spooling};
-use testbed::registry::{Instance, Node, Rules};
+use testbed::fakes::registry::{Instance, Node, Rules};
+use testbed::measurements::membership::{self, Subject};
+use testbed::measurements::sessions;
+use testbed::measurements::spool::{self, Spooling};
 use tokio::task::LocalSet;
 
 #[derive(Parser)]
@@ -220,7 +220,7 @@
             work_ms,
         } => {
             let engines =
-                measure::serve_engines(count, port, Duration::from_millis(work_ms)).await?;
+                membership::serve_engines(count, port, Duration::from_millis(work_ms)).await?;
             engines
                 .iter()
                 .for_each(|e| println!("{} at {}", e.name(), e.address()));
@@ -237,39 +237,40 @@
                     instances,
                     drains,
                 } => {
-                    measure::drains(&which.subject(), registries.max(1), instances, drains).await?
+                    membership::drains(&which.subject(), registries.max(1), instances, drains)
+                        .await?
                 }
                 Measure::Rounds {
                     which,
                     instances,
                     full,
-                } => measure::rounds(&which.subject(), instances, full).await?,
+                } => membership::rounds(&which.subject(), instances, full).await?,
                 Measure::Outage {
                     which,
                     seconds,
                     restart,
-                } => measure::outage(&which.subject(), seconds, restart).await?,
+                } => membership::outage(&which.subject(), seconds, restart).await?,
                 Measure::Occupancy { which, pace } => {
-                    measure_spool::occupancy(&which.spooling(), pace).await?
+                    spool::occupancy(&which.spooling(), pace).await?
                 }
                 Measure::Readers {
                     which,
                     readers,
                     megabytes,
-                } => measure_spool::readers(&which.spooling(), readers, megabytes).await?,
+                } => spool::readers(&which.spooling(), readers, megabytes).await?,
                 Measure::Throughput { which, megabytes } => {
-                    measure_spool::throughput(&which.spooling(), megabytes).await?
+                    spool::throughput(&which.spooling(), megabytes).await?
                 }
                 Measure::Small { which, requests } => {
-                    measure_spool::small(&which.spooling(), requests).await?
+                    spool::small(&which.spooling(), requests).await?
                 }
                 Measure::Recovery { which, spools } => {
-                    measure_spool::recovery(&which.spooling(), spools).await?
+                    spool::recovery(&which.spooling(), spools).await?
                 }
                 Measure::Sessions { which, statements } => {
-                    measure_sessions::sessions(&which.subject(), statements).await?
+                    sessions::sessions(&which.subject(), statements).await?
                 }
-                Measure::Start { which } => measure::start_alone(&which.subject()).await?,
+                Measure::Start { which } => membership::start_alone(&which.subject()).await?,
             };
             println!("{line}");
         }
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measurements/membership.rs
@@ -1,12 +1,12 @@
 //! Measurements of membership on real sockets: long, and no part of any test. Each prints a line of JSON, so that an
 //! earlier program can be measured by the same script and laid beside.
 
-use crate::client::{Clients, End, Load};
-use crate::engine::Engine;
+use crate::clients::load::{Clients, End, Load};
+use crate::fakes::engine::Engine;
+use crate::fakes::registry::{Fault, Instance, Node, Rules};
+use crate::fixture::{self, ephemeral_address};
 use crate::now;
 use crate::program::{Folder, Program, ProgramError};
-use crate::registry::{Fault, Instance, Node, Rules};
-use crate::stand::{self, free};
 use hdrhistogram::Histogram;
 use query_dispatcher::membership::Status;
 use serde::Serialize;
@@ -64,7 +64,7 @@
             &self.program,
             folder,
             "measured",
-            &stand::file(&top, section),
+            &fixture::dispatcher_file(&top, section),
         )
         .await?)
     }
@@ -109,7 +109,7 @@
         // Nothing is let go while it is measured, and no delta grows without end.
         all.push(
             Node::start(
-                free(),
+                ephemeral_address(),
                 Rules {
                     preserve: 1.0,
                     retention: 10_000.0,
@@ -163,9 +163,9 @@
 ) -> Result<Value, MeasureError> {
     let folder = Folder::new("measure-drains")?;
     let nodes = nodes(registries).await?;
-    let engines = stand::engines(5, Duration::from_millis(4)).await?;
+    let engines = fixture::engines(5, Duration::from_millis(4)).await?;
     let all: Vec<&Node> = nodes.iter().collect();
-    stand::register(&all, &engines);
+    fixture::register_engines(&all, &engines);
     fill(&nodes, engines.len(), instances);
     let program = subject
         .start(&folder, "", &subject.section(&all, 1.0, "ask = 1"))
@@ -207,7 +207,7 @@
         };
         pass(1400).await;
         let last = engine
-            .ran()
+            .executions()
             .iter()
             .rev()
             .find(|r| r.at > notice)
@@ -241,8 +241,8 @@
 ) -> Result<Value, MeasureError> {
     let folder = Folder::new("measure-rounds")?;
     let nodes = nodes(1).await?;
-    let engines = stand::engines(2, Duration::from_millis(1)).await?;
-    stand::register(&[&nodes[0]], &engines);
+    let engines = fixture::engines(2, Duration::from_millis(1)).await?;
+    fixture::register_engines(&[&nodes[0]], &engines);
     fill(&nodes, engines.len(), instances);
     // Changes that are told in every delta end with their retention.
     pass(if instances > 100 { 11_000 } else { 0 }).await;
@@ -310,9 +310,9 @@
 pub async fn outage(subject: &Subject, seconds: u64, restart: bool) -> Result<Value, MeasureError> {
     let folder = Folder::new("measure-outage")?;
     let nodes = nodes(2).await?;
-    let engines = stand::engines(3, Duration::from_millis(400)).await?;
+    let engines = fixture::engines(3, Duration::from_millis(400)).await?;
     let all: Vec<&Node> = nodes.iter().collect();
-    stand::register(&all, &engines);
+    fixture::register_engines(&all, &engines);
     let program = subject
         .start(&folder, "", &subject.section(&all, 1.0, ""))
         .await?;
@@ -333,7 +333,7 @@
         pass(3000).await;
         engines[0].again().await?;
         pass(8000).await;
-        let most = stand::spared(&engines[0], 2000.0, |_| usize::MAX);
+        let most = fixture::check_slow_start(&engines[0], 2000.0, |_| usize::MAX);
         cold = json!(most.map_or(0, |m| m.0));
     }
     pass(500 * seconds).await;
@@ -352,7 +352,7 @@
         "measure": "outage", "earlier": subject.earlier, "seconds": seconds, "restart": restart,
         "ends": ends.into_iter().collect::<std::collections::BTreeMap<_, _>>(),
         "most_in_2_s_on_the_cold_engine": cold, "borne_cold_in_2_s": 48,
-        "loads_run_twice": stand::loads_once(&engines).is_err(),
+        "loads_run_twice": fixture::check_loads_run_once(&engines).is_err(),
     }))
 }
 
@@ -363,8 +363,8 @@
 pub async fn start_alone(subject: &Subject) -> Result<Value, MeasureError> {
     let folder = Folder::new("measure-start")?;
     let nodes = nodes(1).await?;
-    let engines = stand::engines(3, Duration::from_millis(10)).await?;
-    stand::register(&[&nodes[0]], &engines);
+    let engines = fixture::engines(3, Duration::from_millis(10)).await?;
+    fixture::register_engines(&[&nodes[0]], &engines);
     let top = format!("state_dir = {:?}", folder.path());
     let section = subject.section(&[&nodes[0]], 1.0, "");
     let program = subject.start(&folder, &top, &section).await?;
--- a/crates/testbed/src/measure_sessions.rs
+++ b/crates/testbed/src/measurements/sessions.rs
@@ -1,10 +1,10 @@
 //! What sessions of the MySQL front cost, against the same stand-in engine asked directly.
 
-use crate::engine::PASSWORD;
-use crate::measure::{MeasureError, Subject};
+use crate::clients::mysql::{Session, SessionOptions};
+use crate::fakes::engine::PASSWORD;
+use crate::fixture;
+use crate::measurements::membership::{MeasureError, Subject};
 use crate::program::Folder;
-use crate::raw::{Session, Wants};
-use crate::stand;
 use hdrhistogram::Histogram;
 use query_dispatcher::protocol::mysql::packet::PacketError;
 use serde_json::{Value, json};
@@ -18,13 +18,13 @@
 const IDLE: usize = 200;
 const PINNED: usize = 40;
 
-struct Ran {
+struct SessionRun {
     /// Microseconds.
     latency: Histogram<u64>,
     seconds: f64,
 }
 
-impl Ran {
+impl SessionRun {
     fn told(&self, cpu: Option<f64>) -> Value {
         let n = self.latency.len();
         json!({
@@ -37,11 +37,15 @@
 }
 
 async fn log_in(at: SocketAddr, user: &str, password: &str) -> Result<Session, PacketError> {
-    Session::log_in(at, user, password, Wants::default()).await
+    Session::log_in(at, user, password, SessionOptions::default()).await
 }
 
 /// Rounds of these statements, by turns on these sessions.
-async fn rounds(all: &mut [Session], sqls: &[&str], rounds: usize) -> Result<Ran, MeasureError> {
+async fn rounds(
+    all: &mut [Session],
+    sqls: &[&str],
+    rounds: usize,
+) -> Result<SessionRun, MeasureError> {
     let bounds = Histogram::new_with_bounds(1, 60_000_000, 3);
     let mut latency = bounds.map_err(|e| MeasureError::Client(e.to_string()))?;
     let (began, turns) = (Instant::now(), all.len().max(1));
@@ -57,7 +61,7 @@
             let _ = latency.record(asked.elapsed().as_micros() as u64 + 1);
         }
     }
-    Ok(Ran {
+    Ok(SessionRun {
         latency,
         seconds: began.elapsed().as_secs_f64(),
     })
@@ -92,7 +96,7 @@
 /// The program cannot be started, or an answer is wrong.
 pub async fn sessions(subject: &Subject, statements: usize) -> Result<Value, MeasureError> {
     let failed = |e: PacketError| MeasureError::Never(format!("a session: {e}"));
-    let engines = stand::engines(1, Duration::ZERO).await?;
+    let engines = fixture::engines(1, Duration::ZERO).await?;
     let engine = engines
         .first()
         .ok_or_else(|| MeasureError::Never("an engine".into()))?;
@@ -103,7 +107,7 @@
         engine.address()
     );
     let (tls, client) = keys(&folder)?;
-    let text = stand::file("max_clients = 512", &format!("{list}{tls}"));
+    let text = fixture::dispatcher_file("max_clients = 512", &format!("{list}{tls}"));
     let text = text.replace("[engines]", "[engines]\nconnections = 64");
     let program =
         crate::program::Program::start(&subject.program, &folder, "sessions", &text).await?;
--- a/crates/testbed/src/measure_spool.rs
+++ b/crates/testbed/src/measurements/spool.rs
@@ -1,11 +1,11 @@
 //! Measurements of results that wait for slow readers, on real sockets: long, and no part of any test.
 
-use crate::engine::Engine;
-use crate::measure::MeasureError;
+use crate::clients::mysql::{Session, SessionOptions};
+use crate::fakes::engine::Engine;
+use crate::fixture;
+use crate::measurements::membership::MeasureError;
 use crate::now;
 use crate::program::{Folder, Program};
-use crate::raw::{Session, Wants};
-use crate::stand;
 use serde_json::{Value, json};
 use std::io::Write;
 use std::path::Path;
@@ -42,7 +42,7 @@
             ),
         };
         let top = format!("max_clients = 500\nconnect_timeout_ms = 1000\n{top}");
-        let text = stand::file(&top, &format!("{list}{rest}"));
+        let text = fixture::dispatcher_file(&top, &format!("{list}{rest}"));
         let text = text.replace("deadline_ms = 5000.0", "deadline_ms = 120000.0");
         Ok(Program::start(self.program, folder, "measured", &text).await?)
     }
@@ -68,20 +68,24 @@
 /// The program or a stand-in does not do its part.
 pub async fn occupancy(subject: &Spooling<'_>, pace: usize) -> Result<Value, MeasureError> {
     let folder = Folder::new("measure-occupancy")?;
-    let engines = stand::engines(1, Duration::from_millis(1)).await?;
+    let engines = fixture::engines(1, Duration::from_millis(1)).await?;
     let program = subject
         .start(&folder, &engines, "result = \"1 GB\"")
         .await?;
     let sql = "select engine from report /* rows(10000, 1000) */";
     for _ in 0..12 {
-        let wants = Wants {
+        let wants = SessionOptions {
             receive: (pace > 0).then_some(8192),
-            ..Wants::default()
+            ..SessionOptions::default()
         };
         let mut s = Session::log_in(program.address, "guest", "guest", wants)
             .await
             .map_err(broken)?;
-        let before = engines[0].ran().iter().filter(|r| r.answered).count();
+        let before = engines[0]
+            .executions()
+            .iter()
+            .filter(|r| r.answered)
+            .count();
         let reader = spawn_local(async move {
             match pace {
                 // As long between two reports as with the slow ones: an idle machine starts slowly.
@@ -95,13 +99,24 @@
                 }
             }
         });
-        while engines[0].ran().iter().filter(|r| r.answered).count() == before {
+        while engines[0]
+            .executions()
+            .iter()
+            .filter(|r| r.answered)
+            .count()
+            == before
+        {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         let _ = reader.await;
     }
     // The first two are not counted: connections and buffers are new.
-    let mut held: Vec<f64> = engines[0].ran().iter().skip(2).map(|r| r.held).collect();
+    let mut held: Vec<f64> = engines[0]
+        .executions()
+        .iter()
+        .skip(2)
+        .map(|r| r.held)
+        .collect();
     held.sort_by(f64::total_cmp);
     Ok(json!({
         "measure": "occupancy", "earlier": subject.earlier, "pace": pace, "mb": 10, "n": held.len(),
@@ -119,7 +134,7 @@
     megabytes: u64,
 ) -> Result<Value, MeasureError> {
     let folder = Folder::new("measure-readers")?;
-    let engines = stand::engines(2, Duration::from_millis(1)).await?;
+    let engines = fixture::engines(2, Duration::from_millis(1)).await?;
     let spool = "memory = \"16 MB\"\ndisk = \"20 GB\"\nresult = \"1 GB\"";
     let program = subject.start(&folder, &engines, spool).await?;
     let sql = format!(
@@ -129,9 +144,9 @@
     let began = now();
     let mut tasks = vec![];
     for n in 0..readers {
-        let wants = Wants {
+        let wants = SessionOptions {
             receive: Some(8192),
-            ..Wants::default()
+            ..SessionOptions::default()
         };
         let mut s = Session::log_in(program.address, "guest", "guest", wants)
             .await
@@ -143,7 +158,7 @@
         }));
         while engines
             .iter()
-            .flat_map(Engine::ran)
+            .flat_map(Engine::executions)
             .filter(|r| r.answered)
             .count()
             < n + 1
@@ -173,7 +188,7 @@
 /// The program or a stand-in does not do its part.
 pub async fn throughput(subject: &Spooling<'_>, megabytes: u64) -> Result<Value, MeasureError> {
     let folder = Folder::new("measure-throughput")?;
-    let block = crate::engine::filled(1, 1 << 20);
+    let block = crate::fakes::engine::filled(1, 1 << 20);
     let began = now();
     let mut file = std::fs::File::create(folder.path().join("plain"))?;
     for _ in 0..megabytes {
@@ -181,10 +196,10 @@
     }
     file.sync_all()?;
     let plain = (now() - began) / 1000.0;
-    let engines = stand::engines(1, Duration::from_millis(1)).await?;
+    let engines = fixture::engines(1, Duration::from_millis(1)).await?;
     let spool = "memory = \"16 MB\"\ndisk = \"8 GB\"\nresult = \"4 GB\"";
     let program = subject.start(&folder, &engines, spool).await?;
-    let mut s = Session::log_in(program.address, "guest", "guest", Wants::default())
+    let mut s = Session::log_in(program.address, "guest", "guest", SessionOptions::default())
         .await
         .map_err(broken)?;
     let sql = format!(
@@ -216,9 +231,9 @@
 /// The program or a stand-in does not do its part.
 pub async fn small(subject: &Spooling<'_>, requests: u64) -> Result<Value, MeasureError> {
     let folder = Folder::new("measure-small")?;
-    let engines = stand::engines(2, Duration::ZERO).await?;
+    let engines = fixture::engines(2, Duration::ZERO).await?;
     let program = subject.start(&folder, &engines, "").await?;
-    let mut s = Session::log_in(program.address, "guest", "guest", Wants::default())
+    let mut s = Session::log_in(program.address, "guest", "guest", SessionOptions::default())
         .await
         .map_err(broken)?;
     let mut spans = vec![];
@@ -250,12 +265,12 @@
 /// The program or a stand-in does not do its part.
 pub async fn recovery(subject: &Spooling<'_>, spools: u64) -> Result<Value, MeasureError> {
     let folder = Folder::new("measure-recovery")?;
-    let engines = stand::engines(2, Duration::ZERO).await?;
+    let engines = fixture::engines(2, Duration::ZERO).await?;
     let spool = "keep_s = 3600\nmost = 20000\ndisk = \"8 GB\"";
     let program = subject.start(&folder, &engines, spool).await?;
     let mut tasks = vec![];
     for n in 0..8 {
-        let mut s = Session::log_in(program.address, "guest", "guest", Wants::default())
+        let mut s = Session::log_in(program.address, "guest", "guest", SessionOptions::default())
             .await
             .map_err(broken)?;
         tasks.push(spawn_local(async move {
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -1,13 +1,13 @@
-//! A day as a JSON5 file: the fleet, the load and the trouble. `lab/scenarios/` holds ready ones.
+//! A scenario as a JSON5 file: the fleet, the load and the faults. `lab/scenarios/` has ready ones.
 
-use crate::model::Params;
+use crate::simulation::emulator::Params;
 use query_dispatcher::{
     Class, EngineCapabilities, Idempotency, Kind, Limits, ReportField, Rules, Settings, Tenant,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Why a file is no day.
+/// Why a file is not a valid scenario.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
     #[error("{path}: {problem}")]
@@ -23,7 +23,7 @@
     }
 }
 
-/// A day. Spans are in seconds where a name ends in `_s`, in milliseconds where it ends in `_ms`.
+/// A scenario. Spans are in seconds where a name ends in `_s`, in milliseconds where it ends in `_ms`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
@@ -37,36 +37,36 @@
     pub dispatchers: usize,
     #[serde(default = "one_zone")]
     pub zones: Vec<String>,
-    pub engines: Vec<EngineSet>,
+    pub engines: Vec<EngineGroup>,
     /// Kinds by name; what is left out is as in [`Params::default`].
     #[serde(default)]
     pub kinds: BTreeMap<String, Params>,
     #[serde(default = "classes")]
-    pub classes: Vec<ClassSet>,
+    pub classes: Vec<ClassSpec>,
     #[serde(default)]
-    pub tenants: Vec<TenantSet>,
+    pub tenants: Vec<TenantSpec>,
     pub load: Load,
     #[serde(default)]
-    pub net: Net,
-    #[serde(default)]
-    pub trouble: Vec<Trouble>,
+    pub net: Network,
+    #[serde(default, rename = "trouble")]
+    pub faults: Vec<Fault>,
 }
 
 fn one_zone() -> Vec<String> {
     vec!["home".into()]
 }
 
-/// So many engines of a kind, spread over the zones in turn.
+/// This many engines of a kind, distributed over the zones in turn.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct EngineSet {
+pub struct EngineGroup {
     pub kind: String,
     pub count: usize,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ClassSet {
+pub struct ClassSpec {
     pub name: String,
     /// Its part of all requests.
     pub share: f64,
@@ -93,11 +93,13 @@
     pub deadline_ms: f64,
     /// Running it twice would do harm.
     #[serde(default, rename = "unsafe")]
-    pub fragile: bool,
-    #[serde(default)]
-    pub holds: bool,
-    #[serde(default)]
-    pub stands: bool,
+    pub non_idempotent: bool,
+    /// It locks the tables of its area while it runs.
+    #[serde(default, rename = "holds")]
+    pub holds_tables: bool,
+    /// It waits while a load locks the tables of its area.
+    #[serde(default, rename = "stands")]
+    pub waits_for_loads: bool,
 }
 
 fn one() -> f64 {
@@ -109,7 +111,7 @@
 }
 
 /// The operators' three classes.
-fn classes() -> Vec<ClassSet> {
+fn classes() -> Vec<ClassSpec> {
     let class = |name: &str,
                  share,
                  work_ms,
@@ -120,7 +122,7 @@
                  aim_ms,
                  latency_objective_slowdown,
                  deadline_ms| {
-        ClassSet {
+        ClassSpec {
             name: name.into(),
             share,
             work_ms,
@@ -133,9 +135,9 @@
             latency_objective_slowdown,
             late_answer_weight: 0.25,
             deadline_ms,
-            fragile: name == "load",
-            holds: name == "load",
-            stands: name != "load",
+            non_idempotent: name == "load",
+            holds_tables: name == "load",
+            waits_for_loads: name != "load",
         }
     };
     vec![
@@ -180,7 +182,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct TenantSet {
+pub struct TenantSpec {
     pub name: String,
     /// Its part of all requests.
     pub share: f64,
@@ -188,7 +190,7 @@
     pub quota_per_s: Option<f64>,
 }
 
-/// Arrivals wait for nobody.
+/// The offered load: arrivals do not wait for answers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
@@ -252,7 +254,7 @@
 /// One way, between a gateway and an engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Net {
+pub struct Network {
     pub within_ms: f64,
     /// Between zones, drawn anew for each message.
     pub across_ms: [f64; 2],
@@ -262,9 +264,9 @@
     pub lost_notes: f64,
 }
 
-impl Default for Net {
+impl Default for Network {
     fn default() -> Self {
-        Net {
+        Network {
             within_ms: 0.3,
             across_ms: [1.4, 2.6],
             list_ms: [200.0, 900.0],
@@ -273,10 +275,10 @@
     }
 }
 
-/// Which engines.
+/// Which engines a fault affects.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Which {
+pub enum EngineSelection {
     /// By their places in the fleet.
     These(Vec<usize>),
     /// So many, drawn.
@@ -287,24 +289,30 @@
     Zone { zone: String },
 }
 
-/// Something that goes wrong, from `at_s` on.
+/// A fault that begins at `at_s`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Trouble {
+pub struct Fault {
     pub at_s: f64,
     #[serde(flatten)]
-    pub what: What,
+    pub what: FaultKind,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
-pub enum What {
+pub enum FaultKind {
     /// Processes end, and come back cold.
-    Die { engines: Which, back_s: f64 },
+    Die {
+        engines: EngineSelection,
+        back_s: f64,
+    },
     /// They take requests and answer none.
-    Hang { engines: Which, for_s: f64 },
+    Hang {
+        engines: EngineSelection,
+        for_s: f64,
+    },
     /// Another program takes this part of the machine.
     Neighbour {
-        engines: Which,
+        engines: EngineSelection,
         part: f64,
         for_s: f64,
     },
@@ -321,7 +329,7 @@
     Partition {
         #[serde(rename = "gateways")]
         dispatchers: Vec<usize>,
-        engines: Which,
+        engines: EngineSelection,
         for_s: f64,
     },
     /// Messages of these gateways take so much longer.
@@ -332,25 +340,31 @@
         for_s: f64,
     },
     /// What these engines have breaks off; their processes go on.
-    Reset { engines: Which },
+    Reset { engines: EngineSelection },
     /// All engines of a zone end; those that are back start cold.
-    BuildingLost { zone: String, back_s: f64 },
+    #[serde(rename = "building_lost")]
+    ZoneOutage { zone: String, back_s: f64 },
     /// The list takes them out of service; after `for_s` they are back, restarted.
-    Drain { engines: Which, for_s: f64 },
+    Drain {
+        engines: EngineSelection,
+        for_s: f64,
+    },
     /// One after the other: drained, restarted, back.
     RollingRestart { each_s: f64, drain_s: f64 },
     /// Operators take them out at every gateway, restart them and put them back.
-    ByHand {
-        engines: Which,
+    #[serde(rename = "by_hand")]
+    AdministrativeDrain {
+        engines: EngineSelection,
         for_s: f64,
         restart_after_s: f64,
     },
     /// No news of the list reaches anybody.
-    RegistryAway { for_s: f64 },
+    #[serde(rename = "registry_away")]
+    RegistryOutage { for_s: f64 },
 }
 
 impl Scenario {
-    /// Reads a day.
+    /// Reads a scenario.
     ///
     /// # Errors
     /// What is wrong with the file, by its key.
@@ -428,40 +442,41 @@
         if self.load.shape.windows(2).any(|w| w[0][0] >= w[1][0]) {
             return Err(bad("load.shape", "moments must rise"));
         }
-        for (i, t) in self.trouble.iter().enumerate() {
+        for (i, t) in self.faults.iter().enumerate() {
             let key = format!("trouble[{i}]");
             let which = match &t.what {
-                What::Die { engines, .. }
-                | What::Hang { engines, .. }
-                | What::Neighbour { engines, .. }
-                | What::Partition { engines, .. }
-                | What::Reset { engines }
-                | What::Drain { engines, .. }
-                | What::ByHand { engines, .. } => Some(engines.clone()),
-                What::BuildingLost { zone, .. } => Some(Which::Zone { zone: zone.clone() }),
+                FaultKind::Die { engines, .. }
+                | FaultKind::Hang { engines, .. }
+                | FaultKind::Neighbour { engines, .. }
+                | FaultKind::Partition { engines, .. }
+                | FaultKind::Reset { engines }
+                | FaultKind::Drain { engines, .. }
+                | FaultKind::AdministrativeDrain { engines, .. } => Some(engines.clone()),
+                FaultKind::ZoneOutage { zone, .. } => {
+                    Some(EngineSelection::Zone { zone: zone.clone() })
+                }
                 _ => None,
             };
             match which {
-                Some(Which::These(n)) if n.iter().any(|n| *n >= total) => {
+                Some(EngineSelection::These(n)) if n.iter().any(|n| *n >= total) => {
                     return Err(bad(
                         key,
                         format!("there are {total} engines, counted from 0"),
                     ));
                 }
-                Some(Which::Zone { zone }) if !self.zones.contains(&zone) => {
+                Some(EngineSelection::Zone { zone }) if !self.zones.contains(&zone) => {
                     return Err(bad(key, format!("{zone:?} is no zone")));
                 }
                 _ => {}
             }
-            if let What::HeavyTail { class, .. } = &t.what
+            if let FaultKind::HeavyTail { class, .. } = &t.what
                 && !self.classes.iter().any(|c| c.name == *class)
             {
                 return Err(bad(key, format!("{class:?} is no class")));
             }
             let dispatchers = match &t.what {
-                What::Partition { dispatchers, .. } | What::SlowLink { dispatchers, .. } => {
-                    &dispatchers[..]
-                }
+                FaultKind::Partition { dispatchers, .. }
+                | FaultKind::SlowLink { dispatchers, .. } => &dispatchers[..],
                 _ => &[],
             };
             if dispatchers.iter().any(|g| *g >= self.dispatchers) {
@@ -487,7 +502,7 @@
         names
     }
 
-    /// What one gateway is told.
+    /// The settings of one dispatcher in this zone.
     pub fn settings(&self, zone: usize) -> Settings {
         let params: Vec<Params> = self.kind_names().iter().map(|n| self.kind(n)).collect();
         let first = params.first().cloned().unwrap_or_default();
@@ -495,12 +510,12 @@
             cores: p.cores,
             memory_mb: p.memory_mb,
         });
-        let class = |c: &ClassSet| Class {
+        let class = |c: &ClassSpec| Class {
             priority_weight: c.priority_weight,
             latency_objective: c.aim_ms,
             latency_objective_slowdown: c.latency_objective_slowdown,
             late_answer_weight: c.late_answer_weight,
-            idempotency: if c.fragile {
+            idempotency: if c.non_idempotent {
                 Idempotency::NonIdempotent
             } else {
                 Idempotency::Idempotent
@@ -509,8 +524,8 @@
             allowed_zones: None,
             allowed_kinds: None,
             threads: c.threads,
-            holds_tables: c.holds,
-            waits_for_loads: c.stands,
+            holds_tables: c.holds_tables,
+            waits_for_loads: c.waits_for_loads,
         };
         Settings {
             dispatchers: self.dispatchers as u32,
@@ -560,43 +575,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_day_is_read_and_every_bad_key_is_named() {
-        let good = r#"{ name: "calm", seconds: 30, gateways: 3, zones: ["a", "b"],
-            engines: [{ kind: "gen-a", count: 4 }], kinds: { "gen-a": { cores: 8 } },
-            load: { per_s: 40, shape: [[0, 1], [10, 2]] },
-            trouble: [{ at_s: 5, kind: "die", engines: { part: 0.25 }, back_s: 10 }] }"#;
-        let s = Scenario::parse(good).unwrap();
-        assert_eq!(
-            (s.classes.len(), s.load.part(5.0), s.load.part(99.0)),
-            (3, 1.5, 2.0)
-        );
-        s.settings(0).check().unwrap();
-        let cases = [
-            ("seconds: 30", "seconds: -1", "seconds"),
-            ("gateways: 3", "gateways: 0", "gateways"),
-            (
-                "kind: \"gen-a\", count",
-                "kind: \"gen-x\", count",
-                "engines[0].kind",
-            ),
-            ("count: 4", "count: 0", "engines"),
-            ("cores: 8", "cores: 0", "kinds.gen-a.cores"),
-            ("cores: 8", "core: 8", "core"),
-            ("[10, 2]", "[0, 2]", "load.shape"),
-            ("{ part: 0.25 }", "[9]", "trouble[0]"),
-            ("{ part: 0.25 }", "{ zone: \"x\" }", "trouble[0]"),
-            ("\"die\"", "\"dye\"", "dye"),
-        ];
-        for (old, new, what) in cases {
-            assert!(good.contains(old), "{old}");
-            let e = Scenario::parse(&good.replace(old, new))
-                .unwrap_err()
-                .to_string();
-            assert!(e.contains(what), "{new}: {e}");
-        }
-    }
-}
+mod tests;
--- a/crates/testbed/src/world/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -1,35 +1,36 @@
 //! A whole day in virtual time: clients, gateways with their decisions, messages, engines, the list and trouble. One
 //! seed gives one day, to the last event.
 
-pub mod day;
+pub mod emulator;
 pub mod policy;
+pub mod report;
 pub mod rules;
 #[cfg(test)]
 mod tests;
 
-use crate::model::{Emulator, Job, JobId, Waits};
 use crate::random::{Stream, Streams, zipf};
-use crate::scenario::{Scenario, What, Which};
-use day::{ClassDay, Day, Ends, LateCauses, WINDOW_S, Window, Worth};
+use crate::scenario::{EngineSelection, FaultKind, Scenario};
+use crate::simulation::emulator::{Emulator, Job, JobId, Waits};
 use hdrhistogram::Histogram;
 use policy::{Dispatch, Plain, Policy};
 use query_dispatcher::core::{Answer, AttemptId, Command, Core, CoreLimits, NewRequest};
 use query_dispatcher::{EngineEntry, EngineState, ListUpdate, Outcome, ProgressNote};
+use report::{ClassReport, LateCauses, OutcomeCounts, RunReport, WINDOW_S, WeightedValue, Window};
 use rules::Checker;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 /// The day begins at this moment, in milliseconds: spans before it are in the past, as on a real clock.
-const BEGIN: f64 = 1_000_000.0;
+const START_MS: f64 = 1_000_000.0;
 /// After the last arrival the day goes on for so long, in milliseconds.
-const AFTER: f64 = 60_000.0;
+const RUN_OUT_MS: f64 = 60_000.0;
 /// The same bounds as the program's.
-const MARGIN: f64 = 40.0;
-const PAGE_WAIT: f64 = 600.0;
+const ANSWER_MARGIN_MS: f64 = 40.0;
+const PAGE_TIMEOUT_MS: f64 = 600.0;
 
 /// One try of one client.
 #[derive(Clone, Debug)]
-struct Try {
+struct ClientRequest {
     gateway: usize,
     class: usize,
     tenant: usize,
@@ -51,7 +52,7 @@
 
 enum Event {
     Arrive,
-    Again(Box<Try>),
+    Again(Box<ClientRequest>),
     Leave {
         gateway: usize,
         request: u64,
@@ -98,7 +99,7 @@
         engine: usize,
         out: bool,
     },
-    Trouble(usize),
+    Fault(usize),
     Over(usize, Vec<usize>),
     Step(Step),
     Look,
@@ -118,24 +119,24 @@
     id: AttemptId,
 }
 
-struct Due {
+struct ScheduledEvent {
     at: f64,
     seq: u64,
     event: Event,
 }
 
-impl PartialEq for Due {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
-impl Eq for Due {}
-impl PartialOrd for Due {
+impl Eq for ScheduledEvent {}
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Due {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         self.at.total_cmp(&other.at).then(self.seq.cmp(&other.seq))
     }
@@ -162,7 +163,7 @@
     zone: usize,
     decides: Box<dyn Dispatch>,
     tick_at: Option<f64>,
-    tries: BTreeMap<u64, Try>,
+    tries: BTreeMap<u64, ClientRequest>,
     /// Attempts out: to which engine, and when they were sent.
     out: BTreeMap<AttemptId, (usize, f64)>,
     delay: Stream,
@@ -171,12 +172,12 @@
 }
 
 /// A day being played.
-struct World<'a> {
+struct Simulation<'a> {
     scenario: &'a Scenario,
     now: f64,
     end: f64,
     seq: u64,
-    queue: BinaryHeap<Reverse<Due>>,
+    queue: BinaryHeap<Reverse<ScheduledEvent>>,
     engines: Vec<Engine>,
     dispatchers: Vec<Gateway>,
     checker: Checker,
@@ -196,13 +197,13 @@
     list_away: bool,
     held_news: Vec<(usize, usize, EngineEntry)>,
     buckets: Vec<(f64, f64)>,
-    day: Day,
+    day: RunReport,
     done_at_window: f64,
     hash: u64,
 }
 
 /// Plays a scenario with a policy and a seed.
-pub fn play(scenario: &Scenario, policy: Policy, seed: u64) -> Day {
+pub fn play(scenario: &Scenario, policy: Policy, seed: u64) -> RunReport {
     let streams = Streams::new(seed);
     play_with(scenario, seed, &mut |g, zone| {
         decides(scenario, policy, &streams, g, zone)
@@ -220,8 +221,8 @@
     let settings = scenario.settings(zone);
     let bounds = CoreLimits {
         max_open_requests: 20_000,
-        answer_margin: MARGIN,
-        page_timeout: PAGE_WAIT,
+        answer_margin: ANSWER_MARGIN_MS,
+        page_timeout: PAGE_TIMEOUT_MS,
     };
     match policy {
         // Settings were checked with their scenario; should the core still refuse them, nothing is dispatched at all.
@@ -230,7 +231,7 @@
             Err(_) => Box::new(Plain::new(Policy::Random, vec![], random)),
         },
         plain => {
-            let fragile = scenario.classes.iter().map(|c| c.fragile).collect();
+            let fragile = scenario.classes.iter().map(|c| c.non_idempotent).collect();
             Box::new(Plain::new(plain, fragile, random))
         }
     }
@@ -241,8 +242,8 @@
     scenario: &Scenario,
     seed: u64,
     decides: &mut dyn FnMut(usize, usize) -> Box<dyn Dispatch>,
-) -> Day {
-    let mut world = World::new(scenario, seed, decides);
+) -> RunReport {
+    let mut world = Simulation::new(scenario, seed, decides);
     world.run();
     world.finish()
 }
@@ -254,7 +255,7 @@
     })
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     fn new(
         scenario: &'a Scenario,
         seed: u64,
@@ -271,7 +272,7 @@
                     name: format!("e{n:04}"),
                     kind,
                     zone: n % scenario.zones.len(),
-                    model: Emulator::new(scenario.kind(&set.kind), BEGIN, true),
+                    model: Emulator::new(scenario.kind(&set.kind), START_MS, true),
                     process: 1,
                     up: true,
                     listed: EngineState::Ready,
@@ -296,22 +297,22 @@
                 news: BTreeMap::new(),
             }
         });
-        let classes = scenario.classes.iter().map(|c| ClassDay {
+        let classes = scenario.classes.iter().map(|c| ClassReport {
             name: c.name.clone(),
-            priority_weight: Worth::default(),
-            ends: Ends::default(),
+            priority_weight: WeightedValue::default(),
+            ends: OutcomeCounts::default(),
             latency: histogram(),
         });
-        let mut tenants: Vec<(String, Worth)> = scenario
+        let mut tenants: Vec<(String, WeightedValue)> = scenario
             .tenants
             .iter()
-            .map(|t| (t.name.clone(), Worth::default()))
+            .map(|t| (t.name.clone(), WeightedValue::default()))
             .collect();
         if tenants.is_empty() {
-            tenants.push(("all".into(), Worth::default()));
+            tenants.push(("all".into(), WeightedValue::default()));
         }
-        let buckets = vec![(1.0, BEGIN); tenants.len()];
-        let day = Day {
+        let buckets = vec![(1.0, START_MS); tenants.len()];
+        let day = RunReport {
             seconds: scenario.seconds,
             classes: classes.collect(),
             tenants,
@@ -326,9 +327,9 @@
             hash: 0,
             events: 0,
         };
-        World {
-            now: BEGIN,
-            end: BEGIN + scenario.seconds * 1000.0,
+        Simulation {
+            now: START_MS,
+            end: START_MS + scenario.seconds * 1000.0,
             seq: 0,
             queue: BinaryHeap::new(),
             engines,
@@ -359,7 +360,7 @@
 
     fn at(&mut self, at: f64, event: Event) {
         self.seq += 1;
-        self.queue.push(Reverse(Due {
+        self.queue.push(Reverse(ScheduledEvent {
             at: at.max(self.now),
             seq: self.seq,
             event,
@@ -369,7 +370,7 @@
     /// Mixes an event into the day's hash: its moment in microseconds, what it is, and whose.
     fn mark(&mut self, what: u64, a: u64, b: u64) {
         self.day.events += 1;
-        for n in [((self.now - BEGIN) * 1000.0) as u64, what, a, b] {
+        for n in [((self.now - START_MS) * 1000.0) as u64, what, a, b] {
             for byte in n.to_le_bytes() {
                 self.hash = (self.hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
             }
@@ -382,23 +383,23 @@
             let entries = list.clone();
             self.decide(g, |d, now| d.engines(now, ListUpdate::Stale, entries));
         }
-        for (i, t) in self.scenario.trouble.iter().enumerate() {
-            self.at(BEGIN + t.at_s * 1000.0, Event::Trouble(i));
+        for (i, t) in self.scenario.faults.iter().enumerate() {
+            self.at(START_MS + t.at_s * 1000.0, Event::Fault(i));
         }
         let first = self.gap();
-        self.at(BEGIN + first, Event::Arrive);
-        self.at(BEGIN + WINDOW_S * 1000.0, Event::Look);
+        self.at(START_MS + first, Event::Arrive);
+        self.at(START_MS + WINDOW_S * 1000.0, Event::Look);
         while let Some(Reverse(due)) = self.queue.pop() {
-            if due.at > self.end + AFTER {
+            if due.at > self.end + RUN_OUT_MS {
                 break;
             }
             self.now = due.at;
             self.event(due.event);
         }
-        self.now = self.end + AFTER;
+        self.now = self.end + RUN_OUT_MS;
     }
 
-    fn finish(mut self) -> Day {
+    fn finish(mut self) -> RunReport {
         self.checker.end(self.now);
         self.day.broken = self.checker.broken().to_vec();
         self.day.latest_after_notice_ms = self.checker.latest_after_notice;
@@ -418,7 +419,7 @@
         let mut at = self.now;
         loop {
             at += self.arrivals.exponential(1000.0 / most);
-            let part = load.part((at - BEGIN) / 1000.0) * load.per_s / most;
+            let part = load.part((at - START_MS) / 1000.0) * load.per_s / most;
             if self.arrivals.chance(part) || at > self.end {
                 return at - self.now;
             }
@@ -461,8 +462,8 @@
             need_mb: need,
             grant_mb: 0.0,
             area,
-            holds: c.holds,
-            stands: c.stands,
+            holds: c.holds_tables,
+            stands: c.waits_for_loads,
             from: gateway as u32,
         };
         let over = self.over_quota(tenant);
@@ -473,7 +474,7 @@
         self.day.classes[class].priority_weight.asked += priority_weight;
         self.day.tenants[tenant].1.asked += priority_weight;
         self.window().priority_weight.asked += priority_weight;
-        let t = Try {
+        let t = ClientRequest {
             gateway,
             class,
             tenant,
@@ -515,7 +516,7 @@
 
     /// The window of a request's first try, which its worth counts in.
     fn window_of(&mut self, born: f64) -> &mut Window {
-        let n = ((born - BEGIN) / 1000.0 / WINDOW_S) as usize;
+        let n = ((born - START_MS) / 1000.0 / WINDOW_S) as usize;
         while self.day.windows.len() <= n {
             let from_s = self.day.windows.len() as f64 * WINDOW_S;
             self.day.windows.push(Window {
@@ -531,9 +532,9 @@
     }
 
     /// A client asks its gateway.
-    fn ask(&mut self, t: Try) -> Option<u64> {
+    fn ask(&mut self, t: ClientRequest) -> Option<u64> {
         let g = t.gateway;
-        let fragile = self.scenario.classes[t.class].fragile;
+        let fragile = self.scenario.classes[t.class].non_idempotent;
         let new = NewRequest {
             class: t.class,
             tenant: (!self.scenario.tenants.is_empty()).then_some(t.tenant),
@@ -719,7 +720,7 @@
         {
             let at = self.now + retry_after.unwrap_or(self.scenario.load.retry_ms).max(1.0);
             if at < t.gives_up - 200.0 {
-                let again = Try {
+                let again = ClientRequest {
                     again: t.again + 1,
                     over: false,
                     ..t
@@ -790,7 +791,7 @@
         EngineEntry {
             engine: x.name.clone(),
             state: x.listed,
-            started: Some(x.model.started()).filter(|t| *t >= BEGIN),
+            started: Some(x.model.started()).filter(|t| *t >= START_MS),
             kind: Some(x.kind),
             zone: Some(x.zone),
             cell: 0,
@@ -932,7 +933,7 @@
 
     // ---- trouble ---------------------------------------------------------------------------------
 
-    fn which(&mut self, w: &Which) -> Vec<usize> {
+    fn which(&mut self, w: &EngineSelection) -> Vec<usize> {
         let n = self.engines.len();
         let drawn = |random: &mut Stream, k: usize| {
             let mut left: Vec<usize> = (0..n).collect();
@@ -944,10 +945,12 @@
             picked
         };
         match w {
-            Which::These(all) => all.clone(),
-            Which::Some(k) => drawn(&mut self.troubles, *k),
-            Which::Part { part } => drawn(&mut self.troubles, (part * n as f64).round() as usize),
-            Which::Zone { zone } => {
+            EngineSelection::These(all) => all.clone(),
+            EngineSelection::Some(k) => drawn(&mut self.troubles, *k),
+            EngineSelection::Part { part } => {
+                drawn(&mut self.troubles, (part * n as f64).round() as usize)
+            }
+            EngineSelection::Zone { zone } => {
                 let z = self.scenario.zones.iter().position(|x| x == zone);
                 (0..n)
                     .filter(|e| Some(self.engines[*e].zone) == z)
@@ -957,25 +960,25 @@
     }
 
     fn trouble(&mut self, i: usize) {
-        let what = self.scenario.trouble[i].what.clone();
+        let what = self.scenario.faults[i].what.clone();
         self.mark(7, i as u64, 0);
         let s = 1000.0;
         match what {
-            What::Die { engines, back_s } => {
+            FaultKind::Die { engines, back_s } => {
                 for e in self.which(&engines) {
                     self.end_process(e);
                     self.list(e, EngineState::Gone);
                     self.at(self.now + back_s * s, Event::Step(Step::Start(e)));
                 }
             }
-            What::BuildingLost { zone, back_s } => {
-                for e in self.which(&Which::Zone { zone }) {
+            FaultKind::ZoneOutage { zone, back_s } => {
+                for e in self.which(&EngineSelection::Zone { zone }) {
                     self.end_process(e);
                     self.list(e, EngineState::Gone);
                     self.at(self.now + back_s * s, Event::Step(Step::Start(e)));
                 }
             }
-            What::Hang { engines, for_s } => {
+            FaultKind::Hang { engines, for_s } => {
                 let hung = self.which(&engines);
                 for e in &hung {
                     self.engines[*e].model.hang(self.now, true);
@@ -983,7 +986,7 @@
                 }
                 self.at(self.now + for_s * s, Event::Over(i, hung));
             }
-            What::Neighbour {
+            FaultKind::Neighbour {
                 engines,
                 part,
                 for_s,
@@ -995,15 +998,15 @@
                 }
                 self.at(self.now + for_s * s, Event::Over(i, crowded));
             }
-            What::StaleList { extra_s, for_s } => {
+            FaultKind::StaleList { extra_s, for_s } => {
                 self.list_extra += extra_s * s;
                 self.at(self.now + for_s * s, Event::Over(i, vec![]));
             }
-            What::RegistryAway { for_s } => {
+            FaultKind::RegistryOutage { for_s } => {
                 self.list_away = true;
                 self.at(self.now + for_s * s, Event::Over(i, vec![]));
             }
-            What::HeavyTail {
+            FaultKind::HeavyTail {
                 class,
                 part,
                 times,
@@ -1018,7 +1021,7 @@
                 self.heavy.push((class, part, times));
                 self.at(self.now + for_s * s, Event::Over(i, vec![class]));
             }
-            What::Partition {
+            FaultKind::Partition {
                 dispatchers,
                 engines,
                 for_s,
@@ -1029,7 +1032,7 @@
                 }
                 self.at(self.now + for_s * s, Event::Over(i, engines));
             }
-            What::SlowLink {
+            FaultKind::SlowLink {
                 dispatchers,
                 extra_ms,
                 for_s,
@@ -1039,26 +1042,26 @@
                     .for_each(|g| *self.slow.entry(*g).or_default() += extra_ms);
                 self.at(self.now + for_s * s, Event::Over(i, vec![]));
             }
-            What::Reset { engines } => {
+            FaultKind::Reset { engines } => {
                 for e in self.which(&engines) {
                     self.lose_all(e, Outcome::Reset);
                     self.rewake(e);
                 }
             }
-            What::Drain { engines, for_s } => {
+            FaultKind::Drain { engines, for_s } => {
                 for e in self.which(&engines) {
                     self.list(e, EngineState::Draining);
                     self.at(self.now + for_s * s, Event::Step(Step::ListIn(e)));
                 }
             }
-            What::RollingRestart { each_s, drain_s } => {
+            FaultKind::RollingRestart { each_s, drain_s } => {
                 for e in 0..self.engines.len() {
                     let at = self.now + e as f64 * each_s * s;
                     self.at(at, Event::Step(Step::ListOut(e)));
                     self.at(at + drain_s * s, Event::Step(Step::ListIn(e)));
                 }
             }
-            What::ByHand {
+            FaultKind::AdministrativeDrain {
                 engines,
                 for_s,
                 restart_after_s,
@@ -1084,21 +1087,21 @@
     }
 
     fn over(&mut self, i: usize, engines: Vec<usize>) {
-        match self.scenario.trouble[i].what.clone() {
-            What::Hang { .. } => {
+        match self.scenario.faults[i].what.clone() {
+            FaultKind::Hang { .. } => {
                 for e in engines {
                     self.engines[e].model.hang(self.now, false);
                     self.rewake(e);
                 }
             }
-            What::Neighbour { .. } => {
+            FaultKind::Neighbour { .. } => {
                 for e in engines {
                     self.engines[e].model.neighbour(self.now, 0.0);
                     self.rewake(e);
                 }
             }
-            What::StaleList { extra_s, .. } => self.list_extra -= extra_s * 1000.0,
-            What::RegistryAway { .. } => {
+            FaultKind::StaleList { extra_s, .. } => self.list_extra -= extra_s * 1000.0,
+            FaultKind::RegistryOutage { .. } => {
                 self.list_away = false;
                 for (g, e, entry) in std::mem::take(&mut self.held_news) {
                     let at = self.now.to_bits();
@@ -1113,7 +1116,7 @@
                     );
                 }
             }
-            What::HeavyTail { .. } => {
+            FaultKind::HeavyTail { .. } => {
                 let first = self
                     .heavy
                     .iter()
@@ -1122,13 +1125,13 @@
                     self.heavy.remove(n);
                 }
             }
-            What::Partition { dispatchers, .. } => {
+            FaultKind::Partition { dispatchers, .. } => {
                 for g in dispatchers {
                     self.cut
                         .retain(|(cut, e)| *cut != g || !engines.contains(e));
                 }
             }
-            What::SlowLink {
+            FaultKind::SlowLink {
                 dispatchers,
                 extra_ms,
                 ..
@@ -1289,7 +1292,7 @@
                     d.administratively_drained(now, &name, out)
                 });
             }
-            Event::Trouble(i) => self.trouble(i),
+            Event::Fault(i) => self.trouble(i),
             Event::Over(i, engines) => self.over(i, engines),
             Event::Step(step) => self.step(step),
             Event::Look => self.look(),
@@ -1338,6 +1341,6 @@
 }
 
 /// All late look-ups of a day, by their gateway: for reports.
-pub fn late_by_gateway(day: &Day) -> Vec<(u32, &LateCauses)> {
+pub fn late_by_gateway(day: &RunReport) -> Vec<(u32, &LateCauses)> {
     day.late.iter().map(|(g, l)| (*g, l)).collect()
 }
--- a/crates/testbed/src/world/day.rs
+++ b/crates/testbed/src/simulation/report.rs
@@ -1,14 +1,14 @@
 //! What a day came to.
 
-use super::rules::Broken;
-use crate::model::Waits;
+use super::rules::RuleViolation;
+use crate::simulation::emulator::Waits;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// How requests ended for their clients, in the order of [`Ends::NAMES`].
+/// How requests ended for their clients, in the order of [`OutcomeCounts::NAMES`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Ends {
+pub struct OutcomeCounts {
     pub served: u64,
     pub refused: u64,
     pub failed: u64,
@@ -18,12 +18,12 @@
 
 /// Worth asked for and worth earned.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Worth {
+pub struct WeightedValue {
     pub asked: f64,
     pub earned: f64,
 }
 
-impl Worth {
+impl WeightedValue {
     /// 1 where nothing was asked.
     pub fn part(&self) -> f64 {
         if self.asked > 0.0 {
@@ -36,10 +36,10 @@
 
 /// One class's requests.
 #[derive(Clone, Debug)]
-pub struct ClassDay {
+pub struct ClassReport {
     pub name: String,
-    pub priority_weight: Worth,
-    pub ends: Ends,
+    pub priority_weight: WeightedValue,
+    pub ends: OutcomeCounts,
     /// From the moment a request was due, in microseconds.
     pub latency: Histogram<u64>,
 }
@@ -93,7 +93,7 @@
 pub struct Window {
     pub from_s: f64,
     #[serde(rename = "worth")]
-    pub priority_weight: Worth,
+    pub priority_weight: WeightedValue,
     /// The part of all cores that worked, and engines in service.
     pub occupied: f64,
     pub serving: usize,
@@ -101,10 +101,10 @@
 
 /// The whole day.
 #[derive(Clone, Debug)]
-pub struct Day {
+pub struct RunReport {
     pub seconds: f64,
-    pub classes: Vec<ClassDay>,
-    pub tenants: Vec<(String, Worth)>,
+    pub classes: Vec<ClassReport>,
+    pub tenants: Vec<(String, WeightedValue)>,
     pub windows: Vec<Window>,
     pub attempts: u64,
     pub requests: u64,
@@ -112,7 +112,7 @@
     pub calls: u64,
     pub decided_s: f64,
     pub late: BTreeMap<u32, LateCauses>,
-    pub broken: Vec<Broken>,
+    pub broken: Vec<RuleViolation>,
     pub latest_after_notice_ms: f64,
     /// Of every event, in order.
     pub hash: u64,
@@ -122,9 +122,9 @@
 /// The length of a window, in seconds.
 pub const WINDOW_S: f64 = 10.0;
 
-impl Day {
-    pub fn priority_weight(&self) -> Worth {
-        let mut all = Worth::default();
+impl RunReport {
+    pub fn priority_weight(&self) -> WeightedValue {
+        let mut all = WeightedValue::default();
         for c in &self.classes {
             all.asked += c.priority_weight.asked;
             all.earned += c.priority_weight.earned;
--- a/crates/testbed/src/world/rules.rs
+++ b/crates/testbed/src/simulation/rules.rs
@@ -40,7 +40,7 @@
 
 /// The event that broke a rule first.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Broken {
+pub struct RuleViolation {
     pub rule: Rule,
     pub at_ms: f64,
     pub event: String,
@@ -69,7 +69,7 @@
     open: BTreeMap<Key, Request>,
     /// Which gateway was told, and when, that an engine takes nothing new.
     notices: BTreeMap<(usize, usize), f64>,
-    broken: Vec<Broken>,
+    broken: Vec<RuleViolation>,
     seen: BTreeSet<Rule>,
     pub taken: u64,
     pub answered: u64,
@@ -81,7 +81,7 @@
     fn breaks(&mut self, rule: Rule, at_ms: f64, event: String) {
         // The first of each rule is enough to find its cause.
         if self.seen.insert(rule) {
-            self.broken.push(Broken { rule, at_ms, event });
+            self.broken.push(RuleViolation { rule, at_ms, event });
         }
     }
 
@@ -228,7 +228,7 @@
     }
 
     /// The first event of each rule that was broken, in the order met.
-    pub fn broken(&self) -> &[Broken] {
+    pub fn broken(&self) -> &[RuleViolation] {
         &self.broken
     }
 }
--- a/crates/testbed/src/world/tests.rs
+++ b/crates/testbed/src/simulation/tests.rs
@@ -14,8 +14,8 @@
 }
 
 /// No rule is broken, but for cold engines that a plain policy knows nothing of.
-fn sound_for(policy: Policy, d: &Day) {
-    let kept = |b: &rules::Broken| policy != Policy::Module && b.rule == Rule::Cold;
+fn sound_for(policy: Policy, d: &RunReport) {
+    let kept = |b: &rules::RuleViolation| policy != Policy::Module && b.rule == Rule::Cold;
     assert!(
         d.broken.iter().all(kept),
         "{}: {:?}",
@@ -25,12 +25,12 @@
     one_end_each(d);
 }
 
-fn sound(d: &Day) {
+fn sound(d: &RunReport) {
     assert!(d.broken.is_empty(), "{:?}", d.broken);
     one_end_each(d);
 }
 
-fn one_end_each(d: &Day) {
+fn one_end_each(d: &RunReport) {
     let ends: u64 = d
         .classes
         .iter()
@@ -253,7 +253,7 @@
     ];
     for (how, rule, trouble) in cases {
         let s = small(trouble);
-        let fragile: Vec<bool> = s.classes.iter().map(|c| c.fragile).collect();
+        let fragile: Vec<bool> = s.classes.iter().map(|c| c.non_idempotent).collect();
         let streams = Streams::new(1);
         let d = play_with(&s, 1, &mut |g, _| {
             let sound = Plain::new(
--- a/examples/toy/main.rs
+++ b/examples/toy/main.rs
@@ -3,7 +3,7 @@
 //! `hitchwinch --mysql examples/toy/toy.toml`.
 
 use std::time::Duration;
-use testbed::measure::{MeasureError, serve_engines};
+use testbed::measurements::membership::{MeasureError, serve_engines};
 use tokio::task::LocalSet;
 
 const WORK: Duration = Duration::from_millis(50);
@@ -20,7 +20,7 @@
         loop {
             tokio::time::sleep(LOOK).await;
             for (e, shown) in engines.iter().zip(&mut shown) {
-                let ran = e.ran();
+                let ran = e.executions();
                 ran[*shown..]
                     .iter()
                     .for_each(|r| println!("{} runs {}", e.name(), r.sql));
--- a/tests/eureka.rs
+++ b/tests/eureka.rs
@@ -6,11 +6,14 @@
 use serde_json::Value;
 use std::path::Path;
 use std::time::Duration;
-use testbed::client::{Clients, End, Load};
-use testbed::engine::Engine;
+use testbed::clients::load::{Clients, End, Load};
+use testbed::fakes::engine::Engine;
+use testbed::fakes::registry::{Fault, Instance, Node, Rules};
+use testbed::fixture::{
+    self, check_drain, check_loads_run_once, check_slow_start, dispatcher_file, ephemeral_address,
+    eureka_section, register_engines,
+};
 use testbed::program::{Folder, Program};
-use testbed::registry::{Fault, Instance, Node, Rules};
-use testbed::stand::{self, drained, eureka, file, free, loads_once, register, spared};
 use tokio::task::LocalSet;
 
 /// Plays on one thread.
@@ -36,7 +39,9 @@
 }
 
 async fn node() -> Node {
-    Node::start(free(), Rules::default()).await.unwrap()
+    Node::start(ephemeral_address(), Rules::default())
+        .await
+        .unwrap()
 }
 
 /// The program, on this file; its folder for state is `FOLDER` there.
@@ -80,7 +85,7 @@
 }
 
 /// Every request was answered, none failed, and no load ran twice.
-fn sound(account: &testbed::client::Account, engines: &[Engine]) {
+fn sound(account: &testbed::clients::load::LoadSummary, engines: &[Engine]) {
     assert!(
         account.count(End::Served) > 20,
         "{:?}",
@@ -88,16 +93,21 @@
     );
     let bad = [End::Lost, End::Failed, End::Late].map(|e| account.count(e));
     assert_eq!(bad, [0, 0, 0], "{:?}", account.troubles.borrow());
-    assert!(loads_once(engines).unwrap() > 0);
+    assert!(check_loads_run_once(engines).unwrap() > 0);
 }
 
 #[test]
 fn drain_takes_effect_within_a_second_and_running_statements_finish() {
     play(async {
-        let (node, engines) = (node().await, stand::engines(5, ms(30)).await.unwrap());
-        register(&[&node], &engines);
+        let (node, engines) = (node().await, fixture::engines(5, ms(30)).await.unwrap());
+        register_engines(&[&node], &engines);
         let folder = folder("drain");
-        let program = start(&folder, "a", &file("", &eureka(&[&node], ""))).await;
+        let program = start(
+            &folder,
+            "a",
+            &dispatcher_file("", &eureka_section(&[&node], "")),
+        )
+        .await;
         program
             .until("five engines", |p| ready(p, 5))
             .await
@@ -120,9 +130,9 @@
         pass(600).await;
         for engine in &engines[..4] {
             let notice = node.told(engine.name()).expect("it was told");
-            drained(engine, notice).unwrap();
+            check_drain(engine, notice).unwrap();
             assert!(
-                engine.ran().iter().all(|r| r.answered),
+                engine.executions().iter().all(|r| r.answered),
                 "what ran when it came went on to its end"
             );
         }
@@ -147,11 +157,16 @@
 fn stale_list_does_not_restore_a_drained_engine() {
     play(async {
         let (a, b) = (node().await, node().await);
-        let engines = stand::engines(3, ms(10)).await.unwrap();
-        register(&[&a, &b], &engines);
+        let engines = fixture::engines(3, ms(10)).await.unwrap();
+        register_engines(&[&a, &b], &engines);
         b.fault(Fault::Stale); // as of now, for ever
         let folder = folder("stale");
-        let program = start(&folder, "a", &file("", &eureka(&[&a, &b], ""))).await;
+        let program = start(
+            &folder,
+            "a",
+            &dispatcher_file("", &eureka_section(&[&a, &b], "")),
+        )
+        .await;
         program
             .until("three engines", |p| ready(p, 3))
             .await
@@ -167,7 +182,7 @@
         let page = program.members("").await.unwrap();
         assert!(ready(&page, 2), "{page}");
         assert_eq!(member(&page, "engine-1")["state"], "draining");
-        drained(&engines[1], a.told("engine-1").unwrap()).unwrap();
+        check_drain(&engines[1], a.told("engine-1").unwrap()).unwrap();
         // A newer word puts it back.
         b.fault(Fault::None);
         b.register(Instance::engine(
@@ -185,10 +200,15 @@
 fn flapping_disagreement_of_two_registries_keeps_the_engine_out() {
     play(async {
         let (a, b) = (node().await, node().await);
-        let engines = stand::engines(3, ms(10)).await.unwrap();
-        register(&[&a, &b], &engines);
+        let engines = fixture::engines(3, ms(10)).await.unwrap();
+        register_engines(&[&a, &b], &engines);
         let folder = folder("flap");
-        let program = start(&folder, "a", &file("", &eureka(&[&a, &b], ""))).await;
+        let program = start(
+            &folder,
+            "a",
+            &dispatcher_file("", &eureka_section(&[&a, &b], "")),
+        )
+        .await;
         program
             .until("three engines", |p| ready(p, 3))
             .await
@@ -222,7 +242,7 @@
             "both words are shown"
         );
         assert_eq!(shown["turns"], 2);
-        drained(&engines[0], a.told("engine-0").unwrap()).unwrap();
+        check_drain(&engines[0], a.told("engine-0").unwrap()).unwrap();
         sound(&*clients.stop().await, &engines);
     });
 }
@@ -230,10 +250,15 @@
 #[test]
 fn engine_restarted_during_a_registry_outage_gets_slow_start() {
     play(async {
-        let (node, engines) = (node().await, stand::engines(3, ms(400)).await.unwrap());
-        register(&[&node], &engines);
+        let (node, engines) = (node().await, fixture::engines(3, ms(400)).await.unwrap());
+        register_engines(&[&node], &engines);
         let folder = folder("cold");
-        let program = start(&folder, "a", &file("", &eureka(&[&node], ""))).await;
+        let program = start(
+            &folder,
+            "a",
+            &dispatcher_file("", &eureka_section(&[&node], "")),
+        )
+        .await;
         program
             .until("three engines", |p| ready(p, 3))
             .await
@@ -273,7 +298,7 @@
         let bears = |age: f64| {
             (4.0 * (0.3 + 0.7 * (age / 15_000.0).min(1.0)) * 8.0 * 2_000.0 / 400.0) as usize
         };
-        let (_, all) = spared(&engines[0], 2_000.0, bears).unwrap();
+        let (_, all) = check_slow_start(&engines[0], 2_000.0, bears).unwrap();
 
         assert!(all > 20, "and it is used: {all}");
         assert!(warm > 60, "it had its share before: {warm}");
@@ -290,13 +315,13 @@
 #[test]
 fn list_shrinking_from_200_engines_to_one_rejects_no_request() {
     play(async {
-        let (node, engines) = (node().await, stand::engines(200, ms(5)).await.unwrap());
-        register(&[&node], &engines);
+        let (node, engines) = (node().await, fixture::engines(200, ms(5)).await.unwrap());
+        register_engines(&[&node], &engines);
         let folder = folder("short");
         let program = start(
             &folder,
             "a",
-            &file("", &eureka(&[&node], "[eureka.hold]\nfor_s = 3")),
+            &dispatcher_file("", &eureka_section(&[&node], "[eureka.hold]\nfor_s = 3")),
         )
         .await;
         program
@@ -339,17 +364,22 @@
         let account = clients.stop().await;
         let bad = [End::Lost, End::Late].map(|e| account.count(e));
         assert_eq!(bad, [0, 0], "{:?}", account.troubles.borrow());
-        loads_once(&engines).unwrap();
+        check_loads_run_once(&engines).unwrap();
     });
 }
 
 #[test]
 fn reassigned_address_is_used_for_its_new_instance_only() {
     play(async {
-        let (node, engines) = (node().await, stand::engines(2, ms(10)).await.unwrap());
-        register(&[&node], &engines);
+        let (node, engines) = (node().await, fixture::engines(2, ms(10)).await.unwrap());
+        register_engines(&[&node], &engines);
         let folder = folder("passed");
-        let program = start(&folder, "a", &file("", &eureka(&[&node], ""))).await;
+        let program = start(
+            &folder,
+            "a",
+            &dispatcher_file("", &eureka_section(&[&node], "")),
+        )
+        .await;
         program.until("two engines", |p| ready(p, 2)).await.unwrap();
         let clients = load(&program);
         pass(300).await;
@@ -387,17 +417,22 @@
             "{:?}",
             account.troubles.borrow()
         );
-        loads_once(&engines).unwrap();
+        check_loads_run_once(&engines).unwrap();
     });
 }
 
 #[test]
 fn drain_in_the_same_poll_as_the_last_heartbeat_takes_effect() {
     play(async {
-        let (node, engines) = (node().await, stand::engines(2, ms(10)).await.unwrap());
-        register(&[&node], &engines);
+        let (node, engines) = (node().await, fixture::engines(2, ms(10)).await.unwrap());
+        register_engines(&[&node], &engines);
         let folder = folder("heartbeat");
-        let program = start(&folder, "a", &file("", &eureka(&[&node], ""))).await;
+        let program = start(
+            &folder,
+            "a",
+            &dispatcher_file("", &eureka_section(&[&node], "")),
+        )
+        .await;
         program.until("two engines", |p| ready(p, 2)).await.unwrap();
         let clients = load(&program);
         pass(300).await;
@@ -414,7 +449,7 @@
         node.set_status("ENGINES", "engine-0", Some(Status::OutOfService));
         program.until("it drains", |p| ready(p, 1)).await.unwrap();
         pass(1_200).await;
-        drained(&engines[0], node.told("engine-0").unwrap()).unwrap();
+        check_drain(&engines[0], node.told("engine-0").unwrap()).unwrap();
         sound(&*clients.stop().await, &engines);
     });
 }
@@ -422,11 +457,11 @@
 #[test]
 fn start_during_a_registry_outage_serves_the_snapshot_with_its_age() {
     play(async {
-        let (node, engines) = (node().await, stand::engines(3, ms(10)).await.unwrap());
-        register(&[&node], &engines);
+        let (node, engines) = (node().await, fixture::engines(3, ms(10)).await.unwrap());
+        register_engines(&[&node], &engines);
         node.set_status("ENGINES", "engine-2", Some(Status::OutOfService));
         let folder = folder("snapshot");
-        let text = file("state_dir = \"FOLDER\"", &eureka(&[&node], ""));
+        let text = dispatcher_file("state_dir = \"FOLDER\"", &eureka_section(&[&node], ""));
         let program = start(&folder, "a", &text).await;
         program.until("two engines", |p| ready(p, 2)).await.unwrap();
         let kept = folder.path().join("hitchwinch/members");
@@ -484,10 +519,15 @@
 fn registry_with_malformed_answers_is_skipped_and_the_list_stays() {
     play(async {
         let (a, b) = (node().await, node().await);
-        let engines = stand::engines(2, ms(10)).await.unwrap();
-        register(&[&a], &engines);
+        let engines = fixture::engines(2, ms(10)).await.unwrap();
+        register_engines(&[&a], &engines);
         let folder = folder("nonsense");
-        let program = start(&folder, "a", &file("", &eureka(&[&a], "max_body = 100000"))).await;
+        let program = start(
+            &folder,
+            "a",
+            &dispatcher_file("", &eureka_section(&[&a], "max_body = 100000")),
+        )
+        .await;
         program.until("two engines", |p| ready(p, 2)).await.unwrap();
         let clients = load(&program);
         let faults = [
@@ -548,13 +588,16 @@
 #[test]
 fn address_outside_the_allowed_networks_is_never_connected_to() {
     play(async {
-        let (node, engines) = (node().await, stand::engines(2, ms(10)).await.unwrap());
-        register(&[&node], &engines);
+        let (node, engines) = (node().await, fixture::engines(2, ms(10)).await.unwrap());
+        register_engines(&[&node], &engines);
         let decoy = Engine::start("decoy", "127.9.9.9:0".parse().unwrap(), ms(1))
             .await
             .unwrap();
         let folder = folder("poison");
-        let text = file("", &eureka(&[&node], "networks = [\"127.0.0.0/24\"]"));
+        let text = dispatcher_file(
+            "",
+            &eureka_section(&[&node], "networks = [\"127.0.0.0/24\"]"),
+        );
         let program = start(&folder, "a", &text).await;
         program.until("two engines", |p| ready(p, 2)).await.unwrap();
         let clients = load(&program);
@@ -588,9 +631,9 @@
 fn no_request_is_lost_in_a_registry_outage_and_the_nearest_registry_is_preferred_after() {
     play(async {
         let (near, far) = (node().await, node().await);
-        let engines = stand::engines(3, ms(10)).await.unwrap();
+        let engines = fixture::engines(3, ms(10)).await.unwrap();
         near.peer(&far);
-        register(&[&near], &engines);
+        register_engines(&[&near], &engines);
         pass(50).await;
         let folder = folder("away");
         let zoned = format!(
@@ -599,7 +642,7 @@
             far.url(),
             near.url()
         );
-        let program = start(&folder, "a", &file("zone = \"home\"", &zoned)).await;
+        let program = start(&folder, "a", &dispatcher_file("zone = \"home\"", &zoned)).await;
         program
             .until("three engines", |p| ready(p, 3))
             .await
@@ -633,17 +676,25 @@
 fn sighup_replaces_servers_without_loss_and_ignores_an_invalid_file() {
     play(async {
         let (a, b) = (node().await, node().await);
-        let engines = stand::engines(3, ms(10)).await.unwrap();
-        register(&[&a, &b], &engines);
+        let engines = fixture::engines(3, ms(10)).await.unwrap();
+        register_engines(&[&a, &b], &engines);
         let folder = folder("swap");
-        let program = start(&folder, "a", &file("", &eureka(&[&a], ""))).await;
+        let program = start(
+            &folder,
+            "a",
+            &dispatcher_file("", &eureka_section(&[&a], "")),
+        )
+        .await;
         program
             .until("three engines", |p| ready(p, 3))
             .await
             .unwrap();
         let clients = load(&program);
         program
-            .configure(&file("", &eureka(&[&b], "networks = [\"x\"]")))
+            .configure(&dispatcher_file(
+                "",
+                &eureka_section(&[&b], "networks = [\"x\"]"),
+            ))
             .await
             .unwrap();
         assert!(
@@ -656,7 +707,7 @@
         b.fault(Fault::Delay(ms(800))); // the list in hand stays until the new one is here
         let (asked, seen) = (a.calls().len(), b.calls().len());
         program
-            .configure(&file("", &eureka(&[&b], "")))
+            .configure(&dispatcher_file("", &eureka_section(&[&b], "")))
             .await
             .unwrap();
         program.says("in force").await.unwrap();
@@ -676,18 +727,23 @@
 #[test]
 fn dispatcher_registers_itself_as_up_when_ready_and_deregisters_on_shutdown() {
     play(async {
-        let (node, engines) = (node().await, stand::engines(1, ms(400)).await.unwrap());
+        let (node, engines) = (node().await, fixture::engines(1, ms(400)).await.unwrap());
         let folder = folder("register");
         let more = "[eureka.register]\nip = \"127.0.0.1\"\nport = 3390\ninstance_id = \"us\"\nrenew_s = 0.3\n\
                     metadata = { zone = \"depot\" }";
         node.fault(Fault::Status(503)); // no list yet
-        let program = start(&folder, "a", &file("", &eureka(&[&node], more))).await;
+        let program = start(
+            &folder,
+            "a",
+            &dispatcher_file("", &eureka_section(&[&node], more)),
+        )
+        .await;
         let status = || node.instance("HITCHWINCH", "us").map(|i| i.listed());
         while status().is_none() {
             pass(20).await;
         }
         assert_eq!(status(), Some(Status::Starting), "it is not ready");
-        register(&[&node], &engines);
+        register_engines(&[&node], &engines);
         node.fault(Fault::None);
         while status() != Some(Status::Up) {
             pass(20).await;
@@ -743,11 +799,11 @@
 #[test]
 fn registration_passes_to_the_new_process_on_takeover() {
     play(async {
-        let (node, engines) = (node().await, stand::engines(1, ms(10)).await.unwrap());
-        register(&[&node], &engines);
+        let (node, engines) = (node().await, fixture::engines(1, ms(10)).await.unwrap());
+        register_engines(&[&node], &engines);
         let folder = folder("upgrade");
         let more = "[eureka.register]\nport = 3390\ninstance_id = \"us\"\nrenew_s = 0.3";
-        let text = file("state_dir = \"FOLDER\"", &eureka(&[&node], more));
+        let text = dispatcher_file("state_dir = \"FOLDER\"", &eureka_section(&[&node], more));
         let old = start(&folder, "old", &text).await;
         let status = || node.instance("HITCHWINCH", "us").map(|i| i.listed());
         while status() != Some(Status::Up) {
@@ -774,8 +830,8 @@
 #[test]
 fn lists_are_read_by_name_as_compressed_xml_with_credentials_and_regions() {
     play(async {
-        let (node, engines) = (node().await, stand::engines(4, ms(5)).await.unwrap());
-        register(&[&node], &engines);
+        let (node, engines) = (node().await, fixture::engines(4, ms(5)).await.unwrap());
+        register_engines(&[&node], &engines);
         node.authorize("Basic YW5uOnNAY3JldA==");
         let with = node.url().replace("http://", "http://ann:s%40cret@");
         let folder = folder("forms");
@@ -797,7 +853,7 @@
         ];
         for (i, (form, call)) in forms.into_iter().enumerate() {
             let section = format!("[eureka]\nservers = [{with:?}]\nperiod_s = 0.1\n{form}");
-            let program = start(&folder, &format!("f{i}"), &file("", &section)).await;
+            let program = start(&folder, &format!("f{i}"), &dispatcher_file("", &section)).await;
             let page = program
                 .until("four engines", |p| ready(p, 4))
                 .await
@@ -825,15 +881,20 @@
 #[test]
 fn queued_or_half_prepared_statements_of_a_draining_engine_go_elsewhere() {
     play(async {
-        let (node, engines) = (node().await, stand::engines(2, ms(100)).await.unwrap());
-        register(&[&node], &engines);
+        let (node, engines) = (node().await, fixture::engines(2, ms(100)).await.unwrap());
+        register_engines(&[&node], &engines);
         let folder = folder("queued");
-        let program = start(&folder, "a", &file("", &eureka(&[&node], ""))).await;
+        let program = start(
+            &folder,
+            "a",
+            &dispatcher_file("", &eureka_section(&[&node], "")),
+        )
+        .await;
         program.until("two engines", |p| ready(p, 2)).await.unwrap();
         // Sessions that have their statements prepared, and more requests than engines bear.
         let mut sessions = vec![];
         for n in 0..16u32 {
-            let mut c = mysql_async::Conn::new(testbed::client::opts(program.address))
+            let mut c = mysql_async::Conn::new(testbed::clients::load::opts(program.address))
                 .await
                 .unwrap();
             let s = c
@@ -870,10 +931,10 @@
             last.push(task.await.unwrap().pop().unwrap());
         }
         assert!(last.iter().all(|e| e == "engine-1"), "{last:?}");
-        drained(&engines[0], node.told("engine-0").unwrap()).unwrap();
+        check_drain(&engines[0], node.told("engine-0").unwrap()).unwrap();
         let answered = engines
             .iter()
-            .flat_map(Engine::ran)
+            .flat_map(Engine::executions)
             .filter(|r| r.answered)
             .count();
         assert!(answered >= 16 * 12);
@@ -883,12 +944,12 @@
 #[test]
 fn instance_churn_leaks_nothing() {
     play(async {
-        let (node, engines) = (node().await, stand::engines(12, ms(2)).await.unwrap());
+        let (node, engines) = (node().await, fixture::engines(12, ms(2)).await.unwrap());
         let folder = folder("churn");
         let program = start(
             &folder,
             "a",
-            &file("", &eureka(&[&node], "[eureka.hold]\nfor_s = 0")),
+            &dispatcher_file("", &eureka_section(&[&node], "[eureka.hold]\nfor_s = 0")),
         )
         .await;
         let name = |i: usize| format!("c{i}");
@@ -915,6 +976,6 @@
             "{:?}",
             account.troubles.borrow()
         );
-        loads_once(&engines).unwrap();
+        check_loads_run_once(&engines).unwrap();
     });
 }
--- a/tests/external_interface.rs
+++ b/tests/external_interface.rs
@@ -141,7 +141,7 @@
 
 #[test]
 fn the_operators_address_on_the_mysql_front() {
-    let (program, _) = start_mysql(&mysql_file(testbed::stand::free(), ""));
+    let (program, _) = start_mysql(&mysql_file(testbed::fixture::ephemeral_address(), ""));
     assert_recorded("external/operators-mysql.txt", &responses(program.admin));
 }
 
@@ -191,7 +191,7 @@
 id = "e0"
 address = "{engine}"
 {more}"#,
-        password = testbed::engine::PASSWORD,
+        password = testbed::fakes::engine::PASSWORD,
     )
 }
 
@@ -204,10 +204,13 @@
             .build()
             .unwrap();
         tokio::task::LocalSet::new().block_on(&runtime, async {
-            let engine =
-                testbed::engine::Engine::start("e0", testbed::stand::free(), Duration::ZERO)
-                    .await
-                    .unwrap();
+            let engine = testbed::fakes::engine::Engine::start(
+                "e0",
+                testbed::fixture::ephemeral_address(),
+                Duration::ZERO,
+            )
+            .await
+            .unwrap();
             tell.send(engine.address()).unwrap();
             std::future::pending::<()>().await;
         });
@@ -233,7 +236,7 @@
 fn the_greeting_and_refused_log_ins() {
     const PROTOCOL_41: u32 = 1 << 9;
     const SECURE_CONNECTION: u32 = 1 << 15;
-    let (program, _) = start_mysql(&mysql_file(testbed::stand::free(), ""));
+    let (program, _) = start_mysql(&mysql_file(testbed::fixture::ephemeral_address(), ""));
     let greeting = MysqlClient::connect(program.address).greeting;
     let mut told = format!("greeting: {}\n", printable(&masked_greeting(&greeting)));
     let capabilities = PROTOCOL_41 | SECURE_CONNECTION;
--- a/tests/mysql_sessions.rs
+++ b/tests/mysql_sessions.rs
@@ -6,10 +6,10 @@
 use query_dispatcher::protocol::mysql::packet::{COM_QUERY, COM_RESET_CONNECTION};
 use std::path::Path;
 use std::time::Duration;
-use testbed::engine::Engine;
+use testbed::clients::mysql::{Session, SessionOptions, error, texts};
+use testbed::fakes::engine::Engine;
+use testbed::fixture;
 use testbed::program::{Folder, Program};
-use testbed::raw::{Session, Wants, error, texts};
-use testbed::stand;
 use tokio::task::LocalSet;
 
 fn play(f: impl Future<Output = ()>) {
@@ -37,7 +37,7 @@
 }
 
 async fn stand(name: &str, engines: usize, top: &str, more: &str) -> Stand {
-    let engines = stand::engines(engines, Duration::from_millis(1))
+    let engines = fixture::engines(engines, Duration::from_millis(1))
         .await
         .unwrap();
     let list = engines.iter().map(|e| {
@@ -47,7 +47,7 @@
             e.address()
         )
     });
-    let text = stand::file(top, &format!("{}{more}", list.collect::<String>()));
+    let text = fixture::dispatcher_file(top, &format!("{}{more}", list.collect::<String>()));
     let folder = Folder::new(&format!("sessions-{name}")).unwrap();
     let binary = Path::new(env!("CARGO_BIN_EXE_hitchwinch"));
     let program = Program::start(binary, &folder, "a", &text).await.unwrap();
@@ -60,9 +60,14 @@
 
 impl Stand {
     async fn session(&self) -> Session {
-        Session::log_in(self.program.address, "guest", "guest", Wants::default())
-            .await
-            .unwrap()
+        Session::log_in(
+            self.program.address,
+            "guest",
+            "guest",
+            SessionOptions::default(),
+        )
+        .await
+        .unwrap()
     }
 
     fn lasting(&self) -> Vec<String> {
@@ -74,14 +79,14 @@
     fn ran(&self, sql: &str) -> usize {
         self.engines
             .iter()
-            .flat_map(Engine::ran)
+            .flat_map(Engine::executions)
             .filter(|r| r.sql == sql)
             .count()
     }
 
     /// The engine that has run this, and the others.
     fn parted(&self, sql: &str) -> (&Engine, Vec<&Engine>) {
-        let ran = |e: &&Engine| e.ran().iter().any(|r| r.sql == sql);
+        let ran = |e: &&Engine| e.executions().iter().any(|r| r.sql == sql);
         let one = self.engines.iter().find(ran).unwrap();
         (
             one,
@@ -164,10 +169,11 @@
         says(&mut a, "set autocommit = 1").await;
         assert_eq!(stand.lasting().len(), 7, "which commits what is open");
         let of = |word: &str| {
-            let all = stand
-                .engines
-                .iter()
-                .flat_map(|e| e.ran().into_iter().map(|r| (e.name().to_string(), r)));
+            let all = stand.engines.iter().flat_map(|e| {
+                e.executions()
+                    .into_iter()
+                    .map(|r| (e.name().to_string(), r))
+            });
             let mut of: Vec<_> = all
                 .filter(|(_, r)| r.sql.contains(word))
                 .map(|(e, r)| (e, r.connection))
@@ -226,7 +232,8 @@
         let mut s = stand.session().await;
         let look = "select engine(), @@time_zone";
         let (id, _) = s.prepare(look).await.unwrap();
-        let told = |a: &testbed::raw::Answer| -> Vec<String> { texts(&a.rows[0].slice(2..)) };
+        let told =
+            |a: &testbed::clients::mysql::Answer| -> Vec<String> { texts(&a.rows[0].slice(2..)) };
         let first = told(&s.execute(id, false).await.unwrap());
         assert_eq!(first[1], "SYSTEM");
         says(&mut s, "SET time_zone = '+04:00'").await;
@@ -437,7 +444,14 @@
         let stand = stand("idlers", 2, "max_clients = 256", "").await;
         let (mut all, mut refused) = (vec![], 0);
         for _ in 0..500 {
-            match Session::log_in(stand.program.address, "guest", "guest", Wants::default()).await {
+            match Session::log_in(
+                stand.program.address,
+                "guest",
+                "guest",
+                SessionOptions::default(),
+            )
+            .await
+            {
                 Ok(s) => all.push(s),
                 Err(_) => refused += 1,
             }
@@ -452,7 +466,13 @@
         let connections: u32 = stand
             .engines
             .iter()
-            .map(|e| e.ran().iter().map(|r| r.connection).max().unwrap_or(0))
+            .map(|e| {
+                e.executions()
+                    .iter()
+                    .map(|r| r.connection)
+                    .max()
+                    .unwrap_or(0)
+            })
             .sum();
         assert!(
             connections <= 8,
--- a/tests/mysql_tls.rs
+++ b/tests/mysql_tls.rs
@@ -5,10 +5,10 @@
 use std::path::Path;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use testbed::engine::Engine;
+use testbed::clients::mysql::{Session, SessionOptions, error};
+use testbed::fakes::engine::Engine;
+use testbed::fixture;
 use testbed::program::{Folder, Program};
-use testbed::raw::{Session, Wants, error};
-use testbed::stand;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::task::LocalSet;
@@ -114,7 +114,7 @@
     write(&folder, "a", &authority.signs(&["a.example"], "a", FAR));
     write(&folder, "b", &authority.signs(&["*.b.example"], "b", FAR));
     std::fs::write(folder.path().join("ca.pem"), &authority.pem).unwrap();
-    let engines = stand::engines(1, Duration::from_millis(1)).await.unwrap();
+    let engines = fixture::engines(1, Duration::from_millis(1)).await.unwrap();
     let list = engines.iter().map(|e| {
         format!(
             "[[engine]]\nid = {:?}\naddress = \"{}\"\n",
@@ -124,7 +124,7 @@
     });
     let at = folder.path().to_str().unwrap();
     let keys = "[[tls.key]]\ncert = \"AT/a.pem\"\nkey = \"AT/a.key\"\n[[tls.key]]\ncert = \"AT/b.pem\"\nkey = \"AT/b.key\"\n";
-    let text = stand::file(
+    let text = fixture::dispatcher_file(
         "",
         &format!("{}{users}[tls]\n{tls}\n{keys}", list.collect::<String>()),
     );
@@ -172,9 +172,14 @@
             stand.tls("elsewhere.example").await.is_err(),
             "no key covers it, and the client says no"
         );
-        let mut plain = Session::log_in(stand.program.address, "guest", "guest", Wants::default())
-            .await
-            .unwrap();
+        let mut plain = Session::log_in(
+            stand.program.address,
+            "guest",
+            "guest",
+            SessionOptions::default(),
+        )
+        .await
+        .unwrap();
         plain.query("select a from t").await.unwrap();
         let old = stand.authority.client(true, None);
         Session::log_in_tls(stand.program.address, "guest", "guest", old, "a.example")
@@ -187,8 +192,13 @@
 fn downgrade_to_plain_older_tls_or_injected_bytes_is_rejected() {
     play(async {
         let stand = stand("downgrade", "required = true\nmin_version = \"1.3\"", "").await;
-        let plain =
-            Session::log_in(stand.program.address, "guest", "guest", Wants::default()).await;
+        let plain = Session::log_in(
+            stand.program.address,
+            "guest",
+            "guest",
+            SessionOptions::default(),
+        )
+        .await;
         assert_eq!(error(plain).unwrap().code, 3159);
         let old = stand.authority.client(true, None);
         assert!(
@@ -236,7 +246,13 @@
             log_in(record_foreign_message, "till").await.is_err(),
             "signed by somebody else"
         );
-        let plain = Session::log_in(stand.program.address, "till", "till", Wants::default()).await;
+        let plain = Session::log_in(
+            stand.program.address,
+            "till",
+            "till",
+            SessionOptions::default(),
+        )
+        .await;
         assert_eq!(error(plain).unwrap().code, 1045);
     });
 }
--- a/tests/recorded_decisions.rs
+++ b/tests/recorded_decisions.rs
@@ -22,7 +22,7 @@
 use profiles::profile;
 use record::Record;
 use testbed::scenario::Scenario;
-use testbed::world::{play, policy::Policy};
+use testbed::simulation::{play, policy::Policy};
 
 /// Streams of each profile, each with its own seed.
 const CONTROLLER_SEEDS: std::ops::Range<u64> = 0..16;
--- a/tests/spool.rs
+++ b/tests/spool.rs
@@ -7,11 +7,11 @@
 use serde_json::Value;
 use std::path::Path;
 use std::time::Duration;
-use testbed::client::{Clients, End, Load};
-use testbed::engine::{Engine, filled};
+use testbed::clients::load::{Clients, End, Load};
+use testbed::clients::mysql::{Session, SessionOptions, error, text, texts};
+use testbed::fakes::engine::{Engine, filled};
+use testbed::fixture;
 use testbed::program::{Folder, Program};
-use testbed::raw::{Session, Wants, error, text, texts};
-use testbed::stand;
 use tokio::task::{LocalSet, spawn_local};
 
 fn play(f: impl Future<Output = ()>) {
@@ -50,7 +50,7 @@
         ));
     }
     let users = "[[user]]\nname = \"bob\"\npassword = \"bob\"\ntenant = \"kitchen\"\n[[tenant]]\nname = \"kitchen\"\n";
-    stand::file(
+    fixture::dispatcher_file(
         "max_clients = 400",
         &format!("{users}{list}[spool]\n{spool}"),
     )
@@ -69,7 +69,7 @@
 }
 
 async fn session(p: &Program) -> Session {
-    Session::log_in(p.address, "guest", "guest", Wants::default())
+    Session::log_in(p.address, "guest", "guest", SessionOptions::default())
         .await
         .unwrap()
 }
@@ -118,7 +118,7 @@
 #[test]
 fn slow_clients_do_not_occupy_engines_and_memory_is_bounded() {
     play(async {
-        let engines = stand::engines(2, ms(1)).await.unwrap();
+        let engines = fixture::engines(2, ms(1)).await.unwrap();
         let folder = folder("slow");
         let program = start(
             &folder,
@@ -140,9 +140,9 @@
         // 200 clients that read 1 kB a second of a megabyte each.
         let mut slow = vec![];
         for _ in 0..200 {
-            let wants = Wants {
+            let wants = SessionOptions {
                 receive: Some(4096),
-                ..Wants::default()
+                ..SessionOptions::default()
             };
             slow.push(
                 Session::log_in(program.address, "guest", "guest", wants)
@@ -165,7 +165,7 @@
         // All have their results while nobody has read more than a few kB.
         while engines
             .iter()
-            .flat_map(Engine::ran)
+            .flat_map(Engine::executions)
             .filter(|r| !r.answered)
             .count()
             > 0
@@ -199,7 +199,7 @@
         );
         let ran = engines
             .iter()
-            .flat_map(Engine::ran)
+            .flat_map(Engine::executions)
             .filter(|r| r.sql == slowly);
         let held: Vec<f64> = ran.map(|r| r.held).collect();
         assert!(
@@ -223,7 +223,7 @@
 #[test]
 fn disconnected_client_resumes_its_result_and_nothing_runs_twice() {
     play(async {
-        let engines = stand::engines(2, ms(1)).await.unwrap();
+        let engines = fixture::engines(2, ms(1)).await.unwrap();
         let folder = folder("return");
         let text = file(
             &engines,
@@ -282,7 +282,7 @@
         assert_eq!(
             engines
                 .iter()
-                .flat_map(Engine::ran)
+                .flat_map(Engine::executions)
                 .filter(|r| r.sql == REPORT)
                 .count(),
             1,
@@ -294,7 +294,7 @@
 #[test]
 fn foreign_wrong_and_expired_handles_are_indistinguishable() {
     play(async {
-        let engines = stand::engines(1, ms(1)).await.unwrap();
+        let engines = fixture::engines(1, ms(1)).await.unwrap();
         let folder = folder("handles");
         let program = start(&folder, "a", &file(&engines, "keep_s = 0.6")).await;
         let mut ann = session(&program).await;
@@ -302,7 +302,7 @@
         let handle = handles(&mut ann).await[0][0].clone();
         assert!(handle.len() == 32 && handle.bytes().all(|b| b.is_ascii_hexdigit()));
         let fetch = format!("FETCH HITCHWINCH RESULT '{handle}' FROM PAGE 0");
-        let mut bob = Session::log_in(program.address, "bob", "bob", Wants::default())
+        let mut bob = Session::log_in(program.address, "bob", "bob", SessionOptions::default())
             .await
             .unwrap();
         assert!(handles(&mut bob).await.is_empty(), "nobody sees another's");
@@ -342,7 +342,7 @@
 #[test]
 fn full_quota_or_disk_rejects_or_fails_results_with_a_clear_error() {
     play(async {
-        let engines = stand::engines(2, ms(1)).await.unwrap();
+        let engines = fixture::engines(2, ms(1)).await.unwrap();
         let folder = folder("full");
         let spool = "dir = \"FOLDER/spool\"\nmemory = \"1 MB\"\ndisk = \"12 MB\"\nresult = \"6 MB\"\nkeep_s = 600";
         let program = start(&folder, "a", &file(&engines, spool)).await;
@@ -357,9 +357,9 @@
         let mut readers = vec![];
         let mut refused = None;
         for n in 0..12 {
-            let wants = Wants {
+            let wants = SessionOptions {
                 receive: Some(4096),
-                ..Wants::default()
+                ..SessionOptions::default()
             };
             let mut r = Session::log_in(program.address, "guest", "guest", wants)
                 .await
@@ -392,7 +392,7 @@
             "it was not sent"
         );
         // What is short waits nowhere, and is served as ever.
-        let mut bob = Session::log_in(program.address, "bob", "bob", Wants::default())
+        let mut bob = Session::log_in(program.address, "bob", "bob", SessionOptions::default())
             .await
             .unwrap();
         assert!(bob.query("insert into stock values (1)").await.is_ok());
@@ -432,7 +432,7 @@
 #[test]
 fn engine_death_during_a_result_leaves_no_partial_result_and_reads_are_retried() {
     play(async {
-        let engines = stand::engines(2, ms(1)).await.unwrap();
+        let engines = fixture::engines(2, ms(1)).await.unwrap();
         let folder = folder("dies");
         let program = start(&folder, "a", &file(&engines, "dir = \"FOLDER/spool\"")).await;
         let mut s = session(&program).await;
@@ -445,7 +445,7 @@
         }
         let ran: Vec<_> = engines
             .iter()
-            .flat_map(Engine::ran)
+            .flat_map(Engine::executions)
             .filter(|r| r.sql == breaking)
             .collect();
         assert_eq!(
@@ -465,7 +465,7 @@
         assert_eq!(
             engines
                 .iter()
-                .flat_map(Engine::ran)
+                .flat_map(Engine::executions)
                 .filter(|r| r.sql == writing)
                 .count(),
             1
@@ -478,7 +478,7 @@
 #[test]
 fn kill_during_a_write_keeps_only_complete_results() {
     play(async {
-        let engines = stand::engines(1, ms(1)).await.unwrap();
+        let engines = fixture::engines(1, ms(1)).await.unwrap();
         let folder = folder("kill");
         let text = file(
             &engines,
@@ -522,7 +522,7 @@
 #[test]
 fn corrupt_page_ends_its_result_with_an_error_and_affects_no_other() {
     play(async {
-        let engines = stand::engines(1, ms(1)).await.unwrap();
+        let engines = fixture::engines(1, ms(1)).await.unwrap();
         let folder = folder("torn");
         let program = start(
             &folder,
@@ -563,7 +563,7 @@
 #[test]
 fn failing_disk_is_reported_and_results_stay_in_memory_until_recovery() {
     play(async {
-        let engines = stand::engines(1, ms(1)).await.unwrap();
+        let engines = fixture::engines(1, ms(1)).await.unwrap();
         let folder = folder("fails");
         let program = start(&folder, "a", &file(&engines, "dir = \"FOLDER/spool\"")).await;
         let own = std::fs::read_dir(folder.path().join("spool"))
@@ -605,7 +605,7 @@
 #[test]
 fn cursors_are_served_page_by_page_for_short_and_long_results() {
     play(async {
-        let engines = stand::engines(1, ms(1)).await.unwrap();
+        let engines = fixture::engines(1, ms(1)).await.unwrap();
         let folder = folder("cursor");
         let program = start(
             &folder,
@@ -614,9 +614,9 @@
         )
         .await;
         for deprecate_eof in [false, true] {
-            let wants = Wants {
+            let wants = SessionOptions {
                 deprecate_eof,
-                ..Wants::default()
+                ..SessionOptions::default()
             };
             let mut s = Session::log_in(program.address, "guest", "guest", wants)
                 .await
@@ -631,7 +631,11 @@
                     status(&opened.last) & SERVER_STATUS_CURSOR_EXISTS,
                     SERVER_STATUS_CURSOR_EXISTS
                 );
-                let ran = engines[0].ran().iter().filter(|r| !r.answered).count();
+                let ran = engines[0]
+                    .executions()
+                    .iter()
+                    .filter(|r| !r.answered)
+                    .count();
                 assert_eq!(ran, 0, "the engine is free before the first fetch");
                 let (mut rows, mut fetches) = (vec![], 0);
                 loop {
@@ -660,13 +664,13 @@
 #[test]
 fn stalled_client_is_disconnected_and_its_result_is_retained() {
     play(async {
-        let engines = stand::engines(1, ms(1)).await.unwrap();
+        let engines = fixture::engines(1, ms(1)).await.unwrap();
         let folder = folder("stall");
         let text = file(&engines, "stall_s = 0.5\nkeep_s = 600\nresult = \"40 MB\"");
         let program = start(&folder, "a", &text).await;
-        let wants = Wants {
+        let wants = SessionOptions {
             receive: Some(4096),
-            ..Wants::default()
+            ..SessionOptions::default()
         };
         let mut stalled = Session::log_in(program.address, "guest", "guest", wants)
             .await
@@ -694,7 +698,7 @@
 #[test]
 fn results_are_available_after_a_takeover() {
     play(async {
-        let engines = stand::engines(1, ms(1)).await.unwrap();
+        let engines = fixture::engines(1, ms(1)).await.unwrap();
         let folder = folder("upgrade");
         let text = file(
             &engines,
@@ -735,7 +739,7 @@
             1000,
             false,
         );
-        let mut bob = Session::log_in(new.address, "bob", "bob", Wants::default())
+        let mut bob = Session::log_in(new.address, "bob", "bob", SessionOptions::default())
             .await
             .unwrap();
         assert_eq!(
@@ -749,10 +753,10 @@
 #[test]
 fn session_tracking_client_receives_the_handle_in_the_last_packet() {
     play(async {
-        let engines = stand::engines(1, ms(1)).await.unwrap();
+        let engines = fixture::engines(1, ms(1)).await.unwrap();
         let folder = folder("track");
         let program = start(&folder, "a", &file(&engines, "keep_s = 600")).await;
-        let wants = Wants {
+        let wants = SessionOptions {
             deprecate_eof: true,
             session_track: true,
             receive: None,
@@ -778,7 +782,7 @@
 #[test]
 fn two_gigabyte_result_passes_through_bounded_memory() {
     play(async {
-        let engines = stand::engines(1, ms(1)).await.unwrap();
+        let engines = fixture::engines(1, ms(1)).await.unwrap();
         let folder = folder("large");
         let spool =
             "dir = \"FOLDER/spool\"\nmemory = \"16 MB\"\ndisk = \"8 GB\"\nresult = \"4 GB\"";
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -93,7 +93,7 @@
         "[eureka]\nservers = [\"http://{}/eureka\"]\napp = \"ENGINES\"\nperiod_s = 0.2\ntimeout_ms = 1000\n",
         registry.at
     );
-    testbed::stand::file(&format!("state_dir = {state:?}"), &eureka)
+    testbed::fixture::dispatcher_file(&format!("state_dir = {state:?}"), &eureka)
 }
 
 /// A folder for state as fb33aa2 left it: a snapshot of membership, and engines that are out by hand.
@@ -241,7 +241,7 @@
         "[spool]\ndir = {:?}\nkeep_s = 604800\n",
         folder.join("spool")
     );
-    testbed::stand::file("", &format!("{user}{engine}{spool}"))
+    testbed::fixture::dispatcher_file("", &format!("{user}{engine}{spool}"))
 }
 
 /// A listing of results with its last two columns, which count from now, left out: handles, statements and sizes.
