--- a/crates/testbed/src/simulation/arrivals.rs
+++ b/crates/testbed/src/simulation/arrivals.rs
@@ -1,6 +1,6 @@
 //! Clients: arrivals, retries of rejected requests, and the windows that their service is counted in.
 
-use super::*;
+use super::{ClientRequest, Event, Job, NewRequest, START_MS, Simulation, WINDOW_S, Waits, Window};
 
 impl Simulation<'_> {
     /// Until the next arrival: thinned from the highest rate, so that a shape changes no other draw.
@@ -85,10 +85,10 @@
             lost: 0.0,
             over: false,
         };
-        let request = self.ask(t);
+        let request = self.submit(t);
         if leaves && let Some(request) = request {
             let at = self.now + (gives_up - self.now) / 2.0;
-            self.at(at, Event::Leave { gateway, request });
+            self.schedule(at, Event::Leave { gateway, request });
         }
     }
 
@@ -126,7 +126,7 @@
     }
 
     /// A client asks its gateway.
-    pub(super) fn ask(&mut self, t: ClientRequest) -> Option<u64> {
+    pub(super) fn submit(&mut self, t: ClientRequest) -> Option<u64> {
         let g = t.gateway;
         let fragile = self.scenario.classes[t.class].non_idempotent;
         let new = NewRequest {
@@ -140,15 +140,15 @@
         let gives_up = t.gives_up;
         // The core gives the request its number and may answer at once: it is known before its commands are looked at.
         let began = std::time::Instant::now();
-        let request = self.dispatchers[g].decides.open(self.now, new);
+        let request = self.dispatchers[g].decisions.open(self.now, new);
         self.day.decided_s += began.elapsed().as_secs_f64();
         self.day.calls += 1;
-        self.mark(1, g as u64, request);
+        self.add_to_hash(1, g as u64, request);
         self.checker.took((g, request), fragile, gives_up);
-        self.dispatchers[g].tries.insert(request, t);
+        self.dispatchers[g].open_requests.insert(request, t);
         self.carry_out(g);
         self.dispatchers[g]
-            .tries
+            .open_requests
             .contains_key(&request)
             .then_some(request)
     }
--- a/crates/testbed/src/simulation/dispatchers.rs
+++ b/crates/testbed/src/simulation/dispatchers.rs
@@ -1,11 +1,13 @@
 //! Dispatchers: calls of their decisions, the commands these give, messages to engines and answers to clients.
 
-use super::*;
+use super::{
+    Answer, Attempt, AttemptId, ClientRequest, Command, Dispatch, Event, Job, Outcome, Simulation,
+};
 
 impl Simulation<'_> {
-    pub(super) fn decide(&mut self, g: usize, f: impl FnOnce(&mut dyn Dispatch, f64)) {
+    pub(super) fn with_decisions(&mut self, g: usize, f: impl FnOnce(&mut dyn Dispatch, f64)) {
         let began = std::time::Instant::now();
-        f(&mut *self.dispatchers[g].decides, self.now);
+        f(&mut *self.dispatchers[g].decisions, self.now);
         self.day.decided_s += began.elapsed().as_secs_f64();
         self.day.calls += 1;
         self.carry_out(g);
@@ -13,7 +15,7 @@
 
     pub(super) fn carry_out(&mut self, g: usize) {
         loop {
-            let commands = self.dispatchers[g].decides.commands();
+            let commands = self.dispatchers[g].decisions.commands();
             if commands.is_empty() {
                 break;
             }
@@ -21,7 +23,7 @@
                 self.command(g, c);
             }
         }
-        let wake = self.dispatchers[g].decides.next_wake();
+        let wake = self.dispatchers[g].decisions.next_wake();
         if let Some(at) = wake
             && self.dispatchers[g]
                 .tick_at
@@ -29,7 +31,7 @@
         {
             let at = at.max(self.now + 0.01);
             self.dispatchers[g].tick_at = Some(at);
-            self.at(
+            self.schedule(
                 at,
                 Event::Tick {
                     gateway: g,
@@ -50,7 +52,7 @@
             Command::Cancel { attempt } => {
                 if let Some((engine, _)) = self.dispatchers[g].out.remove(&attempt) {
                     let at = self.now + self.delay(g, engine);
-                    self.at(
+                    self.schedule(
                         at,
                         Event::Cancel {
                             engine,
@@ -74,9 +76,9 @@
         };
         let attempt = Attempt { gateway: g, id };
         // As the program does: looked at again right before it is written.
-        if !self.dispatchers[g].decides.in_service(engine) {
+        if !self.dispatchers[g].decisions.in_service(engine) {
             self.dispatchers[g].out.insert(id, (e, self.now));
-            return self.at(
+            return self.schedule(
                 self.now,
                 Event::Back {
                     attempt,
@@ -86,14 +88,14 @@
             );
         }
         self.day.attempts += 1;
-        self.mark(
+        self.add_to_hash(
             2,
             (g as u64) << 32 | e as u64,
             id.request << 8 | u64::from(id.index),
         );
         self.checker.sent(self.now, (g, id.request), id.index, e);
         self.dispatchers[g].out.insert(id, (e, self.now));
-        let Some(t) = self.dispatchers[g].tries.get_mut(&id.request) else {
+        let Some(t) = self.dispatchers[g].open_requests.get_mut(&id.request) else {
             return;
         };
         t.first_sent.get_or_insert(self.now);
@@ -102,7 +104,7 @@
             ..t.job.clone()
         };
         let (process, at) = (self.engines[e].process, self.now + self.delay(g, e));
-        self.at(
+        self.schedule(
             at,
             Event::Reach {
                 engine: e,
@@ -126,7 +128,7 @@
     }
 
     /// Something that an engine sends to a gateway.
-    pub(super) fn back(
+    pub(super) fn send_result(
         &mut self,
         attempt: Attempt,
         engine: usize,
@@ -137,7 +139,7 @@
             return;
         }
         let at = self.now + self.delay(attempt.gateway, engine);
-        self.at(
+        self.schedule(
             at,
             Event::Back {
                 attempt,
@@ -149,7 +151,7 @@
 
     pub(super) fn answer(&mut self, g: usize, request: u64, answer: Answer) {
         self.checker.answered(self.now, (g, request));
-        let Some(t) = self.dispatchers[g].tries.get_mut(&request) else {
+        let Some(t) = self.dispatchers[g].open_requests.get_mut(&request) else {
             return;
         };
         if std::mem::replace(&mut t.over, true) {
@@ -162,7 +164,7 @@
             Answer::Failed { .. } => 2,
             Answer::TimedOut { .. } => 3,
         };
-        self.mark(3, g as u64, request << 3 | kind);
+        self.add_to_hash(3, g as u64, request << 3 | kind);
         if let Answer::Rejected { retry_after, .. } = answer
             && t.again < self.scenario.load.retries
         {
@@ -173,7 +175,7 @@
                     over: false,
                     ..t
                 };
-                self.at(at, Event::Again(Box::new(again)));
+                self.schedule(at, Event::Again(Box::new(again)));
                 return self.close(g, request);
             }
         }
@@ -182,7 +184,7 @@
         let late_answer_weight = self.scenario.classes[t.class].late_answer_weight;
         let earned = match answer {
             Answer::Served(_) => {
-                class.ends.served += 1;
+                class.outcomes.served += 1;
                 class.latency.saturating_record((took * 1000.0) as u64 + 1);
                 if took <= t.latency_objective {
                     t.priority_weight
@@ -191,15 +193,15 @@
                 }
             }
             Answer::Rejected { .. } => {
-                class.ends.refused += 1;
+                class.outcomes.refused += 1;
                 0.0
             }
             Answer::Failed { .. } => {
-                class.ends.failed += 1;
+                class.outcomes.failed += 1;
                 0.0
             }
             Answer::TimedOut { .. } => {
-                class.ends.late += 1;
+                class.outcomes.late += 1;
                 0.0
             }
         };
@@ -226,8 +228,8 @@
             index: u32::MAX,
         };
         let out = gateway.out.range(first..=last).next().is_some();
-        if !out && gateway.tries.get(&request).is_some_and(|t| t.over) {
-            gateway.tries.remove(&request);
+        if !out && gateway.open_requests.get(&request).is_some_and(|t| t.over) {
+            gateway.open_requests.remove(&request);
             self.checker.closed((g, request));
         }
     }
--- a/crates/testbed/src/simulation/engines.rs
+++ b/crates/testbed/src/simulation/engines.rs
@@ -1,13 +1,13 @@
 //! Engines: the requests that reach them, their processes, and their entries in the endpoint list.
 
-use super::*;
+use super::{Attempt, EngineEntry, EngineState, Event, Job, Outcome, START_MS, Simulation, Waits};
 
 impl Simulation<'_> {
     pub(super) fn entry(&self, e: usize) -> EngineEntry {
         let x = &self.engines[e];
         EngineEntry {
             engine: x.name.clone(),
-            state: x.listed,
+            state: x.listed_state,
             started: Some(x.model.started()).filter(|t| *t >= START_MS),
             kind: Some(x.kind),
             zone: Some(x.zone),
@@ -16,16 +16,16 @@
     }
 
     /// Asks to be rung when something ends next there, and when a note is due.
-    pub(super) fn rewake(&mut self, e: usize) {
+    pub(super) fn schedule_wake(&mut self, e: usize) {
         let x = &mut self.engines[e];
         (x.stamp, x.note_stamp) = (x.stamp + 1, x.note_stamp + 1);
         let (stamp, note_stamp) = (x.stamp, x.note_stamp);
         let (next, note) = (x.model.next(), x.model.next_note());
         if let Some(at) = next {
-            self.at(at, Event::Wake { engine: e, stamp });
+            self.schedule(at, Event::Wake { engine: e, stamp });
         }
         if let Some(at) = note {
-            self.at(
+            self.schedule(
                 at,
                 Event::Notes {
                     engine: e,
@@ -33,9 +33,11 @@
                 },
             );
         }
-        if self.engines[e].model.fallen() && !std::mem::replace(&mut self.engines[e].fell, true) {
-            self.checker.fell(self.now, e);
-            self.lose_all(e, Outcome::Reset);
+        if self.engines[e].model.fallen()
+            && !std::mem::replace(&mut self.engines[e].overloaded, true)
+        {
+            self.checker.overloaded(self.now, e);
+            self.fail_attempts(e, Outcome::Reset);
         }
     }
 
@@ -44,29 +46,29 @@
             return;
         }
         let x = &mut self.engines[e];
-        if !x.up || x.fell {
-            return self.back(attempt, e, Outcome::Unreachable, vec![]);
+        if !x.up || x.overloaded {
+            return self.send_result(attempt, e, Outcome::Unreachable, vec![]);
         }
         // Its connection was to the process before.
         if x.process != process {
-            return self.back(attempt, e, Outcome::Unreachable, vec![]);
+            return self.send_result(attempt, e, Outcome::Unreachable, vec![]);
         }
         let id = x.next_job;
         x.next_job += 1;
         if !x.model.send(self.now, id, job) {
             let report = x.model.report().to_vec();
-            return self.back(attempt, e, Outcome::Rejected, report);
+            return self.send_result(attempt, e, Outcome::Rejected, report);
         }
         x.jobs.insert(id, attempt);
         x.ids.insert(attempt, id);
         self.checker
             .ran(self.now, (attempt.gateway, attempt.id.request), e);
-        self.rewake(e);
+        self.schedule_wake(e);
     }
 
-    pub(super) fn spent(&mut self, attempt: Attempt, waits: &Waits) {
+    pub(super) fn add_waits(&mut self, attempt: Attempt, waits: &Waits) {
         if let Some(t) = self.dispatchers[attempt.gateway]
-            .tries
+            .open_requests
             .get_mut(&attempt.id.request)
         {
             t.waits.ran += waits.ran;
@@ -86,15 +88,15 @@
             };
             x.ids.remove(&attempt);
             let report = x.model.report().to_vec();
-            self.mark(4, e as u64, id);
-            self.spent(attempt, &waits);
-            self.back(attempt, e, Outcome::Served, report);
+            self.add_to_hash(4, e as u64, id);
+            self.add_waits(attempt, &waits);
+            self.send_result(attempt, e, Outcome::Served, report);
         }
-        self.rewake(e);
+        self.schedule_wake(e);
     }
 
     /// All that an engine has is lost, and its gateways see that.
-    pub(super) fn lose_all(&mut self, e: usize, outcome: Outcome) {
+    pub(super) fn fail_attempts(&mut self, e: usize, outcome: Outcome) {
         let x = &mut self.engines[e];
         let lost = x.model.end(self.now);
         let jobs = std::mem::take(&mut x.jobs);
@@ -103,40 +105,40 @@
             let Some(attempt) = jobs.get(&id).copied() else {
                 continue;
             };
-            self.spent(attempt, &waits);
-            self.back(attempt, e, outcome, vec![]);
+            self.add_waits(attempt, &waits);
+            self.send_result(attempt, e, outcome, vec![]);
         }
     }
 
     pub(super) fn end_process(&mut self, e: usize) {
-        self.lose_all(e, Outcome::Reset);
+        self.fail_attempts(e, Outcome::Reset);
         let x = &mut self.engines[e];
         (x.up, x.process) = (false, x.process + 1);
-        self.mark(5, e as u64, 0);
-        self.rewake(e);
+        self.add_to_hash(5, e as u64, 0);
+        self.schedule_wake(e);
     }
 
     pub(super) fn start_process(&mut self, e: usize) {
         let x = &mut self.engines[e];
         x.model.restart(self.now);
-        (x.up, x.fell) = (true, false);
-        self.mark(6, e as u64, 0);
-        self.rewake(e);
+        (x.up, x.overloaded) = (true, false);
+        self.add_to_hash(6, e as u64, 0);
+        self.schedule_wake(e);
     }
 
     /// The list tells how an engine stands, to each gateway when its news get there.
     pub(super) fn list(&mut self, e: usize, state: EngineState) {
-        self.engines[e].listed = state;
+        self.engines[e].listed_state = state;
         let entry = self.entry(e);
         let net = &self.scenario.net;
         for g in 0..self.dispatchers.len() {
             let lag = self.lists.between(net.list_ms[0], net.list_ms[1]) + self.list_extra;
             if self.list_away {
-                self.held_news.push((g, e, entry.clone()));
+                self.delayed_list_events.push((g, e, entry.clone()));
                 continue;
             }
             let at = self.now.to_bits();
-            self.at(
+            self.schedule(
                 self.now + lag,
                 Event::News {
                     gateway: g,
--- a/crates/testbed/src/simulation/event_loop.rs
+++ b/crates/testbed/src/simulation/event_loop.rs
@@ -1,6 +1,6 @@
 //! The event loop: what each event does when it is due.
 
-use super::*;
+use super::{Attempt, EngineState, Event, ListUpdate, Outcome, Simulation, WINDOW_S};
 
 impl Simulation<'_> {
     pub(super) fn event(&mut self, event: Event) {
@@ -9,13 +9,13 @@
                 if self.now <= self.end {
                     self.arrive();
                     let gap = self.gap();
-                    self.at(self.now + gap, Event::Arrive);
+                    self.schedule(self.now + gap, Event::Arrive);
                 }
             }
-            Event::Again(t) => drop(self.ask(*t)),
+            Event::Again(t) => drop(self.submit(*t)),
             Event::Leave { gateway, request } => {
                 let Some(t) = self.dispatchers[gateway]
-                    .tries
+                    .open_requests
                     .get_mut(&request)
                     .filter(|t| !t.over)
                 else {
@@ -23,9 +23,9 @@
                 };
                 t.over = true;
                 let class = t.class;
-                self.day.classes[class].ends.left += 1;
+                self.day.classes[class].outcomes.left += 1;
                 self.checker.left((gateway, request));
-                self.decide(gateway, |d, now| d.leave(now, request));
+                self.with_decisions(gateway, |d, now| d.leave(now, request));
                 self.close(gateway, request);
             }
             Event::Reach {
@@ -40,9 +40,9 @@
                     x.jobs.remove(&id);
                     let waits = x.model.cancel(self.now, id);
                     if let Some(waits) = waits {
-                        self.spent(attempt, &waits);
+                        self.add_waits(attempt, &waits);
                     }
-                    self.rewake(engine);
+                    self.schedule_wake(engine);
                 }
             }
             Event::Wake { engine, stamp } => {
@@ -65,12 +65,12 @@
                     return;
                 };
                 if matches!(outcome, Outcome::Reset | Outcome::Unreachable)
-                    && let Some(t) = self.dispatchers[gateway].tries.get_mut(&id.request)
+                    && let Some(t) = self.dispatchers[gateway].open_requests.get_mut(&id.request)
                 {
                     t.lost += self.now - sent;
                 }
-                self.mark(8, gateway as u64, id.request << 4 | outcome as u64);
-                self.decide(gateway, |d, now| d.ended(now, id, outcome, report));
+                self.add_to_hash(8, gateway as u64, id.request << 4 | outcome as u64);
+                self.with_decisions(gateway, |d, now| d.ended(now, id, outcome, report));
                 self.close(gateway, id.request);
             }
             Event::Noted { attempt, note } => {
@@ -78,13 +78,13 @@
                     .out
                     .contains_key(&attempt.id)
                 {
-                    self.decide(attempt.gateway, |d, now| d.note(now, attempt.id, note));
+                    self.with_decisions(attempt.gateway, |d, now| d.note(now, attempt.id, note));
                 }
             }
             Event::Tick { gateway, at } => {
                 if self.dispatchers[gateway].tick_at.map(f64::to_bits) == Some(at) {
                     self.dispatchers[gateway].tick_at = None;
-                    self.decide(gateway, |d, now| d.tick(now));
+                    self.with_decisions(gateway, |d, now| d.tick(now));
                 }
             }
             Event::News {
@@ -99,10 +99,10 @@
                     self.dispatchers[gateway].news.insert(engine, known);
                     return;
                 }
-                self.mark(9, gateway as u64, engine as u64);
+                self.add_to_hash(9, gateway as u64, engine as u64);
                 self.checker
                     .told(self.now, gateway, engine, entry.state == EngineState::Ready);
-                self.decide(gateway, |d, now| {
+                self.with_decisions(gateway, |d, now| {
                     d.engines(now, ListUpdate::Patch, vec![*entry])
                 });
             }
@@ -113,14 +113,14 @@
             } => {
                 let name = self.engines[engine].name.clone();
                 self.checker.told(self.now, gateway, engine, !out);
-                self.decide(gateway, |d, now| {
+                self.with_decisions(gateway, |d, now| {
                     d.administratively_drained(now, &name, out)
                 });
             }
-            Event::Fault(i) => self.trouble(i),
-            Event::Over(i, engines) => self.over(i, engines),
+            Event::Fault(i) => self.begin_fault(i),
+            Event::Over(i, engines) => self.end_fault(i, engines),
             Event::Step(step) => self.step(step),
-            Event::Look => self.look(),
+            Event::Look => self.close_window(),
         }
     }
 
@@ -134,14 +134,14 @@
             let arrives = !self.lists.chance(lost) && !self.cut.contains(&(attempt.gateway, e));
             if arrives {
                 let at = self.now + self.delay(attempt.gateway, e);
-                self.at(at, Event::Noted { attempt, note });
+                self.schedule(at, Event::Noted { attempt, note });
             }
         }
-        self.rewake(e);
+        self.schedule_wake(e);
     }
 
     /// The end of a window: how the engines were used in it.
-    pub(super) fn look(&mut self) {
+    pub(super) fn close_window(&mut self) {
         let now = self.now;
         let mut done = 0.0;
         let mut bears = 0.0;
@@ -153,14 +153,14 @@
         let serving = self
             .engines
             .iter()
-            .filter(|x| x.up && !x.fell && x.listed == EngineState::Ready)
+            .filter(|x| x.up && !x.overloaded && x.listed_state == EngineState::Ready)
             .count();
         let occupied = (done - self.done_at_window) / (bears * WINDOW_S * 1000.0).max(1.0);
         self.done_at_window = done;
         let w = self.window_of(now - 1.0);
         (w.occupied, w.serving) = (occupied, serving);
         if now < self.end {
-            self.at(now + WINDOW_S * 1000.0, Event::Look);
+            self.schedule(now + WINDOW_S * 1000.0, Event::Look);
         }
     }
 }
--- a/crates/testbed/src/simulation/events.rs
+++ b/crates/testbed/src/simulation/events.rs
@@ -1,6 +1,6 @@
 //! The events of a simulation, and their order in time.
 
-use super::*;
+use super::{AttemptId, EngineEntry, Job, Outcome, ProgressNote, Waits};
 
 /// One attempt of a client to be served: its first request, or a retry after a rejection.
 #[derive(Clone, Debug)]
@@ -75,12 +75,12 @@
     },
     Fault(usize),
     Over(usize, Vec<usize>),
-    Step(Step),
+    Step(FaultStep),
     Look,
 }
 
 /// One thing done to one engine by trouble.
-pub(super) enum Step {
+pub(super) enum FaultStep {
     Start(usize),
     ListOut(usize),
     ListIn(usize),
--- a/crates/testbed/src/simulation/faults.rs
+++ b/crates/testbed/src/simulation/faults.rs
@@ -1,9 +1,11 @@
 //! Faults: which engines they affect, how they begin, and how they end.
 
-use super::*;
+use super::{
+    EngineSelection, EngineState, Event, FaultKind, FaultStep, Outcome, Simulation, Stream,
+};
 
 impl Simulation<'_> {
-    pub(super) fn which(&mut self, w: &EngineSelection) -> Vec<usize> {
+    pub(super) fn select_engines(&mut self, w: &EngineSelection) -> Vec<usize> {
         let n = self.engines.len();
         let drawn = |random: &mut Stream, k: usize| {
             let mut left: Vec<usize> = (0..n).collect();
@@ -29,52 +31,52 @@
         }
     }
 
-    pub(super) fn trouble(&mut self, i: usize) {
+    pub(super) fn begin_fault(&mut self, i: usize) {
         let what = self.scenario.faults[i].what.clone();
-        self.mark(7, i as u64, 0);
+        self.add_to_hash(7, i as u64, 0);
         let s = 1000.0;
         match what {
             FaultKind::Die { engines, back_s } => {
-                for e in self.which(&engines) {
+                for e in self.select_engines(&engines) {
                     self.end_process(e);
                     self.list(e, EngineState::Gone);
-                    self.at(self.now + back_s * s, Event::Step(Step::Start(e)));
+                    self.schedule(self.now + back_s * s, Event::Step(FaultStep::Start(e)));
                 }
             }
             FaultKind::ZoneOutage { zone, back_s } => {
-                for e in self.which(&EngineSelection::Zone { zone }) {
+                for e in self.select_engines(&EngineSelection::Zone { zone }) {
                     self.end_process(e);
                     self.list(e, EngineState::Gone);
-                    self.at(self.now + back_s * s, Event::Step(Step::Start(e)));
+                    self.schedule(self.now + back_s * s, Event::Step(FaultStep::Start(e)));
                 }
             }
             FaultKind::Hang { engines, for_s } => {
-                let hung = self.which(&engines);
+                let hung = self.select_engines(&engines);
                 for e in &hung {
                     self.engines[*e].model.hang(self.now, true);
-                    self.rewake(*e);
+                    self.schedule_wake(*e);
                 }
-                self.at(self.now + for_s * s, Event::Over(i, hung));
+                self.schedule(self.now + for_s * s, Event::Over(i, hung));
             }
             FaultKind::Neighbour {
                 engines,
                 part,
                 for_s,
             } => {
-                let crowded = self.which(&engines);
+                let crowded = self.select_engines(&engines);
                 for e in &crowded {
                     self.engines[*e].model.neighbour(self.now, part);
-                    self.rewake(*e);
+                    self.schedule_wake(*e);
                 }
-                self.at(self.now + for_s * s, Event::Over(i, crowded));
+                self.schedule(self.now + for_s * s, Event::Over(i, crowded));
             }
             FaultKind::StaleList { extra_s, for_s } => {
                 self.list_extra += extra_s * s;
-                self.at(self.now + for_s * s, Event::Over(i, vec![]));
+                self.schedule(self.now + for_s * s, Event::Over(i, vec![]));
             }
             FaultKind::RegistryOutage { for_s } => {
                 self.list_away = true;
-                self.at(self.now + for_s * s, Event::Over(i, vec![]));
+                self.schedule(self.now + for_s * s, Event::Over(i, vec![]));
             }
             FaultKind::HeavyTail {
                 class,
@@ -89,18 +91,18 @@
                     .position(|c| c.name == class)
                     .unwrap_or(0);
                 self.heavy.push((class, part, times));
-                self.at(self.now + for_s * s, Event::Over(i, vec![class]));
+                self.schedule(self.now + for_s * s, Event::Over(i, vec![class]));
             }
             FaultKind::Partition {
                 dispatchers,
                 engines,
                 for_s,
             } => {
-                let engines = self.which(&engines);
+                let engines = self.select_engines(&engines);
                 for g in &dispatchers {
                     self.cut.extend(engines.iter().map(|e| (*g, *e)));
                 }
-                self.at(self.now + for_s * s, Event::Over(i, engines));
+                self.schedule(self.now + for_s * s, Event::Over(i, engines));
             }
             FaultKind::SlowLink {
                 dispatchers,
@@ -110,25 +112,25 @@
                 dispatchers
                     .iter()
                     .for_each(|g| *self.slow.entry(*g).or_default() += extra_ms);
-                self.at(self.now + for_s * s, Event::Over(i, vec![]));
+                self.schedule(self.now + for_s * s, Event::Over(i, vec![]));
             }
             FaultKind::Reset { engines } => {
-                for e in self.which(&engines) {
-                    self.lose_all(e, Outcome::Reset);
-                    self.rewake(e);
+                for e in self.select_engines(&engines) {
+                    self.fail_attempts(e, Outcome::Reset);
+                    self.schedule_wake(e);
                 }
             }
             FaultKind::Drain { engines, for_s } => {
-                for e in self.which(&engines) {
+                for e in self.select_engines(&engines) {
                     self.list(e, EngineState::Draining);
-                    self.at(self.now + for_s * s, Event::Step(Step::ListIn(e)));
+                    self.schedule(self.now + for_s * s, Event::Step(FaultStep::ListIn(e)));
                 }
             }
             FaultKind::RollingRestart { each_s, drain_s } => {
                 for e in 0..self.engines.len() {
                     let at = self.now + e as f64 * each_s * s;
-                    self.at(at, Event::Step(Step::ListOut(e)));
-                    self.at(at + drain_s * s, Event::Step(Step::ListIn(e)));
+                    self.schedule(at, Event::Step(FaultStep::ListOut(e)));
+                    self.schedule(at + drain_s * s, Event::Step(FaultStep::ListIn(e)));
                 }
             }
             FaultKind::AdministrativeDrain {
@@ -136,11 +138,11 @@
                 for_s,
                 restart_after_s,
             } => {
-                for e in self.which(&engines) {
+                for e in self.select_engines(&engines) {
                     for g in 0..self.dispatchers.len() {
                         // Operators call one gateway after the other.
                         let at = self.now + 50.0 * g as f64;
-                        self.at(
+                        self.schedule(
                             at,
                             Event::Hand {
                                 gateway: g,
@@ -149,33 +151,36 @@
                             },
                         );
                     }
-                    self.at(self.now + restart_after_s * s, Event::Step(Step::Start(e)));
-                    self.at(self.now + for_s * s, Event::Step(Step::HandIn(e)));
+                    self.schedule(
+                        self.now + restart_after_s * s,
+                        Event::Step(FaultStep::Start(e)),
+                    );
+                    self.schedule(self.now + for_s * s, Event::Step(FaultStep::HandIn(e)));
                 }
             }
         }
     }
 
-    pub(super) fn over(&mut self, i: usize, engines: Vec<usize>) {
+    pub(super) fn end_fault(&mut self, i: usize, engines: Vec<usize>) {
         match self.scenario.faults[i].what.clone() {
             FaultKind::Hang { .. } => {
                 for e in engines {
                     self.engines[e].model.hang(self.now, false);
-                    self.rewake(e);
+                    self.schedule_wake(e);
                 }
             }
             FaultKind::Neighbour { .. } => {
                 for e in engines {
                     self.engines[e].model.neighbour(self.now, 0.0);
-                    self.rewake(e);
+                    self.schedule_wake(e);
                 }
             }
             FaultKind::StaleList { extra_s, .. } => self.list_extra -= extra_s * 1000.0,
             FaultKind::RegistryOutage { .. } => {
                 self.list_away = false;
-                for (g, e, entry) in std::mem::take(&mut self.held_news) {
+                for (g, e, entry) in std::mem::take(&mut self.delayed_list_events) {
                     let at = self.now.to_bits();
-                    self.at(
+                    self.schedule(
                         self.now + 1.0,
                         Event::News {
                             gateway: g,
@@ -214,26 +219,26 @@
         }
     }
 
-    pub(super) fn step(&mut self, step: Step) {
+    pub(super) fn step(&mut self, step: FaultStep) {
         match step {
-            Step::Start(e) => {
+            FaultStep::Start(e) => {
                 if self.engines[e].up {
                     self.end_process(e);
                 }
                 self.start_process(e);
                 self.list(e, EngineState::Ready);
             }
-            Step::ListOut(e) => self.list(e, EngineState::Draining),
-            Step::ListIn(e) => {
+            FaultStep::ListOut(e) => self.list(e, EngineState::Draining),
+            FaultStep::ListIn(e) => {
                 // It was drained to be restarted: what it still has ends with its process.
                 self.end_process(e);
                 self.start_process(e);
                 self.list(e, EngineState::Ready);
             }
-            Step::HandIn(e) => {
+            FaultStep::HandIn(e) => {
                 for g in 0..self.dispatchers.len() {
                     let at = self.now + 50.0 * g as f64;
-                    self.at(
+                    self.schedule(
                         at,
                         Event::Hand {
                             gateway: g,
--- a/crates/testbed/src/simulation/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -17,7 +17,7 @@
 use crate::random::{Stream, Streams, zipf};
 use crate::scenario::{EngineSelection, FaultKind, Scenario};
 use crate::simulation::emulator::{Emulator, Job, JobId, Waits};
-use events::{Attempt, ClientRequest, Event, ScheduledEvent, Step};
+use events::{Attempt, ClientRequest, Event, FaultStep, ScheduledEvent};
 use hdrhistogram::Histogram;
 use policy::{Dispatch, Plain, Policy};
 use query_dispatcher::core::{Answer, AttemptId, Command, Core, CoreLimits, NewRequest};
@@ -34,7 +34,7 @@
 /// The same bounds as the program's.
 const ANSWER_MARGIN_MS: f64 = 40.0;
 const PAGE_TIMEOUT_MS: f64 = 600.0;
-struct Engine {
+struct SimulatedEngine {
     name: String,
     kind: usize,
     zone: usize,
@@ -42,20 +42,20 @@
     process: u32,
     up: bool,
     /// As the list has it.
-    listed: EngineState,
+    listed_state: EngineState,
     jobs: BTreeMap<JobId, Attempt>,
     ids: BTreeMap<Attempt, JobId>,
     next_job: JobId,
     stamp: u64,
     note_stamp: u64,
-    fell: bool,
+    overloaded: bool,
 }
 
-struct Gateway {
+struct SimulatedDispatcher {
     zone: usize,
-    decides: Box<dyn Dispatch>,
+    decisions: Box<dyn Dispatch>,
     tick_at: Option<f64>,
-    tries: BTreeMap<u64, ClientRequest>,
+    open_requests: BTreeMap<u64, ClientRequest>,
     /// Attempts out: to which engine, and when they were sent.
     out: BTreeMap<AttemptId, (usize, f64)>,
     delay: Stream,
@@ -70,8 +70,8 @@
     end: f64,
     seq: u64,
     queue: BinaryHeap<Reverse<ScheduledEvent>>,
-    engines: Vec<Engine>,
-    dispatchers: Vec<Gateway>,
+    engines: Vec<SimulatedEngine>,
+    dispatchers: Vec<SimulatedDispatcher>,
     checker: Checker,
     arrivals: Stream,
     mix: Stream,
@@ -87,7 +87,7 @@
     slow: BTreeMap<usize, f64>,
     list_extra: f64,
     list_away: bool,
-    held_news: Vec<(usize, usize, EngineEntry)>,
+    delayed_list_events: Vec<(usize, usize, EngineEntry)>,
     buckets: Vec<(f64, f64)>,
     day: RunReport,
     done_at_window: f64,
@@ -98,11 +98,11 @@
 pub fn play(scenario: &Scenario, policy: Policy, seed: u64) -> RunReport {
     let streams = Streams::new(seed);
     play_with(scenario, seed, &mut |g, zone| {
-        decides(scenario, policy, &streams, g, zone)
+        decisions(scenario, policy, &streams, g, zone)
     })
 }
 
-fn decides(
+fn decisions(
     scenario: &Scenario,
     policy: Policy,
     streams: &Streams,
@@ -133,11 +133,11 @@
 pub fn play_with(
     scenario: &Scenario,
     seed: u64,
-    decides: &mut dyn FnMut(usize, usize) -> Box<dyn Dispatch>,
+    decisions: &mut dyn FnMut(usize, usize) -> Box<dyn Dispatch>,
 ) -> RunReport {
-    let mut world = Simulation::new(scenario, seed, decides);
-    world.run();
-    world.finish()
+    let mut simulation = Simulation::new(scenario, seed, decisions);
+    simulation.run();
+    simulation.finish()
 }
 
 fn histogram() -> Histogram<u64> {
@@ -151,7 +151,7 @@
     fn new(
         scenario: &'a Scenario,
         seed: u64,
-        decides: &mut dyn FnMut(usize, usize) -> Box<dyn Dispatch>,
+        decisions: &mut dyn FnMut(usize, usize) -> Box<dyn Dispatch>,
     ) -> Self {
         let streams = Streams::new(seed);
         let kinds = scenario.kind_names();
@@ -160,30 +160,30 @@
             for _ in 0..set.count {
                 let n = engines.len();
                 let kind = kinds.iter().position(|k| *k == set.kind).unwrap_or(0);
-                engines.push(Engine {
+                engines.push(SimulatedEngine {
                     name: format!("e{n:04}"),
                     kind,
                     zone: n % scenario.zones.len(),
                     model: Emulator::new(scenario.kind(&set.kind), START_MS, true),
                     process: 1,
                     up: true,
-                    listed: EngineState::Ready,
+                    listed_state: EngineState::Ready,
                     jobs: BTreeMap::new(),
                     ids: BTreeMap::new(),
                     next_job: 1,
                     stamp: 0,
                     note_stamp: 0,
-                    fell: false,
+                    overloaded: false,
                 });
             }
         }
         let dispatchers = (0..scenario.dispatchers).map(|g| {
             let zone = g % scenario.zones.len();
-            Gateway {
+            SimulatedDispatcher {
                 zone,
-                decides: decides(g, zone),
+                decisions: decisions(g, zone),
                 tick_at: None,
-                tries: BTreeMap::new(),
+                open_requests: BTreeMap::new(),
                 out: BTreeMap::new(),
                 delay: streams.numbered("delays", g),
                 news: BTreeMap::new(),
@@ -192,7 +192,7 @@
         let classes = scenario.classes.iter().map(|c| ClassReport {
             name: c.name.clone(),
             priority_weight: WeightedValue::default(),
-            ends: OutcomeCounts::default(),
+            outcomes: OutcomeCounts::default(),
             latency: histogram(),
         });
         let mut tenants: Vec<(String, WeightedValue)> = scenario
@@ -241,7 +241,7 @@
             slow: BTreeMap::new(),
             list_extra: 0.0,
             list_away: false,
-            held_news: vec![],
+            delayed_list_events: vec![],
             buckets,
             day,
             done_at_window: 0.0,
@@ -250,7 +250,7 @@
         }
     }
 
-    fn at(&mut self, at: f64, event: Event) {
+    fn schedule(&mut self, at: f64, event: Event) {
         self.seq += 1;
         self.queue.push(Reverse(ScheduledEvent {
             at: at.max(self.now),
@@ -260,7 +260,7 @@
     }
 
     /// Mixes an event into the day's hash: its moment in microseconds, what it is, and whose.
-    fn mark(&mut self, what: u64, a: u64, b: u64) {
+    fn add_to_hash(&mut self, what: u64, a: u64, b: u64) {
         self.day.events += 1;
         for n in [((self.now - START_MS) * 1000.0) as u64, what, a, b] {
             for byte in n.to_le_bytes() {
@@ -273,14 +273,14 @@
         let list: Vec<EngineEntry> = (0..self.engines.len()).map(|e| self.entry(e)).collect();
         for g in 0..self.dispatchers.len() {
             let entries = list.clone();
-            self.decide(g, |d, now| d.engines(now, ListUpdate::Stale, entries));
+            self.with_decisions(g, |d, now| d.engines(now, ListUpdate::Stale, entries));
         }
         for (i, t) in self.scenario.faults.iter().enumerate() {
-            self.at(START_MS + t.at_s * 1000.0, Event::Fault(i));
+            self.schedule(START_MS + t.at_s * 1000.0, Event::Fault(i));
         }
         let first = self.gap();
-        self.at(START_MS + first, Event::Arrive);
-        self.at(START_MS + WINDOW_S * 1000.0, Event::Look);
+        self.schedule(START_MS + first, Event::Arrive);
+        self.schedule(START_MS + WINDOW_S * 1000.0, Event::Look);
         while let Some(Reverse(due)) = self.queue.pop() {
             if due.at > self.end + RUN_OUT_MS {
                 break;
@@ -301,6 +301,6 @@
 }
 
 /// All late look-ups of a day, by their gateway: for reports.
-pub fn late_by_gateway(day: &RunReport) -> Vec<(u32, &LateCauses)> {
+pub fn late_by_dispatcher(day: &RunReport) -> Vec<(u32, &LateCauses)> {
     day.late.iter().map(|(g, l)| (*g, l)).collect()
 }
--- a/crates/testbed/src/simulation/report.rs
+++ b/crates/testbed/src/simulation/report.rs
@@ -39,7 +39,7 @@
 pub struct ClassReport {
     pub name: String,
     pub priority_weight: WeightedValue,
-    pub ends: OutcomeCounts,
+    pub outcomes: OutcomeCounts,
     /// From the moment a request was due, in microseconds.
     pub latency: Histogram<u64>,
 }
--- a/crates/testbed/src/simulation/rules.rs
+++ b/crates/testbed/src/simulation/rules.rs
@@ -203,7 +203,7 @@
     }
 
     /// An engine fell over.
-    pub fn fell(&mut self, now: f64, engine: usize) {
+    pub fn overloaded(&mut self, now: f64, engine: usize) {
         self.breaks(
             Rule::Cold,
             now,
@@ -272,7 +272,7 @@
         c.sent(1003.0, (0, 1), 3, 5);
         c.answered(5_001.0, (0, 1));
         c.answered(5_002.0, (0, 1));
-        c.fell(6_000.0, 2);
+        c.overloaded(6_000.0, 2);
         assert_eq!(
             rules(&c),
             [
--- a/crates/testbed/src/simulation/tests.rs
+++ b/crates/testbed/src/simulation/tests.rs
@@ -31,15 +31,15 @@
 }
 
 fn one_end_each(d: &RunReport) {
-    let ends: u64 = d
+    let outcomes: u64 = d
         .classes
         .iter()
         .map(|c| {
-            let e = c.ends;
+            let e = c.outcomes;
             e.served + e.refused + e.failed + e.late + e.left
         })
         .sum();
-    assert_eq!(ends, d.requests, "every request has one end");
+    assert_eq!(outcomes, d.requests, "every request has one end");
 }
 
 #[test]
@@ -97,14 +97,14 @@
     for policy in Policy::ALL {
         let d = play(&s, policy, 5);
         sound_for(policy, &d);
-        let failed = d.classes[2].ends.failed;
+        let failed = d.classes[2].outcomes.failed;
         assert!(
             failed > 0,
             "{}: a load that may have run is failed, not sent again",
             policy.name()
         );
         assert_eq!(
-            d.classes[0].ends.failed,
+            d.classes[0].outcomes.failed,
             0,
             "{}: a look-up goes elsewhere",
             policy.name()
@@ -137,7 +137,7 @@
         let unserved: u64 = d
             .classes
             .iter()
-            .map(|c| c.ends.refused + c.ends.failed + c.ends.late)
+            .map(|c| c.outcomes.refused + c.outcomes.failed + c.outcomes.late)
             .sum();
         assert!(
             unserved * 2 > d.requests,
