--- a/crates/testbed/src/fakes/registry/document.rs
+++ b/crates/testbed/src/fakes/registry/document.rs
@@ -19,7 +19,7 @@
 }
 
 fn over(i: &Instance) -> &'static str {
-    i.overridden.map_or("UNKNOWN", Status::word)
+    i.overridden.map_or("UNKNOWN", Status::as_str)
 }
 
 pub fn json_instance(i: &Instance) -> String {
@@ -44,7 +44,7 @@
         host = quoted(&i.host),
         app = quoted(&i.app),
         ip = quoted(&i.ip),
-        status = i.listed().word(),
+        status = i.listed().as_str(),
         over = over(i),
         port = i.port,
         secure = i.secure_port.unwrap_or(443),
@@ -82,7 +82,7 @@
         host = escaped(&i.host),
         app = escaped(&i.app),
         ip = escaped(&i.ip),
-        status = i.listed().word(),
+        status = i.listed().as_str(),
         over = over(i),
         port = i.port,
         secure = i.secure_port.unwrap_or(443),
--- a/crates/testbed/src/fakes/registry/leases.rs
+++ b/crates/testbed/src/fakes/registry/leases.rs
@@ -141,7 +141,7 @@
         let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
         self.all
             .values()
-            .for_each(|i| *counts.entry(i.listed().word()).or_default() += 1);
+            .for_each(|i| *counts.entry(i.listed().as_str()).or_default() += 1);
         counts
             .iter()
             .map(|(status, n)| format!("{status}_{n}_"))
--- a/src/bin/hitchwinch-simhost/main.rs
+++ b/src/bin/hitchwinch-simhost/main.rs
@@ -34,7 +34,7 @@
             return;
         };
         match event {
-            Event::Query(_) => bulletin.taken(),
+            Event::Query(_) => bulletin.credit_request(),
             Event::EngineList { update, entries } => {
                 if *update != ListUpdate::Patch {
                     self.listed.clear();
@@ -45,7 +45,7 @@
                         _ => self.listed.insert(e.engine.clone()),
                     };
                 }
-                bulletin.list(self.listed.iter().map(String::as_str));
+                bulletin.set_engines(self.listed.iter().map(String::as_str));
             }
             _ => {}
         }
@@ -183,7 +183,7 @@
                     .instances
                     .get_mut(&gateway_id)
                     .and_then(|i| i.bulletin.as_mut());
-                let heard = bulletin.map(|b| b.heard(now, content.as_bytes()));
+                let heard = bulletin.map(|b| b.receive(now, content.as_bytes()));
                 // What can't be read is passed over, as on sockets.
                 let Some(Ok(Some((engine, report)))) = heard else {
                     return Ok(());
@@ -230,7 +230,10 @@
             return Ok(());
         };
         let report = e.metrics.as_deref().unwrap_or_default();
-        match bulletin.learned(now, engine, report).map(String::from_utf8) {
+        match bulletin
+            .offer_report(now, engine, report)
+            .map(String::from_utf8)
+        {
             Some(Ok(content)) => self.write(&Out::WritePeer {
                 gateway_id: &e.gateway_id,
                 content: &content,
--- a/src/config/eureka.rs
+++ b/src/config/eureka.rs
@@ -1,7 +1,7 @@
 //! `[eureka]` of the operators' file: registries, what is read of them, and what of it may be believed.
 
 use super::{ConfigError, bad};
-use crate::membership::{Networks, Rules, SelfPreservationRules, networks};
+use crate::membership::{MembershipConfig, Networks, SelfPreservationConfig, networks};
 use base64::Engine as _;
 use ipnet::IpNet;
 use serde::Deserialize;
@@ -36,7 +36,7 @@
     pub format: PayloadFormat,
     /// The longest body, as sent and as unpacked, in bytes.
     pub max_body_bytes: usize,
-    pub rules: Rules,
+    pub rules: MembershipConfig,
     /// Registers this dispatcher, so that proxies find it.
     pub registration: Option<InstanceRegistration>,
 }
@@ -332,10 +332,10 @@
             // The earlier form took every address, and goes on doing so.
             None if earlier => Networks::any(),
             None => Networks::private(),
-            Some(texts) if texts.len() > networks::MOST => {
+            Some(texts) if texts.len() > networks::MAX_NETWORKS => {
                 return Err(bad(
                     "eureka.networks",
-                    format!("more than {}", networks::MOST),
+                    format!("more than {}", networks::MAX_NETWORKS),
                 ));
             }
             Some(texts) => {
@@ -359,10 +359,10 @@
                 format!("{most} is not in 1 to 100000"),
             ));
         }
-        let hold = SelfPreservationRules {
-            share: within("eureka.hold.share", self.hold.share, 0.25, 0.0, 1.0)?,
-            least: self.hold.least.unwrap_or(2),
-            span: 1000.0 * within("eureka.hold.for_s", self.hold.for_s, 120.0, 0.0, 86_400.0)?,
+        let hold = SelfPreservationConfig {
+            max_missing_share: within("eureka.hold.share", self.hold.share, 0.25, 0.0, 1.0)?,
+            max_missing_count: self.hold.least.unwrap_or(2),
+            duration: 1000.0 * within("eureka.hold.for_s", self.hold.for_s, 120.0, 0.0, 86_400.0)?,
         };
         let ask = self.ask.unwrap_or(2.min(servers.len()));
         if !(1..=servers.len()).contains(&ask) {
@@ -388,14 +388,14 @@
             servers_per_round: ask,
             format: self.format,
             max_body_bytes: most_body,
-            rules: Rules {
+            rules: MembershipConfig {
                 networks,
-                hold,
+                self_preservation: hold,
                 // Three rounds that fail, the last of which takes its whole time.
-                away: 3000.0 * period + timeout,
-                patience: 1000.0 * patience,
-                most,
-                ..Rules::default()
+                unreachable_after: 3000.0 * period + timeout,
+                missing_grace: 1000.0 * patience,
+                max_instances: most,
+                ..MembershipConfig::default()
             },
             registration: self.register.map(|r| r.check(listen)).transpose()?,
         })
--- a/src/config/profile.rs
+++ b/src/config/profile.rs
@@ -156,9 +156,9 @@
         let may = self.ceilings.peer_messages.unwrap_or(false) && self.fleet_size > 1 && fields > 0;
         let usable = price.is_finite() && price >= 0.0;
         (may && usable).then_some(GossipBudget {
-            peers: self.fleet_size,
-            price: price * 100.0,
-            fields,
+            dispatchers: self.fleet_size,
+            message_price: price * 100.0,
+            report_fields: fields,
         })
     }
 
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -193,7 +193,7 @@
     /// From now on it takes part in what the dispatchers of its tier tell each other.
     pub fn join_gossip(&mut self, terms: GossipBudget) {
         let mut bulletin = Broadcaster::new(terms);
-        bulletin.list(self.listed.keys().map(String::as_str));
+        bulletin.set_engines(self.listed.keys().map(String::as_str));
         self.bulletin = Some(bulletin);
     }
 
@@ -202,7 +202,7 @@
         let Some(bulletin) = &mut self.bulletin else {
             return Ok(());
         };
-        match bulletin.heard(now, message) {
+        match bulletin.receive(now, message) {
             Ok(Some((engine, report))) => {
                 self.report(now, Report::PeerLoadReport { engine, report })
             }
@@ -264,7 +264,9 @@
             },
         );
         self.due.insert((bits(due), id));
-        self.bulletin.iter_mut().for_each(Broadcaster::taken);
+        self.bulletin
+            .iter_mut()
+            .for_each(Broadcaster::credit_request);
         let query = Query {
             id,
             class: r.class,
@@ -323,7 +325,7 @@
         if let Some(bulletin) = self.bulletin.as_mut().filter(|_| !void) {
             self.commands.extend(
                 bulletin
-                    .learned(now, &a.engine, &report)
+                    .offer_report(now, &a.engine, &report)
                     .map(Command::Broadcast),
             );
         }
@@ -380,7 +382,7 @@
         self.undrain.retain(|id, _| self.listed.contains_key(id));
         self.has_list = true;
         if let Some(bulletin) = &mut self.bulletin {
-            bulletin.list(self.listed.keys().map(String::as_str));
+            bulletin.set_engines(self.listed.keys().map(String::as_str));
         }
         self.report(now, Report::Engines { update, entries });
     }
--- a/src/discovery/eureka/lease.rs
+++ b/src/discovery/eureka/lease.rs
@@ -142,7 +142,7 @@
                         log_line!(
                             "eureka {name}: registered as {} with status {}",
                             self.registration.instance_id,
-                            s.word()
+                            s.as_str()
                         );
                     }
                     return Outcome::Done;
@@ -181,7 +181,10 @@
             },
             Step::Renew(status) => Call {
                 method: Method::PUT,
-                path: format!("{own}?status={}&lastDirtyTimestamp={dirty}", status.word()),
+                path: format!(
+                    "{own}?status={}&lastDirtyTimestamp={dirty}",
+                    status.as_str()
+                ),
                 accept,
                 body: None,
             },
@@ -232,8 +235,8 @@
             format!(
                 "{} shows {} where {} was told",
                 self.source.servers[server].name,
-                status.word(),
-                told.word()
+                status.as_str(),
+                told.as_str()
             )
         });
         if differs != *self.differs.borrow() {
@@ -252,8 +255,7 @@
         "hostName": r.host,
         "app": r.app,
         "ipAddr": r.ip.to_string(),
-        "vipAddress": r.vip_address,
-        "status": status.word(),
+    "vipAddress" : r.vip_address, "status" : status.as_str(),
         "overriddenstatus": "UNKNOWN",
         "port": { "$": r.port, "@enabled": "true" },
         "securePort": { "$": 443, "@enabled": "false" },
--- a/src/discovery/eureka/mod.rs
+++ b/src/discovery/eureka/mod.rs
@@ -19,7 +19,7 @@
 use crate::config::eureka::PayloadFormat;
 use crate::discovery::membership_driver::MembershipDriver;
 use crate::log_line;
-use crate::membership::{Content, View};
+use crate::membership::{SourceUpdate, UpdateContent};
 use format::FormatError;
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
@@ -104,11 +104,11 @@
     async fn views(&self, server: usize, members: &MembershipDriver) -> Result<(), AskError> {
         let (source, replica) = (&self.source, &self.replicas[server]);
         let name = &source.servers[server].name;
-        let tell = |asked: f64, content: Content| {
-            members.view(View {
+        let tell = |asked: f64, content: UpdateContent| {
+            members.view(SourceUpdate {
                 source: name.clone(),
-                asked,
-                arrived: unix_time_millis(),
+                requested_at: asked,
+                received_at: unix_time_millis(),
                 content,
             });
         };
--- a/src/discovery/eureka/replica.rs
+++ b/src/discovery/eureka/replica.rs
@@ -2,7 +2,7 @@
 
 use crate::config::eureka::RegistryQuery;
 use crate::discovery::eureka::model::{Application, Document};
-use crate::membership::{Content, Status, registry_view::version};
+use crate::membership::{Status, UpdateContent, registry_view::version};
 use std::collections::{BTreeMap, HashMap};
 
 /// Instances of all applications of one registry that are kept count of.
@@ -19,7 +19,7 @@
 /// What a change comes to.
 #[derive(Debug)]
 pub struct Applied {
-    pub content: Content,
+    pub content: UpdateContent,
     /// The copy is not what the registry has: the whole is to be asked for. What was told counts all the same,
     /// for a drain must not wait for another exchange.
     pub differs: bool,
@@ -57,11 +57,11 @@
             Some(status) => self.statuses.insert(key, status),
             None => self.statuses.remove(&key),
         };
-        if let Some(n) = before.and_then(|b| self.counts.get_mut(b.word())) {
+        if let Some(n) = before.and_then(|b| self.counts.get_mut(b.as_str())) {
             *n -= 1;
         }
         if let Some(status) = status {
-            *self.counts.entry(status.word()).or_default() += 1;
+            *self.counts.entry(status.as_str()).or_default() += 1;
         }
         if self.statuses.len() > MOST {
             Err(ReplicaError::Many)
@@ -78,7 +78,7 @@
         &mut self,
         document: &Document,
         listing: &RegistryQuery,
-    ) -> Result<Content, ReplicaError> {
+    ) -> Result<UpdateContent, ReplicaError> {
         self.listed = false;
         self.statuses.clear();
         self.counts.clear();
@@ -92,7 +92,7 @@
             }
         }
         self.listed = true;
-        Ok(Content::Whole(facts))
+        Ok(UpdateContent::Full(facts))
     }
 
     /// A change since the last answer.
@@ -104,7 +104,7 @@
         document: &Document,
         listing: &RegistryQuery,
     ) -> Result<Applied, ReplicaError> {
-        let (mut told, mut deleted) = (vec![], vec![]);
+        let (mut changed, mut deleted) = (vec![], vec![]);
         for Application { name, instances } in &document.applications {
             for i in instances {
                 let status = (!i.deleted()).then(|| Status::parse(&i.status));
@@ -117,7 +117,7 @@
                     true if i.deleted() => {
                         deleted.push((i.id.clone(), version(i.dirty, i.updated)))
                     }
-                    true => told.push(i.fact(listing.secure())),
+                    true => changed.push(i.fact(listing.secure())),
                     false => {}
                 }
             }
@@ -130,7 +130,7 @@
             self.listed = false;
         }
         Ok(Applied {
-            content: Content::Delta { told, deleted },
+            content: UpdateContent::Delta { changed, deleted },
             differs,
         })
     }
--- a/src/discovery/eureka/tests.rs
+++ b/src/discovery/eureka/tests.rs
@@ -4,7 +4,7 @@
 use super::replica::Replica;
 use crate::config::eureka::RegistryQuery;
 use crate::membership::source_records::Reported;
-use crate::membership::{Content, Status, Version};
+use crate::membership::{Status, UpdateContent, Version};
 use bytes::Bytes;
 use hyper::StatusCode;
 use proptest::prelude::*;
@@ -36,19 +36,19 @@
         Version::new(1_764_579_999_900, 1_764_580_000_100)
     );
     assert_eq!(
-        (facts[0].said(), facts[0].started),
-        (Reported::Serves, Some(1_764_580_000_100.0))
+        (facts[0].reported(), facts[0].started),
+        (Reported::Serving, Some(1_764_580_000_100.0))
     );
     assert_eq!(
-        (facts[1].said(), facts[1].started),
-        (Reported::Drains(Status::OutOfService), None)
+        (facts[1].reported(), facts[1].started),
+        (Reported::Draining(Status::OutOfService), None)
     );
     assert_eq!(
         j.applications[0].instances[1].fact(true).address,
         Some("127.0.0.1:4443".parse().unwrap())
     );
     assert_eq!(
-        (facts[2].address, facts[2].version.untold()),
+        (facts[2].address, facts[2].version.is_unset()),
         (None, true),
         "a port that is not open is none"
     );
@@ -63,13 +63,13 @@
 fn an_application_and_an_instance_alone_are_read_too() {
     let app = json(APP_JSON).unwrap();
     assert_eq!(
-        app.applications[0].instances[0].fact(false).said(),
-        Reported::Drains(Status::Starting)
+        app.applications[0].instances[0].fact(false).reported(),
+        Reported::Draining(Status::Starting)
     );
     let one = xml(INSTANCE_XML).unwrap();
     assert_eq!(
-        one.applications[0].instances[0].fact(false).said(),
-        Reported::Drains(Status::Down)
+        one.applications[0].instances[0].fact(false).reported(),
+        Reported::Draining(Status::Down)
     );
 }
 
@@ -159,7 +159,7 @@
         instance("k", "DOWN", "ADDED"),
     );
     let whole = document("DOWN_1_UP_2_", &[("ENGINES", &[a, b]), ("KITCHEN", &[k])]);
-    let Content::Whole(facts) = r.whole(&whole, &listing).unwrap() else {
+    let UpdateContent::Full(facts) = r.whole(&whole, &listing).unwrap() else {
         panic!()
     };
     assert_eq!(
@@ -182,10 +182,10 @@
     );
     let applied = r.delta(&delta, &listing).unwrap();
     assert!(!applied.differs, "{}", r.hashcode());
-    let Content::Delta { told, deleted } = applied.content else {
+    let UpdateContent::Delta { changed, deleted } = applied.content else {
         panic!()
     };
-    assert_eq!((told.len(), deleted.len()), (2, 0));
+    assert_eq!((changed.len(), deleted.len()), (2, 0));
     let applied = r
         .delta(
             &document("UP_1_", &[("Engines", &[instance("b", "UP", "DELETED")])]),
@@ -196,7 +196,7 @@
         applied.differs && !r.listed(),
         "the case of an application's name counts for its registry"
     );
-    let Content::Delta { deleted, .. } = applied.content else {
+    let UpdateContent::Delta { deleted, .. } = applied.content else {
         panic!()
     };
     assert_eq!(
--- a/src/discovery/membership_driver.rs
+++ b/src/discovery/membership_driver.rs
@@ -8,7 +8,7 @@
 use crate::discovery::ChangeHandler;
 use crate::log_line;
 use crate::membership::report::{Query, QueryError, Report};
-use crate::membership::{Change, Membership, Observation, Snapshot, View, snapshot};
+use crate::membership::{Change, Membership, Observation, Snapshot, SourceUpdate, snapshot};
 use crate::storage::{LoadError, LocalFileSystem, RecordError, RecordKind, RecordStore};
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
@@ -28,7 +28,7 @@
 const NAME: &str = "members";
 const KIND: RecordKind = RecordKind {
     tag: *b"MEMB",
-    version: snapshot::FORM,
+    version: snapshot::SNAPSHOT_FORMAT_VERSION,
 };
 const MOST_FILE: usize = 64 << 20;
 
@@ -92,8 +92,8 @@
             match load(store) {
                 Ok(Some(snapshot)) => {
                     let (age, n) = (
-                        (unix_time_millis() - snapshot.written) / 1000.0,
-                        snapshot.engines.len(),
+                        (unix_time_millis() - snapshot.taken_at) / 1000.0,
+                        snapshot.instances.len(),
                     );
                     log_line!("members: a snapshot of {n} engines, {age:.0} s old, is at hand");
                     membership.restore(unix_time_millis(), snapshot);
@@ -129,20 +129,23 @@
         self.serving.get()
     }
 
-    pub fn view(&self, view: View) {
+    pub fn view(&self, view: SourceUpdate) {
         self.work_through();
         self.membership
             .borrow_mut()
-            .administratively_drained((self.hands)());
-        let change = self.membership.borrow_mut().view(unix_time_millis(), view);
+            .set_administratively_drained((self.hands)());
+        let change = self
+            .membership
+            .borrow_mut()
+            .apply_update(unix_time_millis(), view);
         self.tell(change);
     }
 
     pub fn failed(&self, source: &str, problem: String) {
-        let change = self
-            .membership
-            .borrow_mut()
-            .failed(unix_time_millis(), source, problem);
+        let change =
+            self.membership
+                .borrow_mut()
+                .record_source_failure(unix_time_millis(), source, problem);
         self.tell(change);
     }
 
@@ -180,7 +183,7 @@
         self.work_through();
         self.membership
             .borrow_mut()
-            .administratively_drained((self.hands)());
+            .set_administratively_drained((self.hands)());
         let report = self.membership.borrow().report(unix_time_millis(), &query);
         let lease = self.lease.borrow().clone();
         let page = Page {
@@ -193,7 +196,7 @@
     }
 
     fn tell(&self, change: Option<Change>) {
-        let news = self.membership.borrow_mut().news();
+        let news = self.membership.borrow_mut().drain_log_lines();
         news.iter().for_each(|line| log_line!("members: {line}"));
         if let Some(change) = change {
             self.serving.set(true);
@@ -209,10 +212,10 @@
             let Some((engine, seen)) = self.seen.borrow_mut().pop_front() else {
                 return;
             };
-            let (change, _) = self
-                .membership
-                .borrow_mut()
-                .seen(unix_time_millis(), &engine, seen);
+            let (change, _) =
+                self.membership
+                    .borrow_mut()
+                    .record_observation(unix_time_millis(), &engine, seen);
             if change.is_some() {
                 self.tell(change);
             }
@@ -222,7 +225,7 @@
     /// Does what is due; runs for ever.
     pub async fn clock(self: Rc<Self>) {
         loop {
-            let next = self.membership.borrow().next_wake(unix_time_millis());
+            let next = self.membership.borrow().next_wakeup(unix_time_millis());
             let sleep = duration_from_millis(
                 next.map_or(1000.0, |at| at - unix_time_millis())
                     .clamp(1.0, 1000.0),
@@ -281,7 +284,7 @@
 
     fn opened(&self, engine: &str, at: Millis) -> bool {
         self.work_through();
-        let (change, anew) = self.membership.borrow_mut().seen(
+        let (change, anew) = self.membership.borrow_mut().record_observation(
             unix_time_millis(),
             engine,
             Observation::Opened { at },
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -25,11 +25,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct GossipBudget {
     /// Dispatchers of the tier, this one included.
-    pub peers: u32,
+    pub dispatchers: u32,
     /// Points of a request's worth, in 100, for one full message (256 bytes) that reaches one peer.
-    pub price: f64,
+    pub message_price: f64,
     /// Values in a load report: as many as the settings' `feedback.fields` names.
-    pub fields: usize,
+    pub report_fields: usize,
 }
 
 /// What this dispatcher has told its peers and heard from them.
@@ -56,7 +56,7 @@
 
     /// The engines that are listed now. Two of one short name are not told of at all: the news of one would pass
     /// for that of the other.
-    pub fn list<'a>(&mut self, engines: impl Iterator<Item = &'a str>) {
+    pub fn set_engines<'a>(&mut self, engines: impl Iterator<Item = &'a str>) {
         self.known.clear();
         for name in engines {
             let twice = |n: &mut Option<String>| *n = None;
@@ -69,20 +69,23 @@
     }
 
     /// A request was taken: it pays for a part of the news.
-    pub fn taken(&mut self) {
+    pub fn credit_request(&mut self) {
         self.account = (self.account + SHARE).min(SHARE * SAVED);
     }
 
     /// An answer brought this report of its engine: the message for all peers, if it is worth one.
-    pub fn learned(&mut self, now: Millis, engine: &str, report: &[f64]) -> Option<Vec<u8>> {
+    pub fn offer_report(&mut self, now: Millis, engine: &str, report: &[f64]) -> Option<Vec<u8>> {
         let short = message::short(engine);
         let news = self.told.get(&short).is_none_or(|at| now >= at + QUIET);
-        if !news || self.terms.peers < 2 || !self.known.get(&short).is_some_and(Option::is_some) {
+        if !news
+            || self.terms.dispatchers < 2
+            || !self.known.get(&short).is_some_and(Option::is_some)
+        {
             return None;
         }
-        let message = message::encode(short, report, self.terms.fields)?;
-        let cost = self.terms.price * message.len() as f64 / MAX_MESSAGE_BYTES as f64
-            * f64::from(self.terms.peers - 1);
+        let message = message::encode(short, report, self.terms.report_fields)?;
+        let cost = self.terms.message_price * message.len() as f64 / MAX_MESSAGE_BYTES as f64
+            * f64::from(self.terms.dispatchers - 1);
         if cost > self.account {
             return None;
         }
@@ -92,12 +95,13 @@
     }
 
     /// A peer's message: the engine's name and its report. `Ok(None)`: of one that is not listed here.
-    pub fn heard(
+    pub fn receive(
         &mut self,
         now: Millis,
         message: &[u8],
     ) -> Result<Option<(String, Vec<f64>)>, DecodeError> {
-        let LoadReportMessage { short, report } = message::decode(message, self.terms.fields)?;
+        let LoadReportMessage { short, report } =
+            message::decode(message, self.terms.report_fields)?;
         let Some(Some(engine)) = self.known.get(&short) else {
             return Ok(None);
         };
--- a/src/gossip/tests.rs
+++ b/src/gossip/tests.rs
@@ -4,17 +4,17 @@
 
 fn terms() -> GossipBudget {
     GossipBudget {
-        peers: 100,
-        price: 1.0,
-        fields: 2,
+        dispatchers: 100,
+        message_price: 1.0,
+        report_fields: 2,
     }
 }
 
 /// A dispatcher that knows these engines and has taken requests enough to speak.
 fn rich(engines: &[&str]) -> Broadcaster {
     let mut b = Broadcaster::new(terms());
-    b.list(engines.iter().copied());
-    (0..1000).for_each(|_| b.taken());
+    b.set_engines(engines.iter().copied());
+    (0..1000).for_each(|_| b.credit_request());
     b
 }
 
@@ -26,13 +26,13 @@
         (1000.0, [0.0, 0.0]),
         (2000.0, [40.0, 1.0]),
     ] {
-        let message = a.learned(now, "s-2", &report).expect("news");
+        let message = a.offer_report(now, "s-2", &report).expect("news");
         assert!(
             message.is_ascii() && message.len() == 6,
             "text as well, and short: {message:?}"
         );
         assert_eq!(
-            b.heard(now + 10.0, &message),
+            b.receive(now + 10.0, &message),
             Ok(Some(("s-2".to_string(), report.to_vec())))
         );
     }
@@ -45,9 +45,9 @@
     for n in 0..2000 {
         let (count, share) = (f64::from(n) / 7.0, f64::from(n) / 2000.0);
         let now = f64::from(n) * 1000.0;
-        (0..100).for_each(|_| a.taken());
+        (0..100).for_each(|_| a.credit_request());
         let (_, got) = b
-            .heard(now, &a.learned(now, "s", &[count, share]).unwrap())
+            .receive(now, &a.offer_report(now, "s", &[count, share]).unwrap())
             .unwrap()
             .unwrap();
         assert!(
@@ -67,24 +67,26 @@
 #[test]
 fn an_engine_that_anybody_told_of_a_moment_ago_is_not_told_of_again() {
     let (mut a, mut b) = (rich(&["s-1", "s-2"]), rich(&["s-1", "s-2"]));
-    let message = a.learned(0.0, "s-1", &[1.0, 0.1]).expect("the first word");
+    let message = a
+        .offer_report(0.0, "s-1", &[1.0, 0.1])
+        .expect("the first word");
     assert_eq!(
-        a.learned(QUIET - 1.0, "s-1", &[9.0, 0.9]),
+        a.offer_report(QUIET - 1.0, "s-1", &[9.0, 0.9]),
         None,
         "its own word counts"
     );
-    b.heard(10.0, &message).unwrap();
+    b.receive(10.0, &message).unwrap();
     assert_eq!(
-        b.learned(QUIET, "s-1", &[9.0, 0.9]),
+        b.offer_report(QUIET, "s-1", &[9.0, 0.9]),
         None,
         "and so does a peer's"
     );
     assert!(
-        b.learned(QUIET, "s-2", &[9.0, 0.9]).is_some(),
+        b.offer_report(QUIET, "s-2", &[9.0, 0.9]).is_some(),
         "of that engine alone"
     );
     assert!(
-        b.learned(QUIET + 10.0, "s-1", &[9.0, 0.9]).is_some(),
+        b.offer_report(QUIET + 10.0, "s-1", &[9.0, 0.9]).is_some(),
         "until it is old"
     );
 }
@@ -94,18 +96,18 @@
 fn words_cost_no_more_than_their_part_of_what_requests_are_worth() {
     for (peers, price) in [(3, 1.0), (100, 1.0), (300, 1.0), (100, 20.0)] {
         let mut b = Broadcaster::new(GossipBudget {
-            peers,
-            price,
-            fields: 2,
+            dispatchers: peers,
+            message_price: price,
+            report_fields: 2,
         });
         let names: Vec<String> = (0..60).map(|n| format!("s-{n}")).collect();
-        b.list(names.iter().map(String::as_str));
+        b.set_engines(names.iter().map(String::as_str));
         let (mut bytes, requests) = (0, 5000);
         for n in 0..requests {
-            b.taken();
+            b.credit_request();
             let now = n as f64 * 200.0;
             bytes += b
-                .learned(now, &names[n % 60], &[1.0, 0.5])
+                .offer_report(now, &names[n % 60], &[1.0, 0.5])
                 .map_or(0, |m| m.len());
         }
         let cost = price * bytes as f64 * f64::from(peers - 1) / 256.0 / requests as f64;
@@ -130,19 +132,23 @@
         .expect("some two share it");
     let mut alone = rich(&[&one]);
     let message = alone
-        .learned(0.0, &one, &[1.0, 0.1])
+        .offer_report(0.0, &one, &[1.0, 0.1])
         .expect("alone it is told of");
     let mut both = rich(&[&one, &other]);
-    assert_eq!(both.learned(0.0, &one, &[1.0, 0.1]), None);
-    assert_eq!(both.heard(0.0, &message), Ok(None), "it could be the other");
+    assert_eq!(both.offer_report(0.0, &one, &[1.0, 0.1]), None);
     assert_eq!(
-        rich(&["s-else"]).heard(0.0, &message),
+        both.receive(0.0, &message),
+        Ok(None),
+        "it could be the other"
+    );
+    assert_eq!(
+        rich(&["s-else"]).receive(0.0, &message),
         Ok(None),
         "not in this list"
     );
-    alone.list(["s-else"].into_iter());
+    alone.set_engines(["s-else"].into_iter());
     assert_eq!(
-        alone.learned(1000.0, &one, &[1.0, 0.1]),
+        alone.offer_report(1000.0, &one, &[1.0, 0.1]),
         None,
         "no longer listed"
     );
@@ -151,20 +157,20 @@
 #[test]
 fn what_is_no_message_is_named_and_changes_nothing() {
     let mut b = rich(&["s"]);
-    let good = rich(&["s"]).learned(0.0, "s", &[1.0, 0.1]).unwrap();
+    let good = rich(&["s"]).offer_report(0.0, "s", &[1.0, 0.1]).unwrap();
     let mut high = good.clone();
     high[4] = 200;
-    assert_eq!(b.heard(0.0, b""), Err(DecodeError::Length(0, 6)));
-    assert_eq!(b.heard(0.0, &good[..5]), Err(DecodeError::Length(5, 6)));
+    assert_eq!(b.receive(0.0, b""), Err(DecodeError::Length(0, 6)));
+    assert_eq!(b.receive(0.0, &good[..5]), Err(DecodeError::Length(5, 6)));
     assert_eq!(
-        b.heard(0.0, &[&good[..], b"x"].concat()),
+        b.receive(0.0, &[&good[..], b"x"].concat()),
         Err(DecodeError::Length(7, 6))
     );
-    assert_eq!(b.heard(0.0, b"x12345"), Err(DecodeError::Kind(b'x')));
-    assert_eq!(b.heard(0.0, &high), Err(DecodeError::Byte));
-    assert_eq!(b.heard(0.0, &[0; 257]), Err(DecodeError::Kind(0)));
+    assert_eq!(b.receive(0.0, b"x12345"), Err(DecodeError::Kind(b'x')));
+    assert_eq!(b.receive(0.0, &high), Err(DecodeError::Byte));
+    assert_eq!(b.receive(0.0, &[0; 257]), Err(DecodeError::Kind(0)));
     assert!(
-        b.learned(0.0, "s", &[1.0, 0.1]).is_some(),
+        b.offer_report(0.0, "s", &[1.0, 0.1]).is_some(),
         "it kept nobody quiet"
     );
     for bad in [
@@ -174,17 +180,21 @@
         &[1.0, -0.1],
         &[f64::INFINITY, 0.0],
     ] {
-        assert_eq!(b.learned(9000.0, "s", bad), None, "{bad:?} is no report");
+        assert_eq!(
+            b.offer_report(9000.0, "s", bad),
+            None,
+            "{bad:?} is no report"
+        );
     }
 }
 
 #[test]
 fn a_dispatcher_alone_says_nothing() {
     let mut b = Broadcaster::new(GossipBudget {
-        peers: 1,
+        dispatchers: 1,
         ..terms()
     });
-    b.list(["s"].into_iter());
-    (0..1000).for_each(|_| b.taken());
-    assert_eq!(b.learned(0.0, "s", &[1.0, 0.1]), None);
+    b.set_engines(["s"].into_iter());
+    (0..1000).for_each(|_| b.credit_request());
+    assert_eq!(b.offer_report(0.0, "s", &[1.0, 0.1]), None);
 }
--- a/src/membership/liveness.rs
+++ b/src/membership/liveness.rs
@@ -17,11 +17,11 @@
     /// One was opened and logged in; begun at `at`.
     Opened { at: Millis },
     /// One broke off that should not have, or the engine said that it shuts down.
-    Broken { left: usize },
+    Broken { open_connections: usize },
     /// A new one was refused: nobody listens there. (One that is not answered proves nothing.)
-    Refused { left: usize },
+    Refused { open_connections: usize },
     /// One was closed in order, by either side.
-    Closed { left: usize },
+    Closed { open_connections: usize },
 }
 
 /// What connections have shown of one engine.
@@ -53,17 +53,23 @@
                 }
                 return anew;
             }
-            Observation::Broken { left: 0 } => {
+            Observation::Broken {
+                open_connections: 0,
+            } => {
                 self.lost.get_or_insert(now);
                 self.unwatched.get_or_insert(now);
             }
-            Observation::Refused { left: 0 } => {
+            Observation::Refused {
+                open_connections: 0,
+            } => {
                 self.refused = self.refused.saturating_add(1);
                 // Nobody listens: whoever does later has started since.
                 self.lost.get_or_insert(now);
                 self.unwatched.get_or_insert(now);
             }
-            Observation::Closed { left: 0 } => drop(self.unwatched.get_or_insert(now)),
+            Observation::Closed {
+                open_connections: 0,
+            } => drop(self.unwatched.get_or_insert(now)),
             Observation::Broken { .. }
             | Observation::Refused { .. }
             | Observation::Closed { .. } => {}
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,7 +1,7 @@
 //! What is believed of every engine, whichever registry, connection, operator or earlier process told it.
 //!
 //! Pure: no I/O, and time is passed in, in milliseconds on the Unix clock ([`Millis`]). A [`Membership`] takes
-//! views of registries ([`View`]), what connections show ([`Seen`]), operators' hands and the [`Snapshot`] of an
+//! views of registries ([`SourceUpdate`]), what connections show ([`Observation`]), operators' hands and the [`Snapshot`] of an
 //! earlier process, and gives the [`Change`]s that the hub takes. `docs/design/membership.md` tells the options
 //! that were weighed; the rules stand as doc comments where they are kept:
 //!
@@ -25,8 +25,8 @@
 
 pub use liveness::Observation;
 pub use networks::Networks;
-pub use registry_view::{Membership, Rules};
-pub use self_preservation::SelfPreservationRules;
+pub use registry_view::{Membership, MembershipConfig};
+pub use self_preservation::SelfPreservationConfig;
 pub use snapshot::Snapshot;
 pub use source_records::{InstanceRecord, Status, Version};
 
@@ -57,23 +57,23 @@
 
 /// What one source lists, as of one answer.
 #[derive(Clone, Debug)]
-pub struct View {
+pub struct SourceUpdate {
     /// The source's name: a registry's address. The same name is the same source.
     pub source: String,
     /// When it was asked. An answer that was asked for earlier never counts after one asked for later.
-    pub asked: Millis,
+    pub requested_at: Millis,
     /// When the last byte of its answer was here: from here on its drains count as told.
-    pub arrived: Millis,
-    pub content: Content,
+    pub received_at: Millis,
+    pub content: UpdateContent,
 }
 
 #[derive(Clone, Debug)]
-pub enum Content {
+pub enum UpdateContent {
     /// All that the source lists; what is absent it lists no more.
-    Whole(Vec<InstanceRecord>),
+    Full(Vec<InstanceRecord>),
     /// What changed since the source's last view.
     Delta {
-        told: Vec<InstanceRecord>,
+        changed: Vec<InstanceRecord>,
         deleted: Vec<(String, Version)>,
     },
 }
--- a/src/membership/networks.rs
+++ b/src/membership/networks.rs
@@ -25,7 +25,7 @@
 }
 
 /// No operators' file lists more networks.
-pub const MOST: usize = 256;
+pub const MAX_NETWORKS: usize = 256;
 
 impl Networks {
     pub fn any() -> Self {
--- a/src/membership/registry_view.rs
+++ b/src/membership/registry_view.rs
@@ -3,12 +3,12 @@
 use crate::decision::model::{EngineState, ListUpdate, Millis};
 use crate::membership::liveness::{LivenessEvidence, Observation};
 use crate::membership::networks::{Networks, Rejection};
-use crate::membership::self_preservation::{Held, MissingInstances, SelfPreservationRules};
+use crate::membership::self_preservation::{Held, MissingInstances, SelfPreservationConfig};
 use crate::membership::source_records::{
     InstanceRecord, Reported, ResolvedState, SourceId, SourceRecord, SourceRecords, Standing,
     Version, Why, earlier,
 };
-use crate::membership::{Change, Content, Engine, View};
+use crate::membership::{Change, Engine, SourceUpdate, UpdateContent};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
@@ -23,32 +23,32 @@
 
 /// What the operators' file says of membership.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rules {
+pub struct MembershipConfig {
     pub networks: Networks,
-    pub hold: SelfPreservationRules,
+    pub self_preservation: SelfPreservationConfig,
     /// A source whose last answer is older, in milliseconds, is away: its claims stand only if all are away.
-    pub away: Millis,
+    pub unreachable_after: Millis,
     /// How long an engine that one source lists no more and another does drains, in milliseconds.
-    pub patience: Millis,
+    pub missing_grace: Millis,
     /// How long, in milliseconds, what was known of an engine that is gone is kept: so long no older list brings
     /// it back.
-    pub remember: Millis,
+    pub tombstone_ttl: Millis,
     /// Engines at a time; further ones are turned away.
-    pub most: usize,
+    pub max_instances: usize,
     /// Engines that are gone and remembered; the oldest makes room.
-    pub most_gone: usize,
+    pub max_tombstones: usize,
 }
 
-impl Default for Rules {
+impl Default for MembershipConfig {
     fn default() -> Self {
-        Rules {
+        MembershipConfig {
             networks: Networks::any(),
-            hold: SelfPreservationRules::default(),
-            away: 15_000.0,
-            patience: 60_000.0,
-            remember: 600_000.0,
-            most: 20_000,
-            most_gone: 4_096,
+            self_preservation: SelfPreservationConfig::default(),
+            unreachable_after: 15_000.0,
+            missing_grace: 60_000.0,
+            tombstone_ttl: 600_000.0,
+            max_instances: 20_000,
+            max_tombstones: 4_096,
         }
     }
 }
@@ -66,7 +66,7 @@
     /// Facts of its last whole list, and changes since.
     pub listed: usize,
     round: u64,
-    asked: Millis,
+    requested_at: Millis,
 }
 
 /// An address that was turned away.
@@ -115,7 +115,7 @@
             unproven: None,
             held: None,
             belief: ResolvedState {
-                stand: Standing::Gone,
+                stand: Standing::Removed,
                 why: Why::Unlisted,
                 until: None,
             },
@@ -133,9 +133,9 @@
         match (self.belief.stand, &self.superseded) {
             (_, Some(_)) if self.held.is_some() => EngineState::Draining,
             (_, None) if self.held.is_some() => EngineState::Ready,
-            (Standing::Gone, _) => EngineState::Gone,
-            (Standing::Drains, _) | (Standing::Serves, Some(_)) => EngineState::Draining,
-            (Standing::Serves, None) => EngineState::Ready,
+            (Standing::Removed, _) => EngineState::Gone,
+            (Standing::Draining, _) | (Standing::Serving, Some(_)) => EngineState::Draining,
+            (Standing::Serving, None) => EngineState::Ready,
         }
     }
 
@@ -156,7 +156,7 @@
 /// What is believed of every engine. See the module's page for the rules.
 #[derive(Debug)]
 pub struct Membership {
-    rules: Rules,
+    rules: MembershipConfig,
     sources: BTreeMap<SourceId, Source>,
     next_source: SourceId,
     members: BTreeMap<String, Member>,
@@ -169,7 +169,7 @@
     administratively_drained: BTreeSet<String>,
     rejected: VecDeque<Rejected>,
     rejections: u64,
-    /// Engines beyond [`Rules::most`] that were turned away.
+    /// Engines beyond [`MembershipConfig::max_instances`] that were turned away.
     overflow: u64,
     /// The sources whose claims counted when all members were last judged.
     counted: BTreeSet<SourceId>,
@@ -181,7 +181,7 @@
 }
 
 impl Membership {
-    pub fn new(rules: Rules) -> Self {
+    pub fn new(rules: MembershipConfig) -> Self {
         Membership {
             rules,
             sources: BTreeMap::new(),
@@ -207,7 +207,12 @@
 
     /// New rules and sources are in force. Nothing believed is dropped: what sources that are no more have told
     /// stands until those that are answer.
-    pub fn configure(&mut self, now: Millis, rules: Rules, names: &[String]) -> Option<Change> {
+    pub fn configure(
+        &mut self,
+        now: Millis,
+        rules: MembershipConfig,
+        names: &[String],
+    ) -> Option<Change> {
         self.rules = rules;
         let stay: BTreeSet<SourceId> = self
             .sources
@@ -223,38 +228,39 @@
     }
 
     /// A source has answered.
-    pub fn view(&mut self, now: Millis, view: View) -> Option<Change> {
+    pub fn apply_update(&mut self, now: Millis, view: SourceUpdate) -> Option<Change> {
         let id = self.source(&view.source);
         let source = self.sources.get_mut(&id)?;
-        if earlier(view.asked, source.asked) {
+        if earlier(view.requested_at, source.requested_at) {
             return None;
         }
-        (source.answered, source.asked) = (Some(view.arrived.min(now)), view.asked);
+        (source.answered, source.requested_at) =
+            (Some(view.received_at.min(now)), view.requested_at);
         let mut touched: Vec<String> = vec![];
         match view.content {
-            Content::Whole(facts) => {
+            UpdateContent::Full(facts) => {
                 source.round += 1;
                 (source.whole, source.listed) = (source.whole + 1, facts.len());
                 let round = source.round;
                 for fact in facts {
-                    touched.extend(self.take(now, id, view.asked, round, fact));
+                    touched.extend(self.take(now, id, view.requested_at, round, fact));
                 }
                 for (name, m) in &mut self.members {
                     let left = m.claims.of(id).is_some_and(|c| c.round != round);
-                    if left && m.claims.absent(id, view.asked, now, None) {
+                    if left && m.claims.absent(id, view.requested_at, now, None) {
                         touched.push(name.clone());
                     }
                 }
             }
-            Content::Delta { told, deleted } => {
+            UpdateContent::Delta { changed, deleted } => {
                 source.deltas += 1;
                 let round = source.round;
-                for fact in told {
-                    touched.extend(self.take(now, id, view.asked, round, fact));
+                for fact in changed {
+                    touched.extend(self.take(now, id, view.requested_at, round, fact));
                 }
                 for (name, version) in deleted {
                     if let Some(m) = self.members.get_mut(&name)
-                        && m.claims.absent(id, view.asked, now, Some(version))
+                        && m.claims.absent(id, view.requested_at, now, Some(version))
                     {
                         touched.push(name);
                     }
@@ -269,7 +275,12 @@
     }
 
     /// A source was asked and gave nothing that can be used. Its claims stand until it counts as away.
-    pub fn failed(&mut self, now: Millis, source: &str, problem: String) -> Option<Change> {
+    pub fn record_source_failure(
+        &mut self,
+        now: Millis,
+        source: &str,
+        problem: String,
+    ) -> Option<Change> {
         let id = self.source(source);
         if let Some(s) = self.sources.get_mut(&id) {
             s.failures += 1;
@@ -280,7 +291,12 @@
 
     /// Something happened on a connection to an engine. The second is true if the engine has started anew by it:
     /// the connection must carry nothing that was meant for the engine as it was.
-    pub fn seen(&mut self, now: Millis, engine: &str, seen: Observation) -> (Option<Change>, bool) {
+    pub fn record_observation(
+        &mut self,
+        now: Millis,
+        engine: &str,
+        seen: Observation,
+    ) -> (Option<Change>, bool) {
         let answered = self.sources.values().any(|s| self.answers(s, now));
         let Some(m) = self.members.get_mut(engine) else {
             return (None, false);
@@ -301,7 +317,7 @@
     }
 
     /// Exactly these are out by hand. They count neither as in service nor as vanished.
-    pub fn administratively_drained(&mut self, out: BTreeSet<String>) {
+    pub fn set_administratively_drained(&mut self, out: BTreeSet<String>) {
         self.administratively_drained = out;
     }
 
@@ -331,13 +347,13 @@
     }
 
     /// When the next tick is due.
-    pub fn next_wake(&self, now: Millis) -> Option<Millis> {
+    pub fn next_wakeup(&self, now: Millis) -> Option<Millis> {
         let alarm = self.alarms.first().map(|a| f64::from_bits(a.0));
         let away = self
             .sources
             .values()
             .filter_map(|s| s.answered)
-            .map(|at| at + self.rules.away);
+            .map(|at| at + self.rules.unreachable_after);
         let away = away.filter(|at| *at > now).reduce(f64::min);
         [alarm, away].into_iter().flatten().reduce(f64::min)
     }
@@ -346,13 +362,13 @@
     pub fn explain(&self, why: Why) -> String {
         match why {
             Why::Listed => "listed as UP".into(),
-            Why::Told(status) => format!("listed as {}", status.word()),
+            Why::Told(status) => format!("listed as {}", status.as_str()),
             Why::Unusable => "it names no address that may be used".into(),
             Why::Contradicted(source, status) => {
                 format!(
                     "{} says {}, and another says UP",
                     self.source_name(source),
-                    status.word()
+                    status.as_str()
                 )
             }
             Why::Missing(source) => {
@@ -367,7 +383,7 @@
     }
 
     /// Lines for the log since the last call.
-    pub fn news(&mut self) -> Vec<String> {
+    pub fn drain_log_lines(&mut self) -> Vec<String> {
         self.news.drain(..).collect()
     }
 
@@ -413,14 +429,15 @@
             deltas: 0,
             listed: 0,
             round: 0,
-            asked: f64::MIN,
+            requested_at: f64::MIN,
         };
         self.sources.insert(id, source);
         id
     }
 
     fn answers(&self, s: &Source, now: Millis) -> bool {
-        s.answered.is_some_and(|at| now < at + self.rules.away)
+        s.answered
+            .is_some_and(|at| now < at + self.rules.unreachable_after)
     }
 
     /// The sources whose claims count: those that answer. While none does the last that did go on counting: the
@@ -470,10 +487,10 @@
                 self.reject(now, &fact, why.clone());
                 return None;
             }
-            if self.members.len() - self.gone.len() >= self.rules.most {
+            if self.members.len() - self.gone.len() >= self.rules.max_instances {
                 self.overflow += 1;
                 if self.overflow.is_power_of_two() {
-                    let most = self.rules.most;
+                    let most = self.rules.max_instances;
                     self.tell(format!(
                         "engine {:?} is one beyond {most}: it is not taken",
                         fact.id
@@ -486,9 +503,9 @@
             self.reject(now, &fact, why.clone());
         }
         let said = if admitted.is_ok() {
-            fact.said()
+            fact.reported()
         } else {
-            Reported::Unusable
+            Reported::UnusableAddress
         };
         let m = self
             .members
@@ -499,7 +516,7 @@
             said,
             version: fact.version,
             address: admitted.ok(),
-            asked,
+            requested_at: asked,
             since: now,
             round,
         };
@@ -519,9 +536,9 @@
         }
         m.unproven = None;
         let same = before == (m.claims.newest, m.address, m.listed_start, None);
-        let stands = m.belief.stand != Standing::Gone && m.held.is_none();
+        let stands = m.belief.stand != Standing::Removed && m.held.is_none();
         // Most facts of a whole list say what is known: they need no judgement.
-        let quiet = same && stands && m.belief.why == Why::Listed && said == Reported::Serves;
+        let quiet = same && stands && m.belief.why == Why::Listed && said == Reported::Serving;
         (!quiet).then_some(fact.id)
     }
 
@@ -562,7 +579,7 @@
     /// Believes anew what is known of these, and tells what changes.
     fn judge(&mut self, now: Millis, ids: Vec<String>) -> Option<Change> {
         let serving = self.members.iter().filter(|(id, m)| {
-            m.belief.stand == Standing::Serves
+            m.belief.stand == Standing::Serving
                 && m.superseded.is_none()
                 && !self.administratively_drained.contains(*id)
         });
@@ -579,14 +596,14 @@
             let new = match m.claims.iter().next() {
                 // Only a snapshot has told of it, and no source has answered since.
                 None if all => m.belief.clone(),
-                _ => m
-                    .claims
-                    .believe(now, self.rules.patience, |s| all || counted.contains(&s)),
+                _ => m.claims.believe(now, self.rules.missing_grace, |s| {
+                    all || counted.contains(&s)
+                }),
             };
             // What drains already takes nothing new: nothing is lost when it goes. One that a source has dropped
             // and another lists is doubted too: else one replica that lost its list would drain all.
-            let vanishes = (new.stand == Standing::Gone || matches!(new.why, Why::Missing(_)))
-                && m.belief.stand == Standing::Serves
+            let vanishes = (new.stand == Standing::Removed || matches!(new.why, Why::Missing(_)))
+                && m.belief.stand == Standing::Serving
                 && m.superseded.is_none()
                 && !self.administratively_drained.contains(&id);
             if vanishes && !m.proof.dead() {
@@ -594,7 +611,7 @@
             }
             if m.held.is_some() {
                 let over = m.held.as_ref().is_some_and(|h| h.until <= now);
-                let vanished = new.stand == Standing::Gone || matches!(new.why, Why::Missing(_));
+                let vanished = new.stand == Standing::Removed || matches!(new.why, Why::Missing(_));
                 if !vanished || over || m.proof.dead() {
                     m.held = None;
                 }
@@ -602,11 +619,11 @@
             if m.belief.stand != new.stand {
                 (m.since, m.turns) = (now, m.turns + 1);
             }
-            if m.told.is_some() && m.belief.why != new.why && new.stand == Standing::Drains {
+            if m.told.is_some() && m.belief.why != new.why && new.stand == Standing::Draining {
                 turned.push((id.clone(), new.why));
             }
             m.belief = new;
-            if m.belief.stand != Standing::Gone {
+            if m.belief.stand != Standing::Removed {
                 m.unproven = m.unproven.filter(|_| m.claims.iter().next().is_none());
             }
             dirty.insert(id);
@@ -616,21 +633,24 @@
             self.tell(format!("engine {id} takes nothing new: {why}"));
         }
         // A snapshot older than a hold would have been let go by now.
-        let fresh = |m: &Member| m.unproven.is_none_or(|at| now < at + self.rules.hold.span);
+        let fresh = |m: &Member| {
+            m.unproven
+                .is_none_or(|at| now < at + self.rules.self_preservation.duration)
+        };
         let doubted: Vec<String> = vanishing
             .into_iter()
             .filter(|id| self.members.get(id).is_some_and(fresh))
             .collect();
-        if let Some(held) = self
-            .vanished
-            .doubt(&self.rules.hold, now, doubted.len(), serving)
+        if let Some(held) =
+            self.vanished
+                .doubt(&self.rules.self_preservation, now, doubted.len(), serving)
         {
             self.tell(format!(
                 "{} of {} engines vanished at once: {} are held in service for {} s",
                 held.vanished,
                 held.of,
                 doubted.len(),
-                self.rules.hold.span / 1000.0
+                self.rules.self_preservation.duration / 1000.0
             ));
             for id in doubted {
                 if let Some(m) = self.members.get_mut(&id) {
@@ -796,8 +816,8 @@
     /// Engines that are gone are remembered for a while, and not more than so many.
     fn forget(&mut self, now: Millis) {
         while let Some((at, _)) = self.gone.first() {
-            let old = f64::from_bits(*at) + self.rules.remember <= now;
-            if !old && self.gone.len() <= self.rules.most_gone {
+            let old = f64::from_bits(*at) + self.rules.tombstone_ttl <= now;
+            if !old && self.gone.len() <= self.rules.max_tombstones {
                 break;
             }
             if let Some((_, id)) = self.gone.pop_first()
@@ -814,28 +834,32 @@
     /// Takes up what an earlier process knew, before anything is told: its drains hold against older lists from
     /// the start. The engines themselves are told only by [`Membership::serve_restored`].
     pub fn restore(&mut self, now: Millis, snapshot: crate::membership::Snapshot) {
-        self.restored = Some(snapshot.written);
-        for e in snapshot.engines.into_iter().take(self.rules.most) {
+        self.restored = Some(snapshot.taken_at);
+        for e in snapshot
+            .instances
+            .into_iter()
+            .take(self.rules.max_instances)
+        {
             let Ok(address) = self.rules.networks.admit(e.address) else {
                 continue;
             };
             let m = self.members.entry(e.id).or_insert_with(|| Member::new(now));
             m.address = Some(address);
             (m.zone, m.kind, m.listed_start) = (e.zone, e.kind, e.started);
-            m.unproven = Some(snapshot.written);
+            m.unproven = Some(snapshot.taken_at);
             m.claims.newest = e.newest;
-            m.claims.floor = e.drained.filter(|v| !v.untold()).map(|version| {
+            m.claims.floor = e.drained.filter(|v| !v.is_unset()).map(|version| {
                 crate::membership::source_records::Floor {
                     version,
                     source: 0,
-                    asked: snapshot.written,
+                    requested_at: snapshot.taken_at,
                 }
             });
             m.since = e.since;
             let stand = if e.serves {
-                Standing::Serves
+                Standing::Serving
             } else {
-                Standing::Drains
+                Standing::Draining
             };
             m.belief = ResolvedState {
                 stand,
@@ -899,7 +923,7 @@
         self.gone.len()
     }
 
-    pub fn rules(&self) -> &Rules {
+    pub fn rules(&self) -> &MembershipConfig {
         &self.rules
     }
 
--- a/src/membership/report.rs
+++ b/src/membership/report.rs
@@ -236,9 +236,9 @@
             let claims = m.claims.iter().map(|c| ClaimReport {
                 source: self.source_name(c.source).into(),
                 says: match c.said {
-                    Reported::Serves => "UP".into(),
-                    Reported::Drains(status) => status.word().into(),
-                    Reported::Unusable => "an address that may not be used".into(),
+                    Reported::Serving => "UP".into(),
+                    Reported::Draining(status) => status.as_str().into(),
+                    Reported::UnusableAddress => "an address that may not be used".into(),
                     Reported::Absent => "not listed".into(),
                 },
                 version: c.version,
--- a/src/membership/self_preservation.rs
+++ b/src/membership/self_preservation.rs
@@ -3,29 +3,29 @@
 //!
 //! Reason: a registry that was just restarted, or cut off from the engines, shows an empty or short list while
 //! the engines serve on; a dispatcher that believes it turns everybody away. A registry does the same for its own
-//! clients (self-preservation). The doubt has a size ([`SelfPreservationRules::share`], [`SelfPreservationRules::least`]), a time
-//! ([`SelfPreservationRules::span`]) and an end: connections that are refused confirm a disappearance at once.
+//! clients (self-preservation). The doubt has a size ([`SelfPreservationConfig::max_missing_share`], [`SelfPreservationConfig::max_missing_count`]), a time
+//! ([`SelfPreservationConfig::duration`]) and an end: connections that are refused confirm a disappearance at once.
 
 use crate::decision::model::Millis;
 use std::collections::VecDeque;
 
 /// When a disappearance is doubted, and for how long.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SelfPreservationRules {
+pub struct SelfPreservationConfig {
     /// More than this part of the engines in service must vanish within a span, 0 to 1; ...
-    pub share: f64,
+    pub max_missing_share: f64,
     /// ... and more than so many: two of three engines may well go together.
-    pub least: usize,
+    pub max_missing_count: usize,
     /// For so long, in milliseconds, a disappearance is held back; 0: never.
-    pub span: Millis,
+    pub duration: Millis,
 }
 
-impl Default for SelfPreservationRules {
+impl Default for SelfPreservationConfig {
     fn default() -> Self {
-        SelfPreservationRules {
-            share: 0.25,
-            least: 2,
-            span: 120_000.0,
+        SelfPreservationConfig {
+            max_missing_share: 0.25,
+            max_missing_count: 2,
+            duration: 120_000.0,
         }
     }
 }
@@ -55,27 +55,29 @@
     /// Some vanish now, of so many in service before: are they to be held? If not, they count from here on.
     pub fn doubt(
         &mut self,
-        rules: &SelfPreservationRules,
+        rules: &SelfPreservationConfig,
         now: Millis,
         vanish: usize,
         serving: usize,
     ) -> Option<Held> {
-        if vanish == 0 || rules.span <= 0.0 {
+        if vanish == 0 || rules.duration <= 0.0 {
             return None;
         }
         while self
             .recent
             .front()
-            .is_some_and(|(at, _)| *at + rules.span <= now)
+            .is_some_and(|(at, _)| *at + rules.duration <= now)
         {
             self.recent.pop_front();
         }
         let before: usize = self.recent.iter().map(|r| r.1).sum();
         let (vanished, of) = (before + vanish, before + serving);
-        if vanished > rules.least && vanished as f64 > rules.share * of as f64 {
+        if vanished > rules.max_missing_count
+            && vanished as f64 > rules.max_missing_share * of as f64
+        {
             return Some(Held {
                 since: now,
-                until: now + rules.span,
+                until: now + rules.duration,
                 vanished,
                 of,
             });
--- a/src/membership/snapshot.rs
+++ b/src/membership/snapshot.rs
@@ -8,13 +8,15 @@
 use std::net::SocketAddr;
 
 /// The form of [`Snapshot`]; it rises when an older program could not read it.
-pub const FORM: u32 = 1;
+pub const SNAPSHOT_FORMAT_VERSION: u32 = 1;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// When it was taken, on the Unix clock, in milliseconds.
-    pub written: Millis,
-    pub engines: Vec<PersistedInstance>,
+    #[serde(rename = "written")]
+    pub taken_at: Millis,
+    #[serde(rename = "engines")]
+    pub instances: Vec<PersistedInstance>,
 }
 
 /// One engine that was listed.
@@ -50,7 +52,7 @@
                     address: m.address.filter(|_| m.superseded.is_none())?,
                     zone: m.zone.clone(),
                     kind: m.kind.clone(),
-                    serves: m.belief.stand == Standing::Serves || m.held.is_some(),
+                    serves: m.belief.stand == Standing::Serving || m.held.is_some(),
                     since: m.since,
                     newest: m.claims.newest,
                     drained: m.claims.floor.map(|f| f.version),
@@ -62,8 +64,8 @@
             })
             .collect();
         (!engines.is_empty()).then_some(Snapshot {
-            written: now,
-            engines,
+            taken_at: now,
+            instances: engines,
         })
     }
 }
--- a/src/membership/source_records.rs
+++ b/src/membership/source_records.rs
@@ -23,8 +23,8 @@
 pub const EXCHANGE: Millis = 60_000.0;
 
 /// Asked for earlier, as far as the clock can be trusted.
-pub fn earlier(asked: Millis, than: Millis) -> bool {
-    asked < than && than - asked <= EXCHANGE
+pub fn earlier(requested_at: Millis, than: Millis) -> bool {
+    requested_at < than && than - requested_at <= EXCHANGE
 }
 
 /// An instance's status, as registries word it.
@@ -51,7 +51,7 @@
     }
 
     /// The registry's word for it.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Status::Up => "UP",
             Status::Starting => "STARTING",
@@ -80,7 +80,7 @@
     }
 
     /// The registry tells no times: only the order of asking is left, within that one source.
-    pub fn untold(self) -> bool {
+    pub fn is_unset(self) -> bool {
         self == Version::default()
     }
 }
@@ -104,11 +104,11 @@
 /// What a source says of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reported {
-    Serves,
+    Serving,
     /// It takes nothing new, for this status.
-    Drains(Status),
+    Draining(Status),
     /// Its address is none that may be used.
-    Unusable,
+    UnusableAddress,
     /// Listed before, and no more.
     Absent,
 }
@@ -117,11 +117,11 @@
     /// `DOWN`, `OUT_OF_SERVICE`, `STARTING` and `UNKNOWN` take nothing new, and neither does an override of any of
     /// these: what runs may end. Reason: `DOWN` is what a health check says of an engine that may well finish
     /// what it has; only a disappearance tells that it is gone.
-    pub fn said(&self) -> Reported {
+    pub fn reported(&self) -> Reported {
         match self.overridden.filter(|o| *o != Status::Up) {
-            Some(over) => Reported::Drains(over),
-            None if self.status == Status::Up => Reported::Serves,
-            None => Reported::Drains(self.status),
+            Some(over) => Reported::Draining(over),
+            None if self.status == Status::Up => Reported::Serving,
+            None => Reported::Draining(self.status),
         }
     }
 }
@@ -137,7 +137,7 @@
     pub version: Version,
     pub address: Option<SocketAddr>,
     /// When the answer was asked for.
-    pub asked: Millis,
+    pub requested_at: Millis,
     /// Since when the source says so.
     pub since: Millis,
     /// The source's round that last told it: what a whole list leaves out is found by it.
@@ -149,7 +149,8 @@
 pub struct Floor {
     pub version: Version,
     pub source: SourceId,
-    pub asked: Millis,
+    #[serde(rename = "asked")]
+    pub requested_at: Millis,
 }
 
 /// All claims on one instance.
@@ -174,9 +175,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    Serves,
-    Drains,
-    Gone,
+    Serving,
+    Draining,
+    Removed,
 }
 
 /// The reason of a belief, as operators are told it.
@@ -214,30 +215,31 @@
     /// and `newest` only ever rise: that is what makes the order of arrival mean nothing.
     pub fn take(&mut self, mut new: SourceRecord) -> bool {
         // A drain that was told counts at its version, even if its source has told something newer since.
-        if matches!(new.said, Reported::Drains(_)) {
+        if matches!(new.said, Reported::Draining(_)) {
             let floor = Floor {
                 version: new.version,
                 source: new.source,
-                asked: new.asked,
+                requested_at: new.requested_at,
             };
             let higher = self
                 .floor
-                .is_none_or(|f| (f.version, f.asked) < (floor.version, floor.asked));
+                .is_none_or(|f| (f.version, f.requested_at) < (floor.version, floor.requested_at));
             if higher {
                 self.floor = Some(floor);
             }
         }
         if let Some(old) = self.all.iter_mut().find(|c| c.source == new.source) {
-            let same_answer = old.asked == new.asked && old.round == new.round;
-            let older = match new.version.untold() || old.version.untold() {
-                true => earlier(new.asked, old.asked),
+            let same_answer = old.requested_at == new.requested_at && old.round == new.round;
+            let older = match new.version.is_unset() || old.version.is_unset() {
+                true => earlier(new.requested_at, old.requested_at),
                 // One answer may tell an instance twice: of two that are equally new, the drain stays.
                 false => {
                     new.version < old.version
                         || (same_answer
                             && new.version == old.version
-                            && old.said != Reported::Serves)
-                        || (new.version == old.version && earlier(new.asked, old.asked))
+                            && old.said != Reported::Serving)
+                        || (new.version == old.version
+                            && earlier(new.requested_at, old.requested_at))
                 }
             };
             if older {
@@ -273,12 +275,12 @@
         let Some(claim) = self.all.iter_mut().find(|c| c.source == source) else {
             return false;
         };
-        let old = version.is_some_and(|v| !v.untold() && v < claim.version);
-        if claim.said == Reported::Absent || earlier(asked, claim.asked) || old {
+        let old = version.is_some_and(|v| !v.is_unset() && v < claim.version);
+        if claim.said == Reported::Absent || earlier(asked, claim.requested_at) || old {
             return false;
         }
         claim.version = claim.version.max(version.unwrap_or_default());
-        (claim.said, claim.asked, claim.since) = (Reported::Absent, asked, now);
+        (claim.said, claim.requested_at, claim.since) = (Reported::Absent, asked, now);
         true
     }
 
@@ -289,11 +291,11 @@
 
     /// A fact that serves is newer than the newest drain.
     fn above(&self, claim: &SourceRecord) -> bool {
-        let untold = |floor: &Floor| claim.version.untold() && floor.version.untold();
+        let untold = |floor: &Floor| claim.version.is_unset() && floor.version.is_unset();
         self.floor
             .is_none_or(|floor| match claim.source == floor.source {
                 // Without times the later answer is the newer.
-                _ if untold(&floor) => claim.asked > floor.asked,
+                _ if untold(&floor) => claim.requested_at > floor.requested_at,
                 true => claim.version > floor.version,
                 // The instance's own clock orders; a registry's beside another's only beyond what clocks differ by.
                 false => {
@@ -321,32 +323,32 @@
         };
         let live = || counted().filter(|c| c.said != Reported::Absent);
         if live().next().is_none() {
-            return belief(Standing::Gone, Why::Unlisted);
+            return belief(Standing::Removed, Why::Unlisted);
         }
         // What the instance itself has overtaken tells only that it is listed.
         let current = || live().filter(|c| c.version.dirty >= self.newest.dirty);
         let serving = live()
-            .filter(|c| c.said == Reported::Serves && self.above(c))
+            .filter(|c| c.said == Reported::Serving && self.above(c))
             .max_by_key(|c| c.version);
         let drains = current().find_map(|c| match c.said {
-            Reported::Drains(status) => Some((c.source, status)),
+            Reported::Draining(status) => Some((c.source, status)),
             _ => None,
         });
         if let Some((source, status)) = drains {
             // Also one that is only behind: operators are to see that the registries differ.
-            let differs = current().any(|c| c.said == Reported::Serves);
+            let differs = current().any(|c| c.said == Reported::Serving);
             let why = if differs {
                 Why::Contradicted(source, status)
             } else {
                 Why::Told(status)
             };
-            return belief(Standing::Drains, why);
+            return belief(Standing::Draining, why);
         }
-        if current().any(|c| c.said == Reported::Unusable) {
-            return belief(Standing::Drains, Why::Unusable);
+        if current().any(|c| c.said == Reported::UnusableAddress) {
+            return belief(Standing::Draining, Why::Unusable);
         }
         let Some(serving) = serving else {
-            return belief(Standing::Drains, Why::Older);
+            return belief(Standing::Draining, Why::Older);
         };
         let missing = counted()
             .filter(|c| c.said == Reported::Absent && c.version.dirty >= serving.version.dirty);
@@ -355,11 +357,11 @@
             .max_by(|a, b| a.since.total_cmp(&b.since))
         {
             Some(c) => ResolvedState {
-                stand: Standing::Drains,
+                stand: Standing::Draining,
                 why: Why::Missing(c.source),
                 until: Some(c.since + patience),
             },
-            None => belief(Standing::Serves, Why::Listed),
+            None => belief(Standing::Serving, Why::Listed),
         }
     }
 }
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -42,7 +42,7 @@
 }
 
 impl Play {
-    fn new(rules: Rules) -> Self {
+    fn new(rules: MembershipConfig) -> Self {
         Play {
             m: Membership::new(rules),
             now: 1_000_000.0,
@@ -52,7 +52,7 @@
     }
 
     fn apply(&mut self, change: Option<Change>) {
-        self.news.extend(self.m.news());
+        self.news.extend(self.m.drain_log_lines());
         let Some(change) = change else { return };
         if change.update != ListUpdate::Patch {
             self.told.clear();
@@ -65,19 +65,19 @@
         }
     }
 
-    fn view_asked(&mut self, source: &str, asked: Millis, content: Content) {
-        let view = View {
+    fn view_asked(&mut self, source: &str, asked: Millis, content: UpdateContent) {
+        let view = SourceUpdate {
             source: source.into(),
-            asked,
-            arrived: self.now,
+            requested_at: asked,
+            received_at: self.now,
             content,
         };
-        let change = self.m.view(self.now, view);
+        let change = self.m.apply_update(self.now, view);
         self.apply(change);
     }
 
     fn whole(&mut self, source: &str, facts: &[InstanceRecord]) {
-        self.view_asked(source, self.now, Content::Whole(facts.to_vec()));
+        self.view_asked(source, self.now, UpdateContent::Full(facts.to_vec()));
     }
 
     fn delta(&mut self, source: &str, told: &[InstanceRecord], deleted: &[(&str, Version)]) {
@@ -85,8 +85,8 @@
         self.view_asked(
             source,
             self.now,
-            Content::Delta {
-                told: told.to_vec(),
+            UpdateContent::Delta {
+                changed: told.to_vec(),
                 deleted,
             },
         );
@@ -99,7 +99,7 @@
     }
 
     fn seen(&mut self, engine: &str, seen: Observation) -> bool {
-        let (change, anew) = self.m.seen(self.now, engine, seen);
+        let (change, anew) = self.m.record_observation(self.now, engine, seen);
         self.apply(change);
         anew
     }
@@ -124,7 +124,7 @@
 
 #[test]
 fn every_status_but_up_and_every_override_takes_nothing_new_and_is_not_gone() {
-    let mut p = Play::new(Rules::default());
+    let mut p = Play::new(MembershipConfig::default());
     let statuses = [
         Status::Down,
         Status::OutOfService,
@@ -164,7 +164,7 @@
 
 #[test]
 fn a_stale_list_does_not_put_a_drained_engine_back_whoever_shows_it() {
-    let mut p = Play::new(Rules::default());
+    let mut p = Play::new(MembershipConfig::default());
     p.whole(A, &[up("e", 5, 100)]);
     p.delta(A, &[fact("e", Status::OutOfService, 5, 5_000)], &[]);
     assert_eq!(p.state("e"), Draining);
@@ -184,12 +184,12 @@
 
 #[test]
 fn an_answer_asked_for_earlier_never_counts_after_one_asked_for_later() {
-    let mut p = Play::new(Rules::default());
+    let mut p = Play::new(MembershipConfig::default());
     // A registry without times: only the order of asking tells.
     p.whole(A, &[up("e", 0, 0)]);
     p.now += 100.0;
     p.whole(A, &[fact("e", Status::Down, 0, 0)]);
-    p.view_asked(A, p.now - 50.0, Content::Whole(vec![up("e", 0, 0)]));
+    p.view_asked(A, p.now - 50.0, UpdateContent::Full(vec![up("e", 0, 0)]));
     assert_eq!(p.state("e"), Draining);
     p.now += 100.0;
     p.whole(A, &[up("e", 0, 0)]);
@@ -198,7 +198,7 @@
 
 #[test]
 fn a_clock_that_is_set_back_stops_nothing() {
-    let mut p = Play::new(Rules::default());
+    let mut p = Play::new(MembershipConfig::default());
     p.whole(A, &[up("e", 5, 100), up("f", 5, 100)]);
     p.now -= 3_600_000.0;
     p.whole(A, &[fact("e", Status::Down, 5, 200)]);
@@ -207,7 +207,7 @@
 
 #[test]
 fn a_contradiction_is_resolved_towards_draining_and_shown() {
-    let mut p = Play::new(Rules::default());
+    let mut p = Play::new(MembershipConfig::default());
     p.whole(A, &[fact("e", Status::OutOfService, 5, 100)]);
     p.whole(B, &[up("e", 5, 100_000)]);
     assert_eq!(p.state("e"), Draining);
@@ -231,7 +231,7 @@
 
 #[test]
 fn replicas_that_disagree_and_flap_change_the_engine_once() {
-    let mut p = Play::new(Rules::default());
+    let mut p = Play::new(MembershipConfig::default());
     p.whole(A, &[up("e", 5, 100)]);
     p.whole(B, &[up("e", 5, 100)]);
     for round in 0..50 {
@@ -247,9 +247,9 @@
 
 #[test]
 fn an_engine_that_one_replica_drops_and_another_lists_drains_for_a_while() {
-    let mut p = Play::new(Rules {
-        patience: 10_000.0,
-        ..Rules::default()
+    let mut p = Play::new(MembershipConfig {
+        missing_grace: 10_000.0,
+        ..MembershipConfig::default()
     });
     p.whole(A, &[up("e", 5, 100), up("f", 5, 100)]);
     p.whole(B, &[up("e", 5, 100), up("f", 5, 100)]);
@@ -272,7 +272,7 @@
 
 #[test]
 fn one_replica_that_loses_its_list_drains_nobody() {
-    let mut p = Play::new(Rules::default());
+    let mut p = Play::new(MembershipConfig::default());
     p.whole(A, &many(50));
     p.whole(B, &many(50));
     p.whole(A, &[]);
@@ -285,7 +285,7 @@
 
 #[test]
 fn a_list_of_one_engine_where_200_stood_is_held_back_and_shown() {
-    let mut p = Play::new(Rules::default());
+    let mut p = Play::new(MembershipConfig::default());
     p.whole(A, &many(200));
     p.whole(A, &many(1));
     assert_eq!(p.told.values().filter(|e| e.state == Ready).count(), 200);
@@ -309,7 +309,12 @@
     );
     assert!(p.news.iter().any(|n| n.contains("199 of 200")));
     // Connections confirm one; a list that has them again frees the others from doubt.
-    p.seen("e0007", Observation::Refused { left: 0 });
+    p.seen(
+        "e0007",
+        Observation::Refused {
+            open_connections: 0,
+        },
+    );
     assert_eq!((p.state("e0007"), p.state("e0008")), (Gone, Ready));
     p.whole(A, &many(200));
     assert_eq!((p.m.held(), p.state("e0007")), (0, Ready));
@@ -325,7 +330,7 @@
 
 #[test]
 fn a_list_that_shrinks_step_by_step_is_held_back_too() {
-    let mut p = Play::new(Rules::default());
+    let mut p = Play::new(MembershipConfig::default());
     p.whole(A, &many(100));
     for left in (0..100).rev().step_by(5) {
         p.now += 1000.0;
@@ -340,7 +345,7 @@
 
 #[test]
 fn a_few_that_go_and_engines_that_drained_before_are_not_held() {
-    let mut p = Play::new(Rules::default());
+    let mut p = Play::new(MembershipConfig::default());
     p.whole(A, &many(20));
     p.whole(A, &many(18));
     assert_eq!((p.state("e0019"), p.m.held()), (Gone, 0));
@@ -360,16 +365,16 @@
 
 #[test]
 fn engines_out_by_hand_do_not_count_as_vanished() {
-    let mut p = Play::new(Rules::default());
+    let mut p = Play::new(MembershipConfig::default());
     p.whole(A, &many(8));
-    p.m.administratively_drained((2..8).map(|i| format!("e{i:04}")).collect());
+    p.m.set_administratively_drained((2..8).map(|i| format!("e{i:04}")).collect());
     p.whole(A, &many(2));
     assert_eq!(p.m.held(), 0);
 }
 
 #[test]
 fn all_connections_lost_and_back_is_a_fresh_start_whatever_the_list_says() {
-    let mut p = Play::new(Rules::default());
+    let mut p = Play::new(MembershipConfig::default());
     let listed = InstanceRecord {
         started: Some(10.0),
         ..up("e", 5, 100)
@@ -380,8 +385,21 @@
         "the first connection proves nothing"
     );
     p.pass(60_000.0); // the registry is away
-    assert!(!p.seen("e", Observation::Broken { left: 1 }), "one of two");
-    assert!(!p.seen("e", Observation::Broken { left: 0 }));
+    assert!(
+        !p.seen(
+            "e",
+            Observation::Broken {
+                open_connections: 1
+            }
+        ),
+        "one of two"
+    );
+    assert!(!p.seen(
+        "e",
+        Observation::Broken {
+            open_connections: 0
+        }
+    ));
     assert!(p.m.members()["e"].proof.dead());
     p.now += 3_000.0;
     let back = p.now - 2.0;
@@ -395,16 +413,26 @@
 
 #[test]
 fn an_engine_nobody_watched_while_the_registry_was_away_is_taken_as_started_anew() {
-    let mut p = Play::new(Rules::default());
+    let mut p = Play::new(MembershipConfig::default());
     p.whole(A, &[up("e", 5, 100)]);
     p.seen("e", Observation::Opened { at: p.now });
-    p.seen("e", Observation::Closed { left: 0 });
+    p.seen(
+        "e",
+        Observation::Closed {
+            open_connections: 0,
+        },
+    );
     p.now += 6_000.0;
     assert!(
         !p.seen("e", Observation::Opened { at: p.now }),
         "the registry would have told"
     );
-    p.seen("e", Observation::Closed { left: 0 });
+    p.seen(
+        "e",
+        Observation::Closed {
+            open_connections: 0,
+        },
+    );
     p.pass(30_000.0);
     assert!(
         p.seen("e", Observation::Opened { at: p.now }),
@@ -414,7 +442,7 @@
 
 #[test]
 fn an_address_passed_to_another_instance_belongs_to_the_newer() {
-    let mut p = Play::new(Rules::default());
+    let mut p = Play::new(MembershipConfig::default());
     let with = |id: &str, dirty, port| InstanceRecord {
         address: Some(at(port)),
         ..up(id, dirty, 100)
@@ -453,9 +481,9 @@
 #[test]
 fn addresses_outside_the_networks_are_rejected_counted_and_named() {
     let nets = ["127.0.0.0/8".parse().unwrap(), "fd00::/8".parse().unwrap()];
-    let mut p = Play::new(Rules {
+    let mut p = Play::new(MembershipConfig {
         networks: Networks::only(&nets),
-        ..Rules::default()
+        ..MembershipConfig::default()
     });
     let with = |id: &str, a: &str, v| InstanceRecord {
         address: Some(a.parse().unwrap()),
@@ -499,14 +527,14 @@
 
 #[test]
 fn a_start_with_every_registry_away_serves_the_snapshot_as_unproven() {
-    let mut before = Play::new(Rules::default());
+    let mut before = Play::new(MembershipConfig::default());
     before.whole(
         A,
         &[up("e", 5, 100), fact("d", Status::OutOfService, 5, 9_000)],
     );
     let snapshot = before.m.snapshot(before.now).unwrap();
     let text = serde_json::to_string(&snapshot).unwrap();
-    let mut p = Play::new(Rules::default());
+    let mut p = Play::new(MembershipConfig::default());
     p.now += 40_000.0;
     p.m.restore(p.now, serde_json::from_str(&text).unwrap());
     assert!(
@@ -536,9 +564,9 @@
 
 #[test]
 fn the_first_list_goes_before_the_snapshot() {
-    let mut before = Play::new(Rules::default());
+    let mut before = Play::new(MembershipConfig::default());
     before.whole(A, &[up("gone", 5, 100), up("e", 5, 100)]);
-    let mut p = Play::new(Rules::default());
+    let mut p = Play::new(MembershipConfig::default());
     p.now += 500_000.0;
     p.m.restore(p.now, before.m.snapshot(before.now).unwrap());
     p.whole(A, &[up("e", 5, 100)]);
@@ -548,11 +576,11 @@
 
 #[test]
 fn all_registries_away_leave_the_last_list_in_force() {
-    let mut p = Play::new(Rules::default());
+    let mut p = Play::new(MembershipConfig::default());
     p.whole(A, &[up("e", 5, 100)]);
     for _ in 0..100 {
         p.pass(10_000.0);
-        let change = p.m.failed(p.now, A, "refused".into());
+        let change = p.m.record_source_failure(p.now, A, "refused".into());
         p.apply(change);
         assert_eq!(p.state("e"), Ready);
     }
@@ -560,9 +588,10 @@
 
 #[test]
 fn a_swap_of_servers_drops_nothing_until_the_new_ones_answer() {
-    let mut p = Play::new(Rules::default());
+    let mut p = Play::new(MembershipConfig::default());
     p.whole(A, &many(10));
-    let change = p.m.configure(p.now, Rules::default(), &[B.to_string()]);
+    let change =
+        p.m.configure(p.now, MembershipConfig::default(), &[B.to_string()]);
     p.apply(change);
     assert_eq!(p.told.len(), 10);
     p.pass(60_000.0);
@@ -572,11 +601,11 @@
 
 #[test]
 fn churn_of_ids_does_not_grow_memory() {
-    let rules = Rules {
-        most: 50,
-        most_gone: 20,
-        remember: 5_000.0,
-        ..Rules::default()
+    let rules = MembershipConfig {
+        max_instances: 50,
+        max_tombstones: 20,
+        tombstone_ttl: 5_000.0,
+        ..MembershipConfig::default()
     };
     let mut p = Play::new(rules);
     for i in 0..2_000 {
@@ -622,7 +651,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    View {
+    SourceUpdate {
         source: usize,
         back: u32,
         whole: bool,
@@ -642,7 +671,7 @@
         prop::collection::vec(fact, 0..5),
         prop::collection::vec((0..4usize, 0..6u8), 0..2),
     );
-    let view = view.prop_map(|(source, back, whole, facts, deleted)| Step::View {
+    let view = view.prop_map(|(source, back, whole, facts, deleted)| Step::SourceUpdate {
         source,
         back,
         whole,
@@ -663,7 +692,7 @@
     /// believed; and nothing grows.
     #[test]
     fn a_newer_drain_is_never_undone_by_an_older_up(steps in steps()) {
-        let rules = Rules { remember: f64::INFINITY, ..Rules::default() };
+        let rules = MembershipConfig { tombstone_ttl: f64::INFINITY, ..MembershipConfig::default() };
         let mut p = Play::new(rules);
         let statuses = [Status::Up, Status::Up, Status::OutOfService, Status::Down, Status::Starting];
         let mut drained: BTreeMap<String, Version> = BTreeMap::new();
@@ -671,7 +700,7 @@
         let mut asked_last = [f64::MIN; 3];
         for step in steps {
             match step {
-                Step::View { source, back, whole, facts, deleted } => {
+                Step::SourceUpdate { source, back, whole, facts, deleted } => {
                     let asked = p.now - f64::from(back);
                     let facts: Vec<InstanceRecord> = facts.iter().map(|(e, status, dirty, updated, port)| InstanceRecord {
                         address: Some(at(9000 + u16::from(*port))),
@@ -681,15 +710,15 @@
                     if counts {
                         asked_last[source] = asked;
                         for f in &facts {
-                            let which = if f.said() == Reported::Serves { &mut served } else { &mut drained };
+                            let which = if f.reported() == Reported::Serving { &mut served } else { &mut drained };
                             let v = which.entry(f.id.clone()).or_default();
                             *v = (*v).max(f.version);
                         }
                     }
                     let content = match whole {
-                        true => Content::Whole(facts),
-                        false => Content::Delta {
-                            told: facts,
+                        true => UpdateContent::Full(facts),
+                        false => UpdateContent::Delta {
+                            changed: facts,
                             deleted: deleted.iter().map(|(e, v)| (format!("e{e}"), Version::new(2, 1 + 2_000 * u64::from(*v)))).collect(),
                         },
                     };
@@ -698,9 +727,9 @@
                 Step::Observation(e, what) => {
                     let seen = [
                         Observation::Opened { at: p.now },
-                        Observation::Broken { left: 0 },
-                        Observation::Refused { left: 0 },
-                        Observation::Closed { left: 0 },
+                        Observation::Broken { open_connections: 0 },
+                        Observation::Refused { open_connections: 0 },
+                        Observation::Closed { open_connections: 0 },
                     ][what as usize];
                     p.seen(&format!("e{e}"), seen);
                 }
@@ -723,7 +752,7 @@
                 prop_assert!(m.claims.iter().count() <= 3);
             }
             prop_assert!(p.m.members().len() <= 4);
-            let wake = p.m.next_wake(p.now);
+            let wake = p.m.next_wakeup(p.now);
             prop_assert!(wake.is_none_or(|at| at > p.now), "no wake-up in the past: {wake:?} at {}", p.now);
         }
     }
@@ -732,8 +761,8 @@
     fn the_hold_lets_no_more_than_its_share_go_within_its_span(
         sizes in prop::collection::vec(0..60usize, 1..30), gap in 1..20_000u32
     ) {
-        let rules = Rules::default();
-        let hold = rules.hold.clone();
+        let rules = MembershipConfig::default();
+        let hold = rules.self_preservation.clone();
         let mut p = Play::new(rules);
         p.whole(A, &many(60));
         let mut let_go: Vec<(Millis, usize)> = vec![];
@@ -745,9 +774,9 @@
             let gone = before.saturating_sub(p.told.len());
             // What a hold ends by time is not let go by the list.
             if held == 0 && gone > 0 {
-                let_go.retain(|(at, _)| *at + hold.span > p.now);
+                let_go.retain(|(at, _)| *at + hold.duration > p.now);
                 let recent: usize = let_go.iter().map(|l| l.1).sum();
-                prop_assert!(gone + recent <= hold.least.max(((before + recent) as f64 * hold.share) as usize));
+                prop_assert!(gone + recent <= hold.max_missing_count.max(((before + recent) as f64 * hold.max_missing_share) as usize));
                 let_go.push((p.now, gone));
             }
         }
--- a/src/upstream/mysql/mod.rs
+++ b/src/upstream/mysql/mod.rs
@@ -69,9 +69,13 @@
         let left = self.open.get().saturating_sub(1);
         self.open.set(left);
         let seen = if self.broken {
-            Observation::Broken { left }
+            Observation::Broken {
+                open_connections: left,
+            }
         } else {
-            Observation::Closed { left }
+            Observation::Closed {
+                open_connections: left,
+            }
         };
         if let Some(shared) = self.shared.upgrade() {
             shared.report(&self.engine, seen);
@@ -426,7 +430,7 @@
                         self.report(
                             &start.engine,
                             Observation::Refused {
-                                left: self.left(&start.engine),
+                                open_connections: self.left(&start.engine),
                             },
                         );
                     }
--- a/tests/recorded_state/gossip_adapter.rs
+++ b/tests/recorded_state/gossip_adapter.rs
@@ -17,23 +17,23 @@
 impl Gossip {
     pub fn new(options: Options) -> Self {
         Gossip(Broadcaster::new(GossipBudget {
-            peers: options.dispatchers,
-            price: options.message_price,
-            fields: options.report_fields,
+            dispatchers: options.dispatchers,
+            message_price: options.message_price,
+            report_fields: options.report_fields,
         }))
     }
 
     pub fn list(&mut self, engines: &[String]) {
-        self.0.list(engines.iter().map(String::as_str));
+        self.0.set_engines(engines.iter().map(String::as_str));
     }
 
     pub fn request_taken(&mut self) {
-        self.0.taken();
+        self.0.credit_request();
     }
 
     /// The message for all peers, if the report is worth one.
     pub fn learned(&mut self, now: f64, engine: &str, report: &[f64]) -> Option<Vec<u8>> {
-        self.0.learned(now, engine, report)
+        self.0.offer_report(now, engine, report)
     }
 
     pub fn record_learned(
@@ -54,7 +54,7 @@
     }
 
     pub fn heard(&mut self, now: f64, message: &[u8], recording: &mut Recording) {
-        match self.0.heard(now, message) {
+        match self.0.receive(now, message) {
             Ok(Some((engine, report))) => {
                 let report: Vec<String> = report.into_iter().map(float).collect();
                 recording.count("report received");
--- a/tests/recorded_state/registry.rs
+++ b/tests/recorded_state/registry.rs
@@ -131,7 +131,7 @@
             self.act(action, recording);
             recording.state(&format!(
                 "wake {}",
-                super::recording::optional_float(self.view.next_wake(self.now))
+                super::recording::optional_float(self.view.next_wakeup(self.now))
             ));
             if event % EVENTS_PER_FULL_RECORD == 0 {
                 self.view.record_all(self.now, recording);
--- a/tests/recorded_state/registry_adapter.rs
+++ b/tests/recorded_state/registry_adapter.rs
@@ -5,8 +5,8 @@
 use query_dispatcher::membership::registry_view::{Member, version};
 use query_dispatcher::membership::report::Query;
 use query_dispatcher::membership::{
-    Change, Content, InstanceRecord, Membership, Networks, Observation, Rules,
-    SelfPreservationRules, Snapshot, Status, Version, View,
+    Change, InstanceRecord, Membership, MembershipConfig, Networks, Observation,
+    SelfPreservationConfig, Snapshot, SourceUpdate, Status, UpdateContent, Version,
 };
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -74,19 +74,19 @@
     }
 }
 
-fn rules(options: Options) -> Rules {
-    Rules {
+fn rules(options: Options) -> MembershipConfig {
+    MembershipConfig {
         networks: networks(options.networks),
-        hold: SelfPreservationRules {
-            share: options.preserved_share,
-            least: options.preserved_least,
-            span: options.preserved_span,
+        self_preservation: SelfPreservationConfig {
+            max_missing_share: options.preserved_share,
+            max_missing_count: options.preserved_least,
+            duration: options.preserved_span,
         },
-        away: options.source_timeout,
-        patience: options.missing_timeout,
-        remember: options.removed_kept,
-        most: options.instance_limit,
-        most_gone: options.removed_limit,
+        unreachable_after: options.source_timeout,
+        missing_grace: options.missing_timeout,
+        tombstone_ttl: options.removed_kept,
+        max_instances: options.instance_limit,
+        max_tombstones: options.removed_limit,
     }
 }
 
@@ -103,13 +103,13 @@
     }
 }
 
-fn content(answer: Answer) -> Content {
+fn content(answer: Answer) -> UpdateContent {
     let facts = |instances: Vec<Instance>| instances.into_iter().map(fact).collect();
     let named = |(id, version): (String, (u64, u64))| (id, Version::new(version.0, version.1));
     match answer {
-        Answer::Full(listed) => Content::Whole(facts(listed)),
-        Answer::Delta { changed, deleted } => Content::Delta {
-            told: facts(changed),
+        Answer::Full(listed) => UpdateContent::Full(facts(listed)),
+        Answer::Delta { changed, deleted } => UpdateContent::Delta {
+            changed: facts(changed),
             deleted: deleted.into_iter().map(named).collect(),
         },
     }
@@ -140,22 +140,24 @@
         &mut self,
         now: f64,
         source: &str,
-        asked: f64,
+        requested_at: f64,
         answer: Answer,
         recording: &mut Recording,
     ) {
-        let view = View {
+        let view = SourceUpdate {
             source: source.into(),
-            asked,
-            arrived: now,
+            requested_at,
+            received_at: now,
             content: content(answer),
         };
-        let change = self.0.view(now, view);
+        let change = self.0.apply_update(now, view);
         self.record_change(change, recording);
     }
 
     pub fn source_failed(&mut self, now: f64, source: &str, recording: &mut Recording) {
-        let change = self.0.failed(now, source, format!("{source} refused"));
+        let change = self
+            .0
+            .record_source_failure(now, source, format!("{source} refused"));
         self.record_change(change, recording);
     }
 
@@ -168,11 +170,17 @@
     ) {
         let seen = match event {
             Connection::Opened { at } => Observation::Opened { at },
-            Connection::Broken { open } => Observation::Broken { left: open },
-            Connection::Refused { open } => Observation::Refused { left: open },
-            Connection::Closed { open } => Observation::Closed { left: open },
+            Connection::Broken { open } => Observation::Broken {
+                open_connections: open,
+            },
+            Connection::Refused { open } => Observation::Refused {
+                open_connections: open,
+            },
+            Connection::Closed { open } => Observation::Closed {
+                open_connections: open,
+            },
         };
-        let (change, restarted) = self.0.seen(now, engine, seen);
+        let (change, restarted) = self.0.record_observation(now, engine, seen);
         recording.state(&format!("restarted {restarted}"));
         if restarted {
             recording.count("restart detected");
@@ -181,7 +189,7 @@
     }
 
     pub fn taken_out_by_operator(&mut self, engines: BTreeSet<String>) {
-        self.0.administratively_drained(engines);
+        self.0.set_administratively_drained(engines);
     }
 
     pub fn tick(&mut self, now: f64, recording: &mut Recording) {
@@ -189,8 +197,8 @@
         self.record_change(change, recording);
     }
 
-    pub fn next_wake(&self, now: f64) -> Option<f64> {
-        self.0.next_wake(now)
+    pub fn next_wakeup(&self, now: f64) -> Option<f64> {
+        self.0.next_wakeup(now)
     }
 
     pub fn snapshot(&self, now: f64, recording: &mut Recording) -> Option<SnapshotText> {
@@ -199,9 +207,9 @@
             return None;
         };
         recording.count("snapshot taken");
-        recording.state(&format!("snapshot {}", float(snapshot.written)));
+        recording.state(&format!("snapshot {}", float(snapshot.taken_at)));
         snapshot
-            .engines
+            .instances
             .iter()
             .for_each(|kept| recording.state(&kept_text(kept)));
         let text = serde_json::to_string(&snapshot).unwrap();
@@ -274,7 +282,7 @@
         let (overflow, gone, held) = (self.0.overflow(), self.0.gone(), self.0.held());
         recording.state(&format!(
             "totals {rejections} {overflow} {gone} {held} {}",
-            self.0.rules().most
+            self.0.rules().max_instances
         ));
         recording.state(&format!("restored {}", optional_float(self.0.restored())));
         self.record_counts(recording);
@@ -335,7 +343,7 @@
                     .for_each(|engine| record_engine(engine, recording));
             }
         }
-        for line in self.0.news() {
+        for line in self.0.drain_log_lines() {
             recording.count("log line");
             recording.wording(&line);
         }
@@ -360,7 +368,7 @@
 /// The version that two timestamps of a registry's answer make.
 pub fn record_version(dirty: Option<f64>, updated: Option<f64>, recording: &mut Recording) {
     let version = version(dirty, updated);
-    recording.count(if version.untold() {
+    recording.count(if version.is_unset() {
         "version absent"
     } else {
         "version present"
--- a/tests/recorded_state/registry_text.rs
+++ b/tests/recorded_state/registry_text.rs
@@ -116,9 +116,9 @@
 
 pub fn belief_text(belief: &ResolvedState) -> String {
     let stand = match belief.stand {
-        Standing::Serves => "serves",
-        Standing::Drains => "drains",
-        Standing::Gone => "gone",
+        Standing::Serving => "serves",
+        Standing::Draining => "drains",
+        Standing::Removed => "gone",
     };
     let until = optional_float(belief.until);
     format!(
@@ -142,8 +142,8 @@
 
 pub fn reason_text(reason: Why) -> String {
     let particulars = match reason {
-        Why::Told(status) => status.word().to_string(),
-        Why::Contradicted(source, status) => format!("{source} {}", status.word()),
+        Why::Told(status) => status.as_str().to_string(),
+        Why::Contradicted(source, status) => format!("{source} {}", status.as_str()),
         Why::Missing(source) => source.to_string(),
         Why::Listed | Why::Unusable | Why::Older | Why::Unlisted => String::new(),
     };
@@ -152,12 +152,12 @@
 
 pub fn claim_text(claim: &SourceRecord) -> String {
     let said = match claim.said {
-        Reported::Serves => "serves".to_string(),
-        Reported::Drains(status) => format!("drains {}", status.word()),
-        Reported::Unusable => "unusable".to_string(),
+        Reported::Serving => "serves".to_string(),
+        Reported::Draining(status) => format!("drains {}", status.as_str()),
+        Reported::UnusableAddress => "unusable".to_string(),
         Reported::Absent => "absent".to_string(),
     };
-    let times = [float(claim.asked), float(claim.since)];
+    let times = [float(claim.requested_at), float(claim.since)];
     let (version, address) = (version_text(claim.version), optional(claim.address));
     format!(
         "{} {said} {version} {address} {times:?} {}",
@@ -170,7 +170,7 @@
         "{} {} {}",
         version_text(floor.version),
         floor.source,
-        float(floor.asked)
+        float(floor.requested_at)
     )
 }
 
