--- /dev/null
+++ b/src/decision/attempts.rs
@@ -0,0 +1,85 @@
+//! The end of an attempt, with what is learned from it, and the end of a request.
+
+use super::concurrency_limit::OVERLOAD_SIGN;
+use super::controller::Controller;
+use super::model::{Action, Ended, Outcome, QueryId, request_lifecycle::EndedAttempt};
+
+/// An attempt runs far too long, or by a bad plan, at this multiple of the usual service time.
+pub(super) const SLOW_PLAN_FACTOR: f64 = 4.0;
+
+impl Controller {
+    /// Learns from the end of an attempt, and ends its request or retries it.
+    pub(super) fn on_attempt_ended(&mut self, ended: &Ended) {
+        let Some(attempt) = self.state.end_attempt(ended) else {
+            return;
+        };
+        self.record_response(&attempt, ended);
+        self.infer_overload(&attempt, ended.outcome);
+        if ended.outcome == Outcome::Served {
+            self.record_answer(&attempt, ended);
+        } else if !ended.outcome.never_ran() {
+            self.state.start_quiet_period(ended.id);
+        }
+        if ended.last || ended.outcome == Outcome::Served {
+            self.dequeue_and_cancel(ended.id);
+        } else if !self.state.requests[&ended.id].has_in_flight() {
+            self.retry(ended.id);
+        }
+        self.state.remove_if_done(ended.id);
+    }
+
+    /// What its process before a restart had says nothing of the present one.
+    fn record_response(&mut self, attempt: &EndedAttempt, ended: &Ended) {
+        if ended.outcome.is_response() {
+            self.record_activity(attempt.engine);
+        }
+        let engine = &mut self.state.engines[attempt.engine];
+        if ended.outcome == Outcome::Served {
+            engine.record_slowdown(attempt.slowdown.min(SLOW_PLAN_FACTOR));
+        }
+        if !attempt.is_stale {
+            engine.record_outcome(ended.outcome);
+            self.record_load_report(attempt.engine, &ended.report);
+            if ended.outcome.lacks_capacity() {
+                self.on_rejection(attempt.engine);
+            }
+        }
+    }
+
+    /// No answer, so no report, and none since it was sent: that it ran for so long is the only
+    /// sign of an overload where no probe may ask. Cost: lost answers and bad plans count, as their
+    /// part of all.
+    fn infer_overload(&mut self, attempt: &EndedAttempt, outcome: Outcome) {
+        let reported_at = self.state.engines[attempt.engine].load.received_at;
+        let is_unreported = !self.state.settings.limits.probes && reported_at < attempt.sent_at;
+        let is_unanswered = outcome.is_unanswered() && !attempt.has_stalled;
+        if is_unanswered && is_unreported && attempt.slowdown > SLOW_PLAN_FACTOR {
+            self.record_utilization(attempt.engine, OVERLOAD_SIGN);
+        }
+    }
+
+    fn record_answer(&mut self, attempt: &EndedAttempt, ended: &Ended) {
+        let is_in_time = self.state.learn_from_answer(attempt, ended);
+        let engine = &mut self.state.engines[attempt.engine];
+        engine.concurrency_limit.increase(attempt.threads);
+        if is_in_time {
+            self.grow_window(attempt.threads);
+        }
+    }
+
+    /// The request has its final answer, or nobody waits for one.
+    pub(super) fn finish(&mut self, id: QueryId) {
+        self.state.finish(id);
+        self.dequeue_and_cancel(id);
+        self.state.remove_if_done(id);
+    }
+
+    /// Takes a finished request out of its queue and cancels its attempts.
+    fn dequeue_and_cancel(&mut self, id: QueryId) {
+        let in_flight = self.state.dequeue(id);
+        if self.state.settings.limits.cancel && !self.state.is_streaming(id) {
+            let cancel = |attempt| Action::Cancel { id, attempt };
+            self.actions.extend(in_flight.into_iter().map(cancel));
+        }
+    }
+}
--- a/src/decision/facade.rs
+++ b/src/decision/facade.rs
@@ -1,164 +1,209 @@
-//! The decision module behind three blocking calls: [`Facade::pick`], [`Facade::report`] and
-//! [`Facade::tick`]. Each takes the time, returns what to do now and keeps nothing waiting, so that nothing
-//! outside ever meets the module's events and actions.
+//! The decisions behind three blocking calls: [`Facade::pick`], [`Facade::report`] and
+//! [`Facade::tick`].
+//!
+//! Each takes the time, returns what is to be done now and defers nothing, so that nothing outside
+//! ever handles the controller's events and actions.
 
-use crate::decision::controller::Controller;
-use crate::decision::model::*;
+use super::controller::Controller;
+use super::model::{
+    Action, Ended, EngineEntry, Event, ListUpdate, Millis, Outcome, ProgressNote, Query, QueryId,
+    Settings, SettingsError,
+};
 
-/// What the module wants done.
+/// Something to be done now.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Start the query's next attempt; memory 0 leaves the grant to the engine.
+    /// Start the query's next attempt.
     Run {
+        /// The query.
         query: QueryId,
+        /// The engine's id.
         engine: String,
+        /// Memory it gets, MB; 0: the engine chooses.
         memory_mb: f64,
+        /// Limit on the attempt, ms, beside the query's own deadline.
         timeout: Option<Millis>,
     },
-    /// Call one attempt off.
-    Cancel { query: QueryId, attempt: u32 },
-    /// Final: refused, and when the client may come back.
+    /// Cancel one attempt.
+    Cancel {
+        /// The query.
+        query: QueryId,
+        /// Which of its attempts, from 0.
+        attempt: u32,
+    },
+    /// Final: refused before it had any effect.
     Refuse {
+        /// The query.
         query: QueryId,
+        /// When the client may come back, ms.
         retry_after: Option<Millis>,
     },
-    /// Final: failed.
-    Fail { query: QueryId },
+    /// Final: failed, perhaps with an effect.
+    Fail {
+        /// The query.
+        query: QueryId,
+    },
     /// A line for the log.
     Log(String),
 }
 
-/// What happened outside.
+/// Something that happened outside.
 #[derive(Clone, Debug)]
 pub enum Report {
+    /// The engine list has changed.
     Engines {
+        /// How the entries relate to the list before.
         update: ListUpdate,
+        /// The entries.
         entries: Vec<EngineEntry>,
     },
+    /// An attempt has ended.
     Ended(Ended),
+    /// An engine reports of an attempt that has not ended.
     Progress {
+        /// The query.
         query: QueryId,
+        /// Which of its attempts, from 0.
         attempt: u32,
+        /// The report.
         note: ProgressNote,
     },
-    /// Nobody waits for it any more.
+    /// The client no longer waits for this query.
     ClientDisconnected(QueryId),
-    /// A peer's news of an engine's load.
+    /// Another dispatcher has received this load report.
     PeerLoadReport {
+        /// The engine's id.
         engine: String,
+        /// The load report.
         report: Vec<f64>,
     },
 }
 
+impl From<Report> for Event {
+    fn from(report: Report) -> Self {
+        match report {
+            Report::Engines { update, entries } => Event::EngineList { update, entries },
+            Report::Ended(ended) => Event::AttemptEnded(ended),
+            Report::Progress {
+                query,
+                attempt,
+                note,
+            } => Event::Progress {
+                id: query,
+                attempt,
+                note,
+            },
+            Report::ClientDisconnected(query) => Event::ClientDisconnected(query),
+            Report::PeerLoadReport { engine, report } => Event::EngineReport {
+                engine,
+                outcome: Outcome::Served,
+                report,
+            },
+        }
+    }
+}
+
+/// One dispatcher's decisions behind blocking calls.
 pub struct Facade {
     controller: Controller,
-    alarm: Option<Millis>,
+    next_wakeup: Option<Millis>,
     actions: Vec<Action>,
 }
 
 impl Facade {
+    /// Decisions by these settings. The seed decides the random choices.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError`] if the settings contradict themselves.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         Ok(Facade {
             controller: Controller::new(settings, seed)?,
-            alarm: None,
+            next_wakeup: None,
             actions: vec![],
         })
     }
 
-    /// A query has come in: where does it go, and what else may go now?
+    /// A query has arrived: where it goes, and what else is to be done.
     pub fn pick(&mut self, now: Millis, query: Query) -> Vec<Decision> {
-        self.call(now, Event::Query(query))
+        self.handle(now, Event::Query(query))
     }
 
+    /// Something has happened: what is to be done.
     pub fn report(&mut self, now: Millis, report: Report) -> Vec<Decision> {
-        self.call(
-            now,
-            match report {
-                Report::Engines { update, entries } => Event::EngineList { update, entries },
-                Report::Ended(ended) => Event::AttemptEnded(ended),
-                Report::Progress {
-                    query,
-                    attempt,
-                    note,
-                } => Event::Progress {
-                    id: query,
-                    attempt,
-                    note,
-                },
-                Report::ClientDisconnected(query) => Event::ClientDisconnected(query),
-                Report::PeerLoadReport { engine, report } => Event::EngineReport {
-                    engine,
-                    outcome: Outcome::Served,
-                    report,
-                },
-            },
-        )
+        self.handle(now, report.into())
     }
 
-    /// Lets the module look at the clock if it asked for that.
+    /// Handles the timer, if it has expired.
     pub fn tick(&mut self, now: Millis) -> Vec<Decision> {
-        match self.alarm.is_some_and(|at| at <= now) {
-            true => {
-                self.alarm = None;
-                self.call(now, Event::Timer(0))
-            }
-            false => vec![],
+        let is_due = self.next_wakeup.is_some_and(|at| at <= now);
+        if !is_due {
+            return vec![];
         }
+        self.next_wakeup = None;
+        self.handle(now, Event::Timer(0))
     }
 
-    /// So many processes share this gateway's part.
+    /// So many processes make the decisions of this dispatcher.
     pub fn set_process_count(&mut self, processes: u32) {
         self.controller.set_process_count(processes);
     }
 
-    /// The module leaves this engine out while others are well. Read only, for operators.
+    /// Whether this engine is passed over while others are healthy.
     pub fn is_ejected(&self, engine: &str) -> bool {
         self.controller.is_ejected(engine)
     }
 
-    /// When the next tick is due.
+    /// When the next tick is due, ms.
     pub fn next_tick(&self) -> Option<Millis> {
-        self.alarm
+        self.next_wakeup
     }
 
-    fn call(&mut self, now: Millis, event: Event) -> Vec<Decision> {
+    fn handle(&mut self, now: Millis, event: Event) -> Vec<Decision> {
         let mut actions = std::mem::take(&mut self.actions);
         self.controller.handle(now, event, &mut actions);
         let mut decisions = Vec::with_capacity(actions.len());
-        // The module names a query's terms right before its send.
-        let mut terms = None;
+        // The controller names a query's terms right before its attempt.
+        let mut granted = None;
         for action in actions.drain(..) {
-            match action {
-                Action::Terms { id, memory_mb, .. } => terms = Some((id, memory_mb)),
-                Action::Send {
-                    id,
-                    engine,
-                    timeout,
-                } => {
-                    let memory_mb = terms.filter(|t| t.0 == id).map_or(0.0, |t| t.1);
-                    decisions.push(Decision::Run {
-                        query: id,
-                        engine,
-                        memory_mb,
-                        timeout,
-                    });
-                }
-                Action::Cancel { id, attempt } => {
-                    decisions.push(Decision::Cancel { query: id, attempt })
-                }
-                Action::Refuse { id, retry_after } => decisions.push(Decision::Refuse {
-                    query: id,
-                    retry_after: retry_after,
-                }),
-                Action::Fail { id } => decisions.push(Decision::Fail { query: id }),
-                // The last alarm is the module's only one: an older one would find nothing due.
-                Action::Timer { at, .. } => self.alarm = Some(at),
-                Action::Log(text) => decisions.push(Decision::Log(text)),
-                // Engines are never probed here, and every list comes unasked.
-                Action::Probe { .. } | Action::Subscribe => {}
+            if let Action::Terms { id, memory_mb, .. } = action {
+                granted = Some((id, memory_mb));
+            } else {
+                decisions.extend(self.decision(action, granted));
             }
         }
         self.actions = actions;
         decisions
     }
+
+    fn decision(&mut self, action: Action, granted: Option<(QueryId, f64)>) -> Option<Decision> {
+        Some(match action {
+            Action::Send {
+                id,
+                engine,
+                timeout,
+            } => Decision::Run {
+                query: id,
+                engine,
+                memory_mb: granted
+                    .filter(|(query, _)| *query == id)
+                    .map_or(0.0, |(_, mb)| mb),
+                timeout,
+            },
+            Action::Cancel { id, attempt } => Decision::Cancel { query: id, attempt },
+            Action::Refuse { id, retry_after } => Decision::Refuse {
+                query: id,
+                retry_after,
+            },
+            Action::Fail { id } => Decision::Fail { query: id },
+            Action::Log(text) => Decision::Log(text),
+            Action::Timer { at, .. } => {
+                // The last timer is the only one: an older one would find nothing due.
+                self.next_wakeup = Some(at);
+                return None;
+            }
+            // Engines are never probed here, and every list comes without a subscription.
+            Action::Terms { .. } | Action::Probe { .. } | Action::Subscribe => return None,
+        })
+    }
 }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,8 +1,19 @@
-//! The decision module: which engine, whether again, what is refused. Pure: time and randomness are passed in.
+//! The decision module: which engine, whether again, what is refused. Pure: time and randomness are
+//! passed in.
 
-#[rustfmt::skip] // Formatted once it is split by concern: the policy files hold a bounded number of lines.
+mod admission;
+mod attempts;
+mod concurrency_limit;
 mod controller;
 pub mod facade;
+mod feedback;
 pub mod model;
+mod outlier_detection;
+mod placement;
+mod retry;
+mod send_guard;
+mod slow_start;
+#[cfg(test)]
+mod tests;
 
 pub use controller::Controller;
--- /dev/null
+++ b/src/decision/model/selection.rs
@@ -0,0 +1,23 @@
+//! Partial sorting.
+
+#[cfg(test)]
+mod tests;
+
+/// The first `count` of these indices by `key`, in its order: what a stable sort of them all would
+/// begin with.
+pub(crate) fn smallest_by_key<K: Ord>(
+    indices: Vec<usize>,
+    count: usize,
+    key: impl Fn(usize) -> K,
+) -> Vec<usize> {
+    let mut keyed: Vec<(K, usize)> = indices
+        .into_iter()
+        .map(|index| (key(index), index))
+        .collect();
+    if keyed.len() > count {
+        keyed.select_nth_unstable(count);
+        keyed.truncate(count);
+    }
+    keyed.sort_unstable();
+    keyed.into_iter().map(|(_, index)| index).collect()
+}
--- a/src/decision/model/state.rs
+++ b/src/decision/model/state.rs
@@ -1,322 +1,206 @@
-//! What the module remembers. Plain state and its sums; no decision is made here.
-
-use crate::decision::model::*;
-use std::collections::{BTreeMap, VecDeque};
-
-/// A mean that forgets.
-#[derive(Clone, Copy, Default)]
-pub struct Mean {
-    pub sum: f64,
-    pub weight: f64,
-}
-
-impl Mean {
-    pub fn add(&mut self, x: f64, keep: f64) {
-        self.sum = self.sum * keep + x;
-        self.weight = self.weight * keep + 1.0;
-    }
-    pub fn age(&mut self, keep: f64) {
-        (self.sum, self.weight) = (self.sum * keep, self.weight * keep);
+//! All that one dispatcher remembers, and the bookkeeping of what it learns about engines and load.
+
+use super::aimd_limit::AimdLimit;
+use super::class::ClassState;
+use super::cost_estimator::CLASS_RETENTION;
+use super::endpoint::Engine;
+use super::endpoint_list::{EndpointList, EngineIndex};
+use super::ordered_queue::OrderedQueues;
+use super::process_count::ProcessCount;
+use super::request::PendingRequest;
+use super::retry_usage::RetryUsage;
+use super::statistics::DecayingMean;
+use super::timers::Timers;
+use super::token_bucket::TokenBucket;
+use super::utilization::{FULL_UTILIZATION, Utilization};
+use super::{ClassId, EngineEntry, ListUpdate, Millis, Query, QueryId, Settings};
+use std::collections::BTreeMap;
+
+/// Seconds of its quota that a tenant may save up.
+const QUOTA_BURST_SECONDS: f64 = 2.0;
+
+/// All that one dispatcher remembers.
+#[derive(Debug)]
+pub(crate) struct State {
+    /// What the operator has stated.
+    pub(crate) settings: Settings,
+    /// The time of the present call, ms.
+    pub(crate) now: Millis,
+    /// The engines.
+    pub(crate) engines: EndpointList,
+    /// Queries that have no final answer, or an attempt in flight.
+    pub(crate) requests: BTreeMap<QueryId, PendingRequest>,
+    /// The classes, in the order of the settings.
+    pub(crate) classes: Vec<ClassState>,
+    /// Queries that have to run in order.
+    pub(crate) ordered_queues: OrderedQueues,
+    /// Quotas by tenant.
+    pub(crate) quotas: Vec<TokenBucket>,
+    /// Arrivals and retries of late.
+    pub(crate) retry_usage: RetryUsage,
+    /// Utilization of engines and zones.
+    pub(crate) utilization: Utilization,
+    /// Mean priority weight of queries of late.
+    pub(crate) mean_priority_weight: DecayingMean,
+    /// Mean expected work of queries of late, ms of one thread.
+    pub(crate) mean_work: DecayingMean,
+    /// Congestion window: threads in flight at all engines.
+    pub(crate) window: AimdLimit,
+    /// Processes that make the decisions of this dispatcher.
+    pub(crate) processes: ProcessCount,
+    /// What is due when.
+    pub(crate) timers: Timers,
+}
+
+impl State {
+    /// The state before the first event.
+    pub(crate) fn new(settings: Settings) -> Self {
+        let class_ids = 0..settings.classes.len();
+        let dispatchers = f64::from(settings.dispatchers);
+        let quotas = settings.tenants.iter().map(|tenant| {
+            let rate_per_s = tenant.quota_per_s / dispatchers;
+            TokenBucket::new(rate_per_s, QUOTA_BURST_SECONDS)
+        });
+        State {
+            now: 0.0,
+            engines: EndpointList::default(),
+            requests: BTreeMap::new(),
+            classes: class_ids
+                .map(|class| ClassState::new(&settings, class))
+                .collect(),
+            ordered_queues: OrderedQueues::default(),
+            quotas: quotas.collect(),
+            retry_usage: RetryUsage::default(),
+            utilization: Utilization::new(&settings),
+            mean_priority_weight: DecayingMean::default(),
+            mean_work: DecayingMean::default(),
+            window: AimdLimit::default(),
+            processes: ProcessCount::default(),
+            timers: Timers::default(),
+            settings,
+        }
     }
-    pub fn get(&self) -> Option<f64> {
-        (self.weight > 0.0).then(|| self.sum / self.weight)
+
+    /// Moves the clock forward; it never goes back.
+    pub(crate) fn advance_clock(&mut self, now: Millis) {
+        if now.is_finite() {
+            self.now = now.max(self.now);
+        }
+        self.timers.start(self.now);
     }
-    pub fn or(&self, x: f64) -> f64 {
-        self.get().unwrap_or(x)
+
+    /// Applies an update of the engine list.
+    pub(crate) fn apply_engine_list(&mut self, update: ListUpdate, entries: Vec<EngineEntry>) {
+        let requests = &self.requests;
+        let is_referenced = |engine| requests.values().any(|request| request.refers_to(engine));
+        self.engines
+            .apply(update, entries, &self.settings, is_referenced);
     }
-    /// The mean, or `x` while fewer than `samples` weigh in it.
-    pub fn after(&self, samples: f64, x: f64) -> f64 {
-        if self.weight < samples { x } else { self.or(x) }
+
+    /// The class of a query.
+    pub(crate) fn class(&self, query: &Query) -> &ClassState {
+        &self.classes[query.class]
     }
-}
 
-/// Sums over pairs that forget: their means and how they vary.
-#[derive(Clone, Copy, Default)]
-pub struct Pairs {
-    pub weight: f64,
-    sums: [f64; 5],
-}
+    /// Work expected of a query, ms of one thread.
+    pub(crate) fn work(&self, query: &Query) -> f64 {
+        self.class(query).cost.work(query)
+    }
 
-impl Pairs {
-    pub fn add(&mut self, x: f64, y: f64, keep: f64) {
-        self.weight = self.weight * keep + 1.0;
-        for (sum, v) in self.sums.iter_mut().zip([x, y, x * x, x * y, y * y]) {
-            *sum = *sum * keep + v;
+    /// Threads that each class uses at all engines.
+    pub(crate) fn threads_by_class(&self) -> Vec<f64> {
+        let mut threads = vec![0.0; self.classes.len()];
+        for attempt in self.engines.in_flight() {
+            threads[attempt.class] += attempt.threads;
         }
+        threads
     }
-    pub fn means(&self) -> (f64, f64) {
-        (self.sums[0] / self.weight, self.sums[1] / self.weight)
-    }
-    /// Variance of x, covariance, variance of y.
-    pub fn variances(&self) -> (f64, f64, f64) {
-        let ((x, y), [_, _, xx, xy, yy]) = (self.means(), self.sums.map(|s| s / self.weight));
-        ((xx - x * x).max(0.0), xy - x * y, (yy - y * y).max(0.0))
-    }
-}
 
-/// What was spent when, as far back as a span reaches.
-#[derive(Default)]
-pub struct Account(VecDeque<(Millis, f64)>);
+    /// Classes by priority weight for work, best first.
+    pub(crate) fn classes_by_gain(&self) -> Vec<ClassId> {
+        let gain = |class: ClassId| self.classes[class].gain();
+        let mut order: Vec<ClassId> = (0..self.classes.len()).collect();
+        order.sort_by(|&a, &b| gain(b).total_cmp(&gain(a)).then(a.cmp(&b)));
+        order
+    }
 
-impl Account {
-    /// Forgets what lies further back than `span`.
-    pub fn charge(&mut self, now: Millis, span: Millis, amount: f64) {
-        self.0.retain(|(t, _)| *t >= now - span);
-        if amount > 0.0 {
-            self.0.push_back((now, amount));
-        }
+    /// Threads of the widest query, or `least` if that is more.
+    pub(crate) fn widest_query_or(&self, least: f64) -> f64 {
+        let threads = self.classes.iter().map(|class| class.settings.threads);
+        threads.fold(least, f64::max)
     }
-    /// The sum of what was spent after `from`.
-    pub fn since(&self, from: Millis) -> f64 {
-        self.0
+
+    /// Threads of one query of each class.
+    pub(crate) fn threads_of_one_each(&self) -> f64 {
+        self.classes
             .iter()
-            .filter(|(t, _)| *t > from)
-            .map(|(_, amount)| amount)
+            .map(|class| class.settings.threads)
             .sum()
     }
-}
-
-/// What an engine was sent by us: work, and what lots for it have spent. A lot that is lost spends what it would have
-/// brought on average of the lots alone, for nothing came of it.
-#[derive(Default)]
-pub struct Sent {
-    work: Account,
-    lots: Account,
-}
 
-impl Sent {
-    /// `part`: 1 if the work was sent, else what its lot would have brought of it on average.
-    pub fn charge(&mut self, now: Millis, span: Millis, work: f64, part: f64) {
-        self.work
-            .charge(now, span, if part >= 1.0 { work } else { 0.0 });
-        self.lots.charge(now, span, work * part);
+    /// Counts a query for the means over all, and for its class.
+    pub(crate) fn record_arrival(&mut self, query: &Query) {
+        let class = &mut self.classes[query.class];
+        class.period.arrivals += 1.0;
+        let weight = class.settings.priority_weight;
+        self.mean_priority_weight.add(weight, CLASS_RETENTION);
+        self.mean_work.add(class.cost.work(query), CLASS_RETENTION);
     }
 
-    /// The work after `from` in queries of this work, and the same with lots that were lost.
-    pub fn since(&self, from: Millis, work: f64) -> (f64, f64) {
-        (self.work.since(from) / work, self.lots.since(from) / work)
+    /// Records that an engine responds; after a silence longer than `pause` it is responsive anew.
+    pub(crate) fn record_activity(&mut self, engine: EngineIndex, pause: Millis) {
+        self.engines.record_activity(engine, self.now, pause);
     }
-}
 
-/// The first `n` of these by `key`, in its order: what a stable sort of them all would begin with.
-pub fn first_by<K: Ord>(all: Vec<usize>, n: usize, key: impl Fn(&usize) -> K) -> Vec<usize> {
-    let mut keyed: Vec<(K, usize)> = all.into_iter().map(|e| (key(&e), e)).collect();
-    if keyed.len() > n {
-        keyed.select_nth_unstable(n);
-        keyed.truncate(n);
+    /// Takes over a load report. Returns the engine's utilization; `None` if the report is
+    /// malformed.
+    pub(crate) fn record_load_report(&mut self, index: EngineIndex, report: &[f64]) -> Option<f64> {
+        let fields = &self.settings.report_fields;
+        let engine = &mut self.engines[index];
+        let is_well_formed = engine.load.decode(self.now, fields, report);
+        is_well_formed.then(|| self.utilization_or(index, FULL_UTILIZATION))
     }
-    keyed.sort_unstable();
-    keyed.into_iter().map(|(_, e)| e).collect()
-}
 
-/// One attempt that an engine has from us.
-pub struct Running {
-    pub id: QueryId,
-    pub attempt: u32,
-    pub class: ClassId,
-    pub tables: Option<u64>,
-    pub threads: f64,
-    pub work: f64,
-    pub sent: Millis,
-    pub done: f64,
-    /// When a note of it last came; at first, when it was sent.
-    pub heard: Millis,
-    /// Memory asked for it, MB; 0 is the engine's choice.
-    pub granted: f64,
-    /// It stood still behind a load.
-    pub stood: bool,
-}
-
-impl Running {
-    /// Just sent; what it takes there is for the caller to say.
-    pub fn new(q: &Query, attempt: u32, now: Millis) -> Self {
-        Running {
-            id: q.id,
-            attempt,
-            class: q.class,
-            tables: q.tables,
-            threads: 0.0,
-            work: 0.0,
-            sent: now,
-            done: 0.0,
-            heard: now,
-            granted: 0.0,
-            stood: false,
-        }
+    /// The utilization of an engine; `default` if nothing is known.
+    pub(crate) fn utilization_or(&self, engine: EngineIndex, default: f64) -> f64 {
+        let observed = self.utilization.observed(&self.engines[engine], self.now);
+        observed.unwrap_or(default)
     }
-}
-
-pub struct Engine {
-    pub name: String,
-    pub state: EngineState,
-    pub started: Option<Millis>,
-    pub kind: Option<usize>,
-    pub zone: Option<usize>,
-    pub cell: i64,
-    pub out: Vec<Running>,
-    pub full_until: Millis,
-    /// Threads that we may have there: unlimited until it shows that it has no room.
-    pub cap: f64,
-    pub cut_at: Millis,
-    /// Its last load report, and when that came.
-    pub inflight: f64,
-    pub cpu_busy: f64,
-    /// Its answers' latency over the usual service time of their classes.
-    pub stretch: Mean,
-    pub memory_granted: f64,
-    pub memory_queue: f64,
-    pub reported: Millis,
-    pub fails: Mean,
-    pub heard: Millis,
-    /// Since when it speaks without a pause.
-    pub speaks: Millis,
-    /// This period's draw, 0 to 1, for a budget below one query.
-    pub draw: f64,
-    /// Work sent there, or drawn for in vain, in the window in which a cold engine may fall.
-    pub sent: Sent,
-    /// Groups that a load holds there, and when a note told of it.
-    pub held: BTreeMap<u64, Millis>,
-}
 
-impl Engine {
-    /// A number of its name and `salt`: whoever knows both ranks engines alike.
-    pub fn rank(&self, salt: u64) -> u64 {
-        let mix = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        self.name.bytes().fold(salt, mix)
+    /// The least utilization of a zone in service; infinite without any engine.
+    pub(crate) fn least_zone_utilization(&self) -> f64 {
+        self.utilization.least_of_zones(&self.engines)
     }
-    pub fn threads(&self) -> f64 {
-        self.out.iter().map(|r| r.threads).sum()
-    }
-    /// It speaks now; after a silence longer than `pause` it does so anew.
-    pub fn hear(&mut self, now: Millis, pause: Millis) -> Millis {
-        if now > self.heard + pause {
-            self.speaks = now;
-        }
-        self.heard = now;
-        now
-    }
-    pub fn work(&self) -> f64 {
-        self.out.iter().map(|r| r.work * (1.0 - r.done)).sum()
-    }
-}
-
-#[derive(Clone, Copy)]
-pub struct Attempt {
-    pub engine: usize,
-    pub sent: Millis,
-    pub out: bool,
-    pub may_have_run: bool,
-}
-
-/// A query that this gateway has taken.
-pub struct Held {
-    pub q: Query,
-    pub arrived: Millis,
-    pub deadline: Millis,
-    /// Its wait here so far, attempts not counted.
-    pub waited: Millis,
-    pub queued_at: Millis,
-    pub attempts: Vec<Attempt>,
-    /// The engines that were probed for it, when, and until when it waits for them.
-    pub pair: Vec<usize>,
-    pub asked_at: Millis,
-    pub ask_until: Millis,
-    /// Memory that it needs, once a spill has told.
-    pub need_mb: Option<f64>,
-    pub over_quota: bool,
-    pub over: bool,
-    pub streaming: bool,
-}
 
-#[derive(Default)]
-pub struct ClassState {
-    pub queue: VecDeque<QueryId>,
-    // This sampling period.
-    pub arrivals: f64,
-    pub service_sum: f64,
-    pub slowdown_sum: f64,
-    pub served: f64,
-    pub held: bool,
-    // The controller.
-    pub service: f64,
-    pub error_sum: f64,
-    pub share: f64,
-    // What is learned.
-    pub work: Mean,
-    pub latency: Mean,
-    /// Logarithms of estimates and of what they turned out to be.
-    pub read_work: Pairs,
-    pub read_memory: Pairs,
-    pub pace: Mean,
-}
-
-/// Queries of one key, in the order taken, and until when the key rests.
-#[derive(Default)]
-pub struct Line {
-    pub ids: VecDeque<QueryId>,
-    pub rest_until: Millis,
-}
+    /// The engine's last report is recent enough to compare engines by it.
+    pub(crate) fn has_fresh_report(&self, engine: EngineIndex) -> bool {
+        self.engines[engine].load.is_fresh(self.now)
+    }
 
-pub struct Bucket {
-    pub tokens: f64,
-    pub at: Millis,
-}
+    /// Memory to request for an attempt there, MB; 0: the engine's own choice.
+    pub(crate) fn memory_grant(&self, request: &PendingRequest, engine: EngineIndex) -> f64 {
+        let cost = &self.class(&request.query).cost;
+        cost.memory_grant(request, self.engines[engine].max_grant_mb)
+    }
 
-impl Engine {
-    pub fn new(entry: &EngineEntry) -> Self {
-        Engine {
-            name: entry.engine.clone(),
-            state: entry.state,
-            started: entry.started,
-            kind: entry.kind,
-            zone: entry.zone,
-            cell: entry.cell,
-            out: vec![],
-            full_until: f64::MIN,
-            cap: f64::INFINITY,
-            cut_at: f64::MIN,
-            inflight: 0.0,
-            cpu_busy: 0.0,
-            stretch: Mean::default(),
-            memory_granted: 0.0,
-            memory_queue: 0.0,
-            reported: f64::MIN,
-            fails: Mean::default(),
-            heard: f64::MIN,
-            speaks: f64::MIN,
-            draw: 0.0,
-            sent: Sent::default(),
-            held: BTreeMap::new(),
-        }
+    /// The request would not queue for memory there.
+    pub(crate) fn has_memory_for(&self, request: &PendingRequest, engine: EngineIndex) -> bool {
+        let granted_mb = self.memory_grant(request, engine);
+        self.engines[engine].has_memory_for(self.now, granted_mb)
     }
-}
 
-impl Held {
-    pub fn new(q: Query, now: Millis) -> Self {
-        Held {
-            arrived: now,
-            deadline: now + q.time_left,
-            waited: 0.0,
-            queued_at: now,
-            attempts: vec![],
-            pair: vec![],
-            asked_at: now,
-            ask_until: f64::MIN,
-            need_mb: None,
-            over_quota: false,
-            over: false,
-            streaming: false,
-            q,
-        }
+    /// Queries of this work that a warming engine bears in the overload window.
+    pub(crate) fn bearable_queries(&self, engine: &Engine, started: Millis, work: f64) -> f64 {
+        let rules = &self.settings.rules;
+        let capacity = engine.warm_up_capacity(rules, started, self.now);
+        rules.overload_multiple * engine.cores * capacity * rules.overload_window / work
     }
 
-    /// Engines drop a repeat of it until then, counted from the first attempt that may have run.
-    pub fn repeats_until(&self, idempotency: Idempotency) -> Millis {
-        let first = self.attempts.iter().find(|a| a.out || a.may_have_run);
-        first.map_or(f64::INFINITY, |a| match idempotency {
-            Idempotency::Idempotent => f64::INFINITY,
-            Idempotency::Keyed { window, .. } => a.sent + window,
-            Idempotency::NonIdempotent => f64::MIN,
-        })
+    /// Records a query that was sent to a warming engine, or that the sample rejected with this
+    /// probability `spent`.
+    pub(crate) fn record_admission(&mut self, engine: EngineIndex, work: f64, spent: f64) {
+        let window = self.settings.rules.overload_window;
+        let usage = &mut self.engines[engine].slow_start_usage;
+        usage.record(self.now, window, work, spent);
     }
 }
