--- a/tests/recorded_decisions/core_stream.rs
+++ b/tests/recorded_decisions/core_stream.rs
@@ -344,7 +344,11 @@
         );
         self.core.update_endpoints(
             self.now,
-            if first { Update::Stale } else { Update::Snapshot },
+            if first {
+                Update::Stale
+            } else {
+                Update::Snapshot
+            },
             entries,
         );
         self.repeat(1000.0, Step::WholeList);
