--- a/tests/recorded_decisions/core_stream.rs
+++ b/tests/recorded_decisions/core_stream.rs
@@ -80,9 +80,9 @@
         if core_traffic.peers > 0 {
             let fields = settings.report_fields.len();
             core.join_gossip(GossipBudget {
-                peers: core_traffic.peers,
-                price: 0.2,
-                fields,
+                dispatchers: core_traffic.peers,
+                message_price: 0.2,
+                report_fields: fields,
             });
         }
         CoreStream {
--- a/tests/stored/members.rs
+++ b/tests/stored/members.rs
@@ -1,7 +1,7 @@
 //! The snapshot of membership as a record.
 
 use query_dispatcher::membership::Version;
-use query_dispatcher::membership::snapshot::{FORM, PersistedInstance, Snapshot};
+use query_dispatcher::membership::snapshot::{SNAPSHOT_FORMAT_VERSION, PersistedInstance, Snapshot};
 use query_dispatcher::storage::{LocalFileSystem, RecordError, RecordKind, RecordStore};
 use std::path::Path;
 
@@ -15,7 +15,7 @@
         FILE,
         RecordKind {
             tag: *b"MEMB",
-            version: FORM,
+            version: SNAPSHOT_FORMAT_VERSION,
         },
         MOST_BYTES,
     )
@@ -50,8 +50,8 @@
     };
     let odd = engine("host/../x:80 %\u{e9}", 4004, true);
     Snapshot {
-        written: 1_700_000_001_000.25,
-        engines: vec![whole, engine("engine-2", 4002, true), draining, odd],
+        taken_at: 1_700_000_001_000.25,
+        instances: vec![whole, engine("engine-2", 4002, true), draining, odd],
     }
 }
 
