--- a/crates/testbed/src/clients/mysql.rs
+++ b/crates/testbed/src/clients/mysql.rs
@@ -4,10 +4,7 @@
 use futures_util::SinkExt;
 use query_dispatcher::protocol::mysql::auth;
 use query_dispatcher::protocol::mysql::error::SqlError;
-use query_dispatcher::protocol::mysql::packet::{
-    CHANGE_USER, DEPRECATE_EOF, Ends, Greeting, Login, PacketCodec, PacketError, QUERY, Reader,
-    SESSION_TRACK, SSL, STMT_EXECUTE, STMT_FETCH, STMT_PREPARE, UTF8, read_err,
-};
+use query_dispatcher::protocol::mysql::packet::*;
 use query_dispatcher::transport::stream::{PrereadStream, Stream};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/testbed/src/fakes/engine.rs
+++ b/crates/testbed/src/fakes/engine.rs
@@ -7,10 +7,7 @@
 use futures_util::SinkExt;
 use query_dispatcher::protocol::mysql::auth;
 use query_dispatcher::protocol::mysql::error::{SqlError, code};
-use query_dispatcher::protocol::mysql::packet::{
-    CAPABILITIES, Greeting, Login, PacketCodec, PacketError, QUERY, QUIT, Reader, STMT_CLOSE,
-    STMT_EXECUTE, STMT_PREPARE, STMT_SEND_LONG_DATA, UTF8, eof, err, ok, put_lenenc,
-};
+use query_dispatcher::protocol::mysql::packet::*;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::io;
