--- a/src/frontend/frames/mod.rs
+++ b/src/frontend/frames/mod.rs
@@ -1,40 +1,46 @@
-//! The platform's front: its frames, read and written, and nothing decided.
+//! The platform's frontend: clients' frames, read and answered. It decides nothing itself.
+//!
+//! [`Frontend`] accepts connections; `connection` serves one of them, `client` holds what its client has asked,
+//! `request` reads a request and `replies` writes the answers.
 
+mod client;
 mod connection;
+mod replies;
 mod request;
+mod stream_numbers;
 
-pub use crate::protocol::frames::{Frame, FrameCodec, FrameError, Send, fields};
-pub use request::{Budget, Work};
+pub use request::{StatementBudget, Work};
 
-use crate::clock::duration_from_millis;
 use crate::config::MachineLimits;
 use crate::dispatch::request_router::{RequestRouter, Upstream};
 use crate::log_line;
+use crate::protocol::frames::FrameCodec;
 use crate::transport::buffer_pool::{Buffer, BufferPool};
+use crate::transport::client_socket::ClientSocket;
 use crate::transport::connection_limiter::{Activity, ConnectionLimiter, PermitGuard};
 use crate::transport::descriptors::DescriptorBudget;
+use crate::transport::framed_connection;
 use crate::transport::listener;
-use request::Ids;
+use connection::serve_connection;
+use request::OpenIds;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
+use tokio::task::spawn_local;
 
-pub const REQUEST: u8 = 2;
-pub const ANSWER: u8 = 4;
-pub const LEAVE: u8 = 8;
-pub const ASK: u8 = 16;
-pub const STATE: u8 = 32;
-pub const GOODBYE: u8 = 64;
+/// After an accept that failed.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+/// Statements may hold this part of the memory limit.
+const STATEMENT_MEMORY_DIVISOR: usize = 4;
 
-pub const SERVED: u8 = 0;
-pub const REFUSED: u8 = 14;
-pub const FAILED: u8 = 2;
+type FramedConnection = framed_connection::FramedConnection<FrameCodec, ClientSocket>;
 
-/// How far the end is, as connections are told.
+/// How far shutdown is, as connections are told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Phase {
+    /// Shutdown has not begun.
     Serving,
     /// No new request is wanted.
     Goodbye,
@@ -42,147 +48,137 @@
     Ending,
 }
 
-/// All that the connections of this front share.
+/// All that the connections of this frontend share.
 pub struct Frontend<U: Upstream<Work = Work, Output = Buffer>> {
-    pub router: Rc<RequestRouter<U>>,
-    pub pool: BufferPool,
-    pub budget: Budget,
-    ids: Ids,
-    places: Rc<ConnectionLimiter>,
+    router: Rc<RequestRouter<U>>,
+    pool: BufferPool,
+    budget: StatementBudget,
+    ids: OpenIds,
+    limiter: Rc<ConnectionLimiter>,
     limits: RefCell<MachineLimits>,
+    /// Processes of this dispatcher that share the limits.
     processes: Cell<usize>,
     /// Another process of this dispatcher takes its clients.
     handed_over: Cell<bool>,
     phase: watch::Sender<Phase>,
+    /// Connections that are being served.
     connections: Cell<usize>,
 }
 
 impl<U: Upstream<Work = Work, Output = Buffer>> Frontend<U> {
+    /// A frontend within these limits.
     pub fn new(router: Rc<RequestRouter<U>>, pool: BufferPool, limits: &MachineLimits) -> Rc<Self> {
         let (phase, _) = watch::channel(Phase::Serving);
-        let (budget, places) = (Budget::new(0), ConnectionLimiter::new(0, Activity::Idle));
         let frontend = Frontend {
             router,
             pool,
-            budget,
-            ids: Ids::default(),
-            places,
+            budget: StatementBudget::new(0),
+            ids: OpenIds::default(),
+            limiter: ConnectionLimiter::new(0, Activity::Idle),
             limits: RefCell::new(limits.clone()),
             processes: Cell::new(1),
             handed_over: Cell::new(false),
             phase,
             connections: Cell::new(0),
         };
-        frontend.bound();
+        frontend.divide_limits();
         Rc::new(frontend)
     }
 
-    /// Bounds by the machine's limits, which a new configuration may change.
-    pub fn limit(&self, limits: &MachineLimits) {
+    /// Applies the machine's limits, which a new configuration may change.
+    pub fn apply_limits(&self, limits: &MachineLimits) {
         *self.limits.borrow_mut() = limits.clone();
-        self.bound();
+        self.divide_limits();
     }
 
     /// So many processes of this dispatcher share the limits.
-    pub fn share(&self, processes: u32) {
+    pub fn set_process_count(&self, processes: u32) {
         self.processes.set(processes.max(1) as usize);
-        self.bound();
+        self.divide_limits();
     }
 
-    fn bound(&self) {
-        let (limits, processes) = (self.limits.borrow(), self.processes.get());
-        // A quarter of the memory for statements.
+    fn divide_limits(&self) {
+        let limits = self.limits.borrow();
+        let processes = self.processes.get();
+        let memory_bytes = limits.memory_mb * 1024 * 1024;
         self.budget
-            .most
-            .set(limits.memory_mb * 1024 * 1024 / 4 / processes);
-        self.places
+            .set_limit(memory_bytes / STATEMENT_MEMORY_DIVISOR / processes);
+        self.limiter
             .set_limit(DescriptorBudget::per_process(limits.max_sockets, processes).clients);
     }
 
-    /// No new request is wanted on any connection; what comes all the same is answered. `to_another`: another
-    /// process holds the listening socket and takes clients.
-    pub fn goodbye(&self, to_another: bool) {
-        self.handed_over.set(to_another);
+    /// No new request is wanted on any connection; what comes all the same is answered. With `handed_over`, another
+    /// process holds the listening socket and takes the clients.
+    pub fn announce_shutdown(&self, handed_over: bool) {
+        self.handed_over.set(handed_over);
         self.phase.send_replace(Phase::Goodbye);
     }
 
     /// Every connection ends as soon as it owes nothing and nothing is unread on it.
-    pub fn end(&self) {
+    pub fn close_when_idle(&self) {
         self.phase.send_replace(Phase::Ending);
     }
 
     /// Connections of clients: each of them may owe an answer, or the rest of one.
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.connections.get()
     }
 
     /// A connection that ends may stay until its client has taken what was written: while clients hold no more than half of
     /// the descriptors.
-    fn may_part(&self) -> bool {
+    fn may_linger(&self) -> bool {
         self.connections.get() <= self.limits.borrow().max_sockets / 2 / self.processes.get()
     }
 
-    /// Accepts connections until the goodbye. Those that the machine has accepted by then are served as well, for their
+    /// Accepts connections until the goodbye. Those that the system has accepted by then are served as well, for their
     /// requests count as taken, unless another process holds the listening socket and will accept them.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         let mut phase = self.phase.subscribe();
         loop {
             let accepted = tokio::select! {
-                accepted = self.places.accept(&listener) => accepted,
-                _ = phase.wait_for(|p| *p > Phase::Serving) => break,
+                accepted = self.limiter.accept(&listener) => accepted,
+                _ = phase.wait_for(|phase| *phase > Phase::Serving) => break,
             };
             match accepted {
-                Ok((tcp, place)) => self.clone().serve(tcp, place),
-                Err(e) => {
-                    // Out of descriptors: some have to come back.
-                    log_line!("accept: {e}");
-                    self.places.evict_one();
-                    tokio::time::sleep(Duration::from_millis(20)).await;
+                Ok((tcp, permit)) => self.clone().serve(tcp, permit),
+                Err(error) => {
+                    // Out of descriptors: some have to be freed.
+                    log_line!("accept: {error}");
+                    self.limiter.evict_one();
+                    tokio::time::sleep(ACCEPT_BACKOFF).await;
                 }
             }
         }
-        let last = match self.handed_over.get() {
-            true => vec![],
-            // Beyond the bound, which is for as long as they last.
-            false => {
-                let last = DescriptorBudget::per_process(
-                    self.limits.borrow().max_sockets,
-                    self.processes.get(),
-                )
-                .final_clients;
-                listener::accepted(listener, last)
-            }
-        };
-        for tcp in self.places.take_pending_accept().into_iter().chain(last) {
-            let place = self.places.acquire_beyond_limit(Instant::now());
-            self.clone().serve(tcp, place);
+        let queued = self.accept_queued(listener);
+        for tcp in self.limiter.take_pending_accept().into_iter().chain(queued) {
+            let permit = self.limiter.acquire_beyond_limit(Instant::now());
+            self.clone().serve(tcp, permit);
+        }
+    }
+
+    /// The connections in the listen queue, unless another process accepts them. They are beyond the limit, which does
+    /// not matter for as long as they last.
+    fn accept_queued(&self, listener: TcpListener) -> Vec<TcpStream> {
+        if self.handed_over.get() {
+            return vec![];
         }
+        let budget =
+            DescriptorBudget::per_process(self.limits.borrow().max_sockets, self.processes.get());
+        listener::accepted(listener, budget.final_clients)
     }
 
-    fn serve(self: Rc<Self>, tcp: TcpStream, place: PermitGuard) {
+    fn serve(self: Rc<Self>, tcp: TcpStream, permit: PermitGuard) {
         self.connections.set(self.connections.get() + 1);
-        tokio::task::spawn_local(async move {
-            let ended = tokio::select! {
+        spawn_local(async move {
+            let served = tokio::select! {
                 biased;
-                ended = connection::connection(&self, &place, tcp) => ended,
-                () = place.evicted_before_request() => Ok(()),
+                served = serve_connection(&self, &permit, tcp) => served,
+                () = permit.evicted_before_request() => Ok(()),
             };
-            if let Err(e) = ended {
-                log_line!("client: {e}");
+            if let Err(error) = served {
+                log_line!("client: {error}");
             }
             self.connections.set(self.connections.get() - 1);
         });
     }
 }
-
-/// How long after SIGTERM connections are still accepted, and until when every answer must be given.
-pub const ACCEPT_FOR: Duration = Duration::from_millis(500);
-
-/// After that, clients may take their last answers for so long: the kill comes 350 ms after every answer is given.
-pub const WRITE_ON: Duration = Duration::from_millis(250);
-
-/// SIGKILL comes no earlier than the longest deadline (3 s at most counts, 5 s where another process has taken
-/// over) plus 0.7 s.
-pub fn stop_span(longest: f64, handed_over: bool) -> Duration {
-    duration_from_millis(longest.min(if handed_over { 5000.0 } else { 3000.0 }) + 700.0 - 350.0)
-}
--- a/src/frontend/frames/request.rs
+++ b/src/frontend/frames/request.rs
@@ -6,7 +6,7 @@
 use crate::core::NewRequest;
 use crate::decision::model::{ClassId, Millis};
 use crate::dispatch::request_router::{RequestRouter, Upstream};
-use crate::protocol::frames::{Frame, FrameError, fields};
+use crate::protocol::frames::{Frame, FrameError, parse_fields};
 use crate::protocol::statement;
 use crate::transport::client_socket::SocketProbe;
 use crate::transport::pending_input::PendingInput;
@@ -15,174 +15,260 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
+/// A request id has this length, in hexadecimal digits.
+const ID_DIGITS: usize = 16;
+
 /// A request as the engines get it: id, class and statement unchanged.
 #[derive(Debug)]
 pub struct Work {
+    /// The request's id.
     pub txn: String,
+    /// The name of its class.
     pub class: String,
+    /// The statement.
     pub statement: Bytes,
-    held: Held,
-    named: Named,
+    _memory: ReservedMemory,
+    _id: ReservedId,
     client: Option<SocketProbe>,
 }
 
-/// Bytes of statements held in all; more are refused, or a few connections could fill the memory.
-pub struct Budget {
-    pub(super) most: Cell<usize>,
-    held: Rc<Cell<usize>>,
+/// Bounds the bytes of all open statements: otherwise a few connections could fill the memory.
+pub struct StatementBudget {
+    limit: Cell<usize>,
+    reserved: Rc<Cell<usize>>,
 }
 
+/// A statement's part of the budget, while its request is open.
 #[derive(Debug, Default)]
-pub(super) struct Held(usize, Option<Rc<Cell<usize>>>);
+pub(super) struct ReservedMemory {
+    bytes: usize,
+    reserved: Option<Rc<Cell<usize>>>,
+}
 
-impl Budget {
-    pub fn new(bytes: usize) -> Self {
-        Budget {
-            most: Cell::new(bytes),
-            held: Rc::default(),
+impl StatementBudget {
+    /// A budget of so many bytes.
+    pub(super) fn new(limit: usize) -> Self {
+        StatementBudget {
+            limit: Cell::new(limit),
+            reserved: Rc::default(),
         }
     }
 
-    pub(super) fn take(&self, bytes: usize) -> Option<Held> {
-        let held = self.held.get() + bytes;
-        (held <= self.most.get()).then(|| {
-            self.held.set(held);
-            Held(bytes, Some(self.held.clone()))
+    /// Sets the limit, in bytes; what is reserved stays.
+    pub(super) fn set_limit(&self, limit: usize) {
+        self.limit.set(limit);
+    }
+
+    /// Reserves so many bytes; `None` if that would exceed the limit.
+    pub(super) fn reserve(&self, bytes: usize) -> Option<ReservedMemory> {
+        let reserved = self.reserved.get() + bytes;
+        if reserved > self.limit.get() {
+            return None;
+        }
+        self.reserved.set(reserved);
+        Some(ReservedMemory {
+            bytes,
+            reserved: Some(self.reserved.clone()),
         })
     }
 }
 
-/// Ids of requests that are open. Bounded by these; an id is known by its number.
+impl Drop for ReservedMemory {
+    fn drop(&mut self) {
+        if let Some(reserved) = &self.reserved {
+            reserved.set(reserved.get() - self.bytes);
+        }
+    }
+}
+
+/// Ids of open requests, by their numbers. Bounded by the requests.
 #[derive(Clone, Default)]
-pub(super) struct Ids(Rc<RefCell<HashSet<u64>>>);
+pub(super) struct OpenIds(Rc<RefCell<HashSet<u64>>>);
 
-/// An id while its request is open.
+/// A request id while its request is open.
 #[derive(Default)]
-pub(super) struct Named(u64, Option<Ids>);
+pub(super) struct ReservedId {
+    number: u64,
+    ids: Option<OpenIds>,
+}
 
-impl Ids {
-    pub(super) fn take(&self, txn: &str) -> Option<Named> {
-        let id = u64::from_str_radix(txn, 16).ok()?;
-        self.0
-            .borrow_mut()
-            .insert(id)
-            .then(|| Named(id, Some(self.clone())))
+impl OpenIds {
+    /// Reserves a request id; `None` if it is in use.
+    pub(super) fn reserve(&self, txn: &str) -> Option<ReservedId> {
+        let number = u64::from_str_radix(txn, 16).ok()?;
+        let is_new = self.0.borrow_mut().insert(number);
+        is_new.then(|| ReservedId {
+            number,
+            ids: Some(self.clone()),
+        })
     }
 }
 
-impl Drop for Named {
+impl Drop for ReservedId {
     fn drop(&mut self) {
-        if let Some(home) = &self.1 {
-            home.0.borrow_mut().remove(&self.0);
+        if let Some(ids) = &self.ids {
+            ids.0.borrow_mut().remove(&self.number);
         }
     }
 }
 
-impl std::fmt::Debug for Named {
+impl std::fmt::Debug for ReservedId {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{:x}", self.0)
-    }
-}
-
-impl Drop for Held {
-    fn drop(&mut self) {
-        if let Some(home) = &self.1 {
-            home.set(home.get() - self.0);
-        }
+        write!(f, "{:x}", self.number)
     }
 }
 
 impl Work {
     /// Work that counts towards no budget.
-    pub fn free(txn: &str, class: &str, statement: Bytes) -> Self {
-        let (held, named) = (Held::default(), Named::default());
+    pub fn unbudgeted(txn: &str, class: &str, statement: Bytes) -> Self {
         Work {
             txn: txn.into(),
             class: class.into(),
             statement,
-            held,
-            named,
+            _memory: ReservedMemory::default(),
+            _id: ReservedId::default(),
             client: None,
         }
     }
 
-    /// It holds its bytes and its id for as long as it lives, and is its client's.
-    pub(super) fn hold(&mut self, held: Held, named: Named, client: SocketProbe) {
-        (self.held, self.named, self.client) = (held, named, Some(client));
+    /// Holds its memory and its id for as long as it lives, on behalf of this client.
+    pub(super) fn attach(&mut self, memory: ReservedMemory, id: ReservedId, client: SocketProbe) {
+        self._memory = memory;
+        self._id = id;
+        self.client = Some(client);
     }
 
-    /// What the machine holds unread of its client: asked before an attempt begins, for the client may have gone.
-    pub fn client(&self) -> PendingInput {
+    /// What the system holds unread of its client: asked before an attempt begins, for the client may have gone.
+    pub fn client_input(&self) -> PendingInput {
         self.client
             .as_ref()
             .map_or(PendingInput::Empty, SocketProbe::pending_input)
     }
 }
 
-/// Why a request is failed at the door, and the class that it named, if any.
-pub(super) type AtTheDoor = (Option<ClassId>, String);
+/// Why a request fails before it is opened.
+pub(super) struct Unusable {
+    /// The class that it named, if any.
+    pub(super) class: Option<ClassId>,
+    /// The message to the client.
+    pub(super) reason: String,
+}
 
 /// The class that a request names.
-pub(super) fn class<U: Upstream>(router: &RequestRouter<U>, frame: Frame) -> Option<ClassId> {
-    let (fields, _) = fields(frame.payload).ok()?;
-    let named = fields.iter().find(|f| f.0 == "verb")?;
-    position_of(&router.names().classes, &named.1)
+pub(super) fn parse_class<U: Upstream>(router: &RequestRouter<U>, frame: Frame) -> Option<ClassId> {
+    let (fields, _) = parse_fields(frame.payload).ok()?;
+    let (_, class) = fields.iter().find(|(name, _)| name == "verb")?;
+    position_of(&router.names().classes, class)
 }
 
-/// Reads a request that arrived at this Unix time; the error is the message of a `failed`.
-pub(super) fn request<U: Upstream>(
+/// Reads a request that arrived at this Unix time, in milliseconds.
+///
+/// # Errors
+/// The payload ends inside its fields. What is wrong with the fields themselves is [`Unusable`].
+pub(super) fn parse_request<U: Upstream>(
     router: &RequestRouter<U>,
     payload: Bytes,
     arrived: Millis,
-) -> Result<Result<(NewRequest, Work), AtTheDoor>, FrameError> {
-    let named = Cell::new(None);
-    let (fields, statement) = fields(payload)?;
-    let field = |name: &str| fields.iter().find(|f| f.0 == name).map(|f| f.1.as_str());
-    // An absurd figure would spoil what is learned of all others, so that its request is failed.
-    let number = |name: &str, most: f64| {
-        let read = |v: &str| {
-            v.trim()
-                .parse::<f64>()
-                .ok()
-                .filter(|v| (0.0..=most).contains(v))
-        };
-        let figure =
-            |v: &str| read(v).ok_or_else(|| format!("{name}: {v:?} is no number from 0 to {most}"));
-        field(name).map(figure).transpose()
+) -> Result<Result<(NewRequest, Work), Unusable>, FrameError> {
+    let (fields, statement) = parse_fields(payload)?;
+    let fields = RequestFields(fields);
+    let class = match fields.class(router) {
+        Ok(class) => class,
+        Err(reason) => {
+            return Ok(Err(Unusable {
+                class: None,
+                reason,
+            }));
+        }
     };
-    let read = || {
-        let class = field("verb").ok_or("the field `verb` is missing")?;
-        let index = position_of(&router.names().classes, class)
-            .ok_or(format!("verb: no class is named {class:?}"))?;
-        named.set(Some(index));
-        let txn = field("txn").ok_or("the field `txn` is missing")?;
-        if txn.len() != 16 || !txn.bytes().all(|b| b.is_ascii_hexdigit()) {
-            return Err(format!("txn: {txn:?} is not 16 hex digits"));
+    let parsed = fields.request(router, class, statement, arrived);
+    Ok(parsed.map_err(|reason| Unusable {
+        class: Some(class),
+        reason,
+    }))
+}
+
+/// Names and values of a request's fields. Errors are messages to the client.
+struct RequestFields(Vec<(String, String)>);
+
+impl RequestFields {
+    fn get(&self, name: &str) -> Option<&str> {
+        let (_, value) = self.0.iter().find(|(field, _)| field == name)?;
+        Some(value)
+    }
+
+    fn required(&self, name: &str) -> Result<&str, String> {
+        self.get(name)
+            .ok_or_else(|| format!("the field `{name}` is missing"))
+    }
+
+    /// A number. An absurd one would distort the estimates of all others, so its request fails.
+    fn number(&self, name: &str, max: f64) -> Result<Option<f64>, String> {
+        let Some(value) = self.get(name) else {
+            return Ok(None);
+        };
+        match value.trim().parse::<f64>() {
+            Ok(number) if (0.0..=max).contains(&number) => Ok(Some(number)),
+            _ => Err(format!("{name}: {value:?} is no number from 0 to {max}")),
         }
-        let ms = number("limit", MAX_ESTIMATED_WORK_MS)?.ok_or("the field `limit` is missing")?;
+    }
+
+    fn class<U: Upstream>(&self, router: &RequestRouter<U>) -> Result<ClassId, String> {
+        let class = self.required("verb")?;
+        position_of(&router.names().classes, class)
+            .ok_or_else(|| format!("verb: no class is named {class:?}"))
+    }
+
+    fn tenant<U: Upstream>(&self, router: &RequestRouter<U>) -> Result<Option<usize>, String> {
         let tenants = &router.names().tenants;
-        let tenant = match field("team") {
-            _ if tenants.is_empty() => None,
-            None => return Err("the field `team` is missing".to_string()),
-            Some(t) => Some(
-                position_of(tenants, t).ok_or_else(|| format!("team: no tenant is named {t:?}"))?,
-            ),
-        };
-        // Engines close on what they cannot read, whatever else is open on that connection.
-        let odd = |c: char| c.is_control() && !c.is_whitespace();
-        if std::str::from_utf8(&statement).map_or(true, |s| s.trim().is_empty() || s.contains(odd))
-        {
+        if tenants.is_empty() {
+            return Ok(None);
+        }
+        let tenant = self.required("team")?;
+        match position_of(tenants, tenant) {
+            Some(index) => Ok(Some(index)),
+            None => Err(format!("team: no tenant is named {tenant:?}")),
+        }
+    }
+
+    fn request<U: Upstream>(
+        &self,
+        router: &RequestRouter<U>,
+        class: ClassId,
+        statement: Bytes,
+        arrived: Millis,
+    ) -> Result<(NewRequest, Work), String> {
+        let txn = self.required("txn")?;
+        if txn.len() != ID_DIGITS || !txn.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+            return Err(format!("txn: {txn:?} is not 16 hex digits"));
+        }
+        let limit = self.number("limit", MAX_ESTIMATED_WORK_MS)?;
+        let limit = limit.ok_or("the field `limit` is missing")?;
+        let tenant = self.tenant(router)?;
+        if !is_statement(&statement) {
             return Err("the statement is no text".to_string());
         }
-        let new = NewRequest {
-            class: index,
+        let request = NewRequest {
+            class,
             tenant,
             group: statement::table_group(&statement),
-            deadline: arrived + ms,
-            work: number("cpu", MAX_ESTIMATED_WORK_MS)?.filter(|v| *v > 0.0),
-            memory_mb: number("mem", MAX_ESTIMATED_MEMORY_MB)?.filter(|v| *v > 0.0),
+            deadline: arrived + limit,
+            work: self
+                .number("cpu", MAX_ESTIMATED_WORK_MS)?
+                .filter(|work| *work > 0.0),
+            memory_mb: self
+                .number("mem", MAX_ESTIMATED_MEMORY_MB)?
+                .filter(|memory| *memory > 0.0),
         };
-        Ok((new, Work::free(txn, class, statement)))
-    };
-    Ok(read().map_err(|reason: String| (named.get(), reason)))
+        let work = Work::unbudgeted(txn, self.required("verb")?, statement);
+        Ok((request, work))
+    }
+}
+
+/// Whether a statement is a text that engines can read: they close the connection on what they cannot, whatever else
+/// is open on it.
+fn is_statement(statement: &[u8]) -> bool {
+    let is_unreadable = |c: char| c.is_control() && !c.is_whitespace();
+    std::str::from_utf8(statement)
+        .is_ok_and(|text| !text.trim().is_empty() && !text.contains(is_unreadable))
 }
--- a/src/protocol/frames.rs
+++ b/src/protocol/frames.rs
@@ -1,37 +1,81 @@
-//! The platform's frames: their bytes, read and written.
+//! The platform's frames: a length, a kind, a stream number and a payload, all in network byte order.
+//!
+//! A payload begins, in frames of the dispatcher, with a code; then come a count of fields, the fields (a name behind
+//! one byte of length, a value behind two) and a body.
 
-use crate::transport::buffer_pool;
+use crate::transport::buffer_pool::BUFFER_BYTES;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::io;
 use tokio_util::codec::{Decoder, Encoder};
 
-const LEAST: usize = 5;
-const MOST: usize = 262_144;
+/// Kinds of frames.
+pub mod kind {
+    /// A client's request.
+    pub const REQUEST: u8 = 2;
+    /// The final answer to a request; on stream 0, to what cannot be read.
+    pub const ANSWER: u8 = 4;
+    /// The client no longer waits for a stream's answer.
+    pub const LEAVE: u8 = 8;
+    /// A client asks whether the dispatcher is ready.
+    pub const ASK: u8 = 16;
+    /// The answer to that.
+    pub const STATE: u8 = 32;
+    /// The dispatcher wants no new requests.
+    pub const GOODBYE: u8 = 64;
+}
+
+/// Codes of answers and states.
+pub mod code {
+    /// The request was served, or the dispatcher is ready.
+    pub const SERVED: u8 = 0;
+    /// The request failed.
+    pub const FAILED: u8 = 2;
+    /// The request never ran, or the dispatcher is not ready.
+    pub const REFUSED: u8 = 14;
+}
+
+/// The bytes of the length itself.
+const LENGTH_BYTES: usize = 4;
+/// Kind and stream number: the least length.
+const HEADER_BYTES: usize = 5;
+/// The greatest length.
+const MAX_LENGTH: usize = 262_144;
 
+/// A frame as it was read.
 #[derive(Debug, PartialEq)]
 pub struct Frame {
+    /// One of [`kind`].
     pub kind: u8,
+    /// The stream that it belongs to.
     pub stream: u32,
+    /// All that follows.
     pub payload: Bytes,
 }
 
 /// What is wrong with a client's bytes.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
+    /// The length is out of bounds.
     #[error("a frame's length of {0} is outside 5 to 262144")]
     Length(usize),
+    /// The payload is shorter than its fields.
     #[error("a frame ends inside its fields")]
-    Short,
+    Truncated,
+    /// Clients send no frames of this kind.
     #[error("type {0} is no frame of a client")]
     Kind(u8),
+    /// A request's stream number was used before.
     #[error("stream {0} is not new on its connection")]
     Stream(u32),
+    /// The rest of a frame does not come.
     #[error("a frame does not come whole")]
     Stalled,
+    /// The connection is broken.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
+/// Reads and writes frames.
 pub struct FrameCodec;
 
 impl Decoder for FrameCodec {
@@ -39,26 +83,27 @@
     type Error = FrameError;
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Frame>, FrameError> {
-        let Some((head, _)) = src.split_first_chunk::<4>() else {
+        let Some((head, _)) = src.split_first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
         };
         let length = u32::from_be_bytes(*head) as usize;
-        // Checked before any room is made for it.
-        if !(LEAST..=MOST).contains(&length) {
+        // Checked before any memory is reserved for it.
+        if !(HEADER_BYTES..=MAX_LENGTH).contains(&length) {
             return Err(FrameError::Length(length));
         }
-        if src.len() < 4 + length {
-            src.reserve(4 + length - src.len());
+        if src.len() < LENGTH_BYTES + length {
+            src.reserve(LENGTH_BYTES + length - src.len());
             return Ok(None);
         }
-        src.advance(4);
-        let (kind, stream) = (src.get_u8(), src.get_u32());
+        src.advance(LENGTH_BYTES);
+        let kind = src.get_u8();
+        let stream = src.get_u32();
         // Copied, so that the connection's own buffer is free again for use.
-        let payload = Bytes::copy_from_slice(&src[..length - LEAST]);
-        src.advance(length - LEAST);
-        // A large frame's room is given back: kept by every connection, it would fill the memory.
-        if src.is_empty() && src.capacity() > 2 * buffer_pool::BUFFER_BYTES {
-            *src = BytesMut::with_capacity(buffer_pool::BUFFER_BYTES);
+        let payload = Bytes::copy_from_slice(&src[..length - HEADER_BYTES]);
+        src.advance(length - HEADER_BYTES);
+        // A buffer that a large frame has grown is released: retained by every connection, they would fill the memory.
+        if src.is_empty() && src.capacity() > 2 * BUFFER_BYTES {
+            *src = BytesMut::with_capacity(BUFFER_BYTES);
         }
         Ok(Some(Frame {
             kind,
@@ -69,59 +114,67 @@
 }
 
 /// A frame to be sent: its body is copied once, into the connection's buffer.
-pub struct Send<'a> {
+pub struct OutgoingFrame<'a> {
+    /// One of [`kind`].
     pub kind: u8,
+    /// The stream that it belongs to.
     pub stream: u32,
+    /// One of [`code`]; without one the frame has no payload at all.
     pub code: Option<u8>,
+    /// Names and values.
     pub fields: &'a [(&'a str, &'a str)],
+    /// What follows the fields.
     pub body: &'a [u8],
 }
 
-impl Encoder<Send<'_>> for FrameCodec {
+impl Encoder<OutgoingFrame<'_>> for FrameCodec {
     type Error = FrameError;
 
-    fn encode(&mut self, f: Send<'_>, dst: &mut BytesMut) -> Result<(), FrameError> {
-        let fields: usize = f.fields.iter().map(|(n, v)| 3 + n.len() + v.len()).sum();
-        // A goodbye has no payload at all.
-        let payload = f.code.map_or(0, |_| 2 + fields + f.body.len());
-        let length = LEAST + payload;
-        if length > MOST {
+    fn encode(&mut self, frame: OutgoingFrame<'_>, dst: &mut BytesMut) -> Result<(), FrameError> {
+        let field_bytes = |(name, value): &(&str, &str)| 3 + name.len() + value.len();
+        let fields: usize = frame.fields.iter().map(field_bytes).sum();
+        let payload = frame.code.map_or(0, |_| 2 + fields + frame.body.len());
+        let length = HEADER_BYTES + payload;
+        if length > MAX_LENGTH {
             return Err(FrameError::Length(length));
         }
-        dst.reserve(4 + length);
+        dst.reserve(LENGTH_BYTES + length);
         dst.put_u32(length as u32);
-        dst.put_u8(f.kind);
-        dst.put_u32(f.stream);
-        if let Some(code) = f.code {
+        dst.put_u8(frame.kind);
+        dst.put_u32(frame.stream);
+        if let Some(code) = frame.code {
             dst.put_u8(code);
-            dst.put_u8(f.fields.len() as u8);
-            for (name, value) in f.fields {
+            dst.put_u8(frame.fields.len() as u8);
+            for (name, value) in frame.fields {
                 dst.put_u8(name.len() as u8);
                 dst.put_slice(name.as_bytes());
                 dst.put_u16(value.len() as u16);
                 dst.put_slice(value.as_bytes());
             }
-            dst.put_slice(f.body);
+            dst.put_slice(frame.body);
         }
         Ok(())
     }
 }
 
-/// The fields of a payload, and what follows them.
-pub fn fields(mut payload: Bytes) -> Result<(Vec<(String, String)>, Bytes), FrameError> {
+/// The fields of a client's payload, and the body that follows them.
+///
+/// # Errors
+/// The payload ends inside its fields.
+pub fn parse_fields(mut payload: Bytes) -> Result<(Vec<(String, String)>, Bytes), FrameError> {
     let text = |payload: &mut Bytes, size: usize| {
         (payload.len() >= size)
             .then(|| String::from_utf8_lossy(&payload.split_to(size)).into_owned())
-            .ok_or(FrameError::Short)
+            .ok_or(FrameError::Truncated)
     };
-    let count = payload.try_get_u8().map_err(|_| FrameError::Short)?;
-    let mut list = Vec::with_capacity(count.into());
+    let count = payload.try_get_u8().map_err(|_| FrameError::Truncated)?;
+    let mut fields = Vec::with_capacity(count.into());
     for _ in 0..count {
-        let size = payload.try_get_u8().map_err(|_| FrameError::Short)?;
-        let name = text(&mut payload, size.into())?;
-        let size = payload.try_get_u16().map_err(|_| FrameError::Short)?;
-        let value = text(&mut payload, size.into())?;
-        list.push((name, value));
+        let name_bytes = payload.try_get_u8().map_err(|_| FrameError::Truncated)?;
+        let name = text(&mut payload, name_bytes.into())?;
+        let value_bytes = payload.try_get_u16().map_err(|_| FrameError::Truncated)?;
+        let value = text(&mut payload, value_bytes.into())?;
+        fields.push((name, value));
     }
-    Ok((list, payload))
+    Ok((fields, payload))
 }
--- /dev/null
+++ b/src/server/endpoint_source.rs
@@ -0,0 +1,170 @@
+//! Where a MySQL process takes its endpoint list from: a fixed list or a Eureka registry, exchanged on reload.
+
+use crate::config::{self, EurekaSettings};
+use crate::discovery::eureka::lease::{Lease, Standing};
+use crate::discovery::eureka::{self};
+use crate::discovery::fixed;
+use crate::discovery::membership_driver::MembershipDriver;
+use crate::dispatch::request_router::RequestRouter;
+use crate::upstream::mysql::MysqlUpstream;
+use std::cell::RefCell;
+use std::path::PathBuf;
+use std::rc::Rc;
+use tokio::sync::watch;
+use tokio::task::{AbortHandle, spawn_local};
+
+/// Tells what this dispatcher's registration should show.
+pub(super) type StandingProbe = Rc<dyn Fn() -> Standing>;
+/// The membership of the registry that is followed, if one is; operators look at it.
+pub(super) type SharedMembership = Rc<RefCell<Option<Rc<MembershipDriver>>>>;
+
+/// The endpoint source in force.
+pub(super) struct EndpointSource {
+    router: Rc<RequestRouter<MysqlUpstream>>,
+    /// Where the membership's snapshot is kept.
+    state_directory: Option<PathBuf>,
+    membership: SharedMembership,
+    standing: StandingProbe,
+    registry: Option<RegistrySource>,
+}
+
+/// A registry that is followed, and this dispatcher's own lease there.
+struct RegistrySource {
+    configuration: watch::Sender<Rc<EurekaSettings>>,
+    tasks: Vec<AbortHandle>,
+    registration: Registration,
+}
+
+/// This dispatcher's lease at a registry, if the configuration asks for one, and the task that renews it.
+struct Registration {
+    lease: Option<Rc<Lease>>,
+    renewal: Option<AbortHandle>,
+}
+
+impl EndpointSource {
+    pub(super) fn new(
+        router: Rc<RequestRouter<MysqlUpstream>>,
+        state_directory: Option<PathBuf>,
+        membership: SharedMembership,
+        standing: StandingProbe,
+    ) -> Self {
+        EndpointSource {
+            router,
+            state_directory,
+            membership,
+            standing,
+            registry: None,
+        }
+    }
+
+    /// Takes the endpoint list from this source from now on. A registry that takes another's place keeps the membership.
+    pub(super) fn follow(&mut self, source: &config::EndpointSource) {
+        match source {
+            config::EndpointSource::Static(engines) => {
+                self.stop_registry();
+                self.router.update_endpoints(&fixed(engines));
+            }
+            config::EndpointSource::Eureka(source) => {
+                let source = Rc::new((**source).clone());
+                let membership = self.membership.borrow().clone();
+                match (&mut self.registry, membership) {
+                    (Some(registry), Some(membership)) => {
+                        registry.reconfigure(&source, &membership, &self.standing);
+                    }
+                    _ => self.start_registry(&source),
+                }
+            }
+        }
+    }
+
+    /// Cancels this dispatcher's lease, if it holds one.
+    pub(super) fn lease(&self) -> Option<Rc<Lease>> {
+        self.registry.as_ref()?.registration.lease.clone()
+    }
+
+    fn stop_registry(&mut self) {
+        if let Some(registry) = self.registry.take() {
+            registry.tasks.iter().for_each(AbortHandle::abort);
+            registry.registration.stop_renewal();
+            spawn_local(cancel(registry.registration.lease));
+        }
+        *self.membership.borrow_mut() = None;
+        self.router.upstream().watch(None);
+    }
+
+    fn start_registry(&mut self, source: &Rc<EurekaSettings>) {
+        let change_target = self.router.clone();
+        let drain_source = self.router.clone();
+        let membership = MembershipDriver::new(
+            source,
+            self.state_directory.as_deref(),
+            Box::new(move |change| change_target.update_endpoints(&change)),
+            Box::new(move || drain_source.drained_engines()),
+        );
+        self.router.upstream().watch(Some(membership.clone()));
+        let (configuration, configured) = watch::channel(source.clone());
+        let tasks = vec![
+            spawn_local(eureka::follow(configured, membership.clone())).abort_handle(),
+            spawn_local(membership.clone().clock()).abort_handle(),
+            spawn_local(membership.clone().keep()).abort_handle(),
+        ];
+        self.registry = Some(RegistrySource {
+            configuration,
+            tasks,
+            registration: Registration::start(source, &membership, &self.standing),
+        });
+        *self.membership.borrow_mut() = Some(membership);
+    }
+}
+
+impl RegistrySource {
+    fn reconfigure(
+        &mut self,
+        source: &Rc<EurekaSettings>,
+        membership: &Rc<MembershipDriver>,
+        standing: &StandingProbe,
+    ) {
+        membership.configure(source);
+        let before = self.configuration.send_replace(source.clone());
+        if before.registration == source.registration && before.servers == source.servers {
+            return;
+        }
+        self.registration.stop_renewal();
+        let replacement = Registration::start(source, membership, standing);
+        let previous = std::mem::replace(&mut self.registration, replacement);
+        if source.registration.is_none() {
+            spawn_local(cancel(previous.lease));
+        }
+    }
+}
+
+impl Registration {
+    /// Registers this dispatcher and renews its lease, if the configuration says so.
+    fn start(
+        source: &Rc<EurekaSettings>,
+        membership: &Rc<MembershipDriver>,
+        standing: &StandingProbe,
+    ) -> Self {
+        let lease = Lease::new(source.clone());
+        let shown = lease.clone();
+        membership.lease(Rc::new(move || {
+            shown.as_ref().and_then(|lease| lease.differs())
+        }));
+        let renewal = lease.clone().map(|lease| {
+            let standing = standing.clone();
+            spawn_local(lease.keep(move || standing())).abort_handle()
+        });
+        Registration { lease, renewal }
+    }
+
+    fn stop_renewal(&self) {
+        self.renewal.iter().for_each(AbortHandle::abort);
+    }
+}
+
+/// Cancels a lease, so that proxies stop looking for this dispatcher.
+pub(super) async fn cancel(lease: Option<Rc<Lease>>) {
+    if let Some(lease) = lease {
+        lease.cancel().await;
+    }
+}
--- a/src/server/instance_registry.rs
+++ b/src/server/instance_registry.rs
@@ -1,5 +1,6 @@
-//! What the processes of one dispatcher share, in a folder that both see while one takes over from the other:
-//! the engines that operators took out by hand, a file for each, so that no process overwrites another's.
+//! What the living processes of one dispatcher share, in a directory that all of them see while one takes over from
+//! another: a locked file for each process, and an empty file for each engine that operators have drained. One file an
+//! entry, so that no process overwrites another's.
 
 use std::collections::BTreeSet;
 use std::ffi::OsString;
@@ -7,55 +8,74 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Engines out by hand at a time, and the longest file name that most file systems take.
-const MOST: usize = 1024;
-const NAME: usize = 255;
+/// The dispatcher's own directory within the configured one.
+pub(super) const DIRECTORY: &str = "hitchwinch";
+/// Files of living processes start with this, followed by the process id.
+const PROCESS_PREFIX: &str = "here-";
+/// A process's file before it is locked.
+const DRAFT_PREFIX: &str = "new-";
+/// Files of drained engines start with this, followed by the encoded engine id.
+const DRAINED_PREFIX: &str = "out-";
+/// Engines drained at a time.
+const MAX_DRAINED: usize = 1024;
+/// The longest file name that most file systems take, in bytes.
+const MAX_FILE_NAME_BYTES: usize = 255;
 
-/// Without a folder nothing outlives the process.
-pub struct InstanceRegistry(Option<Folder>);
+/// The processes of this dispatcher and the engines that operators have drained. Without a directory this process is
+/// alone, and nothing outlives it.
+pub struct InstanceRegistry(Option<Directory>);
 
-struct Folder {
+struct Directory {
     path: PathBuf,
-    /// Locked for as long as this process lives: so others know that it does.
-    _here: File,
-    name: OsString,
+    /// Locked for as long as this process lives, which is how others know.
+    _process_file: File,
+    process_file_name: OsString,
 }
 
 impl InstanceRegistry {
-    pub fn open(folder: Option<&Path>) -> io::Result<Self> {
-        let Some(path) = folder.map(|f| f.join("hitchwinch")) else {
+    /// Enters this process into the dispatcher's directory within `parent`.
+    ///
+    /// # Errors
+    /// The directory or the process's file cannot be made.
+    pub fn open(parent: Option<&Path>) -> io::Result<Self> {
+        let Some(path) = parent.map(|parent| parent.join(DIRECTORY)) else {
             return Ok(InstanceRegistry(None));
         };
         std::fs::create_dir_all(&path)?;
-        // Locked before it has the name that others look for: one without a lock is of a process that ended.
-        let (id, draft) = (
-            std::process::id(),
-            path.join(format!("new-{}", std::process::id())),
-        );
-        let here = File::create(&draft)?;
-        here.try_lock()?;
-        let name = OsString::from(format!("here-{id}"));
-        std::fs::rename(draft, path.join(&name))?;
-        Ok(InstanceRegistry(Some(Folder {
+        let process_id = std::process::id();
+        // Locked before it has the name that others look for: a file without a lock is of a process that ended.
+        let draft = path.join(format!("{DRAFT_PREFIX}{process_id}"));
+        let process_file = File::create(&draft)?;
+        process_file.try_lock()?;
+        let process_file_name = OsString::from(format!("{PROCESS_PREFIX}{process_id}"));
+        std::fs::rename(draft, path.join(&process_file_name))?;
+        Ok(InstanceRegistry(Some(Directory {
             path,
-            _here: here,
-            name,
+            _process_file: process_file,
+            process_file_name,
         })))
     }
 
-    /// Processes of this dispatcher that live, this one included.
+    /// Living processes of this dispatcher, this one included. Files of processes that have ended are removed.
+    ///
+    /// # Errors
+    /// The directory cannot be read.
     pub fn processes(&self) -> io::Result<u32> {
-        let Some(folder) = &self.0 else { return Ok(1) };
+        let Some(directory) = &self.0 else {
+            return Ok(1);
+        };
         let mut living = 1;
-        for entry in std::fs::read_dir(&folder.path)? {
+        for entry in std::fs::read_dir(&directory.path)? {
             let name = entry?.file_name();
-            if name == folder.name || !name.to_string_lossy().starts_with("here-") {
+            if name == directory.process_file_name
+                || !name.to_string_lossy().starts_with(PROCESS_PREFIX)
+            {
                 continue;
             }
-            let path = folder.path.join(name);
-            match File::open(&path).map(|f| f.try_lock_shared()) {
+            let path = directory.path.join(name);
+            match File::open(&path).map(|file| file.try_lock_shared()) {
                 Ok(Err(TryLockError::WouldBlock)) => living += 1,
-                // It has ended, and is not to be looked at again.
+                // Its process has ended.
                 Ok(_) => drop(std::fs::remove_file(path)),
                 Err(_) => {}
             }
@@ -63,125 +83,97 @@
         Ok(living)
     }
 
-    /// Kept before the operator gets a yes; to keep it twice changes nothing.
+    /// Records an engine as drained; doing so twice changes nothing.
+    ///
+    /// # Errors
+    /// Too many engines are drained, the engine's id is too long, or the file cannot be written.
     pub fn drain_engine(&self, engine: &str) -> io::Result<()> {
-        let Some(path) = self.path(engine)? else {
+        let Some(path) = self.drained_path(engine)? else {
             return Ok(());
         };
-        if !path.exists() && self.drained_engines()?.is_some_and(|out| out.len() >= MOST) {
+        let is_full = || -> io::Result<bool> {
+            let drained = self.drained_engines()?;
+            Ok(drained.is_some_and(|drained| drained.len() >= MAX_DRAINED))
+        };
+        if !path.exists() && is_full()? {
             return Err(io::Error::other("too many engines are out by hand"));
         }
         std::fs::write(path, [])
     }
 
-    pub fn undrain(&self, engine: &str) -> io::Result<()> {
-        let Some(path) = self.path(engine)? else {
+    /// Removes an engine's record; doing so twice changes nothing.
+    ///
+    /// # Errors
+    /// The file cannot be removed.
+    pub fn undrain_engine(&self, engine: &str) -> io::Result<()> {
+        let Some(path) = self.drained_path(engine)? else {
             return Ok(());
         };
         match std::fs::remove_file(path) {
-            Err(e) if e.kind() != io::ErrorKind::NotFound => Err(e),
+            Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error),
             _ => Ok(()),
         }
     }
 
-    /// All that are out; none if nothing is shared.
+    /// The ids of all drained engines; `None` without a directory.
+    ///
+    /// # Errors
+    /// The directory cannot be read.
     pub fn drained_engines(&self) -> io::Result<Option<BTreeSet<String>>> {
-        let Some(Folder { path: folder, .. }) = &self.0 else {
+        let Some(directory) = &self.0 else {
             return Ok(None);
         };
-        let mut out = BTreeSet::new();
-        for entry in std::fs::read_dir(folder)? {
+        let mut drained = BTreeSet::new();
+        for entry in std::fs::read_dir(&directory.path)? {
             let name = entry?.file_name();
-            out.extend(
-                name.to_str()
-                    .and_then(|n| n.strip_prefix("out-"))
-                    .and_then(decode_engine_id),
-            );
+            let encoded = name.to_str().and_then(|n| n.strip_prefix(DRAINED_PREFIX));
+            drained.extend(encoded.and_then(decode_engine_id));
         }
-        Ok(Some(out))
+        Ok(Some(drained))
     }
 
-    fn path(&self, engine: &str) -> io::Result<Option<PathBuf>> {
-        let Some(Folder { path: folder, .. }) = &self.0 else {
+    fn drained_path(&self, engine: &str) -> io::Result<Option<PathBuf>> {
+        let Some(directory) = &self.0 else {
             return Ok(None);
         };
-        let name = format!("out-{}", encode_engine_id(engine));
-        match name.len() {
-            0..=NAME => Ok(Some(folder.join(name))),
-            _ => Err(io::Error::other("the engine's name is too long to be kept")),
+        let name = format!("{DRAINED_PREFIX}{}", encode_engine_id(engine));
+        if name.len() > MAX_FILE_NAME_BYTES {
+            return Err(io::Error::other("the engine's name is too long to be kept"));
         }
+        Ok(Some(directory.path.join(name)))
     }
 }
 
-/// An engine's id as a part of a path: what could be read as anything else is written `%XX`.
+/// An engine's id as a part of a path: every byte that could be read as anything else becomes `%XX`.
 pub fn encode_engine_id(id: &str) -> String {
-    let plain = |b: &u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-    id.bytes()
-        .map(|b| {
-            if plain(&b) {
-                char::from(b).to_string()
-            } else {
-                format!("%{b:02X}")
-            }
-        })
-        .collect()
+    let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
+    let encode = |byte: u8| {
+        if is_plain(byte) {
+            char::from(byte).to_string()
+        } else {
+            format!("%{byte:02X}")
+        }
+    };
+    id.bytes().map(encode).collect()
 }
 
-/// The id behind it, if it is one.
+/// The engine id that a part of a path encodes; `None` if it encodes none.
 pub fn decode_engine_id(text: &str) -> Option<String> {
     let mut bytes = Vec::with_capacity(text.len());
-    let mut rest = text.as_bytes();
-    while let Some((&b, after)) = rest.split_first() {
-        let hex = after.get(..2).filter(|_| b == b'%');
-        match hex.map(|h| {
-            std::str::from_utf8(h)
-                .ok()
-                .and_then(|h| u8::from_str_radix(h, 16).ok())
-        }) {
-            Some(byte) => {
-                bytes.push(byte?);
-                rest = &after[2..];
-            }
-            None if b == b'%' => return None,
-            None => {
-                bytes.push(b);
-                rest = after;
-            }
+    let mut remaining = text.as_bytes();
+    while let Some((&first, after)) = remaining.split_first() {
+        if first != b'%' {
+            bytes.push(first);
+            remaining = after;
+            continue;
         }
+        let (digits, after) = after.split_at_checked(2)?;
+        let digits = std::str::from_utf8(digits).ok()?;
+        bytes.push(u8::from_str_radix(digits, 16).ok()?);
+        remaining = after;
     }
     String::from_utf8(bytes).ok()
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_is_out_by_hand_outlives_its_process_whatever_its_name() {
-        let folder = std::env::temp_dir().join(format!("hitchwinch-shared-{}", std::process::id()));
-        let (a, b) = (
-            InstanceRegistry::open(Some(&folder)).unwrap(),
-            InstanceRegistry::open(Some(&folder)).unwrap(),
-        );
-        let odd = "host/../x:80 %é";
-        for (one, other) in [(&a, &b), (&b, &a)] {
-            one.drain_engine(odd).unwrap();
-            one.drain_engine("e1").unwrap();
-            other.drain_engine("e1").unwrap();
-            assert_eq!(
-                other.drained_engines().unwrap().unwrap(),
-                [odd, "e1"].map(str::to_string).into()
-            );
-            other.undrain("e1").unwrap();
-            one.undrain("e1").unwrap();
-            one.undrain(odd).unwrap();
-            assert!(other.drained_engines().unwrap().unwrap().is_empty());
-        }
-        assert!(
-            a.drain_engine(&"x".repeat(300)).is_err(),
-            "it could not be kept, so there is no yes"
-        );
-        std::fs::remove_dir_all(folder).unwrap();
-        assert_eq!(decode_engine_id("%4"), None);
-    }
-}
+mod tests;
--- /dev/null
+++ b/src/server/mysql.rs
@@ -0,0 +1,191 @@
+//! A process that serves the MySQL protocol, to clients and to engines.
+
+use crate::admin::ReportSources;
+use crate::clock::unix_time_millis;
+use crate::config::MysqlConfig;
+use crate::core::Core;
+use crate::discovery::eureka::lease::Standing;
+use crate::dispatch::request_router::{RequestRouter, Upstream};
+use crate::frontend::mysql::Frontend;
+use crate::log_line;
+use crate::server::endpoint_source::{self, EndpointSource, SharedMembership, StandingProbe};
+use crate::server::graceful_shutdown::{ShutdownPlan, shut_down_on_sigterm};
+use crate::server::instance_coordination::coordinate;
+use crate::server::instance_registry::{self, InstanceRegistry};
+use crate::server::operators::OperatorsListener;
+use crate::server::reload::{Reloaded, reload_on_sighup};
+use crate::server::signals::{SIGHUP, SIGTERM, Signals};
+use crate::server::{ServerError, core_limits, process_metrics};
+use crate::spool_io::Spools;
+use crate::transport::buffer_pool::BufferPool;
+use crate::transport::descriptors::{self, DescriptorBudget};
+use crate::transport::listener;
+use crate::transport::tls::TlsKeys;
+use crate::upstream::mysql::MysqlUpstream;
+use std::cell::RefCell;
+use std::rc::Rc;
+use tokio::task::spawn_local;
+
+/// Serves MySQL clients, configured by the file at `path`, until SIGTERM and the last answer. `inherited_descriptors`
+/// were open when the process started, and count against its limit.
+///
+/// # Errors
+/// The configuration cannot be used, or a socket, directory or certificate that it names.
+pub async fn serve(path: &str, inherited_descriptors: usize) -> Result<(), ServerError> {
+    let mut sigterm = Signals::new(SIGTERM)?;
+    let sighup = Signals::new(SIGHUP)?;
+    let config = MysqlConfig::read(path)?;
+    let pool = BufferPool::default();
+    let limits = core_limits(&config.sockets);
+    let core = Core::new(config.settings.clone(), unix_time_millis() as u64, limits)?;
+    let spools = open_spools(&config)?;
+    let upstream = MysqlUpstream::new(
+        config.engine_credentials.clone(),
+        config.sockets.clone(),
+        pool.clone(),
+        spools.clone(),
+    );
+    let router = RequestRouter::new(core, config.names.clone(), upstream);
+    let listener = listener::listen(config.listen, config.inherited_descriptor).await?;
+    let listen_address = listener.local_addr()?;
+    let frontend = Frontend::new(
+        router.clone(),
+        pool.clone(),
+        config.frontend.clone(),
+        spools.clone(),
+    );
+    let descriptor_limit = descriptors::effective_limit(usize::MAX, inherited_descriptors);
+    frontend.within(descriptor_limit);
+    let keys = load_keys(&config, &frontend)?;
+    let limited_frontend = frontend.clone();
+    let limited_spools = spools.clone();
+    let instances = coordinate(
+        &router,
+        config.state_directory.as_deref(),
+        move |processes| {
+            limited_frontend.share(processes);
+            limited_spools.set_process_count(processes);
+        },
+    )?;
+    let membership = SharedMembership::default();
+    let operators = OperatorsListener {
+        router: router.clone(),
+        pool,
+        instances: instances.clone(),
+        sources: ReportSources {
+            membership: membership.clone(),
+            spools: Some(spools.clone()),
+        },
+        max_callers: DescriptorBudget::per_process(descriptor_limit, 1).operators,
+    };
+    operators.listen(config.admin_address).await?;
+    let endpoints = Rc::new(RefCell::new(EndpointSource::new(
+        router.clone(),
+        config
+            .state_directory
+            .as_ref()
+            .map(|state| state.join(instance_registry::DIRECTORY)),
+        membership,
+        standing_probe(&router, &instances),
+    )));
+    endpoints.borrow_mut().follow(&config.source);
+    spawn_local(router.clone().run_clock());
+    spawn_local(process_metrics::log_periodically());
+    let accepting = spawn_local(frontend.clone().accept(listener));
+    log_line!("the MySQL front listens on {listen_address}");
+    let plan = ShutdownPlan {
+        longest_deadline: config.sockets.longest_deadline,
+        handed_over: config.inherited_descriptor.is_some(),
+    };
+    let mut reloading = Reloading {
+        in_force: config,
+        keys,
+        frontend: frontend.clone(),
+        spools,
+        endpoints: endpoints.clone(),
+    };
+    let path = path.to_string();
+    spawn_local(reload_on_sighup(
+        sighup,
+        move || MysqlConfig::read(&path),
+        move |new| reloading.apply(new),
+    ));
+    shut_down_on_sigterm(&mut sigterm, &router, &*frontend, &plan).await;
+    drop(accepting);
+    let lease = endpoints.borrow().lease();
+    endpoint_source::cancel(lease).await;
+    Ok(())
+}
+
+fn open_spools(config: &MysqlConfig) -> Result<Rc<Spools>, ServerError> {
+    let names = config.names.clone();
+    let opened = Spools::open(&config.spool, names.classes, names.tenants);
+    let (spools, disk_results) = opened.map_err(|source| ServerError::SpoolDirectory {
+        directory: config.spool.directory.clone(),
+        source,
+    })?;
+    spawn_local(spools.clone().run(disk_results));
+    Ok(spools)
+}
+
+/// Loads the certificates and keys, if there are any, and offers TLS to clients with them.
+fn load_keys(
+    config: &MysqlConfig,
+    frontend: &Frontend<MysqlUpstream>,
+) -> Result<Option<Rc<TlsKeys>>, ServerError> {
+    let Some(source) = &config.tls else {
+        return Ok(None);
+    };
+    let keys = TlsKeys::load(source)?;
+    frontend.secure(keys.clone());
+    spawn_local(TlsKeys::watch_files(Rc::downgrade(&keys)));
+    Ok(Some(keys))
+}
+
+/// How this dispatcher stands, for its registration.
+fn standing_probe<U: Upstream>(
+    router: &Rc<RequestRouter<U>>,
+    instances: &Rc<InstanceRegistry>,
+) -> StandingProbe {
+    let router = router.clone();
+    let instances = instances.clone();
+    Rc::new(move || {
+        if router.is_shutting_down() {
+            match instances.processes() {
+                Ok(2..) => Standing::HandedOver,
+                _ => Standing::Ending,
+            }
+        } else if router.is_ready() {
+            Standing::Ready
+        } else {
+            Standing::Starting
+        }
+    })
+}
+
+/// What a new configuration changes in the running process.
+struct Reloading {
+    in_force: MysqlConfig,
+    keys: Option<Rc<TlsKeys>>,
+    frontend: Rc<Frontend<MysqlUpstream>>,
+    spools: Rc<Spools>,
+    endpoints: Rc<RefCell<EndpointSource>>,
+}
+
+impl Reloading {
+    fn apply(&mut self, new: MysqlConfig) -> Result<Reloaded, ServerError> {
+        if let Some(key) = self.in_force.needs_restart(&new) {
+            return Err(ServerError::NeedsRestart(key));
+        }
+        if let (Some(keys), Some(source)) = (&self.keys, &new.tls) {
+            keys.replace(source)?;
+        }
+        self.frontend.configure(new.frontend.clone());
+        self.spools.configure(&new.spool);
+        if new.source != self.in_force.source {
+            self.endpoints.borrow_mut().follow(&new.source);
+        }
+        self.in_force = new;
+        Ok(Reloaded::Applied)
+    }
+}
--- a/src/transport/connection_limiter.rs
+++ b/src/transport/connection_limiter.rs
@@ -1,4 +1,7 @@
-//! Places for clients' connections: how many there may be, and whose gives way when all are taken.
+//! Limits clients' connections: how many there may be, and which one is evicted for a new one at the limit.
+//!
+//! A [`ConnectionLimiter`] gives each connection a [`ConnectionPermit`], held through a [`PermitGuard`]. An evicted
+//! connection keeps its permit until it has ended, since it holds a descriptor until then.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -9,99 +12,99 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// What was told to give way goes within this, or another is told as well: a request that crosses such a close by no more
-/// is sent again.
+/// An evicted connection ends within this, or another is evicted as well. A request that crosses the close by no more
+/// is retried by its client.
 pub const EVICTION_GRACE: Duration = Duration::from_millis(50);
 
-/// What a connection holds its place for, least first: that is the order in which they give way.
+/// What a connection is used for. The least are evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Activity {
-    /// Its client has never asked anything whole.
+    /// Its client has never sent a complete request.
     NoRequest,
-    /// It has asked whether we are ready, or what could not be used, and no more.
+    /// Its client has asked whether the dispatcher is ready, or sent requests that could not be used, and no more.
     Probed,
-    /// Nothing is open on it.
+    /// No request is open on it.
     Idle,
+    /// A request is open on it.
     Busy,
 }
 
 /// One connection's permit.
 pub struct ConnectionPermit {
-    state: Cell<(Activity, Instant)>,
-    /// Told to give way.
+    activity: Cell<Activity>,
+    /// Since when it has had this activity.
+    active_since: Cell<Instant>,
+    /// Notified once the connection is evicted, for the task that serves it.
     pub eviction: Notify,
-    /// Since when it was.
-    evicted_at: Cell<Option<Instant>>,
+    /// The same, for [`ConnectionPermit::evicted_before_request`].
     eviction_notice: Notify,
+    evicted_at: Cell<Option<Instant>>,
     limiter: Rc<ConnectionLimiter>,
 }
 
+/// Limits the connections of one listening address.
 pub struct ConnectionLimiter {
     limit: Cell<usize>,
-    /// What gives way at the bound, and all that holds its place for less.
+    /// Connections of this activity, and of all below it, may be evicted.
     evictable: Activity,
-    /// Those told to give way are here until they have gone: until then they hold a descriptor.
+    /// All connections, evicted ones included until they have ended.
     permits: RefCell<Vec<Rc<ConnectionPermit>>>,
-    /// Accepted, and waiting for one to go: the queue has no other way to tell that somebody comes.
+    /// Accepted, and waiting for another to end: the listen queue has no other way to tell that a client is there.
     pending_accept: RefCell<Option<TcpStream>>,
-    /// A place has come free, or its connection idle.
+    /// Notified when a permit is free, a connection is idle or the limit has changed.
     freed: Notify,
 }
 
 impl ConnectionLimiter {
-    pub fn new(most: usize, evictable: Activity) -> Rc<Self> {
-        let (limit, permits, pending_accept) =
-            (Cell::new(most), RefCell::default(), RefCell::default());
+    /// A limiter for `limit` connections that evicts those with at most the activity `evictable`.
+    pub fn new(limit: usize, evictable: Activity) -> Rc<Self> {
         Rc::new(ConnectionLimiter {
-            limit,
+            limit: Cell::new(limit),
             evictable,
-            permits,
-            pending_accept,
+            permits: RefCell::default(),
+            pending_accept: RefCell::default(),
             freed: Notify::new(),
         })
     }
 
-    /// What is beyond a lower bound gives way at once, as far as it evicts.
-    pub fn set_limit(&self, most: usize) {
-        self.limit.set(most);
-        while self.not_evicted() > most && self.evict_one() {}
+    /// Sets the limit. Connections beyond a lower one are evicted at once, as far as they may be.
+    pub fn set_limit(&self, limit: usize) {
+        self.limit.set(limit);
+        while self.not_evicted() > limit && self.evict_one() {}
         self.freed.notify_one();
     }
 
-    /// Connections that were not told to give way.
+    /// Connections that have not been evicted.
     fn not_evicted(&self) -> usize {
-        self.permits
-            .borrow()
-            .iter()
-            .filter(|p| p.evicted_at.get().is_none())
-            .count()
+        let permits = self.permits.borrow();
+        permits.iter().filter(|permit| !permit.is_evicted()).count()
     }
 
-    /// A new connection would get a permit, if need be that of one that gives way.
+    /// Whether a new connection would get a permit, if need be by the eviction of another.
     pub fn has_capacity(&self) -> bool {
-        let evictable = |p: &Rc<ConnectionPermit>| p.state.get().0 <= self.evictable;
-        let taken = self.permits.borrow();
-        taken.len() < self.limit.get() || taken.iter().any(evictable)
+        let permits = self.permits.borrow();
+        permits.len() < self.limit.get()
+            || permits
+                .iter()
+                .any(|permit| permit.activity() <= self.evictable)
     }
 
-    /// Accepts a connection once there is a place for it. It stays in the machine's queue until one would give way, where
-    /// another process that holds the same listening socket may take it, and nothing is dropped unheard. It is served
-    /// once that one has gone: beside those with limiter one more holds a descriptor.
+    /// Accepts a connection once there is a permit for it. It stays in the listen queue until one could be evicted for
+    /// it: there another process that holds the same listening socket may accept it. It is served once the evicted one
+    /// has ended; until then one descriptor more than the limit is held.
+    ///
+    /// # Errors
+    /// The system cannot accept, for want of descriptors or memory.
     pub async fn accept(
         self: &Rc<Self>,
         listener: &TcpListener,
     ) -> io::Result<(TcpStream, PermitGuard)> {
         loop {
             if self.pending_accept.borrow().is_none() {
-                let accepted = poll_fn(|cx| {
-                    if self.has_capacity() {
-                        listener.poll_accept(cx)
-                    } else {
-                        Poll::Pending
-                    }
-                });
                 tokio::select! {
-                    accepted = accepted => *self.pending_accept.borrow_mut() = Some(accepted?.0),
+                    accepted = self.accept_with_capacity(listener) => {
+                        *self.pending_accept.borrow_mut() = Some(accepted?);
+                    }
                     () = self.freed.notified() => continue,
                 }
             }
@@ -110,13 +113,7 @@
             {
                 return Ok((tcp, self.acquire_beyond_limit(Instant::now())));
             }
-            let goes = |p: &Rc<ConnectionPermit>| {
-                p.evicted_at
-                    .get()
-                    .is_some_and(|at| at.elapsed() < EVICTION_GRACE)
-            };
-            let going = self.permits.borrow().iter().any(goes);
-            if !going {
+            if !self.is_eviction_underway() {
                 self.evict_one();
             }
             tokio::select! {
@@ -126,14 +123,34 @@
         }
     }
 
-    /// The one that was accepted and waits for a permit, if any: what has been accepted is served.
+    /// The next connection, not looked for while there is no capacity.
+    async fn accept_with_capacity(&self, listener: &TcpListener) -> io::Result<TcpStream> {
+        poll_fn(|context| {
+            if self.has_capacity() {
+                listener.poll_accept(context)
+            } else {
+                Poll::Pending
+            }
+        })
+        .await
+        .map(|(tcp, _)| tcp)
+    }
+
+    /// Whether an evicted connection still has time to end.
+    fn is_eviction_underway(&self) -> bool {
+        let permits = self.permits.borrow();
+        permits
+            .iter()
+            .filter_map(|permit| permit.evicted_at.get())
+            .any(|at| at.elapsed() < EVICTION_GRACE)
+    }
+
+    /// The connection that was accepted and waits for a permit, if any: what has been accepted is served.
     pub fn take_pending_accept(&self) -> Option<TcpStream> {
         self.pending_accept.take()
     }
 
-    /// A place for a new connection. At the bound the oldest without a request gives way, else the one idle for longest:
-    /// clients that connect and say nothing, or keep what they used once, must not shut others out. None if
-    /// no one evicts.
+    /// A permit for a new connection; `None` if at the limit no other may be evicted for it.
     pub fn try_acquire(self: &Rc<Self>, now: Instant) -> Option<PermitGuard> {
         if self.not_evicted() >= self.limit.get() && !self.evict_one() {
             return None;
@@ -141,72 +158,90 @@
         Some(self.acquire_beyond_limit(now))
     }
 
-    /// A place whatever the bound says: for what is already here when the last are let in.
+    /// A permit whatever the limit: for connections that the system has accepted when the process shuts down.
     pub fn acquire_beyond_limit(self: &Rc<Self>, now: Instant) -> PermitGuard {
         let permit = Rc::new(ConnectionPermit {
-            state: Cell::new((Activity::NoRequest, now)),
+            activity: Cell::new(Activity::NoRequest),
+            active_since: Cell::new(now),
             eviction: Notify::new(),
-            evicted_at: Cell::default(),
             eviction_notice: Notify::new(),
+            evicted_at: Cell::default(),
             limiter: self.clone(),
         });
         self.permits.borrow_mut().push(permit.clone());
         PermitGuard(permit)
     }
 
-    /// Makes one give way, if any evicts.
+    /// Evicts the connection that has been without a request for longest, else the one that has been idle for longest:
+    /// clients that connect and send nothing, or keep what they used once, must not shut others out. False if none may
+    /// be evicted.
     pub fn evict_one(&self) -> bool {
-        let taken = self.permits.borrow();
-        // By age among those without a request, asked or not: in a crowd that asks and stays, the youngest is
-        // likely to be a client on its way to ask.
-        let rank = |(what, since): (Activity, Instant)| (what.max(Activity::Probed), since);
-        let staying = taken.iter().filter(|p| p.evicted_at.get().is_none());
-        let least = staying.min_by_key(|p| rank(p.state.get()));
-        let Some(least) = least.filter(|p| p.state.get().0 <= self.evictable) else {
+        let permits = self.permits.borrow();
+        // By age among those without a request, probed or not: in a burst of clients that ask and stay, the youngest
+        // is likely to be a client on its way to ask.
+        let rank = |permit: &ConnectionPermit| {
+            (
+                permit.activity().max(Activity::Probed),
+                permit.active_since.get(),
+            )
+        };
+        let candidates = permits.iter().filter(|permit| !permit.is_evicted());
+        let Some(permit) = candidates
+            .min_by_key(|permit| rank(permit))
+            .filter(|permit| permit.activity() <= self.evictable)
+        else {
             return false;
         };
-        least.evicted_at.set(Some(Instant::now()));
-        least.eviction.notify_one();
-        least.eviction_notice.notify_one();
+        permit.evicted_at.set(Some(Instant::now()));
+        permit.eviction.notify_one();
+        permit.eviction_notice.notify_one();
         true
     }
 }
 
 impl ConnectionPermit {
-    /// It is used for this from now on.
-    pub fn set_activity(&self, what: Activity, now: Instant) {
-        self.state.set((what, now));
-        if what == Activity::Idle {
+    /// Sets what the connection is used for from now on.
+    pub fn set_activity(&self, activity: Activity, now: Instant) {
+        self.activity.set(activity);
+        self.active_since.set(now);
+        if activity == Activity::Idle {
             self.limiter.freed.notify_one();
         }
     }
 
-    /// Ends when it was told to give way and its client has never asked anything whole: nothing is owed then, and the rest
-    /// of what has begun is not waited for.
+    /// Completes when the connection is evicted and its client has never sent a complete request: nothing is owed then,
+    /// and the rest of a request that has begun is not waited for.
     pub async fn evicted_before_request(&self) {
         self.eviction_notice.notified().await;
-        // After that the runtime has heard of all that the machine has unread.
+        // After that the runtime has seen all that the machine holds unread.
         tokio::task::yield_now().await;
-        if self.state.get().0 != Activity::NoRequest {
+        if self.activity() != Activity::NoRequest {
             std::future::pending::<()>().await;
         }
     }
 
-    /// It was told to give way to another.
+    /// Whether the connection has been evicted.
     pub fn is_evicted(&self) -> bool {
         self.evicted_at.get().is_some()
     }
 
-    pub fn activity(&self) -> (Activity, Instant) {
-        self.state.get()
+    /// What the connection is used for.
+    pub fn activity(&self) -> Activity {
+        self.activity.get()
+    }
+
+    /// Since when it has been used for that.
+    pub fn active_since(&self) -> Instant {
+        self.active_since.get()
     }
 }
 
-/// A place while it is taken.
+/// Holds a permit; dropping it frees the permit.
 pub struct PermitGuard(Rc<ConnectionPermit>);
 
 impl std::ops::Deref for PermitGuard {
     type Target = ConnectionPermit;
+
     fn deref(&self) -> &ConnectionPermit {
         &self.0
     }
@@ -214,12 +249,12 @@
 
 impl Drop for PermitGuard {
     fn drop(&mut self) {
-        self.0
-            .limiter
+        let limiter = &self.0.limiter;
+        limiter
             .permits
             .borrow_mut()
-            .retain(|p| !Rc::ptr_eq(p, &self.0));
-        self.0.limiter.freed.notify_one();
+            .retain(|permit| !Rc::ptr_eq(permit, &self.0));
+        limiter.freed.notify_one();
     }
 }
 
--- a/src/transport/framed_connection.rs
+++ b/src/transport/framed_connection.rs
@@ -12,13 +12,16 @@
 use tokio::net::TcpStream;
 use tokio_util::codec::{Decoder, Encoder, Framed};
 
-/// A peer may take the last words, and close, for this long after them.
+/// A peer may read the last bytes, and close, for this long after they were written.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Bytes that are read away, or ahead, at a time.
+/// Bytes that are discarded, or read ahead, at a time.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// Bytes that are discarded at most while a connection closes.
+const CLOSE_DISCARD_BYTES: u64 = 16 << 20;
 
-/// What a connection is made on.
+/// A stream over a TCP connection.
 pub trait Socket: AsyncRead + AsyncWrite + Unpin {
+    /// The TCP connection itself.
     fn tcp(&self) -> &TcpStream;
 }
 
@@ -28,38 +31,51 @@
     }
 }
 
-/// A connection whose two buffers are on loan from the pool, while there is something to read or write.
+/// A connection whose read and write buffers are on loan from the pool while there is something in them.
 pub struct FramedConnection<C, S = TcpStream> {
     framed: Option<Framed<S, C>>,
     pool: BufferPool,
     buffers_released: bool,
-    /// Bytes that the peer has to take, and since when: what stood to be written when that span began.
-    owed: (usize, Instant),
+    write_progress: WriteProgress,
 }
 
-/// What a turn of a connection reads.
+/// How the peer takes what is to be written: the queue of one moment, until all of it is written.
+struct WriteProgress {
+    /// Bytes of that queue that are not written yet.
+    remaining: usize,
+    /// When that moment was.
+    since: Instant,
+}
+
+/// What [`FramedConnection::next_event`] reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadInterest {
+    /// Items, as the codec decodes them.
     Items,
-    /// What comes is of no use any more: only its end is of interest.
+    /// Bytes that are discarded: only the end of the connection is of interest.
     Discard,
+    /// Nothing.
     Paused,
 }
 
-/// What a turn of a connection has come to.
+/// What happened on a connection.
 pub enum ConnectionEvent<I, E> {
+    /// All that was enqueued is written.
     Written,
+    /// An item was read.
     Item(I),
-    /// So many bytes were read away.
+    /// So many bytes were discarded.
     Discarded(usize),
-    /// The machine takes bytes again, or an error shows with the next.
+    /// The system takes bytes again, or the next write fails.
     Writable,
-    /// Its peer has closed it.
+    /// The peer has closed the connection.
     Closed,
+    /// The connection is broken, or what was read cannot be decoded.
     Failed(E),
 }
 
 impl<C, S> FramedConnection<C, S> {
+    /// A connection over this stream, with buffers from the pool.
     pub fn new(pool: &BufferPool, stream: S, codec: C) -> Self
     where
         C: Decoder,
@@ -68,17 +84,19 @@
         let mut parts = Framed::new(stream, codec).into_parts();
         parts.read_buf = pool.take().into_bytes();
         parts.write_buf = pool.take().into_bytes();
-        let owed = (0, Instant::now());
         FramedConnection {
             framed: Some(Framed::from_parts(parts)),
             pool: pool.clone(),
             buffers_released: false,
-            owed,
+            write_progress: WriteProgress {
+                remaining: 0,
+                since: Instant::now(),
+            },
         }
     }
 
-    /// Gives the buffers back while nothing is in them: with a hundred idle connections, each holding what its
-    /// largest answer once needed, memory would grow for as long as new ones come.
+    /// Returns the buffers to the pool if they are empty: otherwise each idle connection would hold what its largest
+    /// answer once needed.
     pub fn release_buffers(&mut self) {
         let Some(framed) = self.framed.as_mut().filter(|_| !self.buffers_released) else {
             return;
@@ -92,8 +110,8 @@
         }
     }
 
-    /// Takes buffers again, before something is read or written.
-    pub fn acquire_buffers(&mut self) {
+    /// Takes buffers from the pool again, before something is read or written.
+    fn acquire_buffers(&mut self) {
         if let Some(framed) = self.framed.as_mut().filter(|_| self.buffers_released) {
             *framed.read_buffer_mut() = self.pool.take().into_bytes();
             *framed.write_buffer_mut() = self.pool.take().into_bytes();
@@ -101,7 +119,10 @@
         }
     }
 
-    /// Puts something into what is to be written; it never waits.
+    /// Appends an item to what is to be written; it never waits.
+    ///
+    /// # Errors
+    /// The item cannot be encoded.
     pub fn enqueue<I>(&mut self, item: I) -> Result<(), C::Error>
     where
         C: Encoder<I>,
@@ -109,28 +130,34 @@
         self.acquire_buffers();
         let mut bytes = std::mem::take(self.write_buffer_mut());
         if bytes.is_empty() {
-            self.owed.0 = 0;
+            self.write_progress.remaining = 0;
         }
-        let put = self.codec_mut().encode(item, &mut bytes);
+        let encoded = self.codec_mut().encode(item, &mut bytes);
         *self.write_buffer_mut() = bytes;
-        put
+        encoded
     }
 
-    /// Nothing is left to be written.
+    /// Whether nothing is left to be written.
     pub fn is_flushed(&self) -> bool {
         self.write_buffer().is_empty()
     }
 
-    /// Its peer has not taken for so long what stood to be written that long ago.
+    /// Whether the peer has not taken within `limit` what was to be written that long ago.
     pub fn is_write_stalled(&self, limit: Duration) -> bool {
-        !self.is_flushed() && self.owed.0 > 0 && self.owed.1.elapsed() > limit
+        !self.is_flushed()
+            && self.write_progress.remaining > 0
+            && self.write_progress.since.elapsed() > limit
     }
 
-    fn record_written(&mut self, n: usize) {
-        let left = self.write_buffer().len();
-        self.owed.0 = self.owed.0.saturating_sub(n);
-        if self.owed.0 == 0 {
-            self.owed = (left, Instant::now());
+    /// Counts bytes that were written. Once the observed queue is written, what is queued then is observed next.
+    fn record_written(&mut self, bytes: usize) {
+        let remaining = self.write_progress.remaining.saturating_sub(bytes);
+        self.write_progress.remaining = remaining;
+        if remaining == 0 {
+            self.write_progress = WriteProgress {
+                remaining: self.write_buffer().len(),
+                since: Instant::now(),
+            };
         }
     }
 
@@ -155,8 +182,11 @@
 }
 
 impl<C, S: Socket> FramedConnection<C, S> {
-    /// Puts something where nothing is left to be written, and writes what the machine takes at once. False if that is not
-    /// a byte: then nothing of it stays here.
+    /// Encodes an item while nothing is left to be written, and writes what the system takes of it at once. False if that
+    /// is not a byte: then nothing of the item stays here.
+    ///
+    /// # Errors
+    /// The item cannot be encoded, or the connection is broken.
     pub fn start_write<I>(&mut self, item: I) -> Result<bool, <C as Encoder<I>>::Error>
     where
         C: Encoder<I>,
@@ -199,7 +229,7 @@
         Poll::Ready(Ok(bytes.filled().len()))
     }
 
-    /// What comes next, awake only once there is something.
+    /// The next item, with buffers from the pool only once there is something to read; `None` at the end.
     pub async fn next_item(&mut self) -> Option<Result<C::Item, C::Error>>
     where
         C: Decoder,
@@ -207,8 +237,31 @@
         poll_fn(|cx| self.poll_item(cx)).await
     }
 
-    /// The next thing that happens: all is written, something is here, or (if asked for) the machine takes bytes. Neither
-    /// half waits for the other, and nothing is lost if it is dropped.
+    fn poll_read_event(
+        &mut self,
+        cx: &mut Context<'_>,
+        reads: ReadInterest,
+    ) -> Poll<ConnectionEvent<C::Item, C::Error>>
+    where
+        C: Decoder,
+    {
+        match reads {
+            ReadInterest::Paused => Poll::Pending,
+            ReadInterest::Items => self.poll_item(cx).map(|item| match item {
+                Some(Ok(item)) => ConnectionEvent::Item(item),
+                Some(Err(error)) => ConnectionEvent::Failed(error),
+                None => ConnectionEvent::Closed,
+            }),
+            ReadInterest::Discard => self.poll_discard(cx).map(|read| match read {
+                Ok(0) => ConnectionEvent::Closed,
+                Ok(bytes) => ConnectionEvent::Discarded(bytes),
+                Err(error) => ConnectionEvent::Failed(error.into()),
+            }),
+        }
+    }
+
+    /// The next event: all is written, something was read, or (if asked for) the system takes bytes again. Reads and
+    /// writes do not wait for each other, and dropping the future loses nothing.
     pub async fn next_event(
         &mut self,
         reads: ReadInterest,
@@ -219,32 +272,18 @@
     {
         poll_fn(|cx| {
             if !self.is_flushed()
-                && let Poll::Ready(out) = self.poll_flush_queue(cx)
+                && let Poll::Ready(flushed) = self.poll_flush_queue(cx)
             {
-                return Poll::Ready(out.map_or_else(
-                    |e| ConnectionEvent::Failed(e.into()),
-                    |()| ConnectionEvent::Written,
-                ));
+                return Poll::Ready(match flushed {
+                    Ok(()) => ConnectionEvent::Written,
+                    Err(error) => ConnectionEvent::Failed(error.into()),
+                });
             }
-            let read = match reads {
-                ReadInterest::Paused => Poll::Pending,
-                ReadInterest::Items => self.poll_item(cx).map(|heard| match heard {
-                    Some(Ok(item)) => ConnectionEvent::Item(item),
-                    Some(Err(e)) => ConnectionEvent::Failed(e),
-                    None => ConnectionEvent::Closed,
-                }),
-                ReadInterest::Discard => self.poll_discard(cx).map(|read| match read {
-                    Ok(0) => ConnectionEvent::Closed,
-                    Ok(n) => ConnectionEvent::Discarded(n),
-                    Err(e) => ConnectionEvent::Failed(e.into()),
-                }),
-            };
-            match read {
-                Poll::Pending if until_writable => self
-                    .get_ref()
-                    .tcp()
-                    .poll_write_ready(cx)
-                    .map(|_| ConnectionEvent::Writable),
+            match self.poll_read_event(cx, reads) {
+                Poll::Pending if until_writable => {
+                    let writable = self.get_ref().tcp().poll_write_ready(cx);
+                    writable.map(|_| ConnectionEvent::Writable)
+                }
                 read => read,
             }
         })
@@ -253,20 +292,24 @@
 }
 
 impl<C, S: AsyncRead + AsyncWrite + Unpin> FramedConnection<C, S> {
-    /// Reads on while its peer is owed an answer, so that its end is seen behind what it has said: ends with the peer, or
-    /// once what is unread is its `last` word. What was read stays to be heard.
+    /// Reads on while the peer is owed an answer, so that its close is seen behind what it has sent. Completes when the
+    /// peer closes, or once `is_final` holds for what is unread. What was read stays to be decoded.
     ///
     /// # Errors
-    /// Its peer says more than `most` bytes, or the connection is broken.
-    pub async fn read_ahead(&mut self, most: usize, last: impl Fn(&[u8]) -> bool) -> io::Result<()>
+    /// The peer sends `limit` bytes or more, or the connection is broken.
+    pub async fn read_ahead(
+        &mut self,
+        limit: usize,
+        is_final: impl Fn(&[u8]) -> bool,
+    ) -> io::Result<()>
     where
         C: Decoder,
     {
         loop {
-            if last(self.read_buffer()) {
+            if is_final(self.read_buffer()) {
                 return Ok(());
             }
-            if self.read_buffer().len() >= most {
+            if self.read_buffer().len() >= limit {
                 return Err(io::ErrorKind::InvalidData.into());
             }
             let read = poll_fn(|cx| {
@@ -279,7 +322,7 @@
             if read.await? == 0 {
                 return Ok(());
             }
-            // Made anew, it decodes what stands in its buffer before it reads on.
+            // Rebuilt, it decodes what is in its buffer before it reads on.
             self.framed = self
                 .framed
                 .take()
@@ -287,23 +330,23 @@
         }
     }
 
-    /// Ends a conversation whose peer may still be sending: what it sends is read away for a moment, since a
-    /// close over unread bytes would reset the connection and take the last words with it.
+    /// Closes a connection whose peer may still be sending: what it sends is discarded for a moment, since a close over
+    /// unread bytes would reset the connection and lose the last bytes written.
     pub async fn close_gracefully(&mut self) {
         self.close_gracefully_within(CLOSE_TIMEOUT).await;
     }
 
-    /// The same, within so long.
+    /// The same, within `limit`.
     pub async fn close_gracefully_within(&mut self, limit: Duration) {
         let Some(framed) = &mut self.framed else {
             return;
         };
         let tcp = framed.get_mut();
-        let parting = async {
+        let closing = async {
             tcp.shutdown().await?;
-            tokio::io::copy(&mut tcp.take(16 << 20), &mut tokio::io::sink()).await
+            tokio::io::copy(&mut tcp.take(CLOSE_DISCARD_BYTES), &mut tokio::io::sink()).await
         };
-        drop(tokio::time::timeout(limit, parting).await);
+        drop(tokio::time::timeout(limit, closing).await);
     }
 }
 
--- a/src/transport/pending_input.rs
+++ b/src/transport/pending_input.rs
@@ -1,32 +1,30 @@
-//! A look at what the machine holds unread for a connection.
+//! What the system holds unread for a connection, past what the runtime knows of it.
 
-use std::io;
+use std::io::ErrorKind;
+use std::mem::MaybeUninit;
 use tokio::net::TcpStream;
 
-/// What a look at a connection itself shows, past what the runtime has been told of it.
+/// What a connection has to read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PendingInput {
+    /// Nothing yet.
     Empty,
+    /// Unread bytes.
     Bytes,
     /// Its peer has closed or reset it.
     Closed,
 }
 
-/// Looks at what the machine holds for this connection, unread. The runtime's own notion of it is as old as the last
-/// time it waited: what has come since would be overlooked.
+/// Asks the system what it holds unread for this connection. The runtime's readiness is as old as its last poll: what
+/// has come since would be overlooked.
 pub fn peek(tcp: &TcpStream) -> PendingInput {
-    let mut byte = [std::mem::MaybeUninit::uninit()];
+    let mut byte = [MaybeUninit::uninit()];
     match socket2::SockRef::from(tcp).peek(&mut byte) {
         Ok(0) => PendingInput::Closed,
         Ok(_) => PendingInput::Bytes,
-        Err(e)
-            if matches!(
-                e.kind(),
-                io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
-            ) =>
-        {
-            PendingInput::Empty
-        }
-        Err(_) => PendingInput::Closed,
+        Err(error) => match error.kind() {
+            ErrorKind::WouldBlock | ErrorKind::Interrupted => PendingInput::Empty,
+            _ => PendingInput::Closed,
+        },
     }
 }
--- a/src/upstream/resp.rs
+++ b/src/upstream/resp.rs
@@ -811,7 +811,7 @@
         }
         // The engine may have closed it in this very turn, and its client may have gone or left since its task had its turn:
         // the machine is asked, and what is unread is read first. Nothing begins for a client that has closed.
-        let client = work.client();
+        let client = work.client_input();
         let first = !std::mem::replace(looked, true);
         let unread = || {
             client == PendingInput::Bytes
--- a/tests/client_disconnect_races.rs
+++ b/tests/client_disconnect_races.rs
@@ -52,7 +52,7 @@
         |_| {},
     )
     .await;
-    fixture.frontend.limit(&MachineLimits {
+    fixture.frontend.apply_limits(&MachineLimits {
         memory_mb: 64,
         max_sockets: 1024,
     });
@@ -116,7 +116,7 @@
         work: None,
         memory_mb: None,
     };
-    let work = Work::free(
+    let work = Work::unbudgeted(
         &request_id(txn),
         ["lookup", "load"][class],
         Bytes::from_static(b"select 1"),
@@ -857,7 +857,7 @@
         tokio::task::yield_now().await;
         let mut client = std::net::TcpStream::connect(fixture.address).unwrap();
         client.write_all(&request(1, 1, "lookup", "")).unwrap();
-        fixture.frontend.goodbye(false);
+        fixture.frontend.announce_shutdown(false);
         client.set_nonblocking(true).unwrap();
         let mut client = Client(TcpStream::from_std(client).unwrap());
         assert_eq!(client.receive().await.unwrap().0, 64, "it is told");
@@ -888,9 +888,9 @@
         let request_bytes = request(1, 1, "lookup", "");
         client.send(&request_bytes[..request_bytes.len() / 2]).await;
         let mut idle = Client::connect(fixture.address).await;
-        wait_until("both", || fixture.frontend.connections() == 2).await;
-        fixture.frontend.goodbye(true);
-        fixture.frontend.end();
+        wait_until("both", || fixture.frontend.connection_count() == 2).await;
+        fixture.frontend.announce_shutdown(true);
+        fixture.frontend.close_when_idle();
         assert_eq!(idle.receive().await.unwrap().0, 64);
         assert!(idle.receive().await.is_none(), "nothing is owed on it");
         client.send(&request_bytes[request_bytes.len() / 2..]).await;
@@ -899,7 +899,7 @@
         serve_pages(&mut engine, &id, 9).await;
         fixture.wait_for_open(0).await;
         assert_eq!(
-            fixture.frontend.connections(),
+            fixture.frontend.connection_count(),
             1,
             "the response is written, and not read"
         );
@@ -907,7 +907,7 @@
         let (kind, stream, payload) = client.receive().await.unwrap();
         assert_eq!((kind, stream, payload.len()), (4, 1, 2 + 9 * 5005));
         assert!(client.receive().await.is_none());
-        wait_until("none", || fixture.frontend.connections() == 0).await;
+        wait_until("none", || fixture.frontend.connection_count() == 0).await;
     });
 }
 
@@ -980,7 +980,7 @@
             "no request of the disconnected clients"
         );
         wait_until("their connections to close", || {
-            fixture.frontend.connections() == 1
+            fixture.frontend.connection_count() == 1
         })
         .await;
     });
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use protocol::fixture::{DispatcherFixture, Parts};
 use protocol::*;
-use query_dispatcher::admin::{Admin, Watched};
+use query_dispatcher::admin::{Admin, ReportSources};
 use query_dispatcher::clock::unix_time_millis;
 use query_dispatcher::config::SocketSettings;
 use query_dispatcher::core::{Core, CoreLimits, NewRequest};
@@ -126,7 +126,7 @@
         };
         self.router.open(
             request,
-            Work::free(&request_id(txn), CLASSES[class], statement),
+            Work::unbudgeted(&request_id(txn), CLASSES[class], statement),
             Box::new(record),
         );
     }
@@ -384,12 +384,12 @@
         let fixture = start_default().await;
         let mut active_client = Client::connect(fixture.address).await;
         let mut idle_client = Client::connect(fixture.address).await;
-        wait_until("both", || fixture.frontend.connections() == 2).await;
-        fixture.frontend.goodbye(true);
+        wait_until("both", || fixture.frontend.connection_count() == 2).await;
+        fixture.frontend.announce_shutdown(true);
         for client in [&mut active_client, &mut idle_client] {
             assert_eq!(client.receive().await.unwrap().0, 64);
         }
-        fixture.frontend.end();
+        fixture.frontend.close_when_idle();
         assert!(active_client.0.try_write(&request(1, 1, "lookup")).unwrap() > 0);
         let mut engine = fixture.accept_upstream().await;
         assert_eq!(read_request_id(&mut engine).await, request_id(1));
@@ -400,7 +400,7 @@
         active_client.expect_served(1).await;
         assert!(active_client.receive().await.is_none());
         drop(idle_client);
-        wait_until("none", || fixture.frontend.connections() == 0).await;
+        wait_until("none", || fixture.frontend.connection_count() == 0).await;
         assert!(
             tokio::time::timeout(Duration::from_millis(50), engine.read_u8())
                 .await
@@ -423,7 +423,7 @@
         serve_pages(&mut engine, &id, 9).await;
         fixture.wait_for_open(0).await;
         sleep_ms(20).await;
-        fixture.frontend.end();
+        fixture.frontend.close_when_idle();
         sleep_ms(20).await;
         client.send(&request(2, 2, "lookup")).await;
         sleep_ms(20).await;
@@ -437,7 +437,7 @@
             "the late request is not accepted"
         );
         drop(client);
-        wait_until("none", || fixture.frontend.connections() == 0).await;
+        wait_until("none", || fixture.frontend.connection_count() == 0).await;
     });
 }
 
@@ -455,7 +455,7 @@
                 fixture.router.clone(),
                 BufferPool::default(),
                 shared,
-                Watched::default(),
+                ReportSources::default(),
                 24,
             );
             spawn_local(admin.accept(listener));
@@ -965,8 +965,8 @@
         }
         serve_pages(&mut engine, &request_id(1), 1).await;
         client.expect_served(1).await;
-        fixture.frontend.goodbye(true);
-        fixture.frontend.end();
+        fixture.frontend.announce_shutdown(true);
+        fixture.frontend.close_when_idle();
         client.0.try_write(&slow[slow.len() - 1..]).unwrap();
         assert_eq!(read_request_id(&mut engine).await, request_id(2));
         serve_pages(&mut engine, &request_id(2), 1).await;
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -25,7 +25,7 @@
 #[path = "../common/mod.rs"]
 mod common;
 
-use query_dispatcher::admin::{Admin, Watched};
+use query_dispatcher::admin::{Admin, ReportSources};
 use query_dispatcher::config::{
     ClassRules, EngineCredentials, MysqlFrontendConfig, NameTable, SocketSettings, SpoolSettings,
     User,
@@ -240,7 +240,7 @@
             router.clone(),
             BufferPool::default(),
             Rc::new(InstanceRegistry::open(None).unwrap()),
-            Watched::default(),
+            ReportSources::default(),
             24,
         )
         .accept(operators),
--- a/tests/stored/shared.rs
+++ b/tests/stored/shared.rs
@@ -27,5 +27,5 @@
     let shared = open(folder);
     engines
         .iter()
-        .for_each(|engine| shared.undrain(engine).unwrap());
+        .for_each(|engine| shared.undrain_engine(engine).unwrap());
 }
