--- /dev/null
+++ b/src/frontend/mysql/accept.rs
@@ -0,0 +1,167 @@
+//! Accepts clients, within the limit of connections, and rejects them when the dispatcher shuts down.
+
+use super::session::{Session, SessionEnd};
+use super::{BusyGuard, Frontend, StatementUpstream, WRITE_TIMEOUT};
+use crate::log_line;
+use crate::protocol::mysql::error::{ErrorCode, SqlError, code};
+use crate::protocol::mysql::packet::{PacketCodec, PacketError, err_packet};
+use crate::transport::connection_limiter::{Activity, ConnectionPermit, PermitGuard};
+use crate::transport::framed_connection::FramedConnection;
+use crate::transport::listener;
+use crate::transport::stream::Stream;
+use futures_util::SinkExt;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::spawn_local;
+
+/// A client has this long to log in.
+pub(super) const LOGIN_TIMEOUT: Duration = Duration::from_secs(10);
+/// Clients beyond the limit that are told so at a time; the others are closed without a word.
+const MAX_CONCURRENT_REJECTIONS: usize = 64;
+/// Pause after an accept that failed, such as for want of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+
+/// The connection to a client.
+pub(super) type ClientConnection = FramedConnection<PacketCodec, Stream>;
+
+/// Counts a rejection while it is being sent.
+struct RejectionGuard<U: StatementUpstream>(Rc<Frontend<U>>);
+
+impl<U: StatementUpstream> RejectionGuard<U> {
+    fn new(frontend: &Rc<Frontend<U>>) -> Self {
+        frontend.rejections.set(frontend.rejections.get() + 1);
+        RejectionGuard(frontend.clone())
+    }
+}
+
+impl<U: StatementUpstream> Drop for RejectionGuard<U> {
+    fn drop(&mut self) {
+        self.0.rejections.set(self.0.rejections.get() - 1);
+    }
+}
+
+impl<U: StatementUpstream> Frontend<U> {
+    /// Accepts clients until the shutdown begins. Those that the machine has accepted by then are told of it, unless
+    /// another process holds the listening socket and will accept them.
+    pub async fn accept(self: Rc<Self>, listener: TcpListener) {
+        let mut stopping = self.stopping.subscribe();
+        loop {
+            let accepted = tokio::select! {
+                accepted = listener.accept() => accepted,
+                _ = stopping.wait_for(|stopping| *stopping) => break,
+            };
+            match accepted {
+                Ok((tcp, peer)) => self.admit(tcp, peer),
+                Err(error) => {
+                    log_line!("mysql accept: {error}");
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
+                }
+            }
+        }
+        if !self.handed_over.get() {
+            self.reject_accepted(listener);
+        }
+    }
+
+    fn rejection_limit(&self) -> usize {
+        MAX_CONCURRENT_REJECTIONS.min(self.descriptor_shares().final_clients)
+    }
+
+    /// Serves a client in a task of its own, or rejects it there.
+    fn admit(self: &Rc<Self>, tcp: TcpStream, peer: SocketAddr) {
+        let permit: Option<PermitGuard> = self.limiter.try_acquire(Instant::now());
+        let rejected = usize::from(permit.is_none());
+        if self.rejections.get() + rejected > self.rejection_limit() {
+            return;
+        }
+        let rejection = permit.is_none().then(|| RejectionGuard::new(self));
+        let frontend = self.clone();
+        spawn_local(async move {
+            let host = peer.ip().to_string();
+            let end = frontend.serve_client(tcp, &host, permit.as_deref()).await;
+            if let Err(SessionEnd::Broken(error)) = end {
+                log_line!("mysql client {peer}: {error}");
+            }
+            drop(rejection);
+        });
+    }
+
+    /// Tells the clients that the machine has accepted by now that the dispatcher shuts down.
+    fn reject_accepted(self: &Rc<Self>, listener: TcpListener) {
+        for tcp in listener::accepted(listener, self.rejection_limit()) {
+            let frontend = self.clone();
+            spawn_local(async move {
+                let mut wire = frontend.client_connection(tcp);
+                frontend.send_shutdown(&mut wire).await
+            });
+        }
+    }
+
+    fn client_connection(&self, tcp: TcpStream) -> ClientConnection {
+        let codec = PacketCodec {
+            max_packet: self.config().max_packet,
+            sequence: 0,
+        };
+        FramedConnection::new(&self.buffers, Stream::from(tcp), codec)
+    }
+
+    /// Tells a client that it has to connect again, and closes its connection.
+    pub(super) async fn send_shutdown(
+        &self,
+        wire: &mut ClientConnection,
+    ) -> Result<(), SessionEnd> {
+        let _busy = BusyGuard::new(&self.busy);
+        let message = "the dispatcher shuts down; connect again".to_string();
+        reject(wire, code::ER_SERVER_SHUTDOWN, message).await
+    }
+
+    async fn serve_client(
+        self: &Rc<Self>,
+        tcp: TcpStream,
+        host: &str,
+        permit: Option<&ConnectionPermit>,
+    ) -> Result<(), SessionEnd> {
+        tcp.set_nodelay(true).map_err(PacketError::from)?;
+        let mut wire = self.client_connection(tcp);
+        let Some(permit) = permit else {
+            let message = "Too many connections".into();
+            return reject(&mut wire, code::ER_CON_COUNT, message).await;
+        };
+        let mut stopping = self.stopping.subscribe();
+        let login = tokio::select! {
+            login = tokio::time::timeout(LOGIN_TIMEOUT, self.log_in(&mut wire, host)) => Some(login),
+            _ = stopping.wait_for(|stopping| *stopping) => None,
+            () = permit.eviction.notified() => return Ok(()),
+        };
+        let Some(login) = login else {
+            return self.send_shutdown(&mut wire).await;
+        };
+        let Some(client) = login.map_err(timed_out)?? else {
+            return Ok(());
+        };
+        permit.set_activity(Activity::Idle, Instant::now());
+        Session::open(self, wire, client).serve().await
+    }
+}
+
+/// A step of the client that took too long.
+pub(super) fn timed_out(elapsed: tokio::time::error::Elapsed) -> PacketError {
+    PacketError::from(io::Error::from(elapsed))
+}
+
+/// Sends a client its last answer and closes its connection.
+pub(super) async fn reject(
+    wire: &mut ClientConnection,
+    code: ErrorCode,
+    message: String,
+) -> Result<(), SessionEnd> {
+    let packet = err_packet(&SqlError::new(code, message));
+    tokio::time::timeout(WRITE_TIMEOUT, wire.send(&packet[..]))
+        .await
+        .map_err(timed_out)??;
+    wire.close_gracefully().await;
+    Ok(())
+}
--- /dev/null
+++ b/src/frontend/mysql/commands.rs
@@ -0,0 +1,211 @@
+//! The commands of a session.
+
+use super::accept::{LOGIN_TIMEOUT, timed_out};
+use super::administrative_statements;
+use super::login::{auth_switch_request, random_nonce};
+use super::request::StatementRequest;
+use super::session::{Session, SessionEnd};
+use super::{StatementUpstream, text_result};
+use crate::protocol::mysql::auth::MYSQL_NATIVE_PASSWORD;
+use crate::protocol::mysql::error::{SqlError, code};
+use crate::protocol::mysql::packet::{
+    COM_CHANGE_USER, COM_INIT_DB, COM_PING, COM_QUERY, COM_QUIT, COM_RESET_CONNECTION,
+    COM_SET_OPTION, COM_STATISTICS, COM_STMT_CLOSE, COM_STMT_EXECUTE, COM_STMT_FETCH,
+    COM_STMT_PREPARE, COM_STMT_RESET, COM_STMT_SEND_LONG_DATA, Login, PayloadReader,
+    SERVER_STATUS_AUTOCOMMIT, eof_packet, read_packet,
+};
+use crate::protocol::mysql::session::SessionState;
+use crate::protocol::statement::{self, StatementKind};
+use crate::upstream::mysql::work::Job;
+use bytes::Bytes;
+use futures_util::SinkExt;
+
+/// COM_SET_OPTION: several statements in one command are turned off.
+const MULTI_STATEMENTS_OFF: [u8; 2] = [1, 0];
+/// In place of a client's host name, where a client that is connected already logs in again.
+const HOST_OF_CHANGE_USER: &str = "this session";
+
+impl<U: StatementUpstream> Session<'_, U> {
+    /// Runs one command and answers it.
+    pub(super) async fn run_command(&mut self, packet: Bytes) -> Result<(), SessionEnd> {
+        let Some(&command) = packet.first() else {
+            let error = SqlError::new(code::ER_MALFORMED_PACKET, "an empty packet");
+            return self.send_error(&error).await;
+        };
+        let body = packet.slice(1..);
+        match command {
+            COM_QUIT => Err(SessionEnd::Quit),
+            COM_PING => self.send_ok().await,
+            COM_INIT_DB => {
+                self.state
+                    .use_schema(String::from_utf8_lossy(&body).into_owned());
+                self.send_ok().await
+            }
+            COM_RESET_CONNECTION => {
+                self.reset();
+                self.send_ok().await
+            }
+            COM_CHANGE_USER => self.change_user(body).await,
+            COM_SET_OPTION => self.set_option(&body).await,
+            COM_STATISTICS => self.statistics().await,
+            COM_QUERY => self.query(body).await,
+            COM_STMT_PREPARE => self.prepare(body).await,
+            COM_STMT_EXECUTE => self.execute_prepared(body).await,
+            // Neither of the two has an answer, whatever it names.
+            COM_STMT_SEND_LONG_DATA => {
+                self.add_long_data(&body);
+                Ok(())
+            }
+            COM_STMT_CLOSE => {
+                self.statements.close(&body);
+                Ok(())
+            }
+            COM_STMT_RESET => {
+                let reset = self.statements.reset(&body);
+                self.send_ok_or_error(reset).await
+            }
+            COM_STMT_FETCH => self.fetch_rows(body).await,
+            other => {
+                let message = format!("command {other:#04x} is not known");
+                let error = SqlError::new(code::ER_UNKNOWN_COM, message);
+                self.send_error(&error).await
+            }
+        }
+    }
+
+    /// All but the user and the schema as at the start. What is open on an engine ends with its connection.
+    fn reset(&mut self) {
+        self.statements.clear();
+        self.sticky = None;
+        self.state.reset();
+        *self.warnings.borrow_mut() = None;
+        self.last_error = None;
+    }
+
+    /// Several statements in one command are not supported: turning them off changes nothing.
+    async fn set_option(&mut self, body: &[u8]) -> Result<(), SessionEnd> {
+        if body == MULTI_STATEMENTS_OFF {
+            let packet = eof_packet(SERVER_STATUS_AUTOCOMMIT);
+            return self.send_packet(&packet).await;
+        }
+        let message = "several statements at once are not carried";
+        self.send_error(&SqlError::new(code::ER_NOT_SUPPORTED_YET, message))
+            .await
+    }
+
+    async fn statistics(&mut self) -> Result<(), SessionEnd> {
+        let text = format!("Sessions: {}", self.frontend.sessions.borrow().len());
+        self.send_packet(text.as_bytes()).await
+    }
+
+    /// Another user takes the session over, if the client proves to be that one; else the session ends.
+    async fn change_user(&mut self, body: Bytes) -> Result<(), SessionEnd> {
+        let mut reader = PayloadReader(body);
+        let user = reader.text();
+        let response_length = reader.u8()?;
+        reader.bytes(response_length.into())?;
+        let schema = Some(reader.text()).filter(|schema| !schema.is_empty());
+        // The response in the command was made for the nonce of the login: the client is asked for a new one.
+        let nonce = random_nonce()?;
+        self.wire.send(&auth_switch_request(&nonce)[..]).await?;
+        let response = tokio::time::timeout(LOGIN_TIMEOUT, read_packet(&mut *self.wire))
+            .await
+            .map_err(timed_out)??;
+        let login = Login {
+            user,
+            auth: response.to_vec(),
+            schema,
+            plugin: MYSQL_NATIVE_PASSWORD.into(),
+            result_format: self.result_format,
+        };
+        let verified = self
+            .frontend
+            .authenticate(&mut self.wire, &login, &nonce, HOST_OF_CHANGE_USER)
+            .await?;
+        let Some(verified) = verified else {
+            return Err(SessionEnd::Quit);
+        };
+        self.reset();
+        self.state = SessionState::new(login.schema);
+        self.tenant = verified.tenant;
+        self.user = login.user;
+        self.register();
+        Ok(())
+    }
+
+    /// A statement of the text protocol.
+    async fn query(&mut self, sql: Bytes) -> Result<(), SessionEnd> {
+        match administrative_statements::parse(&sql) {
+            Some(Ok(statement)) => return self.run_administrative(statement, false).await,
+            Some(Err(error)) => {
+                let error = SqlError::new(code::ER_PARSE, error.to_string());
+                return self.send_error(&error).await;
+            }
+            None => {}
+        }
+        match statement::classify(&sql) {
+            StatementKind::Unsupported(reason) => {
+                self.send_error(&SqlError::new(code::ER_NOT_SUPPORTED_YET, reason))
+                    .await
+            }
+            StatementKind::ShowWarnings => self.show_warnings().await,
+            StatementKind::KillQuery(number) => {
+                let killed = self.kill_query(number);
+                self.send_ok_or_error(killed).await
+            }
+            StatementKind::Set => self.set(sql).await,
+            StatementKind::Use(schema) => {
+                self.state.use_schema(schema);
+                self.send_ok().await
+            }
+            kind => {
+                let context = self.context_for(&sql);
+                self.execute_and_reply(StatementRequest {
+                    kind,
+                    context,
+                    sql,
+                    job: Job::Query,
+                })
+                .await
+            }
+        }
+    }
+
+    /// The warnings of the statement before, as SHOW WARNINGS lists them.
+    async fn show_warnings(&mut self) -> Result<(), SessionEnd> {
+        let warnings = self.warnings.borrow().clone();
+        let result = warnings.unwrap_or_else(|| {
+            let rows = self.last_error.iter().map(|error| {
+                vec![
+                    "Error".into(),
+                    error.code.to_string(),
+                    error.message.clone(),
+                ]
+            });
+            text_result::joined(&text_result::text_table(
+                &["Level", "Code", "Message"],
+                rows,
+                text_result::RowFormat::Text,
+            ))
+        });
+        self.send_result(result).await
+    }
+
+    /// Kills the request of another session of the same user.
+    fn kill_query(&self, number: u32) -> Result<(), SqlError> {
+        match self.frontend.sessions.borrow().get(&number) {
+            Some(session) if session.user == self.user => {
+                session.downstream.kill();
+                Ok(())
+            }
+            Some(_) => Err(SqlError::new(
+                code::ER_KILL_DENIED,
+                format!("You are not owner of thread {number}"),
+            )),
+            None => Err(SqlError::new(
+                code::ER_NO_SUCH_THREAD,
+                format!("Unknown thread id: {number}"),
+            )),
+        }
+    }
+}
--- a/src/frontend/mysql/cursor.rs
+++ b/src/frontend/mysql/cursor.rs
@@ -1,70 +1,97 @@
-//! Rows one by one, for server-side cursors: from a result that was handed over at once, or page by page from its
-//! spool.
+//! Server-side cursors: the rows of one result, fetched piece by piece, from a result that is in memory or page by page
+//! from its spool.
 
-use crate::protocol::mysql::packet::eof_status;
+use super::StatementUpstream;
+use super::replies::{result_interrupted, result_removed};
+use super::session::{Session, SessionEnd};
+use crate::protocol::mysql::error::{SqlError, code};
+use crate::protocol::mysql::packet::{
+    ERR_HEADER, OK_HEADER, PayloadReader, SERVER_STATUS_AUTOCOMMIT, SERVER_STATUS_CURSOR_EXISTS,
+    SERVER_STATUS_LAST_ROW_SENT, eof_status,
+};
 use crate::spool_io::{ResultReader, SpoolError, packets};
+use crate::upstream::mysql::work::Output;
 use bytes::Bytes;
 
+/// Limit of the bytes of one fetch.
+const MAX_FETCH_BYTES: usize = 1 << 20;
+/// The length before each packet of a result in memory.
+const LENGTH_BYTES: usize = 4;
+
 /// The rows of one result, from where the last fetch ended.
-pub struct Cursor {
-    /// Rows that are here, each behind its length.
-    here: Bytes,
+pub(super) struct Cursor {
+    /// Rows in memory, each behind its length.
+    buffered: Bytes,
     /// Where more come from.
     reader: Option<ResultReader>,
 }
 
+/// The rows of one fetch.
+pub(super) struct Fetched {
+    /// Rows, each behind its length.
+    pub(super) pages: Vec<Bytes>,
+    /// More rows follow.
+    pub(super) more: bool,
+}
+
 impl Cursor {
-    /// Over a result in hand: its packets from the first row on, its end left out.
-    pub fn over(rows: Bytes) -> Self {
+    /// Over rows in memory, each behind its length.
+    pub(super) fn over(rows: Bytes) -> Self {
         Cursor {
-            here: rows,
+            buffered: rows,
             reader: None,
         }
     }
 
-    pub fn paged(reader: ResultReader) -> Self {
+    /// Over a stored result.
+    pub(super) fn paged(reader: ResultReader) -> Self {
         Cursor {
-            here: Bytes::new(),
+            buffered: Bytes::new(),
             reader: Some(reader),
         }
     }
 
-    /// Up to so many rows, each behind its length; true if there are more.
+    /// Up to so many rows, until they reach `max_bytes`.
     ///
     /// # Errors
-    /// A page cannot be had.
-    pub async fn fetch(
+    /// A page cannot be read.
+    pub(super) async fn fetch(
         &mut self,
         rows: u32,
-        most_bytes: usize,
-    ) -> Result<(Vec<Bytes>, bool), SpoolError> {
-        let mut out = vec![];
-        let (mut left, mut bytes) = (rows, 0);
-        while left > 0 && bytes < most_bytes {
-            if self.here.is_empty() && !self.refill().await? {
+        max_bytes: usize,
+    ) -> Result<Fetched, SpoolError> {
+        let mut pages = vec![];
+        let mut remaining = rows;
+        let mut bytes = 0;
+        while remaining > 0 && bytes < max_bytes {
+            if self.buffered.is_empty() && !self.refill().await? {
                 break;
             }
-            let (mut taken, mut at) = (0, 0);
-            for row in packets(&self.here) {
-                if taken == left || bytes >= most_bytes {
+            let mut taken = 0;
+            let mut end = 0;
+            for row in packets(&self.buffered) {
+                if taken == remaining || bytes >= max_bytes {
                     break;
                 }
-                (taken, at, bytes) = (taken + 1, at + 4 + row.len(), bytes + row.len());
+                taken += 1;
+                end += LENGTH_BYTES + row.len();
+                bytes += row.len();
             }
-            left -= taken;
-            out.push(self.here.split_to(at));
+            remaining -= taken;
+            pages.push(self.buffered.split_to(end));
         }
-        let more = !self.here.is_empty() || self.refill().await?;
-        Ok((out, more))
+        let more = !self.buffered.is_empty() || self.refill().await?;
+        Ok(Fetched { pages, more })
     }
 
+    /// Reads the next page; false at the end.
     async fn refill(&mut self) -> Result<bool, SpoolError> {
         let Some(reader) = &mut self.reader else {
             return Ok(false);
         };
         match reader.next_page().await? {
             Some(page) => {
-                self.here = page;
+                self.buffered = page;
                 Ok(true)
             }
             None => {
@@ -75,27 +102,115 @@
     }
 }
 
-/// Cuts a short result into what stands before its rows, its rows, and its last packet. None if it has no rows to
-/// have: an OK or an ERR.
-pub fn cut(all: &Bytes) -> Option<(Bytes, Bytes, Bytes)> {
-    let (mut at, mut ends) = (0, vec![]);
-    let mut last = 0;
-    for (n, p) in packets(all).enumerate() {
-        if n == 0 && matches!(p.first(), None | Some(0 | 0xff)) {
-            return None;
-        }
-        last = at;
-        at += 4 + p.len();
-        if eof_status(p).is_some() {
-            ends.push(at);
+/// The parts of a result in memory; packets are behind their lengths.
+pub(super) struct ResultParts {
+    /// The count of columns, the columns and their EOF.
+    pub(super) header: Bytes,
+    /// The rows.
+    pub(super) rows: Bytes,
+    /// The payload of the last packet.
+    pub(super) last: Bytes,
+}
+
+/// Splits a result in memory. `None` if it has no rows: an OK or an ERR.
+pub(super) fn split_result(result: &Bytes) -> Option<ResultParts> {
+    let first = packets(result).next();
+    if let Some(None | Some(&(OK_HEADER | ERR_HEADER))) = first.map(<[u8]>::first) {
+        return None;
+    }
+    let mut end = 0;
+    let mut last_start = 0;
+    let mut eofs = vec![];
+    for packet in packets(result) {
+        last_start = end;
+        end += LENGTH_BYTES + packet.len();
+        if eof_status(packet).is_some() {
+            eofs.push(end);
         }
     }
-    match ends[..] {
-        [head, _] => Some((
-            all.slice(..head),
-            all.slice(head..last),
-            all.slice(last + 4..),
-        )),
+    match eofs[..] {
+        [header_end, _] => Some(ResultParts {
+            header: result.slice(..header_end),
+            rows: result.slice(header_end..last_start),
+            last: result.slice(last_start + LENGTH_BYTES..),
+        }),
         _ => None,
     }
 }
+
+impl<U: StatementUpstream> Session<'_, U> {
+    /// Sends the columns of a result, and keeps its rows to be fetched. A result without rows needs no cursor.
+    pub(super) async fn open_cursor(
+        &mut self,
+        body: &Bytes,
+        output: Output,
+    ) -> Result<(), SessionEnd> {
+        let (header, cursor) = match output {
+            Output::Inline(packets) => {
+                let result = packets.into_bytes();
+                match split_result(&result) {
+                    Some(parts) => (parts.header, Cursor::over(parts.rows)),
+                    None => return self.send_result(result).await,
+                }
+            }
+            Output::Spooled(id) => {
+                let spools = &self.frontend.spools;
+                let header = spools.with_result(id, |result| result.header.clone());
+                let (Some(header), Some(reader)) = (header, spools.reader(id, 0)) else {
+                    return self
+                        .send_error(&result_removed(code::ER_TOO_BIG_SELECT))
+                        .await;
+                };
+                (header, Cursor::paged(reader))
+            }
+        };
+        if let Ok(statement) = self.statements.get(body) {
+            statement.cursor = Some(cursor);
+        }
+        let mut all: Vec<Vec<u8>> = packets(&header).map(<[u8]>::to_vec).collect();
+        let _eof = all.pop();
+        let status = SERVER_STATUS_AUTOCOMMIT | SERVER_STATUS_CURSOR_EXISTS;
+        all.push(self.result_format.last(status, None));
+        self.send_packets(all.iter().map(Vec::as_slice)).await
+    }
+
+    /// COM_STMT_FETCH: the next rows of a cursor.
+    pub(super) async fn fetch_rows(&mut self, body: Bytes) -> Result<(), SessionEnd> {
+        let rows = rows_to_fetch(&body);
+        let cursor = match self.statements.get(&body) {
+            Ok(statement) => statement.cursor.take(),
+            Err(error) => return self.send_error(&error).await,
+        };
+        let Some(mut cursor) = cursor else {
+            let message = "no cursor is open on this statement";
+            let error = SqlError::new(code::ER_STMT_HAS_NO_OPEN_CURSOR, message);
+            return self.send_error(&error).await;
+        };
+        // Whatever number is asked for, the bytes in memory are limited; the rest comes with the next fetch.
+        let fetched = match cursor.fetch(rows.max(1), MAX_FETCH_BYTES).await {
+            Ok(fetched) => fetched,
+            Err(error) => return self.send_error(&result_interrupted(&error)).await,
+        };
+        let stall_timeout = self.frontend.spools.client_stall_timeout();
+        for page in fetched.pages {
+            self.send_rows(&page, stall_timeout).await?;
+        }
+        let mut status = SERVER_STATUS_AUTOCOMMIT | SERVER_STATUS_CURSOR_EXISTS;
+        if fetched.more {
+            if let Ok(statement) = self.statements.get(&body) {
+                statement.cursor = Some(cursor);
+            }
+        } else {
+            status |= SERVER_STATUS_LAST_ROW_SENT;
+        }
+        let last = self.result_format.last(status, None);
+        self.send_packet(&last).await
+    }
+}
+
+/// The number of rows of a COM_STMT_FETCH; 0 if it is missing.
+fn rows_to_fetch(body: &Bytes) -> u32 {
+    let mut reader = PayloadReader(body.clone());
+    let _statement = reader.u32();
+    reader.u32().unwrap_or(0)
+}
--- /dev/null
+++ b/src/frontend/mysql/prepared_statements.rs
@@ -0,0 +1,321 @@
+//! Prepared statements of a session. Their ids are the session's own: every engine connection has others.
+
+use super::StatementUpstream;
+use super::administrative_statements::{self, AdministrativeStatement};
+use super::cursor::Cursor;
+use super::request::StatementRequest;
+use super::session::{Session, SessionEnd};
+use crate::dispatch::request_router::Reply;
+use crate::protocol::mysql::error::{SqlError, code};
+use crate::protocol::mysql::packet::{OK_HEADER, PacketError, PayloadReader};
+use crate::protocol::mysql::session::SessionContext;
+use crate::protocol::mysql::values::{self, Execute, ParameterType};
+use crate::protocol::statement::{self, StatementKind};
+use crate::upstream::mysql::work::{Job, Output};
+use bytes::{Bytes, BytesMut};
+use std::collections::BTreeMap;
+
+/// COM_STMT_EXECUTE asks for a cursor.
+const CURSOR_TYPE_READ_ONLY: u8 = 1;
+/// The bytes of a statement's id, before everything else in a command on it.
+const STATEMENT_ID_BYTES: usize = 4;
+/// The bytes of COM_STMT_SEND_LONG_DATA to an engine beside the data.
+const LONG_DATA_OVERHEAD_BYTES: usize = 16;
+/// Header, statement id, number of columns and of parameters, filler and warnings.
+const PREPARE_OK_BYTES: usize = 12;
+
+/// A statement that the session has prepared.
+pub(super) struct PreparedStatement {
+    /// Names were resolved in the schema of the session at that time.
+    schema: Option<String>,
+    sql: Bytes,
+    kind: StatementKind,
+    parameter_count: usize,
+    /// The parameters' types, as the client named them last.
+    bound_types: Option<Vec<ParameterType>>,
+    long_data: BTreeMap<u16, BytesMut>,
+    /// Long data exceeded its limit; reported at the execution, since the command itself has no answer.
+    long_data_too_large: bool,
+    /// It is answered here, not by an engine.
+    administrative: Option<AdministrativeStatement>,
+    /// Rows that are still to be fetched.
+    pub(super) cursor: Option<Cursor>,
+}
+
+/// The statements of a session, by their ids.
+pub(super) struct StatementRegistry {
+    statements: BTreeMap<u32, PreparedStatement>,
+    next_id: u32,
+}
+
+impl Default for StatementRegistry {
+    fn default() -> Self {
+        StatementRegistry {
+            statements: BTreeMap::new(),
+            next_id: 1,
+        }
+    }
+}
+
+/// The id that a command on a statement begins with.
+fn statement_id(body: &Bytes) -> u32 {
+    PayloadReader(body.clone()).u32().unwrap_or(0)
+}
+
+impl StatementRegistry {
+    /// The statement that a command's body names.
+    pub(super) fn get(&mut self, body: &Bytes) -> Result<&mut PreparedStatement, SqlError> {
+        let id = statement_id(body);
+        self.statements.get_mut(&id).ok_or_else(|| {
+            SqlError::new(
+                code::ER_UNKNOWN_STMT_HANDLER,
+                format!("Unknown prepared statement {id}"),
+            )
+        })
+    }
+
+    /// COM_STMT_CLOSE.
+    pub(super) fn close(&mut self, body: &Bytes) {
+        self.statements.remove(&statement_id(body));
+    }
+
+    /// COM_STMT_RESET: drops long data and the cursor.
+    pub(super) fn reset(&mut self, body: &Bytes) -> Result<(), SqlError> {
+        let statement = self.get(body)?;
+        statement.long_data.clear();
+        statement.long_data_too_large = false;
+        statement.cursor = None;
+        Ok(())
+    }
+
+    pub(super) fn clear(&mut self) {
+        self.statements.clear();
+    }
+
+    fn add(&mut self, statement: PreparedStatement) {
+        self.statements.insert(self.next_id, statement);
+        self.next_id = self.next_id.wrapping_add(1).max(1);
+    }
+}
+
+/// An execution as a client asks for it.
+struct Execution {
+    request: ExecutionRequest,
+    with_cursor: bool,
+}
+
+enum ExecutionRequest {
+    Administrative(AdministrativeStatement),
+    Engine {
+        kind: StatementKind,
+        schema: Option<String>,
+        sql: Bytes,
+        execute: Execute,
+    },
+}
+
+impl PreparedStatement {
+    /// Takes the parameters of COM_STMT_EXECUTE.
+    fn bind(&mut self, body: &Bytes) -> Result<Execution, SqlError> {
+        let long_data = std::mem::take(&mut self.long_data);
+        self.cursor = None;
+        if std::mem::take(&mut self.long_data_too_large) {
+            return Err(SqlError::new(
+                code::ER_NET_PACKET_TOO_LARGE,
+                "the long data is above the bound",
+            ));
+        }
+        let mut reader = PayloadReader(body.slice(STATEMENT_ID_BYTES..));
+        let flags = reader.u8().map_err(truncated)?;
+        if flags & !CURSOR_TYPE_READ_ONLY != 0 {
+            return Err(SqlError::new(
+                code::ER_NOT_SUPPORTED_YET,
+                "only read-only cursors are carried",
+            ));
+        }
+        let iterations = reader.u32().map_err(truncated)?;
+        if iterations != 1 {
+            return Err(SqlError::new(
+                code::ER_WRONG_ARGUMENTS,
+                "the number of iterations is not 1",
+            ));
+        }
+        let execute = values::complete_parameters(
+            self.parameter_count,
+            reader.0,
+            &mut self.bound_types,
+            &long_data,
+        )?;
+        let request = match &self.administrative {
+            Some(statement) => ExecutionRequest::Administrative(statement.clone()),
+            None => ExecutionRequest::Engine {
+                kind: self.kind.clone(),
+                schema: self.schema.clone(),
+                sql: self.sql.clone(),
+                execute,
+            },
+        };
+        Ok(Execution {
+            request,
+            with_cursor: flags == CURSOR_TYPE_READ_ONLY,
+        })
+    }
+}
+
+fn truncated(_: PacketError) -> SqlError {
+    SqlError::new(code::ER_MALFORMED_PACKET, "the command ends too early")
+}
+
+/// Why a statement cannot be prepared, if it cannot.
+fn unpreparable(kind: &StatementKind) -> Option<&'static str> {
+    match kind {
+        StatementKind::Unsupported(reason) => Some(reason),
+        StatementKind::Set
+        | StatementKind::Use(_)
+        | StatementKind::ShowWarnings
+        | StatementKind::KillQuery(_) => Some("this is not to be prepared"),
+        _ => None,
+    }
+}
+
+impl<U: StatementUpstream> Session<'_, U> {
+    /// COM_STMT_PREPARE.
+    pub(super) async fn prepare(&mut self, sql: Bytes) -> Result<(), SessionEnd> {
+        let administrative = match administrative_statements::parse(&sql) {
+            Some(Err(error)) => {
+                let error = SqlError::new(code::ER_PARSE, error.to_string());
+                return self.send_error(&error).await;
+            }
+            Some(Ok(statement)) => Some(statement),
+            None => None,
+        };
+        let kind = statement::classify(&sql);
+        if let Some(reason) = unpreparable(&kind).filter(|_| administrative.is_none()) {
+            let error = SqlError::new(code::ER_NOT_SUPPORTED_YET, reason);
+            return self.send_error(&error).await;
+        }
+        if self.statements.statements.len() >= self.frontend.config().max_statements {
+            let message = "too many prepared statements in this session; close some";
+            let error = SqlError::new(code::ER_MAX_PREPARED_STMT_COUNT_REACHED, message);
+            return self.send_error(&error).await;
+        }
+        let description = match &administrative {
+            Some(statement) => match self.describe_administrative(statement).await {
+                Ok(description) => description,
+                Err(error) => return self.send_error(&error).await,
+            },
+            None => {
+                let request = StatementRequest {
+                    kind: kind.clone(),
+                    context: self.state.context().clone(),
+                    sql: sql.clone(),
+                    job: Job::Prepare,
+                };
+                match self.execute(request).await? {
+                    Ok(Reply::Served(Output::Inline(packets))) => {
+                        packets.iter().map(<[u8]>::to_vec).collect()
+                    }
+                    other => return self.send_execution_result(other).await,
+                }
+            }
+        };
+        let statement = PreparedStatement {
+            schema: self.state.context().schema.clone(),
+            sql,
+            kind,
+            parameter_count: 0,
+            bound_types: None,
+            long_data: BTreeMap::new(),
+            long_data_too_large: false,
+            administrative,
+            cursor: None,
+        };
+        self.send_prepared(statement, description).await
+    }
+
+    /// Registers a statement whose preparation succeeded, and sends its description under the session's own id.
+    async fn send_prepared(
+        &mut self,
+        mut statement: PreparedStatement,
+        mut description: Vec<Vec<u8>>,
+    ) -> Result<(), SessionEnd> {
+        let prepare_ok = description.first_mut().filter(|packet| {
+            packet.first() == Some(&OK_HEADER) && packet.len() >= PREPARE_OK_BYTES
+        });
+        if let Some(packet) = prepare_ok {
+            packet[1..5].copy_from_slice(&self.statements.next_id.to_le_bytes());
+            statement.parameter_count = usize::from(u16::from_le_bytes([packet[7], packet[8]]));
+            self.statements.add(statement);
+        }
+        let packets: Vec<&[u8]> = description
+            .iter()
+            .map(Vec::as_slice)
+            .filter(|packet| self.wants_before_rows(packet))
+            .collect();
+        self.send_packets(packets.into_iter()).await
+    }
+
+    /// COM_STMT_EXECUTE.
+    pub(super) async fn execute_prepared(&mut self, body: Bytes) -> Result<(), SessionEnd> {
+        let execution = self
+            .statements
+            .get(&body)
+            .and_then(|statement| statement.bind(&body));
+        let Execution {
+            request,
+            with_cursor,
+        } = match execution {
+            Ok(execution) => execution,
+            Err(error) => return self.send_error(&error).await,
+        };
+        let request = match request {
+            ExecutionRequest::Administrative(statement) => {
+                return self.run_administrative(statement, true).await;
+            }
+            ExecutionRequest::Engine {
+                kind,
+                schema,
+                sql,
+                execute,
+            } => StatementRequest {
+                // Names as they were, all else as the session is now.
+                context: SessionContext {
+                    schema,
+                    ..self.context_for(&sql)
+                },
+                kind,
+                sql,
+                job: Job::Execute(execute),
+            },
+        };
+        match self.execute(request).await? {
+            Ok(Reply::Served(output)) if with_cursor => self.open_cursor(&body, output).await,
+            result => self.send_execution_result(result).await,
+        }
+    }
+
+    /// COM_STMT_SEND_LONG_DATA, which has no answer.
+    pub(super) fn add_long_data(&mut self, body: &Bytes) {
+        let max_packet = self.frontend.config().max_packet;
+        let Ok(statement) = self.statements.get(body) else {
+            return;
+        };
+        let mut reader = PayloadReader(body.slice(STATEMENT_ID_BYTES..));
+        let Ok(parameter) = reader.u16() else {
+            return;
+        };
+        let data = reader.0;
+        let collected: usize = statement.long_data.values().map(BytesMut::len).sum();
+        // All of it has to fit one packet to the engine.
+        let is_too_large = collected + data.len() + LONG_DATA_OVERHEAD_BYTES > max_packet;
+        if is_too_large || usize::from(parameter) >= statement.parameter_count {
+            statement.long_data_too_large = true;
+            return;
+        }
+        statement
+            .long_data
+            .entry(parameter)
+            .or_default()
+            .extend_from_slice(&data);
+    }
+}
--- /dev/null
+++ b/src/frontend/mysql/request.rs
@@ -0,0 +1,213 @@
+//! Sends a session's statements through the request core.
+
+use super::session::{MAX_READ_AHEAD_BYTES, Session, SessionEnd, contains_quit, end_of_read_ahead};
+use super::sticky::ExecutionResult;
+use super::{Frontend, StatementUpstream};
+use crate::clock::{MAX_ESTIMATED_MEMORY_MB, MAX_ESTIMATED_WORK_MS, unix_time_millis};
+use crate::config::MysqlFrontendConfig;
+use crate::core::{NewRequest, RequestId, RequestOutcome};
+use crate::decision::model::{ClassId, Millis};
+use crate::dispatch::request_router::{Reply, RequestRouter};
+use crate::protocol::mysql::session::SessionContext;
+use crate::protocol::statement::{self, Hints, StatementKind};
+use crate::spool::{Admission, AdmissionRequest};
+use crate::spool_io::{MAX_STATEMENT_CHARS, ResultOwner};
+use crate::upstream::mysql::work::{Job, Output, Work};
+use bytes::Bytes;
+use std::rc::Rc;
+use tokio::sync::oneshot;
+
+/// Why a request fails that another session of its user has killed.
+pub(super) const KILLED: &str = "it was killed by KILL QUERY";
+/// The time of a request whose class has none configured.
+const DEFAULT_TIME_LIMIT_MS: Millis = 10_000.0;
+
+/// A statement that an engine is to execute.
+pub(super) struct StatementRequest {
+    pub(super) kind: StatementKind,
+    /// The state that the engine connection has to be in.
+    pub(super) context: SessionContext,
+    pub(super) sql: Bytes,
+    pub(super) job: Job,
+}
+
+impl StatementRequest {
+    pub(super) fn reads(&self) -> bool {
+        self.kind == StatementKind::Read
+    }
+}
+
+/// Abandons a request when it is dropped: its client may disconnect at any time.
+pub(super) struct RequestGuard<'a, U: StatementUpstream> {
+    router: &'a Rc<RequestRouter<U>>,
+    id: RequestId,
+}
+
+impl<U: StatementUpstream> Drop for RequestGuard<'_, U> {
+    fn drop(&mut self) {
+        self.router.abandon(self.id);
+    }
+}
+
+impl<U: StatementUpstream> Frontend<U> {
+    /// Opens a request; its one answer comes through the receiver.
+    pub(super) fn open_request(
+        &self,
+        request: NewRequest,
+        work: Work,
+    ) -> (RequestGuard<'_, U>, oneshot::Receiver<Reply<Output>>) {
+        let (sender, receiver) = oneshot::channel();
+        let id = self.router.open(
+            request,
+            work,
+            Box::new(move |reply| drop(sender.send(reply))),
+        );
+        let guard = RequestGuard {
+            router: &self.router,
+            id,
+        };
+        (guard, receiver)
+    }
+}
+
+/// The time limit of a class, in milliseconds.
+pub(super) fn time_limit(config: &MysqlFrontendConfig, class: ClassId) -> Millis {
+    config
+        .deadlines
+        .get(class)
+        .copied()
+        .unwrap_or(DEFAULT_TIME_LIMIT_MS)
+}
+
+/// The value of a numeric hint; one out of range counts as none.
+fn numeric_hint(hints: &Hints, name: &str, max: f64) -> Option<f64> {
+    hints
+        .get(name)
+        .and_then(|value| value.parse::<f64>().ok())
+        .filter(|value| *value > 0.0 && *value <= max)
+}
+
+impl<U: StatementUpstream> Session<'_, U> {
+    /// Sends a statement through the core and waits for its one answer, or for the client to disconnect.
+    pub(super) async fn dispatch(
+        &mut self,
+        request: StatementRequest,
+    ) -> Result<Reply<Output>, SessionEnd> {
+        let config = self.frontend.config();
+        let hints = Hints::parse(&request.sql);
+        let is_prepare = matches!(request.job, Job::Prepare);
+        let class = match is_prepare {
+            // Preparing runs nothing, so it may be repeated, whatever the statement does.
+            true => config.class_rules.read_class,
+            false => config
+                .class_rules
+                .class_of(request.reads(), hints.get("class"), &request.sql),
+        };
+        let admission = self.admission_request(class, &request);
+        // Where its result could not be stored, nothing is sent: nothing has run.
+        if !is_prepare && let Err(rejection) = self.admit_result(admission) {
+            self.frontend
+                .router
+                .record_rejection(class, RequestOutcome::Overload);
+            return Ok(rejection);
+        }
+        let limit = time_limit(&config, class);
+        let new_request = NewRequest {
+            class,
+            tenant: self.tenant,
+            group: statement::table_group(&request.sql),
+            deadline: unix_time_millis()
+                + numeric_hint(&hints, "limit", MAX_ESTIMATED_WORK_MS)
+                    .unwrap_or(limit)
+                    .min(limit),
+            work: numeric_hint(&hints, "cpu", MAX_ESTIMATED_WORK_MS),
+            memory_mb: numeric_hint(&hints, "mem", MAX_ESTIMATED_MEMORY_MB),
+        };
+        let work = self.work(request, admission);
+        self.wait_for_reply(new_request, work).await
+    }
+
+    async fn wait_for_reply(
+        &mut self,
+        request: NewRequest,
+        work: Work,
+    ) -> Result<Reply<Output>, SessionEnd> {
+        let frontend = self.frontend;
+        let (_abandons, mut reply) = frontend.open_request(request, work);
+        tokio::select! {
+            biased;
+            reply = &mut reply => {
+                Ok(reply.unwrap_or(Reply::Failed { reason: "the request was lost" }))
+            }
+            () = self.downstream.killed() => Ok(Reply::Failed { reason: KILLED }),
+            // A client that sends its next command early has not left; one that quits has, and one that closes.
+            end = self.wire.read_ahead(MAX_READ_AHEAD_BYTES, contains_quit) => Err(end_of_read_ahead(end)),
+        }
+    }
+
+    pub(super) fn admission_request(
+        &self,
+        class: ClassId,
+        request: &StatementRequest,
+    ) -> AdmissionRequest {
+        AdmissionRequest {
+            tenant: self.tenant,
+            class,
+            protected: !request.reads(),
+        }
+    }
+
+    /// Whether a result can be stored; else the answer that rejects the request.
+    pub(super) fn admit_result(&self, request: AdmissionRequest) -> Result<(), Reply<Output>> {
+        match self.frontend.spools.admit(request) {
+            Admission::Rejected {
+                reason,
+                retry_after,
+            } => Err(Reply::Rejected {
+                retry_after,
+                reason,
+            }),
+            _ => Ok(()),
+        }
+    }
+
+    /// The work of a statement, on behalf of this session.
+    pub(super) fn work(&self, request: StatementRequest, admission: AdmissionRequest) -> Work {
+        let statement = String::from_utf8_lossy(&request.sql)
+            .chars()
+            .take(MAX_STATEMENT_CHARS)
+            .collect();
+        Work {
+            owner: ResultOwner {
+                user: self.user.clone(),
+                statement,
+                binary: matches!(request.job, Job::Execute(_)),
+            },
+            context: request.context,
+            sql: request.sql,
+            job: request.job,
+            admission,
+            warnings: self.warnings.clone(),
+            downstream: self.downstream.clone(),
+        }
+    }
+
+    /// Executes a statement and sends its answer.
+    pub(super) async fn execute_and_reply(
+        &mut self,
+        request: StatementRequest,
+    ) -> Result<(), SessionEnd> {
+        let result = self.execute(request).await?;
+        self.send_execution_result(result).await
+    }
+
+    pub(super) async fn send_execution_result(
+        &mut self,
+        result: ExecutionResult,
+    ) -> Result<(), SessionEnd> {
+        match result {
+            Ok(reply) => self.send_reply(reply).await,
+            Err(error) => self.send_error(&error).await,
+        }
+    }
+}
--- a/src/frontend/mysql/settings.rs
+++ b/src/frontend/mysql/settings.rs
@@ -1,98 +1,138 @@
-//! SET: what a session sets is taken in as data, after an engine has agreed where it may say no.
+//! SET: what a session sets is applied as data, after an engine has agreed where it may disagree.
 
-use crate::frontend::mysql::*;
+use super::StatementUpstream;
+use super::request::StatementRequest;
+use super::session::{Session, SessionEnd};
+use crate::dispatch::request_router::Reply;
+use crate::protocol::mysql::error::{SqlError, code};
+use crate::protocol::mysql::packet::{
+    NULL_VALUE, OK_HEADER, PayloadReader, is_err, parse_err_packet,
+};
 use crate::protocol::mysql::session::set::{self, Change, SetError};
-use crate::protocol::mysql::session::{SessionState, sql_literal};
-use crate::protocol::mysql::session::{SetOutcome, Validation};
-
-impl<U: Upstream<Work = Work, Output = Output>> Session<'_, U> {
-    pub(super) async fn set(&mut self, sql: Bytes) -> Result<(), End> {
-        // On a pin the next transaction begins on its connection, which has to hear of it.
-        if self.hold.is_some()
-            && set::parse(&sql).is_ok_and(|c| matches!(c[..], [Change::NextTransaction(_)]))
-        {
+use crate::protocol::mysql::session::{
+    SessionContext, SessionState, SetOutcome, Validation, sql_literal,
+};
+use crate::protocol::statement::{self, StatementKind};
+use crate::upstream::mysql::work::{Job, Output, error_of_reply};
+use bytes::Bytes;
+
+/// Catalog, schema, table, original table, name and original name of a column definition.
+const COLUMN_TEXTS: usize = 6;
+/// Character set and length of a column definition, before its type.
+const COLUMN_CHARSET_AND_LENGTH_BYTES: usize = 6;
+/// A first packet that announces one column.
+const ONE_COLUMN: [u8; 1] = [1];
+
+/// The state after a SET, and whether an engine has to agree first.
+struct NewState {
+    state: SessionState,
+    validation: Validation,
+}
+
+impl<U: StatementUpstream> Session<'_, U> {
+    /// Executes a SET.
+    pub(super) async fn set(&mut self, sql: Bytes) -> Result<(), SessionEnd> {
+        if self.sticky.is_some() && sets_next_transaction(&sql) {
+            // The next transaction begins on the session's connection, which has to be told.
             let context = self.state.context().clone();
-            return match self
-                .carry(&StatementKind::WithinTransaction, context, sql, Job::Query)
-                .await?
-            {
-                Ok(reply) => self.pass_on(reply).await,
-                Err(e) => self.say(&e).await,
-            };
+            return self
+                .execute_and_reply(StatementRequest {
+                    kind: StatementKind::WithinTransaction,
+                    context,
+                    sql,
+                    job: Job::Query,
+                })
+                .await;
         }
-        match self.taken(&sql).await? {
-            Ok((state, false)) => {
-                let context = state.context().clone();
-                match self
-                    .carry(&StatementKind::Read, context, Bytes::new(), Job::Enter)
-                    .await?
-                {
-                    Ok(reply) if agreed(&reply) => {
-                        self.state = state;
-                        let ok = self.ok();
-                        self.write([&ok[..]].into_iter()).await
-                    }
-                    Ok(reply) => self.pass_on(reply).await,
-                    Err(e) => self.say(&e).await,
+        match self.evaluate_set(&sql).await? {
+            Ok(NewState { state, validation }) => match validation {
+                Validation::Done => {
+                    self.state = state;
+                    self.send_ok().await
                 }
-            }
-            Ok((state, true)) => {
+                Validation::NeedsEngine => self.validate_on_engine(state).await,
+            },
+            Err(error) => self.send_error(&error).await,
+        }
+    }
+
+    /// Applies the state if an engine connection accepts it.
+    async fn validate_on_engine(&mut self, state: SessionState) -> Result<(), SessionEnd> {
+        let request = StatementRequest {
+            kind: StatementKind::Read,
+            context: state.context().clone(),
+            sql: Bytes::new(),
+            job: Job::EnterContext,
+        };
+        match self.execute(request).await? {
+            Ok(reply) if is_ok(&reply) => {
                 self.state = state;
-                let ok = self.ok();
-                self.write([&ok[..]].into_iter()).await
+                self.send_ok().await
             }
-            Err(e) => self.say(&e).await,
+            result => self.send_execution_result(result).await,
         }
     }
 
-    /// The state after this SET; true if no engine need be asked.
-    async fn taken(&mut self, sql: &Bytes) -> Result<Result<(SessionState, bool), SqlError>, End> {
+    /// The state after a SET; its expressions are evaluated by engines.
+    async fn evaluate_set(
+        &mut self,
+        sql: &Bytes,
+    ) -> Result<Result<NewState, SqlError>, SessionEnd> {
         let changes = match set::parse(sql) {
             Ok(changes) => changes,
-            Err(e) => return Ok(Err(told(&e))),
+            Err(error) => return Ok(Err(set_error(&error))),
         };
-        let asks = match self.state.set(&changes, &[]) {
-            Ok(SetOutcome::NeedsValues(asks)) => asks,
+        let expressions = match self.state.set(&changes, &[]) {
+            Ok(SetOutcome::NeedsValues(expressions)) => expressions,
             Ok(SetOutcome::Changed { state, validation }) => {
-                return Ok(Ok((
-                    state,
-                    validation == Validation::Done && self.hold.is_none(),
-                )));
+                return Ok(Ok(self.new_state(state, validation)));
             }
-            Err(e) => return Ok(Err(told(&e))),
+            Err(error) => return Ok(Err(set_error(&error))),
         };
         let mut values = vec![];
-        for expression in asks {
-            let select = Bytes::from(format!("SELECT {expression}"));
-            if statement::classify(&select) != StatementKind::Read {
-                let reason = "SET takes values that can be read without leaving anything behind";
-                return Ok(Err(SqlError::new(code::ER_NOT_SUPPORTED_YET, reason)));
-            }
-            let context = self.context_for(&select);
-            match self
-                .carry(&StatementKind::Read, context, select, Job::Query)
-                .await?
-            {
-                Ok(reply) => match one_value(&reply) {
-                    Ok(value) => values.push(value),
-                    Err(e) => return Ok(Err(e)),
-                },
-                Err(e) => return Ok(Err(e)),
+        for expression in expressions {
+            match self.evaluate(&expression).await? {
+                Ok(value) => values.push(value),
+                Err(error) => return Ok(Err(error)),
             }
         }
         Ok(match self.state.set(&changes, &values) {
-            Ok(SetOutcome::Changed { state, validation }) => {
-                Ok((state, validation == Validation::Done && self.hold.is_none()))
-            }
+            Ok(SetOutcome::Changed { state, validation }) => Ok(self.new_state(state, validation)),
             Ok(SetOutcome::NeedsValues(_)) => Err(SqlError::new(
                 code::ER_NOT_SUPPORTED_YET,
                 "a value of SET is not known",
             )),
-            Err(e) => Err(told(&e)),
+            Err(error) => Err(set_error(&error)),
         })
     }
 
-    /// Where a statement stands; one that asks for it gets the session's LAST_INSERT_ID.
+    /// A sticky session's connection always has to follow.
+    fn new_state(&self, state: SessionState, validation: Validation) -> NewState {
+        let validation = match self.sticky {
+            Some(_) => Validation::NeedsEngine,
+            None => validation,
+        };
+        NewState { state, validation }
+    }
+
+    /// The value of an expression as a literal, evaluated by an engine.
+    async fn evaluate(&mut self, expression: &str) -> Result<Result<String, SqlError>, SessionEnd> {
+        let select = Bytes::from(format!("SELECT {expression}"));
+        if statement::classify(&select) != StatementKind::Read {
+            let reason = "SET takes values that can be read without leaving anything behind";
+            return Ok(Err(SqlError::new(code::ER_NOT_SUPPORTED_YET, reason)));
+        }
+        let request = StatementRequest {
+            kind: StatementKind::Read,
+            context: self.context_for(&select),
+            sql: select,
+            job: Job::Query,
+        };
+        let result = self.execute(request).await?;
+        Ok(result.and_then(|reply| single_value(&reply)))
+    }
+
+    /// The context of a statement; one that reads it gets the session's LAST_INSERT_ID.
     pub(super) fn context_for(&self, sql: &[u8]) -> SessionContext {
         match statement::reads_last_insert_id(sql) {
             true => self.state.context_with_insert_id(),
@@ -101,62 +141,71 @@
     }
 }
 
-fn told(e: &SetError) -> SqlError {
-    let code = if matches!(e, SetError::Syntax { .. }) {
-        code::ER_PARSE
-    } else {
-        code::ER_NOT_SUPPORTED_YET
+fn sets_next_transaction(sql: &[u8]) -> bool {
+    set::parse(sql).is_ok_and(|changes| matches!(changes[..], [Change::NextTransaction(_)]))
+}
+
+fn set_error(error: &SetError) -> SqlError {
+    let code = match error {
+        SetError::Syntax { .. } => code::ER_PARSE,
+        SetError::Unsupported(_) => code::ER_NOT_SUPPORTED_YET,
     };
-    SqlError::new(code, e.to_string())
+    SqlError::new(code, error.to_string())
 }
 
-fn agreed(reply: &Reply<Output>) -> bool {
-    let Reply::Served(Output::Short(packets)) = reply else {
+fn is_ok(reply: &Reply<Output>) -> bool {
+    let Reply::Served(output) = reply else {
         return false;
     };
-    packets.iter().next().and_then(|p| p.first()) == Some(&0)
+    output.first_packet().and_then(<[u8]>::first) == Some(&OK_HEADER)
+}
+
+fn not_single_value() -> SqlError {
+    SqlError::new(
+        code::ER_NOT_SUPPORTED_YET,
+        "SET takes one value that is not long",
+    )
 }
 
 /// The one value of a result, as a literal.
-fn one_value(reply: &Reply<Output>) -> Result<String, SqlError> {
-    if let Some(e) = error_of(reply) {
-        return Err(e);
+fn single_value(reply: &Reply<Output>) -> Result<String, SqlError> {
+    if let Some(error) = error_of_reply(reply) {
+        return Err(error);
     }
-    let several = || {
-        SqlError::new(
-            code::ER_NOT_SUPPORTED_YET,
-            "SET takes one value that is not long",
-        )
+    let Reply::Served(Output::Inline(packets)) = reply else {
+        return Err(not_single_value());
     };
-    let Reply::Served(Output::Short(packets)) = reply else {
-        return Err(several());
-    };
-    let all: Vec<Bytes> = packets.iter().map(Bytes::copy_from_slice).collect();
-    match &all[..] {
-        [e] if e.first() == Some(&0xff) => Err(parse_err_packet(e)),
-        // One column, its end, one row, its end.
-        [count, column, _, row, _] if count[..] == [1] => {
-            let null = row.first() == Some(&0xfb);
-            let mut r = PayloadReader(row.clone());
-            let value = if null {
-                None
-            } else {
-                Some(r.length_encoded_bytes().map_err(|_| several())?)
+    let packets: Vec<Bytes> = packets.iter().map(Bytes::copy_from_slice).collect();
+    match &packets[..] {
+        [error] if is_err(error) => Err(parse_err_packet(error)),
+        [count, column, _column_end, row, _row_end] if count[..] == ONE_COLUMN => {
+            let value = match row.first() {
+                Some(&NULL_VALUE) => None,
+                _ => Some(
+                    PayloadReader(row.clone())
+                        .length_encoded_bytes()
+                        .map_err(|_| not_single_value())?,
+                ),
             };
-            let numeric = column_type(column).is_some_and(|t| matches!(t, 0..=5 | 8 | 9 | 0xf6));
+            let numeric = column_type(column).is_some_and(is_numeric);
             Ok(sql_literal(value.as_deref(), numeric))
         }
-        _ => Err(several()),
+        _ => Err(not_single_value()),
     }
 }
 
-/// The type of a column, by its definition.
-fn column_type(column: &Bytes) -> Option<u8> {
-    let mut r = PayloadReader(column.clone());
-    for _ in 0..6 {
-        r.length_encoded_bytes().ok()?;
+/// DECIMAL, TINY, SHORT, LONG, FLOAT, DOUBLE, LONGLONG, INT24 and NEWDECIMAL.
+fn is_numeric(column_type: u8) -> bool {
+    matches!(column_type, 0..=5 | 8 | 9 | 0xf6)
+}
+
+/// The type in a column definition.
+fn column_type(definition: &Bytes) -> Option<u8> {
+    let mut reader = PayloadReader(definition.clone());
+    for _ in 0..COLUMN_TEXTS {
+        reader.length_encoded_bytes().ok()?;
     }
-    r.length_encoded_integer().ok()?;
-    r.bytes(6).ok()?;
-    r.u8().ok()
+    let _fixed_fields_length = reader.length_encoded_integer().ok()?;
+    reader.bytes(COLUMN_CHARSET_AND_LENGTH_BYTES).ok()?;
+    reader.u8().ok()
 }
--- a/src/upstream/mysql/downstream.rs
+++ b/src/upstream/mysql/downstream.rs
@@ -1,5 +1,5 @@
-//! A session's client, as whoever writes to an engine on its behalf sees it at that very moment. The session's task hears
-//! of its client's end when the runtime does, which may be a long turn later; the machine knows at once.
+//! A session's client, as whoever writes to an engine on its behalf sees it at that moment. The session's task learns
+//! of its client's disconnect when the runtime does, which may be a long poll later; the socket knows at once.
 
 use crate::clock::unix_time_millis;
 use crate::decision::model::Millis;
@@ -9,79 +9,81 @@
 use std::cell::Cell;
 use tokio::sync::Notify;
 
-/// What a look at a client shows.
+/// The state of a client whose request is in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Look {
+pub enum ClientState {
     /// It waits for its answer.
-    Waits,
-    /// It has said something that its session has not read: its end may stand behind.
-    Unheard,
-    /// It has closed or reset its connection, or what it asks is killed.
-    Gone,
+    Waiting,
+    /// It has sent something that its session has not read: its disconnect may be behind it.
+    UnreadInput,
+    /// It has closed or reset its connection, or its request was killed.
+    Disconnected,
 }
 
 /// The client of one session.
 #[derive(Debug)]
 pub struct Downstream {
     socket: SocketProbe,
-    /// Another session of its user has killed what it asks.
+    /// Another session of its user has killed its request.
     killed: Cell<bool>,
-    told: Notify,
+    kill_notification: Notify,
 }
 
 impl Downstream {
+    /// The client on this socket.
     pub fn new(socket: SocketProbe) -> Self {
         Downstream {
             socket,
             killed: Cell::new(false),
-            told: Notify::new(),
+            kill_notification: Notify::new(),
         }
     }
 
-    /// Its next command begins: a kill that has come before was meant for another.
-    pub fn begins(&self) {
+    /// Its next command begins: an earlier kill was meant for another.
+    pub fn begin_command(&self) {
         self.killed.set(false);
     }
 
-    /// What it asks is killed, from this very moment on.
+    /// Kills its request, with effect at once.
     pub fn kill(&self) {
         self.killed.set(true);
-        self.told.notify_waiters();
+        self.kill_notification.notify_waiters();
     }
 
-    /// Ends once what it asks is killed.
+    /// Completes once its request is killed.
     pub async fn killed(&self) {
         while !self.killed.get() {
-            self.told.notified().await;
+            self.kill_notification.notified().await;
         }
     }
 
-    pub fn look(&self) -> Look {
+    /// The client's state at this moment.
+    pub fn state(&self) -> ClientState {
         match self.socket.pending_input() {
-            _ if self.killed.get() => Look::Gone,
-            PendingInput::Empty => Look::Waits,
-            PendingInput::Bytes => Look::Unheard,
-            PendingInput::Closed => Look::Gone,
+            _ if self.killed.get() => ClientState::Disconnected,
+            PendingInput::Empty => ClientState::Waiting,
+            PendingInput::Bytes => ClientState::UnreadInput,
+            PendingInput::Closed => ClientState::Disconnected,
         }
     }
 
-    /// Ends while it waits for its answer; nothing awaits between the last look and the return. What it has said meanwhile
-    /// its session reads first, which ends what it asks if there is a last word in it.
+    /// Completes while the client waits for its answer; nothing awaits between the last check and the return. Its
+    /// session reads first what the client has sent meanwhile, and ends the request if a disconnect is among it.
     ///
     /// # Errors
-    /// It has gone, or goes on talking past the time of its request.
-    pub async fn heed(&self, until: Millis) -> Result<(), PacketError> {
+    /// It has disconnected, or goes on sending past the deadline of its request (Unix time in milliseconds).
+    pub async fn ensure_waiting(&self, deadline: Millis) -> Result<(), PacketError> {
         loop {
-            match self.look() {
-                Look::Waits => return Ok(()),
-                Look::Gone => return Err(PacketError::ClientDisconnected),
-                Look::Unheard if unix_time_millis() >= until => {
+            match self.state() {
+                ClientState::Waiting => return Ok(()),
+                ClientState::Disconnected => return Err(PacketError::ClientDisconnected),
+                ClientState::UnreadInput if unix_time_millis() >= deadline => {
                     return Err(PacketError::Protocol(
                         "what its client has said was not read in time",
                     ));
                 }
-                // The runtime hears of what is unread, and the session's task comes before this one again.
-                Look::Unheard => tokio::task::yield_now().await,
+                // The runtime learns of the unread input, and the session's task is polled before this one again.
+                ClientState::UnreadInput => tokio::task::yield_now().await,
             }
         }
     }
--- /dev/null
+++ b/src/upstream/mysql/errors.rs
@@ -0,0 +1,47 @@
+//! What an engine's error number says about the engine.
+
+use super::work::Output;
+use crate::decision::model::Outcome;
+
+/// Whether the engine had no capacity: nothing ran.
+pub(super) fn is_engine_full(code: u16) -> bool {
+    const ER_CON_COUNT_ERROR: u16 = 1040;
+    const ER_TOO_MANY_USER_CONNECTIONS: u16 = 1203;
+    const ER_USER_LIMIT_REACHED: u16 = 1226;
+    matches!(
+        code,
+        ER_CON_COUNT_ERROR | ER_TOO_MANY_USER_CONNECTIONS | ER_USER_LIMIT_REACHED
+    )
+}
+
+/// Whether it is a fault of the engine, which may have occurred while the statement ran: shutdown, a kill, its time
+/// limit, a deadlock.
+pub(super) fn is_engine_fault(code: u16) -> bool {
+    const ER_SERVER_SHUTDOWN: u16 = 1053;
+    const ER_LOCK_WAIT_TIMEOUT: u16 = 1205;
+    const ER_LOCK_DEADLOCK: u16 = 1213;
+    const ER_QUERY_INTERRUPTED: u16 = 1317;
+    const ER_QUERY_TIMEOUT: u16 = 3024;
+    const ER_SERVER_ISNT_AVAILABLE: u16 = 3168;
+    matches!(
+        code,
+        ER_SERVER_SHUTDOWN
+            | ER_LOCK_WAIT_TIMEOUT
+            | ER_LOCK_DEADLOCK
+            | ER_QUERY_INTERRUPTED
+            | ER_QUERY_TIMEOUT
+            | ER_SERVER_ISNT_AVAILABLE
+    )
+}
+
+/// The outcome that an engine's answer makes of its attempt; `None` if it is the statement's own answer.
+pub(super) fn outcome_of(output: &Output) -> Option<Outcome> {
+    let code = output.sql_error()?.code;
+    if is_engine_full(code) {
+        Some(Outcome::Rejected)
+    } else if is_engine_fault(code) {
+        Some(Outcome::Error)
+    } else {
+        None
+    }
+}
--- /dev/null
+++ b/src/upstream/mysql/login.rs
@@ -0,0 +1,116 @@
+//! Connecting to an engine and logging in.
+
+use super::connection::{Connection, ConnectionId};
+use crate::clock::{duration_from_millis, unix_time_millis};
+use crate::config::{EngineCredentials, SocketSettings};
+use crate::protocol::mysql::auth::{self, MYSQL_NATIVE_PASSWORD};
+use crate::protocol::mysql::packet::{
+    EOF_HEADER, ERR_HEADER, Greeting, Login, OK_HEADER, PacketCodec, PacketError, PayloadReader,
+    ResultFormat, parse_err_packet, read_packet,
+};
+use crate::transport::buffer_pool::BufferPool;
+use crate::transport::framed_connection::FramedConnection;
+use bytes::Bytes;
+use futures_util::SinkExt;
+use std::io;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::net::TcpStream;
+
+/// The first byte of a packet with more data for the authentication plugin.
+const AUTH_MORE_DATA_HEADER: u8 = 0x01;
+/// `caching_sha2_password`: the response was found in the engine's cache; an OK follows.
+const FAST_AUTH_SUCCESS: u8 = 3;
+
+/// Opens connections with the dispatcher's own account.
+pub(super) struct Connector {
+    pub(super) access: EngineCredentials,
+    pub(super) sockets: SocketSettings,
+    pub(super) buffers: BufferPool,
+}
+
+impl Connector {
+    /// Connects and logs in, each within the time for a connection.
+    pub(super) async fn open(&self, address: SocketAddr) -> Result<Connection, PacketError> {
+        let limit = duration_from_millis(self.sockets.connect_timeout);
+        let opened = unix_time_millis();
+        let tcp = tokio::time::timeout(limit, TcpStream::connect(address))
+            .await
+            .map_err(io::Error::from)??;
+        tcp.set_nodelay(true)?;
+        let codec = PacketCodec {
+            max_packet: self.access.max_packet,
+            sequence: 0,
+        };
+        let mut wire = FramedConnection::new(&self.buffers, tcp, codec);
+        let number = tokio::time::timeout(limit, self.log_in(&mut wire))
+            .await
+            .map_err(io::Error::from)??;
+        Ok(Connection::new(
+            wire,
+            ConnectionId { address, number },
+            opened,
+        ))
+    }
+
+    /// Time for a command without a result, such as a setting or a kill.
+    pub(super) fn control_timeout(&self) -> Duration {
+        duration_from_millis(4.0 * self.sockets.connect_timeout)
+    }
+
+    /// Answers the greeting; the connection's number at the engine.
+    async fn log_in(&self, wire: &mut FramedConnection<PacketCodec>) -> Result<u32, PacketError> {
+        let greeting = Greeting::read(read_packet(&mut **wire).await?)?;
+        let login = self.login(&greeting);
+        wire.send(&login.write(self.access.max_packet as u32)[..])
+            .await?;
+        loop {
+            let packet = read_packet(&mut **wire).await?;
+            match packet.first() {
+                Some(&OK_HEADER) => return Ok(greeting.connection),
+                Some(&ERR_HEADER) => return Err(PacketError::Server(parse_err_packet(&packet))),
+                Some(&EOF_HEADER) => {
+                    let response = self.switch_plugin(&packet)?;
+                    wire.send(&response[..]).await?;
+                }
+                Some(&AUTH_MORE_DATA_HEADER) if packet.get(1) == Some(&FAST_AUTH_SUCCESS) => {}
+                _ => {
+                    return Err(PacketError::Protocol(
+                        "it asks for a password over an open line",
+                    ));
+                }
+            }
+        }
+    }
+
+    /// A response for the plugin that the engine suggests, or for the oldest one if that is unknown here.
+    fn login(&self, greeting: &Greeting) -> Login {
+        let password = &self.access.password;
+        let suggested = auth::auth_response(&greeting.plugin, password, &greeting.nonce);
+        let (plugin, response) = match suggested {
+            Some(response) => (greeting.plugin.clone(), response),
+            None => (
+                MYSQL_NATIVE_PASSWORD.into(),
+                auth::auth_response(MYSQL_NATIVE_PASSWORD, password, &greeting.nonce)
+                    .unwrap_or_default(),
+            ),
+        };
+        Login {
+            user: self.access.user.clone(),
+            auth: response,
+            schema: None,
+            plugin,
+            result_format: ResultFormat::default(),
+        }
+    }
+
+    /// The response to an engine that asks for another plugin.
+    fn switch_plugin(&self, packet: &Bytes) -> Result<Vec<u8>, PacketError> {
+        let mut reader = PayloadReader(packet.slice(1..));
+        let plugin = reader.text();
+        let nonce = reader.0.strip_suffix(&[0]).unwrap_or(&reader.0);
+        auth::auth_response(&plugin, &self.access.password, nonce).ok_or(PacketError::Protocol(
+            "it asks for an unknown way of authentication",
+        ))
+    }
+}
--- a/tests/stored/members.rs
+++ b/tests/stored/members.rs
@@ -1,7 +1,9 @@
 //! The snapshot of membership as a record.
 
 use query_dispatcher::membership::Version;
-use query_dispatcher::membership::snapshot::{SNAPSHOT_FORMAT_VERSION, PersistedInstance, Snapshot};
+use query_dispatcher::membership::snapshot::{
+    PersistedInstance, SNAPSHOT_FORMAT_VERSION, Snapshot,
+};
 use query_dispatcher::storage::{LocalFileSystem, RecordError, RecordKind, RecordStore};
 use std::path::Path;
 
