--- a/tests/external_interface.rs
+++ b/tests/external_interface.rs
@@ -302,15 +302,15 @@
     const REPORT: [f64; 5] = [7.0, 0.0, 0.61, 41.0, 1000.0];
     /// Requests that pay for one message.
     const REQUESTS: usize = 50;
-    let terms = gossip::GossipBudget {
-        peers: 2,
-        price: 1.0,
-        fields: REPORT.len(),
+    let budget = gossip::GossipBudget {
+        dispatchers: 2,
+        message_price: 1.0,
+        report_fields: REPORT.len(),
     };
-    let mut bulletin = gossip::Broadcaster::new(terms);
-    bulletin.list([ENGINE].into_iter());
-    (0..REQUESTS).for_each(|_| bulletin.taken());
-    let message = bulletin.learned(0.0, ENGINE, &REPORT).unwrap();
+    let mut broadcaster = gossip::Broadcaster::new(budget);
+    broadcaster.set_engines([ENGINE].into_iter());
+    (0..REQUESTS).for_each(|_| broadcaster.credit_request());
+    let message = broadcaster.offer_report(0.0, ENGINE, &REPORT).unwrap();
     let mut told = format!("message: {}\n", printable(&message));
     for (what, message) in [
         ("itself", message.clone()),
@@ -319,8 +319,8 @@
         ("no text", [&message[..message.len() - 1], &[0x80]].concat()),
         ("nothing", vec![]),
     ] {
-        let heard = bulletin
-            .heard(0.0, &message)
+        let heard = broadcaster
+            .receive(0.0, &message)
             .map_err(|error| error.to_string());
         told += &format!("{what}: {heard:?}\n");
     }
