--- a/src/spool/disk_health.rs
+++ b/src/spool/disk_health.rs
@@ -1,118 +1,145 @@
-//! How the disk does, as its answers tell: a disk that is full, slow, read-only or broken is a state, not an end.
+//! The health of the spool disk, judged by the outcome of its writes. A disk that is full, slow, read-only or broken is
+//! a state to recover from, not the end of the process.
 
 use crate::decision::model::Millis;
 
-/// After a failure the disk is tried again in this time, in milliseconds.
-pub const REST: Millis = 5_000.0;
-/// A write that takes longer than this, in milliseconds, is slow; ...
-pub const SLOW: Millis = 1_000.0;
-/// ... and so the disk counts for this long after the last of them.
-pub const SLOW_FOR: Millis = 10_000.0;
+/// After a failed write the disk is tried again in this time, in milliseconds.
+pub const RETRY_INTERVAL_MS: Millis = 5_000.0;
+/// A write that takes longer than this, in milliseconds, is slow.
+pub const SLOW_WRITE_MS: Millis = 1_000.0;
+/// The disk counts as slow for this long after its last slow write, in milliseconds.
+pub const SLOW_STATE_MS: Millis = 10_000.0;
 
-/// What operators are told.
+/// The state of the disk. Each `since` is a time on the Unix clock, in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiskState {
-    /// The configuration names none.
+    /// No spool directory is configured.
     Absent,
-    Well,
-    /// It has no room; what is stored can be read.
+    /// Writes succeed in time.
+    Healthy,
+    /// The disk has no space left. Stored pages can be read.
     Full {
+        /// When writes began to fail.
         since: Millis,
     },
-    /// Its errors are of another kind (read-only, broken): the last one's words.
+    /// Writes fail with another error, as on a read-only or broken disk.
     Failing {
+        /// When writes began to fail.
         since: Millis,
+        /// The message of the last error.
         reason: String,
     },
-    /// It does what it is asked, late.
+    /// Writes succeed, but take too long.
     Slow {
+        /// When the disk became slow.
         since: Millis,
     },
 }
 
-/// What a write came to.
+/// The outcome of a write to the disk.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Wrote {
-    Well,
+pub enum WriteOutcome {
+    /// The write succeeded.
+    Success,
+    /// The disk has no space left.
     Full,
+    /// The write failed with this message.
     Failed(String),
 }
 
-/// Keeps the disk's state.
+/// Tracks the state of the disk.
 #[derive(Clone, Debug)]
-pub struct DiskWatch {
+pub struct DiskHealth {
     state: DiskState,
-    /// Nothing is written before.
-    rest_until: Millis,
-    slow_at: Option<Millis>,
-    pub failures: u64,
+    /// After a failure nothing is written before this time.
+    retry_at: Millis,
+    last_slow_write_at: Option<Millis>,
+    failures: u64,
 }
 
-impl DiskWatch {
-    pub fn new(present: bool) -> Self {
-        let state = if present {
-            DiskState::Well
+impl DiskHealth {
+    /// A healthy disk, or an absent one if no spool directory is configured.
+    pub fn new(configured: bool) -> Self {
+        let state = if configured {
+            DiskState::Healthy
         } else {
             DiskState::Absent
         };
-        DiskWatch {
+        DiskHealth {
             state,
-            rest_until: f64::MIN,
-            slow_at: None,
+            retry_at: f64::MIN,
+            last_slow_write_at: None,
             failures: 0,
         }
     }
 
-    /// Something was written, and took so long in milliseconds. True if the state is another by it.
-    pub fn wrote(&mut self, now: Millis, took: Millis, what: Wrote) -> bool {
-        let before = std::mem::discriminant(&self.state);
-        if took > SLOW {
-            self.slow_at = Some(now);
+    /// Records the outcome of a write and its duration in milliseconds. Returns whether the state is another one now;
+    /// a change of its details does not count.
+    pub fn record_write(&mut self, now: Millis, duration: Millis, outcome: WriteOutcome) -> bool {
+        let previous = std::mem::discriminant(&self.state);
+        if duration > SLOW_WRITE_MS {
+            self.last_slow_write_at = Some(now);
         }
-        self.state = match (what, &self.state) {
-            (_, DiskState::Absent) => DiskState::Absent,
-            (Wrote::Well, state) => match self.slow_at.filter(|at| now < at + SLOW_FOR) {
-                Some(_) => DiskState::Slow {
-                    since: match state {
-                        DiskState::Slow { since } => *since,
-                        _ => now,
-                    },
+        if self.state != DiskState::Absent {
+            self.state = match outcome {
+                WriteOutcome::Success => self.state_after_success(now),
+                WriteOutcome::Full => DiskState::Full {
+                    since: self.record_failure(now),
                 },
-                None => DiskState::Well,
-            },
-            (bad, state) => {
-                self.failures += 1;
-                self.rest_until = now + REST;
-                let since = match state {
-                    DiskState::Full { since } | DiskState::Failing { since, .. } => *since,
-                    _ => now,
-                };
-                match bad {
-                    Wrote::Failed(reason) => DiskState::Failing { since, reason },
-                    _ => DiskState::Full { since },
-                }
-            }
-        };
-        before != std::mem::discriminant(&self.state)
+                WriteOutcome::Failed(reason) => DiskState::Failing {
+                    since: self.record_failure(now),
+                    reason,
+                },
+            };
+        }
+        previous != std::mem::discriminant(&self.state)
+    }
+
+    fn state_after_success(&self, now: Millis) -> DiskState {
+        let is_slow = self
+            .last_slow_write_at
+            .is_some_and(|at| now < at + SLOW_STATE_MS);
+        match self.state {
+            DiskState::Slow { since } if is_slow => DiskState::Slow { since },
+            _ if is_slow => DiskState::Slow { since: now },
+            _ => DiskState::Healthy,
+        }
     }
 
-    /// Room was made: a full disk may be tried at once.
-    pub fn freed(&mut self) {
+    /// Counts a failure and returns since when writes fail.
+    fn record_failure(&mut self, now: Millis) -> Millis {
+        self.failures += 1;
+        self.retry_at = now + RETRY_INTERVAL_MS;
+        match self.state {
+            DiskState::Full { since } | DiskState::Failing { since, .. } => since,
+            _ => now,
+        }
+    }
+
+    /// Space was freed: a full disk may be tried again at once.
+    pub fn on_space_freed(&mut self) {
         if matches!(self.state, DiskState::Full { .. }) {
-            self.rest_until = f64::MIN;
+            self.retry_at = f64::MIN;
         }
     }
 
-    /// Pages may be sent there now. One that failed is tried again after its rest: that write tells how it does.
-    pub fn takes(&self, now: Millis) -> bool {
+    /// Whether pages may be written now. After a failure this is so from the retry time on: the next write shows the
+    /// state of the disk.
+    pub fn accepts_writes(&self, now: Millis) -> bool {
         match self.state {
             DiskState::Absent => false,
-            DiskState::Well | DiskState::Slow { .. } => true,
-            DiskState::Full { .. } | DiskState::Failing { .. } => now >= self.rest_until,
+            DiskState::Healthy | DiskState::Slow { .. } => true,
+            DiskState::Full { .. } | DiskState::Failing { .. } => now >= self.retry_at,
         }
     }
 
+    /// The current state.
     pub fn state(&self) -> &DiskState {
         &self.state
     }
+
+    /// Failed writes since the start.
+    pub fn failures(&self) -> u64 {
+        self.failures
+    }
 }
--- /dev/null
+++ b/src/spool/expiry.rs
@@ -0,0 +1,50 @@
+//! The expiry of results that nobody reads.
+
+use super::index::{SpoolId, SpoolIndex};
+use crate::decision::model::Millis;
+
+/// Since when a result is complete, and until when it is retained.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct SpoolLifetime {
+    /// When the last page was added.
+    pub completed_at: Millis,
+    /// When the result expires. `None` while it is read.
+    pub expires_at: Option<Millis>,
+}
+
+impl SpoolIndex {
+    /// Removes the results whose retention is over, and returns their ids.
+    pub fn expire(&mut self, now: Millis) -> Vec<SpoolId> {
+        let retention = self.limits.retention;
+        let expired: Vec<SpoolId> = self
+            .entries
+            .iter()
+            .filter(|(_, entry)| entry.is_idle() && entry.last_used_at + retention <= now)
+            .map(|(id, _)| *id)
+            .collect();
+        for id in &expired {
+            self.remove(*id);
+            self.counters.expired += 1;
+        }
+        expired
+    }
+
+    /// When the next result expires if nobody reads it.
+    pub fn next_expiry(&self) -> Option<Millis> {
+        self.entries
+            .values()
+            .filter(|entry| entry.is_idle())
+            .map(|entry| entry.last_used_at + self.limits.retention)
+            .reduce(f64::min)
+    }
+
+    /// The lifetime of a complete result. `None` if there is none with this id.
+    pub fn lifetime(&self, id: SpoolId) -> Option<SpoolLifetime> {
+        let entry = self.entries.get(&id)?;
+        let expires_at = entry.last_used_at + self.limits.retention;
+        Some(SpoolLifetime {
+            completed_at: entry.completed_at?,
+            expires_at: (entry.readers == 0).then_some(expires_at),
+        })
+    }
+}
--- a/src/spool/mod.rs
+++ b/src/spool/mod.rs
@@ -1,22 +1,35 @@
-//! Results that wait for their readers: who may have how much, where it lies, whose makes room, and who may come back.
+//! Spooled results: results that wait for slow or returning clients. This module decides how much may be spooled, where
+//! the pages go, what is evicted or expires, and who may resume a result.
 //!
-//! Pure: no I/O, and time is passed in, in milliseconds on the Unix clock. A [`SpoolIndex`] keeps account of every spool;
-//! whoever holds the pages does what its [`Order`]s say. `docs/design/spool.md` tells the options weighed.
+//! Everything here is pure: no I/O, and the time is a parameter, in milliseconds on the Unix clock. A [`SpoolIndex`]
+//! accounts for all spools; [`crate::spool_io`] holds the pages and carries out each [`SpoolCommand`].
+//! `docs/design/spool.md` describes the alternatives.
 //!
-//! - A result goes through here page by page while its engine answers; the engine is free at the last one, whatever
-//!   its client's pace.
-//! - A result that fits nowhere is refused before it is asked for where that can be known ([`SpoolIndex::admit`]), else
-//!   failed; what was taken of it is forgotten, so that no half result looks whole.
-//! - A load's result is never thrown away to make room for a report.
+//! - A result passes through page by page while its engine sends it. The engine is free after the last page, however
+//!   slowly the client reads.
+//! - A result that has no capacity is rejected before its statement is sent if that can be known
+//!   ([`SpoolIndex::admit`]); otherwise it fails and its pages are dropped, so that no partial result looks complete.
+//! - A protected result, one that cannot be produced again, is never evicted for one that can.
 
+mod accounting;
+mod admission;
+mod class_sizes;
+mod commands;
 pub mod disk_health;
+mod eviction;
+mod expiry;
 pub mod handles;
-pub mod index;
+mod index;
+mod limits;
+mod placement;
 #[cfg(test)]
 mod tests;
 
-pub use disk_health::{DiskState, DiskWatch};
-pub use handles::{Handles, ResumeError};
-pub use index::{
-    Admission, AdmissionRequest, Order, Placement, SpoolId, SpoolIndex, SpoolLimits, SpoolRejection,
-};
+pub use accounting::SpoolUsage;
+pub use admission::{Admission, AdmissionRequest, MAX_INLINE_RESULT_BYTES, SpoolRejection};
+pub use commands::{AddPageOutcome, OpenedSpool, Placement, SpoolCommand};
+pub use disk_health::{DiskHealth, DiskState, WriteOutcome};
+pub use expiry::SpoolLifetime;
+pub use handles::{HandleRejections, HandleTable, ResumeError};
+pub use index::{RestoredSpool, SpoolCounters, SpoolId, SpoolIndex};
+pub use limits::SpoolLimits;
--- a/src/spool_io/reader.rs
+++ b/src/spool_io/reader.rs
@@ -1,109 +1,99 @@
-//! A result page by page, at its reader's pace.
+//! Reading a spooled result page by page, at the pace of its client.
 
+use super::disk::{DiskCommand, ReadError};
+use super::result::PageSource;
+use super::spools::Spools;
 use crate::clock::unix_time_millis;
 use crate::spool::SpoolId;
-use crate::spool_io::disk::{Order, ReadError};
-use crate::spool_io::{Page, Spools};
 use bytes::Bytes;
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// Why a page cannot be had.
+/// Why a page cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SpoolError {
+    /// The disk failed, or the page is corrupt.
     #[error(transparent)]
     Read(#[from] ReadError),
+    /// The result has been removed.
     #[error("the result is there no more")]
     Removed,
 }
 
-/// Reads a spool; it stays for as long as somebody does.
+/// Reads a spooled result, which is retained while a reader exists.
 pub struct ResultReader {
     spools: Rc<Spools>,
     id: SpoolId,
-    next: u32,
-    to_the_end: bool,
+    next_page: u32,
+    read_to_end: bool,
 }
 
 impl ResultReader {
-    pub(super) fn new(spools: Rc<Spools>, id: SpoolId, from: u32) -> Self {
+    pub(super) fn new(spools: Rc<Spools>, id: SpoolId, first_page: u32) -> Self {
         ResultReader {
             spools,
             id,
-            next: from,
-            to_the_end: false,
+            next_page: first_page,
+            read_to_end: false,
         }
     }
 
+    /// The id of the result.
     pub fn id(&self) -> SpoolId {
         self.id
     }
 
-    /// The next page's rows, each behind its length; none after the last.
+    /// The rows of the next page as a sequence of packets, or `None` after the last one.
     ///
     /// # Errors
-    /// The page is torn or cannot be read.
+    /// The page is corrupt or cannot be read, or the result has been removed.
     pub async fn next_page(&mut self) -> Result<Option<Bytes>, SpoolError> {
-        let next = self.next as usize;
-        let page = self
+        let page = self.next_page as usize;
+        let source = self
             .spools
-            .with_result(self.id, |held| match next.checked_sub(held.stored) {
-                None => Some(None),
-                Some(here) => match held.pages.get(here) {
-                    None => None,
-                    Some(Page::Memory { bytes, .. } | Page::Writing { bytes, .. }) => {
-                        Some(Some(bytes.clone()))
-                    }
-                },
-            });
-        let bytes = match page {
-            None => return Err(SpoolError::Removed),
-            Some(None) => {
-                self.to_the_end = true;
+            .with_result(self.id, |result| result.page_source(page))
+            .ok_or(SpoolError::Removed)?;
+        let bytes = match source {
+            PageSource::End => {
+                self.read_to_end = true;
                 return Ok(None);
             }
-            Some(Some(Some(bytes))) => bytes,
-            Some(Some(None)) => self.ask_disk().await?,
+            PageSource::Memory(bytes) => bytes,
+            PageSource::Disk => self.read_from_disk().await?,
         };
-        self.next += 1;
+        self.next_page += 1;
         self.spools
-            .ledger
+            .index
             .borrow_mut()
-            .reading(unix_time_millis(), self.id);
+            .record_read(unix_time_millis(), self.id);
         Ok(Some(bytes))
     }
 
-    async fn ask_disk(&self) -> Result<Bytes, SpoolError> {
+    async fn read_from_disk(&self) -> Result<Bytes, SpoolError> {
         let disk = self.spools.disk.as_ref().ok_or(SpoolError::Removed)?;
-        let (reply, answer) = oneshot::channel();
-        if !disk
-            .order_in_turn(Order::Read {
-                spool: self.id,
-                page: self.next,
-                reply,
-            })
-            .await
-        {
+        let (reply, content) = oneshot::channel();
+        let command = DiskCommand::ReadPage {
+            spool: self.id,
+            page: self.next_page,
+            reply,
+        };
+        if !disk.send(command).await {
             return Err(SpoolError::Removed);
         }
-        match answer.await {
-            Ok(Ok(bytes)) => Ok(bytes.into()),
-            Ok(Err(e)) => {
-                if e == ReadError::Torn {
-                    self.spools.torn.set(self.spools.torn.get() + 1);
-                }
-                Err(e.into())
-            }
-            Err(_) => Err(SpoolError::Removed),
+        let content = content.await.map_err(|_| SpoolError::Removed)?;
+        if content == Err(ReadError::Corrupt) {
+            let corrupt_pages = &self.spools.corrupt_pages;
+            corrupt_pages.set(corrupt_pages.get() + 1);
         }
+        Ok(content?.into())
     }
 }
 
 impl Drop for ResultReader {
     fn drop(&mut self) {
         self.spools
-            .ledger
+            .index
             .borrow_mut()
-            .detach(unix_time_millis(), self.id, self.to_the_end);
+            .detach_reader(unix_time_millis(), self.id, self.read_to_end);
     }
 }
--- a/src/spool_io/writer.rs
+++ b/src/spool_io/writer.rs
@@ -1,150 +1,160 @@
-//! The result of one attempt as it comes from its engine.
+//! Writing the result of one attempt as it comes from its engine.
 
-use crate::spool::{AdmissionRequest, SpoolId, SpoolRejection};
-use crate::spool_io::{PAGE, SHORT, Spools, packets, put_packet};
+use super::packets::{LENGTH_PREFIX_BYTES, packets, put_packet};
+use super::result::ResultOwner;
+use super::spools::Spools;
+use crate::spool::{AdmissionRequest, MAX_INLINE_RESULT_BYTES, SpoolId, SpoolRejection};
 use bytes::{Bytes, BytesMut};
 use std::rc::Rc;
 
-/// Whose result it is, and of what.
-#[derive(Clone, Debug, PartialEq)]
-pub struct ResultOwner {
-    pub user: String,
-    /// The statement's beginning: what its owner knows it by.
-    pub statement: String,
-    /// Its rows are of the binary protocol.
-    pub binary: bool,
-}
-
-/// The longest beginning of a statement that is kept, in characters.
+/// The longest beginning of a statement in a [`ResultOwner`], in characters.
 pub const MAX_STATEMENT_CHARS: usize = 120;
 
-/// A result that is whole.
+/// A page is closed at this size, in bytes, or before by its number of rows; a single row may be longer. Each slow reader
+/// holds a page in memory, and each page on disk has an index entry.
+const PAGE_BYTES: usize = 64 << 10;
+
+/// A complete result.
 #[derive(Debug)]
 pub enum StoredResult {
-    /// All its packets, each behind its length.
+    /// A result of at most [`MAX_INLINE_RESULT_BYTES`], as a sequence of packets.
     Inline(BytesMut),
-    /// More than is handed over at once.
+    /// A longer result, in a spool.
     Spooled(SpoolId),
 }
 
-/// Takes packets until the last. What is dropped before is forgotten.
+/// Takes the packets of a result up to the last one. An incomplete result is removed when the writer is dropped.
 pub struct ResultWriter {
     spools: Rc<Spools>,
-    ask: AdmissionRequest,
-    who: Option<ResultOwner>,
-    /// All packets, while the result is short; then those of the page that is not full.
-    bytes: BytesMut,
-    /// Where the rows begin in it.
-    head: usize,
-    rows: u32,
+    request: AdmissionRequest,
+    /// `None` once the spool is open.
+    owner: Option<ResultOwner>,
+    /// All packets until the spool is open; then the rows of the current page.
+    buffer: BytesMut,
+    /// The length of the packets before the rows in the buffer.
+    header_bytes: usize,
+    /// Rows in the buffer.
+    buffered_rows: u32,
     spool: Option<SpoolId>,
-    total: usize,
+    total_bytes: usize,
 }
 
 impl ResultWriter {
-    pub(super) fn new(spools: Rc<Spools>, ask: AdmissionRequest, who: ResultOwner) -> Self {
+    pub(super) fn new(spools: Rc<Spools>, request: AdmissionRequest, owner: ResultOwner) -> Self {
         ResultWriter {
             spools,
-            ask,
-            who: Some(who),
-            bytes: BytesMut::new(),
-            head: 0,
-            rows: 0,
+            request,
+            owner: Some(owner),
+            buffer: BytesMut::new(),
+            header_bytes: 0,
+            buffered_rows: 0,
             spool: None,
-            total: 0,
+            total_bytes: 0,
         }
     }
 
-    /// A packet before the rows, or the one and only.
+    /// Adds a packet before the rows, or the only packet.
+    ///
+    /// # Errors
+    /// The result is too large.
     pub fn add_header(&mut self, payload: &[u8]) -> Result<(), SpoolRejection> {
-        put_packet(&mut self.bytes, payload);
-        self.head = self.bytes.len();
-        self.bound(payload.len())
+        put_packet(&mut self.buffer, payload);
+        self.header_bytes = self.buffer.len();
+        self.check_size(payload.len())
     }
 
-    /// The result's own bound holds from the first byte, whether or not it becomes a spool.
-    fn bound(&mut self, more: usize) -> Result<(), SpoolRejection> {
-        self.total += more + 4;
-        let most = self.spools.ledger.borrow().rules().result_bytes;
-        if self.total as u64 > most {
-            Err(SpoolRejection::Result(most))
+    /// Counts a packet. The limit on a result holds from the first byte, spooled or not.
+    fn check_size(&mut self, payload_bytes: usize) -> Result<(), SpoolRejection> {
+        self.total_bytes += payload_bytes + LENGTH_PREFIX_BYTES;
+        let limit = self.spools.index.borrow().limits().result_bytes;
+        if self.total_bytes as u64 > limit {
+            Err(SpoolRejection::ResultTooLarge(limit))
         } else {
             Ok(())
         }
     }
 
-    /// A row. Waits where the disk is behind.
+    /// Adds a row. Waits while too much is on its way to the disk.
     ///
     /// # Errors
-    /// There is no place for it; the whole result is given up.
+    /// There is no capacity for it; the whole result is given up.
     pub async fn add_row(&mut self, payload: &[u8]) -> Result<(), SpoolRejection> {
-        self.bound(payload.len())?;
-        put_packet(&mut self.bytes, payload);
-        self.rows += 1;
-        match self.spool {
-            None if self.bytes.len() > SHORT => self.outgrow().await,
-            None => Ok(()),
-            Some(_) if self.rows >= self.spools.page_rows.get() || self.bytes.len() >= PAGE => {
-                self.close().await
-            }
-            Some(_) => Ok(()),
+        self.check_size(payload.len())?;
+        self.buffer_row(payload);
+        if self.spool.is_some() {
+            self.close_page_if_full().await
+        } else if self.buffer.len() > MAX_INLINE_RESULT_BYTES {
+            self.open_spool().await
+        } else {
+            Ok(())
         }
     }
 
-    /// It is a spool from now on: what is in hand is cut into pages.
-    async fn outgrow(&mut self) -> Result<(), SpoolRejection> {
-        let all = self.bytes.split().freeze();
-        let (head, rows) = (all.slice(..self.head), all.slice(self.head..));
-        let Some(who) = self.who.take() else {
-            return Err(SpoolRejection::Unknown);
-        };
-        self.spool = Some(self.spools.begin(self.ask, who, head)?);
-        (self.rows, self.head) = (0, 0);
+    fn buffer_row(&mut self, payload: &[u8]) {
+        put_packet(&mut self.buffer, payload);
+        self.buffered_rows += 1;
+    }
+
+    /// Opens the spool and cuts the buffered rows into pages.
+    async fn open_spool(&mut self) -> Result<(), SpoolRejection> {
+        let buffered = self.buffer.split().freeze();
+        let header = buffered.slice(..self.header_bytes);
+        let rows = buffered.slice(self.header_bytes..);
+        let owner = self.owner.take().ok_or(SpoolRejection::UnknownSpool)?;
+        self.spool = Some(self.spools.begin(self.request, owner, header)?);
+        self.buffered_rows = 0;
+        self.header_bytes = 0;
         for row in packets(&rows) {
-            put_packet(&mut self.bytes, row);
-            self.rows += 1;
-            if self.rows >= self.spools.page_rows.get() || self.bytes.len() >= PAGE {
-                self.close().await?;
-            }
+            self.buffer_row(row);
+            self.close_page_if_full().await?;
         }
         Ok(())
     }
 
-    async fn close(&mut self) -> Result<(), SpoolRejection> {
+    async fn close_page_if_full(&mut self) -> Result<(), SpoolRejection> {
+        let has_all_rows = self.buffered_rows >= self.spools.page_rows.get();
+        if has_all_rows || self.buffer.len() >= PAGE_BYTES {
+            self.close_page().await
+        } else {
+            Ok(())
+        }
+    }
+
+    async fn close_page(&mut self) -> Result<(), SpoolRejection> {
         let Some(spool) = self.spool else {
             return Ok(());
         };
-        let page = Bytes::copy_from_slice(&self.bytes);
-        self.bytes.clear();
-        let rows = std::mem::take(&mut self.rows);
-        let kept = self.spools.page(spool, rows, page).await;
-        if kept.is_err() {
-            // The next of its class is refused before it is sent.
-            self.spools.learn(self.ask.class, self.total);
+        let page = Bytes::copy_from_slice(&self.buffer);
+        self.buffer.clear();
+        let rows = std::mem::take(&mut self.buffered_rows);
+        let added = self.spools.add_page(spool, rows, page).await;
+        if added.is_err() {
+            // So that the next of its class is rejected before it is sent.
+            self.spools
+                .record_result_size(self.request.class, self.total_bytes);
         }
-        kept
+        added
     }
 
-    /// The last packet: the result is whole.
+    /// Completes the result with its last packet.
     ///
     /// # Errors
-    /// There is no place for what is left of it.
-    pub async fn finish(mut self, tail: Option<&[u8]>) -> Result<StoredResult, SpoolRejection> {
+    /// There is no capacity for the last page; the whole result is given up.
+    pub async fn finish(mut self, trailer: Option<&[u8]>) -> Result<StoredResult, SpoolRejection> {
         if self.spool.is_none() {
-            if let Some(tail) = tail {
-                put_packet(&mut self.bytes, tail);
+            if let Some(trailer) = trailer {
+                put_packet(&mut self.buffer, trailer);
             }
-            self.spools.learn(self.ask.class, self.bytes.len());
-            return Ok(StoredResult::Inline(std::mem::take(&mut self.bytes)));
+            self.spools
+                .record_result_size(self.request.class, self.buffer.len());
+            return Ok(StoredResult::Inline(std::mem::take(&mut self.buffer)));
         }
-        if self.rows > 0 {
-            self.close().await?;
+        if self.buffered_rows > 0 {
+            self.close_page().await?;
         }
-        let Some(spool) = self.spool.take() else {
-            return Err(SpoolRejection::Unknown);
-        };
-        self.spools
-            .whole(spool, Bytes::copy_from_slice(tail.unwrap_or_default()));
+        let spool = self.spool.take().ok_or(SpoolRejection::UnknownSpool)?;
+        let trailer = Bytes::copy_from_slice(trailer.unwrap_or_default());
+        self.spools.complete(spool, trailer);
         Ok(StoredResult::Spooled(spool))
     }
 }
@@ -152,7 +162,7 @@
 impl Drop for ResultWriter {
     fn drop(&mut self) {
         if let Some(spool) = self.spool.take() {
-            self.spools.give_up(spool);
+            self.spools.abandon(spool);
         }
     }
 }
--- a/src/storage/record.rs
+++ b/src/storage/record.rs
@@ -1,98 +1,146 @@
-//! The form of a record: a head of [`HEAD`] bytes, then the content.
+//! The binary layout of a record: a header of [`HEADER_BYTES`], then the content. Numbers are big endian.
 //!
-//! | bytes | what |
-//! | --- | --- |
-//! | 8 | `HITCHREC` |
-//! | 4 | what it holds ([`RecordKind::tag`]) |
-//! | 4 | the form of the content ([`RecordKind::form`]), big endian |
-//! | 8 | the content's length, big endian |
-//! | 4 | CRC-32 of the 24 bytes before and of the content, big endian |
+//! | offset | bytes | field |
+//! | --- | --- | --- |
+//! | 0 | 8 | magic number, `HITCHREC` |
+//! | 8 | 4 | what the record contains ([`RecordKind::tag`]) |
+//! | 12 | 4 | format version of the content ([`RecordKind::version`]) |
+//! | 16 | 8 | length of the content in bytes |
+//! | 24 | 4 | CRC-32 of the 24 bytes before and of the content |
+
+#[cfg(test)]
+mod tests;
 
 const MAGIC: [u8; 8] = *b"HITCHREC";
-/// The head's length, in bytes.
-pub const HEAD: usize = 28;
+const TAG_OFFSET: usize = 8;
+const VERSION_OFFSET: usize = 12;
+const LENGTH_OFFSET: usize = 16;
+const CHECKSUM_OFFSET: usize = 24;
+/// The length of the header, in bytes.
+pub const HEADER_BYTES: usize = 28;
 
-/// What a record holds, and in which form this program writes it; older forms are read as well.
+/// What a record contains, and the format version that this program writes. Earlier versions are read as well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordKind {
+    /// Identifies the content.
     pub tag: [u8; 4],
+    /// The format version of the content.
     pub version: u32,
 }
 
-/// Why a record cannot be read.
+/// Why a record cannot be read. Operators see the messages on the page of the membership.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
+    /// The file does not have the layout of a record.
     #[error("it is no record of this program")]
-    Foreign,
+    NotARecord,
+    /// The record has another tag.
     #[error("it holds {0:?}, not what belongs here")]
-    Other(String),
-    #[error("its form {found} is of a later program; this one reads up to {known}")]
-    Future { found: u32, known: u32 },
-    #[error("it is torn: {found} of {wanted} bytes are there")]
-    Torn { found: u64, wanted: u64 },
+    WrongTag(String),
+    /// The record has a later format version.
+    #[error("its form {found} is of a later program; this one reads up to {supported}")]
+    UnsupportedVersion {
+        /// The version of the record.
+        found: u32,
+        /// The latest version that can be read.
+        supported: u32,
+    },
+    /// The file ends too early.
+    #[error("it is torn: {found} of {expected} bytes are there")]
+    Truncated {
+        /// Bytes in the file.
+        found: u64,
+        /// Bytes of the complete record, or of its header.
+        expected: u64,
+    },
+    /// The checksum does not match.
     #[error("its checksum is wrong")]
     Checksum,
+    /// The content has this length in bytes, which is above the limit.
     #[error("its {0} bytes are above the bound")]
-    Long(u64),
+    TooLong(u64),
+    /// The content cannot be parsed.
     #[error("its content cannot be read: {0}")]
     Content(String),
 }
 
-fn checksum(head: &[u8], content: &[u8]) -> u32 {
+fn checksum(header: &[u8], content: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
-    hasher.update(head);
+    hasher.update(header);
     hasher.update(content);
     hasher.finalize()
 }
 
+/// A record with this content.
 pub fn encode(kind: RecordKind, content: &[u8]) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(HEAD + content.len());
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + content.len());
     bytes.extend(MAGIC);
     bytes.extend(kind.tag);
     bytes.extend(kind.version.to_be_bytes());
     bytes.extend((content.len() as u64).to_be_bytes());
-    let sum = checksum(&bytes, content);
-    bytes.extend(sum.to_be_bytes());
+    let checksum = checksum(&bytes, content);
+    bytes.extend(checksum.to_be_bytes());
     bytes.extend(content);
     bytes
 }
 
-/// The content, if it is whole and of this kind.
+/// The content of a record of this kind, if it is complete and at most `max_content_bytes` long.
 ///
 /// # Errors
-/// What is wrong with it, by name.
-pub fn decode(kind: RecordKind, bytes: &[u8], most: usize) -> Result<&[u8], RecordError> {
+/// The first mismatch.
+pub fn decode(
+    kind: RecordKind,
+    bytes: &[u8],
+    max_content_bytes: usize,
+) -> Result<&[u8], RecordError> {
     if !bytes.starts_with(&MAGIC[..bytes.len().min(MAGIC.len())]) {
-        return Err(RecordError::Foreign);
+        return Err(RecordError::NotARecord);
     }
-    let torn = |wanted: u64| RecordError::Torn {
+    let truncated = |expected: u64| RecordError::Truncated {
         found: bytes.len() as u64,
-        wanted,
+        expected,
     };
-    let Some((head, content)) = bytes.split_first_chunk::<HEAD>() else {
-        return Err(torn(HEAD as u64));
+    let Some((header, content)) = bytes.split_first_chunk::<HEADER_BYTES>() else {
+        return Err(truncated(HEADER_BYTES as u64));
     };
-    let word = |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-    let length = u64::from(word(16)) << 32 | u64::from(word(20));
-    if head[8..12] != kind.tag {
-        return Err(RecordError::Other(
-            String::from_utf8_lossy(&head[8..12]).into_owned(),
-        ));
+    let tag = &header[TAG_OFFSET..VERSION_OFFSET];
+    if tag != kind.tag {
+        let tag = String::from_utf8_lossy(tag).into_owned();
+        return Err(RecordError::WrongTag(tag));
     }
-    // A later form may have another head: it is told apart before anything else is checked.
-    if word(12) > kind.version {
-        return Err(RecordError::Future {
-            found: word(12),
-            known: kind.version,
+    // A later version may have another header, so the version is checked before anything else.
+    let version = read_u32(header, VERSION_OFFSET);
+    if version > kind.version {
+        return Err(RecordError::UnsupportedVersion {
+            found: version,
+            supported: kind.version,
         });
     }
-    if length > most as u64 {
-        return Err(RecordError::Long(length));
+    let length = read_u64(header, LENGTH_OFFSET);
+    if length > max_content_bytes as u64 {
+        return Err(RecordError::TooLong(length));
+    }
+    let found = content.len() as u64;
+    if found < length {
+        return Err(truncated(HEADER_BYTES as u64 + length));
     }
-    match content.len() as u64 {
-        n if n < length => Err(torn(HEAD as u64 + length)),
-        n if n > length => Err(RecordError::Foreign),
-        _ if checksum(&head[..24], content) != word(24) => Err(RecordError::Checksum),
-        _ => Ok(content),
+    if found > length {
+        return Err(RecordError::NotARecord);
     }
+    if checksum(&header[..CHECKSUM_OFFSET], content) != read_u32(header, CHECKSUM_OFFSET) {
+        return Err(RecordError::Checksum);
+    }
+    Ok(content)
+}
+
+fn read_u32(header: &[u8; HEADER_BYTES], offset: usize) -> u32 {
+    let mut bytes = [0; 4];
+    bytes.copy_from_slice(&header[offset..offset + 4]);
+    u32::from_be_bytes(bytes)
+}
+
+fn read_u64(header: &[u8; HEADER_BYTES], offset: usize) -> u64 {
+    let mut bytes = [0; 8];
+    bytes.copy_from_slice(&header[offset..offset + 8]);
+    u64::from_be_bytes(bytes)
 }
--- a/src/storage/segments/frame.rs
+++ b/src/storage/segments/frame.rs
@@ -1,195 +1,239 @@
-//! What stands in a segment: one frame behind the other, each with a head that checks itself and its content.
+//! The binary layout of a frame: a header of [`HEADER_BYTES`] that protects itself and the content, then the content
+//! as stored. Segments are sequences of frames. Numbers are big endian.
 //!
-//! | bytes | what |
-//! | --- | --- |
-//! | 4 | `HWFR` |
-//! | 1 | what it is ([`Kind`]) |
-//! | 1 | 1: the content is packed (LZ4) |
-//! | 2 | 0 |
-//! | 8 | the spool's number |
-//! | 4 | the page's place within the spool |
-//! | 4 | rows in it |
-//! | 4 | the content's length, in bytes |
-//! | 4 | the same as stored |
-//! | 4 | CRC-32 of what is stored |
-//! | 4 | CRC-32 of the 36 bytes before |
+//! | offset | bytes | field |
+//! | --- | --- | --- |
+//! | 0 | 4 | magic number, `HWFR` |
+//! | 4 | 1 | [`FrameKind`] |
+//! | 5 | 1 | 1: the content is compressed (LZ4 block) |
+//! | 6 | 2 | 0 |
+//! | 8 | 8 | id of the spool |
+//! | 16 | 4 | index of the page within the spool |
+//! | 20 | 4 | rows in the page |
+//! | 24 | 4 | length of the content in bytes |
+//! | 28 | 4 | length of the content as stored, in bytes |
+//! | 32 | 4 | CRC-32 of the content as stored |
+//! | 36 | 4 | CRC-32 of the 36 bytes before |
 //!
-//! Numbers are big endian. Pure: nothing here reads or writes a file.
+//! Everything here is pure: nothing reads or writes a file.
+
+#[cfg(test)]
+mod tests;
 
 const MAGIC: [u8; 4] = *b"HWFR";
-/// The head's length, in bytes.
-pub const HEAD: usize = 40;
-/// No content is longer, in bytes: one row of the largest packet with room to spare.
-pub const MOST: usize = 32 << 20;
-/// Contents shorter than this are not worth packing, in bytes.
-const PACK_FROM: usize = 256;
+const KIND_OFFSET: usize = 4;
+const FLAGS_OFFSET: usize = 5;
+const SPOOL_OFFSET: usize = 8;
+const PAGE_OFFSET: usize = 16;
+const ROWS_OFFSET: usize = 20;
+const CONTENT_BYTES_OFFSET: usize = 24;
+const STORED_BYTES_OFFSET: usize = 28;
+const CONTENT_CHECKSUM_OFFSET: usize = 32;
+const HEADER_CHECKSUM_OFFSET: usize = 36;
+/// The length of the header, in bytes.
+pub const HEADER_BYTES: usize = 40;
 
+const FLAG_COMPRESSED: u8 = 1;
+/// The longest content, in bytes: one row of the largest packet and a margin.
+pub const MAX_CONTENT_BYTES: usize = 32 << 20;
+/// The longest content as stored, in bytes.
+const MAX_STORED_BYTES: usize = MAX_CONTENT_BYTES + MAX_CONTENT_BYTES / 128 + 64;
+/// Shorter contents are not compressed, in bytes.
+const MIN_COMPRESSED_BYTES: usize = 256;
+
+/// What a frame contains. The values are those of the binary layout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// A spool begins: its content tells whose it is.
+pub enum FrameKind {
+    /// The first frame of a spool; its content states the owner.
     Begin = 1,
+    /// A page.
     Page = 2,
-    /// The spool is whole.
+    /// The last frame of a complete spool.
     End = 3,
 }
 
-/// One frame's head.
+impl FrameKind {
+    fn from_byte(byte: u8) -> Option<Self> {
+        match byte {
+            1 => Some(FrameKind::Begin),
+            2 => Some(FrameKind::Page),
+            3 => Some(FrameKind::End),
+            _ => None,
+        }
+    }
+}
+
+/// Which part of which spool a frame contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head {
-    pub kind: Kind,
-    pub packed: bool,
+pub struct FrameId {
+    /// What the frame contains.
+    pub kind: FrameKind,
+    /// The id of the spool within its segment log.
     pub spool: u64,
+    /// The index of the page; for an [`FrameKind::End`] the number of pages.
     pub page: u32,
+    /// Rows in the page.
     pub rows: u32,
-    /// The content's length, in bytes, and the same as stored.
-    pub raw: u32,
-    pub stored: u32,
-    pub sum: u32,
 }
 
-/// Why a frame cannot be read.
+/// The header of a frame.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FrameHeader {
+    /// Which part of which spool it is.
+    pub id: FrameId,
+    /// The content is compressed.
+    pub compressed: bool,
+    /// The length of the content, in bytes.
+    pub content_bytes: u32,
+    /// The length of the content as stored, in bytes.
+    pub stored_bytes: u32,
+    /// The CRC-32 of the content as stored.
+    pub checksum: u32,
+}
+
+/// Why a frame cannot be encoded or decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
+    /// There is no valid header of the expected frame.
     #[error("no frame begins here")]
-    Head,
+    Header,
+    /// The checksum of the content does not match.
     #[error("its checksum is wrong")]
-    Sum,
+    Checksum,
+    /// The content cannot be decompressed.
     #[error("it cannot be unpacked")]
-    Packing,
+    Compression,
+    /// The content of this length in bytes is above [`MAX_CONTENT_BYTES`].
     #[error("its content of {0} bytes is above the bound")]
-    Long(usize),
+    TooLong(usize),
 }
 
-fn word(b: &[u8; HEAD], at: usize) -> u32 {
-    u32::from_be_bytes([b[at], b[at + 1], b[at + 2], b[at + 3]])
-}
-
-impl Head {
-    /// The frame's length, head and all, in bytes.
-    pub fn length(&self) -> u64 {
-        HEAD as u64 + u64::from(self.stored)
+impl FrameHeader {
+    /// The length of the frame with its header, in bytes.
+    pub fn frame_bytes(&self) -> u64 {
+        HEADER_BYTES as u64 + u64::from(self.stored_bytes)
     }
 
-    pub fn write(&self) -> [u8; HEAD] {
-        let mut b = [0; HEAD];
-        b[..4].copy_from_slice(&MAGIC);
-        (b[4], b[5]) = (self.kind as u8, self.packed.into());
-        b[8..16].copy_from_slice(&self.spool.to_be_bytes());
-        for (i, n) in [self.page, self.rows, self.raw, self.stored, self.sum]
-            .into_iter()
-            .enumerate()
-        {
-            b[16 + 4 * i..20 + 4 * i].copy_from_slice(&n.to_be_bytes());
-        }
-        let sum = crc32fast::hash(&b[..36]);
-        b[36..].copy_from_slice(&sum.to_be_bytes());
-        b
+    /// The header in its binary layout.
+    pub fn encode(&self) -> [u8; HEADER_BYTES] {
+        let mut bytes = [0; HEADER_BYTES];
+        bytes[..MAGIC.len()].copy_from_slice(&MAGIC);
+        bytes[KIND_OFFSET] = self.id.kind as u8;
+        bytes[FLAGS_OFFSET] = if self.compressed { FLAG_COMPRESSED } else { 0 };
+        bytes[SPOOL_OFFSET..PAGE_OFFSET].copy_from_slice(&self.id.spool.to_be_bytes());
+        write_u32(&mut bytes, PAGE_OFFSET, self.id.page);
+        write_u32(&mut bytes, ROWS_OFFSET, self.id.rows);
+        write_u32(&mut bytes, CONTENT_BYTES_OFFSET, self.content_bytes);
+        write_u32(&mut bytes, STORED_BYTES_OFFSET, self.stored_bytes);
+        write_u32(&mut bytes, CONTENT_CHECKSUM_OFFSET, self.checksum);
+        let checksum = crc32fast::hash(&bytes[..HEADER_CHECKSUM_OFFSET]);
+        write_u32(&mut bytes, HEADER_CHECKSUM_OFFSET, checksum);
+        bytes
     }
 
+    /// Reads a header from its binary layout.
+    ///
     /// # Errors
-    /// It is no head, or not as it was written.
-    pub fn read(b: &[u8; HEAD]) -> Result<Self, FrameError> {
-        if b[..4] != MAGIC || crc32fast::hash(&b[..36]) != word(b, 36) {
-            return Err(FrameError::Head);
+    /// [`FrameError::Header`] if the bytes are not a header, or not as they were written.
+    pub fn decode(bytes: &[u8; HEADER_BYTES]) -> Result<Self, FrameError> {
+        let checksum = crc32fast::hash(&bytes[..HEADER_CHECKSUM_OFFSET]);
+        let is_intact = read_u32(bytes, HEADER_CHECKSUM_OFFSET) == checksum;
+        if !bytes.starts_with(&MAGIC) || !is_intact {
+            return Err(FrameError::Header);
         }
-        let kind = match b[4] {
-            1 => Kind::Begin,
-            2 => Kind::Page,
-            3 => Kind::End,
-            _ => return Err(FrameError::Head),
-        };
-        let head = Head {
-            kind,
-            packed: b[5] & 1 == 1,
-            spool: u64::from(word(b, 8)) << 32 | u64::from(word(b, 12)),
-            page: word(b, 16),
-            rows: word(b, 20),
-            raw: word(b, 24),
-            stored: word(b, 28),
-            sum: word(b, 32),
+        let header = FrameHeader {
+            id: FrameId {
+                kind: FrameKind::from_byte(bytes[KIND_OFFSET]).ok_or(FrameError::Header)?,
+                spool: read_u64(bytes, SPOOL_OFFSET),
+                page: read_u32(bytes, PAGE_OFFSET),
+                rows: read_u32(bytes, ROWS_OFFSET),
+            },
+            compressed: bytes[FLAGS_OFFSET] & FLAG_COMPRESSED != 0,
+            content_bytes: read_u32(bytes, CONTENT_BYTES_OFFSET),
+            stored_bytes: read_u32(bytes, STORED_BYTES_OFFSET),
+            checksum: read_u32(bytes, CONTENT_CHECKSUM_OFFSET),
         };
-        match head.raw as usize > MOST || head.stored as usize > MOST + MOST / 128 + 64 {
-            true => Err(FrameError::Head),
-            false => Ok(head),
+        let content_fits = header.content_bytes as usize <= MAX_CONTENT_BYTES;
+        let stored_fits = header.stored_bytes as usize <= MAX_STORED_BYTES;
+        if content_fits && stored_fits {
+            Ok(header)
+        } else {
+            Err(FrameError::Header)
         }
     }
 
-    /// The content behind what is stored.
+    /// The content, from the content as stored.
     ///
     /// # Errors
-    /// It is not what was written.
-    pub fn open(&self, stored: &[u8]) -> Result<Vec<u8>, FrameError> {
-        if stored.len() != self.stored as usize || crc32fast::hash(stored) != self.sum {
-            return Err(FrameError::Sum);
+    /// It is not as it was written.
+    pub fn decode_content(&self, stored: &[u8]) -> Result<Vec<u8>, FrameError> {
+        let has_length = stored.len() == self.stored_bytes as usize;
+        if !has_length || crc32fast::hash(stored) != self.checksum {
+            return Err(FrameError::Checksum);
         }
-        match self.packed {
-            false => Ok(stored.to_vec()),
-            true => lz4_flex::block::decompress(stored, self.raw as usize)
-                .ok()
-                .filter(|raw| raw.len() == self.raw as usize)
-                .ok_or(FrameError::Packing),
+        if !self.compressed {
+            return Ok(stored.to_vec());
         }
+        let content_bytes = self.content_bytes as usize;
+        lz4_flex::block::decompress(stored, content_bytes)
+            .ok()
+            .filter(|content| content.len() == content_bytes)
+            .ok_or(FrameError::Compression)
     }
 }
 
-/// A whole frame, packed if that makes it shorter.
+/// An encoded frame.
+#[derive(Clone, Debug)]
+pub struct EncodedFrame {
+    /// Its header.
+    pub header: FrameHeader,
+    /// The frame with its header in the binary layout.
+    pub bytes: Vec<u8>,
+}
+
+/// Encodes a frame. The content is compressed if that makes it shorter.
 ///
 /// # Errors
-/// A content above [`MOST`].
-pub fn write(
-    kind: Kind,
-    spool: u64,
-    page: u32,
-    rows: u32,
-    content: &[u8],
-) -> Result<(Head, Vec<u8>), FrameError> {
-    if content.len() > MOST {
-        return Err(FrameError::Long(content.len()));
+/// [`FrameError::TooLong`] for a content above [`MAX_CONTENT_BYTES`].
+pub fn encode(id: FrameId, content: &[u8]) -> Result<EncodedFrame, FrameError> {
+    if content.len() > MAX_CONTENT_BYTES {
+        return Err(FrameError::TooLong(content.len()));
     }
-    let packed = (content.len() >= PACK_FROM).then(|| lz4_flex::block::compress(content));
-    let packed = packed.filter(|p| p.len() < content.len());
-    let stored = packed.as_deref().unwrap_or(content);
-    let head = Head {
-        kind,
-        packed: packed.is_some(),
-        spool,
-        page,
-        rows,
-        raw: content.len() as u32,
-        stored: stored.len() as u32,
-        sum: crc32fast::hash(stored),
+    let compressed = compress(content);
+    let stored = compressed.as_deref().unwrap_or(content);
+    let header = FrameHeader {
+        id,
+        compressed: compressed.is_some(),
+        content_bytes: content.len() as u32,
+        stored_bytes: stored.len() as u32,
+        checksum: crc32fast::hash(stored),
     };
-    let mut frame = Vec::with_capacity(HEAD + stored.len());
-    frame.extend(head.write());
-    frame.extend(stored);
-    Ok((head, frame))
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + stored.len());
+    bytes.extend(header.encode());
+    bytes.extend(stored);
+    Ok(EncodedFrame { header, bytes })
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    proptest! {
-        #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None,
-            rng_seed: proptest::test_runner::RngSeed::Fixed(9), ..ProptestConfig::default() })]
-
-        #[test]
-        fn a_frame_reads_as_it_was_written_and_no_flipped_bit_passes(
-            content in prop::collection::vec(prop_oneof![Just(7u8), any::<u8>()], 0..2000),
-            spool in any::<u64>(), page in any::<u32>(), at in any::<prop::sample::Index>(), bit in 0..8u8,
-        ) {
-            let (head, frame) = write(Kind::Page, spool, page, 3, &content).unwrap();
-            let read = |f: &[u8]| -> Result<(Head, Vec<u8>), FrameError> {
-                let head = Head::read(f[..HEAD].try_into().unwrap())?;
-                let stored = f.get(HEAD..HEAD + head.stored as usize).ok_or(FrameError::Sum)?;
-                Ok((head, head.open(stored)?))
-            };
-            prop_assert_eq!(read(&frame).unwrap(), (head, content));
-            prop_assert_eq!(head.length(), frame.len() as u64);
-            let mut flipped = frame.clone();
-            flipped[at.index(frame.len())] ^= 1 << bit;
-            prop_assert!(read(&flipped).is_err());
-        }
+fn compress(content: &[u8]) -> Option<Vec<u8>> {
+    if content.len() < MIN_COMPRESSED_BYTES {
+        return None;
     }
+    let compressed = lz4_flex::block::compress(content);
+    (compressed.len() < content.len()).then_some(compressed)
+}
+
+fn write_u32(bytes: &mut [u8; HEADER_BYTES], offset: usize, value: u32) {
+    bytes[offset..offset + 4].copy_from_slice(&value.to_be_bytes());
+}
+
+fn read_u32(bytes: &[u8; HEADER_BYTES], offset: usize) -> u32 {
+    let mut value = [0; 4];
+    value.copy_from_slice(&bytes[offset..offset + 4]);
+    u32::from_be_bytes(value)
+}
+
+fn read_u64(bytes: &[u8; HEADER_BYTES], offset: usize) -> u64 {
+    let mut value = [0; 8];
+    value.copy_from_slice(&bytes[offset..offset + 8]);
+    u64::from_be_bytes(value)
 }
--- a/tests/recorded_state/spool_adapter.rs
+++ b/tests/recorded_state/spool_adapter.rs
@@ -1,10 +1,9 @@
 //! The spool index as the streams use it. The only file of this test that names the machine's own items.
 
 use super::recording::{Recording, float, optional, optional_float};
-use query_dispatcher::spool::disk_health::Wrote;
 use query_dispatcher::spool::{
-    Admission, AdmissionRequest, DiskState, Handles, Order, Placement, ResumeError, SpoolIndex,
-    SpoolLimits, SpoolRejection,
+    Admission, AdmissionRequest, DiskState, HandleTable, Placement, RestoredSpool, ResumeError,
+    SpoolCommand, SpoolIndex, SpoolLimits, SpoolRejection, WriteOutcome,
 };
 
 #[derive(Clone, Copy)]
@@ -53,14 +52,14 @@
 /// The account of spools together with the handles that clients resume by.
 pub struct RecordedSpoolIndex {
     ledger: SpoolIndex,
-    handles: Handles,
+    handles: HandleTable,
 }
 
 impl RecordedSpoolIndex {
     pub fn new(options: Options, classes: usize) -> Self {
         RecordedSpoolIndex {
             ledger: SpoolIndex::new(limits(options), classes),
-            handles: Handles::default(),
+            handles: HandleTable::default(),
         }
     }
 
@@ -87,10 +86,11 @@
 
     pub fn open(&mut self, now: f64, request: Request, recording: &mut Recording) -> Option<u64> {
         match self.ledger.open(now, ask(request)) {
-            Ok((spool, orders)) => {
+            Ok(opened) => {
+                let spool = opened.id;
                 recording.count("opened");
                 recording.state(&format!("opened {spool}"));
-                self.carry_out(&orders, recording);
+                self.carry_out(&opened.commands, recording);
                 Some(spool)
             }
             Err(error) => {
@@ -102,26 +102,26 @@
 
     /// A page has come; true if it was stored.
     pub fn page(&mut self, now: f64, spool: u64, bytes: u64, recording: &mut Recording) -> bool {
-        let (taken, orders) = self.ledger.take(now, spool, bytes);
-        let stored = taken.is_ok();
-        match taken {
+        let outcome = self.ledger.add_page(now, spool, bytes);
+        let stored = outcome.placement.is_ok();
+        match outcome.placement {
             Ok(place) => record_place(place, recording),
             Err(error) => record_unfit(error, recording),
         }
-        self.carry_out(&orders, recording);
+        self.carry_out(&outcome.commands, recording);
         stored
     }
 
     /// Records the orders; the handle of an evicted spool expires.
-    fn carry_out(&mut self, orders: &[Order], recording: &mut Recording) {
+    fn carry_out(&mut self, orders: &[SpoolCommand], recording: &mut Recording) {
         for order in orders {
             match order {
-                Order::Evict(spool) => {
+                SpoolCommand::Evict(spool) => {
                     recording.count("evict");
                     recording.state(&format!("evict {spool}"));
                     self.handles.expire(*spool);
                 }
-                Order::Spill(spool) => {
+                SpoolCommand::Spill(spool) => {
                     recording.count("spill to disk");
                     recording.state(&format!("spill {spool}"));
                 }
@@ -137,10 +137,13 @@
         random: u128,
         recording: &mut Recording,
     ) -> String {
-        self.ledger.whole(now, spool);
-        let handle = self.handles.give(spool, user, random);
+        self.ledger.complete(now, spool);
+        let handle = self.handles.issue(spool, user, random);
         recording.count("handle given");
-        recording.state(&format!("handle {handle} {:?}", self.handles.of(spool)));
+        recording.state(&format!(
+            "handle {handle} {:?}",
+            self.handles.of_spool(spool)
+        ));
         handle
     }
 
@@ -155,7 +158,7 @@
     }
 
     pub fn returned(&mut self, spool: u64, bytes: u64) {
-        self.ledger.returned(spool, bytes);
+        self.ledger.return_to_memory(spool, bytes);
     }
 
     /// A complete spool of an earlier process is found on the disk.
@@ -168,15 +171,20 @@
         user: &str,
         handle: &str,
     ) -> u64 {
-        let spool = self.ledger.reserve();
-        self.ledger
-            .found(now, spool, ask(request), bytes, completed);
-        self.handles.put(spool, user, handle);
+        let spool = self.ledger.reserve_id();
+        let restored = RestoredSpool {
+            id: spool,
+            request: ask(request),
+            bytes,
+            completed_at: completed,
+        };
+        self.ledger.restore(now, restored);
+        self.handles.restore(spool, user, handle);
         spool
     }
 
     pub fn attach(&mut self, now: f64, spool: u64, recording: &mut Recording) -> bool {
-        let attached = self.ledger.attach(now, spool);
+        let attached = self.ledger.attach_reader(now, spool);
         recording.count(if attached {
             "reader attached"
         } else {
@@ -187,25 +195,25 @@
     }
 
     pub fn reading(&mut self, now: f64, spool: u64) {
-        self.ledger.reading(now, spool);
+        self.ledger.record_read(now, spool);
     }
 
     pub fn detach(&mut self, now: f64, spool: u64, complete: bool) {
-        self.ledger.detach(now, spool, complete);
+        self.ledger.detach_reader(now, spool, complete);
     }
 
     pub fn disk_write(&mut self, now: f64, took: f64, write: DiskWrite, recording: &mut Recording) {
         let outcome = match write {
-            DiskWrite::Well => Wrote::Well,
-            DiskWrite::Full => Wrote::Full,
-            DiskWrite::Failed => Wrote::Failed("read-only".into()),
+            DiskWrite::Well => WriteOutcome::Success,
+            DiskWrite::Full => WriteOutcome::Full,
+            DiskWrite::Failed => WriteOutcome::Failed("read-only".into()),
         };
-        let changed = self.ledger.wrote(now, took, outcome);
+        let changed = self.ledger.record_disk_write(now, took, outcome);
         recording.state(&format!("disk changed {changed}"));
     }
 
     pub fn learn_size(&mut self, class: usize, bytes: f64) {
-        self.ledger.learn(class, bytes);
+        self.ledger.record_result_size(class, bytes);
     }
 
     pub fn expire(&mut self, now: f64, recording: &mut Recording) {
@@ -217,7 +225,7 @@
     }
 
     pub fn resume(&mut self, user: &str, handle: &str, recording: &mut Recording) {
-        match self.handles.find(user, handle) {
+        match self.handles.resolve(user, handle) {
             Ok(spool) => {
                 recording.count("resumed");
                 recording.state(&format!("resumed {spool}"));
@@ -232,18 +240,22 @@
 
     pub fn record_all(&self, now: f64, spools: &[u64], classes: usize, recording: &mut Recording) {
         let ledger = &self.ledger;
-        assert!(ledger.adds_up(), "the account of all spools adds up");
+        assert!(ledger.is_consistent(), "the account of all spools adds up");
+        let counters = ledger.counters();
         let totals = [
-            ledger.refused,
-            ledger.failed,
-            ledger.evicted,
-            ledger.expired,
-            ledger.spilled,
+            counters.rejected,
+            counters.failed,
+            counters.evicted,
+            counters.expired,
+            counters.spilled,
         ];
-        let expected: Vec<u64> = (0..classes).map(|class| ledger.expected(class)).collect();
+        let usage = ledger.usage();
+        let expected: Vec<u64> = (0..classes)
+            .map(|class| ledger.expected_bytes(class))
+            .collect();
         recording.state(&format!(
             "used {:?} {} {}",
-            ledger.used(),
+            (usage.memory_bytes, usage.disk_bytes),
             ledger.len(),
             ledger.is_empty()
         ));
@@ -252,21 +264,30 @@
             "next expiry {}",
             optional_float(ledger.next_expiry())
         ));
-        for (tenant, bytes) in ledger.tenants() {
+        for (tenant, bytes) in ledger.bytes_by_tenant() {
             recording.state(&format!("tenant {} {bytes}", optional(*tenant)));
         }
         let disk = [
-            disk_text(ledger.watch.state()),
-            ledger.watch.takes(now).to_string(),
+            disk_text(ledger.disk_health().state()),
+            ledger.disk_health().accepts_writes(now).to_string(),
         ];
-        recording.count(disk_kind(ledger.watch.state()));
-        recording.state(&format!("disk {disk:?} {}", ledger.watch.failures));
+        recording.count(disk_kind(ledger.disk_health().state()));
+        recording.state(&format!(
+            "disk {disk:?} {}",
+            ledger.disk_health().failures()
+        ));
         let handles = &self.handles;
+        let rejections = handles.rejections();
+        let refused = [
+            rejections.other_user,
+            rejections.unknown,
+            rejections.expired,
+        ];
         recording.state(&format!(
             "handles {} {} {:?}",
             handles.len(),
             handles.is_empty(),
-            handles.refused
+            refused
         ));
         spools
             .iter()
@@ -274,14 +295,16 @@
     }
 
     fn record_spool(&self, spool: u64, recording: &mut Recording) {
-        let life = self
-            .ledger
-            .life(spool)
-            .map(|(whole, until)| [float(whole), optional_float(until)]);
+        let life = self.ledger.lifetime(spool).map(|lifetime| {
+            [
+                float(lifetime.completed_at),
+                optional_float(lifetime.expires_at),
+            ]
+        });
         let (present, spilled) = (self.ledger.contains(spool), self.ledger.is_spilled(spool));
         recording.state(&format!(
             "spool {spool} {present} {spilled} {life:?} {:?}",
-            self.handles.of(spool)
+            self.handles.of_spool(spool)
         ));
     }
 }
@@ -297,11 +320,11 @@
 
 fn record_unfit(error: SpoolRejection, recording: &mut Recording) {
     let kind = match error {
-        SpoolRejection::Result(_) => "above result limit",
-        SpoolRejection::Tenant(_) => "above tenant quota",
-        SpoolRejection::Room => "no room",
-        SpoolRejection::Many => "too many spools",
-        SpoolRejection::Unknown => "unknown spool",
+        SpoolRejection::ResultTooLarge(_) => "above result limit",
+        SpoolRejection::TenantQuota(_) => "above tenant quota",
+        SpoolRejection::NoCapacity => "no room",
+        SpoolRejection::TooManySpools => "too many spools",
+        SpoolRejection::UnknownSpool => "unknown spool",
     };
     recording.count(kind);
     recording.state(kind);
@@ -319,7 +342,7 @@
 fn disk_kind(state: &DiskState) -> &'static str {
     match state {
         DiskState::Absent => "disk absent",
-        DiskState::Well => "disk well",
+        DiskState::Healthy => "disk well",
         DiskState::Full { .. } => "disk full",
         DiskState::Failing { .. } => "disk failing",
         DiskState::Slow { .. } => "disk slow",
@@ -328,7 +351,7 @@
 
 fn disk_text(state: &DiskState) -> String {
     let particulars = match state {
-        DiskState::Absent | DiskState::Well => String::new(),
+        DiskState::Absent | DiskState::Healthy => String::new(),
         DiskState::Full { since } | DiskState::Slow { since } => float(*since),
         DiskState::Failing { since, reason } => format!("{} {reason}", float(*since)),
     };
--- a/tests/stored/segments.rs
+++ b/tests/stored/segments.rs
@@ -1,11 +1,11 @@
 //! Segments of spools.
 
-use query_dispatcher::storage::segments::{Directory, Rules, Segments};
+use query_dispatcher::storage::segments::{SegmentDirectory, SegmentLimits, SegmentLog};
 use std::path::Path;
 
-const RULES: Rules = Rules {
-    segment: 1 << 16,
-    most: 1 << 20,
+const LIMITS: SegmentLimits = SegmentLimits {
+    segment_bytes: 1 << 16,
+    total_bytes: 1 << 20,
 };
 /// The first never ends, the others are whole; the second is packed, the third has no page.
 const UNFINISHED: u64 = 3;
@@ -29,41 +29,44 @@
 
 /// Writes the fixed spools.
 pub fn write_fixed(folder: &Path) {
-    let (mut segments, _) = Segments::open(Directory::new(folder).unwrap(), RULES).unwrap();
+    let (mut segments, _) =
+        SegmentLog::open(SegmentDirectory::new(folder).unwrap(), LIMITS).unwrap();
     segments
-        .begin(UNFINISHED, b"the beginning of a spool that does not end")
+        .begin_spool(UNFINISHED, b"the beginning of a spool that does not end")
         .unwrap();
-    segments.page(UNFINISHED, 1, b"its page").unwrap();
+    segments.append_page(UNFINISHED, 1, b"its page").unwrap();
     segments
-        .begin(PACKED, b"the beginning of a whole one")
+        .begin_spool(PACKED, b"the beginning of a whole one")
         .unwrap();
-    segments.page(PACKED, 2, b"a short page").unwrap();
-    segments.page(PACKED, 600, &long_page()).unwrap();
-    segments.end(PACKED, b"its end").unwrap();
-    segments.begin(EMPTY, &[]).unwrap();
-    segments.end(EMPTY, &[]).unwrap();
+    segments.append_page(PACKED, 2, b"a short page").unwrap();
+    segments.append_page(PACKED, 600, &long_page()).unwrap();
+    segments.end_spool(PACKED, b"its end").unwrap();
+    segments.begin_spool(EMPTY, &[]).unwrap();
+    segments.end_spool(EMPTY, &[]).unwrap();
     segments.sync().unwrap();
 }
 
 /// All that a folder holds, as text.
 pub fn read_folder(folder: &Path) -> String {
-    let (mut segments, found) = match Segments::open(Directory::new(folder).unwrap(), RULES) {
-        Ok(opened) => opened,
-        Err(error) => return format!("  {error}\n"),
-    };
+    let (mut segments, found) =
+        match SegmentLog::open(SegmentDirectory::new(folder).unwrap(), LIMITS) {
+            Ok(opened) => opened,
+            Err(error) => return format!("  {error}\n"),
+        };
     let mut told = format!(
         "  dropped {}, torn {}, missing {}\n",
-        found.dropped, found.torn, found.missing
+        found.dropped_spools, found.truncated_bytes, found.missing_segments
     );
-    for spool in found.whole {
+    for spool in found.spools {
         let (begin, end) = (spool.begin.escape_ascii(), spool.end.escape_ascii());
         told += &format!(
             "  spool {}: {} bytes stored, \"{begin}\" to \"{end}\"\n",
-            spool.spool, spool.stored
+            spool.spool, spool.stored_bytes
         );
-        for (page, (rows, length)) in spool.pages.iter().enumerate() {
+        for (page, recovered) in spool.pages.iter().enumerate() {
+            let (rows, length) = (recovered.rows, recovered.content_bytes);
             let content = segments
-                .read(spool.spool, page as u32)
+                .read_page(spool.spool, page as u32)
                 .map_err(|error| error.to_string());
             let content = content.map(|content| content.escape_ascii().to_string());
             told += &format!("    page {page}, {rows} rows, {length} bytes: {content:?}\n");
