--- a/src/spool_io/disk/directories.rs
+++ b/src/spool_io/disk/directories.rs
@@ -295,7 +295,7 @@
     let missing = recovery.missing_segments;
     if dropped + missing > 0 || truncated > 0 {
         log_line!(
-            "spools: {}: {dropped} incomplete results dropped, {truncated} bytes truncated, {missing} segments missing",
+            "spools: {}: {dropped} results were not whole, {truncated} bytes torn, {missing} segments missing",
             path.display()
         );
     }
--- a/src/spool_io/spools.rs
+++ b/src/spool_io/spools.rs
@@ -97,7 +97,7 @@
         }
         if !found.is_empty() {
             log_line!(
-                "spools: {} results of earlier processes are restored",
+                "spools: {} results of earlier processes are there",
                 self.results.borrow().len()
             );
         }
