--- a/src/discovery/journal.rs
+++ b/src/discovery/journal.rs
@@ -88,7 +88,7 @@
     pos: u64,
     first: Vec<Change>,
     silence: Duration,
-    pauses: Backoff,
+    backoff: Backoff,
     /// The place after which an event could not be read: asked for once more, then passed over.
     unread: Option<u64>,
 }
@@ -100,13 +100,13 @@
         known: serde_json::Value,
         seed: u64,
     ) -> Result<Self, serde_json::Error> {
-        let (silence, pauses) = (SILENCE, Backoff::new(seed));
+        let (silence, backoff) = (SILENCE, Backoff::new(seed));
         let mut journal = Journal {
             address,
             pos: 0,
             first: vec![],
             silence,
-            pauses,
+            backoff,
             unread: None,
         };
         if !known.is_null() {
@@ -187,7 +187,7 @@
 impl Discovery for Journal {
     async fn run(mut self, sink: ChangeHandler) {
         std::mem::take(&mut self.first).into_iter().for_each(&sink);
-        tokio::time::sleep(self.pauses.first()).await;
+        tokio::time::sleep(self.backoff.initial()).await;
         loop {
             let before = self.pos;
             let address = *self.address.borrow_and_update();
@@ -199,14 +199,14 @@
                 }
                 // News shows that the service is well; without any, ask ever more slowly.
                 let news = self.pos > before;
-                tokio::time::sleep(self.pauses.after(news)).await;
+                tokio::time::sleep(self.backoff.after(news)).await;
             };
             let moved = tokio::select! {
                 () = following => false,
                 Ok(()) = moved.changed() => true,
             };
             if moved {
-                tokio::time::sleep(self.pauses.first()).await;
+                tokio::time::sleep(self.backoff.initial()).await;
             }
         }
     }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -2,4 +2,5 @@
 
 pub mod frames;
 pub mod mysql;
+pub mod resp;
 pub mod statement;
--- a/src/server/platform.rs
+++ b/src/server/platform.rs
@@ -109,7 +109,7 @@
         config.names.report_fields.clone(),
         pool.clone(),
     );
-    upstream.within(config.limits.max_sockets);
+    upstream.set_descriptors(config.limits.max_sockets);
     Ok(RequestRouter::new(core, config.names.clone(), upstream))
 }
 
@@ -130,7 +130,9 @@
             moved
         });
         self.frontend.apply_limits(&new.limits);
-        self.router.upstream().within(new.limits.max_sockets);
+        self.router
+            .upstream()
+            .set_descriptors(new.limits.max_sockets);
         match self.in_force.needs_restart(new) {
             Some(key) => Reloaded::AppliedExcept(key),
             None => Reloaded::Applied,
--- /dev/null
+++ b/src/upstream/resp/commands.rs
@@ -0,0 +1,99 @@
+//! Writes attempts and their cancellations on a connection.
+
+use crate::clock::unix_time_millis;
+use crate::decision::model::Outcome;
+use crate::dispatch::request_router::StartAttempt;
+use crate::frontend::frames::Work;
+use crate::protocol::resp::RespError;
+use crate::transport::pending_input::{self, PendingInput};
+use crate::upstream::resp::connection::{BlockedOn, Command, Stage};
+use crate::upstream::resp::connection_task::{CANCELLED_WRITE_GRACE_MS, Session};
+
+impl Session<'_> {
+    /// Writes a command where nothing is left to be written. What the system takes no byte of is blocked, and checked
+    /// anew before it is written: by then its client may have left, its time be over or its engine drain.
+    pub(super) fn write_command(&mut self, command: Command) -> Result<(), RespError> {
+        match command {
+            Command::Cancel(txn) => self.wire.enqueue(&[b"DROP", txn.as_bytes()][..]),
+            Command::Send(txn) => self.write_attempt(txn),
+        }
+    }
+
+    fn write_attempt(&mut self, txn: String) -> Result<(), RespError> {
+        let task = self.task;
+        let connection = &task.connection;
+        let Some(router) = task.router.upgrade() else {
+            return Ok(());
+        };
+        let mut pending = connection.pending.borrow_mut();
+        // Cancelled before a byte of it was written.
+        let Some(attempt) = pending.get_mut(&txn) else {
+            return Ok(());
+        };
+        let Stage::Queued {
+            start,
+            work,
+            input_checked,
+        } = &mut attempt.stage
+        else {
+            return Ok(());
+        };
+        let now = unix_time_millis();
+        let write_by = start.write_by;
+        let time_left = start.until - now;
+        let is_late = time_left < 1.0 || now >= write_by;
+        // The connection took its time: the engine may drain by now, or the time be over, its own or that of a retry. It
+        // never ran.
+        if is_late || !router.is_in_service(&task.engine) {
+            let id = start.attempt;
+            drop(pending);
+            self.forget_attempt(&txn, id);
+            let outcome = if is_late {
+                Outcome::NeverStarted
+            } else {
+                Outcome::Unreachable
+            };
+            router.attempt_ended(id, outcome, vec![]);
+            return Ok(());
+        }
+        // The engine may have closed the connection by now, and its client may have gone or left since its task last
+        // ran: the system is asked, and what is unread is read first. Nothing begins for a client that has closed.
+        let client_input = work.client_input();
+        let is_first_check = !std::mem::replace(input_checked, true);
+        let has_unread_input = || {
+            client_input == PendingInput::Bytes
+                || pending_input::peek(self.wire.get_ref()) != PendingInput::Empty
+        };
+        if client_input == PendingInput::Closed || is_first_check && has_unread_input() {
+            self.blocked = Some((Command::Send(txn), BlockedOn::UnreadInput));
+            return Ok(());
+        }
+        let fields = attempt_fields(start, work, time_left);
+        let strings: [&[u8]; 4] = [b"GET", txn.as_bytes(), fields.as_bytes(), &work.statement];
+        if !self.wire.start_write(&strings[..])? {
+            *input_checked = false;
+            self.blocked = Some((Command::Send(txn), BlockedOn::WriteCapacity));
+            return Ok(());
+        }
+        // From here on it counts as reached, even if the write breaks off.
+        attempt.stage = Stage::Written;
+        if !self.wire.is_flushed() {
+            *connection.partially_written.borrow_mut() = Some(txn);
+            // A retry that is not complete by its time never is.
+            let unwanted_since = write_by - CANCELLED_WRITE_GRACE_MS;
+            let unwanted_since = write_by.is_finite().then_some(unwanted_since);
+            connection.unwanted_since.set(unwanted_since);
+        }
+        self.unrecorded_dispatches += 1;
+        Ok(())
+    }
+}
+
+/// The fields of an attempt, with its remaining time in milliseconds.
+fn attempt_fields(start: &StartAttempt, work: &Work, time_left: f64) -> String {
+    let mut fields = format!("cls={},limit={}", work.class, time_left as u64);
+    if start.memory_mb >= 1.0 {
+        fields.push_str(&format!(",pool={}", start.memory_mb.round() as u64));
+    }
+    fields
+}
--- /dev/null
+++ b/src/upstream/resp/mod.rs
@@ -0,0 +1,86 @@
+//! The upstream on the platform: RESP over pooled connections, results page by page, progress notes.
+//!
+//! [`RespUpstream`] starts and cancels attempts; `engine_pool` holds the connections to each engine and bounds them,
+//! `connection` is one connection's state, `connection_task` serves it, `commands` writes attempts on it and `replies`
+//! reads what comes back.
+
+mod commands;
+mod connection;
+mod connection_task;
+mod engine_pool;
+mod replies;
+
+use crate::clock::unix_time_millis;
+use crate::config::SocketSettings;
+use crate::core::AttemptId;
+use crate::decision::model::Outcome;
+use crate::discovery::Change;
+use crate::dispatch::request_router::{RequestRouter, StartAttempt, Upstream};
+use crate::frontend::frames::Work;
+use crate::transport::buffer_pool::{Buffer, BufferPool};
+use connection::{Command, PendingAttempt, Stage};
+use engine_pool::EnginePool;
+use std::rc::Rc;
+
+/// Sends attempts to the platform's engines.
+pub struct RespUpstream(Rc<EnginePool>);
+
+impl RespUpstream {
+    /// An upstream that reads these fields of load reports, in this order.
+    pub fn new(sockets: SocketSettings, report_fields: Vec<String>, pool: BufferPool) -> Self {
+        RespUpstream(Rc::new(EnginePool::new(sockets, report_fields, pool)))
+    }
+
+    /// Sets the descriptor limit of the process, of which connections to engines have their share.
+    pub fn set_descriptors(&self, descriptors: usize) {
+        self.0.set_descriptors(descriptors);
+    }
+}
+
+impl Upstream for RespUpstream {
+    type Work = Work;
+    type Output = Buffer;
+
+    fn start(&self, router: &Rc<RequestRouter<Self>>, start: StartAttempt, work: Rc<Work>) {
+        let attempt = start.attempt;
+        let alone = start.alone;
+        let Some(connection) = self.0.connection(router, &start.engine, &work.txn, alone) else {
+            return router.attempt_ended(attempt, Outcome::Unreachable, vec![]);
+        };
+        let txn = work.txn.clone();
+        let pending = PendingAttempt {
+            attempt,
+            alone,
+            stage: Stage::Queued {
+                start,
+                work,
+                input_checked: false,
+            },
+        };
+        let command = Command::Send(txn.clone());
+        if connection.commands.try_send(command).is_err() {
+            return router.attempt_ended(attempt, Outcome::Unreachable, vec![]);
+        }
+        if connection.pending.borrow().is_empty() {
+            connection.last_activity.set(unix_time_millis());
+        }
+        connection.pending.borrow_mut().insert(txn.clone(), pending);
+        let mut attempts = self.0.attempts.borrow_mut();
+        attempts.insert(attempt, (connection, txn));
+    }
+
+    fn cancel_attempt(&self, attempt: AttemptId) {
+        let cancelled = self.0.attempts.borrow_mut().remove(&attempt);
+        if let Some((connection, txn)) = cancelled {
+            connection.cancel(txn);
+        }
+    }
+
+    fn set_process_count(&self, processes: usize) {
+        self.0.set_process_count(processes);
+    }
+
+    fn update_endpoints(&self, change: &Change) {
+        self.0.update_endpoints(change);
+    }
+}
