--- a/src/bin/hitchwinch-simhost/main.rs
+++ b/src/bin/hitchwinch-simhost/main.rs
@@ -3,7 +3,7 @@
 mod wire;
 
 use query_dispatcher::config::NameTable;
-use query_dispatcher::gossip::Broadcaster;
+use query_dispatcher::gossip::{Broadcaster, PeerReport};
 use query_dispatcher::{Action, Controller, EngineState, Event, ListUpdate, Outcome};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io::{BufRead, Write};
@@ -185,7 +185,7 @@
                     .and_then(|i| i.bulletin.as_mut());
                 let heard = bulletin.map(|b| b.receive(now, content.as_bytes()));
                 // What can't be read is passed over, as on sockets.
-                let Some(Ok(Some((engine, report)))) = heard else {
+                let Some(Ok(Some(PeerReport { engine, report }))) = heard else {
                     return Ok(());
                 };
                 (
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -1,7 +1,7 @@
 use crate::core::metrics::{Metrics, RequestOutcome};
 use crate::decision::facade::{Decision, Facade, Report};
 use crate::decision::model::*;
-use crate::gossip::{Broadcaster, DecodeError, GossipBudget};
+use crate::gossip::{Broadcaster, DecodeError, GossipBudget, PeerReport};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 pub type RequestId = QueryId;
@@ -203,7 +203,7 @@
             return Ok(());
         };
         match bulletin.receive(now, message) {
-            Ok(Some((engine, report))) => {
+            Ok(Some(PeerReport { engine, report })) => {
                 self.report(now, Report::PeerLoadReport { engine, report })
             }
             Ok(None) => {}
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -1,95 +1,157 @@
-//! The form of a message: one load report of one engine, in bytes below 128, so that it is text as well and the
-//! simulator's wire can carry it.
+//! The wire format of a message: one load report of one engine.
 //!
-//! ```text
-//! message = kind:1 ('r') engine:3 value:1 for each field of a report
-//! ```
+//! | offset | bytes | field |
+//! | --- | --- | --- |
+//! | 0 | 1 | kind: `r`, a load report |
+//! | 1 | 3 | the engine's hash ([`engine_hash`]), 21 bits, 7 in each byte, the highest first |
+//! | 4 | 1 each | the report's values, in the order of the settings' report fields |
 //!
-//! `engine` is 21 bits of a hash of its id; a value is a step on a scale of its own: shares by steps of 0.02 to 1.26,
-//! counts by ones to 40, then by a tenth each.
+//! Every byte is below 128, so that a message is text as well and the simulator's protocol can carry it. A value is a
+//! step of a scale:
+//!
+//! | steps | values |
+//! | --- | --- |
+//! | 0 to 63 | 0 to 1.26, by 0.02: shares |
+//! | 64 to 103 | 1 to 40, by 1: counts |
+//! | 104 to 127 | each a tenth more than the one before, from 44 to 394 |
 
-/// The most that one message may hold, in bytes.
+/// The longest message of the protocol, in bytes; the peers' messages are charged by it.
 pub const MAX_MESSAGE_BYTES: usize = 256;
-const REPORT: u8 = b'r';
-const HEAD: usize = 4;
-/// Values of a report that a message has room for.
-const FIELDS: usize = 16;
+/// The kind of a load report.
+const LOAD_REPORT_KIND: u8 = b'r';
+/// The kind and the engine's hash, in bytes.
+const HEADER_BYTES: usize = 4;
+/// Values that a message can hold.
+const MAX_REPORT_FIELDS: usize = 16;
+/// Payload bits of a byte, and their mask.
+const BITS_PER_BYTE: u32 = 7;
+const BYTE_MASK: u32 = 0x7f;
+/// Bits of an engine's hash, and their mask.
+const HASH_BITS: u32 = 3 * BITS_PER_BYTE;
+const HASH_MASK: u32 = (1 << HASH_BITS) - 1;
+
+/// The highest step of the linear scale of shares, its value and the distance of two steps.
+const LAST_SHARE_STEP: f64 = 63.0;
+const MAX_SHARE: f64 = 1.26;
+const SHARE_STEP: f64 = 0.02;
+/// The highest step of the linear scale of counts, and its value.
+const LAST_COUNT_STEP: f64 = 103.0;
+const MAX_COUNT: f64 = 40.0;
+/// The highest step, and the ratio of two values beyond [`MAX_COUNT`].
+const LAST_STEP: f64 = 127.0;
+const GROWTH_PER_STEP: f64 = 1.1;
 
-/// What a message tells.
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadReportMessage {
-    /// Stands for the engine's name: [`short`].
-    pub short: u32,
+    /// Stands for the engine's name: [`engine_hash`].
+    pub engine_hash: u32,
+    /// The report's values.
     pub report: Vec<f64>,
 }
 
+/// Why a message cannot be read.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    #[error("a message of {0} bytes where {1} are due")]
-    Length(usize, usize),
+    /// The settings' report fields need another length.
+    #[error("a message of {actual} bytes where {expected} are due")]
+    Length {
+        /// Bytes of the message.
+        actual: usize,
+        /// Bytes that the settings' report fields need.
+        expected: usize,
+    },
+    /// The first byte is no kind that is known.
     #[error("a message of kind {0}, which is not known")]
-    Kind(u8),
+    UnknownKind(u8),
+    /// Some byte is 128 or more.
     #[error("a byte of 128 or more")]
-    Byte,
+    ByteOutOfRange,
 }
 
-/// 21 bits that stand for an engine's name (FNV-1a, folded).
-pub fn short(engine: &str) -> u32 {
-    let hash = engine.bytes().fold(0x811c_9dc5u32, |h, b| {
-        (h ^ u32::from(b)).wrapping_mul(0x0100_0193)
+/// 21 bits that stand for an engine's name: 32-bit FNV-1a, folded.
+pub(crate) fn engine_hash(engine: &str) -> u32 {
+    const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
+    const FNV_PRIME: u32 = 0x0100_0193;
+    let hash = engine.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| {
+        (hash ^ u32::from(byte)).wrapping_mul(FNV_PRIME)
     });
-    (hash ^ hash >> 21) & 0x1f_ffff
+    (hash ^ hash >> HASH_BITS) & HASH_MASK
 }
 
-/// The message, unless the report has other fields than the settings name or a value that no engine has.
-pub fn encode(short: u32, report: &[f64], fields: usize) -> Option<Vec<u8>> {
-    if report.len() != fields || !(1..=FIELDS).contains(&fields) {
+/// The message; none if the report has other than `report_fields` values, or one that no engine has.
+pub(crate) fn encode(engine_hash: u32, report: &[f64], report_fields: usize) -> Option<Vec<u8>> {
+    if report.len() != report_fields || !(1..=MAX_REPORT_FIELDS).contains(&report_fields) {
         return None;
     }
-    let mut message = vec![REPORT];
-    message.extend([14, 7, 0].map(|shift| (short >> shift & 0x7f) as u8));
-    for v in report {
-        message.push(step(*v)?);
+    let mut message = vec![LOAD_REPORT_KIND];
+    for shift in [2 * BITS_PER_BYTE, BITS_PER_BYTE, 0] {
+        message.push((engine_hash >> shift & BYTE_MASK) as u8);
+    }
+    for value in report {
+        message.push(encode_value(*value)?);
     }
     Some(message)
 }
 
-/// What a message tells, or why it can't be read.
-pub fn decode(message: &[u8], fields: usize) -> Result<LoadReportMessage, DecodeError> {
-    let due = HEAD + fields.min(FIELDS);
-    match message.first() {
-        Some(&kind) if kind != REPORT => return Err(DecodeError::Kind(kind)),
-        _ if message.len() != due => return Err(DecodeError::Length(message.len(), due)),
-        _ if message.iter().any(|b| *b >= 128) => return Err(DecodeError::Byte),
-        _ => {}
+/// Reads a message of `report_fields` values.
+///
+/// # Errors
+/// The message is of another kind or length, or holds a byte of 128 or more.
+pub(crate) fn decode(
+    message: &[u8],
+    report_fields: usize,
+) -> Result<LoadReportMessage, DecodeError> {
+    if let Some(&kind) = message.first()
+        && kind != LOAD_REPORT_KIND
+    {
+        return Err(DecodeError::UnknownKind(kind));
+    }
+    let expected = HEADER_BYTES + report_fields.min(MAX_REPORT_FIELDS);
+    if message.len() != expected {
+        let actual = message.len();
+        return Err(DecodeError::Length { actual, expected });
     }
-    let short = message[1..HEAD]
+    if !message.is_ascii() {
+        return Err(DecodeError::ByteOutOfRange);
+    }
+    let engine_hash = message[1..HEADER_BYTES]
+        .iter()
+        .fold(0, |hash, byte| hash << BITS_PER_BYTE | u32::from(*byte));
+    let report = message[HEADER_BYTES..]
         .iter()
-        .fold(0, |s, b| s << 7 | u32::from(*b));
+        .map(|step| decode_value(*step))
+        .collect();
     Ok(LoadReportMessage {
-        short,
-        report: message[HEAD..].iter().map(|b| value(*b)).collect(),
+        engine_hash,
+        report,
     })
 }
 
-/// Steps 0 to 63: 0 to 1.26 by 0.02. 64 to 103: 1 to 40 by ones. From there each is a tenth more, to 394.
-const FINE: f64 = 0.02;
-
-fn step(v: f64) -> Option<u8> {
-    let whole = v.fract() == 0.0;
-    match v {
-        _ if !v.is_finite() || v < 0.0 => None,
-        0.0 => Some(0),
-        _ if v <= 1.26 && !(whole && v >= 1.0) => Some((v / FINE).round() as u8),
-        _ if v <= 40.0 => Some(63 + v.round() as u8),
-        _ => Some((103.0 + (v / 40.0).log(1.1).round()).min(127.0) as u8),
+/// The step of the scale next to a value; none for what is no value of a report.
+fn encode_value(value: f64) -> Option<u8> {
+    if !value.is_finite() || value < 0.0 {
+        return None;
     }
+    let is_count = value >= 1.0 && value.fract() == 0.0;
+    let step = if value <= MAX_SHARE && !is_count {
+        (value / SHARE_STEP).round()
+    } else if value <= MAX_COUNT {
+        LAST_SHARE_STEP + value.round()
+    } else {
+        let beyond = (value / MAX_COUNT).log(GROWTH_PER_STEP).round();
+        (LAST_COUNT_STEP + beyond).min(LAST_STEP)
+    };
+    Some(step as u8)
 }
 
-fn value(step: u8) -> f64 {
-    match f64::from(step) {
-        s if s < 64.0 => s * FINE,
-        s if s < 104.0 => s - 63.0,
-        s => 40.0 * 1.1f64.powf(s - 103.0),
+fn decode_value(step: u8) -> f64 {
+    let step = f64::from(step);
+    if step <= LAST_SHARE_STEP {
+        step * SHARE_STEP
+    } else if step <= LAST_COUNT_STEP {
+        step - LAST_SHARE_STEP
+    } else {
+        MAX_COUNT * GROWTH_PER_STEP.powf(step - LAST_COUNT_STEP)
     }
 }
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -1,114 +1,145 @@
-//! What the dispatchers of a tier tell each other: the load reports that engines' answers bring. A dispatcher among
-//! a hundred meets an engine seldom and would learn of its load seconds late; together they meet it all the time.
+//! Gossip between the dispatchers of a tier: the load reports that engines' answers bring. A dispatcher among a hundred
+//! meets an engine seldom and would learn of its load seconds late; together they meet it all the time.
 //!
-//! No I/O: time is passed in, and messages go in and out as bytes. Nothing is decided about requests here, only what
-//! is worth telling: a report goes to all peers unless the engine was told of a moment ago, by this dispatcher or by
-//! another, so that the whole tier says no more than a few words a second of each engine, however many they are.
-//! What the words cost is paid from an account that each request adds a little to.
+//! No I/O: time is passed in, and messages go in and out as bytes. Nothing is decided about requests here, only which
+//! reports are broadcast: a report goes to all peers unless one of the same engine was broadcast a moment ago, by this
+//! dispatcher or by another, so that the whole tier sends no more than a few messages a second for each engine, however
+//! many dispatchers there are. Messages are paid from a credit that each request adds a little to.
 
 mod message;
+#[cfg(test)]
+mod tests;
 
 pub use message::{DecodeError, LoadReportMessage, MAX_MESSAGE_BYTES};
 
 use crate::decision::model::Millis;
 use std::collections::BTreeMap;
 
-/// An engine of which somebody told within this, in ms, is not told of again. Engines refresh their reports every
-/// 0.2 to 0.8 s, and the module trusts one for 0.5 s.
-const QUIET: Millis = 300.0;
-/// Points of a request's worth, in 100, that words may cost for each request taken.
-const SHARE: f64 = 0.2;
-/// Requests whose part of that may be saved up.
-const SAVED: f64 = 50.0;
+/// An engine's report is not broadcast again within this, in ms. Engines refresh their reports every 0.2 to 0.8 s, and
+/// the decisions trust one for 0.5 s.
+const MIN_BROADCAST_INTERVAL_MS: Millis = 300.0;
+/// Points of a request's value, in 100, that messages may cost for each admitted request.
+const CREDIT_PER_REQUEST: f64 = 0.2;
+/// Requests whose credit may be saved up.
+const MAX_SAVED_REQUESTS: f64 = 50.0;
 
 /// What the operators allow and charge.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GossipBudget {
     /// Dispatchers of the tier, this one included.
     pub dispatchers: u32,
-    /// Points of a request's worth, in 100, for one full message (256 bytes) that reaches one peer.
+    /// Points of a request's value, in 100, for one message of [`MAX_MESSAGE_BYTES`] that reaches one peer.
     pub message_price: f64,
     /// Values in a load report: as many as the settings' `feedback.fields` names.
     pub report_fields: usize,
 }
 
-/// What this dispatcher has told its peers and heard from them.
+/// A peer's load report of an engine that is listed here.
+#[derive(Clone, Debug, PartialEq)]
+pub struct PeerReport {
+    /// The engine's name.
+    pub engine: String,
+    /// The report's values.
+    pub report: Vec<f64>,
+}
+
+/// Decides which load reports are broadcast to the peers, and reads theirs.
 #[derive(Debug)]
 pub struct Broadcaster {
-    terms: GossipBudget,
-    /// Engines in the list, by what stands for their name in a message; `None`: two names share it.
-    known: BTreeMap<u32, Option<String>>,
-    /// When an engine was last told of, by anybody.
-    told: BTreeMap<u32, Millis>,
-    /// Points that may still be spent.
-    account: f64,
+    budget: GossipBudget,
+    /// Listed engines by their hash; `None`: two engines share it.
+    engines: BTreeMap<u32, Option<String>>,
+    /// When an engine's report was last broadcast, by any dispatcher.
+    last_broadcast: BTreeMap<u32, Millis>,
+    /// Points that may be spent.
+    credit: f64,
 }
 
 impl Broadcaster {
-    pub fn new(terms: GossipBudget) -> Self {
+    /// A broadcaster that knows no engines and has no credit.
+    pub fn new(budget: GossipBudget) -> Self {
         Broadcaster {
-            terms,
-            known: BTreeMap::new(),
-            told: BTreeMap::new(),
-            account: 0.0,
+            budget,
+            engines: BTreeMap::new(),
+            last_broadcast: BTreeMap::new(),
+            credit: 0.0,
         }
     }
 
-    /// The engines that are listed now. Two of one short name are not told of at all: the news of one would pass
-    /// for that of the other.
-    pub fn set_engines<'a>(&mut self, engines: impl Iterator<Item = &'a str>) {
-        self.known.clear();
+    /// The engines that are listed now. Two of one hash take no part in gossip: the report of one would pass for that
+    /// of the other.
+    pub fn set_engines<'name>(&mut self, engines: impl Iterator<Item = &'name str>) {
+        self.engines.clear();
         for name in engines {
-            let twice = |n: &mut Option<String>| *n = None;
-            self.known
-                .entry(message::short(name))
-                .and_modify(twice)
+            self.engines
+                .entry(message::engine_hash(name))
+                .and_modify(|collided| *collided = None)
                 .or_insert_with(|| Some(name.to_string()));
         }
-        self.told.retain(|short, _| self.known.contains_key(short));
+        let engines = &self.engines;
+        self.last_broadcast
+            .retain(|hash, _| engines.contains_key(hash));
     }
 
-    /// A request was taken: it pays for a part of the news.
+    /// A request was admitted: it pays for a part of the messages.
     pub fn credit_request(&mut self) {
-        self.account = (self.account + SHARE).min(SHARE * SAVED);
+        let max_credit = CREDIT_PER_REQUEST * MAX_SAVED_REQUESTS;
+        self.credit = (self.credit + CREDIT_PER_REQUEST).min(max_credit);
     }
 
-    /// An answer brought this report of its engine: the message for all peers, if it is worth one.
+    /// An answer brought this report of its engine: the message for all peers, if it is to be broadcast.
     pub fn offer_report(&mut self, now: Millis, engine: &str, report: &[f64]) -> Option<Vec<u8>> {
-        let short = message::short(engine);
-        let news = self.told.get(&short).is_none_or(|at| now >= at + QUIET);
-        if !news
-            || self.terms.dispatchers < 2
-            || !self.known.get(&short).is_some_and(Option::is_some)
-        {
+        let hash = message::engine_hash(engine);
+        let has_peers = self.budget.dispatchers > 1;
+        if !has_peers || !self.is_unambiguous(hash) || !self.is_due(now, hash) {
             return None;
         }
-        let message = message::encode(short, report, self.terms.report_fields)?;
-        let cost = self.terms.message_price * message.len() as f64 / MAX_MESSAGE_BYTES as f64
-            * f64::from(self.terms.dispatchers - 1);
-        if cost > self.account {
+        let message = message::encode(hash, report, self.budget.report_fields)?;
+        let cost = self.cost(&message);
+        if cost > self.credit {
             return None;
         }
-        self.account -= cost;
-        self.told.insert(short, now);
+        self.credit -= cost;
+        self.last_broadcast.insert(hash, now);
         Some(message)
     }
 
-    /// A peer's message: the engine's name and its report. `Ok(None)`: of one that is not listed here.
+    /// Reads a peer's message. `Ok(None)`: its engine is not listed here.
+    ///
+    /// # Errors
+    /// The message cannot be read.
     pub fn receive(
         &mut self,
         now: Millis,
         message: &[u8],
-    ) -> Result<Option<(String, Vec<f64>)>, DecodeError> {
-        let LoadReportMessage { short, report } =
-            message::decode(message, self.terms.report_fields)?;
-        let Some(Some(engine)) = self.known.get(&short) else {
+    ) -> Result<Option<PeerReport>, DecodeError> {
+        let LoadReportMessage {
+            engine_hash,
+            report,
+        } = message::decode(message, self.budget.report_fields)?;
+        let Some(Some(engine)) = self.engines.get(&engine_hash) else {
             return Ok(None);
         };
-        self.told.insert(short, now);
-        Ok(Some((engine.clone(), report)))
+        self.last_broadcast.insert(engine_hash, now);
+        let engine = engine.clone();
+        Ok(Some(PeerReport { engine, report }))
     }
-}
 
-#[cfg(test)]
-mod tests;
+    /// Whether exactly one listed engine has the hash.
+    fn is_unambiguous(&self, hash: u32) -> bool {
+        self.engines.get(&hash).is_some_and(Option::is_some)
+    }
+
+    /// Whether no dispatcher broadcast a report of the engine a moment ago.
+    fn is_due(&self, now: Millis, hash: u32) -> bool {
+        self.last_broadcast
+            .get(&hash)
+            .is_none_or(|at| now >= at + MIN_BROADCAST_INTERVAL_MS)
+    }
+
+    /// Points that the message costs at all peers.
+    fn cost(&self, message: &[u8]) -> f64 {
+        let peers = f64::from(self.budget.dispatchers - 1);
+        self.budget.message_price * message.len() as f64 / MAX_MESSAGE_BYTES as f64 * peers
+    }
+}
--- a/src/gossip/tests.rs
+++ b/src/gossip/tests.rs
@@ -1,8 +1,12 @@
-//! What is told, what is not, and what of it is understood.
+//! Which reports are broadcast, which are not, and what of a message is understood.
 
-use super::*;
+use super::{
+    Broadcaster, CREDIT_PER_REQUEST, DecodeError, GossipBudget, MIN_BROADCAST_INTERVAL_MS,
+    PeerReport, message,
+};
+use std::collections::HashMap;
 
-fn terms() -> GossipBudget {
+fn budget() -> GossipBudget {
     GossipBudget {
         dispatchers: 100,
         message_price: 1.0,
@@ -10,191 +14,225 @@
     }
 }
 
-/// A dispatcher that knows these engines and has taken requests enough to speak.
-fn rich(engines: &[&str]) -> Broadcaster {
-    let mut b = Broadcaster::new(terms());
-    b.set_engines(engines.iter().copied());
-    (0..1000).for_each(|_| b.credit_request());
-    b
+/// A broadcaster that knows these engines and has full credit.
+fn credited(engines: &[&str]) -> Broadcaster {
+    let mut broadcaster = Broadcaster::new(budget());
+    broadcaster.set_engines(engines.iter().copied());
+    (0..1000).for_each(|_| broadcaster.credit_request());
+    broadcaster
+}
+
+fn peer_report(engine: &str, report: &[f64]) -> PeerReport {
+    PeerReport {
+        engine: engine.to_string(),
+        report: report.to_vec(),
+    }
 }
 
 #[test]
-fn a_report_reaches_a_peer_as_it_was() {
-    let (mut a, mut b) = (rich(&["s-1", "s-2"]), rich(&["s-2", "s-3"]));
-    for (now, report) in [
+fn a_report_reaches_a_peer_unchanged() {
+    let mut sender = credited(&["s-1", "s-2"]);
+    let mut receiver = credited(&["s-2", "s-3"]);
+    let reports = [
         (0.0, [7.0, 0.5]),
         (1000.0, [0.0, 0.0]),
         (2000.0, [40.0, 1.0]),
-    ] {
-        let message = a.offer_report(now, "s-2", &report).expect("news");
-        assert!(
-            message.is_ascii() && message.len() == 6,
-            "text as well, and short: {message:?}"
-        );
+    ];
+    for (now, report) in reports {
+        let message = sender.offer_report(now, "s-2", &report).expect("broadcast");
+        assert!(message.is_ascii(), "text as well: {message:?}");
+        assert_eq!(message.len(), 6, "{message:?}");
         assert_eq!(
-            b.receive(now + 10.0, &message),
-            Ok(Some(("s-2".to_string(), report.to_vec())))
+            receiver.receive(now + 10.0, &message),
+            Ok(Some(peer_report("s-2", &report)))
         );
     }
 }
 
 #[test]
 fn values_lose_less_than_the_engines_own_noise() {
-    let mut a = rich(&["s"]);
-    let mut b = rich(&["s"]);
-    for n in 0..2000 {
-        let (count, share) = (f64::from(n) / 7.0, f64::from(n) / 2000.0);
-        let now = f64::from(n) * 1000.0;
-        (0..100).for_each(|_| a.credit_request());
-        let (_, got) = b
-            .receive(now, &a.offer_report(now, "s", &[count, share]).unwrap())
-            .unwrap()
-            .unwrap();
+    let mut sender = credited(&["s"]);
+    let mut receiver = credited(&["s"]);
+    for number in 0..2000 {
+        let count = f64::from(number) / 7.0;
+        let share = f64::from(number) / 2000.0;
+        let now = f64::from(number) * 1000.0;
+        (0..100).for_each(|_| sender.credit_request());
+        let message = sender.offer_report(now, "s", &[count, share]).unwrap();
+        let received = receiver.receive(now, &message).unwrap().unwrap().report;
         assert!(
-            (got[0] - count).abs() <= (0.05 * count).max(0.5),
+            (received[0] - count).abs() <= (0.05 * count).max(0.5),
             "{count} became {}",
-            got[0]
+            received[0]
         );
         assert!(
-            (got[1] - share).abs() <= 0.0101,
+            (received[1] - share).abs() <= 0.0101,
             "{share} became {}",
-            got[1]
+            received[1]
         );
     }
 }
 
-/// What each would tell alone, a hundred would say a hundred times.
+/// A hundred dispatchers would otherwise broadcast the same engine's report a hundred times.
 #[test]
-fn an_engine_that_anybody_told_of_a_moment_ago_is_not_told_of_again() {
-    let (mut a, mut b) = (rich(&["s-1", "s-2"]), rich(&["s-1", "s-2"]));
-    let message = a
+fn an_engine_that_any_dispatcher_reported_a_moment_ago_is_not_reported_again() {
+    let mut one = credited(&["s-1", "s-2"]);
+    let mut other = credited(&["s-1", "s-2"]);
+    let message = one
         .offer_report(0.0, "s-1", &[1.0, 0.1])
-        .expect("the first word");
+        .expect("the first");
     assert_eq!(
-        a.offer_report(QUIET - 1.0, "s-1", &[9.0, 0.9]),
+        one.offer_report(MIN_BROADCAST_INTERVAL_MS - 1.0, "s-1", &[9.0, 0.9]),
         None,
-        "its own word counts"
+        "its own broadcast counts"
     );
-    b.receive(10.0, &message).unwrap();
+    other.receive(10.0, &message).unwrap();
     assert_eq!(
-        b.offer_report(QUIET, "s-1", &[9.0, 0.9]),
+        other.offer_report(MIN_BROADCAST_INTERVAL_MS, "s-1", &[9.0, 0.9]),
         None,
         "and so does a peer's"
     );
     assert!(
-        b.offer_report(QUIET, "s-2", &[9.0, 0.9]).is_some(),
-        "of that engine alone"
+        other
+            .offer_report(MIN_BROADCAST_INTERVAL_MS, "s-2", &[9.0, 0.9])
+            .is_some(),
+        "for that engine alone"
     );
     assert!(
-        b.offer_report(QUIET + 10.0, "s-1", &[9.0, 0.9]).is_some(),
-        "until it is old"
+        other
+            .offer_report(MIN_BROADCAST_INTERVAL_MS + 10.0, "s-1", &[9.0, 0.9])
+            .is_some(),
+        "until the interval is over"
     );
 }
 
-/// The price of a word grows with the tier, and small ones would pay it as well as large ones.
+/// The price of a message grows with the tier, and small tiers would pay it as well as large ones.
 #[test]
-fn words_cost_no_more_than_their_part_of_what_requests_are_worth() {
-    for (peers, price) in [(3, 1.0), (100, 1.0), (300, 1.0), (100, 20.0)] {
-        let mut b = Broadcaster::new(GossipBudget {
-            dispatchers: peers,
-            message_price: price,
+fn messages_cost_no_more_than_the_credit_of_the_requests() {
+    for (dispatchers, message_price) in [(3, 1.0), (100, 1.0), (300, 1.0), (100, 20.0)] {
+        let mut broadcaster = Broadcaster::new(GossipBudget {
+            dispatchers,
+            message_price,
             report_fields: 2,
         });
-        let names: Vec<String> = (0..60).map(|n| format!("s-{n}")).collect();
-        b.set_engines(names.iter().map(String::as_str));
-        let (mut bytes, requests) = (0, 5000);
-        for n in 0..requests {
-            b.credit_request();
-            let now = n as f64 * 200.0;
-            bytes += b
-                .offer_report(now, &names[n % 60], &[1.0, 0.5])
-                .map_or(0, |m| m.len());
+        let names: Vec<String> = (0..60).map(|number| format!("s-{number}")).collect();
+        broadcaster.set_engines(names.iter().map(String::as_str));
+        let requests = 5000;
+        let mut bytes = 0;
+        for request in 0..requests {
+            broadcaster.credit_request();
+            let now = request as f64 * 200.0;
+            let message = broadcaster.offer_report(now, &names[request % 60], &[1.0, 0.5]);
+            bytes += message.map_or(0, |message| message.len());
         }
-        let cost = price * bytes as f64 * f64::from(peers - 1) / 256.0 / requests as f64;
+        let peers = f64::from(dispatchers - 1);
+        let cost = message_price * bytes as f64 * peers / 256.0 / requests as f64;
         assert!(
-            cost <= SHARE,
-            "{peers} dispatchers at {price}: {cost} points a request"
+            cost <= CREDIT_PER_REQUEST,
+            "{dispatchers} dispatchers at {message_price}: {cost} points a request"
+        );
+        assert!(
+            bytes > 0 || message_price > 9.0,
+            "but the usual price is paid"
         );
-        assert!(bytes > 0 || price > 9.0, "but the usual price is paid");
     }
 }
 
-#[test]
-fn engines_of_one_short_name_are_not_told_of_and_news_of_others_lists_is_passed_over() {
-    // Found by trying: two names of one hash of 21 bits.
-    let mut seen = std::collections::HashMap::new();
-    let name = |n: u32| format!("s-{n:08x}");
-    let (one, other) = (0..)
-        .find_map(|n| {
-            seen.insert(message::short(&name(n)), n)
-                .map(|before| (name(before), name(n)))
+/// Two names that share one hash of 21 bits, found by trying.
+fn colliding_names() -> (String, String) {
+    let name = |number: u32| format!("s-{number:08x}");
+    let mut numbers_by_hash = HashMap::new();
+    (0..)
+        .find_map(|number| {
+            let earlier = numbers_by_hash.insert(message::engine_hash(&name(number)), number);
+            earlier.map(|earlier| (name(earlier), name(number)))
         })
-        .expect("some two share it");
-    let mut alone = rich(&[&one]);
-    let message = alone
+        .expect("some two share it")
+}
+
+#[test]
+fn engines_that_share_a_hash_are_not_reported_and_reports_of_unlisted_engines_are_ignored() {
+    let (one, other) = colliding_names();
+    let mut unambiguous = credited(&[&one]);
+    let message = unambiguous
         .offer_report(0.0, &one, &[1.0, 0.1])
-        .expect("alone it is told of");
-    let mut both = rich(&[&one, &other]);
-    assert_eq!(both.offer_report(0.0, &one, &[1.0, 0.1]), None);
+        .expect("alone it is reported");
+    let mut ambiguous = credited(&[&one, &other]);
+    assert_eq!(ambiguous.offer_report(0.0, &one, &[1.0, 0.1]), None);
     assert_eq!(
-        both.receive(0.0, &message),
+        ambiguous.receive(0.0, &message),
         Ok(None),
         "it could be the other"
     );
     assert_eq!(
-        rich(&["s-else"]).receive(0.0, &message),
+        credited(&["s-else"]).receive(0.0, &message),
         Ok(None),
         "not in this list"
     );
-    alone.set_engines(["s-else"].into_iter());
+    unambiguous.set_engines(["s-else"].into_iter());
     assert_eq!(
-        alone.offer_report(1000.0, &one, &[1.0, 0.1]),
+        unambiguous.offer_report(1000.0, &one, &[1.0, 0.1]),
         None,
         "no longer listed"
     );
 }
 
 #[test]
-fn what_is_no_message_is_named_and_changes_nothing() {
-    let mut b = rich(&["s"]);
-    let good = rich(&["s"]).offer_report(0.0, "s", &[1.0, 0.1]).unwrap();
-    let mut high = good.clone();
-    high[4] = 200;
-    assert_eq!(b.receive(0.0, b""), Err(DecodeError::Length(0, 6)));
-    assert_eq!(b.receive(0.0, &good[..5]), Err(DecodeError::Length(5, 6)));
-    assert_eq!(
-        b.receive(0.0, &[&good[..], b"x"].concat()),
-        Err(DecodeError::Length(7, 6))
-    );
-    assert_eq!(b.receive(0.0, b"x12345"), Err(DecodeError::Kind(b'x')));
-    assert_eq!(b.receive(0.0, &high), Err(DecodeError::Byte));
-    assert_eq!(b.receive(0.0, &[0; 257]), Err(DecodeError::Kind(0)));
+fn a_malformed_message_is_an_error_and_changes_nothing() {
+    let mut broadcaster = credited(&["s"]);
+    let good = credited(&["s"])
+        .offer_report(0.0, "s", &[1.0, 0.1])
+        .unwrap();
+    let mut out_of_range = good.clone();
+    out_of_range[4] = 200;
+    let too_long = [&good[..], b"x"].concat();
+    let wrong_length = |actual| DecodeError::Length {
+        actual,
+        expected: 6,
+    };
+    let cases: [(&[u8], DecodeError); 6] = [
+        (b"", wrong_length(0)),
+        (&good[..5], wrong_length(5)),
+        (&too_long, wrong_length(7)),
+        (b"x12345", DecodeError::UnknownKind(b'x')),
+        (&out_of_range, DecodeError::ByteOutOfRange),
+        (&[0; 257], DecodeError::UnknownKind(0)),
+    ];
+    for (message, error) in cases {
+        assert_eq!(broadcaster.receive(0.0, message), Err(error));
+    }
     assert!(
-        b.offer_report(0.0, "s", &[1.0, 0.1]).is_some(),
-        "it kept nobody quiet"
+        broadcaster.offer_report(0.0, "s", &[1.0, 0.1]).is_some(),
+        "it suppressed no broadcast"
     );
-    for bad in [
-        &[1.0][..],
+}
+
+#[test]
+fn a_report_with_other_fields_or_impossible_values_is_not_broadcast() {
+    let mut broadcaster = credited(&["s"]);
+    let malformed: [&[f64]; 5] = [
+        &[1.0],
         &[],
         &[1.0, f64::NAN],
         &[1.0, -0.1],
         &[f64::INFINITY, 0.0],
-    ] {
+    ];
+    for report in malformed {
         assert_eq!(
-            b.offer_report(9000.0, "s", bad),
+            broadcaster.offer_report(9000.0, "s", report),
             None,
-            "{bad:?} is no report"
+            "{report:?} is no report"
         );
     }
 }
 
 #[test]
-fn a_dispatcher_alone_says_nothing() {
-    let mut b = Broadcaster::new(GossipBudget {
+fn a_single_dispatcher_broadcasts_nothing() {
+    let mut broadcaster = Broadcaster::new(GossipBudget {
         dispatchers: 1,
-        ..terms()
+        ..budget()
     });
-    b.set_engines(["s"].into_iter());
-    (0..1000).for_each(|_| b.credit_request());
-    assert_eq!(b.offer_report(0.0, "s", &[1.0, 0.1]), None);
+    broadcaster.set_engines(["s"].into_iter());
+    (0..1000).for_each(|_| broadcaster.credit_request());
+    assert_eq!(broadcaster.offer_report(0.0, "s", &[1.0, 0.1]), None);
 }
--- a/tests/recorded_state/gossip_adapter.rs
+++ b/tests/recorded_state/gossip_adapter.rs
@@ -1,7 +1,7 @@
 //! The gossip between dispatchers as the streams use it. The only file of this test that names the machine's own items.
 
 use super::recording::{Recording, float, hexadecimal};
-use query_dispatcher::gossip::{Broadcaster, DecodeError, GossipBudget};
+use query_dispatcher::gossip::{Broadcaster, DecodeError, GossipBudget, PeerReport};
 
 pub const LONGEST_MESSAGE: usize = query_dispatcher::gossip::MAX_MESSAGE_BYTES;
 
@@ -55,7 +55,7 @@
 
     pub fn heard(&mut self, now: f64, message: &[u8], recording: &mut Recording) {
         match self.0.receive(now, message) {
-            Ok(Some((engine, report))) => {
+            Ok(Some(PeerReport { engine, report })) => {
                 let report: Vec<String> = report.into_iter().map(float).collect();
                 recording.count("report received");
                 recording.state(&format!("received {engine} {report:?}"));
@@ -75,17 +75,17 @@
 
 fn error_kind(error: &DecodeError) -> &'static str {
     match error {
-        DecodeError::Length(..) => "wrong length",
-        DecodeError::Kind(_) => "unknown kind",
-        DecodeError::Byte => "byte out of range",
+        DecodeError::Length { .. } => "wrong length",
+        DecodeError::UnknownKind(_) => "unknown kind",
+        DecodeError::ByteOutOfRange => "byte out of range",
     }
 }
 
 fn error_text(error: &DecodeError) -> String {
     let particulars = match error {
-        DecodeError::Length(actual, expected) => format!("{actual} {expected}"),
-        DecodeError::Kind(kind) => kind.to_string(),
-        DecodeError::Byte => String::new(),
+        DecodeError::Length { actual, expected } => format!("{actual} {expected}"),
+        DecodeError::UnknownKind(kind) => kind.to_string(),
+        DecodeError::ByteOutOfRange => String::new(),
     };
     format!("{} {particulars}", error_kind(error))
 }
