--- a/src/config/eureka.rs
+++ b/src/config/eureka.rs
@@ -1,7 +1,7 @@
 //! `[eureka]` of the operators' file: registries, what is read of them, and what of it may be believed.
 
 use super::{ConfigError, bad};
-use crate::membership::{MembershipConfig, Networks, SelfPreservationConfig, networks};
+use crate::membership::{MAX_NETWORKS, MembershipConfig, Networks, SelfPreservationConfig};
 use base64::Engine as _;
 use ipnet::IpNet;
 use serde::Deserialize;
@@ -332,10 +332,10 @@
             // The earlier form took every address, and goes on doing so.
             None if earlier => Networks::any(),
             None => Networks::private(),
-            Some(texts) if texts.len() > networks::MAX_NETWORKS => {
+            Some(texts) if texts.len() > MAX_NETWORKS => {
                 return Err(bad(
                     "eureka.networks",
-                    format!("more than {}", networks::MAX_NETWORKS),
+                    format!("more than {}", MAX_NETWORKS),
                 ));
             }
             Some(texts) => {
--- a/src/discovery/eureka/model.rs
+++ b/src/discovery/eureka/model.rs
@@ -1,8 +1,7 @@
 //! A registry's documents, whatever format they came in, and the facts that they tell.
 
 use crate::config::eureka::RegistryQuery;
-use crate::membership::registry_view::version;
-use crate::membership::{InstanceRecord, Status};
+use crate::membership::{InstanceRecord, Status, Version};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 
@@ -73,7 +72,7 @@
             address: ip.zip(number).map(|(ip, port)| SocketAddr::new(ip, port)),
             zone: self.metadata.get("zone").or(self.zone.as_ref()).cloned(),
             kind: self.metadata.get("kind").cloned(),
-            version: version(self.dirty, self.updated),
+            version: Version::from_timestamps(self.dirty, self.updated),
             started: self.started.filter(|t| t.is_finite() && *t > 0.0),
         }
     }
--- a/src/discovery/eureka/replica.rs
+++ b/src/discovery/eureka/replica.rs
@@ -2,7 +2,7 @@
 
 use crate::config::eureka::RegistryQuery;
 use crate::discovery::eureka::model::{Application, Document};
-use crate::membership::{Status, UpdateContent, registry_view::version};
+use crate::membership::{Status, UpdateContent, Version};
 use std::collections::{BTreeMap, HashMap};
 
 /// Instances of all applications of one registry that are kept count of.
@@ -115,7 +115,7 @@
                 set?;
                 match listing.counts(name) {
                     true if i.deleted() => {
-                        deleted.push((i.id.clone(), version(i.dirty, i.updated)))
+                        deleted.push((i.id.clone(), Version::from_timestamps(i.dirty, i.updated)))
                     }
                     true => changed.push(i.fact(listing.secure())),
                     false => {}
--- a/src/discovery/eureka/tests.rs
+++ b/src/discovery/eureka/tests.rs
@@ -3,7 +3,7 @@
 use super::model::*;
 use super::replica::Replica;
 use crate::config::eureka::RegistryQuery;
-use crate::membership::source_records::Reported;
+use crate::membership::Reported;
 use crate::membership::{Status, UpdateContent, Version};
 use bytes::Bytes;
 use hyper::StatusCode;
--- a/src/discovery/membership_driver.rs
+++ b/src/discovery/membership_driver.rs
@@ -8,7 +8,9 @@
 use crate::discovery::ChangeHandler;
 use crate::log_line;
 use crate::membership::report::{Query, QueryError, Report};
-use crate::membership::{Change, Membership, Observation, Snapshot, SourceUpdate, snapshot};
+use crate::membership::{
+    Change, Membership, Observation, SNAPSHOT_FORMAT_VERSION, Snapshot, SourceUpdate,
+};
 use crate::storage::{LoadError, LocalFileSystem, RecordError, RecordKind, RecordStore};
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
@@ -28,7 +30,7 @@
 const NAME: &str = "members";
 const KIND: RecordKind = RecordKind {
     tag: *b"MEMB",
-    version: snapshot::SNAPSHOT_FORMAT_VERSION,
+    version: SNAPSHOT_FORMAT_VERSION,
 };
 const MOST_FILE: usize = 64 << 20;
 
@@ -212,12 +214,11 @@
             let Some((engine, seen)) = self.seen.borrow_mut().pop_front() else {
                 return;
             };
-            let (change, _) =
-                self.membership
-                    .borrow_mut()
-                    .record_observation(unix_time_millis(), &engine, seen);
-            if change.is_some() {
-                self.tell(change);
+            let mut membership = self.membership.borrow_mut();
+            let outcome = membership.record_observation(unix_time_millis(), &engine, seen);
+            drop(membership);
+            if outcome.change.is_some() {
+                self.tell(outcome.change);
             }
         }
     }
@@ -284,15 +285,15 @@
 
     fn opened(&self, engine: &str, at: Millis) -> bool {
         self.work_through();
-        let (change, anew) = self.membership.borrow_mut().record_observation(
+        let outcome = self.membership.borrow_mut().record_observation(
             unix_time_millis(),
             engine,
             Observation::Opened { at },
         );
-        if change.is_some() || anew {
-            self.tell(change);
+        if outcome.change.is_some() || outcome.restarted {
+            self.tell(outcome.change);
         }
-        anew
+        outcome.restarted
     }
 }
 
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,79 +1,63 @@
-//! What is believed of every engine, whichever registry, connection, operator or earlier process told it.
+//! The registry view: what is known of every engine instance, whichever registry, connection, operator or earlier
+//! process reported it.
 //!
-//! Pure: no I/O, and time is passed in, in milliseconds on the Unix clock ([`Millis`]). A [`Membership`] takes
-//! views of registries ([`SourceUpdate`]), what connections show ([`Observation`]), operators' hands and the [`Snapshot`] of an
-//! earlier process, and gives the [`Change`]s that the hub takes. `docs/design/membership.md` tells the options
-//! that were weighed; the rules stand as doc comments where they are kept:
+//! A pure state machine: no I/O, and time is passed in, in milliseconds on the Unix clock ([`Millis`](crate::decision::model::Millis)). A
+//! [`Membership`] takes updates of registries ([`SourceUpdate`]), what connections show ([`Observation`]), the
+//! operators' administrative drains and the [`Snapshot`] of an earlier process, and returns the [`Change`]s that the
+//! request router applies. `docs/design/membership.md` explains the options that were weighed.
 //!
-//! | rule | where |
+//! | rule | module |
 //! | --- | --- |
-//! | an older fact never overrides a newer one; contradictions are resolved towards draining | [`claims`] |
-//! | a mass disappearance is held back for a time | [`hold`] |
-//! | connections that were all lost and come back are a fresh start | [`proof`] |
-//! | addresses outside the networks are rejected | [`networks`] |
-//! | an address belongs to one engine; every map is bounded | [`book`] |
+//! | an older record never overrides a newer one | `source_records` |
+//! | contradicting sources are resolved towards draining | `resolution` |
+//! | a mass disappearance is not believed for a while | `self_preservation` |
+//! | connections that were all lost and are back show a restart | `liveness` |
+//! | addresses outside the configured networks are rejected | `networks`, `rejections` |
+//! | an address belongs to one instance | `address_owners` |
+//! | the number of sources, instances and tombstones is bounded | `sources`, `instance_store` |
+//!
+//! An update passes through `ingestion` (records are stored), `reevaluation` (states are resolved, self-preservation
+//! and address ownership are applied) and `publication` (what differs from the last publication is returned).
 
-pub mod liveness;
-pub mod networks;
-pub mod registry_view;
+mod address_owners;
+mod administrative_drain;
+mod change;
+mod config;
+mod explanation;
+mod ingestion;
+mod instance_record;
+mod instance_store;
+mod liveness;
+mod log_lines;
+mod member;
+mod networks;
+mod publication;
+mod reevaluation;
+mod registry_view;
+mod rejections;
 pub mod report;
-pub mod self_preservation;
-pub mod snapshot;
-pub mod source_records;
+mod resolution;
+mod restore;
+mod self_preservation;
+mod snapshot;
+mod source_records;
+mod sources;
 #[cfg(test)]
 mod tests;
+mod time_index;
+mod update;
 
-pub use liveness::Observation;
-pub use networks::Networks;
-pub use registry_view::{Membership, MembershipConfig};
-pub use self_preservation::SelfPreservationConfig;
-pub use snapshot::Snapshot;
-pub use source_records::{InstanceRecord, Status, Version};
-
-use crate::decision::model::{EngineState, ListUpdate, Millis};
-use std::net::SocketAddr;
-
-/// One engine as a source lists it.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Engine {
-    /// Its own id: an address may pass to another engine.
-    pub id: String,
-    /// Absent in news of one that is gone.
-    pub address: Option<SocketAddr>,
-    pub state: EngineState,
-    pub zone: Option<String>,
-    pub kind: Option<String>,
-    pub cell: i64,
-    /// When its process last started, on the Unix clock.
-    pub started: Option<Millis>,
-}
-
-/// What has changed, or the whole list.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Change {
-    pub update: ListUpdate,
-    pub engines: Vec<Engine>,
-}
-
-/// What one source lists, as of one answer.
-#[derive(Clone, Debug)]
-pub struct SourceUpdate {
-    /// The source's name: a registry's address. The same name is the same source.
-    pub source: String,
-    /// When it was asked. An answer that was asked for earlier never counts after one asked for later.
-    pub requested_at: Millis,
-    /// When the last byte of its answer was here: from here on its drains count as told.
-    pub received_at: Millis,
-    pub content: UpdateContent,
-}
-
-#[derive(Clone, Debug)]
-pub enum UpdateContent {
-    /// All that the source lists; what is absent it lists no more.
-    Full(Vec<InstanceRecord>),
-    /// What changed since the source's last view.
-    Delta {
-        changed: Vec<InstanceRecord>,
-        deleted: Vec<(String, Version)>,
-    },
-}
+pub use change::{Change, Engine};
+pub use config::MembershipConfig;
+pub use instance_record::{InstanceRecord, Reported, Status, Version};
+pub use liveness::{LivenessEvidence, Observation};
+pub use member::Member;
+pub use networks::{AddressError, MAX_NETWORKS, Networks};
+pub use registry_view::{Membership, ObservationOutcome};
+pub use rejections::{MAX_REJECTED_ADDRESSES, RejectedAddress, RejectionLog};
+pub use resolution::{Reason, ResolvedState, Standing};
+pub use self_preservation::{MissingInstances, Preservation, SelfPreservationConfig};
+pub use snapshot::{PersistedInstance, SNAPSHOT_FORMAT_VERSION, Snapshot};
+pub use source_records::{DrainWatermark, MAX_CLOCK_SKEW_MS, SourceRecord, SourceRecords};
+pub use sources::{MAX_SOURCES, Source, SourceFailure, SourceId};
+pub use update::{SourceUpdate, UpdateContent};
--- a/src/membership/networks.rs
+++ b/src/membership/networks.rs
@@ -1,77 +1,91 @@
 //! Which addresses a registry may name.
 //!
-//! Reason: whoever can write to a registry would else choose where statements and the engines' password go. An
-//! address inside no network is rejected, counted and named; it is never connected to.
+//! Reason: whoever can write to a registry would otherwise choose where statements and the engines' password are sent.
+//! An address outside every network is rejected, counted and reported; it is never connected to.
 
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
-/// Networks that engines may stand in.
+/// Networks that one configuration may list.
+pub const MAX_NETWORKS: usize = 256;
+
+/// The networks that engines may be in.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Networks {
     /// None: any address that one host can have.
-    nets: Option<Vec<IpNet>>,
+    allowed: Option<Vec<IpNet>>,
 }
 
 /// Why an address is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Rejection {
+pub enum AddressError {
+    /// No configured network contains it.
     #[error("outside the networks")]
-    Outside,
+    OutsideNetworks,
+    /// It is unspecified, a multicast address or the broadcast address.
     #[error("no address of one host")]
-    NoHost,
+    NotOneHost,
+    /// Its port is 0.
     #[error("port 0")]
     NoPort,
 }
 
-/// No operators' file lists more networks.
-pub const MAX_NETWORKS: usize = 256;
-
 impl Networks {
+    /// Any address that one host can have.
     pub fn any() -> Self {
-        Networks { nets: None }
+        Networks { allowed: None }
     }
 
-    pub fn only(nets: &[IpNet]) -> Self {
+    /// Only these networks.
+    pub fn only(networks: &[IpNet]) -> Self {
         Networks {
-            nets: Some(IpNet::aggregate(&nets.to_vec())),
+            allowed: Some(IpNet::aggregate(&networks.to_vec())),
         }
     }
 
-    /// Loopback and the private ranges: what holds if an operators' file names none.
+    /// The private and loopback networks: the default where the configuration names none.
     pub fn private() -> Self {
-        let v4 = |a, b, c, d, len| IpNet::V4(Ipv4Net::new_assert(Ipv4Addr::new(a, b, c, d), len));
-        let v6 = |first, len| {
-            IpNet::V6(Ipv6Net::new_assert(
-                Ipv6Addr::new(first, 0, 0, 0, 0, 0, 0, 0),
-                len,
-            ))
-        };
-        let nets = [
-            v4(127, 0, 0, 0, 8),
-            v4(10, 0, 0, 0, 8),
-            v4(172, 16, 0, 0, 12),
-            v4(192, 168, 0, 0, 16),
-            IpNet::V6(Ipv6Net::new_assert(Ipv6Addr::LOCALHOST, 128)),
-            v6(0xfc00, 7),
-        ];
-        Networks::only(&nets)
+        Networks::only(&[
+            ipv4_network([127, 0, 0, 0], 8),
+            ipv4_network([10, 0, 0, 0], 8),
+            ipv4_network([172, 16, 0, 0], 12),
+            ipv4_network([192, 168, 0, 0], 16),
+            ipv6_network(Ipv6Addr::LOCALHOST, 128),
+            ipv6_network(Ipv6Addr::new(0xfc00, 0, 0, 0, 0, 0, 0, 0), 7),
+        ])
     }
 
-    /// The address as it is to be used, if it may be. An IPv4 address written as one of IPv6 is what it stands
-    /// for: else `::ffff:198.51.100.1` would pass by a network of IPv6, or a good one fail.
-    pub fn admit(&self, address: SocketAddr) -> Result<SocketAddr, Rejection> {
+    /// The address as it is to be used, if it may be. An IPv4-mapped IPv6 address counts as the IPv4 address:
+    /// otherwise `::ffff:198.51.100.1` would pass by a network of IPv6, or a good one fail.
+    ///
+    /// # Errors
+    /// The address is not one host's, has no port, or lies outside the networks.
+    pub fn admit(&self, address: SocketAddr) -> Result<SocketAddr, AddressError> {
         let ip = address.ip().to_canonical();
         if address.port() == 0 {
-            return Err(Rejection::NoPort);
+            return Err(AddressError::NoPort);
         }
-        let broadcast = matches!(ip, IpAddr::V4(v4) if v4.is_broadcast());
-        if ip.is_unspecified() || ip.is_multicast() || broadcast {
-            return Err(Rejection::NoHost);
+        if !is_one_host(ip) {
+            return Err(AddressError::NotOneHost);
         }
-        match &self.nets {
-            Some(nets) if !nets.iter().any(|n| n.contains(&ip)) => Err(Rejection::Outside),
+        match &self.allowed {
+            Some(networks) if !networks.iter().any(|network| network.contains(&ip)) => {
+                Err(AddressError::OutsideNetworks)
+            }
             _ => Ok(SocketAddr::new(ip, address.port())),
         }
     }
 }
+
+fn is_one_host(ip: IpAddr) -> bool {
+    let is_broadcast = matches!(ip, IpAddr::V4(ipv4) if ipv4.is_broadcast());
+    !ip.is_unspecified() && !ip.is_multicast() && !is_broadcast
+}
+
+fn ipv4_network(octets: [u8; 4], prefix_length: u8) -> IpNet {
+    IpNet::V4(Ipv4Net::new_assert(Ipv4Addr::from(octets), prefix_length))
+}
+
+fn ipv6_network(address: Ipv6Addr, prefix_length: u8) -> IpNet {
+    IpNet::V6(Ipv6Net::new_assert(address, prefix_length))
+}
--- /dev/null
+++ b/src/membership/publication.rs
@@ -0,0 +1,93 @@
+//! Publishes what changed: compares instances with what was last published of them.
+
+use crate::decision::model::{EngineState, ListUpdate, Millis};
+use crate::membership::{Change, Engine, Member, Membership};
+use std::collections::BTreeSet;
+
+/// What has been published so far.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum PublicationStage {
+    /// Nothing: a source is waited for.
+    Nothing,
+    /// Lists of sources, or the instances of a snapshot.
+    Published,
+}
+
+impl Membership {
+    /// Returns what differs from what was published before, removed engines first: an address may pass to another
+    /// engine.
+    pub(super) fn publish(&mut self, now: Millis, affected: BTreeSet<String>) -> Option<Change> {
+        let mut engines: Vec<Engine> = affected
+            .iter()
+            .filter_map(|id| self.publish_instance(now, id))
+            .collect();
+        self.expire_tombstones(now);
+        let is_first = self.publication == PublicationStage::Nothing;
+        // The first list is published even if it is empty: it is known then that there is no engine.
+        let publishes_empty = is_first && !self.sources.none_counted();
+        if engines.is_empty() && !publishes_empty {
+            return None;
+        }
+        self.publication = PublicationStage::Published;
+        engines.sort_by_key(publication_rank);
+        let update = if is_first {
+            ListUpdate::Snapshot
+        } else {
+            ListUpdate::Patch
+        };
+        Some(Change { update, engines })
+    }
+
+    /// The instance as it is now, if it differs from what was published.
+    fn publish_instance(&mut self, now: Millis, id: &str) -> Option<Engine> {
+        self.instances.update_indexes(now, id);
+        let member = self.instances.get_mut(id)?;
+        let engine = published_form(id, member);
+        let differs = match &member.published {
+            None => engine.state != EngineState::Gone,
+            Some(published) => {
+                let stays_removed =
+                    engine.state == EngineState::Gone && published.state == EngineState::Gone;
+                *published != engine && !stays_removed
+            }
+        };
+        if !differs {
+            return None;
+        }
+        member.published = Some(engine.clone());
+        Some(engine)
+    }
+
+    /// Drops tombstones that are too old or too many.
+    pub(super) fn expire_tombstones(&mut self, now: Millis) {
+        let ttl = self.config.tombstone_ttl;
+        let max_tombstones = self.config.max_tombstones;
+        self.instances.expire_tombstones(now, ttl, max_tombstones);
+    }
+}
+
+fn published_form(id: &str, member: &Member) -> Engine {
+    let state = member.state();
+    // What an address that belongs to another instance leads to is not this one.
+    let address = member
+        .address
+        .filter(|_| state != EngineState::Gone && member.superseded_by.is_none());
+    Engine {
+        id: id.to_string(),
+        address,
+        state,
+        zone: member.zone.clone(),
+        kind: member.kind.clone(),
+        cell: 0,
+        started: member.started_at(),
+    }
+}
+
+/// Removed engines first, then those without an address, then the others.
+fn publication_rank(engine: &Engine) -> u8 {
+    match (engine.state, engine.address) {
+        (EngineState::Gone, _) => 0,
+        (_, None) => 1,
+        _ => 2,
+    }
+}
--- a/src/membership/self_preservation.rs
+++ b/src/membership/self_preservation.rs
@@ -1,22 +1,23 @@
-//! Mass disappearance: when many engines vanish from the lists at once, the list is doubted before the engines
-//! are.
+//! Self-preservation: when many instances disappear from the lists at once, the lists are doubted before the
+//! instances are.
 //!
-//! Reason: a registry that was just restarted, or cut off from the engines, shows an empty or short list while
-//! the engines serve on; a dispatcher that believes it turns everybody away. A registry does the same for its own
-//! clients (self-preservation). The doubt has a size ([`SelfPreservationConfig::max_missing_share`], [`SelfPreservationConfig::max_missing_count`]), a time
-//! ([`SelfPreservationConfig::duration`]) and an end: connections that are refused confirm a disappearance at once.
+//! Reason: a registry that was just restarted, or cut off from the engines, shows an empty or short list while the
+//! engines go on serving; a dispatcher that believes it rejects every request. A registry does the same for its own
+//! clients. The protection has a size ([`SelfPreservationConfig::max_missing_share`],
+//! [`SelfPreservationConfig::max_missing_count`]), a duration ([`SelfPreservationConfig::duration`]) and an end:
+//! connections that are refused confirm a disappearance at once.
 
 use crate::decision::model::Millis;
 use std::collections::VecDeque;
 
-/// When a disappearance is doubted, and for how long.
+/// When a disappearance is not believed, and for how long.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SelfPreservationConfig {
-    /// More than this part of the engines in service must vanish within a span, 0 to 1; ...
+    /// More than this part of the instances in service must go missing within the duration, 0 to 1, ...
     pub max_missing_share: f64,
-    /// ... and more than so many: two of three engines may well go together.
+    /// ... and more than so many: two of three instances may well be removed together.
     pub max_missing_count: usize,
-    /// For so long, in milliseconds, a disappearance is held back; 0: never.
+    /// How long missing instances are kept in service, in milliseconds; 0: never.
     pub duration: Millis,
 }
 
@@ -30,67 +31,89 @@
     }
 }
 
-/// Why an engine that no list names is kept in service.
+/// Why and how long a missing instance is kept in service.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Held {
+pub struct Preservation {
+    /// When it went missing.
     pub since: Millis,
+    /// Until when it is kept in service.
     pub until: Millis,
-    /// How many vanished with it, of how many.
-    pub vanished: usize,
-    pub of: usize,
+    /// Instances that went missing within the duration ...
+    pub missing: usize,
+    /// ... of so many that were in service.
+    pub in_service: usize,
 }
 
-/// Disappearances of late that were let through: a list that shrinks step by step is as doubtful as one that
+/// Instances that went missing at one time.
+#[derive(Clone, Copy, Debug)]
+struct Disappearance {
+    at: Millis,
+    count: usize,
+}
+
+/// Disappearances are told apart up to so many; the oldest two become one.
+const MAX_DISAPPEARANCES: usize = 64;
+
+/// Disappearances within the duration that were believed: a list that shrinks step by step is as doubtful as one that
 /// shrinks at once.
 #[derive(Clone, Debug, Default)]
 pub struct MissingInstances {
-    /// Moment and number, oldest first; entries of one moment are one.
-    recent: VecDeque<(Millis, usize)>,
+    /// Oldest first; those of one time are one.
+    believed: VecDeque<Disappearance>,
 }
 
-/// No more moments are told apart; the oldest two become one.
-const MOMENTS: usize = 64;
-
 impl MissingInstances {
-    /// Some vanish now, of so many in service before: are they to be held? If not, they count from here on.
-    pub fn doubt(
+    /// `missing` instances disappear now of `in_service` before. Returns how they are to be kept in service, or none
+    /// if the disappearance is believed: it counts for later ones then.
+    pub fn evaluate(
         &mut self,
-        rules: &SelfPreservationConfig,
+        config: &SelfPreservationConfig,
         now: Millis,
-        vanish: usize,
-        serving: usize,
-    ) -> Option<Held> {
-        if vanish == 0 || rules.duration <= 0.0 {
+        missing: usize,
+        in_service: usize,
+    ) -> Option<Preservation> {
+        if missing == 0 || config.duration <= 0.0 {
             return None;
         }
-        while self
-            .recent
-            .front()
-            .is_some_and(|(at, _)| *at + rules.duration <= now)
-        {
-            self.recent.pop_front();
-        }
-        let before: usize = self.recent.iter().map(|r| r.1).sum();
-        let (vanished, of) = (before + vanish, before + serving);
-        if vanished > rules.max_missing_count
-            && vanished as f64 > rules.max_missing_share * of as f64
-        {
-            return Some(Held {
+        self.expire(now, config.duration);
+        let believed: usize = self.believed.iter().map(|past| past.count).sum();
+        let total_missing = believed + missing;
+        let total_in_service = believed + in_service;
+        let tolerated = config.max_missing_share * total_in_service as f64;
+        if total_missing > config.max_missing_count && total_missing as f64 > tolerated {
+            return Some(Preservation {
                 since: now,
-                until: now + rules.duration,
-                vanished,
-                of,
+                until: now + config.duration,
+                missing: total_missing,
+                in_service: total_in_service,
             });
         }
-        match self.recent.back_mut() {
-            Some((at, n)) if *at == now => *n += vanish,
-            _ => self.recent.push_back((now, vanish)),
+        self.believe(now, missing);
+        None
+    }
+
+    fn expire(&mut self, now: Millis, duration: Millis) {
+        let expired = |past: &Disappearance| past.at + duration <= now;
+        while self.believed.front().is_some_and(expired) {
+            self.believed.pop_front();
+        }
+    }
+
+    fn believe(&mut self, now: Millis, count: usize) {
+        match self.believed.back_mut() {
+            Some(last) if last.at == now => last.count += count,
+            _ => self.believed.push_back(Disappearance { at: now, count }),
         }
-        if self.recent.len() > MOMENTS
-            && let (Some(a), Some(b)) = (self.recent.pop_front(), self.recent.front_mut())
+        if self.believed.len() > MAX_DISAPPEARANCES {
+            self.merge_oldest();
+        }
+    }
+
+    fn merge_oldest(&mut self) {
+        if let Some(oldest) = self.believed.pop_front()
+            && let Some(next) = self.believed.front_mut()
         {
-            b.1 += a.1;
+            next.count += oldest.count;
         }
-        None
     }
 }
--- a/tests/recorded_state/registry_adapter.rs
+++ b/tests/recorded_state/registry_adapter.rs
@@ -2,11 +2,11 @@
 
 use super::recording::{Recording, float, optional, optional_float};
 use super::registry_text::*;
-use query_dispatcher::membership::registry_view::{Member, version};
 use query_dispatcher::membership::report::Query;
 use query_dispatcher::membership::{
-    Change, InstanceRecord, Membership, MembershipConfig, Networks, Observation,
-    SelfPreservationConfig, Snapshot, SourceUpdate, Status, UpdateContent, Version,
+    Change, InstanceRecord, Member, Membership, MembershipConfig, Networks, Observation,
+    ObservationOutcome, SelfPreservationConfig, Snapshot, SourceUpdate, Status, UpdateContent,
+    Version,
 };
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -180,7 +180,7 @@
                 open_connections: open,
             },
         };
-        let (change, restarted) = self.0.record_observation(now, engine, seen);
+        let ObservationOutcome { change, restarted } = self.0.record_observation(now, engine, seen);
         recording.state(&format!("restarted {restarted}"));
         if restarted {
             recording.count("restart detected");
@@ -236,7 +236,7 @@
         match Query::parse(query) {
             Ok(query) => {
                 recording.count("report");
-                let only = query.only.map(only_text);
+                let only = query.filter.map(only_text);
                 recording.state(&format!(
                     "query {} {:?} {only:?}",
                     optional(query.limit),
@@ -258,33 +258,40 @@
             recording.state(&format!(
                 "{} {}",
                 source_text(source),
-                self.0.source_answers(source, now)
+                self.0.is_answering(source, now)
             ));
         }
         for (id, member) in self.0.members() {
             self.record_member(id, member, recording);
         }
-        let (rejected, rejections) = self.0.rejected();
-        for entry in rejected {
-            let last = float(entry.last);
+        let rejections = self.0.rejections().total();
+        for entry in self.0.rejections().recent() {
+            let last = float(entry.last_rejected_at);
             recording.state(&format!(
                 "rejected {} {} {} {last}",
                 entry.id,
                 optional(entry.address),
-                entry.times
+                entry.count
             ));
-            recording.wording(&entry.why);
+            recording.wording(&entry.reason);
             recording.count("rejected address");
         }
-        if self.0.overflow() > 0 {
+        if self.0.instances_over_limit() > 0 {
             recording.count("beyond instance limit");
         }
-        let (overflow, gone, held) = (self.0.overflow(), self.0.gone(), self.0.held());
+        let (overflow, gone, held) = (
+            self.0.instances_over_limit(),
+            self.0.tombstone_count(),
+            self.0.preserved_count(),
+        );
         recording.state(&format!(
             "totals {rejections} {overflow} {gone} {held} {}",
-            self.0.rules().max_instances
+            self.0.config().max_instances
+        ));
+        recording.state(&format!(
+            "restored {}",
+            optional_float(self.0.snapshot_taken_at())
         ));
-        recording.state(&format!("restored {}", optional_float(self.0.restored())));
         self.record_counts(recording);
     }
 
@@ -293,28 +300,32 @@
         let states = [
             counts.ready,
             counts.draining,
-            counts.held,
+            counts.preserved,
             counts.contradicted,
-            counts.unproven,
+            counts.unconfirmed,
+        ];
+        let others = [counts.administratively_drained, counts.tombstones];
+        let totals = [
+            counts.rejections,
+            counts.over_limit,
+            counts.outdated_records,
         ];
-        let others = [counts.administratively_drained, counts.gone];
-        let totals = [counts.rejections, counts.beyond_bound, counts.passed_over];
         recording.state(&format!("counts {states:?} {others:?} {totals:?}"));
-        if counts.passed_over > 0 {
+        if counts.outdated_records > 0 {
             recording.count("older fact ignored");
         }
     }
 
     fn record_member(&self, id: &str, member: &Member, recording: &mut Recording) {
-        let claims: Vec<String> = member.claims.iter().map(claim_text).collect();
-        recording.count(reason_kind(member.belief.why));
-        if member.held.is_some() {
+        let claims: Vec<String> = member.records.iter().map(claim_text).collect();
+        recording.count(reason_kind(member.resolved.reason));
+        if member.preservation.is_some() {
             recording.count("kept by self-preservation");
         }
-        if member.superseded.is_some() {
+        if member.superseded_by.is_some() {
             recording.count("address passed on");
         }
-        if member.unproven.is_some() {
+        if member.unconfirmed_since.is_some() {
             recording.count("unconfirmed since snapshot");
         }
         recording.state(&format!(
@@ -322,12 +333,15 @@
             state_text(member.state()),
             member_text(member)
         ));
-        recording.state(&format!("claims {} {claims:?}", member.claims.passed_over));
+        recording.state(&format!(
+            "claims {} {claims:?}",
+            member.records.outdated_records
+        ));
         recording.state(&format!(
             "out by operator {}",
             self.0.is_administratively_drained(id)
         ));
-        recording.wording(&self.0.explain(member.belief.why));
+        recording.wording(&self.0.explain(member.resolved.reason));
     }
 
     fn record_change(&mut self, change: Option<Change>, recording: &mut Recording) {
@@ -367,7 +381,7 @@
 
 /// The version that two timestamps of a registry's answer make.
 pub fn record_version(dirty: Option<f64>, updated: Option<f64>, recording: &mut Recording) {
-    let version = version(dirty, updated);
+    let version = Version::from_timestamps(dirty, updated);
     recording.count(if version.is_unset() {
         "version absent"
     } else {
--- a/tests/recorded_state/registry_text.rs
+++ b/tests/recorded_state/registry_text.rs
@@ -1,15 +1,11 @@
 //! The text form of what the registry view gives out. With its adapter the only file that names the machine's items.
 
 use super::recording::{Recording, float, optional, optional_float};
-use query_dispatcher::membership::liveness::LivenessEvidence;
-use query_dispatcher::membership::registry_view::{Member, Source};
-use query_dispatcher::membership::report::{Only, QueryError};
-use query_dispatcher::membership::self_preservation::Held;
-use query_dispatcher::membership::snapshot::PersistedInstance;
-use query_dispatcher::membership::source_records::{
-    Floor, Reported, ResolvedState, SourceRecord, Standing, Why,
+use query_dispatcher::membership::report::{MemberFilter, QueryError};
+use query_dispatcher::membership::{
+    DrainWatermark, Engine, LivenessEvidence, Member, PersistedInstance, Preservation, Reason,
+    Reported, ResolvedState, Source, SourceRecord, Standing, Version,
 };
-use query_dispatcher::membership::{Engine, Version};
 use query_dispatcher::{EngineState, ListUpdate};
 
 pub fn record_engine(engine: &Engine, recording: &mut Recording) {
@@ -52,11 +48,11 @@
 
 pub fn source_text(source: &Source) -> String {
     let failed = source
-        .failed
+        .last_failure
         .as_ref()
-        .map(|(at, problem)| format!("{} {problem}", float(*at)));
-    let answered = optional_float(source.answered);
-    let totals = [source.failures, source.whole, source.deltas];
+        .map(|failure| format!("{} {}", float(failure.at), failure.problem));
+    let answered = optional_float(source.last_answered_at);
+    let totals = [source.failures, source.full_lists, source.deltas];
     format!(
         "source {} {} {answered} {failed:?} {totals:?} {}",
         source.id, source.name, source.listed
@@ -71,51 +67,59 @@
     ];
     let times = [
         member.listed_start,
-        member.unproven,
-        member.started(),
+        member.unconfirmed_since,
+        member.started_at(),
         Some(member.since),
     ]
     .map(optional_float);
     let claims = [
-        version_text(member.claims.newest),
-        member.claims.floor.map_or("none".into(), floor_text),
+        version_text(member.records.newest_version),
+        member
+            .records
+            .drain_watermark
+            .map_or("none".into(), floor_text),
     ];
     let (liveness, held) = (
-        proof_text(&member.proof),
-        member.held.as_ref().map(held_text),
+        proof_text(&member.liveness),
+        member.preservation.as_ref().map(held_text),
     );
     let (belief, superseded) = (
-        belief_text(&member.belief),
-        optional(member.superseded.as_ref()),
+        belief_text(&member.resolved),
+        optional(member.superseded_by.as_ref()),
     );
     format!(
         "{particulars:?} {times:?} {claims:?} {liveness} {held:?} {belief} {superseded} {}",
-        member.turns
+        member.state_changes
     )
 }
 
 pub fn proof_text(proof: &LivenessEvidence) -> String {
-    let times = [proof.lost, proof.unwatched, proof.started].map(optional_float);
+    let times = [
+        proof.all_lost_at,
+        proof.unconnected_since,
+        proof.restarted_at,
+    ]
+    .map(optional_float);
     format!(
         "liveness {times:?} {} {} {}",
-        proof.seen,
-        proof.refused,
-        proof.dead()
+        proof.ever_connected,
+        proof.refusals,
+        proof.is_unreachable()
     )
 }
 
-pub fn held_text(held: &Held) -> String {
+pub fn held_text(held: &Preservation) -> String {
     format!(
         "{} {} {} {}",
         float(held.since),
         float(held.until),
-        held.vanished,
-        held.of
+        held.missing,
+        held.in_service
     )
 }
 
 pub fn belief_text(belief: &ResolvedState) -> String {
-    let stand = match belief.stand {
+    let stand = match belief.standing {
         Standing::Serving => "serves",
         Standing::Draining => "drains",
         Standing::Removed => "gone",
@@ -123,35 +127,37 @@
     let until = optional_float(belief.until);
     format!(
         "{stand} {} {} {until}",
-        reason_text(belief.why),
-        belief.why.contradicts()
+        reason_text(belief.reason),
+        belief.reason.contradicts()
     )
 }
 
-pub fn reason_kind(reason: Why) -> &'static str {
+pub fn reason_kind(reason: Reason) -> &'static str {
     match reason {
-        Why::Listed => "listed",
-        Why::Told(_) => "listed not up",
-        Why::Unusable => "unusable address",
-        Why::Contradicted(..) => "sources contradict",
-        Why::Missing(_) => "missing at one source",
-        Why::Older => "older than drain",
-        Why::Unlisted => "unlisted",
+        Reason::Listed => "listed",
+        Reason::ListedAs(_) => "listed not up",
+        Reason::UnusableAddress => "unusable address",
+        Reason::Contradicted(..) => "sources contradict",
+        Reason::MissingFrom(_) => "missing at one source",
+        Reason::OlderThanDrain => "older than drain",
+        Reason::Unlisted => "unlisted",
     }
 }
 
-pub fn reason_text(reason: Why) -> String {
+pub fn reason_text(reason: Reason) -> String {
     let particulars = match reason {
-        Why::Told(status) => status.as_str().to_string(),
-        Why::Contradicted(source, status) => format!("{source} {}", status.as_str()),
-        Why::Missing(source) => source.to_string(),
-        Why::Listed | Why::Unusable | Why::Older | Why::Unlisted => String::new(),
+        Reason::ListedAs(status) => status.as_str().to_string(),
+        Reason::Contradicted(source, status) => format!("{source} {}", status.as_str()),
+        Reason::MissingFrom(source) => source.to_string(),
+        Reason::Listed | Reason::UnusableAddress | Reason::OlderThanDrain | Reason::Unlisted => {
+            String::new()
+        }
     };
     format!("{} {particulars}", reason_kind(reason))
 }
 
 pub fn claim_text(claim: &SourceRecord) -> String {
-    let said = match claim.said {
+    let said = match claim.reported {
         Reported::Serving => "serves".to_string(),
         Reported::Draining(status) => format!("drains {}", status.as_str()),
         Reported::UnusableAddress => "unusable".to_string(),
@@ -161,11 +167,11 @@
     let (version, address) = (version_text(claim.version), optional(claim.address));
     format!(
         "{} {said} {version} {address} {times:?} {}",
-        claim.source, claim.round
+        claim.source, claim.generation
     )
 }
 
-pub fn floor_text(floor: Floor) -> String {
+pub fn floor_text(floor: DrainWatermark) -> String {
     format!(
         "{} {} {}",
         version_text(floor.version),
@@ -176,29 +182,30 @@
 
 pub fn kept_text(kept: &PersistedInstance) -> String {
     let particulars = [optional(kept.zone.as_ref()), optional(kept.kind.as_ref())];
-    let versions = [Some(kept.newest), kept.drained].map(|version| version.map(version_text));
-    let times = [Some(kept.since), kept.started].map(optional_float);
+    let versions =
+        [Some(kept.newest_version), kept.drained_version].map(|version| version.map(version_text));
+    let times = [Some(kept.since), kept.started_at].map(optional_float);
     format!(
         "kept {} {} {particulars:?} {} {times:?} {versions:?}",
-        kept.id, kept.address, kept.serves
+        kept.id, kept.address, kept.in_service
     )
 }
 
-pub fn only_text(only: Only) -> &'static str {
+pub fn only_text(only: MemberFilter) -> &'static str {
     match only {
-        Only::Ready => "ready",
-        Only::Draining => "draining",
-        Only::Gone => "gone",
-        Only::Held => "held",
-        Only::Contradicted => "contradicted",
-        Only::Unproven => "unproven",
+        MemberFilter::Ready => "ready",
+        MemberFilter::Draining => "draining",
+        MemberFilter::Removed => "gone",
+        MemberFilter::Preserved => "held",
+        MemberFilter::Contradicted => "contradicted",
+        MemberFilter::Unconfirmed => "unproven",
     }
 }
 
 pub fn query_error_kind(error: &QueryError) -> &'static str {
     match error {
         QueryError::Limit(_) => "query error limit",
-        QueryError::Only(_) => "query error filter",
-        QueryError::Key(_) => "query error key",
+        QueryError::Filter(_) => "query error filter",
+        QueryError::UnknownKey(_) => "query error key",
     }
 }
