--- a/tests/stored/members.rs
+++ b/tests/stored/members.rs
@@ -1,9 +1,6 @@
 //! The snapshot of membership as a record.
 
-use query_dispatcher::membership::Version;
-use query_dispatcher::membership::snapshot::{
-    PersistedInstance, SNAPSHOT_FORMAT_VERSION, Snapshot,
-};
+use query_dispatcher::membership::{PersistedInstance, SNAPSHOT_FORMAT_VERSION, Snapshot, Version};
 use query_dispatcher::storage::{LocalFileSystem, RecordError, RecordKind, RecordStore};
 use std::path::Path;
 
@@ -25,29 +22,29 @@
 
 /// What the stored file holds: every field with and without a value.
 pub fn fixed_snapshot() -> Snapshot {
-    let engine = |id: &str, port: u16, serves: bool| PersistedInstance {
+    let engine = |id: &str, port: u16, in_service: bool| PersistedInstance {
         id: id.into(),
         address: ([127, 0, 0, 1], port).into(),
         zone: None,
         kind: None,
-        serves,
+        in_service,
         since: 1_700_000_000_000.0,
-        newest: Version::new(0, 0),
-        drained: None,
-        started: None,
+        newest_version: Version::new(0, 0),
+        drained_version: None,
+        started_at: None,
     };
     let whole = PersistedInstance {
         zone: Some("north".into()),
         kind: Some("gen-a".into()),
-        newest: Version::new(1_700_000_000_123, 1_700_000_000_456),
-        drained: Some(Version::new(1_600_000_000_123, 1_600_000_000_456)),
-        started: Some(1_699_999_999_999.5),
+        newest_version: Version::new(1_700_000_000_123, 1_700_000_000_456),
+        drained_version: Some(Version::new(1_600_000_000_123, 1_600_000_000_456)),
+        started_at: Some(1_699_999_999_999.5),
         ..engine("engine-1", 4001, true)
     };
     let drained = Version::new(1_700_000_000_789, 1_700_000_000_790);
     let draining = PersistedInstance {
-        newest: drained,
-        drained: Some(drained),
+        newest_version: drained,
+        drained_version: Some(drained),
         ..engine("engine-3", 4003, false)
     };
     let odd = engine("host/../x:80 %\u{e9}", 4004, true);
