--- a/src/frontend/frames/request.rs
+++ b/src/frontend/frames/request.rs
@@ -1,11 +1,12 @@
 //! Requests as clients' frames bring them, and what they hold while they are open.
 
-use crate::clock::MAX_ESTIMATED_MEMORY_MB;
-use crate::clock::MAX_ESTIMATED_WORK_MS;
 use crate::config::position_of;
 use crate::core::NewRequest;
 use crate::decision::model::{ClassId, Millis};
 use crate::dispatch::request_router::{RequestRouter, Upstream};
+use crate::frontend::estimates::{
+    MAX_ESTIMATED_MEMORY_MB, MAX_ESTIMATED_WORK_MS, MAX_TIME_LIMIT_MS,
+};
 use crate::protocol::frames::{Frame, FrameError, parse_fields};
 use crate::protocol::statement;
 use crate::transport::client_socket::SocketProbe;
@@ -242,7 +243,7 @@
         if txn.len() != ID_DIGITS || !txn.bytes().all(|byte| byte.is_ascii_hexdigit()) {
             return Err(format!("txn: {txn:?} is not 16 hex digits"));
         }
-        let limit = self.number("limit", MAX_ESTIMATED_WORK_MS)?;
+        let limit = self.number("limit", MAX_TIME_LIMIT_MS)?;
         let limit = limit.ok_or("the field `limit` is missing")?;
         let tenant = self.tenant(router)?;
         if !is_statement(&statement) {
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -1,4 +1,5 @@
 //! Frontends: clients' connections, from accept to the final answer.
 
+pub(crate) mod estimates;
 pub mod frames;
 pub mod mysql;
--- a/src/frontend/mysql/request.rs
+++ b/src/frontend/mysql/request.rs
@@ -3,11 +3,14 @@
 use super::session::{MAX_READ_AHEAD_BYTES, Session, SessionEnd, contains_quit, end_of_read_ahead};
 use super::sticky::ExecutionResult;
 use super::{Frontend, StatementUpstream};
-use crate::clock::{MAX_ESTIMATED_MEMORY_MB, MAX_ESTIMATED_WORK_MS, unix_time_millis};
+use crate::clock::unix_time_millis;
 use crate::config::MysqlFrontendConfig;
 use crate::core::{NewRequest, RequestId, RequestOutcome};
 use crate::decision::model::{ClassId, Millis};
 use crate::dispatch::request_router::{Reply, RequestRouter};
+use crate::frontend::estimates::{
+    MAX_ESTIMATED_MEMORY_MB, MAX_ESTIMATED_WORK_MS, MAX_TIME_LIMIT_MS,
+};
 use crate::protocol::mysql::session::SessionContext;
 use crate::protocol::statement::{self, Hints, StatementKind};
 use crate::spool::{Admission, AdmissionRequest};
@@ -117,7 +120,7 @@
             tenant: self.tenant,
             group: statement::table_group(&request.sql),
             deadline: unix_time_millis()
-                + numeric_hint(&hints, "limit", MAX_ESTIMATED_WORK_MS)
+                + numeric_hint(&hints, "limit", MAX_TIME_LIMIT_MS)
                     .unwrap_or(limit)
                     .min(limit),
             work: numeric_hint(&hints, "cpu", MAX_ESTIMATED_WORK_MS),
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,55 +1,70 @@
-//! The one way to the log: a rate-limited `eprintln`, since a storm of failures must not become a storm of
-//! writes to a pipe that nobody empties.
+//! The process's log: lines on standard error, so many a second at most. Reason: a storm of failures must not become
+//! a storm of writes to a pipe that nobody empties.
+
+#[cfg(test)]
+mod tests;
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Lines a second; what goes beyond is counted and told with the next second's first line.
-const PER_SECOND: u64 = 50;
+/// Lines that are written in one second; further ones are only counted.
+const MAX_LINES_PER_SECOND: u64 = 50;
 
-static SECOND: AtomicU64 = AtomicU64::new(0);
-static LINES: AtomicU64 = AtomicU64::new(0);
+static LIMITER: LineLimiter = LineLimiter::new();
 
-/// How many lines went unsaid before this one, if this one may be said.
-pub fn admit() -> Option<u64> {
-    let second = SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .map_or(0, |d| d.as_secs());
-    admit_at(second, &SECOND, &LINES)
+/// Permission to write one line.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LinePermit {
+    /// Lines that were suppressed since the last line that was written.
+    pub suppressed: u64,
 }
 
-fn admit_at(second: u64, last: &AtomicU64, lines: &AtomicU64) -> Option<u64> {
-    if last.swap(second, Ordering::Relaxed) != second {
-        return Some(lines.swap(1, Ordering::Relaxed).saturating_sub(PER_SECOND));
+/// Limits lines a second. Concurrent callers may exceed the limit by a few lines where a second begins.
+#[derive(Debug)]
+struct LineLimiter {
+    /// The Unix second that `lines` counts.
+    second: AtomicU64,
+    lines: AtomicU64,
+}
+
+impl LineLimiter {
+    const fn new() -> Self {
+        LineLimiter {
+            second: AtomicU64::new(0),
+            lines: AtomicU64::new(0),
+        }
+    }
+
+    /// Admits a line in this Unix second, or counts it as suppressed.
+    fn acquire(&self, second: u64) -> Option<LinePermit> {
+        if self.second.swap(second, Ordering::Relaxed) != second {
+            let lines_before = self.lines.swap(1, Ordering::Relaxed);
+            return Some(LinePermit {
+                suppressed: lines_before.saturating_sub(MAX_LINES_PER_SECOND),
+            });
+        }
+        let lines_before = self.lines.fetch_add(1, Ordering::Relaxed);
+        (lines_before < MAX_LINES_PER_SECOND).then_some(LinePermit { suppressed: 0 })
     }
-    (lines.fetch_add(1, Ordering::Relaxed) < PER_SECOND).then_some(0)
 }
 
-/// Says one line on standard error, unless too many were said this second.
+/// Permission to write one line now; `None`: this second's lines are used up, and the line counts as suppressed.
+pub fn acquire_line() -> Option<LinePermit> {
+    let second = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |elapsed| elapsed.as_secs());
+    LIMITER.acquire(second)
+}
+
+/// Writes one line to the log; its arguments are those of [`eprintln!`].
 #[macro_export]
 macro_rules! log_line {
     ($($arg:tt)*) => {
-        if let Some(unsaid) = $crate::log::admit() {
-            if unsaid > 0 {
-                eprintln!("({unsaid} lines unsaid)");
+        if let Some(permit) = $crate::log::acquire_line() {
+            if permit.suppressed > 0 {
+                eprintln!("({} lines suppressed)", permit.suppressed);
             }
             eprintln!($($arg)*);
         }
     };
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_storm_is_cut_and_counted() {
-        let (last, lines) = (AtomicU64::new(0), AtomicU64::new(0));
-        let said = (0..PER_SECOND + 7)
-            .filter(|_| admit_at(5, &last, &lines).is_some())
-            .count() as u64;
-        assert_eq!(said, PER_SECOND);
-        assert_eq!(admit_at(6, &last, &lines), Some(7));
-        assert_eq!(admit_at(6, &last, &lines), Some(0));
-    }
-}
