--- /dev/null
+++ b/src/config/eureka/query.rs
@@ -0,0 +1,56 @@
+//! `eureka.app`, `eureka.vip`, `eureka.secure_vip` and `eureka.fetch`: which instances are requested of a registry.
+
+use crate::config::eureka::check_name;
+use crate::config::{ConfigError, Problem};
+
+/// Which instances are requested of a registry.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum RegistryQuery {
+    /// `/apps` and its deltas; the engines are the instances of this application.
+    AllApplications(String),
+    /// `/apps/{app}` alone, which is less to send where a registry holds many applications.
+    Application(String),
+    /// `/vips/{vip}`.
+    VipAddress(String),
+    /// `/svips/{vip}`: the engines' ports are the secure ones.
+    SecureVipAddress(String),
+}
+
+/// The keys that choose instances.
+pub(super) struct RawQuery {
+    pub(super) app: Option<String>,
+    pub(super) vip: Option<String>,
+    pub(super) secure_vip: Option<String>,
+    pub(super) fetch: Option<String>,
+}
+
+impl RawQuery {
+    pub(super) fn check(self) -> Result<RegistryQuery, ConfigError> {
+        match (self.app, self.vip, self.secure_vip, self.fetch.as_deref()) {
+            (Some(app), None, None, None | Some("apps")) => {
+                check_name("eureka.app", &app).map(RegistryQuery::AllApplications)
+            }
+            (Some(app), None, None, Some("app")) => {
+                check_name("eureka.app", &app).map(RegistryQuery::Application)
+            }
+            (None, Some(vip), None, None) => {
+                check_name("eureka.vip", &vip).map(RegistryQuery::VipAddress)
+            }
+            (None, None, Some(vip), None) => {
+                check_name("eureka.secure_vip", &vip).map(RegistryQuery::SecureVipAddress)
+            }
+            (_, _, _, Some(fetch)) if !["apps", "app"].contains(&fetch) => {
+                let problem = Problem::UnknownWord {
+                    text: fetch.into(),
+                    alternatives: "neither \"apps\" nor \"app\"",
+                };
+                Err(ConfigError::invalid("eureka.fetch", problem))
+            }
+            (None, _, _, Some(_)) => Err(ConfigError::combination("eureka.fetch", "goes with app")),
+            _ => Err(ConfigError::combination(
+                "eureka.app",
+                "one of app, vip and secure_vip is needed, and only one",
+            )),
+        }
+    }
+}
--- /dev/null
+++ b/src/config/eureka/servers.rs
@@ -0,0 +1,173 @@
+//! `eureka.servers`, or the earlier `eureka.address` and `eureka.path`: the registry's servers.
+
+use crate::config::checks::socket_address;
+use crate::config::{ConfigError, Problem};
+use base64::Engine as _;
+use serde::Deserialize;
+use url::Url;
+
+/// Servers that one file lists at most.
+const MAX_SERVERS: usize = 8;
+const DEFAULT_PORT: u16 = 80;
+/// The path that goes with `address` unless `path` is given.
+const DEFAULT_PATH: &str = "/eureka";
+
+/// One server of the registry.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RegistryServer {
+    /// Its address, without user and password.
+    pub name: String,
+    /// Its host: a name, or an IP address without brackets.
+    pub host: String,
+    /// Its port.
+    pub port: u16,
+    /// What precedes `/apps`, without a slash at its end.
+    pub path: String,
+    /// The value of `Authorization`, if the URL contains a user.
+    pub authorization: Option<String>,
+    /// The zone it is in.
+    pub zone: Option<String>,
+}
+
+#[derive(Deserialize)]
+#[serde(untagged)]
+pub(super) enum RawServer {
+    Url(String),
+    Zoned { url: String, zone: String },
+}
+
+/// The keys that name servers.
+pub(super) struct RawServers {
+    /// The earlier form: one server by address and path.
+    pub(super) address: Option<String>,
+    pub(super) path: Option<String>,
+    pub(super) servers: Option<Vec<RawServer>>,
+}
+
+impl RawServers {
+    pub(super) fn check(self) -> Result<Vec<RegistryServer>, ConfigError> {
+        let servers = match (self.address, self.servers) {
+            (Some(_), Some(_)) => {
+                return Err(ConfigError::combination(
+                    "eureka.address",
+                    "servers are listed too: only one of both can be",
+                ));
+            }
+            (None, None) => {
+                return Err(ConfigError::combination(
+                    "eureka.servers",
+                    "no server is listed",
+                ));
+            }
+            (Some(address), None) => vec![server_at(&address, self.path.as_deref())?],
+            (None, Some(_)) if self.path.is_some() => {
+                return Err(ConfigError::combination(
+                    "eureka.path",
+                    "goes with address; with servers it is a part of each URL",
+                ));
+            }
+            (None, Some(servers)) => check_list(servers)?,
+        };
+        if (1..=MAX_SERVERS).contains(&servers.len()) {
+            return Ok(servers);
+        }
+        let problem = Problem::ServerCount {
+            count: servers.len(),
+            max: MAX_SERVERS,
+        };
+        Err(ConfigError::invalid("eureka.servers", problem))
+    }
+}
+
+fn server_at(address: &str, path: Option<&str>) -> Result<RegistryServer, ConfigError> {
+    let address = socket_address("eureka.address", address)?;
+    let path = path.unwrap_or(DEFAULT_PATH);
+    server("eureka.path", &format!("http://{address}{path}"), None)
+}
+
+fn check_list(raw: Vec<RawServer>) -> Result<Vec<RegistryServer>, ConfigError> {
+    let mut servers: Vec<RegistryServer> = Vec::with_capacity(raw.len());
+    for (index, raw) in raw.into_iter().enumerate() {
+        let key = format!("eureka.servers[{index}]");
+        let server = match raw {
+            RawServer::Url(url) => server(&key, &url, None)?,
+            RawServer::Zoned { url, zone } => server(&key, &url, Some(zone))?,
+        };
+        if servers.iter().any(|listed| listed.name == server.name) {
+            let server = server.name;
+            return Err(ConfigError::invalid(
+                key,
+                Problem::DuplicateServer { server },
+            ));
+        }
+        servers.push(server);
+    }
+    Ok(servers)
+}
+
+fn server(key: &str, text: &str, zone: Option<String>) -> Result<RegistryServer, ConfigError> {
+    let invalid = |problem| ConfigError::invalid(key, problem);
+    let url = match Url::parse(text) {
+        Ok(url) => url,
+        Err(source) => {
+            let text = text.to_string();
+            return Err(invalid(Problem::Url { text, source }));
+        }
+    };
+    let host = check_form(&url, text).map_err(invalid)?;
+    let authorization = authorization(&url).map_err(|source| invalid(Problem::Escaping(source)))?;
+    let port = url.port().unwrap_or(DEFAULT_PORT);
+    let path = url.path().trim_end_matches('/').to_string();
+    let host = host.trim_start_matches('[').trim_end_matches(']');
+    Ok(RegistryServer {
+        name: format!("http://{}:{port}{path}", bracketed(host)),
+        host: host.to_string(),
+        port,
+        path,
+        authorization,
+        zone,
+    })
+}
+
+/// The URL's host, if the URL can be that of a server; `text` is the URL as it is written.
+fn check_form<'a>(url: &'a Url, text: &str) -> Result<&'a str, Problem> {
+    let text = text.to_string();
+    if url.scheme() != "http" {
+        return Err(Problem::UrlScheme { text });
+    }
+    let Some(host) = url.host_str() else {
+        return Err(Problem::UrlHost { text });
+    };
+    if url.query().is_some() || url.fragment().is_some() {
+        return Err(Problem::UrlQuery { text });
+    }
+    Ok(host)
+}
+
+/// The host as a URL has it: an IPv6 address stands in brackets.
+fn bracketed(host: &str) -> String {
+    if host.contains(':') {
+        format!("[{host}]")
+    } else {
+        host.to_string()
+    }
+}
+
+/// The value of `Authorization` for the URL's user and password.
+fn authorization(url: &Url) -> Result<Option<String>, std::str::Utf8Error> {
+    let user = url.username();
+    let password = url.password();
+    if user.is_empty() && password.is_none() {
+        return Ok(None);
+    }
+    let user = percent_decoded(user)?;
+    let password = percent_decoded(password.unwrap_or_default())?;
+    let credentials = base64::prelude::BASE64_STANDARD.encode(format!("{user}:{password}"));
+    Ok(Some(format!("Basic {credentials}")))
+}
+
+/// Replaces `%XX`, which URLs escape characters of user and password with.
+fn percent_decoded(text: &str) -> Result<String, std::str::Utf8Error> {
+    let decoded = percent_encoding::percent_decode_str(text).decode_utf8()?;
+    Ok(decoded.into_owned())
+}
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,9 +1,30 @@
-//! What the platform tells one dispatcher: its variables and its JSON.
+//! What the platform tells one dispatcher: its environment variables and its JSON file.
 
-use super::*;
+use crate::config::checks::{from_json, positive, socket_address};
+use crate::config::environment::{admin_address, inherited_descriptor, non_empty};
+use crate::config::{
+    ConfigError, FleetSettings, MachineLimits, NameTable, Problem, SocketSettings,
+};
+use crate::decision::model::Settings;
 use crate::gossip::GossipBudget;
+use serde::Deserialize;
+use std::net::SocketAddr;
 use std::path::PathBuf;
 
+/// Names the platform's file.
+const CONFIG_FILE: &str = "PROXY_CONFIG";
+/// Overrides `listen`.
+const LISTEN_ADDRESS: &str = "PROXY_LISTEN";
+/// Overrides `name`.
+const NAME: &str = "PROXY_NAME";
+/// The directory that all processes of this dispatcher share.
+const STATE_DIRECTORY: &str = "TMPDIR";
+
+/// The dispatcher's name in its log, if none is given.
+const DEFAULT_NAME: &str = "hitchwinch";
+/// The process cannot serve clients and engines with fewer sockets.
+const MIN_SOCKETS: usize = 64;
+
 #[derive(Deserialize)]
 struct RawPlatform {
     name: Option<String>,
@@ -21,129 +42,175 @@
     settings: FleetSettings,
 }
 
-/// The tier's dispatchers, by the addresses that this one sees.
+/// How this dispatcher exchanges load reports with the others of its tier, over UDP.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GossipSettings {
-    /// What they send to this dispatcher comes in here.
+    /// Where messages to this dispatcher arrive.
     pub listen: SocketAddr,
-    /// Where what they send comes from.
+    /// The addresses that the other dispatchers send from.
     pub members: Vec<SocketAddr>,
-    /// What is sent here reaches every other.
+    /// A message sent here reaches every other dispatcher.
     pub broadcast: SocketAddr,
+    /// How much may be sent.
     pub budget: GossipBudget,
 }
 
 /// Everything that the platform tells one dispatcher.
 pub struct PlatformConfig {
+    /// The dispatcher's name, for its log.
     pub name: String,
+    /// Where clients connect.
     pub listen: SocketAddr,
+    /// Seed of the decision module's random numbers.
     pub seed: u64,
+    /// What the machine allows the process.
     pub limits: MachineLimits,
+    /// The journal, the source of the endpoint list.
     pub journal_address: SocketAddr,
-    /// Where the tier's dispatchers reach each other, if the settings let them.
+    /// How the tier's dispatchers reach each other, if the settings allow it.
     pub gossip: Option<GossipSettings>,
-    /// Where operators call; nowhere if it is not said.
+    /// Where the administrative HTTP server listens; `None`: there is none.
     pub admin_address: Option<SocketAddr>,
     /// The descriptor of the clients' listening socket, if the platform holds that.
     pub inherited_descriptor: Option<i32>,
-    /// A folder that all processes of this dispatcher see.
+    /// A directory that all processes of this dispatcher share.
     pub state_directory: Option<PathBuf>,
-    /// The journal's events up to now, not yet read.
+    /// The journal's events up to now, not yet decoded.
     pub recorded_events: serde_json::Value,
+    /// The decision module's settings.
     pub settings: Settings,
+    /// The names behind the settings' numbers.
     pub names: NameTable,
+    /// Limits and timeouts of the sockets.
     pub sockets: SocketSettings,
 }
 
 impl PlatformConfig {
-    /// What a running program cannot take from `new`: learned state and open requests rest on it.
+    /// The first key whose change a running process cannot apply: learned state and open requests depend on it.
     pub fn needs_restart(&self, new: &PlatformConfig) -> Option<&'static str> {
-        match () {
-            () if self.listen != new.listen => Some("listen"),
-            () if self.admin_address != new.admin_address => Some("admin_addr"),
-            () if self.gossip != new.gossip => Some("peers"),
-            () if self.settings != new.settings
-                || self.names != new.names
-                || self.sockets != new.sockets =>
-            {
-                Some("settings")
-            }
-            () => None,
+        if self.listen != new.listen {
+            Some("listen")
+        } else if self.admin_address != new.admin_address {
+            Some("admin_addr")
+        } else if self.gossip != new.gossip {
+            Some("peers")
+        } else if self.settings != new.settings
+            || self.names != new.names
+            || self.sockets != new.sockets
+        {
+            Some("settings")
+        } else {
+            None
         }
     }
 
-    /// Reads the file that `PROXY_CONFIG` names; `PROXY_LISTEN` and `PROXY_NAME` go before what it says.
-    pub fn from_env(var: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
-        let path = var("PROXY_CONFIG").ok_or_else(|| bad("PROXY_CONFIG", "is not set"))?;
-        let text = std::fs::read_to_string(&path).map_err(|e| ConfigError::Source {
-            what: format!("PROXY_CONFIG ({path})"),
-            problem: e.to_string(),
+    /// Reads the file that `PROXY_CONFIG` names. `PROXY_LISTEN`, `PROXY_NAME` and the variables of
+    /// [`PlatformConfig::parse`] override its keys.
+    ///
+    /// # Errors
+    /// The variable is not set, the file cannot be read, or [`PlatformConfig::parse`] rejects it.
+    pub fn from_env(variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
+        let path = variable(CONFIG_FILE)
+            .ok_or_else(|| ConfigError::invalid(CONFIG_FILE, Problem::NotSet))?;
+        let text = std::fs::read_to_string(&path).map_err(|source| ConfigError::Unreadable {
+            file: format!("{CONFIG_FILE} ({path})"),
+            source,
         })?;
-        Self::parse(&text, var)
+        Self::parse(&text, variable)
     }
 
-    pub fn parse(text: &str, var: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
-        let de = &mut serde_json::Deserializer::from_str(text);
-        let raw: RawPlatform = serde_path_to_error::deserialize(de)
-            .map_err(|e| bad(&e.path().to_string(), e.inner()))?;
-        let seed = raw.seed.unwrap_or_default();
-        if raw.limits.max_sockets < 64 {
-            return Err(bad("limits.sockets", "at least 64 are needed"));
-        }
-        let sockets = raw.settings.sockets();
-        let each = || -> Result<_, ConfigError> {
-            raw.peers
-                .iter()
-                .enumerate()
-                .map(|(i, a)| address(&format!("peers[{i}]"), a))
-                .collect()
-        };
-        let peers = match (
-            raw.settings.gossip_budget(),
-            &raw.peer_listen,
-            &raw.peers_all,
-        ) {
-            (Some(terms), Some(listen), Some(all)) => Some(GossipSettings {
-                listen: address("peer_listen", listen)?,
-                members: each()?,
-                broadcast: address("peers_all", all)?,
-                budget: terms,
-            }),
-            _ => None,
-        };
-        for (key, v) in [
-            ("connect_timeout", sockets.connect_timeout),
-            ("conn_idle", sockets.idle_timeout),
-        ] {
-            if !(v.is_finite() && v > 0.0) {
-                return Err(bad(&format!("settings.ceilings.{key}"), "must be above 0"));
-            }
+    /// Reads the file's text; `variable` looks up an environment variable.
+    ///
+    /// # Errors
+    /// The first key or variable that holds what cannot be used.
+    pub fn parse(
+        text: &str,
+        variable: impl Fn(&str) -> Option<String>,
+    ) -> Result<Self, ConfigError> {
+        from_json::<RawPlatform>(text)?.check(&variable)
+    }
+}
+
+impl RawPlatform {
+    fn check(
+        self,
+        variable: &impl Fn(&str) -> Option<String>,
+    ) -> Result<PlatformConfig, ConfigError> {
+        if self.limits.max_sockets < MIN_SOCKETS {
+            let problem = Problem::TooFew { min: MIN_SOCKETS };
+            return Err(ConfigError::invalid("limits.sockets", problem));
         }
-        let (settings, names) = raw.settings.settings().map_err(|e| bad("settings", e))?;
+        let gossip = self.gossip()?;
+        let sockets = self.settings.socket_settings();
+        check_timeouts(&sockets)?;
+        let (settings, names) = self
+            .settings
+            .decision_settings()
+            .map_err(|e| ConfigError::invalid("settings", Problem::FleetSettings(e)))?;
         settings
             .check()
-            .map_err(|e| bad(&format!("settings.{}", e.field), e.problem))?;
+            .map_err(|e| ConfigError::settings("settings.", e))?;
         Ok(PlatformConfig {
-            name: var("PROXY_NAME")
-                .or(raw.name)
-                .unwrap_or_else(|| "hitchwinch".into()),
-            listen: match var("PROXY_LISTEN") {
-                Some(text) => address("PROXY_LISTEN", &text)?,
-                None => address("listen", &raw.listen)?,
-            },
-            seed: u64::from_str_radix(&seed, 16)
-                .or_else(|_| seed.parse())
-                .map_err(|_| bad("seed", format!("{seed:?} is no hexadecimal number")))?,
-            inherited_descriptor: inherited(&var, None)?,
-            state_directory: var("TMPDIR").filter(|v| !v.is_empty()).map(PathBuf::from),
-            limits: raw.limits,
-            gossip: peers,
-            admin_address: admin(&var, raw.admin_addr)?,
-            journal_address: address("journal", &raw.journal)?,
-            recorded_events: raw.known.unwrap_or(serde_json::Value::Null),
+            name: variable(NAME)
+                .or(self.name)
+                .unwrap_or_else(|| DEFAULT_NAME.into()),
+            listen: listen_address(variable, &self.listen)?,
+            seed: seed(self.seed.unwrap_or_default())?,
+            inherited_descriptor: inherited_descriptor(variable, None)?,
+            state_directory: non_empty(variable, STATE_DIRECTORY).map(PathBuf::from),
+            limits: self.limits,
+            gossip,
+            admin_address: admin_address(variable, self.admin_addr)?,
+            journal_address: socket_address("journal", &self.journal)?,
+            recorded_events: self.known.unwrap_or(serde_json::Value::Null),
             settings,
             names,
             sockets,
         })
     }
+
+    /// `peer_listen`, `peers` and `peers_all`; without effect unless the settings allow messages between dispatchers.
+    fn gossip(&self) -> Result<Option<GossipSettings>, ConfigError> {
+        let (Some(budget), Some(listen), Some(broadcast)) = (
+            self.settings.gossip_budget(),
+            &self.peer_listen,
+            &self.peers_all,
+        ) else {
+            return Ok(None);
+        };
+        let listen = socket_address("peer_listen", listen)?;
+        let mut members = Vec::with_capacity(self.peers.len());
+        for (index, member) in self.peers.iter().enumerate() {
+            members.push(socket_address(&format!("peers[{index}]"), member)?);
+        }
+        Ok(Some(GossipSettings {
+            listen,
+            members,
+            broadcast: socket_address("peers_all", broadcast)?,
+            budget,
+        }))
+    }
+}
+
+fn check_timeouts(sockets: &SocketSettings) -> Result<(), ConfigError> {
+    positive("settings.ceilings.connect_timeout", sockets.connect_timeout)?;
+    positive("settings.ceilings.conn_idle", sockets.idle_timeout)?;
+    Ok(())
+}
+
+fn listen_address(
+    variable: &impl Fn(&str) -> Option<String>,
+    configured: &str,
+) -> Result<SocketAddr, ConfigError> {
+    match variable(LISTEN_ADDRESS) {
+        Some(text) => socket_address(LISTEN_ADDRESS, &text),
+        None => socket_address("listen", configured),
+    }
+}
+
+/// Hexadecimal digits; other texts are read as a decimal number.
+fn seed(text: String) -> Result<u64, ConfigError> {
+    u64::from_str_radix(&text, 16)
+        .or_else(|_| text.parse())
+        .map_err(|source| ConfigError::invalid("seed", Problem::Seed { text, source }))
 }
--- a/src/config/spool.rs
+++ b/src/config/spool.rs
@@ -1,42 +1,61 @@
-//! `[spool]` of the operators' file: how much of results is kept, where and for how long.
+//! `[spool]`: how much of results is stored until their clients read them, where and for how long.
 
-use super::{ConfigError, bad};
+use crate::config::checks::in_range;
+use crate::config::{ConfigError, Problem};
+use crate::decision::model::Millis;
 use crate::spool::SpoolLimits;
 use bytesize::ByteSize;
 use serde::Deserialize;
+use std::ops::RangeInclusive;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// How results wait for their readers.
+const KIB: u64 = 1 << 10;
+const MIB: u64 = 1 << 20;
+const GIB: u64 = 1 << 30;
+const TIB: u64 = 1 << 40;
+
+const DEFAULT_PAGE_ROWS: u32 = 1000;
+const MAX_PAGE_ROWS: u32 = 100_000;
+const DEFAULT_STALL_TIMEOUT: Duration = Duration::from_secs(30);
+const DEFAULT_RETENTION_S: f64 = 600.0;
+const DEFAULT_MAX_RESULTS: usize = 10_000;
+const MAX_RESULTS: usize = 100_000;
+/// Bounds of times, in seconds: a tenth of a second to a week.
+const SECONDS: RangeInclusive<f64> = 0.1..=604_800.0;
+
+/// Bounds of `max_result`, the size of one result where there is no `[spool]`.
+const RESULT_BYTES: RangeInclusive<usize> = 1024..=1 << 24;
+const DEFAULT_RESULT_BYTES: usize = 1 << 20;
+
+/// How results are stored until their clients read them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SpoolSettings {
+    /// Sizes, numbers and times.
     pub rules: SpoolLimits,
-    /// Results lie below it when memory is full, and outlive the process; none: in memory only.
+    /// Results are written below it when memory is full, and outlive the process; `None`: in memory only.
     pub directory: Option<PathBuf>,
-    /// Rows of a page at most.
+    /// The most rows of a page.
     pub page_rows: u32,
-    /// A client that takes nothing for so long is closed.
+    /// A client that reads nothing for this long is disconnected.
     pub stall_timeout: Duration,
 }
 
 impl SpoolSettings {
-    /// What holds without `[spool]`: memory only, as much for one result as ever.
-    pub fn in_memory(result: usize) -> Self {
+    /// The settings where there is no `[spool]`: in memory only, `max_result` bytes for one result.
+    pub fn in_memory(max_result: usize) -> Self {
         SpoolSettings {
             rules: SpoolLimits {
-                result_bytes: result as u64,
+                result_bytes: max_result as u64,
                 ..SpoolLimits::default()
             },
             directory: None,
-            page_rows: PAGE_ROWS,
-            stall_timeout: STALL,
+            page_rows: DEFAULT_PAGE_ROWS,
+            stall_timeout: DEFAULT_STALL_TIMEOUT,
         }
     }
 }
 
-const PAGE_ROWS: u32 = 1000;
-const STALL: Duration = Duration::from_secs(30);
-
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RawSpool {
@@ -51,156 +70,86 @@
     most: Option<usize>,
 }
 
-/// A size with its unit, within bounds.
-fn size(
-    key: &str,
-    text: Option<&str>,
-    default: u64,
-    least: u64,
-    most: u64,
-) -> Result<u64, ConfigError> {
-    let Some(text) = text else { return Ok(default) };
-    // A bare number could be read as anything.
-    let unit = text.trim_end().ends_with(|c: char| c.is_ascii_alphabetic());
-    let read = text
-        .parse::<ByteSize>()
-        .ok()
-        .filter(|_| unit)
-        .map(|s| s.as_u64());
-    let n = read.ok_or_else(|| {
-        bad(
-            key,
-            format!("{text:?} is no size with a unit, as \"16 MB\" or \"2 GiB\""),
-        )
-    })?;
-    match (least..=most).contains(&n) {
-        true => Ok(n),
-        false => Err(bad(
-            key,
-            format!("{text} is not in {} to {}", ByteSize(least), ByteSize(most)),
+/// `[spool]`, or `max_result` where there is none.
+pub(super) fn check_spool(
+    spool: Option<RawSpool>,
+    max_result: Option<usize>,
+) -> Result<SpoolSettings, ConfigError> {
+    match spool {
+        Some(_) if max_result.is_some() => Err(ConfigError::combination(
+            "max_result",
+            "goes into spool.result where there is a [spool]",
         )),
+        Some(spool) => spool.check(),
+        None => {
+            let bytes = max_result.unwrap_or(DEFAULT_RESULT_BYTES);
+            in_range("max_result", bytes, RESULT_BYTES).map(SpoolSettings::in_memory)
+        }
     }
 }
 
 impl RawSpool {
     pub(super) fn check(self) -> Result<SpoolSettings, ConfigError> {
-        const KB: u64 = 1 << 10;
-        const GB: u64 = 1 << 30;
         if self.dir.is_none() && self.disk.is_some() {
-            return Err(bad("spool.disk", "goes with dir"));
+            return Err(ConfigError::combination("spool.disk", "goes with dir"));
         }
-        let memory = size(
-            "spool.memory",
-            self.memory.as_deref(),
-            64 << 20,
-            256 * KB,
-            64 * GB,
-        )?;
-        let disk = size("spool.disk", self.disk.as_deref(), 4 * GB, 1 << 20, 1 << 44)?;
-        let result = size(
-            "spool.result",
-            self.result.as_deref(),
-            16 << 20,
-            KB,
-            1 << 40,
-        )?;
+        let memory = size("spool.memory", self.memory, 64 * MIB, 256 * KIB..=64 * GIB)?;
+        let disk = size("spool.disk", self.disk, 4 * GIB, MIB..=16 * TIB)?;
+        let result = size("spool.result", self.result, 16 * MIB, KIB..=TIB)?;
         let per_tenant = size(
             "spool.per_tenant",
-            self.per_tenant.as_deref(),
-            u64::MAX,
-            64 * KB,
+            self.per_tenant,
             u64::MAX,
+            64 * KIB..=u64::MAX,
         )?;
-        let seconds = |key: &str, v: Option<f64>, default: f64| match v.unwrap_or(default) {
-            v if (0.1..=604_800.0).contains(&v) => Ok(v),
-            v => Err(bad(key, format!("{v} is not in 0.1 to 604800"))),
-        };
-        let page_rows = self.page_rows.unwrap_or(PAGE_ROWS);
-        if !(1..=100_000).contains(&page_rows) {
-            return Err(bad(
-                "spool.page_rows",
-                format!("{page_rows} is not in 1 to 100000"),
-            ));
-        }
-        let most = self.most.unwrap_or(10_000);
-        if !(1..=100_000).contains(&most) {
-            return Err(bad("spool.most", format!("{most} is not in 1 to 100000")));
-        }
+        let page_rows = self.page_rows.unwrap_or(DEFAULT_PAGE_ROWS);
+        let page_rows = in_range("spool.page_rows", page_rows, 1..=MAX_PAGE_ROWS)?;
+        let max_spools = self.most.unwrap_or(DEFAULT_MAX_RESULTS);
+        let max_spools = in_range("spool.most", max_spools, 1..=MAX_RESULTS)?;
         Ok(SpoolSettings {
             rules: SpoolLimits {
                 memory_bytes: memory,
                 disk_bytes: self.dir.is_some().then_some(disk),
                 tenant_bytes: per_tenant,
                 result_bytes: result,
-                retention: 1000.0 * seconds("spool.keep_s", self.keep_s, 600.0)?,
-                max_spools: most,
+                retention: retention(self.keep_s)?,
+                max_spools,
             },
             directory: self.dir,
             page_rows,
-            stall_timeout: Duration::from_secs_f64(seconds(
-                "spool.stall_s",
-                self.stall_s,
-                STALL.as_secs_f64(),
-            )?),
+            stall_timeout: stall_timeout(self.stall_s)?,
         })
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn read(text: &str) -> Result<SpoolSettings, ConfigError> {
-        let de = toml::Deserializer::parse(text).unwrap();
-        let raw: RawSpool = serde_path_to_error::deserialize(de)
-            .map_err(|e| bad(&format!("spool.{}", e.path()), e.inner().message()))?;
-        raw.check()
-    }
+fn retention(configured_s: Option<f64>) -> Result<Millis, ConfigError> {
+    let seconds = configured_s.unwrap_or(DEFAULT_RETENTION_S);
+    Ok(1000.0 * in_range("spool.keep_s", seconds, SECONDS)?)
+}
 
-    #[test]
-    fn sizes_have_units_and_a_result_may_be_larger_than_memory() {
-        let s = read(
-            "dir = \"/var/spool/x\"\nmemory = \"16 MB\"\ndisk = \"2 GiB\"\nresult = \"1GB\"\nper_tenant = \"500 MiB\"
-             keep_s = 30\npage_rows = 50\nstall_s = 5",
-        )
-        .unwrap();
-        assert_eq!(
-            (s.rules.memory_bytes, s.rules.disk_bytes),
-            (16_000_000, Some(2 << 30))
-        );
-        assert_eq!(
-            (s.rules.result_bytes, s.rules.tenant_bytes),
-            (1_000_000_000, 500 << 20)
-        );
-        assert_eq!(
-            (s.rules.retention, s.page_rows, s.stall_timeout),
-            (30_000.0, 50, Duration::from_secs(5))
-        );
-        let s = read("").unwrap();
-        assert_eq!(
-            (s.rules.disk_bytes, s.directory, s.rules.result_bytes),
-            (None, None, 16 << 20)
-        );
-    }
+fn stall_timeout(configured_s: Option<f64>) -> Result<Duration, ConfigError> {
+    let seconds = configured_s.unwrap_or(DEFAULT_STALL_TIMEOUT.as_secs_f64());
+    in_range("spool.stall_s", seconds, SECONDS).map(Duration::from_secs_f64)
+}
 
-    #[test]
-    fn every_bad_key_is_named() {
-        let cases = [
-            ("memory = \"16\"", "spool.memory"),
-            ("memory = \"1 kB\"", "spool.memory"),
-            ("disk = \"1 GB\"", "spool.disk"),
-            ("dir = \"/x\"\ndisk = \"lots\"", "spool.disk"),
-            ("result = \"-1 MB\"", "spool.result"),
-            ("per_tenant = \"1 B\"", "spool.per_tenant"),
-            ("keep_s = 0", "spool.keep_s"),
-            ("stall_s = nan", "spool.stall_s"),
-            ("page_rows = 0", "spool.page_rows"),
-            ("most = 0", "spool.most"),
-            ("size = \"1 MB\"", "spool"),
-        ];
-        for (text, key) in cases {
-            let told = read(text).map(|_| ()).unwrap_err().to_string();
-            assert!(told.starts_with(key), "{text}: {told}");
-        }
+/// A size in bytes within bounds, written with its unit: a bare number could be of any unit.
+fn size(
+    key: &str,
+    configured: Option<String>,
+    default: u64,
+    bounds: RangeInclusive<u64>,
+) -> Result<u64, ConfigError> {
+    let Some(text) = configured else {
+        return Ok(default);
+    };
+    let has_unit = text.trim_end().ends_with(|c: char| c.is_ascii_alphabetic());
+    let Some(size) = text.parse::<ByteSize>().ok().filter(|_| has_unit) else {
+        return Err(ConfigError::invalid(key, Problem::Size { text }));
+    };
+    let bytes = size.as_u64();
+    if bounds.contains(&bytes) {
+        return Ok(bytes);
     }
+    let shown = ByteSize(*bounds.start())..=ByteSize(*bounds.end());
+    Err(ConfigError::out_of_range(key, text, &shown))
 }
--- a/src/config/sticky_sessions.rs
+++ b/src/config/sticky_sessions.rs
@@ -1,12 +1,23 @@
-//! `[pins]`: how long sessions may hold engine connections, and how many.
+//! `[pins]`: how long sessions may hold an engine's connection, and how many may.
 
-use super::{ConfigError, bad};
+use crate::config::checks::in_range;
+use crate::config::{ConfigError, Problem};
+use crate::decision::model::Millis;
 use crate::sticky_sessions::StickySessionLimits;
 use serde::Deserialize;
 
+const DEFAULT_IDLE_S: f64 = 30.0;
+const MAX_IDLE_S: f64 = 3600.0;
+const DEFAULT_LONGEST_S: f64 = 300.0;
+const MAX_LONGEST_S: f64 = 86_400.0;
+const DEFAULT_DRAIN_S: f64 = 5.0;
+const MAX_DRAIN_S: f64 = 3600.0;
+const DEFAULT_SESSIONS: usize = 128;
+const MAX_SESSIONS: usize = 512;
+
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RawPins {
+pub(super) struct RawPins {
     idle_s: Option<f64>,
     longest_s: Option<f64>,
     drain_s: Option<f64>,
@@ -15,25 +26,31 @@
 }
 
 impl RawPins {
-    /// # Errors
-    /// A key is out of its range; the message names it.
-    pub fn check(self) -> Result<StickySessionLimits, ConfigError> {
-        let seconds =
-            |key: &str, v: Option<f64>, default: f64, most: f64| match v.unwrap_or(default) {
-                s if s > 0.0 && s <= most => Ok(s * 1000.0),
-                s => Err(bad(key, format!("{s} is not above 0 and at most {most}"))),
-            };
-        let number = |key: &str, v: Option<usize>, default: usize| match v.unwrap_or(default) {
-            n if (1..=512).contains(&n) => Ok(n),
-            n => Err(bad(key, format!("{n} is not in 1 to 512"))),
-        };
-        let most = number("pins.most", self.most, 128)?;
+    pub(super) fn check(self) -> Result<StickySessionLimits, ConfigError> {
+        let most = check_sessions("pins.most", self.most.unwrap_or(DEFAULT_SESSIONS))?;
+        let idle_s = self.idle_s.unwrap_or(DEFAULT_IDLE_S);
+        let longest_s = self.longest_s.unwrap_or(DEFAULT_LONGEST_S);
+        let drain_s = self.drain_s.unwrap_or(DEFAULT_DRAIN_S);
+        let most_of_tenant = self.most_of_tenant.unwrap_or(most);
         Ok(StickySessionLimits {
-            idle_timeout: seconds("pins.idle_s", self.idle_s, 30.0, 3600.0)?,
-            max_lifetime: seconds("pins.longest_s", self.longest_s, 300.0, 86_400.0)?,
-            drain_timeout: seconds("pins.drain_s", self.drain_s, 5.0, 3600.0)?,
+            idle_timeout: check_seconds("pins.idle_s", idle_s, MAX_IDLE_S)?,
+            max_lifetime: check_seconds("pins.longest_s", longest_s, MAX_LONGEST_S)?,
+            drain_timeout: check_seconds("pins.drain_s", drain_s, MAX_DRAIN_S)?,
             max_sessions: most,
-            max_sessions_per_tenant: number("pins.most_of_tenant", self.most_of_tenant, most)?,
+            max_sessions_per_tenant: check_sessions("pins.most_of_tenant", most_of_tenant)?,
         })
     }
 }
+
+fn check_seconds(key: &str, seconds: f64, max: f64) -> Result<Millis, ConfigError> {
+    if seconds > 0.0 && seconds <= max {
+        return Ok(seconds * 1000.0);
+    }
+    let value = seconds;
+    let problem = Problem::NotPositiveUpTo { value, max };
+    Err(ConfigError::invalid(key, problem))
+}
+
+fn check_sessions(key: &str, sessions: usize) -> Result<usize, ConfigError> {
+    in_range(key, sessions, 1..=MAX_SESSIONS)
+}
--- a/src/config/tls.rs
+++ b/src/config/tls.rs
@@ -1,25 +1,45 @@
-//! `[tls]`: the keys of the MySQL front.
+//! `[tls]`: the certificates of the MySQL frontend.
 
-use super::{ConfigError, bad};
+use crate::config::{ConfigError, Problem};
 use serde::Deserialize;
 use std::path::PathBuf;
 
-/// Keys and what is asked of clients.
+const MAX_CERTIFICATES: usize = 32;
+
+/// Certificates, and what is required of clients.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TlsSettings {
-    /// TLS 1.3 alone; else 1.2 as well.
-    pub only_13: bool,
-    /// Clients in the clear are turned away.
+    /// The oldest version that is accepted.
+    pub min_version: TlsVersion,
+    /// Clients that do not encrypt their connection are rejected.
     pub required: bool,
-    /// Whose certificates of clients are trusted.
+    /// The certificate authorities that clients' certificates are trusted by.
     pub client_ca: Option<PathBuf>,
-    /// Files of a certificate with its chain, and of its key.
-    pub keys: Vec<(PathBuf, PathBuf)>,
+    /// The server's certificates.
+    pub certificates: Vec<CertificateFiles>,
+}
+
+/// A version of TLS.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum TlsVersion {
+    /// TLS 1.2.
+    Tls12,
+    /// TLS 1.3.
+    Tls13,
+}
+
+/// The files of one certificate, in PEM.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct CertificateFiles {
+    /// The certificate with its chain.
+    pub chain: PathBuf,
+    /// Its private key.
+    pub private_key: PathBuf,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RawTls {
+pub(super) struct RawTls {
     min_version: Option<String>,
     #[serde(default)]
     required: bool,
@@ -36,50 +56,42 @@
 }
 
 impl RawTls {
-    /// Certificates of clients can be trusted.
-    pub fn knows_clients(&self) -> bool {
+    /// True if clients can prove who they are by certificates.
+    pub(super) fn trusts_client_certificates(&self) -> bool {
         self.client_ca.is_some()
     }
 
-    /// # Errors
-    /// No key is named, too many, or a version that is not known.
-    pub fn check(self) -> Result<TlsSettings, ConfigError> {
-        if !(1..=32).contains(&self.key.len()) {
-            return Err(bad("tls.key", "1 to 32 keys are to be named"));
+    pub(super) fn check(self) -> Result<TlsSettings, ConfigError> {
+        if !(1..=MAX_CERTIFICATES).contains(&self.key.len()) {
+            let max = MAX_CERTIFICATES;
+            return Err(ConfigError::invalid(
+                "tls.key",
+                Problem::CertificateCount { max },
+            ));
         }
-        let only_13 = match self.min_version.as_deref() {
-            None | Some("1.2") => false,
-            Some("1.3") => true,
-            Some(other) => {
-                return Err(bad(
-                    "tls.min_version",
-                    format!("{other:?} is not 1.2 or 1.3"),
-                ));
-            }
-        };
-        let keys = self.key.into_iter().map(|k| (k.cert, k.key)).collect();
+        let certificates = self.key.into_iter().map(|raw| CertificateFiles {
+            chain: raw.cert,
+            private_key: raw.key,
+        });
         Ok(TlsSettings {
-            only_13,
+            min_version: check_min_version(self.min_version)?,
             required: self.required,
             client_ca: self.client_ca,
-            keys,
+            certificates: certificates.collect(),
         })
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_fault_names_its_key() {
-        let check = |text: &str| toml::from_str::<RawTls>(text).unwrap().check();
-        let key = "[[key]]\ncert = \"c\"\nkey = \"k\"\n";
-        let good = check(&format!("required = true\nmin_version = \"1.3\"\n{key}")).unwrap();
-        assert!(good.required && good.only_13 && good.keys == [("c".into(), "k".into())]);
-        assert!(check("").unwrap_err().to_string().starts_with("tls.key"));
-        let old = check(&format!("min_version = \"1.1\"\n{key}")).unwrap_err();
-        assert!(old.to_string().starts_with("tls.min_version"), "{old}");
-        assert!(check(&key.repeat(33)).is_err());
+fn check_min_version(configured: Option<String>) -> Result<TlsVersion, ConfigError> {
+    match configured.as_deref() {
+        None | Some("1.2") => Ok(TlsVersion::Tls12),
+        Some("1.3") => Ok(TlsVersion::Tls13),
+        Some(other) => {
+            let problem = Problem::UnknownWord {
+                text: other.into(),
+                alternatives: "not 1.2 or 1.3",
+            };
+            Err(ConfigError::invalid("tls.min_version", problem))
+        }
     }
 }
--- a/src/transport/tls.rs
+++ b/src/transport/tls.rs
@@ -3,7 +3,7 @@
 
 use crate::certificates::{self, CertificateError, ExpiryWarning, Validity};
 use crate::clock::unix_time_millis;
-use crate::config::tls::TlsSettings;
+use crate::config::tls::{CertificateFiles, TlsSettings, TlsVersion};
 use crate::log_line;
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
@@ -160,7 +160,10 @@
             .ok()
             .and_then(|m| Some((m.modified().ok()?, m.len())))
     };
-    let keys = source.keys.iter().flat_map(|(cert, key)| [cert, key]);
+    let keys = source
+        .certificates
+        .iter()
+        .flat_map(|files| [&files.chain, &files.private_key]);
     keys.chain(&source.client_ca).map(|p| one(p)).collect()
 }
 
@@ -223,7 +226,11 @@
 fn read_all(source: &TlsSettings, now: f64) -> Result<Loaded, TlsError> {
     let provider = Arc::new(ring::default_provider());
     let (mut all, mut ends) = (vec![], vec![]);
-    for (cert, key) in &source.keys {
+    for CertificateFiles {
+        chain: cert,
+        private_key: key,
+    } in &source.certificates
+    {
         let chain = certificates(cert)?;
         let first = chain.first().ok_or_else(|| TlsError::Empty(cert.clone()))?;
         let (names, validity) = facts(first).ok_or_else(|| TlsError::Certificate(cert.clone()))?;
@@ -239,7 +246,8 @@
         ));
         ends.push((cert.clone(), validity.not_after));
     }
-    let versions: &[&rustls::SupportedProtocolVersion] = if source.only_13 {
+    let versions: &[&rustls::SupportedProtocolVersion] = if source.min_version == TlsVersion::Tls13
+    {
         &[&version::TLS13]
     } else {
         &[&version::TLS13, &version::TLS12]
--- a/tests/mysql_client_disconnect.rs
+++ b/tests/mysql_client_disconnect.rs
@@ -9,7 +9,7 @@
 use bytes::{Bytes, BytesMut};
 use futures_util::SinkExt;
 use query_dispatcher::ListUpdate;
-use query_dispatcher::config::tls::TlsSettings;
+use query_dispatcher::config::tls::{CertificateFiles, TlsSettings, TlsVersion};
 use query_dispatcher::config::{EngineCredentials, MysqlFrontendConfig, SpoolSettings};
 use query_dispatcher::core::{Core, CoreLimits};
 use query_dispatcher::discovery::Change;
@@ -822,10 +822,13 @@
     std::fs::write(&cert, own.cert.pem()).unwrap();
     std::fs::write(&key, own.signing_key.serialize_pem()).unwrap();
     let source = TlsSettings {
-        only_13: false,
+        min_version: TlsVersion::Tls12,
         required: false,
         client_ca: None,
-        keys: vec![(cert, key)],
+        certificates: vec![CertificateFiles {
+            chain: cert,
+            private_key: key,
+        }],
     };
     let mut roots = RootCertStore::empty();
     roots
