--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -77,7 +77,7 @@
             return false;
         }
         let gain = self.state.class(query).settings.priority_weight / self.state.work(query);
-        let excess = self.state.least_zone_utilization() - CALM_UTILIZATION;
+        let excess = self.state.lowest_zone_utilization() - CALM_UTILIZATION;
         let severity = excess / (FULL_UTILIZATION - CALM_UTILIZATION);
         let mean_weight = self.state.mean_priority_weight.mean_or(1.0);
         gain < severity * mean_weight / self.state.mean_work.mean_or(1.0)
--- a/src/decision/concurrency_limit.rs
+++ b/src/decision/concurrency_limit.rs
@@ -60,10 +60,10 @@
         if may_decrease && self.is_overloaded() {
             // At least the widest query: a smaller window would hold it back for good.
             let budget = self.state.engines.thread_budget() * MIN_WINDOW_FRACTION;
-            let least = self.state.widest_query_or(budget);
+            let minimum = self.state.widest_query_or(budget);
             let window = &mut self.state.window;
             let used = window.threads().min(self.state.engines.threads());
-            window.decrease(now, (used * DECREASE).max(least));
+            window.decrease(now, (used * DECREASE).max(minimum));
         }
     }
 
@@ -98,10 +98,10 @@
     /// for a while instead, it would move all that waits here to the one that is next free, which
     /// then lacks capacity in its turn, and so on round the fleet. Cost: an engine full for a
     /// moment fills up slowly.
-    pub(super) fn decrease_limit(&mut self, engine: EngineIndex, least: f64) {
+    pub(super) fn decrease_limit(&mut self, engine: EngineIndex, minimum: f64) {
         let now = self.state.now;
         let engine = &mut self.state.engines[engine];
-        let decreased = (engine.threads() * DECREASE).max(least).max(1.0);
+        let decreased = (engine.threads() * DECREASE).max(minimum).max(1.0);
         let limit = &mut engine.concurrency_limit;
         if limit.may_decrease(now, LIMIT_DECREASE_INTERVAL) {
             limit.decrease(now, limit.threads().min(decreased));
--- a/src/decision/model/state.rs
+++ b/src/decision/model/state.rs
@@ -124,10 +124,10 @@
         order
     }
 
-    /// Threads of the widest query, or `least` if that is more.
-    pub(crate) fn widest_query_or(&self, least: f64) -> f64 {
+    /// Threads of the widest query, or `minimum` if that is more.
+    pub(crate) fn widest_query_or(&self, minimum: f64) -> f64 {
         let threads = self.classes.iter().map(|class| class.settings.threads);
-        threads.fold(least, f64::max)
+        threads.fold(minimum, f64::max)
     }
 
     /// Threads of one query of each class.
@@ -168,8 +168,8 @@
     }
 
     /// The least utilization of a zone in service; infinite without any engine.
-    pub(crate) fn least_zone_utilization(&self) -> f64 {
-        self.utilization.least_of_zones(&self.engines)
+    pub(crate) fn lowest_zone_utilization(&self) -> f64 {
+        self.utilization.lowest_of_zones(&self.engines)
     }
 
     /// The engine's last report is recent enough to compare engines by it.
--- a/src/decision/model/utilization.rs
+++ b/src/decision/model/utilization.rs
@@ -146,7 +146,7 @@
     /// The least utilization of a zone in service; infinite without any engine.
     ///
     /// Zones are not pooled: the fullest is sampled most and would hide others.
-    pub(crate) fn least_of_zones(&self, engines: &EndpointList) -> f64 {
+    pub(crate) fn lowest_of_zones(&self, engines: &EndpointList) -> f64 {
         let zones = engines.ready().map(|engine| self.zone(engine.zone));
         zones.fold(f64::INFINITY, f64::min)
     }
--- a/src/decision/outlier_detection.rs
+++ b/src/decision/outlier_detection.rs
@@ -31,7 +31,7 @@
         let interval = self.state.settings.engines.progress_interval;
         let noted_at = attempt.noted_at.max(engine.responsive_since);
         interval > 0.0
-            && self.state.least_zone_utilization() <= FULL_UTILIZATION
+            && self.state.lowest_zone_utilization() <= FULL_UTILIZATION
             && engine.last_response > noted_at + MISSED_NOTES_LOST * interval
     }
 
--- a/src/decision/placement.rs
+++ b/src/decision/placement.rs
@@ -84,7 +84,7 @@
         });
         self.apply_table_affinity(request, &mut candidates)?;
         let candidates = self.first_choices(request, candidates);
-        let candidates = self.least_busy(candidates);
+        let candidates = self.up_to_median_load(candidates);
         (!candidates.is_empty()).then_some(candidates)
     }
 
@@ -142,9 +142,14 @@
         smallest_by_key(candidates, CHOICE_SIZE, |index| {
             let engine = &self.state.engines[index];
             let is_remote = prefers_zone && engine.zone != self.state.settings.zone;
-            let is_warm = !self.is_warming_up(engine);
+            let is_warmed_up = !self.is_warming_up(engine);
             let is_unknown = engine.last_response == f64::MIN;
-            (is_remote, is_warm, is_unknown, engine.rank(self.rank_salt))
+            (
+                is_remote,
+                is_warmed_up,
+                is_unknown,
+                engine.rank(self.rank_salt),
+            )
         })
     }
 
@@ -154,13 +159,13 @@
         let state = &self.state;
         let crossing = state.settings.cross_zone_cost * state.mean_priority_weight.mean_or(0.0);
         let weight = state.class(&request.query).settings.priority_weight;
-        let limit = state.least_zone_utilization().max(FULL_UTILIZATION);
+        let limit = state.lowest_zone_utilization().max(FULL_UTILIZATION);
         crossing > NEGLIGIBLE_COST * weight && state.utilization.zone(state.settings.zone) <= limit
     }
 
     /// Those with no more of our attempts than the median: two chosen blindly would often be the
     /// busiest.
-    fn least_busy(&self, mut candidates: Vec<EngineIndex>) -> Vec<EngineIndex> {
+    fn up_to_median_load(&self, mut candidates: Vec<EngineIndex>) -> Vec<EngineIndex> {
         let in_flight = |engine: EngineIndex| self.state.engines[engine].in_flight.len();
         let mut counts: Vec<usize> = candidates.iter().map(|&engine| in_flight(engine)).collect();
         counts.sort_unstable();
@@ -208,7 +213,7 @@
         let utilization = &self.state.utilization;
         !utilization.has_stalling_classes()
             && utilization.known_zones().next().is_some()
-            && self.state.least_zone_utilization() < CALM_UTILIZATION
+            && self.state.lowest_zone_utilization() < CALM_UTILIZATION
     }
 
     fn probe(&mut self, id: QueryId, candidates: Vec<EngineIndex>) {
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -101,11 +101,11 @@
         self.record_utilization(engine, OVERLOAD_SIGN);
         let state = &self.state;
         let threads = state.class(&state.requests[&id].query).settings.threads;
-        let can_take = |other: EngineIndex| {
+        let can_accept = |other: EngineIndex| {
             other != engine && state.engines[other].is_ready() && self.has_capacity(other, threads)
         };
-        let is_full = state.least_zone_utilization() > FULL_UTILIZATION;
-        !is_full && state.engines.indices().any(can_take)
+        let is_full = state.lowest_zone_utilization() > FULL_UTILIZATION;
+        !is_full && state.engines.indices().any(can_accept)
     }
 
     /// Its need is known now, at its start: elsewhere it gets that. Guards against estimates far
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -15,9 +15,9 @@
     /// counts.
     pub(super) fn is_warming_up(&self, engine: &Engine) -> bool {
         let rules = &self.state.settings.rules;
-        let warm_at = |started| started + rules.warm_up_period + rules.overload_window;
-        let warm_at = engine.started.map(warm_at);
-        warm_at.is_some_and(|warm_at| self.state.now < warm_at)
+        let warmed_up_at = |started| started + rules.warm_up_period + rules.overload_window;
+        let warmed_up_at = engine.started.map(warmed_up_at);
+        warmed_up_at.is_some_and(|warmed_up_at| self.state.now < warmed_up_at)
     }
 
     /// The probability of admission for a query of this work: 1 unless the engine is warming up. A
