--- a/src/transport/client_socket.rs
+++ b/src/transport/client_socket.rs
@@ -26,6 +26,7 @@
 }
 
 impl ClientSocket {
+    /// A probe of this socket.
     pub fn probe(&self) -> SocketProbe {
         SocketProbe(Rc::downgrade(&self.0))
     }
--- a/src/transport/listener.rs
+++ b/src/transport/listener.rs
@@ -11,16 +11,22 @@
 /// Connections that the machine accepts before the program does: as many as the platform's descriptors.
 const QUEUE: u32 = 1024;
 
+/// Why the clients' listening socket cannot be had.
 #[derive(Debug, thiserror::Error)]
 pub enum ListenError {
+    /// The address cannot be bound.
     #[error("listen {0}: {1}")]
     Bind(SocketAddr, io::Error),
+    /// The inherited descriptor cannot be duplicated.
     #[error("descriptor {0} cannot be taken: {1}")]
     Descriptor(RawFd, io::Error),
+    /// The inherited descriptor is something else.
     #[error("descriptor {0} is no listening socket")]
     NoListener(RawFd),
+    /// The inherited socket listens on another address than configured.
     #[error("descriptor {0} listens on {1}, not on {2}")]
     Address(RawFd, SocketAddr, SocketAddr),
+    /// Duplicating descriptors is refused, and the address cannot be bound either.
     #[error("descriptor {0} cannot be taken ({1}), and listen {2} cannot be bound instead: {3}")]
     Fallback(RawFd, io::Error, SocketAddr, io::Error),
 }
@@ -54,6 +60,9 @@
 
 /// Listens at this address, on the inherited descriptor if there is one. That one is never shut down: it is the
 /// other process's and the platform's as well.
+///
+/// # Errors
+/// The address cannot be bound, or the descriptor is not a listening socket on it.
 pub async fn listen(at: SocketAddr, inherited: Option<RawFd>) -> Result<TcpListener, ListenError> {
     listen_taking(at, inherited, duplicate).await
 }
--- a/src/transport/stream.rs
+++ b/src/transport/stream.rs
@@ -19,13 +19,17 @@
 }
 
 impl PrereadStream {
+    /// A connection whose first bytes, read already, are these.
     pub fn new(bytes: BytesMut, tcp: ClientSocket) -> Self {
         PrereadStream { bytes, tcp }
     }
 }
 
+/// A client's connection.
 pub enum Stream {
+    /// In the clear.
     Plain(ClientSocket),
+    /// In TLS.
     Tls(Box<TlsStream<PrereadStream>>),
     /// Its handshake failed, and nothing is left of it.
     Closed,
