--- a/tests/external_interface.rs
+++ b/tests/external_interface.rs
@@ -321,6 +321,7 @@
     ] {
         let heard = broadcaster
             .receive(0.0, &message)
+            .map(|report| report.map(|peer| (peer.engine, peer.report)))
             .map_err(|error| error.to_string());
         told += &format!("{what}: {heard:?}\n");
     }
