--- a/crates/mysql-conformance/src/lib.rs
+++ b/crates/mysql-conformance/src/lib.rs
@@ -7,7 +7,7 @@
 use query_dispatcher::config::{EndpointSource, MysqlConfig};
 use query_dispatcher::core::{Core, CoreLimits};
 use query_dispatcher::discovery::{Change, Engine as Listed};
-use query_dispatcher::dispatch::request_router::RequestRouter;
+use query_dispatcher::dispatch::RequestRouter;
 use query_dispatcher::frontend::mysql::Frontend;
 use query_dispatcher::protocol::mysql::packet::{
     COM_QUERY, PacketError, PayloadReader, eof_status, parse_ok_status,
@@ -56,8 +56,8 @@
     let pool = BufferPool::default();
     let bounds = CoreLimits {
         max_open_requests: config.sockets.max_open_requests,
-        answer_margin: 20.0,
-        page_timeout: 600.0,
+        answer_margin: Duration::from_millis(20),
+        page_timeout: Duration::from_millis(600),
     };
     let core = Core::new(config.settings.clone(), 1, bounds)?;
     let names = config.names.clone();
--- a/crates/testbed/src/simulation/dispatchers.rs
+++ b/crates/testbed/src/simulation/dispatchers.rs
@@ -3,6 +3,7 @@
 use super::{
     Answer, Attempt, AttemptId, ClientRequest, Command, Dispatch, Event, Job, Outcome, Simulation,
 };
+use query_dispatcher::core::StartAttempt;
 
 impl Simulation<'_> {
     pub(super) fn with_decisions(&mut self, g: usize, f: impl FnOnce(&mut dyn Dispatch, f64)) {
@@ -43,12 +44,12 @@
 
     pub(super) fn command(&mut self, g: usize, command: Command) {
         match command {
-            Command::Start {
+            Command::Start(StartAttempt {
                 attempt,
                 engine,
                 memory_mb,
                 ..
-            } => self.start(g, attempt, &engine, memory_mb),
+            }) => self.start(g, attempt, &engine, memory_mb),
             Command::Cancel { attempt } => {
                 if let Some((engine, _)) = self.dispatchers[g].out.remove(&attempt) {
                     let at = self.now + self.delay(g, engine);
--- a/crates/testbed/src/simulation/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -26,14 +26,15 @@
 use rules::Checker;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
+use std::time::Duration;
 
 /// The day begins at this moment, in milliseconds: spans before it are in the past, as on a real clock.
 const START_MS: f64 = 1_000_000.0;
 /// After the last arrival the day goes on for so long, in milliseconds.
 const RUN_OUT_MS: f64 = 60_000.0;
 /// The same bounds as the program's.
-const ANSWER_MARGIN_MS: f64 = 40.0;
-const PAGE_TIMEOUT_MS: f64 = 600.0;
+const ANSWER_MARGIN: Duration = Duration::from_millis(40);
+const PAGE_TIMEOUT: Duration = Duration::from_millis(600);
 struct SimulatedEngine {
     name: String,
     kind: usize,
@@ -113,8 +114,8 @@
     let settings = scenario.settings(zone);
     let bounds = CoreLimits {
         max_open_requests: 20_000,
-        answer_margin: ANSWER_MARGIN_MS,
-        page_timeout: PAGE_TIMEOUT_MS,
+        answer_margin: ANSWER_MARGIN,
+        page_timeout: PAGE_TIMEOUT,
     };
     match policy {
         // Settings were checked with their scenario; should the core still refuse them, nothing is dispatched at all.
--- a/crates/testbed/src/simulation/policy.rs
+++ b/crates/testbed/src/simulation/policy.rs
@@ -1,7 +1,10 @@
 //! Who decides at a gateway: the real core, or one of the plain ways that it is measured beside.
 
 use crate::random::Stream;
-use query_dispatcher::core::{Answer, AttemptId, Command, Core, NewRequest, RequestId};
+use query_dispatcher::core::{
+    Answer, AttemptId, Command, Core, FailureReason, NewRequest, RejectionReason, RequestId,
+    StartAttempt,
+};
 use query_dispatcher::{EngineEntry, EngineState, ListUpdate, Outcome, ProgressNote};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -202,10 +205,10 @@
             let answer = match retry_safe {
                 true => Answer::Rejected {
                     retry_after: Some(500.0),
-                    reason: "no engine",
+                    reason: RejectionReason::Adapter("no engine"),
                 },
                 false => Answer::Failed {
-                    reason: "it may have run",
+                    reason: FailureReason::MayHaveRun,
                 },
             };
             return self.close(id, Some(answer));
@@ -220,15 +223,15 @@
         };
         let engine = self.engines[engine].clone();
         let write_by = f64::INFINITY;
-        let start = Command::Start {
+        let start = StartAttempt {
             attempt,
             engine,
-            until: due,
+            deadline: due,
             write_by,
             memory_mb: 0.0,
-            alone: false,
+            exclusive_connection: false,
         };
-        self.commands.push(start);
+        self.commands.push(Command::Start(start));
     }
 
     /// The end of a request; nobody hears it if no answer is given.
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -9,7 +9,7 @@
 mod routes;
 
 use crate::discovery::membership_driver::MembershipDriver;
-use crate::dispatch::request_router::{RequestRouter, Upstream};
+use crate::dispatch::{RequestRouter, Upstream};
 use crate::log_line;
 use crate::server::instance_registry::InstanceRegistry;
 use crate::spool_io::Spools;
--- a/src/admin/routes.rs
+++ b/src/admin/routes.rs
@@ -3,7 +3,7 @@
 use crate::admin::Admin;
 use crate::admin::request::Request;
 use crate::admin::response::Response;
-use crate::dispatch::request_router::Upstream;
+use crate::dispatch::{AdministrativeDrain, Upstream};
 use crate::server::instance_registry::decode_engine_id;
 
 /// Calls on one engine: this, then what is to be done, then the engine's encoded id.
@@ -111,7 +111,8 @@
         if let Err(error) = self.instances.drain_engine(&engine) {
             return not_recorded(&error);
         }
-        self.router.set_administrative_drain(&engine, true);
+        self.router
+            .set_administrative_drain(&engine, AdministrativeDrain::Drained);
         Response::text(200, "out\n")
     }
 
@@ -122,7 +123,8 @@
         if let Err(error) = self.instances.undrain_engine(&engine) {
             return not_recorded(&error);
         }
-        self.router.set_administrative_drain(&engine, false);
+        self.router
+            .set_administrative_drain(&engine, AdministrativeDrain::Undrained);
         Response::text(200, "in use\n")
     }
 
--- /dev/null
+++ b/src/core/endpoints.rs
@@ -0,0 +1,111 @@
+//! The core's endpoint list, administrative drains and gossip.
+
+use crate::core::command::{AttemptId, Command};
+use crate::core::request_core::Core;
+use crate::decision::facade::Report;
+use crate::decision::model::{EngineEntry, ListUpdate, Millis};
+use crate::gossip::{Broadcaster, DecodeError, GossipBudget, PeerReport};
+use std::collections::BTreeSet;
+
+impl Core {
+    /// Applies an update of the endpoint list from discovery.
+    pub fn update_endpoints(&mut self, now: Millis, update: ListUpdate, entries: Vec<EngineEntry>) {
+        let entries = self.endpoints.update(update, entries);
+        if let Some(gossip) = &mut self.gossip {
+            gossip.set_engines(self.endpoints.engines());
+        }
+        self.report(now, Report::Engines { update, entries });
+    }
+
+    /// New work may be sent to this engine: it is listed as ready and not administratively drained.
+    pub fn is_in_service(&self, engine: &str) -> bool {
+        self.endpoints.is_in_service(engine)
+    }
+
+    /// The engine is listed, or was when operators drained it.
+    pub fn is_known(&self, engine: &str) -> bool {
+        self.endpoints.is_known(engine)
+    }
+
+    /// The engines that are administratively drained.
+    pub fn drained_engines(&self) -> &BTreeSet<String> {
+        self.endpoints.drained()
+    }
+
+    /// Drains an engine, whatever the endpoint list says, until [`Core::undrain_engine`]. Returns its entry if it is
+    /// listed and was not drained before.
+    pub fn drain_engine(&mut self, now: Millis, engine: &str) -> Option<EngineEntry> {
+        let is_new = self.endpoints.drain(engine);
+        self.report_endpoint(now, engine).filter(|_| is_new)
+    }
+
+    /// Ends an engine's administrative drain: it is what the endpoint list says, with a process that has just
+    /// started. Returns its entry if it is listed and was drained.
+    pub fn undrain_engine(&mut self, now: Millis, engine: &str) -> Option<EngineEntry> {
+        if !self.endpoints.undrain(now, engine) {
+            return None;
+        }
+        self.report_endpoint(now, engine)
+    }
+
+    /// Reports a listed engine's effective entry to the decision module, and returns it.
+    fn report_endpoint(&mut self, now: Millis, engine: &str) -> Option<EngineEntry> {
+        let entry = self.endpoints.effective_entry(engine)?;
+        let report = Report::Engines {
+            update: ListUpdate::Patch,
+            entries: vec![entry.clone()],
+        };
+        self.report(now, report);
+        Some(entry)
+    }
+
+    /// Shares load reports with the other dispatchers of the tier from now on.
+    pub fn join_gossip(&mut self, budget: GossipBudget) {
+        let mut gossip = Broadcaster::new(budget);
+        gossip.set_engines(self.endpoints.engines());
+        self.gossip = Some(gossip);
+    }
+
+    /// Receives a peer's gossip message.
+    ///
+    /// # Errors
+    ///
+    /// A message that cannot be decoded changes nothing but the metrics.
+    pub fn receive_gossip(&mut self, now: Millis, message: &[u8]) -> Result<(), DecodeError> {
+        let Some(gossip) = &mut self.gossip else {
+            return Ok(());
+        };
+        let received = gossip.receive(now, message);
+        if received.is_err() {
+            self.metrics.rejected_gossip_messages += 1;
+        }
+        if let Some(PeerReport { engine, report }) = received? {
+            self.report(now, Report::PeerLoadReport { engine, report });
+        }
+        Ok(())
+    }
+
+    /// Counts a gossip message whose sender is not a peer.
+    pub fn record_foreign_message(&mut self) {
+        self.metrics.rejected_gossip_messages += 1;
+    }
+
+    /// Broadcasts the load report that an attempt brought, if the gossip budget allows it. The report of a process
+    /// that has been restarted since says nothing of the new one.
+    pub(super) fn broadcast_load_report(&mut self, now: Millis, id: AttemptId, report: &[f64]) {
+        let Some(gossip) = &mut self.gossip else {
+            return;
+        };
+        let Some(attempt) = self.requests.attempt(id) else {
+            return;
+        };
+        if self
+            .endpoints
+            .is_restarted_since(attempt.engine(), attempt.started_at())
+        {
+            return;
+        }
+        let message = gossip.offer_report(now, attempt.engine(), report);
+        self.commands.extend(message.map(Command::Broadcast));
+    }
+}
--- a/src/core/metrics.rs
+++ b/src/core/metrics.rs
@@ -1,65 +1,96 @@
-//! What operators are told: counts since the process started, and what stands now.
+//! Counters since the process started and gauges of its present state, as operators read them.
 
 use crate::decision::model::ClassId;
 
+/// Variants of [`RequestOutcome`].
+const OUTCOMES: usize = 3;
+
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
+    /// It was served.
     Success,
-    /// Refused: it may come again.
+    /// It was rejected or timed out, and a retry is safe.
     Overload,
+    /// It failed.
     Error,
 }
 
 impl RequestOutcome {
-    pub const ALL: [(RequestOutcome, &str); 3] = [
-        (RequestOutcome::Success, "success"),
-        (RequestOutcome::Overload, "overload"),
-        (RequestOutcome::Error, "error"),
+    /// All outcomes, in the order of their discriminants.
+    const ALL: [RequestOutcome; OUTCOMES] = [
+        RequestOutcome::Success,
+        RequestOutcome::Overload,
+        RequestOutcome::Error,
     ];
+
+    /// The outcome's name at the operators' address.
+    fn name(self) -> &'static str {
+        match self {
+            RequestOutcome::Success => "success",
+            RequestOutcome::Overload => "overload",
+            RequestOutcome::Error => "error",
+        }
+    }
 }
 
+/// Answers of one class by outcome, in the order of [`RequestOutcome`].
+pub type AnswerCounts = [u64; OUTCOMES];
+
+/// Counters and gauges of one process.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Metrics {
-    /// By class, in the order of [`End::ALL`].
-    pub replies: Vec<[u64; 3]>,
-    /// Attempts written whole to engines.
+    /// Answers, by class.
+    pub answers: Vec<AnswerCounts>,
+    /// Attempts that have been written in full to engines.
     pub dispatches: u64,
-    /// Requests taken and not yet ended.
-    pub concurrent: usize,
-    /// Engines in the list.
-    pub targets: usize,
-    /// Those of them that get nothing now, by hand or by choice.
-    pub targets_disabled: usize,
-    /// Messages at the peers' address that were no word of a peer's.
-    pub peer_messages_refused: u64,
+    /// Requests that await an answer now.
+    pub unanswered_requests: usize,
+    /// Engines that are listed now.
+    pub endpoints: usize,
+    /// Listed engines that get no new work now: not ready, administratively drained, or ejected.
+    pub unavailable_endpoints: usize,
+    /// Gossip messages that could not be decoded or whose sender is not a peer.
+    pub rejected_gossip_messages: u64,
 }
 
 impl Metrics {
-    /// Counts the end of one request. A class that is none of ours has no count.
-    pub fn count(&mut self, class: ClassId, end: RequestOutcome) {
-        if let Some(ends) = self.replies.get_mut(class) {
-            ends[end as usize] += 1;
+    /// Metrics of a process that has just started, for this number of classes.
+    pub fn new(classes: usize) -> Self {
+        Metrics {
+            answers: vec![AnswerCounts::default(); classes],
+            ..Metrics::default()
         }
     }
 
-    /// A line for each figure, `name=value`; classes go by these names.
+    /// Counts the answer to one request. A class that is not configured has no counter.
+    pub fn record_answer(&mut self, class: ClassId, outcome: RequestOutcome) {
+        if let Some(counts) = self.answers.get_mut(class) {
+            counts[outcome as usize] += 1;
+        }
+    }
+
+    /// The text at the operators' address, a line `name=value` for each metric. `classes` are the classes' names.
     pub fn text(&self, classes: &[String]) -> String {
-        let mut lines = String::new();
-        for (class, ends) in classes.iter().zip(&self.replies) {
-            for ((_, name), n) in RequestOutcome::ALL.iter().zip(ends) {
-                lines.push_str(&format!("replies.{class}.{name}={n}\n"));
+        let mut text = String::new();
+        for (class, counts) in classes.iter().zip(&self.answers) {
+            for (outcome, count) in RequestOutcome::ALL.iter().zip(counts) {
+                text.push_str(&format!("replies.{class}.{}={count}\n", outcome.name()));
             }
         }
-        let rest = [
+        let totals = [
             ("dispatches", self.dispatches),
-            ("concurrent", self.concurrent as u64),
-            ("targets", self.targets as u64),
-            ("targets_disabled", self.targets_disabled as u64),
-            ("peer_messages_refused", self.peer_messages_refused),
+            ("concurrent", self.unanswered_requests as u64),
+            ("targets", self.endpoints as u64),
+            ("targets_disabled", self.unavailable_endpoints as u64),
+            ("peer_messages_refused", self.rejected_gossip_messages),
         ];
-        rest.iter()
-            .for_each(|(name, n)| lines.push_str(&format!("{name}={n}\n")));
-        lines
+        for (name, value) in totals {
+            text.push_str(&format!("{name}={value}\n"));
+        }
+        text
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/dispatch/gossip_driver.rs
+++ b/src/dispatch/gossip_driver.rs
@@ -1,44 +1,61 @@
-//! The way between the dispatchers of a tier: UDP datagrams, late or lost. What they say is [`crate::gossip`]'s.
+//! Gossip between the dispatchers of a tier, over UDP: datagrams may be late or lost. Their content is
+//! [`crate::gossip`]'s.
 
 use crate::config::GossipSettings;
-use crate::dispatch::request_router::{RequestRouter, Upstream};
+use crate::dispatch::request_router::RequestRouter;
+use crate::dispatch::upstream::Upstream;
 use crate::gossip::MAX_MESSAGE_BYTES;
 use crate::log_line;
 use std::collections::HashSet;
+use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 use tokio::net::UdpSocket;
 
-/// After a failure of the socket: another process of this dispatcher may still hold the address.
-const REST: Duration = Duration::from_millis(250);
+/// The pause after a failure of the socket: another process of this dispatcher may still hold the address.
+const SOCKET_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Listens for the peers, and lets the hub speak to them, until the hub is gone.
+/// Receives the peers' messages, and lets the router send to them, until the router is dropped.
 pub async fn attend<U: Upstream>(router: Weak<RequestRouter<U>>, peers: GossipSettings) {
-    let mut told = false;
-    let socket = loop {
-        match UdpSocket::bind(peers.listen).await {
-            Ok(socket) => break Rc::new(socket),
-            Err(e) if !std::mem::replace(&mut told, true) => {
-                log_line!(
-                    "peer_listen {}: {e}; no word with the peers until it is free",
-                    peers.listen
-                );
-            }
-            Err(_) => {}
-        }
-        tokio::time::sleep(REST).await;
-    };
-    let (out, all) = (socket.clone(), peers.broadcast);
-    // A message that cannot be sent at once is dropped: it would be old news by the time that it could.
-    let tell = move |message: &[u8]| {
-        let _ = out.try_send_to(message, all);
+    let socket = Rc::new(bind(peers.listen).await);
+    let outgoing = socket.clone();
+    let all_peers = peers.broadcast;
+    let sender = move |message: &[u8]| {
+        // A message that cannot be sent at once is dropped: it would be stale by the time that it could.
+        let _ = outgoing.try_send_to(message, all_peers);
     };
     match router.upgrade() {
-        Some(router) => router.join_gossip(peers.budget, Box::new(tell)),
+        Some(router) => router.join_gossip(peers.budget, Box::new(sender)),
         None => return,
     }
-    let from: HashSet<_> = peers.members.iter().copied().collect();
-    // One byte more than a message may hold, so that a longer one shows.
+    let peers = peers.members.iter().copied().collect();
+    receive(&router, &socket, &peers).await;
+}
+
+/// Binds the address, as soon as it is free. Only the first failure is logged.
+async fn bind(address: SocketAddr) -> UdpSocket {
+    let mut is_logged = false;
+    loop {
+        match UdpSocket::bind(address).await {
+            Ok(socket) => return socket,
+            Err(error) => {
+                if !is_logged {
+                    log_line!("peer_listen {address}: {error}; no gossip until it is free");
+                }
+                is_logged = true;
+            }
+        }
+        tokio::time::sleep(SOCKET_RETRY_DELAY).await;
+    }
+}
+
+/// Hands messages to the router until it is dropped.
+async fn receive<U: Upstream>(
+    router: &Weak<RequestRouter<U>>,
+    socket: &UdpSocket,
+    peers: &HashSet<SocketAddr>,
+) {
+    // One byte more than a message may hold, so that a longer one can be told from a full one.
     let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
     loop {
         let received = socket.recv_from(&mut buffer).await;
@@ -46,18 +63,17 @@
             return;
         };
         match received {
-            // Nobody else has anything to say of the engines.
-            Ok((_, sender)) if !from.contains(&sender) => {
+            Ok((_, sender)) if !peers.contains(&sender) => {
                 router.record_foreign_message();
-                log_line!("peer {sender}: not listed, its message is passed over");
+                log_line!("peer {sender}: not listed, its message is ignored");
             }
             Ok((size, sender)) => {
-                if let Err(e) = router.receive_gossip(&buffer[..size]) {
-                    log_line!("peer {sender}: {e}; its message is passed over");
+                if let Err(error) = router.receive_gossip(&buffer[..size]) {
+                    log_line!("peer {sender}: {error}; its message is ignored");
                 }
             }
-            // What the system tells of a datagram that did not arrive.
-            Err(_) => tokio::time::sleep(REST).await,
+            // The error of an earlier datagram that could not be delivered.
+            Err(_) => tokio::time::sleep(SOCKET_RETRY_DELAY).await,
         }
     }
 }
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -1,4 +1,12 @@
 //! Drives the pure request core: the request router with its clock, and the gossip driver.
 
+mod commands;
+mod endpoints;
 pub mod gossip_driver;
-pub mod request_router;
+mod request_router;
+mod upstream;
+
+pub use crate::core::StartAttempt;
+pub use endpoints::AdministrativeDrain;
+pub use request_router::{GossipSender, Reply, ReplyHandler, RequestRouter};
+pub use upstream::Upstream;
--- a/src/frontend/frames/client.rs
+++ b/src/frontend/frames/client.rs
@@ -1,9 +1,9 @@
 //! What one client has asked: its open requests, what was read ahead of them, and what was rejected unread.
 
 use crate::clock::unix_time_millis;
-use crate::core::{RequestId, RequestOutcome};
+use crate::core::{RejectionReason, RequestId, RequestOutcome};
 use crate::decision::model::Millis;
-use crate::dispatch::request_router::{Reply, Upstream};
+use crate::dispatch::{Reply, Upstream};
 use crate::frontend::frames::replies::{enqueue_answer, enqueue_reply, enqueue_state};
 use crate::frontend::frames::request::{Unusable, Work, parse_class, parse_request};
 use crate::frontend::frames::stream_numbers::StreamNumbers;
@@ -34,7 +34,7 @@
 /// by that it has left as well.
 const MAX_UNANSWERED_REJECTIONS: usize = 8192;
 /// The reason for a rejection of what exceeds these bounds.
-const TOO_MUCH: &str = "too much is open";
+const TOO_MUCH: RejectionReason = RejectionReason::Adapter("too much is open");
 /// When a request that was rejected so may be retried.
 const TOO_MUCH_RETRY_AFTER_MS: Millis = 100.0;
 
--- a/src/frontend/frames/connection.rs
+++ b/src/frontend/frames/connection.rs
@@ -3,7 +3,7 @@
 //! cannot be read. So its leave, its close and its reset are seen at once, behind any number of frames, and what it
 //! waited for is not forwarded after them.
 
-use crate::dispatch::request_router::{Reply, Upstream};
+use crate::dispatch::{Reply, Upstream};
 use crate::frontend::frames::client::{Client, MAX_OPEN_STREAMS};
 use crate::frontend::frames::replies::{enqueue_answer, enqueue_goodbye, enqueue_reply};
 use crate::frontend::frames::request::Work;
--- a/src/frontend/frames/mod.rs
+++ b/src/frontend/frames/mod.rs
@@ -12,7 +12,7 @@
 pub use request::{StatementBudget, Work};
 
 use crate::config::MachineLimits;
-use crate::dispatch::request_router::{RequestRouter, Upstream};
+use crate::dispatch::{RequestRouter, Upstream};
 use crate::log_line;
 use crate::protocol::frames::FrameCodec;
 use crate::transport::buffer_pool::{Buffer, BufferPool};
--- a/src/frontend/frames/replies.rs
+++ b/src/frontend/frames/replies.rs
@@ -1,6 +1,6 @@
 //! Answers to clients, as frames.
 
-use crate::dispatch::request_router::Reply;
+use crate::dispatch::Reply;
 use crate::frontend::frames::FramedConnection;
 use crate::protocol::frames::{FrameError, OutgoingFrame, code, kind};
 use crate::transport::buffer_pool::Buffer;
@@ -23,14 +23,16 @@
                 stream,
                 code: Some(code::REFUSED),
                 fields: &[("later", retry_after.as_str())],
-                body: reason.as_bytes(),
+                body: reason.as_str().as_bytes(),
             })
         }
         Reply::Rejected {
             retry_after: None,
             reason,
-        } => enqueue_answer(wire, stream, code::REFUSED, reason.as_bytes()),
-        Reply::Failed { reason } => enqueue_answer(wire, stream, code::FAILED, reason.as_bytes()),
+        } => enqueue_answer(wire, stream, code::REFUSED, reason.as_str().as_bytes()),
+        Reply::Failed { reason } => {
+            enqueue_answer(wire, stream, code::FAILED, reason.as_str().as_bytes())
+        }
         Reply::TimedOut { retry_safe: true } => {
             enqueue_answer(wire, stream, code::REFUSED, b"the time is over")
         }
--- a/src/frontend/frames/request.rs
+++ b/src/frontend/frames/request.rs
@@ -3,7 +3,7 @@
 use crate::config::position_of;
 use crate::core::NewRequest;
 use crate::decision::model::{ClassId, Millis};
-use crate::dispatch::request_router::{RequestRouter, Upstream};
+use crate::dispatch::{RequestRouter, Upstream};
 use crate::frontend::estimates::{
     MAX_ESTIMATED_MEMORY_MB, MAX_ESTIMATED_WORK_MS, MAX_TIME_LIMIT_MS,
 };
--- a/src/frontend/mysql/mod.rs
+++ b/src/frontend/mysql/mod.rs
@@ -17,7 +17,7 @@
 mod text_result;
 
 use crate::config::MysqlFrontendConfig;
-use crate::dispatch::request_router::{RequestRouter, Upstream};
+use crate::dispatch::{RequestRouter, Upstream};
 use crate::log_line;
 use crate::spool_io::Spools;
 use crate::sticky_sessions::StickySessionTable;
--- a/src/frontend/mysql/prepared_statements.rs
+++ b/src/frontend/mysql/prepared_statements.rs
@@ -5,7 +5,7 @@
 use super::cursor::Cursor;
 use super::request::StatementRequest;
 use super::session::{Session, SessionEnd};
-use crate::dispatch::request_router::Reply;
+use crate::dispatch::Reply;
 use crate::protocol::mysql::error::{SqlError, code};
 use crate::protocol::mysql::packet::{OK_HEADER, PacketError, PayloadReader};
 use crate::protocol::mysql::session::SessionContext;
--- a/src/frontend/mysql/replies.rs
+++ b/src/frontend/mysql/replies.rs
@@ -4,7 +4,7 @@
 use super::cursor::split_result;
 use super::session::{Session, SessionEnd};
 use super::{StatementUpstream, WRITE_TIMEOUT};
-use crate::dispatch::request_router::Reply;
+use crate::dispatch::Reply;
 use crate::protocol::mysql::error::{SqlError, code};
 use crate::protocol::mysql::packet::{
     OK_HEADER, PacketError, ResultFormat, SERVER_STATUS_AUTOCOMMIT, SERVER_STATUS_IN_TRANS,
--- a/src/frontend/mysql/request.rs
+++ b/src/frontend/mysql/request.rs
@@ -5,9 +5,9 @@
 use super::{Frontend, StatementUpstream};
 use crate::clock::unix_time_millis;
 use crate::config::MysqlFrontendConfig;
-use crate::core::{NewRequest, RequestId, RequestOutcome};
+use crate::core::{FailureReason, NewRequest, RejectionReason, RequestId, RequestOutcome};
 use crate::decision::model::{ClassId, Millis};
-use crate::dispatch::request_router::{Reply, RequestRouter};
+use crate::dispatch::{Reply, RequestRouter};
 use crate::frontend::estimates::{
     MAX_ESTIMATED_MEMORY_MB, MAX_ESTIMATED_WORK_MS, MAX_TIME_LIMIT_MS,
 };
@@ -140,9 +140,9 @@
         tokio::select! {
             biased;
             reply = &mut reply => {
-                Ok(reply.unwrap_or(Reply::Failed { reason: "the request was lost" }))
+                Ok(reply.unwrap_or(Reply::Failed { reason: FailureReason::Adapter("the request was lost") }))
             }
-            () = self.downstream.killed() => Ok(Reply::Failed { reason: KILLED }),
+            () = self.downstream.killed() => Ok(Reply::Failed { reason: FailureReason::Adapter(KILLED) }),
             // A client that sends its next command early has not left; one that quits has, and one that closes.
             end = self.wire.read_ahead(MAX_READ_AHEAD_BYTES, contains_quit) => Err(end_of_read_ahead(end)),
         }
@@ -168,7 +168,7 @@
                 retry_after,
             } => Err(Reply::Rejected {
                 retry_after,
-                reason,
+                reason: RejectionReason::Adapter(reason),
             }),
             _ => Ok(()),
         }
--- a/src/frontend/mysql/settings.rs
+++ b/src/frontend/mysql/settings.rs
@@ -3,7 +3,7 @@
 use super::StatementUpstream;
 use super::request::StatementRequest;
 use super::session::{Session, SessionEnd};
-use crate::dispatch::request_router::Reply;
+use crate::dispatch::Reply;
 use crate::protocol::mysql::error::{SqlError, code};
 use crate::protocol::mysql::packet::{
     NULL_VALUE, OK_HEADER, PayloadReader, is_err, parse_err_packet,
--- a/src/frontend/mysql/sticky.rs
+++ b/src/frontend/mysql/sticky.rs
@@ -5,7 +5,7 @@
 use super::{Frontend, StatementUpstream};
 use crate::clock::{duration_from_millis, unix_time_millis};
 use crate::core::NewRequest;
-use crate::dispatch::request_router::Reply;
+use crate::dispatch::Reply;
 use crate::protocol::mysql::error::{SqlError, code};
 use crate::protocol::mysql::packet::{
     ERR_HEADER, OK_HEADER, PacketError, PayloadReader, parse_err_packet,
--- a/src/server/endpoint_source.rs
+++ b/src/server/endpoint_source.rs
@@ -5,7 +5,7 @@
 use crate::discovery::eureka::{self};
 use crate::discovery::fixed;
 use crate::discovery::membership_driver::MembershipDriver;
-use crate::dispatch::request_router::RequestRouter;
+use crate::dispatch::RequestRouter;
 use crate::upstream::mysql::MysqlUpstream;
 use std::cell::RefCell;
 use std::path::PathBuf;
--- a/src/server/graceful_shutdown.rs
+++ b/src/server/graceful_shutdown.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::{duration_from_millis, unix_time_millis};
 use crate::decision::model::Millis;
-use crate::dispatch::request_router::{RequestRouter, Upstream};
+use crate::dispatch::{RequestRouter, Upstream};
 use crate::frontend::frames::{self, Work};
 use crate::frontend::mysql;
 use crate::log_line;
--- a/src/server/instance_coordination.rs
+++ b/src/server/instance_coordination.rs
@@ -1,7 +1,7 @@
 //! Keeps this process in step with the dispatcher's other processes: how many share the limits, and which engines
 //! operators have drained.
 
-use crate::dispatch::request_router::{RequestRouter, Upstream};
+use crate::dispatch::{RequestRouter, Upstream};
 use crate::log_line;
 use crate::server::ServerError;
 use crate::server::instance_registry::InstanceRegistry;
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -17,18 +17,18 @@
 
 use crate::config::SocketSettings;
 use crate::core::CoreLimits;
-use crate::decision::model::Millis;
+use std::time::Duration;
 
 /// An answer is due this long before its client gives up: it has to be written and read.
-const ANSWER_MARGIN_MS: Millis = 40.0;
+const ANSWER_MARGIN: Duration = Duration::from_millis(40);
 /// A result that has begun may stay without its next page for this long.
-const PAGE_TIMEOUT_MS: Millis = 600.0;
+const PAGE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// The limits of the request core, as both kinds of process set them.
 fn core_limits(sockets: &SocketSettings) -> CoreLimits {
     CoreLimits {
         max_open_requests: sockets.max_open_requests,
-        answer_margin: ANSWER_MARGIN_MS,
-        page_timeout: PAGE_TIMEOUT_MS,
+        answer_margin: ANSWER_MARGIN,
+        page_timeout: PAGE_TIMEOUT,
     }
 }
--- a/src/server/mysql.rs
+++ b/src/server/mysql.rs
@@ -5,7 +5,7 @@
 use crate::config::MysqlConfig;
 use crate::core::Core;
 use crate::discovery::eureka::lease::Standing;
-use crate::dispatch::request_router::{RequestRouter, Upstream};
+use crate::dispatch::{RequestRouter, Upstream};
 use crate::frontend::mysql::Frontend;
 use crate::log_line;
 use crate::server::endpoint_source::{self, EndpointSource, SharedMembership, StandingProbe};
--- a/src/server/operators.rs
+++ b/src/server/operators.rs
@@ -1,7 +1,7 @@
 //! The operators' listener: binds their address and starts to serve it.
 
 use crate::admin::{Admin, ReportSources};
-use crate::dispatch::request_router::{RequestRouter, Upstream};
+use crate::dispatch::{RequestRouter, Upstream};
 use crate::log_line;
 use crate::server::ServerError;
 use crate::server::instance_registry::InstanceRegistry;
--- a/src/upstream/mysql/attempt.rs
+++ b/src/upstream/mysql/attempt.rs
@@ -8,7 +8,7 @@
 use super::sticky::{SessionEnd, SessionServer, StickyChannel};
 use super::work::{Job, Output, Packets, Work};
 use crate::decision::model::Outcome;
-use crate::dispatch::request_router::StartAttempt;
+use crate::dispatch::StartAttempt;
 use crate::log_line;
 use crate::membership::Observation;
 use crate::protocol::mysql::error::{SqlError, code};
@@ -161,7 +161,7 @@
     ) -> Result<SessionEnd, PacketError> {
         let client = WaitingClient {
             downstream: &self.work.downstream,
-            deadline: self.start.until,
+            deadline: self.start.deadline,
         };
         let server = SessionServer {
             executor: self.executor,
@@ -189,7 +189,7 @@
         let execution = Execution {
             client: WaitingClient {
                 downstream: &self.work.downstream,
-                deadline: self.start.until.min(self.start.write_by),
+                deadline: self.start.deadline.min(self.start.write_by),
             },
             written_on: &self.state.written_on,
             events: self.events,
--- a/src/upstream/mysql/mod.rs
+++ b/src/upstream/mysql/mod.rs
@@ -23,7 +23,7 @@
 use crate::decision::model::{Millis, ProgressNote};
 use crate::discovery::Change;
 use crate::discovery::membership_driver::ConnectionObserver;
-use crate::dispatch::request_router::{RequestRouter, StartAttempt, Upstream};
+use crate::dispatch::{RequestRouter, StartAttempt, Upstream};
 use crate::spool_io::Spools;
 use crate::transport::buffer_pool::BufferPool;
 use attempt::{Attempt, AttemptState};
--- a/src/upstream/mysql/work.rs
+++ b/src/upstream/mysql/work.rs
@@ -1,6 +1,6 @@
 //! What a session hands to an engine connection, and what that returns.
 
-use crate::dispatch::request_router::Reply;
+use crate::dispatch::Reply;
 use crate::protocol::mysql::error::{SqlError, code};
 use crate::protocol::mysql::packet::{err_packet, is_err, parse_err_packet};
 use crate::protocol::mysql::session::SessionContext;
--- a/src/upstream/resp/commands.rs
+++ b/src/upstream/resp/commands.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::unix_time_millis;
 use crate::decision::model::Outcome;
-use crate::dispatch::request_router::StartAttempt;
+use crate::dispatch::StartAttempt;
 use crate::frontend::frames::Work;
 use crate::protocol::resp::RespError;
 use crate::transport::pending_input::{self, PendingInput};
@@ -40,7 +40,7 @@
         };
         let now = unix_time_millis();
         let write_by = start.write_by;
-        let time_left = start.until - now;
+        let time_left = start.deadline - now;
         let is_late = time_left < 1.0 || now >= write_by;
         // The connection took its time: the engine may drain by now, or the time be over, its own or that of a retry. It
         // never ran.
--- a/src/upstream/resp/connection.rs
+++ b/src/upstream/resp/connection.rs
@@ -4,7 +4,7 @@
 use crate::config::SocketSettings;
 use crate::core::AttemptId;
 use crate::decision::model::Millis;
-use crate::dispatch::request_router::StartAttempt;
+use crate::dispatch::StartAttempt;
 use crate::frontend::frames::Work;
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
--- a/src/upstream/resp/connection_task.rs
+++ b/src/upstream/resp/connection_task.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::{duration_from_millis, unix_time_millis};
 use crate::decision::model::{Millis, Outcome};
-use crate::dispatch::request_router::RequestRouter;
+use crate::dispatch::RequestRouter;
 use crate::log_line;
 use crate::protocol::resp::{RespCodec, RespError};
 use crate::transport::buffer_pool::BUFFER_BYTES;
--- a/src/upstream/resp/engine_pool.rs
+++ b/src/upstream/resp/engine_pool.rs
@@ -5,7 +5,7 @@
 use crate::core::AttemptId;
 use crate::decision::model::{EngineState, ListUpdate};
 use crate::discovery::{Change, Engine};
-use crate::dispatch::request_router::RequestRouter;
+use crate::dispatch::RequestRouter;
 use crate::transport::buffer_pool::BufferPool;
 use crate::transport::descriptors::DescriptorBudget;
 use crate::upstream::resp::RespUpstream;
--- a/src/upstream/resp/mod.rs
+++ b/src/upstream/resp/mod.rs
@@ -15,7 +15,7 @@
 use crate::core::AttemptId;
 use crate::decision::model::Outcome;
 use crate::discovery::Change;
-use crate::dispatch::request_router::{RequestRouter, StartAttempt, Upstream};
+use crate::dispatch::{RequestRouter, StartAttempt, Upstream};
 use crate::frontend::frames::Work;
 use crate::transport::buffer_pool::{Buffer, BufferPool};
 use connection::{Command, PendingAttempt, Stage};
@@ -43,7 +43,7 @@
 
     fn start(&self, router: &Rc<RequestRouter<Self>>, start: StartAttempt, work: Rc<Work>) {
         let attempt = start.attempt;
-        let alone = start.alone;
+        let alone = start.exclusive_connection;
         let Some(connection) = self.0.connection(router, &start.engine, &work.txn, alone) else {
             return router.attempt_ended(attempt, Outcome::Unreachable, vec![]);
         };
--- a/src/upstream/resp/replies.rs
+++ b/src/upstream/resp/replies.rs
@@ -3,7 +3,7 @@
 use crate::clock::unix_time_millis;
 use crate::core::AttemptId;
 use crate::decision::model::{Millis, Outcome};
-use crate::dispatch::request_router::RequestRouter;
+use crate::dispatch::RequestRouter;
 use crate::protocol::resp::RespError;
 use crate::protocol::resp::reply::{field, is_page, load_report, progress_note};
 use crate::upstream::resp::RespUpstream;
--- a/tests/client_disconnect_races.rs
+++ b/tests/client_disconnect_races.rs
@@ -10,7 +10,7 @@
 use query_dispatcher::clock::unix_time_millis;
 use query_dispatcher::config::{MachineLimits, NameTable, SocketSettings};
 use query_dispatcher::core::{Core, NewRequest};
-use query_dispatcher::dispatch::request_router::Reply;
+use query_dispatcher::dispatch::Reply;
 use query_dispatcher::frontend::frames::Work;
 use scenario::{change, core, core_with, on_one_thread};
 use socket2::SockRef;
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -1,248 +1,434 @@
-//! Scenarios on an injected clock, a step a line: `send NAME CLASS MS`, `start NAME` (an attempt is to
-//! start), `begin NAME` (its result has begun), `end NAME OUTCOME`, `drop NAME` (an attempt is to be dropped),
-//! `out ENGINE`, `back ENGINE` (by hand), `start NAME ENGINE` (there), `leave NAME`, `expect NAME ANSWER`, `wait MS`, `stop MS`, `nothing` (no command is left).
+//! The request core on an injected clock. Most tests are scripts, a step a line:
+//!
+//! - `open NAME CLASS MS`: a request with a deadline in so many milliseconds;
+//! - `started NAME [ENGINE]`: the core starts an attempt of it (at this engine);
+//! - `page NAME`: a page of the last attempt's result arrives;
+//! - `end NAME OUTCOME`: the last attempt ends;
+//! - `cancelled NAME`: the core cancels the last attempt;
+//! - `abandon NAME`: its client disconnects;
+//! - `answered NAME ANSWER`: the core gives this answer;
+//! - `drain ENGINE`, `undrain ENGINE`: an operator drains an engine and ends that;
+//! - `wait MS`, `shutdown MS`: time passes; shutdown begins, with so much time for the last answers;
+//! - `nothing`: no command is left.
 
 mod scenario;
 
-use query_dispatcher::core::{Answer, AttemptId, Command, Core, CoreLimits, NewRequest, RequestId};
+use query_dispatcher::core::{
+    Answer, AttemptId, Command, Core, CoreLimits, NewRequest, RequestId, StartAttempt,
+};
 use query_dispatcher::*;
-use scenario::settings;
+use scenario::common::engine_entry;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
-fn play(script: &str) {
-    // A Unix time: what is wrong with large numbers shows here.
-    let mut now = 1.79e12;
-    let mut settings = settings();
-    settings.limits.max_attempts = 2;
-    let bounds = CoreLimits {
-        max_open_requests: 3,
-        answer_margin: 20.0,
-        page_timeout: 600.0,
-    };
-    let mut core = Core::new(settings, 1, bounds).unwrap();
-    assert!(!core.is_ready(), "no list is in hand");
-    let engine = |e: &str| EngineEntry {
-        engine: e.into(),
-        state: EngineState::Ready,
-        started: None,
-        kind: Some(0),
+/// A Unix time in milliseconds: arithmetic that loses precision on large numbers shows.
+const START: Millis = 1.79e12;
+
+const LIMITS: CoreLimits = CoreLimits {
+    max_open_requests: 3,
+    answer_margin: Duration::from_millis(20),
+    page_timeout: Duration::from_millis(600),
+};
+
+const LOOKUP: ClassId = 0;
+const LOAD: ClassId = 1;
+
+fn request(class: ClassId, deadline: Millis) -> NewRequest {
+    NewRequest {
+        class,
+        tenant: None,
+        group: None,
+        deadline,
+        work: None,
+        memory_mb: None,
+    }
+}
+
+fn without_zone(engine: &str) -> EngineEntry {
+    EngineEntry {
         zone: None,
-        cell: 0,
-    };
-    core.update_endpoints(now, ListUpdate::Stale, vec![engine("a"), engine("b")]);
-    assert!(core.is_ready());
-    let mut ids: BTreeMap<&str, RequestId> = BTreeMap::new();
-    let mut last: BTreeMap<RequestId, AttemptId> = BTreeMap::new();
-    let mut left: Vec<Command> = vec![];
-    for line in script.lines().map(str::trim) {
-        left.extend(core.take_commands());
+        ..engine_entry(engine)
+    }
+}
+
+/// Plays scripts, one step after the other.
+struct Player<'a> {
+    now: Millis,
+    core: Core,
+    requests: BTreeMap<&'a str, RequestId>,
+    last_attempts: BTreeMap<RequestId, AttemptId>,
+    /// Commands that no step has expected yet.
+    commands: Vec<Command>,
+}
+
+impl<'a> Player<'a> {
+    /// A core with engines `a` and `b`.
+    fn new() -> Self {
+        let mut settings = scenario::settings();
+        settings.limits.max_attempts = 2;
+        let mut core = Core::new(settings, 1, LIMITS).unwrap();
+        assert!(!core.is_ready(), "no endpoint list has been received");
+        let engines = vec![without_zone("a"), without_zone("b")];
+        core.update_endpoints(START, ListUpdate::Stale, engines);
+        assert!(core.is_ready());
+        Player {
+            now: START,
+            core,
+            requests: BTreeMap::new(),
+            last_attempts: BTreeMap::new(),
+            commands: vec![],
+        }
+    }
+
+    fn step(&mut self, line: &'a str) {
+        self.commands.extend(self.core.take_commands());
         let words: Vec<&str> = line.split_whitespace().collect();
-        let mut next = |wanted: &dyn Fn(&Command) -> bool| {
-            let found = left.iter().position(wanted);
-            left.remove(found.unwrap_or_else(|| panic!("{line}: only {left:?}")))
-        };
         match words[..] {
-            ["send", name, class, ms] => {
-                let class = usize::from(class == "load");
-                let deadline = now + ms.parse::<f64>().unwrap();
-                let new = NewRequest {
-                    class,
-                    tenant: None,
-                    group: None,
-                    deadline,
-                    work: None,
-                    memory_mb: None,
-                };
-                ids.insert(name, core.open(now, new));
-            }
-            ["start", name] => {
-                let of = |c: &Command| matches!(c, Command::Start { attempt, .. } if attempt.request == ids[name]);
-                if let Command::Start { attempt, .. } = next(&of) {
-                    last.insert(attempt.request, attempt);
-                }
-            }
-            ["start", name, on] => {
-                let of = |c: &Command| {
-                    matches!(c, Command::Start { attempt, engine, .. }
-                        if attempt.request == ids[name] && engine == on)
-                };
-                if let Command::Start { attempt, .. } = next(&of) {
-                    last.insert(attempt.request, attempt);
-                }
-            }
-            ["out", engine] => drop(core.drain_engine(now, engine)),
-            ["back", engine] => drop(core.undrain_engine(now, engine)),
-            ["drop", name] => {
-                let attempt = last[&ids[name]];
-                next(&|c| *c == Command::Cancel { attempt });
-            }
-            ["expect", name, what] => {
-                let of = |c: &Command| matches!(c, Command::Answer { request, .. } if *request == ids[name]);
-                let Command::Answer { answer, .. } = next(&of) else {
-                    unreachable!()
-                };
-                let told = match answer {
-                    Answer::Served(_) => "served",
-                    Answer::Rejected { .. } => "refused",
-                    Answer::Failed { .. } => "failed",
-                    Answer::TimedOut { retry_safe: true } => "late",
-                    Answer::TimedOut { retry_safe: false } => "late-and-may-have-run",
-                };
-                assert_eq!(told, what, "{line}");
-            }
-            ["begin", name] => core.page_received(now, last[&ids[name]]),
-            ["end", name, how] => {
-                let outcome = match how {
-                    "served" => Outcome::Served,
-                    "reset" => Outcome::Reset,
-                    "full" => Outcome::Rejected,
-                    "unreachable" => Outcome::Unreachable,
-                    _ => panic!("{line}"),
-                };
-                core.attempt_ended(now, last[&ids[name]], outcome, vec![]);
-            }
-            ["leave", name] => core.abandon(now, ids[name]),
-            ["stop", ms] => core.begin_shutdown(now, now + ms.parse::<f64>().unwrap()),
-            ["wait", ms] => {
-                let end = now + ms.parse::<f64>().unwrap();
-                while let Some(at) = core.next_wakeup().filter(|at| *at <= end) {
-                    now = at.max(now);
-                    core.tick(now);
-                }
-                now = end;
-            }
-            ["nothing"] => assert!(left.is_empty(), "{line}: {left:?}"),
+            ["open", name, class, ms] => self.open(name, class, after(self.now, ms)),
+            ["started", name] => self.expect_start(line, name, None),
+            ["started", name, engine] => self.expect_start(line, name, Some(engine)),
+            ["page", name] => self.core.page_received(self.now, self.last_attempt(name)),
+            ["end", name, word] => self.end(name, outcome(word)),
+            ["cancelled", name] => self.expect_cancel(line, name),
+            ["abandon", name] => self.core.abandon(self.now, self.requests[name]),
+            ["answered", name, word] => self.expect_answer(line, name, word),
+            ["drain", engine] => drop(self.core.drain_engine(self.now, engine)),
+            ["undrain", engine] => drop(self.core.undrain_engine(self.now, engine)),
+            ["wait", ms] => self.wait_until(after(self.now, ms)),
+            ["shutdown", ms] => self.core.begin_shutdown(self.now, after(self.now, ms)),
+            ["nothing"] => assert!(self.commands.is_empty(), "{line}: {:?}", self.commands),
             [] => {}
             _ => panic!("no such step: {line}"),
         }
     }
-    let asked = |c: &Command| !matches!(c, Command::Log(_));
-    left.extend(core.take_commands());
-    assert!(!left.iter().any(asked), "left over: {left:?}");
+
+    /// Removes the first command that is wanted.
+    fn expect(&mut self, line: &str, is_wanted: impl Fn(&Command) -> bool) -> Command {
+        let position = self.commands.iter().position(is_wanted);
+        let position = position.unwrap_or_else(|| panic!("{line}: only {:?}", self.commands));
+        self.commands.remove(position)
+    }
+
+    fn open(&mut self, name: &'a str, class: &str, deadline: Millis) {
+        let class = match class {
+            "lookup" => LOOKUP,
+            "load" => LOAD,
+            _ => panic!("no such class: {class}"),
+        };
+        let id = self.core.open(self.now, request(class, deadline));
+        self.requests.insert(name, id);
+    }
+
+    fn expect_start(&mut self, line: &str, name: &str, engine: Option<&str>) {
+        let request = self.requests[name];
+        let command = self.expect(line, |command| {
+            matches!(command, Command::Start(start) if start.attempt.request == request
+                && engine.is_none_or(|engine| start.engine == engine))
+        });
+        if let Command::Start(StartAttempt { attempt, .. }) = command {
+            self.last_attempts.insert(request, attempt);
+        }
+    }
+
+    fn expect_cancel(&mut self, line: &str, name: &str) {
+        let attempt = self.last_attempt(name);
+        self.expect(line, |command| *command == Command::Cancel { attempt });
+    }
+
+    fn expect_answer(&mut self, line: &str, name: &str, word: &str) {
+        let id = self.requests[name];
+        let command = self.expect(
+            line,
+            |command| matches!(command, Command::Answer { request, .. } if *request == id),
+        );
+        let Command::Answer { answer, .. } = command else {
+            unreachable!()
+        };
+        assert_eq!(answer_word(&answer), word, "{line}");
+    }
+
+    fn end(&mut self, name: &str, outcome: Outcome) {
+        let attempt = self.last_attempt(name);
+        self.core.attempt_ended(self.now, attempt, outcome, vec![]);
+    }
+
+    fn wait_until(&mut self, end: Millis) {
+        while let Some(at) = self.core.next_wakeup().filter(|at| *at <= end) {
+            self.now = at.max(self.now);
+            self.core.tick(self.now);
+        }
+        self.now = end;
+    }
+
+    fn last_attempt(&self, name: &str) -> AttemptId {
+        self.last_attempts[&self.requests[name]]
+    }
+}
+
+fn after(now: Millis, ms: &str) -> Millis {
+    now + ms.parse::<f64>().unwrap()
+}
+
+fn outcome(word: &str) -> Outcome {
+    match word {
+        "served" => Outcome::Served,
+        "reset" => Outcome::Reset,
+        "rejected" => Outcome::Rejected,
+        "unreachable" => Outcome::Unreachable,
+        _ => panic!("no such outcome: {word}"),
+    }
+}
+
+fn answer_word(answer: &Answer) -> &'static str {
+    match answer {
+        Answer::Served(_) => "served",
+        Answer::Rejected { .. } => "rejected",
+        Answer::Failed { .. } => "failed",
+        Answer::TimedOut { retry_safe: true } => "timed-out",
+        Answer::TimedOut { retry_safe: false } => "timed-out-and-may-have-run",
+    }
+}
+
+/// Plays a script; at its end no command but log lines may be left.
+fn play(script: &str) {
+    let mut player = Player::new();
+    for line in script.lines() {
+        player.step(line.trim());
+    }
+    player.commands.extend(player.core.take_commands());
+    player
+        .commands
+        .retain(|command| !matches!(command, Command::Log(_)));
+    assert!(player.commands.is_empty(), "left: {:?}", player.commands);
 }
 
 #[test]
 fn every_request_gets_one_answer_under_races() {
     play(
-        "send a lookup 900\n start a\n end a served\n expect a served\n end a reset\n leave a\n nothing",
+        "open a lookup 900
+        started a
+        end a served
+        answered a served
+        end a reset
+        abandon a
+        nothing",
     );
-    play("send a lookup 900\n start a\n leave a\n drop a\n end a served\n nothing");
     play(
-        "send a lookup 900\n start a\n begin a\n leave a\n drop a\n end a served\n wait 2000\n nothing",
+        "open a lookup 900
+        started a
+        abandon a
+        cancelled a
+        end a served
+        nothing",
     );
     play(
-        "send a lookup 900\n start a\n wait 900\n drop a\n expect a late\n end a served\n nothing",
+        "open a lookup 900
+        started a
+        page a
+        abandon a
+        cancelled a
+        end a served
+        wait 2000
+        nothing",
     );
     play(
-        "send a load 900\n start a\n wait 900\n drop a\n expect a late-and-may-have-run\n nothing",
+        "open a lookup 900
+        started a
+        wait 900
+        cancelled a
+        answered a timed-out
+        end a served
+        nothing",
+    );
+    play(
+        "open a load 900
+        started a
+        wait 900
+        cancelled a
+        answered a timed-out-and-may-have-run
+        nothing",
     );
 }
 
 #[test]
-fn possibly_executed_requests_are_retried_only_if_idempotent() {
-    play("send a lookup 900\n start a\n end a reset\n start a\n end a served\n expect a served");
+fn an_idempotent_request_that_may_have_run_is_retried() {
     play(
-        "send a lookup 900\n start a\n begin a\n end a reset\n start a\n end a served\n expect a served",
+        "open a lookup 900
+        started a
+        end a reset
+        started a
+        end a served
+        answered a served",
     );
-    play("send a load 900\n start a\n end a reset\n expect a failed\n wait 2000\n nothing");
     play(
-        "send a load 900\n start a\n begin a\n end a reset\n expect a failed\n wait 2000\n nothing",
+        "open a lookup 900
+        started a
+        page a
+        end a reset
+        started a
+        end a served
+        answered a served",
+    );
+}
+
+#[test]
+fn a_non_idempotent_request_is_retried_only_if_it_never_ran() {
+    play(
+        "open a load 900
+        started a
+        end a reset
+        answered a failed
+        wait 2000
+        nothing",
+    );
+    play(
+        "open a load 900
+        started a
+        page a
+        end a reset
+        answered a failed
+        wait 2000
+        nothing",
+    );
+    play(
+        "open a load 900
+        started a
+        end a unreachable
+        started a
+        end a reset
+        answered a failed",
     );
-    play("send a load 900\n start a\n end a unreachable\n start a\n end a reset\n expect a failed");
     play(
-        "send a load 900\n start a\n end a full\n start a\n end a full\n expect a refused\n wait 2000",
+        "open a load 900
+        started a
+        end a rejected
+        started a
+        end a rejected
+        answered a rejected
+        wait 2000",
     );
 }
 
 #[test]
 fn limits_and_expired_deadlines_are_answered_at_once() {
-    play("send a lookup 10\n expect a refused\n nothing");
-    let four = "send a lookup 900\n start a\n send b lookup 900\n start b\n send c lookup 900\n start c
-        send d lookup 900\n expect d refused\n nothing\n leave a\n drop a\n leave b\n drop b\n leave c\n drop c";
-    play(four);
+    play(
+        "open a lookup 10
+        answered a rejected
+        nothing",
+    );
+    play(
+        "open a lookup 900
+        started a
+        open b lookup 900
+        started b
+        open c lookup 900
+        started c
+        open d lookup 900
+        answered d rejected
+        nothing
+        abandon a
+        cancelled a
+        abandon b
+        cancelled b
+        abandon c
+        cancelled c",
+    );
 }
 
 #[test]
 fn final_answers_are_given_before_shutdown() {
     play(
-        "send a lookup 5000\n start a\n send b load 5000\n start b\n stop 1000\n send c lookup 5000\n start c
-         end c served\n expect c served\n wait 1000\n drop a\n expect a late\n drop b
-         expect b late-and-may-have-run\n send d lookup 5000\n expect d refused\n nothing",
+        "open a lookup 5000
+        started a
+        open b load 5000
+        started b
+        shutdown 1000
+        open c lookup 5000
+        started c
+        end c served
+        answered c served
+        wait 1000
+        cancelled a
+        answered a timed-out
+        cancelled b
+        answered b timed-out-and-may-have-run
+        open d lookup 5000
+        answered d rejected
+        nothing",
     );
 }
 
-/// Guards against an engine that operators have mended and that is left out for what its old process did.
+/// An engine that operators have repaired must not be avoided for what its old process did.
 #[test]
-fn restored_engine_is_evaluated_by_its_new_process() {
+fn undrained_engine_is_evaluated_by_its_new_process() {
     play(
-        "out b
-        send x lookup 4000
-        start x a
-        out a
-        back b
+        "drain b
+        open x lookup 4000
+        started x a
+        drain a
+        undrain b
         wait 100
-        send y lookup 4000
-        start y b
-        back a
+        open y lookup 4000
+        started y b
+        undrain a
         wait 1
         end x reset
-        start x b
-        send z lookup 4000
-        start z a",
+        started x b
+        open z lookup 4000
+        started z a",
     );
 }
 
-/// A core before engines `a` and `b` in one cell, with one class of this effect.
-fn keyed(idempotency: Idempotency) -> (f64, Core) {
-    let now = 1.79e12;
-    let mut settings = settings();
+/// A core with engines `a` and `b` in one cell, and look-ups of this idempotency.
+fn core_with(idempotency: Idempotency) -> Core {
+    let mut settings = scenario::settings();
     settings.limits.max_attempts = 3;
-    settings.classes[0].idempotency = idempotency;
-    let bounds = CoreLimits {
-        max_open_requests: 3,
-        answer_margin: 20.0,
-        page_timeout: 600.0,
-    };
-    let mut core = Core::new(settings, 1, bounds).unwrap();
-    let engine = |e: &str| EngineEntry {
-        engine: e.into(),
-        state: EngineState::Ready,
-        started: None,
-        kind: Some(0),
-        zone: Some(0),
-        cell: 0,
-    };
-    core.update_endpoints(now, ListUpdate::Stale, vec![engine("a"), engine("b")]);
-    (now, core)
+    settings.classes[LOOKUP].idempotency = idempotency;
+    let mut core = Core::new(settings, 1, LIMITS).unwrap();
+    core.update_endpoints(
+        START,
+        ListUpdate::Stale,
+        vec![engine_entry("a"), engine_entry("b")],
+    );
+    core
 }
 
-fn lookup(deadline: f64) -> NewRequest {
-    NewRequest {
-        class: 0,
-        tenant: None,
-        group: None,
-        deadline,
-        work: None,
-        memory_mb: None,
-    }
+fn core_with_keys(group: DeduplicationScope, window: Millis) -> Core {
+    core_with(Idempotency::Keyed { group, window })
 }
 
 /// The attempts started and the answers given since the last call.
-fn done(core: &mut Core) -> (Vec<(AttemptId, f64)>, Vec<Answer>) {
-    let (mut started, mut answers) = (vec![], vec![]);
-    for command in core.take_commands() {
-        match command {
-            Command::Start {
-                attempt, write_by, ..
-            } => started.push((attempt, write_by)),
-            Command::Answer { answer, .. } => answers.push(answer),
-            _ => {}
+#[derive(Default)]
+struct Progress {
+    started: Vec<StartAttempt>,
+    answers: Vec<Answer>,
+}
+
+impl Progress {
+    fn of(core: &mut Core) -> Self {
+        let mut progress = Progress::default();
+        for command in core.take_commands() {
+            match command {
+                Command::Start(start) => progress.started.push(start),
+                Command::Answer { answer, .. } => progress.answers.push(answer),
+                _ => {}
+            }
         }
+        progress
+    }
+
+    fn is_rejected(&self) -> bool {
+        matches!(self.answers[..], [Answer::Rejected { .. }])
     }
-    (started, answers)
 }
 
-/// Nothing binds the first attempt; a repeat is written within the window of the first that may have run, or never.
+/// The first attempt that was started since the last call.
+fn first_started(core: &mut Core) -> StartAttempt {
+    Progress::of(core).started.swap_remove(0)
+}
+
+/// The first attempt may be written at any time, further ones within the deduplication window of the first that may
+/// have run.
 #[test]
 fn retry_is_sent_within_the_deduplication_window_of_the_first_attempt() {
     for group in [
@@ -250,76 +436,70 @@
         DeduplicationScope::Zone,
         DeduplicationScope::Cell,
     ] {
-        let (now, mut core) = keyed(Idempotency::Keyed {
-            group,
-            window: 100.0,
-        });
-        core.open(now, lookup(now + 3000.0));
-        let (first, _) = done(&mut core);
-        assert_eq!(first[0].1, f64::INFINITY);
+        let mut core = core_with_keys(group, 100.0);
+        core.open(START, request(LOOKUP, START + 3000.0));
+        let first = first_started(&mut core);
+        assert_eq!(first.write_by, f64::INFINITY);
         // It never ran, so that the second is the first that may have.
-        core.attempt_ended(now + 10.0, first[0].0, Outcome::Unreachable, vec![]);
-        let (second, _) = done(&mut core);
-        assert_eq!(second[0].1, f64::INFINITY);
-        core.attempt_ended(now + 40.0, second[0].0, Outcome::Reset, vec![]);
-        let (third, _) = done(&mut core);
-        assert_eq!(third[0].1, now + 110.0, "from when the second was sent");
-        // It stood before a connection until then.
-        core.attempt_ended(now + 111.0, third[0].0, Outcome::NeverStarted, vec![]);
-        let (more, answers) = done(&mut core);
-        assert!(more.is_empty());
-        let refused = matches!(answers[..], [Answer::Rejected { .. }]);
-        assert_eq!(refused, group == DeduplicationScope::All, "{answers:?}");
+        core.attempt_ended(START + 10.0, first.attempt, Outcome::Unreachable, vec![]);
+        let second = first_started(&mut core);
+        assert_eq!(second.write_by, f64::INFINITY);
+        core.attempt_ended(START + 40.0, second.attempt, Outcome::Reset, vec![]);
+        let third = first_started(&mut core);
+        assert_eq!(third.write_by, START + 110.0, "from the second's start");
+        // It waited for a connection until then.
+        core.attempt_ended(START + 111.0, third.attempt, Outcome::NeverStarted, vec![]);
+        let progress = Progress::of(&mut core);
+        assert!(progress.started.is_empty());
+        let is_rejected = progress.is_rejected();
+        assert_eq!(is_rejected, group == DeduplicationScope::All, "{group:?}");
     }
-    let (now, mut core) = keyed(Idempotency::Idempotent);
-    core.open(now, lookup(now + 3000.0));
-    let (first, _) = done(&mut core);
-    core.attempt_ended(now + 40.0, first[0].0, Outcome::Reset, vec![]);
-    assert_eq!(
-        done(&mut core).0[0].1,
-        f64::INFINITY,
-        "safe ones are repeated at any time"
-    );
 }
 
-/// Where only some engines would drop a repeat, no refusal goes out once one may have run, whoever words it.
 #[test]
-fn possibly_executed_keyed_request_is_rejected_only_with_fleet_wide_deduplication() {
-    for (group, retry_safe) in [
-        (DeduplicationScope::All, true),
-        (DeduplicationScope::Zone, false),
-        (DeduplicationScope::Cell, false),
-    ] {
-        for stops in [false, true] {
-            let (now, mut core) = keyed(Idempotency::Keyed {
-                group,
-                window: 4000.0,
-            });
-            core.open(now, lookup(now + 500.0));
-            assert_eq!(done(&mut core).0.len(), 1);
-            if stops {
-                core.begin_shutdown(now, now + 200.0);
+fn a_retry_of_an_idempotent_request_is_written_at_any_time() {
+    let mut core = core_with(Idempotency::Idempotent);
+    core.open(START, request(LOOKUP, START + 3000.0));
+    let first = first_started(&mut core);
+    core.attempt_ended(START + 40.0, first.attempt, Outcome::Reset, vec![]);
+    assert_eq!(first_started(&mut core).write_by, f64::INFINITY);
+}
+
+/// Whether a keyed request that may have run is safe to retry, by the scope of its key.
+const KEYED_RETRIES: [(DeduplicationScope, bool); 3] = [
+    (DeduplicationScope::All, true),
+    (DeduplicationScope::Zone, false),
+    (DeduplicationScope::Cell, false),
+];
+
+/// Where only some engines would recognize a duplicate, no answer promises a safe retry once an attempt may have run.
+#[test]
+fn a_keyed_request_that_timed_out_is_retry_safe_only_if_all_engines_share_its_key() {
+    for (group, retry_safe) in KEYED_RETRIES {
+        for shutdown_after in [None, Some(200.0)] {
+            let mut core = core_with_keys(group, 4000.0);
+            core.open(START, request(LOOKUP, START + 500.0));
+            assert_eq!(Progress::of(&mut core).started.len(), 1);
+            if let Some(ms) = shutdown_after {
+                core.begin_shutdown(START, START + ms);
             }
-            core.tick(now + if stops { 200.0 } else { 480.0 });
-            assert_eq!(
-                done(&mut core).1,
-                [Answer::TimedOut { retry_safe }],
-                "{group:?}"
-            );
+            core.tick(START + shutdown_after.unwrap_or(480.0));
+            let answers = Progress::of(&mut core).answers;
+            assert_eq!(answers, [Answer::TimedOut { retry_safe }], "{group:?}");
         }
-        let (now, mut core) = keyed(Idempotency::Keyed {
-            group,
-            window: 4000.0,
-        });
-        core.open(now, lookup(now + 500.0));
-        let (first, _) = done(&mut core);
-        core.attempt_ended(now + 1.0, first[0].0, Outcome::Unreachable, vec![]);
-        let (second, _) = done(&mut core);
-        core.attempt_ended(now + 480.0, second[0].0, Outcome::Rejected, vec![]);
-        let (_, answers) = done(&mut core);
-        assert!(
-            matches!(answers[..], [Answer::Rejected { .. }]),
-            "none ever ran: {answers:?}"
-        );
+    }
+}
+
+#[test]
+fn a_keyed_request_that_never_ran_is_rejected() {
+    for (group, _) in KEYED_RETRIES {
+        let mut core = core_with_keys(group, 4000.0);
+        core.open(START, request(LOOKUP, START + 500.0));
+        let first = first_started(&mut core);
+        core.attempt_ended(START + 1.0, first.attempt, Outcome::Unreachable, vec![]);
+        let second = first_started(&mut core);
+        core.attempt_ended(START + 480.0, second.attempt, Outcome::Rejected, vec![]);
+        let progress = Progress::of(&mut core);
+        assert!(progress.is_rejected(), "{group:?}: {:?}", progress.answers);
     }
 }
--- a/tests/frames.rs
+++ b/tests/frames.rs
@@ -3,7 +3,7 @@
 mod scenario;
 
 use query_dispatcher::config::MachineLimits;
-use query_dispatcher::dispatch::request_router::RequestRouter;
+use query_dispatcher::dispatch::RequestRouter;
 use query_dispatcher::frontend::frames::Frontend;
 use query_dispatcher::transport::buffer_pool::BufferPool;
 use query_dispatcher::upstream::resp::RespUpstream;
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -6,7 +6,7 @@
 use futures_util::SinkExt;
 use query_dispatcher::ListUpdate;
 use query_dispatcher::discovery::Change;
-use query_dispatcher::dispatch::request_router::RequestRouter;
+use query_dispatcher::dispatch::RequestRouter;
 use query_dispatcher::frontend::mysql::Frontend;
 use query_dispatcher::protocol::mysql::auth;
 use query_dispatcher::protocol::mysql::error::{ErrorCode, SqlError};
--- a/tests/mysql_client_disconnect.rs
+++ b/tests/mysql_client_disconnect.rs
@@ -13,7 +13,7 @@
 use query_dispatcher::config::{EngineCredentials, MysqlFrontendConfig, SpoolSettings};
 use query_dispatcher::core::{Core, CoreLimits};
 use query_dispatcher::discovery::Change;
-use query_dispatcher::dispatch::request_router::RequestRouter;
+use query_dispatcher::dispatch::RequestRouter;
 use query_dispatcher::frontend::mysql::Frontend;
 use query_dispatcher::protocol::mysql::auth;
 use query_dispatcher::protocol::mysql::error::SqlError;
@@ -260,8 +260,8 @@
         1,
         CoreLimits {
             max_open_requests: 1000,
-            answer_margin: 20.0,
-            page_timeout: 600.0,
+            answer_margin: Duration::from_millis(20),
+            page_timeout: Duration::from_millis(600),
         },
     )
     .unwrap();
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -303,12 +303,12 @@
     peer.send_to(&word[..size], from).unwrap();
     peer.send_to(b"?", from).unwrap();
     assert!(
-        program.says("passed over").contains("of kind 63"),
+        program.says("is ignored").contains("of kind 63"),
         "the first line is that of the second word"
     );
     let record_foreign_message = UdpSocket::bind("127.0.0.1:0").unwrap();
     record_foreign_message.send_to(&word[..size], from).unwrap();
-    assert!(program.says("passed over").contains("not listed"));
+    assert!(program.says("is ignored").contains("not listed"));
     assert!(
         program
             .call("GET", "/_vars")
--- a/tests/protocol/fixture.rs
+++ b/tests/protocol/fixture.rs
@@ -4,7 +4,7 @@
 use crate::scenario::change;
 use query_dispatcher::config::{MachineLimits, NameTable, SocketSettings};
 use query_dispatcher::core::Core;
-use query_dispatcher::dispatch::request_router::RequestRouter;
+use query_dispatcher::dispatch::RequestRouter;
 use query_dispatcher::frontend::frames::Frontend;
 use query_dispatcher::transport::buffer_pool::BufferPool;
 use query_dispatcher::upstream::resp::RespUpstream;
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -12,7 +12,7 @@
 use query_dispatcher::clock::unix_time_millis;
 use query_dispatcher::config::SocketSettings;
 use query_dispatcher::core::{Core, CoreLimits, NewRequest};
-use query_dispatcher::dispatch::request_router::Reply;
+use query_dispatcher::dispatch::Reply;
 use query_dispatcher::frontend::frames::Work;
 use query_dispatcher::server::instance_registry::InstanceRegistry;
 use query_dispatcher::transport::buffer_pool::BufferPool;
@@ -68,8 +68,8 @@
     names.classes = CLASSES.map(String::from).to_vec();
     let bounds = CoreLimits {
         max_open_requests: 100,
-        answer_margin: 20.0,
-        page_timeout: 600.0,
+        answer_margin: Duration::from_millis(20),
+        page_timeout: Duration::from_millis(600),
     };
     let core = Core::new(settings, 1, bounds).unwrap();
     let parts = Parts {
--- a/tests/recorded_decisions/profiles.rs
+++ b/tests/recorded_decisions/profiles.rs
@@ -6,6 +6,7 @@
     Class, DeduplicationScope, EngineCapabilities, Idempotency, Kind, Limits, ReportField,
     RetryBudget, Rules, Tenant,
 };
+use std::time::Duration;
 
 /// What a stream brings, beside what the settings say.
 #[derive(Clone, Copy)]
@@ -262,7 +263,7 @@
 pub fn core_bounds(open: usize) -> CoreLimits {
     CoreLimits {
         max_open_requests: open,
-        answer_margin: 20.0,
-        page_timeout: 300.0,
+        answer_margin: Duration::from_millis(20),
+        page_timeout: Duration::from_millis(300),
     }
 }
--- a/tests/recorded_decisions/vocabulary.rs
+++ b/tests/recorded_decisions/vocabulary.rs
@@ -3,7 +3,7 @@
 
 use crate::random::Random;
 use crate::record::{bits, optional_bits};
-use query_dispatcher::core::{Answer, AttemptId, Command};
+use query_dispatcher::core::{Answer, AttemptId, Command, StartAttempt};
 use query_dispatcher::{
     Action, Ended, EngineEntry, EngineState, Event, ListUpdate, Outcome, Query, ReportField,
     Settings,
@@ -247,18 +247,21 @@
 /// A command of the request core as its word and its details.
 pub fn command_text(command: &Command) -> (&'static str, String) {
     match command {
-        Command::Start {
+        Command::Start(StartAttempt {
             attempt,
             engine,
-            until,
+            deadline,
             write_by,
             memory_mb,
-            alone,
-        } => {
-            let numbers = [*until, *write_by, *memory_mb].map(bits).join(" ");
+            exclusive_connection,
+        }) => {
+            let numbers = [*deadline, *write_by, *memory_mb].map(bits).join(" ");
             (
                 "start",
-                format!("{} {engine} {numbers} {alone}", attempt_text(*attempt)),
+                format!(
+                    "{} {engine} {numbers} {exclusive_connection}",
+                    attempt_text(*attempt)
+                ),
             )
         }
         Command::Cancel { attempt } => ("drop", attempt_text(*attempt)),
@@ -312,9 +315,9 @@
 /// What the core wants started or dropped: the attempt, and the engine if it starts.
 pub fn attempt_of(command: &Command) -> Option<(AttemptId, Option<String>)> {
     match command {
-        Command::Start {
+        Command::Start(StartAttempt {
             attempt, engine, ..
-        } => Some((*attempt, Some(engine.clone()))),
+        }) => Some((*attempt, Some(engine.clone()))),
         Command::Cancel { attempt } => Some((*attempt, None)),
         _ => None,
     }
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -23,7 +23,7 @@
 #![allow(dead_code)]
 
 #[path = "../common/mod.rs"]
-mod common;
+pub mod common;
 
 use query_dispatcher::admin::{Admin, ReportSources};
 use query_dispatcher::config::{
@@ -32,7 +32,7 @@
 };
 use query_dispatcher::core::{Core, CoreLimits};
 use query_dispatcher::discovery::{Change, Engine};
-use query_dispatcher::dispatch::request_router::{RequestRouter, Upstream};
+use query_dispatcher::dispatch::{RequestRouter, Upstream};
 use query_dispatcher::server::instance_registry::InstanceRegistry;
 use query_dispatcher::transport::buffer_pool::BufferPool;
 use query_dispatcher::*;
@@ -104,8 +104,8 @@
     };
     let bounds = CoreLimits {
         max_open_requests: open,
-        answer_margin: 20.0,
-        page_timeout: 600.0,
+        answer_margin: Duration::from_millis(20),
+        page_timeout: Duration::from_millis(600),
     };
     (Core::new(settings(), 1, bounds).unwrap(), names, sockets)
 }
--- a/tests/slow_start_budget.rs
+++ b/tests/slow_start_budget.rs
@@ -11,9 +11,12 @@
 
 use common::{class, engine_entry};
 use oorandom::Rand64;
-use query_dispatcher::core::{Answer, AttemptId, Command, Core, CoreLimits, NewRequest, RequestId};
+use query_dispatcher::core::{
+    Answer, AttemptId, Command, Core, CoreLimits, NewRequest, RequestId, StartAttempt,
+};
 use query_dispatcher::*;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// A Unix time: what is wrong with large numbers shows here.
 const START: f64 = 1.79e12;
@@ -116,8 +119,8 @@
     fn new(case: &'a Case, life: &'a Life, demand: &'a Demand, seed: u64) -> Self {
         let bounds = CoreLimits {
             max_open_requests: 20_000,
-            answer_margin: 0.0,
-            page_timeout: 600.0,
+            answer_margin: Duration::ZERO,
+            page_timeout: Duration::from_millis(600),
         };
         let rng = Rand64::new(u128::from(seed) << 64 | 0x5eed);
         let core = Core::new(case.settings.clone(), seed, bounds).unwrap();
@@ -240,9 +243,9 @@
 
     fn carry_out(&mut self, now: f64, c: Command, hand: &mut Hand, sent: &mut Vec<Sent>) {
         match c {
-            Command::Start {
+            Command::Start(StartAttempt {
                 attempt, engine, ..
-            } if engine == NAME => {
+            }) if engine == NAME => {
                 let work = self.works.get(&attempt.request).copied().unwrap_or(0.0);
                 self.waiting = self.waiting.saturating_sub(1);
                 sent.push(Sent {
