--- a/src/discovery/backoff.rs
+++ b/src/discovery/backoff.rs
@@ -1,12 +1,12 @@
 //! Backoff between connections to the journal service, with jitter: a hundred dispatchers that restart together, or lose
-//! the service together, would otherwise connect in the same millisecond and again in step. Pure.
+//! the service together, would otherwise connect in the same millisecond and again in step. Does no I/O.
 
 use oorandom::Rand32;
 use std::time::Duration;
 
-/// Between a connection that brought events and the next.
+/// Delay after a connection that brought events.
 const MIN_DELAY: Duration = Duration::from_millis(100);
-/// Between connections that brought none, at most.
+/// Maximum delay after connections that brought none.
 const MAX_DELAY: Duration = Duration::from_millis(400);
 
 /// The delays of one dispatcher, randomized by its own seed.
@@ -16,7 +16,7 @@
 }
 
 impl Backoff {
-    /// Delays from the shortest on.
+    /// Creates a backoff that starts at the shortest delay.
     pub(super) fn new(seed: u64) -> Self {
         Backoff {
             delay: MIN_DELAY,
@@ -24,13 +24,13 @@
         }
     }
 
-    /// Before the first connection of a process, and the first to a new address.
+    /// The delay before the first connection of a process, and before the first to a new address.
     pub(super) fn initial(&mut self) -> Duration {
         self.delay = MIN_DELAY;
         MIN_DELAY.mul_f32(self.random.rand_float())
     }
 
-    /// After a connection that brought events, or none: doubled after each without, up to a bound. Half of it is random, so
+    /// The delay after a connection: doubled after each that brought no events, up to a maximum. Half of it is random, so
     /// that no delay is longer than it would be for one dispatcher alone.
     pub(super) fn after(&mut self, brought_events: bool) -> Duration {
         self.delay = if brought_events {
--- a/src/discovery/eureka/format.rs
+++ b/src/discovery/eureka/format.rs
@@ -1,5 +1,5 @@
-//! The two formats of a registry's documents, JSON and XML, as its public API words them. Both read the same
-//! [`Document`]; what is not known is passed over, what is missing and needed is an error.
+//! Parsers of a registry's documents in JSON and XML. Both give the same [`Document`]. Unknown fields are ignored; a
+//! missing required field is an error.
 
 use crate::discovery::eureka::model::{Application, Document, Instance, Port};
 use serde::de::{self, Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
@@ -7,27 +7,34 @@
 use std::fmt;
 use std::marker::PhantomData;
 
-/// Why a body is no document.
+/// Why a body is not a valid document.
 #[derive(Debug, thiserror::Error)]
 pub enum FormatError {
+    /// Neither `Content-Type`, cut off after 64 characters, nor the first byte shows a known format.
     #[error("the body is neither JSON nor XML (Content-Type {0:?})")]
     Unknown(String),
+    /// Invalid JSON, or a field missing or of the wrong type.
     #[error("JSON: {0}")]
     Json(#[from] serde_json::Error),
+    /// Invalid XML, or an element missing or of the wrong type.
     #[error("XML: {0}")]
     Xml(#[from] quick_xml::DeError),
+    /// The root element, cut off after 64 characters, is not one that is known.
     #[error("XML: its root is <{0}>")]
     Root(String),
+    /// There is neither a list of applications with its hash code, nor an application, nor an instance; or no XML element.
     #[error("it holds no applications")]
     Empty,
+    /// An XML body is not valid UTF-8.
     #[error("the text is not UTF-8")]
     Text,
 }
 
-/// Reads a body. Its type counts where it is told; else its first byte does.
+/// Parses a body in the format that its `Content-Type` names, or that its first byte suggests if the type is missing or
+/// generic.
 ///
 /// # Errors
-/// What is wrong with it. Nothing of a body that cannot be read to its end is used.
+/// The format is unknown, or the body is not a complete and valid document.
 pub fn parse(content_type: &str, body: &[u8]) -> Result<Document, FormatError> {
     let kind = content_type
         .split(';')
@@ -266,10 +273,10 @@
     instance: Option<JsonInstance>,
 }
 
-/// Reads JSON: `{"applications": …}`, `{"application": …}` or `{"instance": …}`.
+/// Parses JSON: `{"applications": …}`, `{"application": …}` or `{"instance": …}`.
 ///
 /// # Errors
-/// Where it breaks off or what is missing.
+/// The JSON is invalid or incomplete, a field is missing, or it is none of those objects.
 pub fn json(body: &[u8]) -> Result<Document, FormatError> {
     let one = |a: JsonApplication| Application {
         name: a.name,
@@ -339,10 +346,10 @@
     application: Vec<XmlApplication>,
 }
 
-/// Reads XML: a root of `<applications>`, `<application>` or `<instance>`.
+/// Parses XML with a root of `<applications>`, `<application>` or `<instance>`.
 ///
 /// # Errors
-/// Where it breaks off or what is missing.
+/// The body is not UTF-8, the XML is invalid or incomplete, an element is missing, or the root is none of those.
 pub fn xml(body: &[u8]) -> Result<Document, FormatError> {
     let text = std::str::from_utf8(body).map_err(|_| FormatError::Text)?;
     let one = |a: XmlApplication| Application {
--- a/src/discovery/eureka/http.rs
+++ b/src/discovery/eureka/http.rs
@@ -1,5 +1,5 @@
-//! HTTP to registries, on hyper: one kept connection to each server, every exchange within a time and a size, and
-//! nothing sent anywhere but to servers that the configuration names.
+//! HTTP/1.1 client for registries, on hyper: one keep-alive connection for each server, a time limit and a size limit on
+//! every exchange, and no request to any server that is not in the configuration.
 
 use crate::config::eureka::RegistryServer;
 use bytes::Bytes;
@@ -19,49 +19,62 @@
 const HOPS: usize = 3;
 /// The longest head of an answer, in bytes.
 const HEAD: usize = 32 * 1024;
-/// Bodies up to this are unpacked and read on the spot, in bytes; longer ones beside the runtime, for all requests
-/// wait while it reads.
+/// Size in bytes up to which a body is parsed on the runtime's thread; longer ones go to the blocking thread pool.
 pub const SMALL: usize = 64 * 1024;
 
-/// Why an exchange gave nothing that can be used.
+/// Why an exchange gave no usable answer.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
+    /// The TCP connection could not be established.
     #[error("no connection: {0}")]
     Connect(io::Error),
+    /// The exchange, including its redirections, took longer than the timeout.
     #[error("no whole answer within {0:?}")]
     Time(Duration),
+    /// The HTTP exchange itself failed.
     #[error("{0}")]
     Exchange(#[from] hyper::Error),
+    /// The body, as sent or decompressed, is longer than the limit in bytes.
     #[error("the answer is above the bound of {0} bytes")]
     Long(usize),
+    /// The status is not a success.
     #[error("status {0}")]
     Status(StatusCode),
+    /// A redirection to a URL, cut off after 200 characters, that is not below a configured server.
     #[error("it redirects to {0:?}, which is no server of the configuration")]
     Astray(String),
+    /// More redirections than one exchange follows.
     #[error("it redirects more than {HOPS} times")]
     Circle,
+    /// A `Content-Encoding`, in lower case, other than identity and gzip.
     #[error("the encoding {0:?} was not asked for")]
     Encoding(String),
+    /// The body is not valid gzip.
     #[error("it cannot be unpacked: {0}")]
     Gzip(io::Error),
+    /// The request could not be built, for instance because a path is not a valid URI.
     #[error("the request cannot be worded: {0}")]
     Request(#[from] hyper::http::Error),
 }
 
-/// What came back, as it was sent.
+/// A response, with its body as it was sent.
 #[derive(Debug)]
 pub struct Answer {
+    /// The status, which need not be a success.
     pub status: StatusCode,
+    /// `Content-Type` in lower case, at most 100 characters; empty if there is none.
     pub kind: String,
+    /// Whether the body is compressed with gzip.
     pub gzip: bool,
+    /// The body as it was sent.
     pub body: Bytes,
 }
 
 impl Answer {
-    /// The body as it was before it was packed. Takes its time on a long one.
+    /// The decompressed body. Blocks for as long as that takes.
     ///
     /// # Errors
-    /// What is no gzip, or longer than `most` bytes.
+    /// The body is not valid gzip, or decompresses to more than `most` bytes.
     pub fn unpacked(&self, most: usize) -> Result<Bytes, HttpError> {
         if !self.gzip {
             return Ok(self.body.clone());
@@ -80,18 +93,21 @@
     }
 }
 
-/// What is asked for.
+/// A request, apart from the server that it goes to.
 #[derive(Clone, Debug)]
 pub struct Call {
+    /// The method; redirections are followed for GET only.
     pub method: Method,
-    /// Behind the server's own path, with its query.
+    /// Path and query, appended to the server's base path.
     pub path: String,
+    /// The `Accept` header.
     pub accept: &'static str,
-    /// Its type and its bytes.
+    /// `Content-Type` and content of the body, if there is one.
     pub body: Option<(&'static str, Bytes)>,
 }
 
 impl Call {
+    /// A GET request without a body.
     pub fn get(path: String, accept: &'static str) -> Self {
         Call {
             method: Method::GET,
@@ -104,7 +120,7 @@
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// Exchanges with the servers of one configuration.
+/// Client for the servers of one configuration.
 pub struct Client {
     servers: Vec<RegistryServer>,
     /// One idle connection a server, by its name.
@@ -114,7 +130,7 @@
 }
 
 impl Client {
-    /// `timeout` bounds a whole exchange, redirections included; `most` a body as sent, in bytes.
+    /// Creates a client. `timeout` limits a whole exchange, redirections included; `most` limits a body as sent, in bytes.
     pub fn new(servers: Vec<RegistryServer>, timeout: Duration, most: usize) -> Self {
         Client {
             servers,
@@ -124,14 +140,20 @@
         }
     }
 
+    /// The servers, in the order of the configuration.
     pub fn servers(&self) -> &[RegistryServer] {
         &self.servers
     }
 
-    /// One exchange with a server, by its place.
+    /// Sends a request to the server at index `server` and reads the whole response, following redirections between
+    /// the configured servers. A request that fails on a kept connection is repeated once on a new one.
     ///
     /// # Errors
-    /// Whatever keeps a whole answer from coming. A status that is no success is none here.
+    /// The connection or exchange fails, exceeds the time or size limit, redirects to a server that is not configured,
+    /// or uses an unsupported encoding. A status that is not a success is not an error.
+    ///
+    /// # Panics
+    /// `server` is not the index of a server.
     pub async fn call(&self, server: usize, call: &Call) -> Result<Answer, HttpError> {
         let exchange = tokio::time::timeout(self.timeout, self.follow(server, call));
         exchange.await.unwrap_or(Err(HttpError::Time(self.timeout)))
--- a/src/discovery/eureka/lease.rs
+++ b/src/discovery/eureka/lease.rs
@@ -1,4 +1,5 @@
-//! Registers this dispatcher, so that proxies find it: `registration` decides, here it is sent.
+//! Keeps this dispatcher registered, so that proxies find it: [`registration`](super::registration) decides what to
+//! send, this module sends it.
 
 use crate::clock::duration_from_millis;
 use crate::clock::unix_time_millis;
@@ -24,18 +25,20 @@
 /// Renewals between two looks at what the registry shows of us.
 const LOOK_BACK: u64 = 4;
 
-/// How this dispatcher stands.
+/// The dispatcher's state, as far as its registration depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
+    /// Started, but not ready to serve clients.
     Starting,
+    /// Serving clients.
     Ready,
-    /// Winding down, and nobody goes on in its place.
+    /// Shutting down, with no successor.
     Ending,
-    /// Winding down, and another process of this dispatcher goes on under the same lease.
+    /// Shutting down, while another process of this dispatcher keeps the same lease.
     HandedOver,
 }
 
-/// Our lease at the registries.
+/// This dispatcher's lease at the registries.
 pub struct Lease {
     source: Rc<EurekaSettings>,
     registration: InstanceRegistration,
@@ -47,7 +50,7 @@
 }
 
 impl Lease {
-    /// None if the configuration registers nothing.
+    /// Creates the lease; `None` if the configuration has no registration.
     pub fn new(source: Rc<EurekaSettings>) -> Option<Rc<Self>> {
         let registration = source.registration.clone()?;
         let zones: Vec<Option<String>> = source.servers.iter().map(|s| s.zone.clone()).collect();
@@ -66,7 +69,8 @@
         }))
     }
 
-    /// Keeps the lease for ever, as `stand` tells of the dispatcher.
+    /// Registers and renews with the status that corresponds to `stand`, which is polled every 100 ms between requests. Returns
+    /// once the lease is handed over or cancelled.
     pub async fn keep(self: Rc<Self>, stand: impl Fn() -> Standing) {
         loop {
             let now = unix_time_millis();
@@ -99,7 +103,7 @@
         }
     }
 
-    /// Tells the registry that we are gone; takes no longer than a moment.
+    /// Cancels the registration, if there is one. Waits at most 800 ms for a registry; failures are logged.
     pub async fn cancel(&self) {
         if self.state.borrow_mut().finish() {
             let outcome = tokio::time::timeout(GOODBYE, self.send(Step::Cancel)).await;
@@ -116,7 +120,8 @@
         }
     }
 
-    /// What the registry shows of us, where it is not what we told (an operator's override, say).
+    /// How the status in the registry differs from the one that was registered, for instance through an operator's
+    /// override; `None` if it does not.
     pub fn differs(&self) -> Option<String> {
         self.differs.borrow().clone()
     }
--- a/src/discovery/eureka/mod.rs
+++ b/src/discovery/eureka/mod.rs
@@ -1,8 +1,8 @@
-//! Eureka's registry API: rounds that ask the nearest registries for their lists, and our own lease there.
+//! Client of Eureka's registry API: polls the nearest registries for their lists, and keeps this dispatcher's own lease.
 //!
-//! What is to be believed of the answers is membership's matter ([`crate::membership`]). Here stands how they are
-//! fetched: `servers` (which is asked), `http`, `format` and `model` (the documents), `replica` (changes and the
-//! hash code), `registration` and `lease` (ourselves).
+//! How answers are merged into one list is decided by [`crate::membership`]. This module fetches them: `servers` selects
+//! the registries, `http` makes the requests, `format` and `model` hold the documents, `replica` applies deltas and
+//! checks the hash code, `registration` and `lease` register this dispatcher.
 
 pub mod format;
 pub mod http;
@@ -37,20 +37,24 @@
 /// After the start a registry has this long to answer before the engines of the snapshot are served.
 const FIRST: Duration = Duration::from_millis(1000);
 
-/// Why a server's answer is not used.
+/// Why a registry's answer could not be used.
 #[derive(Debug, thiserror::Error)]
 pub enum AskError {
+    /// The exchange failed or its status is not a success.
     #[error(transparent)]
     Http(#[from] HttpError),
+    /// The body is not a valid document.
     #[error(transparent)]
     Format(#[from] FormatError),
+    /// The document could not be applied to the replica.
     #[error(transparent)]
     Replica(#[from] ReplicaError),
+    /// The task that parsed the body panicked or was cancelled.
     #[error("reading it was given up")]
     Reading,
 }
 
-/// A number from 0 to 1, for pauses and orders that are to differ between dispatchers.
+/// A random number from 0 to 1, for delays and orders that should differ between dispatchers.
 pub fn random() -> f64 {
     getrandom::u32().map_or(0.5, |n| f64::from(n) / f64::from(u32::MAX))
 }
@@ -173,7 +177,8 @@
     }
 }
 
-/// Asks for ever. A new configuration takes the place of the one before at once: what was believed stays.
+/// Polls the registries until `source` closes, and passes their answers to `members`. A new configuration replaces the
+/// previous one at once, while membership is kept. Must run in a `LocalSet`.
 pub async fn follow(
     mut source: watch::Receiver<Rc<EurekaSettings>>,
     members: Rc<MembershipDriver>,
--- a/src/discovery/eureka/registration.rs
+++ b/src/discovery/eureka/registration.rs
@@ -1,4 +1,4 @@
-//! Our own lease at a registry: what is to be sent next, and what its answer means. Pure.
+//! State machine of this dispatcher's lease: which request is due, and what its outcome means. Does no I/O.
 
 use crate::decision::model::Millis;
 use crate::membership::Status;
@@ -6,27 +6,29 @@
 /// The pause after a failure, in milliseconds: a lease is worth a few tries.
 const AGAIN: Millis = 1_000.0;
 
-/// What is to be sent.
+/// A request to the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// The whole instance, with this status: at the start, after a change, and when the registry knows it no more.
+    /// Register the whole instance with this status: at the start, after a change, and when the registry has lost it.
     Register(Status),
-    /// The lease goes on.
+    /// Renew the lease, with this status.
     Renew(Status),
-    /// The end: proxies are to look elsewhere.
+    /// Cancel the lease.
     Cancel,
 }
 
-/// What came of it.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// The registry accepted it.
     Done,
-    /// 404: the registry has no such instance (it restarted, or has let it go).
+    /// 404: the registry has no such instance (it restarted, or the lease expired).
     Unknown,
+    /// No registry accepted it.
     Failed,
 }
 
-/// One instance of ours at the registries.
+/// State of this dispatcher's registration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Registration {
     wanted: Status,
@@ -38,13 +40,17 @@
     next: Millis,
     /// Cancelled, or left to another process of this dispatcher.
     over: bool,
+    /// Number of registrations accepted.
     pub registered: u64,
+    /// Number of renewals accepted.
     pub renewed: u64,
+    /// Number of requests that failed.
     pub failures: u64,
 }
 
 impl Registration {
-    /// `renew` is the span between renewals.
+    /// Creates the state of an instance that is starting and not registered yet. `renew` is the interval between
+    /// renewals, in milliseconds.
     pub fn new(now: Millis, renew: Millis) -> Self {
         Registration {
             wanted: Status::Starting,
@@ -59,11 +65,12 @@
         }
     }
 
+    /// `lastDirtyTimestamp` to send, in milliseconds since the Unix epoch.
     pub fn dirty(&self) -> u64 {
         self.dirty
     }
 
-    /// How the dispatcher stands now: UP only when it takes clients, OUT_OF_SERVICE while it winds down.
+    /// Sets the status to register; a change is due at once.
     pub fn want(&mut self, now: Millis, status: Status) {
         if self.wanted != status && !self.over {
             self.wanted = status;
@@ -73,7 +80,7 @@
         }
     }
 
-    /// What is to be sent now, if anything.
+    /// The request that is due now, if any.
     pub fn due(&self, now: Millis) -> Option<Step> {
         match (self.over || now < self.next, self.told) {
             (true, _) => None,
@@ -82,11 +89,13 @@
         }
     }
 
+    /// When the next request is due; `None` once the lease is cancelled or handed over.
     pub fn next(&self) -> Option<Millis> {
         (!self.over).then_some(self.next)
     }
 
-    /// What came of a step. `random` is from 0 to 1: renewals of many dispatchers spread over a tenth of the span.
+    /// Records the outcome of a request and schedules the next. `random`, from 0 to 1, spreads the renewals of many
+    /// dispatchers over a tenth of the interval.
     pub fn done(&mut self, now: Millis, step: Step, outcome: Outcome, random: f64) {
         match (step, outcome) {
             (Step::Cancel, _) => self.over = true,
@@ -106,12 +115,12 @@
         };
     }
 
-    /// The end: true if a registry is to be told.
+    /// Ends the lease; returns whether a registry has to be sent a cancellation.
     pub fn finish(&mut self) -> bool {
         !std::mem::replace(&mut self.over, true) && self.told.is_some()
     }
 
-    /// Another process of this dispatcher goes on with the lease.
+    /// Ends this process's part in the lease, which another process of this dispatcher keeps.
     pub fn leave(&mut self) {
         self.over = true;
     }
--- a/src/discovery/eureka/replica.rs
+++ b/src/discovery/eureka/replica.rs
@@ -1,14 +1,14 @@
-//! What one registry has told so far: the whole list, then changes, checked by the registry's hash code. Pure.
+//! Replica of one registry's list: a full list, then deltas, verified by the registry's hash code. Does no I/O.
 
 use crate::config::eureka::RegistryQuery;
 use crate::discovery::eureka::model::{Application, Document};
 use crate::membership::{Status, UpdateContent, Version};
 use std::collections::{BTreeMap, HashMap};
 
-/// Instances of all applications of one registry that are kept count of.
+/// Maximum number of instances, over all applications, that a replica holds.
 pub const MOST: usize = 200_000;
 
-/// A copy of one registry: the status of each instance of every application, since the hash code counts all.
+/// The status of every instance of every application in one registry, all of which the hash code counts.
 #[derive(Debug, Default)]
 pub struct Replica {
     statuses: HashMap<(String, String), Status>,
@@ -16,33 +16,36 @@
     listed: bool,
 }
 
-/// What a change comes to.
+/// The result of applying a delta.
 #[derive(Debug)]
 pub struct Applied {
+    /// The changes that concern engines.
     pub content: UpdateContent,
-    /// The copy is not what the registry has: the whole is to be asked for. What was told counts all the same,
-    /// for a drain must not wait for another exchange.
+    /// The hash code does not match or is missing, so the full list has to be fetched. `content` is valid all the same: a
+    /// drain must not wait for another exchange.
     pub differs: bool,
 }
 
+/// Why a document cannot be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReplicaError {
+    /// There are more than [`MOST`] instances.
     #[error("the registry lists more than {MOST} instances")]
     Many,
 }
 
 impl Replica {
-    /// Changes can be applied: a whole list is in hand.
+    /// Whether the replica holds a full list, to which deltas can be applied.
     pub fn listed(&self) -> bool {
         self.listed
     }
 
-    /// The whole is to be asked for next.
+    /// Marks the replica as outdated, so that the full list has to be fetched next.
     pub fn forget(&mut self) {
         self.listed = false;
     }
 
-    /// How many instances stand in each status, as the registry words it: `DOWN_1_UP_7_`.
+    /// Number of instances in each status, in the registry's notation: `DOWN_1_UP_7_`.
     pub fn hashcode(&self) -> String {
         self.counts
             .iter()
@@ -70,10 +73,10 @@
         }
     }
 
-    /// The whole list of a registry.
+    /// Replaces the replica by a full list and returns the engines in it.
     ///
     /// # Errors
-    /// More instances than are kept count of; the list is not in hand then.
+    /// There are more than [`MOST`] instances; the replica then holds no full list.
     pub fn whole(
         &mut self,
         document: &Document,
@@ -95,10 +98,10 @@
         Ok(UpdateContent::Full(facts))
     }
 
-    /// A change since the last answer.
+    /// Applies a delta and returns the changes of engines in it.
     ///
     /// # Errors
-    /// More instances than are kept count of; the whole is to be asked for then.
+    /// There are more than [`MOST`] instances; the full list has to be fetched then.
     pub fn delta(
         &mut self,
         document: &Document,
--- a/src/discovery/eureka/servers.rs
+++ b/src/discovery/eureka/servers.rs
@@ -1,5 +1,5 @@
-//! Which registries are asked next: the nearest first, failed ones after a back-off, and back to the nearest when
-//! they answer again. Pure: time and random numbers are passed in.
+//! Selection of the registries to ask: those of the same zone first, failed ones after a backoff. Does no I/O; time and
+//! random numbers are parameters.
 
 use crate::decision::model::Millis;
 
@@ -16,7 +16,7 @@
     retry_at: Millis,
 }
 
-/// The registries of one list, by their places in the configuration.
+/// The registries of one configuration, by their index in it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Servers {
     all: Vec<Server>,
@@ -25,7 +25,8 @@
 }
 
 impl Servers {
-    /// `zones` are the servers' own, `zone` is where this dispatcher stands. `random` gives numbers from 0 to 1.
+    /// Creates the selection. `zones` are the zones of the servers, `zone` is this dispatcher's own. `random` returns
+    /// numbers from 0 to 1, which order the servers of equal proximity.
     pub fn new(
         zones: &[Option<String>],
         zone: Option<&str>,
@@ -49,8 +50,7 @@
         Servers { all, order }
     }
 
-    /// The best `wanted` that may be asked now. A nearer one that failed is among them as soon as its pause is
-    /// over: that is the return.
+    /// The indices of up to `wanted` servers to ask at `now`, best first, without those in backoff.
     pub fn choose(&self, now: Millis, wanted: usize) -> Vec<usize> {
         let may = |i: &usize| self.all[*i].retry_at <= now;
         self.order
@@ -61,14 +61,16 @@
             .collect()
     }
 
+    /// Records that the server at this index answered, which ends its backoff.
     pub fn answered(&mut self, server: usize) {
         if let Some(s) = self.all.get_mut(server) {
             (s.failures, s.retry_at) = (0, f64::MIN);
         }
     }
 
-    /// It gave nothing that can be used: it is asked again after a pause that doubles, drawn from its upper half
-    /// so that dispatchers which lost a registry together do not come back together.
+    /// Records that the server at this index gave no usable answer. Its backoff doubles with each failure, from 1 s up
+    /// to 30 s; `random`, from 0 to 1, draws the delay from the upper half, so that dispatchers which lost a registry
+    /// together do not come back together.
     pub fn failed(&mut self, now: Millis, server: usize, random: f64) {
         if let Some(s) = self.all.get_mut(server) {
             s.failures = s.failures.saturating_add(1);
@@ -77,7 +79,7 @@
         }
     }
 
-    /// When the next one that failed may be asked again.
+    /// When the first of the servers in backoff at `now` may be asked again; `None` if there are none.
     pub fn next_retry(&self, now: Millis) -> Option<Millis> {
         self.all
             .iter()
--- a/src/discovery/journal.rs
+++ b/src/discovery/journal.rs
@@ -1,4 +1,5 @@
-//! The platform's journal service: server-sent events over HTTP, in order, from where the list in hand ends.
+//! Client of the platform's journal service: server-sent events over HTTP/1.1, in order, resumed after the last
+//! event that was applied.
 
 use crate::decision::model::{EngineState, ListUpdate};
 use crate::discovery::backoff::Backoff;
@@ -81,7 +82,7 @@
     }
 }
 
-/// The place in the journal, and the rule that no event is applied twice or out of order.
+/// A subscription to the journal. Events are applied in order and at most once.
 pub struct Journal {
     /// Where the service is now: a new configuration may move it.
     address: watch::Receiver<SocketAddr>,
@@ -94,7 +95,14 @@
 }
 
 impl Journal {
-    /// `known` holds the events up to the start; `seed` is this dispatcher's own.
+    /// Creates a subscription that connects to the latest value of `address`.
+    ///
+    /// `known` is the configuration's initial part of the journal, an object `{"pos": number, "entries": [event, ...]}`,
+    /// or null to start with no engines at position 0. `seed` randomizes the delays between connections and should
+    /// differ between dispatchers.
+    ///
+    /// # Errors
+    /// `known` is neither null nor an object of that shape.
     pub fn new(
         address: watch::Receiver<SocketAddr>,
         known: serde_json::Value,
--- a/src/discovery/membership_driver.rs
+++ b/src/discovery/membership_driver.rs
@@ -1,5 +1,5 @@
-//! Joins membership with what stands round it: the hub that takes its changes, the upstream that sees
-//! connections, the store that outlives the process, and operators.
+//! Drives [`Membership`]: passes its changes to the hub, feeds it what registries and connections report, keeps its
+//! snapshot on disk and answers operators' queries.
 
 use crate::clock::duration_from_millis;
 use crate::clock::unix_time_millis;
@@ -34,16 +34,17 @@
 };
 const MOST_FILE: usize = 64 << 20;
 
-/// Sees connections to engines.
+/// Receives what connections to engines show of them.
 pub trait ConnectionObserver {
-    /// Something that needs no answer.
+    /// Records an observation that needs no answer. `engine` is the engine's ID.
     fn report(&self, engine: &str, seen: Observation);
-    /// One was opened, begun at `at`. True if the engine has started anew: nothing that was meant for the engine
-    /// as it was may be written on it.
+    /// Records that a connection to `engine` was opened; the attempt began at `at`, in milliseconds since the Unix
+    /// epoch. Returns whether the engine has restarted: if so, nothing that was meant for its previous process may be
+    /// written on the connection.
     fn opened(&self, engine: &str, at: Millis) -> bool;
 }
 
-/// What is believed of the engines of one registry source, for as long as the process lives.
+/// The membership of one Eureka source, kept for the life of the process across configuration changes.
 pub struct MembershipDriver {
     membership: RefCell<Membership>,
     sink: ChangeHandler,
@@ -60,9 +61,9 @@
     hands: Hands,
 }
 
-/// What a registry shows of us, where that is not what we told.
+/// Returns how the registry's entry of this dispatcher differs from what was registered, if it does.
 pub type Shown = Rc<dyn Fn() -> Option<String>>;
-/// Tells which engines operators have taken out.
+/// Returns the IDs of the engines that operators have drained by hand.
 pub type Hands = Box<dyn Fn() -> BTreeSet<String>>;
 
 /// `GET /_members`, beside what membership itself reports.
@@ -79,7 +80,10 @@
 }
 
 impl MembershipDriver {
-    /// `folder` is the folder for state, which exists; without one nothing outlives the process.
+    /// Creates the driver and restores the snapshot, if there is one that can be read; an unreadable one is logged.
+    ///
+    /// `folder` is the existing state directory; without one no snapshot is kept. `sink` receives every change,
+    /// `hands` names the engines that operators have drained.
     pub fn new(
         source: &EurekaSettings,
         folder: Option<&Path>,
@@ -121,16 +125,17 @@
         })
     }
 
-    /// Shows on `/_members` what the registry says of us where that is not what we told.
+    /// Sets what `/_members` reports as the difference between this dispatcher's registration and the registry's entry.
     pub fn lease(&self, differs: Shown) {
         *self.lease.borrow_mut() = Some(differs);
     }
 
-    /// Something has been told to the hub.
+    /// Whether any list of engines has been passed to the hub yet.
     pub fn serving(&self) -> bool {
         self.serving.get()
     }
 
+    /// Applies a registry's answer, together with the engines that operators have drained.
     pub fn view(&self, view: SourceUpdate) {
         self.work_through();
         self.membership
@@ -143,6 +148,7 @@
         self.tell(change);
     }
 
+    /// Records that the registry `source` could not be used; `problem` is shown to operators.
     pub fn failed(&self, source: &str, problem: String) {
         let change =
             self.membership
@@ -151,7 +157,7 @@
         self.tell(change);
     }
 
-    /// A new configuration: other servers and rules, the same beliefs.
+    /// Applies a new configuration's servers and rules; what is known of the engines is kept.
     pub fn configure(&self, source: &EurekaSettings) {
         let change = self.membership.borrow_mut().configure(
             unix_time_millis(),
@@ -161,7 +167,7 @@
         self.tell(change);
     }
 
-    /// No registry has answered: the engines of the snapshot are served, if there is one.
+    /// Serves the engines of the restored snapshot, if there is one: for when no registry has answered.
     pub fn serve_restored(&self) {
         let change = self
             .membership
@@ -176,10 +182,10 @@
         self.tell(change);
     }
 
-    /// What operators asked for, as JSON.
+    /// The body of `GET /_members`: an indented JSON object and a newline. `query` is the URL's query string.
     ///
     /// # Errors
-    /// What is wrong with the query.
+    /// The query string is not valid.
     pub fn page(&self, query: &str) -> Result<String, QueryError> {
         let query = Query::parse(query)?;
         self.work_through();
@@ -223,7 +229,7 @@
         }
     }
 
-    /// Does what is due; runs for ever.
+    /// Runs the timers of membership, and applies observations as they are reported. Does not return.
     pub async fn clock(self: Rc<Self>) {
         loop {
             let next = self.membership.borrow().next_wakeup(unix_time_millis());
@@ -243,7 +249,8 @@
         }
     }
 
-    /// Keeps the snapshot; runs for ever. The disk is written beside the runtime.
+    /// Writes the snapshot after changes, and at least every 30 s, on the blocking thread pool. Returns at once if there
+    /// is no state directory, else never.
     pub async fn keep(self: Rc<Self>) {
         let Some(store) = self.store.clone() else {
             return;
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,5 +1,5 @@
-//! Where the list of engines comes from: the platform's journal or a Eureka registry. Both tell the same
-//! changes, in order, through one trait.
+//! Service discovery: the list of engines, from the platform's journal or from Eureka registries. Either source
+//! delivers the same kind of change, in order.
 
 mod backoff;
 pub mod eureka;
@@ -10,15 +10,17 @@
 use crate::decision::model::{EngineState, ListUpdate};
 pub use crate::membership::{Change, Engine};
 
-/// Takes changes as they come.
+/// Callback that receives each change of the engine list, in order.
 pub type ChangeHandler = Box<dyn Fn(Change)>;
 
-/// A source of changes: runs for ever, and survives the outages of what it asks.
+/// A source of engine list changes.
 pub trait Discovery {
+    /// Delivers changes to `sink` for the life of the process. Does not return: an outage of the service behind it
+    /// is retried.
     fn run(self, sink: ChangeHandler) -> impl Future<Output = ()>;
 }
 
-/// The one change that a list in a file makes.
+/// The change that a static list from the configuration amounts to: one snapshot in which every engine is ready.
 pub fn fixed(engines: &[StaticEngine]) -> Change {
     let engine = |e: &StaticEngine| Engine {
         id: e.id.clone(),
--- a/src/transport/tls.rs
+++ b/src/transport/tls.rs
@@ -1,5 +1,5 @@
-//! The keys of the MySQL front: read whole from their files, changed in service without touching open sessions. What
-//! is taken and what is told of it decides [`crate::certificates`].
+//! Certificates and private keys of the MySQL listener: loaded together from their files, and replaced while serving
+//! without affecting open sessions. [`crate::certificates`] decides which are accepted and when expiry is reported.
 
 use crate::certificates::{self, CertificateError, ExpiryWarning, Validity};
 use crate::clock::unix_time_millis;
@@ -23,30 +23,39 @@
 /// Bytes of one file at most.
 const MAX_FILE_BYTES: u64 = 1 << 20;
 
-/// Why keys are not taken into use. Names the file.
+/// Why certificates and keys could not be loaded. The path is that of the file concerned.
 #[derive(Debug, thiserror::Error)]
 pub enum TlsError {
+    /// The file could not be read.
     #[error("{0}: {1}")]
     File(PathBuf, std::io::Error),
+    /// The file is larger than 1 MiB.
     #[error("{0}: larger than 1 MiB")]
     Large(PathBuf),
+    /// The file is not valid PEM, or has no private key where one is expected.
     #[error("{0}: {1}")]
     Pem(PathBuf, pem::Error),
+    /// The file has no certificate.
     #[error("{0}: no certificate stands in it")]
     Empty(PathBuf),
+    /// The certificate is not accepted, for instance because it has expired.
     #[error("{0}: {1}")]
     CertificateError(PathBuf, CertificateError),
+    /// The certificate is not valid X.509.
     #[error("{0}: the certificate cannot be read")]
     Certificate(PathBuf),
+    /// The private key cannot be used or does not belong to the certificate, or a CA certificate is invalid.
     #[error("{0}: {1}")]
     Key(PathBuf, rustls::Error),
+    /// No verifier of client certificates could be built from the CA file.
     #[error("{0}: {1}")]
     Verifier(PathBuf, rustls::server::VerifierBuilderError),
+    /// The TLS library does not support the configured protocol versions.
     #[error(transparent)]
     Rustls(#[from] rustls::Error),
 }
 
-/// Chooses by the name that a client asks for.
+/// Selects the certificate by the server name (SNI) that the client asks for.
 #[derive(Debug)]
 struct Resolver(Vec<(Vec<String>, Arc<CertifiedKey>)>);
 
@@ -60,17 +69,17 @@
     }
 }
 
-/// Keys as they were read together.
+/// Certificates and keys that were loaded together.
 struct Loaded {
     config: Arc<ServerConfig>,
-    /// Each certificate's file and the end of its time.
+    /// Each certificate's file and the end of its validity, in milliseconds since the Unix epoch.
     ends: Vec<(PathBuf, f64)>,
 }
 
-/// What tells one state of a file from another.
+/// Modification time and length in bytes of each file, to detect changes; `None` for a file that cannot be read.
 type Stamp = Vec<Option<(SystemTime, u64)>>;
 
-/// The keys in force.
+/// The certificates and keys in use.
 pub struct TlsKeys {
     source: RefCell<TlsSettings>,
     loaded: RefCell<Loaded>,
@@ -79,8 +88,10 @@
 }
 
 impl TlsKeys {
+    /// Loads the files that `source` names.
+    ///
     /// # Errors
-    /// A file cannot be used; the error names it.
+    /// A file cannot be read or used, or the protocol versions are not supported.
     pub fn load(source: &TlsSettings) -> Result<Rc<Self>, TlsError> {
         let stamp = stamp(source);
         let loaded = read_all(source, unix_time_millis())?;
@@ -98,20 +109,20 @@
         }))
     }
 
-    /// For the next handshake.
+    /// The configuration for the next handshake.
     pub fn server_config(&self) -> Arc<ServerConfig> {
         self.loaded.borrow().config.clone()
     }
 
-    /// Clients in the clear are turned away.
+    /// Whether clients without TLS are rejected.
     pub fn required(&self) -> bool {
         self.source.borrow().required
     }
 
-    /// Takes other files, or the same anew. Open sessions keep what they began with.
+    /// Loads other files, or the same ones again. Open sessions keep the keys they began with.
     ///
     /// # Errors
-    /// A file cannot be used: the keys before stay.
+    /// As [`load`](Self::load); the previous certificates and keys stay in use.
     pub fn replace(&self, source: &TlsSettings) -> Result<(), TlsError> {
         let stamp = stamp(source);
         let loaded = read_all(source, unix_time_millis())?;
@@ -122,7 +133,7 @@
         Ok(())
     }
 
-    /// Looks at the files and the clock, until the keys are gone.
+    /// Checks every 2 s whether the files have changed or a certificate is about to expire, until `keys` is dropped.
     pub async fn watch_files(keys: Weak<Self>) {
         loop {
             tokio::time::sleep(WATCH_INTERVAL).await;
@@ -210,7 +221,7 @@
     ))
 }
 
-/// The common name of a certificate's subject.
+/// The first common name of the subject of a DER certificate; `None` if there is none or the certificate is invalid.
 pub fn common_name(der: &[u8]) -> Option<String> {
     let (_, x) = X509Certificate::from_der(der).ok()?;
     let name = x
