--- a/src/discovery/eureka/http.rs
+++ b/src/discovery/eureka/http.rs
@@ -4,8 +4,10 @@
 use crate::config::eureka::RegistryServer;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
+use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
-use hyper::header::{self, HeaderMap, HeaderValue};
+use hyper::header::{self, HeaderMap};
+use hyper::http::response::Parts;
 use hyper::{Method, Request, StatusCode};
 use hyper_util::rt::TokioIo;
 use std::cell::RefCell;
@@ -15,16 +17,16 @@
 use tokio::net::TcpStream;
 use url::Url;
 
-/// Redirections that one exchange follows.
-const HOPS: usize = 3;
-/// The longest head of an answer, in bytes.
-const HEAD: usize = 32 * 1024;
+/// Maximum number of redirections that one exchange follows.
+const MAX_REDIRECTS: usize = 3;
+/// Maximum size of a response's head, in bytes.
+const MAX_HEAD_BYTES: usize = 32 * 1024;
 /// Size in bytes up to which a body is parsed on the runtime's thread; longer ones go to the blocking thread pool.
-pub const SMALL: usize = 64 * 1024;
+pub(super) const MAX_INLINE_BYTES: usize = 64 * 1024;
 
 /// Why an exchange gave no usable answer.
 #[derive(Debug, thiserror::Error)]
-pub enum HttpError {
+pub(super) enum HttpError {
     /// The TCP connection could not be established.
     #[error("no connection: {0}")]
     Connect(io::Error),
@@ -44,7 +46,7 @@
     #[error("it redirects to {0:?}, which is no server of the configuration")]
     Astray(String),
     /// More redirections than one exchange follows.
-    #[error("it redirects more than {HOPS} times")]
+    #[error("it redirects more than {MAX_REDIRECTS} times")]
     Circle,
     /// A `Content-Encoding`, in lower case, other than identity and gzip.
     #[error("the encoding {0:?} was not asked for")]
@@ -59,34 +61,34 @@
 
 /// A response, with its body as it was sent.
 #[derive(Debug)]
-pub struct Answer {
+pub(super) struct Answer {
     /// The status, which need not be a success.
-    pub status: StatusCode,
+    pub(super) status: StatusCode,
     /// `Content-Type` in lower case, at most 100 characters; empty if there is none.
-    pub kind: String,
+    pub(super) kind: String,
     /// Whether the body is compressed with gzip.
-    pub gzip: bool,
+    pub(super) gzip: bool,
     /// The body as it was sent.
-    pub body: Bytes,
+    pub(super) body: Bytes,
 }
 
 impl Answer {
     /// The decompressed body. Blocks for as long as that takes.
     ///
     /// # Errors
-    /// The body is not valid gzip, or decompresses to more than `most` bytes.
-    pub fn unpacked(&self, most: usize) -> Result<Bytes, HttpError> {
+    /// The body is not valid gzip, or decompresses to more than `max_bytes` bytes.
+    pub(super) fn unpacked(&self, max_bytes: usize) -> Result<Bytes, HttpError> {
         if !self.gzip {
             return Ok(self.body.clone());
         }
         let mut plain = vec![];
         let packed = flate2::read::MultiGzDecoder::new(&self.body[..]);
         packed
-            .take(most as u64 + 1)
+            .take(max_bytes as u64 + 1)
             .read_to_end(&mut plain)
             .map_err(HttpError::Gzip)?;
-        if plain.len() > most {
-            Err(HttpError::Long(most))
+        if plain.len() > max_bytes {
+            Err(HttpError::Long(max_bytes))
         } else {
             Ok(plain.into())
         }
@@ -95,20 +97,20 @@
 
 /// A request, apart from the server that it goes to.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub(super) struct Call {
     /// The method; redirections are followed for GET only.
-    pub method: Method,
+    pub(super) method: Method,
     /// Path and query, appended to the server's base path.
-    pub path: String,
+    pub(super) path: String,
     /// The `Accept` header.
-    pub accept: &'static str,
+    pub(super) accept: &'static str,
     /// `Content-Type` and content of the body, if there is one.
-    pub body: Option<(&'static str, Bytes)>,
+    pub(super) body: Option<(&'static str, Bytes)>,
 }
 
 impl Call {
     /// A GET request without a body.
-    pub fn get(path: String, accept: &'static str) -> Self {
+    pub(super) fn get(path: String, accept: &'static str) -> Self {
         Call {
             method: Method::GET,
             path,
@@ -121,30 +123,30 @@
 type Sender = SendRequest<Full<Bytes>>;
 
 /// Client for the servers of one configuration.
-pub struct Client {
+pub(super) struct Client {
     servers: Vec<RegistryServer>,
-    /// One idle connection a server, by its name.
+    /// The idle connection to each server, by the server's name.
     idle: RefCell<HashMap<String, Sender>>,
     timeout: Duration,
-    most: usize,
+    max_body_bytes: usize,
 }
 
 impl Client {
-    /// Creates a client. `timeout` limits a whole exchange, redirections included; `most` limits a body as sent, in bytes.
-    pub fn new(servers: Vec<RegistryServer>, timeout: Duration, most: usize) -> Self {
+    /// Creates a client. `timeout` limits a whole exchange, redirections included; `max_body_bytes` limits a
+    /// body as sent.
+    pub(super) fn new(
+        servers: Vec<RegistryServer>,
+        timeout: Duration,
+        max_body_bytes: usize,
+    ) -> Self {
         Client {
             servers,
             idle: RefCell::default(),
             timeout,
-            most,
+            max_body_bytes,
         }
     }
 
-    /// The servers, in the order of the configuration.
-    pub fn servers(&self) -> &[RegistryServer] {
-        &self.servers
-    }
-
     /// Sends a request to the server at index `server` and reads the whole response, following redirections between
     /// the configured servers. A request that fails on a kept connection is repeated once on a new one.
     ///
@@ -154,7 +156,7 @@
     ///
     /// # Panics
     /// `server` is not the index of a server.
-    pub async fn call(&self, server: usize, call: &Call) -> Result<Answer, HttpError> {
+    pub(super) async fn call(&self, server: usize, call: &Call) -> Result<Answer, HttpError> {
         let exchange = tokio::time::timeout(self.timeout, self.follow(server, call));
         exchange.await.unwrap_or(Err(HttpError::Time(self.timeout)))
     }
@@ -162,7 +164,7 @@
     async fn follow(&self, server: usize, call: &Call) -> Result<Answer, HttpError> {
         let mut server = &self.servers[server];
         let mut path = call.path.clone();
-        for _ in 0..=HOPS {
+        for _ in 0..=MAX_REDIRECTS {
             let (answer, location) = self.exchange(server, call, &path).await?;
             let Some(location) = location else {
                 return Ok(answer);
@@ -172,7 +174,7 @@
         Err(HttpError::Circle)
     }
 
-    /// The server that a redirection names, and the path behind its own.
+    /// The configured server that a redirection leads to, and the path relative to its base path.
     fn redirected(
         &self,
         from: &RegistryServer,
@@ -188,7 +190,7 @@
             .trim_start_matches('[')
             .trim_end_matches(']');
         let port = url.port().unwrap_or(80);
-        let asked = match url.query() {
+        let path_and_query = match url.query() {
             Some(query) => format!("{}?{query}", url.path()),
             None => url.path().to_string(),
         };
@@ -196,7 +198,7 @@
             .servers
             .iter()
             .filter(|s| s.host == host && s.port == port);
-        let found = found.filter_map(|s| Some((s, asked.strip_prefix(&s.path)?)));
+        let found = found.filter_map(|s| Some((s, path_and_query.strip_prefix(&s.path)?)));
         let found = found
             .filter(|(_, rest)| rest.starts_with('/'))
             .max_by_key(|(s, _)| s.path.len());
@@ -206,22 +208,22 @@
         }
     }
 
-    /// One request and its answer; the second is where it redirects to.
+    /// One request and its response, with the `Location` of a redirection.
     async fn exchange(
         &self,
         server: &RegistryServer,
         call: &Call,
         path: &str,
     ) -> Result<(Answer, Option<String>), HttpError> {
-        // A kept connection may have been closed meanwhile: what was never answered there is asked anew, once, on a
-        // new one. Every call of ours may be repeated.
+        // The registry may have closed a kept connection meanwhile, so a request that fails there is repeated once on a
+        // new one. All our requests are idempotent.
         if let Some(kept) = self.kept(server)
-            && let Ok(done) = self.on(kept, server, call, path).await
+            && let Ok(done) = self.send(kept, server, call, path).await
         {
             return Ok(done);
         }
         let fresh = self.connect(server).await?;
-        self.on(fresh, server, call, path).await
+        self.send(fresh, server, call, path).await
     }
 
     fn kept(&self, server: &RegistryServer) -> Option<Sender> {
@@ -235,14 +237,15 @@
             .map_err(HttpError::Connect)?;
         tcp.set_nodelay(true).map_err(HttpError::Connect)?;
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(HEAD).max_headers(64);
+        builder.max_buf_size(MAX_HEAD_BYTES).max_headers(64);
         let (sender, connection) = builder.handshake(TokioIo::new(tcp)).await?;
-        // It ends with its sender.
+        // The connection's task ends when the sender is dropped.
         tokio::task::spawn_local(async move { drop(connection.await) });
         Ok(sender)
     }
 
-    async fn on(
+    /// Sends one request on a connection and reads the response, after which the connection is kept for the next.
+    async fn send(
         &self,
         mut sender: Sender,
         server: &RegistryServer,
@@ -250,82 +253,102 @@
         path: &str,
     ) -> Result<(Answer, Option<String>), HttpError> {
         sender.ready().await?;
-        let host = if server.host.contains(':') {
-            format!("[{}]", server.host)
-        } else {
-            server.host.clone()
-        };
-        let mut request = Request::builder()
-            .method(&call.method)
-            .uri(format!("{}{path}", server.path))
-            .header(header::HOST, format!("{host}:{}", server.port))
-            .header(header::ACCEPT, call.accept)
-            .header(header::ACCEPT_ENCODING, "gzip")
-            .header(
-                header::USER_AGENT,
-                concat!("hitchwinch/", env!("CARGO_PKG_VERSION")),
-            );
-        if let Some(value) = &server.authorization {
-            request = request.header(header::AUTHORIZATION, value);
+        let response = sender.send_request(request(server, call, path)?).await?;
+        let (head, body) = response.into_parts();
+        let gzip = is_gzip(&head.headers)?;
+        let body = self.read_body(&head.headers, body).await?;
+        // The body is read to its end, so the connection can be used again.
+        if !sender.is_closed() {
+            self.idle.borrow_mut().insert(server.name.clone(), sender);
         }
-        let bytes = match &call.body {
-            Some((kind, bytes)) => {
-                request = request.header(header::CONTENT_TYPE, *kind);
-                bytes.clone()
-            }
-            None => Bytes::new(),
-        };
-        let response = sender.send_request(request.body(Full::new(bytes))?).await?;
-        let (head, mut body) = response.into_parts();
-        let encoding = text(&head.headers, header::CONTENT_ENCODING);
-        let gzip = match encoding.as_str() {
-            "" | "identity" => false,
-            "gzip" | "x-gzip" => true,
-            _ => return Err(HttpError::Encoding(encoding)),
+        let location = redirect_location(&head, &call.method);
+        let answer = Answer {
+            status: head.status,
+            kind: text(&head.headers, header::CONTENT_TYPE),
+            gzip,
+            body,
         };
-        let told = head
-            .headers
+        Ok((answer, location))
+    }
+
+    /// Reads a body to its end, within the size limit.
+    async fn read_body(&self, headers: &HeaderMap, mut body: Incoming) -> Result<Bytes, HttpError> {
+        let length = headers
             .get(header::CONTENT_LENGTH)
             .and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
-        if told.is_some_and(|n| n > self.most as u64) {
-            return Err(HttpError::Long(self.most));
+        if length.is_some_and(|n| n > self.max_body_bytes as u64) {
+            return Err(HttpError::Long(self.max_body_bytes));
         }
-        let mut whole = Vec::with_capacity(told.unwrap_or(0) as usize);
+        let mut content = Vec::with_capacity(length.unwrap_or(0) as usize);
         while let Some(frame) = body.frame().await {
             let Ok(data) = frame?.into_data() else {
                 continue;
             };
-            if whole.len() + data.len() > self.most {
-                return Err(HttpError::Long(self.most));
+            if content.len() + data.len() > self.max_body_bytes {
+                return Err(HttpError::Long(self.max_body_bytes));
             }
-            whole.extend_from_slice(&data);
+            content.extend_from_slice(&data);
         }
-        // Its body is read to the end: the connection serves again.
-        if !sender.is_closed() {
-            self.idle.borrow_mut().insert(server.name.clone(), sender);
+        Ok(content.into())
+    }
+}
+
+/// The HTTP request for a call; `path` is relative to the server's base path.
+fn request(
+    server: &RegistryServer,
+    call: &Call,
+    path: &str,
+) -> Result<Request<Full<Bytes>>, HttpError> {
+    let host = if server.host.contains(':') {
+        format!("[{}]", server.host)
+    } else {
+        server.host.clone()
+    };
+    let mut request = Request::builder()
+        .method(&call.method)
+        .uri(format!("{}{path}", server.path))
+        .header(header::HOST, format!("{host}:{}", server.port))
+        .header(header::ACCEPT, call.accept)
+        .header(header::ACCEPT_ENCODING, "gzip")
+        .header(
+            header::USER_AGENT,
+            concat!("hitchwinch/", env!("CARGO_PKG_VERSION")),
+        );
+    if let Some(value) = &server.authorization {
+        request = request.header(header::AUTHORIZATION, value);
+    }
+    let content = match &call.body {
+        Some((content_type, content)) => {
+            request = request.header(header::CONTENT_TYPE, *content_type);
+            content.clone()
         }
-        let location = head
-            .headers
-            .get(header::LOCATION)
-            .and_then(|v| v.to_str().ok());
-        let elsewhere = matches!(head.status.as_u16(), 301 | 302 | 303 | 307 | 308);
-        let location = location
-            .filter(|_| elsewhere && call.method == Method::GET)
-            .map(str::to_string);
-        let kind = text(&head.headers, header::CONTENT_TYPE);
-        Ok((
-            Answer {
-                status: head.status,
-                kind,
-                gzip,
-                body: whole.into(),
-            },
-            location,
-        ))
+        None => Bytes::new(),
+    };
+    Ok(request.body(Full::new(content))?)
+}
+
+/// Whether the body is compressed with gzip; an error for any other encoding.
+fn is_gzip(headers: &HeaderMap) -> Result<bool, HttpError> {
+    let encoding = text(headers, header::CONTENT_ENCODING);
+    match encoding.as_str() {
+        "" | "identity" => Ok(false),
+        "gzip" | "x-gzip" => Ok(true),
+        _ => Err(HttpError::Encoding(encoding)),
     }
 }
 
-fn text(headers: &HeaderMap<HeaderValue>, name: header::HeaderName) -> String {
+/// The `Location` of a response that redirects a GET request.
+fn redirect_location(head: &Parts, method: &Method) -> Option<String> {
+    let redirects = matches!(head.status.as_u16(), 301 | 302 | 303 | 307 | 308);
+    head.headers
+        .get(header::LOCATION)
+        .and_then(|v| v.to_str().ok())
+        .filter(|_| redirects && *method == Method::GET)
+        .map(str::to_string)
+}
+
+/// The value of a header in lower case, at most 100 characters; empty if it is absent or not text.
+fn text(headers: &HeaderMap, name: header::HeaderName) -> String {
     let value = headers
         .get(name)
         .and_then(|v| v.to_str().ok())
--- a/src/discovery/eureka/mod.rs
+++ b/src/discovery/eureka/mod.rs
@@ -5,12 +5,12 @@
 //! checks the hash code, `registration` and `lease` register this dispatcher.
 
 pub mod format;
-pub mod http;
+mod http;
 pub mod lease;
 pub mod model;
-pub mod registration;
-pub mod replica;
-pub mod servers;
+mod registration;
+mod replica;
+mod servers;
 #[cfg(test)]
 mod tests;
 
@@ -21,8 +21,8 @@
 use crate::log_line;
 use crate::membership::{SourceUpdate, UpdateContent};
 use format::FormatError;
-use futures_util::StreamExt;
-use futures_util::stream::FuturesUnordered;
+use futures_util::future::{FutureExt, LocalBoxFuture};
+use futures_util::stream::{FuturesUnordered, StreamExt};
 use http::{Answer, Call, Client, HttpError};
 use model::Document;
 use replica::{Replica, ReplicaError};
@@ -34,12 +34,12 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// After the start a registry has this long to answer before the engines of the snapshot are served.
-const FIRST: Duration = Duration::from_millis(1000);
+/// Time from the start for a first answer, after which the engines of the snapshot are served.
+const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Why a registry's answer could not be used.
 #[derive(Debug, thiserror::Error)]
-pub enum AskError {
+enum AskError {
     /// The exchange failed or its status is not a success.
     #[error(transparent)]
     Http(#[from] HttpError),
@@ -55,7 +55,7 @@
 }
 
 /// A random number from 0 to 1, for delays and orders that should differ between dispatchers.
-pub fn random() -> f64 {
+fn random() -> f64 {
     getrandom::u32().map_or(0.5, |n| f64::from(n) / f64::from(u32::MAX))
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// One configuration's servers, with what each has told.
+/// One configuration's servers, with a replica of each one's list.
 struct Round {
     source: Rc<EurekaSettings>,
     client: Client,
@@ -89,11 +89,11 @@
         }
     }
 
-    /// Asks one server and tells membership; true if it answered. A drain counts as soon as it is here, whatever
-    /// the other servers of the round are at.
+    /// Asks one server and passes its answer to membership at once, without waiting for the round's other servers.
+    /// Returns whether it answered.
     async fn ask(&self, server: usize, members: &MembershipDriver) -> bool {
         let name = &self.source.servers[server].name;
-        match self.views(server, members).await {
+        match self.update(server, members).await {
             Ok(()) => true,
             Err(e) => {
                 self.replicas[server].borrow_mut().forget();
@@ -104,32 +104,32 @@
         }
     }
 
-    /// A change if a list is in hand, and the whole if not or if the change does not add up.
-    async fn views(&self, server: usize, members: &MembershipDriver) -> Result<(), AskError> {
+    /// Fetches a delta if the replica holds a full list, and the full list if it does not or the hash codes differ.
+    async fn update(&self, server: usize, members: &MembershipDriver) -> Result<(), AskError> {
         let (source, replica) = (&self.source, &self.replicas[server]);
         let name = &source.servers[server].name;
-        let tell = |asked: f64, content: UpdateContent| {
+        let publish = |requested_at: f64, content: UpdateContent| {
             members.view(SourceUpdate {
                 source: name.clone(),
-                requested_at: asked,
+                requested_at,
                 received_at: unix_time_millis(),
                 content,
             });
         };
         if source.query.has_deltas() && replica.borrow().listed() {
-            let asked = unix_time_millis();
+            let requested_at = unix_time_millis();
             let document = self.get(server, "/apps/delta").await?;
             let applied = replica.borrow_mut().delta(&document, &source.query)?;
             let differs = applied.differs;
-            tell(asked, applied.content);
+            publish(requested_at, applied.content);
             if !differs {
                 return Ok(());
             }
         }
-        let asked = unix_time_millis();
+        let requested_at = unix_time_millis();
         let document = self.get(server, &source.query.path()).await?;
         let content = replica.borrow_mut().whole(&document, &source.query)?;
-        tell(asked, content);
+        publish(requested_at, content);
         Ok(())
     }
 
@@ -142,7 +142,7 @@
         };
         let call = Call::get(format!("{path}{query}"), accept(self.source.format));
         let answer = self.client.call(server, &call).await?;
-        // An application or a name that nobody registers under has no list: a list without engines.
+        // A registry answers 404 for an application or VIP address without instances: an empty list.
         if answer.status.as_u16() == 404
             && answer.body.is_empty()
             && !self.source.query.has_deltas()
@@ -153,20 +153,20 @@
     }
 }
 
-/// Reads an answer's document; a long one beside the runtime.
-async fn read(answer: Answer, most: usize) -> Result<Document, AskError> {
+/// Parses an answer's document; a long one on the blocking thread pool.
+async fn read(answer: Answer, max_bytes: usize) -> Result<Document, AskError> {
     if !answer.status.is_success() {
         return Err(HttpError::Status(answer.status).into());
     }
-    // A packed body may hold a thousand times its size.
+    // A compressed body may expand a thousandfold.
     let small = answer.body.len()
         <= if answer.gzip {
-            http::SMALL / 64
+            http::MAX_INLINE_BYTES / 64
         } else {
-            http::SMALL
+            http::MAX_INLINE_BYTES
         };
     let parse = move || -> Result<Document, AskError> {
-        let body = answer.unpacked(most)?;
+        let body = answer.unpacked(max_bytes)?;
         Ok(format::parse(&answer.kind, &body)?)
     };
     match small {
@@ -177,66 +177,111 @@
     }
 }
 
+/// The polling of the registries of the current configuration.
+struct Poller {
+    members: Rc<MembershipDriver>,
+    round: Rc<Round>,
+    /// Requests in flight: each gives the server's index and whether it answered.
+    requests: FuturesUnordered<LocalBoxFuture<'static, (usize, bool)>>,
+    /// The servers with a request in flight.
+    busy: BTreeSet<usize>,
+    /// The servers that were asked in this round.
+    asked: BTreeSet<usize>,
+    next_round: Instant,
+    /// Whether any server has answered since the start of the process.
+    answered: bool,
+}
+
+impl Poller {
+    fn new(source: Rc<EurekaSettings>, members: Rc<MembershipDriver>) -> Self {
+        Poller {
+            members,
+            round: Rc::new(Round::new(source)),
+            requests: FuturesUnordered::new(),
+            busy: BTreeSet::new(),
+            asked: BTreeSet::new(),
+            next_round: Instant::now(),
+            answered: false,
+        }
+    }
+
+    /// Starts a round, in which every server may be asked again.
+    fn start_round(&mut self) {
+        self.asked.clear();
+        let period = self.round.source.poll_interval;
+        self.next_round = Instant::now() + period.mul_f64(0.95 + 0.1 * random());
+    }
+
+    /// Records the outcome of a request.
+    fn finish_request(&mut self, server: usize, ok: bool) {
+        self.busy.remove(&server);
+        self.answered |= ok;
+        let mut servers = self.round.servers.borrow_mut();
+        match ok {
+            true => servers.answered(server),
+            false => servers.failed(unix_time_millis(), server, random()),
+        }
+    }
+
+    /// Replaces the configuration; requests to the previous configuration's servers are abandoned.
+    fn reconfigure(&mut self, source: Rc<EurekaSettings>) {
+        self.requests = FuturesUnordered::new();
+        self.busy.clear();
+        self.asked.clear();
+        self.round = Rc::new(Round::new(source));
+        self.next_round = Instant::now();
+    }
+
+    /// Asks the selected servers that have not been asked in this round. A failure moves the selection on to the next
+    /// server at once. If there is nobody to ask and nobody has answered yet, the snapshot is served.
+    fn send_requests(&mut self) {
+        let selected = self
+            .round
+            .servers
+            .borrow()
+            .choose(unix_time_millis(), self.round.source.servers_per_round);
+        for server in selected {
+            if !self.busy.contains(&server) && self.asked.insert(server) {
+                self.busy.insert(server);
+                let (round, members) = (self.round.clone(), self.members.clone());
+                let request = async move { (server, round.ask(server, &members).await) };
+                self.requests.push(request.boxed_local());
+            }
+        }
+        if self.requests.is_empty() && !self.answered {
+            self.members.serve_restored();
+        }
+    }
+}
+
 /// Polls the registries until `source` closes, and passes their answers to `members`. A new configuration replaces the
 /// previous one at once, while membership is kept. Must run in a `LocalSet`.
 pub async fn follow(
     mut source: watch::Receiver<Rc<EurekaSettings>>,
     members: Rc<MembershipDriver>,
 ) {
-    let began = Instant::now();
-    let mut round = Rc::new(Round::new(source.borrow_and_update().clone()));
-    let mut asks = FuturesUnordered::new();
-    // Who is being asked, and who was asked in this round.
-    let (mut busy, mut asked) = (BTreeSet::new(), BTreeSet::new());
-    let mut next = Instant::now();
-    let (mut answered, mut waited) = (false, false);
+    let restore_at = Instant::now() + FIRST_ANSWER_TIMEOUT;
+    let mut restored = false;
+    let mut poller = Poller::new(source.borrow_and_update().clone(), members);
     loop {
         tokio::select! {
-            () = tokio::time::sleep_until(next) => {
-                asked.clear();
-                let period = round.source.poll_interval.mul_f64(0.95 + 0.1 * random());
-                next = Instant::now() + period;
+            () = tokio::time::sleep_until(poller.next_round) => poller.start_round(),
+            Some((server, ok)) = poller.requests.next(), if !poller.requests.is_empty() => {
+                poller.finish_request(server, ok);
             }
-            Some((server, ok)) = asks.next(), if !asks.is_empty() => {
-                let server: usize = server;
-                busy.remove(&server);
-                answered |= ok;
-                match ok {
-                    true => round.servers.borrow_mut().answered(server),
-                    false => round.servers.borrow_mut().failed(unix_time_millis(), server, random()),
-                }
-            }
-            () = tokio::time::sleep_until(began + FIRST), if !answered && !waited => {
-                waited = true;
-                members.serve_restored();
+            () = tokio::time::sleep_until(restore_at), if !poller.answered && !restored => {
+                restored = true;
+                poller.members.serve_restored();
                 continue;
             }
-            new = source.changed() => {
-                if new.is_err() {
+            changed = source.changed() => {
+                if changed.is_err() {
                     return;
                 }
-                // What is being asked of the servers before counts for nothing.
-                asks = FuturesUnordered::new();
-                (busy, asked) = (BTreeSet::new(), BTreeSet::new());
-                round = Rc::new(Round::new(source.borrow_and_update().clone()));
-                next = Instant::now();
+                poller.reconfigure(source.borrow_and_update().clone());
                 continue;
             }
         }
-        // One that failed makes room for the next at once.
-        let chosen = round
-            .servers
-            .borrow()
-            .choose(unix_time_millis(), round.source.servers_per_round);
-        for server in chosen {
-            if !busy.contains(&server) && asked.insert(server) {
-                busy.insert(server);
-                let (round, members) = (round.clone(), members.clone());
-                asks.push(async move { (server, round.ask(server, &members).await) });
-            }
-        }
-        if asks.is_empty() && !answered {
-            members.serve_restored();
-        }
+        poller.send_requests();
     }
 }
--- a/src/discovery/eureka/registration.rs
+++ b/src/discovery/eureka/registration.rs
@@ -8,7 +8,7 @@
 
 /// A request to the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub(super) enum Step {
     /// Register the whole instance with this status: at the start, after a change, and when the registry has lost it.
     Register(Status),
     /// Renew the lease, with this status.
@@ -19,7 +19,7 @@
 
 /// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub(super) enum Outcome {
     /// The registry accepted it.
     Done,
     /// 404: the registry has no such instance (it restarted, or the lease expired).
@@ -30,7 +30,7 @@
 
 /// State of this dispatcher's registration.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Registration {
+pub(super) struct Registration {
     wanted: Status,
     /// What the registry was told last, if it has the instance.
     told: Option<Status>,
@@ -41,17 +41,17 @@
     /// Cancelled, or left to another process of this dispatcher.
     over: bool,
     /// Number of registrations accepted.
-    pub registered: u64,
+    pub(super) registered: u64,
     /// Number of renewals accepted.
-    pub renewed: u64,
+    pub(super) renewed: u64,
     /// Number of requests that failed.
-    pub failures: u64,
+    pub(super) failures: u64,
 }
 
 impl Registration {
     /// Creates the state of an instance that is starting and not registered yet. `renew` is the interval between
     /// renewals, in milliseconds.
-    pub fn new(now: Millis, renew: Millis) -> Self {
+    pub(super) fn new(now: Millis, renew: Millis) -> Self {
         Registration {
             wanted: Status::Starting,
             told: None,
@@ -66,12 +66,12 @@
     }
 
     /// `lastDirtyTimestamp` to send, in milliseconds since the Unix epoch.
-    pub fn dirty(&self) -> u64 {
+    pub(super) fn dirty(&self) -> u64 {
         self.dirty
     }
 
     /// Sets the status to register; a change is due at once.
-    pub fn want(&mut self, now: Millis, status: Status) {
+    pub(super) fn want(&mut self, now: Millis, status: Status) {
         if self.wanted != status && !self.over {
             self.wanted = status;
             self.dirty = (now.max(0.0) as u64).max(self.dirty + 1);
@@ -81,7 +81,7 @@
     }
 
     /// The request that is due now, if any.
-    pub fn due(&self, now: Millis) -> Option<Step> {
+    pub(super) fn due(&self, now: Millis) -> Option<Step> {
         match (self.over || now < self.next, self.told) {
             (true, _) => None,
             (false, Some(told)) if told == self.wanted => Some(Step::Renew(told)),
@@ -90,13 +90,13 @@
     }
 
     /// When the next request is due; `None` once the lease is cancelled or handed over.
-    pub fn next(&self) -> Option<Millis> {
+    pub(super) fn next(&self) -> Option<Millis> {
         (!self.over).then_some(self.next)
     }
 
     /// Records the outcome of a request and schedules the next. `random`, from 0 to 1, spreads the renewals of many
     /// dispatchers over a tenth of the interval.
-    pub fn done(&mut self, now: Millis, step: Step, outcome: Outcome, random: f64) {
+    pub(super) fn done(&mut self, now: Millis, step: Step, outcome: Outcome, random: f64) {
         match (step, outcome) {
             (Step::Cancel, _) => self.over = true,
             (Step::Register(status), Outcome::Done) => {
@@ -116,12 +116,12 @@
     }
 
     /// Ends the lease; returns whether a registry has to be sent a cancellation.
-    pub fn finish(&mut self) -> bool {
+    pub(super) fn finish(&mut self) -> bool {
         !std::mem::replace(&mut self.over, true) && self.told.is_some()
     }
 
     /// Ends this process's part in the lease, which another process of this dispatcher keeps.
-    pub fn leave(&mut self) {
+    pub(super) fn leave(&mut self) {
         self.over = true;
     }
 }
--- a/src/discovery/eureka/replica.rs
+++ b/src/discovery/eureka/replica.rs
@@ -6,11 +6,11 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// Maximum number of instances, over all applications, that a replica holds.
-pub const MOST: usize = 200_000;
+pub(super) const MOST: usize = 200_000;
 
 /// The status of every instance of every application in one registry, all of which the hash code counts.
 #[derive(Debug, Default)]
-pub struct Replica {
+pub(super) struct Replica {
     statuses: HashMap<(String, String), Status>,
     counts: BTreeMap<&'static str, usize>,
     listed: bool,
@@ -18,17 +18,17 @@
 
 /// The result of applying a delta.
 #[derive(Debug)]
-pub struct Applied {
+pub(super) struct Applied {
     /// The changes that concern engines.
-    pub content: UpdateContent,
+    pub(super) content: UpdateContent,
     /// The hash code does not match or is missing, so the full list has to be fetched. `content` is valid all the same: a
     /// drain must not wait for another exchange.
-    pub differs: bool,
+    pub(super) differs: bool,
 }
 
 /// Why a document cannot be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ReplicaError {
+pub(super) enum ReplicaError {
     /// There are more than [`MOST`] instances.
     #[error("the registry lists more than {MOST} instances")]
     Many,
@@ -36,17 +36,17 @@
 
 impl Replica {
     /// Whether the replica holds a full list, to which deltas can be applied.
-    pub fn listed(&self) -> bool {
+    pub(super) fn listed(&self) -> bool {
         self.listed
     }
 
     /// Marks the replica as outdated, so that the full list has to be fetched next.
-    pub fn forget(&mut self) {
+    pub(super) fn forget(&mut self) {
         self.listed = false;
     }
 
     /// Number of instances in each status, in the registry's notation: `DOWN_1_UP_7_`.
-    pub fn hashcode(&self) -> String {
+    pub(super) fn hashcode(&self) -> String {
         self.counts
             .iter()
             .filter(|(_, n)| **n > 0)
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     /// There are more than [`MOST`] instances; the replica then holds no full list.
-    pub fn whole(
+    pub(super) fn whole(
         &mut self,
         document: &Document,
         listing: &RegistryQuery,
@@ -102,7 +102,7 @@
     ///
     /// # Errors
     /// There are more than [`MOST`] instances; the full list has to be fetched then.
-    pub fn delta(
+    pub(super) fn delta(
         &mut self,
         document: &Document,
         listing: &RegistryQuery,
