--- a/crates/mysql-conformance/src/lib.rs
+++ b/crates/mysql-conformance/src/lib.rs
@@ -311,7 +311,7 @@
 pub fn page(lines: &[Line]) -> String {
     let mut text = String::from(
         "# MySQL conformance\n\nWritten by `cargo run -p mysql-conformance -- --write docs/MYSQL-CONFORMANCE.md`; a test \
-         compares the two.\nEach line is a script of `crates/conformance/src/cases.rs`, played against the front and, for \
+         compares the two.\nEach line is a script of `crates/mysql-conformance/src/cases.rs`, played against the front and, for \
          calibration, straight\nagainst the stand-in engine.\n\n",
     );
     let count = |f: fn(&Came) -> bool| lines.iter().filter(|l| f(&l.1)).count();
--- a/crates/testbed/src/simulation/report.rs
+++ b/crates/testbed/src/simulation/report.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// How requests ended for their clients, in the order of [`OutcomeCounts::NAMES`].
+/// How requests ended for their clients, in the order of `OutcomeCounts`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct OutcomeCounts {
     pub served: u64,
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,8 +1,8 @@
 //! The operators' HTTP/1.1 service, one request a connection, at an address of its own.
 //!
 //! Its connections are limited apart from the clients', so that clients' load takes none of them and a caller that
-//! never completes its request delays nobody. [`request`] reads requests, [`routes`] carries them out and
-//! [`response`] writes the answers.
+//! never completes its request delays nobody. `request` reads requests, `routes` carries them out and
+//! `response` writes the answers.
 
 mod request;
 mod response;
--- a/src/discovery/eureka/lease.rs
+++ b/src/discovery/eureka/lease.rs
@@ -1,4 +1,4 @@
-//! Keeps this dispatcher registered, so that proxies find it: [`registration`](super::registration) decides what to
+//! Keeps this dispatcher registered, so that proxies find it: `registration` decides what to
 //! send, this module sends it.
 
 use crate::clock::duration_from_millis;
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -44,7 +44,7 @@
 /// The content of a message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadReportMessage {
-    /// Stands for the engine's name: [`engine_hash`].
+    /// Stands for the engine's name: `engine_hash`.
     pub engine_hash: u32,
     /// The report's values.
     pub report: Vec<f64>,
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -23,7 +23,7 @@
 #![allow(dead_code)]
 
 #[path = "../common/mod.rs"]
-pub mod common;
+pub(crate) mod common;
 
 use query_dispatcher::admin::{Admin, ReportSources};
 use query_dispatcher::config::{
