--- a/Makefile
+++ b/Makefile
@@ -10,6 +10,7 @@
 lint:
 	cargo fmt --all --check
 	cargo clippy --locked --workspace --all-targets -- -D warnings
+	RUSTDOCFLAGS='-D warnings' cargo doc --locked --workspace --no-deps --document-private-items
 
 # The policy, all files that decide, stays small enough to be read in one sitting: lines that are not blank, columns.
 # deploy/balancer.toml names them: each file of src/decision, but the facade and the list of modules.
