--- a/src/discovery/eureka/lease.rs
+++ b/src/discovery/eureka/lease.rs
@@ -6,6 +6,7 @@
 use crate::config::EurekaSettings;
 use crate::config::eureka::InstanceRegistration;
 use crate::discovery::eureka::http::{Answer, Call, Client, HttpError};
+use crate::discovery::eureka::model::Instance;
 use crate::discovery::eureka::registration::{Outcome, Registration, Step};
 use crate::discovery::eureka::servers::Servers;
 use crate::discovery::eureka::{format, random};
@@ -18,12 +19,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often it is looked at how the dispatcher stands: proxies hear of its end within this and an exchange.
-const LOOK: Duration = Duration::from_millis(100);
-/// The end waits no longer for a registry.
-const GOODBYE: Duration = Duration::from_millis(800);
-/// Renewals between two looks at what the registry shows of us.
-const LOOK_BACK: u64 = 4;
+/// Interval between checks of the dispatcher's state: a shutdown is registered within this time plus one exchange.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Time limit for the cancellation of the lease.
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(800);
+/// Number of renewals from one check of the registry's entry of this dispatcher to the next.
+const RENEWALS_PER_CHECK: u64 = 4;
+/// Maximum size of a registry's answer, in bytes.
+const MAX_BODY_BYTES: usize = 1 << 20;
 
 /// The dispatcher's state, as far as its registration depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,7 +48,7 @@
     client: Client,
     servers: RefCell<Servers>,
     state: RefCell<Registration>,
-    /// What the registry showed of us last, if that is not what we told.
+    /// How the registry's entry differed from what was registered, when it was last checked.
     differs: RefCell<Option<String>>,
 }
 
@@ -59,7 +62,7 @@
             client: Client::new(
                 source.servers.clone(),
                 source.request_timeout.min(Duration::from_secs(5)),
-                1 << 20,
+                MAX_BODY_BYTES,
             ),
             servers: RefCell::new(Servers::new(&zones, source.zone.as_deref(), random)),
             state: RefCell::new(Registration::new(unix_time_millis(), renew)),
@@ -91,22 +94,22 @@
                     .borrow_mut()
                     .done(unix_time_millis(), step, outcome, random());
                 let renewed = self.state.borrow().renewed;
-                if matches!(step, Step::Renew(_)) && renewed % LOOK_BACK == 1 {
-                    self.look_back(status).await;
+                if matches!(step, Step::Renew(_)) && renewed % RENEWALS_PER_CHECK == 1 {
+                    self.check_shown(status).await;
                 }
                 continue;
             }
             let Some(next) = self.state.borrow().next() else {
                 return;
             };
-            tokio::time::sleep(duration_from_millis(next - now).min(LOOK)).await;
+            tokio::time::sleep(duration_from_millis(next - now).min(CHECK_INTERVAL)).await;
         }
     }
 
     /// Cancels the registration, if there is one. Waits at most 800 ms for a registry; failures are logged.
     pub async fn cancel(&self) {
         if self.state.borrow_mut().finish() {
-            let outcome = tokio::time::timeout(GOODBYE, self.send(Step::Cancel)).await;
+            let outcome = tokio::time::timeout(CANCEL_TIMEOUT, self.send(Step::Cancel)).await;
             match outcome {
                 Ok(Outcome::Done | Outcome::Unknown) => {
                     log_line!("eureka: our registration is cancelled")
@@ -126,7 +129,7 @@
         self.differs.borrow().clone()
     }
 
-    /// Sends a step to the first server that takes it.
+    /// Sends a request to the servers in turn until one accepts it or answers 404.
     async fn send(&self, step: Step) -> Outcome {
         let call = self.call(step);
         let mut tried = vec![];
@@ -170,19 +173,23 @@
         }
     }
 
+    /// The HTTP request for a step.
     fn call(&self, step: Step) -> Call {
-        let r = &self.registration;
+        let registration = &self.registration;
         let (dirty, own) = (
             self.state.borrow().dirty(),
-            format!("/apps/{}/{}", r.app, r.instance_id),
+            format!("/apps/{}/{}", registration.app, registration.instance_id),
         );
         let accept = "application/json";
         match step {
             Step::Register(status) => Call {
                 method: Method::POST,
-                path: format!("/apps/{}", r.app),
+                path: format!("/apps/{}", registration.app),
                 accept,
-                body: Some((accept, Bytes::from(instance(r, status, dirty).to_string()))),
+                body: Some((
+                    accept,
+                    Bytes::from(instance(registration, status, dirty).to_string()),
+                )),
             },
             Step::Renew(status) => Call {
                 method: Method::PUT,
@@ -202,8 +209,8 @@
         }
     }
 
-    /// Reads our own instance back: somebody may have set another status over ours.
-    async fn look_back(&self, told: Status) {
+    /// Compares the registry's entry with `registered`: an operator may have overridden the status.
+    async fn check_shown(&self, registered: Status) {
         let Some(server) = self
             .servers
             .borrow()
@@ -213,35 +220,17 @@
         else {
             return;
         };
-        let call = Call::get(
-            format!("/instances/{}", self.registration.instance_id),
-            "application/json",
-        );
-        let Ok(answer) = self.client.call(server, &call).await else {
-            return;
-        };
-        let Ok(body) = answer.unpacked(1 << 20) else {
-            return;
-        };
-        let Ok(document) = format::parse(&answer.kind, &body) else {
-            return;
-        };
-        let Some(shown) = document
-            .applications
-            .iter()
-            .flat_map(|a| &a.instances)
-            .next()
-        else {
+        let Some(shown) = self.fetch_own(server).await else {
             return;
         };
-        let fact = shown.fact(false);
-        let status = fact.overridden.unwrap_or(fact.status);
-        let differs = (status != told).then(|| {
+        let record = shown.fact(false);
+        let status = record.overridden.unwrap_or(record.status);
+        let differs = (status != registered).then(|| {
             format!(
                 "{} shows {} where {} was told",
                 self.source.servers[server].name,
                 status.as_str(),
-                told.as_str()
+                registered.as_str()
             )
         });
         if differs != *self.differs.borrow() {
@@ -251,18 +240,33 @@
             *self.differs.borrow_mut() = differs;
         }
     }
+
+    /// The registry's entry of this dispatcher, if it can be fetched.
+    async fn fetch_own(&self, server: usize) -> Option<Instance> {
+        let path = format!("/instances/{}", self.registration.instance_id);
+        let call = Call::get(path, "application/json");
+        let answer = self.client.call(server, &call).await.ok()?;
+        let body = answer.unpacked(MAX_BODY_BYTES).ok()?;
+        let document = format::parse(&answer.kind, &body).ok()?;
+        document
+            .applications
+            .into_iter()
+            .flat_map(|a| a.instances)
+            .next()
+    }
 }
 
-/// Our own instance, as a registration words it.
-fn instance(r: &InstanceRegistration, status: Status, dirty: u64) -> serde_json::Value {
+/// The body of a registration of this dispatcher.
+fn instance(registration: &InstanceRegistration, status: Status, dirty: u64) -> serde_json::Value {
     json!({ "instance": {
-        "instanceId": r.instance_id,
-        "hostName": r.host,
-        "app": r.app,
-        "ipAddr": r.ip.to_string(),
-    "vipAddress" : r.vip_address, "status" : status.as_str(),
+        "instanceId": registration.instance_id,
+        "hostName": registration.host,
+        "app": registration.app,
+        "ipAddr": registration.ip.to_string(),
+        "vipAddress": registration.vip_address,
+        "status": status.as_str(),
         "overriddenstatus": "UNKNOWN",
-        "port": { "$": r.port, "@enabled": "true" },
+        "port": { "$": registration.port, "@enabled": "true" },
         "securePort": { "$": 443, "@enabled": "false" },
         "countryId": 1,
         "dataCenterInfo": {
@@ -270,10 +274,10 @@
             "name": "MyOwn"
         },
         "leaseInfo": {
-            "renewalIntervalInSecs": r.renewal_interval.as_secs().max(1),
-            "durationInSecs": r.lease_duration.as_secs().max(1)
+            "renewalIntervalInSecs": registration.renewal_interval.as_secs().max(1),
+            "durationInSecs": registration.lease_duration.as_secs().max(1)
         },
-        "metadata": r.metadata,
+        "metadata": registration.metadata,
         "lastDirtyTimestamp": dirty.to_string(),
         "isCoordinatingDiscoveryServer": "false",
     }})
--- a/src/discovery/eureka/registration.rs
+++ b/src/discovery/eureka/registration.rs
@@ -3,8 +3,8 @@
 use crate::decision::model::Millis;
 use crate::membership::Status;
 
-/// The pause after a failure, in milliseconds: a lease is worth a few tries.
-const AGAIN: Millis = 1_000.0;
+/// Delay after a failure, in milliseconds: short enough for several attempts within a lease.
+const RETRY_DELAY: Millis = 1_000.0;
 
 /// A request to the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,13 +32,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Registration {
     wanted: Status,
-    /// What the registry was told last, if it has the instance.
-    told: Option<Status>,
-    /// `lastDirtyTimestamp`: when what we tell of ourselves last changed. It never goes back.
+    /// The status that the registry has, if it has the instance.
+    registered_status: Option<Status>,
+    /// `lastDirtyTimestamp`: when the instance's data last changed. It never decreases.
     dirty: u64,
     renew: Millis,
     next: Millis,
-    /// Cancelled, or left to another process of this dispatcher.
+    /// Cancelled, or handed over to another process of this dispatcher.
     over: bool,
     /// Number of registrations accepted.
     pub(super) registered: u64,
@@ -54,7 +54,7 @@
     pub(super) fn new(now: Millis, renew: Millis) -> Self {
         Registration {
             wanted: Status::Starting,
-            told: None,
+            registered_status: None,
             dirty: now.max(0.0) as u64,
             renew,
             next: now,
@@ -75,14 +75,14 @@
         if self.wanted != status && !self.over {
             self.wanted = status;
             self.dirty = (now.max(0.0) as u64).max(self.dirty + 1);
-            // A change is told at once: whoever finds an old status sends clients to a closing door.
+            // A change is sent at once: a proxy that reads an old status sends clients to a dispatcher that is closing.
             self.next = self.next.min(now);
         }
     }
 
     /// The request that is due now, if any.
     pub(super) fn due(&self, now: Millis) -> Option<Step> {
-        match (self.over || now < self.next, self.told) {
+        match (self.over || now < self.next, self.registered_status) {
             (true, _) => None,
             (false, Some(told)) if told == self.wanted => Some(Step::Renew(told)),
             (false, _) => Some(Step::Register(self.wanted)),
@@ -100,24 +100,24 @@
         match (step, outcome) {
             (Step::Cancel, _) => self.over = true,
             (Step::Register(status), Outcome::Done) => {
-                (self.told, self.registered) = (Some(status), self.registered + 1);
+                (self.registered_status, self.registered) = (Some(status), self.registered + 1);
             }
             (Step::Renew(_), Outcome::Done) => self.renewed += 1,
-            (_, Outcome::Unknown) => self.told = None,
+            (_, Outcome::Unknown) => self.registered_status = None,
             (_, Outcome::Failed) => self.failures += 1,
         }
         self.next = match outcome {
-            // A status that changed while the step was out is told at once.
-            Outcome::Done if self.told != Some(self.wanted) => now,
+            // A status that changed while the request was in flight is sent at once.
+            Outcome::Done if self.registered_status != Some(self.wanted) => now,
             Outcome::Done => now + self.renew * (0.9 + random.clamp(0.0, 1.0) / 10.0),
             Outcome::Unknown if matches!(step, Step::Renew(_)) => now,
-            Outcome::Unknown | Outcome::Failed => now + AGAIN.min(self.renew),
+            Outcome::Unknown | Outcome::Failed => now + RETRY_DELAY.min(self.renew),
         };
     }
 
     /// Ends the lease; returns whether a registry has to be sent a cancellation.
     pub(super) fn finish(&mut self) -> bool {
-        !std::mem::replace(&mut self.over, true) && self.told.is_some()
+        !std::mem::replace(&mut self.over, true) && self.registered_status.is_some()
     }
 
     /// Ends this process's part in the lease, which another process of this dispatcher keeps.
--- a/src/discovery/eureka/replica.rs
+++ b/src/discovery/eureka/replica.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// Maximum number of instances, over all applications, that a replica holds.
-pub(super) const MOST: usize = 200_000;
+pub(super) const MAX_INSTANCES: usize = 200_000;
 
 /// The status of every instance of every application in one registry, all of which the hash code counts.
 #[derive(Debug, Default)]
@@ -29,8 +29,8 @@
 /// Why a document cannot be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum ReplicaError {
-    /// There are more than [`MOST`] instances.
-    #[error("the registry lists more than {MOST} instances")]
+    /// There are more than [`MAX_INSTANCES`] instances.
+    #[error("the registry lists more than {MAX_INSTANCES} instances")]
     Many,
 }
 
@@ -54,6 +54,7 @@
             .collect()
     }
 
+    /// Sets the status of an instance, or removes it.
     fn set(&mut self, app: &str, id: &str, status: Option<Status>) -> Result<(), ReplicaError> {
         let key = (app.to_string(), id.to_string());
         let before = match status {
@@ -66,7 +67,7 @@
         if let Some(status) = status {
             *self.counts.entry(status.as_str()).or_default() += 1;
         }
-        if self.statuses.len() > MOST {
+        if self.statuses.len() > MAX_INSTANCES {
             Err(ReplicaError::Many)
         } else {
             Ok(())
@@ -76,51 +77,52 @@
     /// Replaces the replica by a full list and returns the engines in it.
     ///
     /// # Errors
-    /// There are more than [`MOST`] instances; the replica then holds no full list.
+    /// There are more than [`MAX_INSTANCES`] instances; the replica then holds no full list.
     pub(super) fn whole(
         &mut self,
         document: &Document,
-        listing: &RegistryQuery,
+        query: &RegistryQuery,
     ) -> Result<UpdateContent, ReplicaError> {
         self.listed = false;
         self.statuses.clear();
         self.counts.clear();
-        let mut facts = vec![];
-        for a in &document.applications {
-            for i in a.instances.iter().filter(|i| !i.deleted()) {
-                self.set(&a.name, &i.id, Some(Status::parse(&i.status)))?;
-                if listing.counts(&a.name) {
-                    facts.push(i.fact(listing.secure()));
+        let mut records = vec![];
+        for Application { name, instances } in &document.applications {
+            for instance in instances.iter().filter(|i| !i.deleted()) {
+                self.set(name, &instance.id, Some(Status::parse(&instance.status)))?;
+                if query.counts(name) {
+                    records.push(instance.fact(query.secure()));
                 }
             }
         }
         self.listed = true;
-        Ok(UpdateContent::Full(facts))
+        Ok(UpdateContent::Full(records))
     }
 
     /// Applies a delta and returns the changes of engines in it.
     ///
     /// # Errors
-    /// There are more than [`MOST`] instances; the full list has to be fetched then.
+    /// There are more than [`MAX_INSTANCES`] instances; the full list has to be fetched then.
     pub(super) fn delta(
         &mut self,
         document: &Document,
-        listing: &RegistryQuery,
+        query: &RegistryQuery,
     ) -> Result<Applied, ReplicaError> {
         let (mut changed, mut deleted) = (vec![], vec![]);
         for Application { name, instances } in &document.applications {
-            for i in instances {
-                let status = (!i.deleted()).then(|| Status::parse(&i.status));
-                let set = self.set(name, &i.id, status);
+            for instance in instances {
+                let status = (!instance.deleted()).then(|| Status::parse(&instance.status));
+                let set = self.set(name, &instance.id, status);
                 if set.is_err() {
                     self.listed = false;
                 }
                 set?;
-                match listing.counts(name) {
-                    true if i.deleted() => {
-                        deleted.push((i.id.clone(), Version::from_timestamps(i.dirty, i.updated)))
+                match query.counts(name) {
+                    true if instance.deleted() => {
+                        let version = Version::from_timestamps(instance.dirty, instance.updated);
+                        deleted.push((instance.id.clone(), version));
                     }
-                    true => changed.push(i.fact(listing.secure())),
+                    true => changed.push(instance.fact(query.secure())),
                     false => {}
                 }
             }
--- a/src/discovery/journal.rs
+++ b/src/discovery/journal.rs
@@ -13,13 +13,15 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// A comment comes each second; a stream that is silent for this long is cut off and opened anew: its news count
-/// as told whether or not they came, 2 s after a new process has said that it is ready.
+/// Time without a complete line after which a stream is closed and opened again. The service sends a comment every
+/// second; its events count as delivered 2 s after a new process has reported that it is ready.
 const SILENCE: Duration = Duration::from_millis(1500);
-const CONNECT: Duration = Duration::from_millis(1000);
-/// No head or line of the journal is longer: one event carries the whole list at most.
-const LINE_MOST: usize = 1 << 20;
+/// Time limit for a TCP connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Maximum size of a line and of an event's data, in bytes: an event carries at most the whole list.
+const MAX_LINE_BYTES: usize = 1 << 20;
 
+/// The part of the journal in the configuration: its events up to `pos`.
 #[derive(Deserialize)]
 struct Known {
     #[serde(default)]
@@ -28,12 +30,14 @@
     entries: Vec<Event>,
 }
 
+/// The data of one event; one without hosts concerns something else.
 #[derive(Deserialize)]
 struct Event {
     pos: Option<u64>,
     hosts: Option<Hosts>,
 }
 
+/// Instances that changed, or with `reset` all instances.
 #[derive(Deserialize)]
 struct Hosts {
     #[serde(default)]
@@ -42,6 +46,7 @@
     instances: Vec<Instance>,
 }
 
+/// An engine, as the platform describes it.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Instance {
@@ -66,7 +71,7 @@
             state: match i.lifecycle.as_str() {
                 "in_service" => EngineState::Ready,
                 "terminating" => EngineState::Draining,
-                // A state that is not known is no state to send to.
+                // Nothing is sent to an engine in an unknown state.
                 _ => EngineState::Gone,
             },
             id: i.instance_id,
@@ -84,13 +89,15 @@
 
 /// A subscription to the journal. Events are applied in order and at most once.
 pub struct Journal {
-    /// Where the service is now: a new configuration may move it.
+    /// The service's address, which a new configuration may change.
     address: watch::Receiver<SocketAddr>,
+    /// Number of the last event that was applied.
     pos: u64,
+    /// The configuration's list, delivered before the first connection.
     first: Vec<Change>,
     silence: Duration,
     backoff: Backoff,
-    /// The place after which an event could not be read: asked for once more, then passed over.
+    /// Position after which an event could not be parsed: it is requested once more, then skipped.
     unread: Option<u64>,
 }
 
@@ -126,7 +133,7 @@
                 .map(Hosts::change)
                 .collect();
             if let Some(first) = changes.first_mut() {
-                // What the configuration holds is a list as of the start, whatever its first event says.
+                // The configuration's list is as of the start, whatever its first event says.
                 first.update = ListUpdate::Stale;
             }
             journal.pos = known.pos;
@@ -135,12 +142,12 @@
         Ok(journal)
     }
 
-    /// One event of the stream; `id` is its number, or what its data says.
+    /// Applies one event of the stream; `id` is its number, which its data may give instead.
     fn event(&mut self, id: Option<u64>, data: &str) -> std::io::Result<Option<Change>> {
         let event: Event = match serde_json::from_str(data) {
             Ok(event) => event,
             Err(_) if id.is_some_and(|pos| pos <= self.pos) => return Ok(None),
-            // Spoilt on its way, it comes whole when asked for again; if not, the news after it count more.
+            // If it was corrupted in transit, a second request helps; if not, the events after it matter more.
             Err(e) if self.unread != Some(self.pos) => {
                 self.unread = Some(self.pos);
                 return Err(broken(&format!("an event cannot be read: {e}")));
@@ -160,33 +167,33 @@
 
     /// Reads one stream to its end.
     async fn follow(&mut self, address: SocketAddr, sink: &ChangeHandler) -> std::io::Result<()> {
-        let mut tcp = tokio::time::timeout(CONNECT, TcpStream::connect(address)).await??;
+        let mut tcp = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
         tcp.set_nodelay(true)?;
-        // Silent is a stream without whole lines: what trickles in is no news.
-        let mut silent_at = Instant::now() + self.silence;
+        // Only complete lines count as a sign of life, not single bytes.
+        let mut deadline = Instant::now() + self.silence;
         let request = format!(
             "GET /journal HTTP/1.1\r\nHost: {}\r\nAccept: text/event-stream\r\nLast-Event-ID: {}\r\n\r\n",
             address, self.pos
         );
-        tokio::time::timeout_at(silent_at, tcp.write_all(request.as_bytes())).await??;
+        tokio::time::timeout_at(deadline, tcp.write_all(request.as_bytes())).await??;
         let mut reader = Reader::default();
         let mut buffer = vec![0; 16 * 1024];
-        let mut come = 0;
+        let mut received = 0;
         loop {
-            let n = tokio::time::timeout_at(silent_at, tcp.read(&mut buffer)).await??;
+            let n = tokio::time::timeout_at(deadline, tcp.read(&mut buffer)).await??;
             if n == 0 {
                 return Ok(());
             }
             let lines = reader.lines;
-            come += n;
+            received += n;
             for (id, data) in reader.feed(&buffer[..n])? {
                 if let Some(change) = self.event(id, &data)? {
                     sink(change);
                 }
             }
-            // One event may be a whole list, which takes its time.
-            if reader.lines > lines || come >= buffer.len() {
-                (silent_at, come) = (Instant::now() + self.silence, 0);
+            // An event may be a whole list, whose one line takes a while: a full buffer counts as a sign of life too.
+            if reader.lines > lines || received >= buffer.len() {
+                (deadline, received) = (Instant::now() + self.silence, 0);
             }
         }
     }
@@ -200,14 +207,14 @@
             let before = self.pos;
             let address = *self.address.borrow_and_update();
             let mut moved = self.address.clone();
-            // The numbers go on at the new address; the old stream, which tells nothing more, is let go at once.
+            // Event numbers continue at the new address; the old stream brings no more events and is dropped at once.
             let following = async {
                 if let Err(e) = self.follow(address, &sink).await {
                     log_line!("journal {address}: {e}; asking again from {}", self.pos);
                 }
-                // News shows that the service is well; without any, ask ever more slowly.
-                let news = self.pos > before;
-                tokio::time::sleep(self.backoff.after(news)).await;
+                // Events show that the service works; without any, the delays grow.
+                let brought_events = self.pos > before;
+                tokio::time::sleep(self.backoff.after(brought_events)).await;
             };
             let moved = tokio::select! {
                 () = following => false,
@@ -220,17 +227,24 @@
     }
 }
 
-/// An HTTP response of server-sent events, fed in pieces as they come, cut anywhere.
+/// The number and the data of an event.
+type ServerSentEvent = (Option<u64>, String);
+
+/// Incremental parser of an HTTP response of server-sent events.
 #[derive(Default)]
 struct Reader {
+    /// Bytes that have not been parsed yet.
     raw: Vec<u8>,
+    /// Whether the body is chunked, once the head is complete.
     chunked: Option<bool>,
-    /// Left of the chunk in hand.
+    /// Bytes left of the current chunk.
     chunk: usize,
+    /// The current line so far.
     line: Vec<u8>,
+    /// Number and data of the current event so far.
     id: Option<u64>,
     data: Option<String>,
-    /// Whole lines so far.
+    /// Number of complete lines so far.
     lines: u64,
 }
 
@@ -239,7 +253,8 @@
 }
 
 impl Reader {
-    fn feed(&mut self, bytes: &[u8]) -> std::io::Result<Vec<(Option<u64>, String)>> {
+    /// Parses more bytes of the response, however it is split, and returns the events that they complete.
+    fn feed(&mut self, bytes: &[u8]) -> std::io::Result<Vec<ServerSentEvent>> {
         self.raw.extend_from_slice(bytes);
         let mut events = vec![];
         if self.chunked.is_none() && !self.head()? {
@@ -254,6 +269,7 @@
         Ok(events)
     }
 
+    /// Parses the head; returns whether it is complete.
     fn head(&mut self) -> std::io::Result<bool> {
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut response = httparse::Response::new(&mut headers);
@@ -280,7 +296,8 @@
         }
     }
 
-    fn chunks(&mut self, events: &mut Vec<(Option<u64>, String)>) -> std::io::Result<()> {
+    /// Decodes the chunked body as far as it has come.
+    fn chunks(&mut self, events: &mut Vec<ServerSentEvent>) -> std::io::Result<()> {
         loop {
             if self.chunk > 0 {
                 let n = self.chunk.min(self.raw.len());
@@ -291,7 +308,7 @@
                     return Ok(());
                 }
             }
-            // The line feed that ends the chunk before is passed over with the next size.
+            // The line end after the previous chunk is skipped together with the next size.
             while self.raw.starts_with(b"\r\n") {
                 self.raw.drain(..2);
             }
@@ -310,17 +327,14 @@
         }
     }
 
-    fn text(
-        &mut self,
-        part: &[u8],
-        events: &mut Vec<(Option<u64>, String)>,
-    ) -> std::io::Result<()> {
-        for &b in part {
-            if b != b'\n' {
-                if self.line.len() >= LINE_MOST {
+    /// Splits the body into lines.
+    fn text(&mut self, part: &[u8], events: &mut Vec<ServerSentEvent>) -> std::io::Result<()> {
+        for &byte in part {
+            if byte != b'\n' {
+                if self.line.len() >= MAX_LINE_BYTES {
                     return Err(broken("a line is too long"));
                 }
-                self.line.push(b);
+                self.line.push(byte);
                 continue;
             }
             self.lines += 1;
@@ -328,29 +342,35 @@
             let line = line.strip_suffix(b"\r").unwrap_or(&line);
             if line.is_empty() {
                 let (id, data) = (self.id.take(), self.data.take());
-                events.extend(data.map(|d| (id, d)));
-                continue;
-            }
-            let text = String::from_utf8_lossy(line);
-            let (name, value) = text.split_once(':').unwrap_or((&text, ""));
-            let value = value.strip_prefix(' ').unwrap_or(value);
-            match name {
-                "id" => self.id = value.trim().parse().ok(),
-                "data" => match &mut self.data {
-                    Some(data) if data.len() + value.len() >= LINE_MOST => {
-                        return Err(broken("an event is too long"));
-                    }
-                    Some(data) => {
-                        data.push('\n');
-                        data.push_str(value);
-                    }
-                    None => self.data = Some(value.to_string()),
-                },
-                _ => {} // a comment, or a field that is not used here
+                events.extend(data.map(|data| (id, data)));
+            } else {
+                self.field(line)?;
             }
         }
         Ok(())
     }
+
+    /// Takes in a line that is not empty: a field of the current event, or a comment.
+    fn field(&mut self, line: &[u8]) -> std::io::Result<()> {
+        let text = String::from_utf8_lossy(line);
+        let (name, value) = text.split_once(':').unwrap_or((&text, ""));
+        let value = value.strip_prefix(' ').unwrap_or(value);
+        match name {
+            "id" => self.id = value.trim().parse().ok(),
+            "data" => match &mut self.data {
+                Some(data) if data.len() + value.len() >= MAX_LINE_BYTES => {
+                    return Err(broken("an event is too long"));
+                }
+                Some(data) => {
+                    data.push('\n');
+                    data.push_str(value);
+                }
+                None => self.data = Some(value.to_string()),
+            },
+            _ => {} // a comment, or a field that is not used here
+        }
+        Ok(())
+    }
 }
 
 #[cfg(test)]
--- a/src/discovery/journal/tests.rs
+++ b/src/discovery/journal/tests.rs
@@ -40,7 +40,7 @@
         }
     }
     assert!(Reader::default().feed(b"HTTP/1.1 503 No\r\n\r\n").is_err());
-    let endless = [PLAIN.as_bytes(), &vec![b'x'; LINE_MOST + 1]].concat();
+    let endless = [PLAIN.as_bytes(), &vec![b'x'; MAX_LINE_BYTES + 1]].concat();
     assert!(
         Reader::default().feed(&endless).is_err(),
         "a line without an end"
--- a/src/discovery/membership_driver.rs
+++ b/src/discovery/membership_driver.rs
@@ -21,18 +21,20 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// What connections showed and nobody has worked through yet.
-const MOST_SEEN: usize = 4096;
-/// The snapshot is written this long after a change, and at least this often so that its age tells something.
-const SAVE: Duration = Duration::from_millis(500);
-const SAVE_ANYWAY: Duration = Duration::from_secs(30);
-/// The snapshot's file, and its longest content in bytes: 20,000 engines need about 6 MB.
+/// Maximum number of observations that wait to be applied; the oldest are dropped.
+const MAX_OBSERVATIONS: usize = 4096;
+/// Delay from a change to the snapshot, so that a burst of changes takes one write.
+const SAVE_DELAY: Duration = Duration::from_millis(500);
+/// Maximum interval between snapshots, so that a snapshot's age is that of its process's end.
+const MAX_SAVE_INTERVAL: Duration = Duration::from_secs(30);
+/// Name of the snapshot's record.
 const NAME: &str = "members";
 const KIND: RecordKind = RecordKind {
     tag: *b"MEMB",
     version: SNAPSHOT_FORMAT_VERSION,
 };
-const MOST_FILE: usize = 64 << 20;
+/// Maximum size of the snapshot, in bytes; 20,000 engines need about 6 MB.
+const MAX_SNAPSHOT_BYTES: usize = 64 << 20;
 
 /// Receives what connections to engines show of them.
 pub trait ConnectionObserver {
@@ -48,16 +50,19 @@
 pub struct MembershipDriver {
     membership: RefCell<Membership>,
     sink: ChangeHandler,
-    seen: RefCell<VecDeque<(String, Observation)>>,
+    /// Observations that wait to be applied, with their engines' IDs.
+    observations: RefCell<VecDeque<(String, Observation)>>,
+    /// Wakes `clock`.
     wake: Notify,
+    /// Wakes `keep`.
     changed: Notify,
     store: Option<Arc<RecordStore>>,
-    /// Something was told to the hub.
+    /// Whether any list of engines has been passed to `sink` yet.
     serving: Cell<bool>,
-    /// The last write that failed, until one succeeds.
-    unsaved: RefCell<Option<String>>,
+    /// Why the last write or read of the snapshot failed, until a write succeeds.
+    snapshot_problem: RefCell<Option<String>>,
     lease: RefCell<Option<Shown>>,
-    /// The engines that are out by hand now.
+    /// The engines that operators have drained.
     hands: Hands,
 }
 
@@ -66,10 +71,10 @@
 /// Returns the IDs of the engines that operators have drained by hand.
 pub type Hands = Box<dyn Fn() -> BTreeSet<String>>;
 
-/// `GET /_members`, beside what membership itself reports.
+/// The body of `GET /_members`.
 #[derive(Serialize)]
 struct Page {
-    /// Engines have been told to the dispatcher; before, a registry is waited for.
+    /// Whether the dispatcher has a list of engines, or still waits for a registry.
     serving: bool,
     #[serde(flatten)]
     report: Report,
@@ -90,10 +95,17 @@
         sink: ChangeHandler,
         hands: Hands,
     ) -> Rc<Self> {
-        let store =
-            folder.map(|f| Arc::new(RecordStore::new(LocalFileSystem, f, NAME, KIND, MOST_FILE)));
+        let store = folder.map(|f| {
+            Arc::new(RecordStore::new(
+                LocalFileSystem,
+                f,
+                NAME,
+                KIND,
+                MAX_SNAPSHOT_BYTES,
+            ))
+        });
         let mut membership = Membership::new(source.rules.clone());
-        let mut unsaved = None;
+        let mut snapshot_problem = None;
         if let Some(store) = &store {
             match load(store) {
                 Ok(Some(snapshot)) => {
@@ -107,19 +119,19 @@
                 Ok(None) => {}
                 Err(e) => {
                     log_line!("members: {e}");
-                    unsaved = Some(e.to_string());
+                    snapshot_problem = Some(e.to_string());
                 }
             }
         }
         Rc::new(MembershipDriver {
             membership: RefCell::new(membership),
             sink,
-            seen: RefCell::default(),
+            observations: RefCell::default(),
             wake: Notify::new(),
             changed: Notify::new(),
             store,
             serving: Cell::new(false),
-            unsaved: RefCell::new(unsaved),
+            snapshot_problem: RefCell::new(snapshot_problem),
             lease: RefCell::default(),
             hands,
         })
@@ -137,7 +149,7 @@
 
     /// Applies a registry's answer, together with the engines that operators have drained.
     pub fn view(&self, view: SourceUpdate) {
-        self.work_through();
+        self.apply_observations();
         self.membership
             .borrow_mut()
             .set_administratively_drained((self.hands)());
@@ -145,7 +157,7 @@
             .membership
             .borrow_mut()
             .apply_update(unix_time_millis(), view);
-        self.tell(change);
+        self.publish(change);
     }
 
     /// Records that the registry `source` could not be used; `problem` is shown to operators.
@@ -154,7 +166,7 @@
             self.membership
                 .borrow_mut()
                 .record_source_failure(unix_time_millis(), source, problem);
-        self.tell(change);
+        self.publish(change);
     }
 
     /// Applies a new configuration's servers and rules; what is known of the engines is kept.
@@ -164,7 +176,7 @@
             source.rules.clone(),
             &source.names(),
         );
-        self.tell(change);
+        self.publish(change);
     }
 
     /// Serves the engines of the restored snapshot, if there is one: for when no registry has answered.
@@ -179,7 +191,7 @@
                 change.engines.len()
             );
         }
-        self.tell(change);
+        self.publish(change);
     }
 
     /// The body of `GET /_members`: an indented JSON object and a newline. `query` is the URL's query string.
@@ -188,7 +200,7 @@
     /// The query string is not valid.
     pub fn page(&self, query: &str) -> Result<String, QueryError> {
         let query = Query::parse(query)?;
-        self.work_through();
+        self.apply_observations();
         self.membership
             .borrow_mut()
             .set_administratively_drained((self.hands)());
@@ -197,15 +209,16 @@
         let page = Page {
             serving: self.serving.get(),
             report,
-            snapshot_problem: self.unsaved.borrow().clone(),
+            snapshot_problem: self.snapshot_problem.borrow().clone(),
             registration: lease.and_then(|differs| differs()),
         };
         Ok(serde_json::to_string_pretty(&page).unwrap_or_default() + "\n")
     }
 
-    fn tell(&self, change: Option<Change>) {
-        let news = self.membership.borrow_mut().drain_log_lines();
-        news.iter().for_each(|line| log_line!("members: {line}"));
+    /// Logs what membership has to say, passes a change on and wakes the timers.
+    fn publish(&self, change: Option<Change>) {
+        let lines = self.membership.borrow_mut().drain_log_lines();
+        lines.iter().for_each(|line| log_line!("members: {line}"));
         if let Some(change) = change {
             self.serving.set(true);
             (self.sink)(change);
@@ -214,17 +227,17 @@
         self.wake.notify_one();
     }
 
-    /// Takes in what connections showed, in the order seen.
-    fn work_through(&self) {
+    /// Applies the waiting observations, in order.
+    fn apply_observations(&self) {
         loop {
-            let Some((engine, seen)) = self.seen.borrow_mut().pop_front() else {
+            let Some((engine, seen)) = self.observations.borrow_mut().pop_front() else {
                 return;
             };
             let mut membership = self.membership.borrow_mut();
             let outcome = membership.record_observation(unix_time_millis(), &engine, seen);
             drop(membership);
             if outcome.change.is_some() {
-                self.tell(outcome.change);
+                self.publish(outcome.change);
             }
         }
     }
@@ -241,10 +254,10 @@
                 () = tokio::time::sleep(sleep) => {}
                 () = self.wake.notified() => {}
             }
-            self.work_through();
+            self.apply_observations();
             let change = self.membership.borrow_mut().tick(unix_time_millis());
             if change.is_some() {
-                self.tell(change);
+                self.publish(change);
             }
         }
     }
@@ -256,9 +269,8 @@
             return;
         };
         loop {
-            let _ = tokio::time::timeout(SAVE_ANYWAY, self.changed.notified()).await;
-            // Changes come in bursts: one write for all of them.
-            tokio::time::sleep(SAVE).await;
+            let _ = tokio::time::timeout(MAX_SAVE_INTERVAL, self.changed.notified()).await;
+            tokio::time::sleep(SAVE_DELAY).await;
             let Some(snapshot) = self.membership.borrow().snapshot(unix_time_millis()) else {
                 continue;
             };
@@ -275,15 +287,15 @@
             if let Some(problem) = &problem {
                 log_line!("members: {problem}");
             }
-            *self.unsaved.borrow_mut() = problem;
+            *self.snapshot_problem.borrow_mut() = problem;
         }
     }
 }
 
 impl ConnectionObserver for MembershipDriver {
     fn report(&self, engine: &str, seen: Observation) {
-        let mut queue = self.seen.borrow_mut();
-        if queue.len() >= MOST_SEEN {
+        let mut queue = self.observations.borrow_mut();
+        if queue.len() >= MAX_OBSERVATIONS {
             queue.pop_front();
         }
         queue.push_back((engine.to_string(), seen));
@@ -291,14 +303,14 @@
     }
 
     fn opened(&self, engine: &str, at: Millis) -> bool {
-        self.work_through();
+        self.apply_observations();
         let outcome = self.membership.borrow_mut().record_observation(
             unix_time_millis(),
             engine,
             Observation::Opened { at },
         );
         if outcome.change.is_some() || outcome.restarted {
-            self.tell(outcome.change);
+            self.publish(outcome.change);
         }
         outcome.restarted
     }
--- a/src/transport/tls.rs
+++ b/src/transport/tls.rs
@@ -10,17 +10,18 @@
 use std::rc::{Rc, Weak};
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
-use tokio_rustls::rustls::crypto::ring;
+use tokio_rustls::rustls::crypto::{CryptoProvider, ring};
 use tokio_rustls::rustls::pki_types::pem::PemObject;
 use tokio_rustls::rustls::pki_types::{CertificateDer, PrivateKeyDer, pem};
+use tokio_rustls::rustls::server::danger::ClientCertVerifier;
 use tokio_rustls::rustls::server::{ClientHello, ResolvesServerCert, WebPkiClientVerifier};
 use tokio_rustls::rustls::sign::CertifiedKey;
 use tokio_rustls::rustls::{self, RootCertStore, ServerConfig, version};
 use x509_parser::prelude::{FromDer, GeneralName, X509Certificate};
 
-/// How often the files are looked at, and the keys' ends.
+/// Interval between checks of the files and of the certificates' expiry.
 const WATCH_INTERVAL: Duration = Duration::from_secs(2);
-/// Bytes of one file at most.
+/// Maximum size of one file, in bytes.
 const MAX_FILE_BYTES: u64 = 1 << 20;
 
 /// Why certificates and keys could not be loaded. The path is that of the file concerned.
@@ -57,15 +58,22 @@
 
 /// Selects the certificate by the server name (SNI) that the client asks for.
 #[derive(Debug)]
-struct Resolver(Vec<(Vec<String>, Arc<CertifiedKey>)>);
+struct Resolver(Vec<NamedKey>);
+
+/// A certificate with its key, and the DNS names that it is valid for.
+#[derive(Debug)]
+struct NamedKey {
+    names: Vec<String>,
+    key: Arc<CertifiedKey>,
+}
 
 impl ResolvesServerCert for Resolver {
     fn resolve(&self, hello: ClientHello<'_>) -> Option<Arc<CertifiedKey>> {
-        let at = certificates::select_for_host(
-            self.0.iter().map(|k| k.0.as_slice()),
+        let index = certificates::select_for_host(
+            self.0.iter().map(|k| k.names.as_slice()),
             hello.server_name(),
         );
-        self.0.get(at).map(|k| k.1.clone())
+        self.0.get(index).map(|k| k.key.clone())
     }
 }
 
@@ -138,15 +146,16 @@
         loop {
             tokio::time::sleep(WATCH_INTERVAL).await;
             let Some(keys) = keys.upgrade() else { return };
-            keys.look();
+            keys.check_files();
         }
     }
 
-    fn look(&self) {
+    /// Reloads the files if they have changed, and logs certificates that are about to expire or have expired.
+    fn check_files(&self) {
         let source = self.source.borrow().clone();
         let now = stamp(&source);
         if now != *self.stamp.borrow() {
-            // Told once for each state of the files, whatever comes of it.
+            // Each state of the files is tried and logged once, whether or not it can be used.
             *self.stamp.borrow_mut() = now;
             match self.replace(&source) {
                 Ok(()) => log_line!("tls: the keys have changed and are in force"),
@@ -154,9 +163,10 @@
             }
         }
         let loaded = self.loaded.borrow();
-        for ((file, until), notice) in loaded.ends.iter().zip(self.notices.borrow_mut().iter_mut())
+        for ((file, not_after), notice) in
+            loaded.ends.iter().zip(self.notices.borrow_mut().iter_mut())
         {
-            match notice.due(unix_time_millis(), *until) {
+            match notice.due(unix_time_millis(), *not_after) {
                 Some(left) if left < 0.0 => log_line!("tls: {}: it has expired", file.display()),
                 Some(left) => log_line!("tls: {}: it expires in {left:.1} days", file.display()),
                 None => {}
@@ -165,9 +175,10 @@
     }
 }
 
+/// The present state of all files of `source`.
 fn stamp(source: &TlsSettings) -> Stamp {
-    let one = |p: &Path| {
-        std::fs::metadata(p)
+    let file_stamp = |path: &Path| {
+        std::fs::metadata(path)
             .ok()
             .and_then(|m| Some((m.modified().ok()?, m.len())))
     };
@@ -175,9 +186,12 @@
         .certificates
         .iter()
         .flat_map(|files| [&files.chain, &files.private_key]);
-    keys.chain(&source.client_ca).map(|p| one(p)).collect()
+    keys.chain(&source.client_ca)
+        .map(|path| file_stamp(path))
+        .collect()
 }
 
+/// Reads a file of limited size.
 fn read(path: &Path) -> Result<Vec<u8>, TlsError> {
     let failed = |e| TlsError::File(path.into(), e);
     if std::fs::metadata(path).map_err(failed)?.len() > MAX_FILE_BYTES {
@@ -186,6 +200,7 @@
     std::fs::read(path).map_err(failed)
 }
 
+/// The certificates in a PEM file, at least one.
 fn certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, TlsError> {
     let all: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(&read(path)?).collect();
     match all.map_err(|e| TlsError::Pem(path.into(), e))? {
@@ -194,11 +209,11 @@
     }
 }
 
-/// Names and time of a certificate.
-fn facts(der: &[u8]) -> Option<(Vec<String>, Validity)> {
-    let (_, x) = X509Certificate::from_der(der).ok()?;
+/// DNS names (subject alternative names) and validity of a certificate.
+fn names_and_validity(der: &[u8]) -> Option<(Vec<String>, Validity)> {
+    let (_, certificate) = X509Certificate::from_der(der).ok()?;
     let mut names: Vec<String> = vec![];
-    if let Ok(Some(alternatives)) = x.subject_alternative_name() {
+    if let Ok(Some(alternatives)) = certificate.subject_alternative_name() {
         names.extend(
             alternatives
                 .value
@@ -210,21 +225,21 @@
                 }),
         );
     }
-    let ms = |t: i64| t as f64 * 1000.0;
-    let v = x.validity();
+    let millis = |seconds: i64| seconds as f64 * 1000.0;
+    let validity = certificate.validity();
     Some((
         names,
         Validity {
-            not_before: ms(v.not_before.timestamp()),
-            not_after: ms(v.not_after.timestamp()),
+            not_before: millis(validity.not_before.timestamp()),
+            not_after: millis(validity.not_after.timestamp()),
         },
     ))
 }
 
 /// The first common name of the subject of a DER certificate; `None` if there is none or the certificate is invalid.
 pub fn common_name(der: &[u8]) -> Option<String> {
-    let (_, x) = X509Certificate::from_der(der).ok()?;
-    let name = x
+    let (_, certificate) = X509Certificate::from_der(der).ok()?;
+    let name = certificate
         .subject()
         .iter_common_name()
         .next()?
@@ -234,28 +249,14 @@
     Some(name)
 }
 
+/// Loads all files of `source` and builds the configuration; `now` is in milliseconds since the Unix epoch.
 fn read_all(source: &TlsSettings, now: f64) -> Result<Loaded, TlsError> {
     let provider = Arc::new(ring::default_provider());
     let (mut all, mut ends) = (vec![], vec![]);
-    for CertificateFiles {
-        chain: cert,
-        private_key: key,
-    } in &source.certificates
-    {
-        let chain = certificates(cert)?;
-        let first = chain.first().ok_or_else(|| TlsError::Empty(cert.clone()))?;
-        let (names, validity) = facts(first).ok_or_else(|| TlsError::Certificate(cert.clone()))?;
-        certificates::check_validity(now, validity)
-            .map_err(|e| TlsError::CertificateError(cert.clone(), e))?;
-        let private = PrivateKeyDer::from_pem_slice(&read(key)?)
-            .map_err(|e| TlsError::Pem(key.clone(), e))?;
-        // The two belong together, or this fails.
-        let certified = CertifiedKey::from_der(chain, private, &provider);
-        all.push((
-            names,
-            Arc::new(certified.map_err(|e| TlsError::Key(key.clone(), e))?),
-        ));
-        ends.push((cert.clone(), validity.not_after));
+    for files in &source.certificates {
+        let (named, not_after) = read_certificate(files, &provider, now)?;
+        all.push(named);
+        ends.push((files.chain.clone(), not_after));
     }
     let versions: &[&rustls::SupportedProtocolVersion] = if source.min_version == TlsVersion::Tls13
     {
@@ -266,17 +267,7 @@
     let builder =
         ServerConfig::builder_with_provider(provider.clone()).with_protocol_versions(versions)?;
     let builder = match &source.client_ca {
-        Some(path) => {
-            let mut roots = RootCertStore::empty();
-            for c in certificates(path)? {
-                roots.add(c).map_err(|e| TlsError::Key(path.clone(), e))?;
-            }
-            let verifier = WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider)
-                .allow_unauthenticated()
-                .build()
-                .map_err(|e| TlsError::Verifier(path.clone(), e))?;
-            builder.with_client_cert_verifier(verifier)
-        }
+        Some(path) => builder.with_client_cert_verifier(client_verifier(path, provider)?),
         None => builder.with_no_client_auth(),
     };
     Ok(Loaded {
@@ -284,3 +275,43 @@
         ends,
     })
 }
+
+/// Loads a certificate chain with its private key, and the end of its validity in milliseconds since the Unix epoch.
+fn read_certificate(
+    CertificateFiles { chain, private_key }: &CertificateFiles,
+    provider: &CryptoProvider,
+    now: f64,
+) -> Result<(NamedKey, f64), TlsError> {
+    let certificates = certificates(chain)?;
+    let first = certificates
+        .first()
+        .ok_or_else(|| TlsError::Empty(chain.clone()))?;
+    let (names, validity) =
+        names_and_validity(first).ok_or_else(|| TlsError::Certificate(chain.clone()))?;
+    certificates::check_validity(now, validity)
+        .map_err(|e| TlsError::CertificateError(chain.clone(), e))?;
+    let key = PrivateKeyDer::from_pem_slice(&read(private_key)?)
+        .map_err(|e| TlsError::Pem(private_key.clone(), e))?;
+    // Fails if the key does not belong to the certificate.
+    let certified = CertifiedKey::from_der(certificates, key, provider)
+        .map_err(|e| TlsError::Key(private_key.clone(), e))?;
+    let key = Arc::new(certified);
+    Ok((NamedKey { names, key }, validity.not_after))
+}
+
+/// The verifier of client certificates by the CA certificates in a file; clients without a certificate are allowed.
+fn client_verifier(
+    path: &Path,
+    provider: Arc<CryptoProvider>,
+) -> Result<Arc<dyn ClientCertVerifier>, TlsError> {
+    let mut roots = RootCertStore::empty();
+    for certificate in certificates(path)? {
+        roots
+            .add(certificate)
+            .map_err(|e| TlsError::Key(path.into(), e))?;
+    }
+    WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider)
+        .allow_unauthenticated()
+        .build()
+        .map_err(|e| TlsError::Verifier(path.into(), e))
+}
