--- a/src/discovery/eureka/format.rs
+++ b/src/discovery/eureka/format.rs
@@ -52,21 +52,21 @@
     }
 }
 
-/// One or many: the registry's JSON leaves the brackets out where there is one. Read without a copy in between,
-/// for a whole list is many megabytes.
-struct Many<T>(Vec<T>);
+/// A list that the registry's JSON writes without brackets if it has one element. Deserialized without an intermediate
+/// value, since a full list takes many megabytes.
+struct OneOrMany<T>(Vec<T>);
 
-impl<T> Default for Many<T> {
+impl<T> Default for OneOrMany<T> {
     fn default() -> Self {
-        Many(vec![])
+        OneOrMany(vec![])
     }
 }
 
-impl<'de, T: Deserialize<'de>> Deserialize<'de> for Many<T> {
+impl<'de, T: Deserialize<'de>> Deserialize<'de> for OneOrMany<T> {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        struct OneOrMany<T>(PhantomData<T>);
-        impl<'de, T: Deserialize<'de>> Visitor<'de> for OneOrMany<T> {
-            type Value = Many<T>;
+        struct ListVisitor<T>(PhantomData<T>);
+        impl<'de, T: Deserialize<'de>> Visitor<'de> for ListVisitor<T> {
+            type Value = OneOrMany<T>;
             fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                 f.write_str("one or many")
             }
@@ -75,82 +75,82 @@
                 while let Some(one) = seq.next_element()? {
                     all.push(one);
                 }
-                Ok(Many(all))
+                Ok(OneOrMany(all))
             }
             fn visit_map<A: MapAccess<'de>>(self, map: A) -> Result<Self::Value, A::Error> {
                 T::deserialize(de::value::MapAccessDeserializer::new(map))
-                    .map(|one| Many(vec![one]))
+                    .map(|one| OneOrMany(vec![one]))
             }
             fn visit_unit<E>(self) -> Result<Self::Value, E> {
-                Ok(Many(vec![]))
+                Ok(OneOrMany(vec![]))
             }
         }
-        d.deserialize_any(OneOrMany(PhantomData))
+        d.deserialize_any(ListVisitor(PhantomData))
     }
 }
 
-/// A text, a number or a truth, as a text: registries differ in which they write. What is deeper is passed over.
-struct Loose(Option<String>);
+/// A string, number or boolean as a string, since registries differ in which they write. Nested values are ignored.
+struct Scalar(Option<String>);
 
-impl<'de> Deserialize<'de> for Loose {
+impl<'de> Deserialize<'de> for Scalar {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        struct Text;
-        impl<'de> Visitor<'de> for Text {
-            type Value = Loose;
+        struct ScalarVisitor;
+        impl<'de> Visitor<'de> for ScalarVisitor {
+            type Value = Scalar;
             fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                 f.write_str("a text or a number")
             }
-            fn visit_str<E>(self, v: &str) -> Result<Loose, E> {
-                Ok(Loose(Some(v.to_string())))
+            fn visit_str<E>(self, v: &str) -> Result<Scalar, E> {
+                Ok(Scalar(Some(v.to_string())))
             }
-            fn visit_bool<E>(self, v: bool) -> Result<Loose, E> {
-                Ok(Loose(Some(v.to_string())))
+            fn visit_bool<E>(self, v: bool) -> Result<Scalar, E> {
+                Ok(Scalar(Some(v.to_string())))
             }
-            fn visit_u64<E>(self, v: u64) -> Result<Loose, E> {
-                Ok(Loose(Some(v.to_string())))
+            fn visit_u64<E>(self, v: u64) -> Result<Scalar, E> {
+                Ok(Scalar(Some(v.to_string())))
             }
-            fn visit_i64<E>(self, v: i64) -> Result<Loose, E> {
-                Ok(Loose(Some(v.to_string())))
+            fn visit_i64<E>(self, v: i64) -> Result<Scalar, E> {
+                Ok(Scalar(Some(v.to_string())))
             }
-            fn visit_f64<E>(self, v: f64) -> Result<Loose, E> {
-                Ok(Loose(Some(v.to_string())))
+            fn visit_f64<E>(self, v: f64) -> Result<Scalar, E> {
+                Ok(Scalar(Some(v.to_string())))
             }
-            fn visit_unit<E>(self) -> Result<Loose, E> {
-                Ok(Loose(None))
+            fn visit_unit<E>(self) -> Result<Scalar, E> {
+                Ok(Scalar(None))
             }
-            fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Loose, A::Error> {
+            fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Scalar, A::Error> {
                 while seq.next_element::<de::IgnoredAny>()?.is_some() {}
-                Ok(Loose(None))
+                Ok(Scalar(None))
             }
-            fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Loose, A::Error> {
-                // An element of XML that holds a text.
+            fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Scalar, A::Error> {
+                // An XML element with text content.
                 let mut text = None;
                 while let Some(key) = map.next_key::<String>()? {
                     match key.as_str() {
-                        "$text" => text = map.next_value::<Loose>()?.0,
+                        "$text" => text = map.next_value::<Scalar>()?.0,
                         _ => drop(map.next_value::<de::IgnoredAny>()?),
                     }
                 }
-                Ok(Loose(text))
+                Ok(Scalar(text))
             }
         }
-        d.deserialize_any(Text)
+        d.deserialize_any(ScalarVisitor)
     }
 }
 
-fn number(loose: Option<Loose>) -> Option<f64> {
-    loose.and_then(|l| l.0).and_then(|t| t.trim().parse().ok())
+/// The number that a scalar holds.
+fn number(scalar: Option<Scalar>) -> Option<f64> {
+    scalar.and_then(|l| l.0).and_then(|t| t.trim().parse().ok())
 }
 
-/// Metadata of ours is text; entries of other kinds are passed over.
-fn texts(all: Option<BTreeMap<String, Loose>>) -> BTreeMap<String, String> {
+/// The entries of an instance's metadata that are used; other applications' metadata may be long.
+fn used_metadata(all: Option<BTreeMap<String, Scalar>>) -> BTreeMap<String, String> {
     let all = all.unwrap_or_default().into_iter();
-    // Only what is used is kept: others' metadata may be long.
     let used = all.filter(|(k, _)| matches!(k.as_str(), "zone" | "kind"));
     used.filter_map(|(k, v)| Some((k, v.0?))).collect()
 }
 
-/// What both formats word alike, but for ports and metadata.
+/// An instance in either format; the formats differ in how they write a port, `P`.
 #[derive(serde::Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Common<P> {
@@ -159,46 +159,46 @@
     ip_addr: Option<String>,
     status: String,
     overriddenstatus: Option<String>,
-    /// The same, as later registries word it in JSON.
+    /// The same, as later registries spell it in JSON.
     overridden_status: Option<String>,
     port: Option<P>,
     secure_port: Option<P>,
     action_type: Option<String>,
     lease_info: Option<Lease>,
-    metadata: Option<BTreeMap<String, Loose>>,
-    last_updated_timestamp: Option<Loose>,
-    last_dirty_timestamp: Option<Loose>,
+    metadata: Option<BTreeMap<String, Scalar>>,
+    last_updated_timestamp: Option<Scalar>,
+    last_dirty_timestamp: Option<Scalar>,
     data_center_info: Option<DataCentre>,
 }
 
 #[derive(serde::Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Lease {
-    service_up_timestamp: Option<Loose>,
+    service_up_timestamp: Option<Scalar>,
 }
 
 #[derive(serde::Deserialize)]
 struct DataCentre {
-    metadata: Option<BTreeMap<String, Loose>>,
+    metadata: Option<BTreeMap<String, Scalar>>,
 }
 
 #[derive(serde::Deserialize)]
 struct JsonPort {
     #[serde(rename = "$")]
-    number: Loose,
+    number: Scalar,
     #[serde(rename = "@enabled")]
-    enabled: Option<Loose>,
+    enabled: Option<Scalar>,
 }
 
 #[derive(serde::Deserialize)]
 struct XmlPort {
     #[serde(rename = "$text")]
-    number: Option<Loose>,
+    number: Option<Scalar>,
     #[serde(rename = "@enabled")]
-    enabled: Option<Loose>,
+    enabled: Option<Scalar>,
 }
 
-fn port(number: Option<Loose>, enabled: Option<Loose>) -> Port {
+fn port(number: Option<Scalar>, enabled: Option<Scalar>) -> Port {
     let number = number.and_then(|l| l.0).and_then(|t| t.trim().parse().ok());
     Port {
         number,
@@ -231,7 +231,7 @@
             started: number(self.lease_info.and_then(|l| l.service_up_timestamp)),
             dirty: number(self.last_dirty_timestamp),
             updated: number(self.last_updated_timestamp),
-            metadata: texts(self.metadata),
+            metadata: used_metadata(self.metadata),
             zone,
         })
     }
@@ -254,16 +254,16 @@
 #[derive(serde::Deserialize)]
 struct JsonApplication {
     name: String,
-    #[serde(default = "Many::default")]
-    instance: Many<JsonInstance>,
+    #[serde(default = "OneOrMany::default")]
+    instance: OneOrMany<JsonInstance>,
 }
 
 #[derive(serde::Deserialize)]
 struct JsonApplications {
     #[serde(rename = "apps__hashcode")]
     hashcode: Option<String>,
-    #[serde(default = "Many::default")]
-    application: Many<JsonApplication>,
+    #[serde(default = "OneOrMany::default")]
+    application: OneOrMany<JsonApplication>,
 }
 
 #[derive(serde::Deserialize)]
@@ -278,38 +278,40 @@
 /// # Errors
 /// The JSON is invalid or incomplete, a field is missing, or it is none of those objects.
 pub fn json(body: &[u8]) -> Result<Document, FormatError> {
-    let one = |a: JsonApplication| Application {
-        name: a.name,
-        instances: a.instance.0.into_iter().map(|i| i.0).collect(),
+    let application = |json: JsonApplication| Application {
+        name: json.name,
+        instances: json.instance.0.into_iter().map(|i| i.0).collect(),
     };
     let document: JsonDocument = serde_json::from_slice(body)?;
     match document {
-        // Without a hash code it is some other service's answer, or half of one.
+        // Without a hash code it is another service's answer, or an incomplete one.
         JsonDocument {
             applications:
                 Some(JsonApplications {
-                    hashcode: Some(hash),
-                    application,
+                    hashcode: Some(hashcode),
+                    application: all,
                 }),
             ..
         } => Ok(Document {
-            hashcode: Some(hash),
-            applications: application.0.into_iter().map(one).collect(),
+            hashcode: Some(hashcode),
+            applications: all.0.into_iter().map(application).collect(),
         }),
         JsonDocument {
-            application: Some(a),
+            application: Some(single),
             ..
         } => Ok(Document {
             hashcode: None,
-            applications: vec![one(a)],
+            applications: vec![application(single)],
         }),
         JsonDocument {
-            instance: Some(i), ..
-        } => Ok(single(i.0)),
+            instance: Some(instance),
+            ..
+        } => Ok(single(instance.0)),
         _ => Err(FormatError::Empty),
     }
 }
 
+/// A document of a single instance.
 fn single(instance: Instance) -> Document {
     Document {
         hashcode: None,
@@ -352,23 +354,23 @@
 /// The body is not UTF-8, the XML is invalid or incomplete, an element is missing, or the root is none of those.
 pub fn xml(body: &[u8]) -> Result<Document, FormatError> {
     let text = std::str::from_utf8(body).map_err(|_| FormatError::Text)?;
-    let one = |a: XmlApplication| Application {
-        name: a.name,
-        instances: a.instance.into_iter().map(|i| i.0).collect(),
+    let application = |xml: XmlApplication| Application {
+        name: xml.name,
+        instances: xml.instance.into_iter().map(|i| i.0).collect(),
     };
     match root(text)?.as_str() {
         "applications" => {
             let all: XmlApplications = quick_xml::de::from_str(text)?;
             Ok(Document {
                 hashcode: Some(all.hashcode),
-                applications: all.application.into_iter().map(one).collect(),
+                applications: all.application.into_iter().map(application).collect(),
             })
         }
         "application" => {
-            let app: XmlApplication = quick_xml::de::from_str(text)?;
+            let single: XmlApplication = quick_xml::de::from_str(text)?;
             Ok(Document {
                 hashcode: None,
-                applications: vec![one(app)],
+                applications: vec![application(single)],
             })
         }
         "instance" => Ok(single(quick_xml::de::from_str::<XmlInstance>(text)?.0)),
--- a/src/discovery/eureka/lease.rs
+++ b/src/discovery/eureka/lease.rs
@@ -1,5 +1,5 @@
-//! Keeps this dispatcher registered, so that proxies find it: `registration` decides what to
-//! send, this module sends it.
+//! Keeps this dispatcher registered, so that proxies find it: the `registration` module decides what to send, this one
+//! sends it.
 
 use crate::clock::duration_from_millis;
 use crate::clock::unix_time_millis;
