--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,35 +1,35 @@
-//! hitchwinch makes a query gateway's decisions: what runs, where, with how much memory and at what
-//! priority. The gateway reports events; the [`Controller`] answers with actions. It opens no
+//! hitchwinch makes a query dispatcher's decisions: what runs, where, with how much memory and at what
+//! priority. The dispatcher reports events; the [`Controller`] answers with actions. It opens no
 //! socket, reads no clock and keeps no state outside itself.
 //!
 //! ```
 //! use query_dispatcher::*;
 //!
 //! let class = Class {
-//!     worth: 1.0, aim: 500.0, aim_stretch: 2.0, late_share: 0.0, effect: Effect::Safe,
-//!     in_order: false, only_zones: None, only_kinds: None, threads: 1.0,
+//!     priority_weight: 1.0, latency_objective: 500.0, latency_objective_slowdown: 2.0, late_answer_weight: 0.0, idempotency: Idempotency::Idempotent,
+//!     in_order: false, allowed_zones: None, allowed_kinds: None, threads: 1.0,
 //!     holds_tables: false, waits_for_loads: false,
 //! };
 //! let settings = Settings {
-//!     gateways: 1, zone: None, step: 5.0, classes: vec![class], tenants: vec![],
-//!     kinds: vec![Kind { cores: 8.0, memory_mb: 16384.0 }], over_share_worth: 1.0,
+//!     dispatchers: 1, zone: None, step: 5.0, classes: vec![class], tenants: vec![],
+//!     kinds: vec![Kind { cores: 8.0, memory_mb: 16384.0 }], over_quota_weight: 1.0,
 //!     limits: Limits {
-//!         most_attempts: 3, second_copies: false, cancel: true, probes: false,
-//!         retry_advice: true, max_retry_after: 500.0,
+//!         max_attempts: 3, hedging: false, cancel: true, probes: false,
+//!         sends_retry_after: true, max_retry_after: 500.0,
 //!     },
-//!     engines: EngineFacts { takes_grants: false, takes_priority: false, most_grant: 0.4, tells_cost: false, overcommits: false, notes_every: 0.0 },
+//!     engines: EngineCapabilities { accepts_memory_grants: false, accepts_priority: false, max_grant_share: 0.4, reports_cost: false, overcommits_memory: false, progress_interval: 0.0 },
 //!     rules: Rules {
-//!         answer_grace: 20.0, drain_grace: 250.0, cold_from: 0.3, warm_within: 14000.0,
-//!         fall_multiple: 3.0, fall_window: 1500.0, order_rest: 0.0, attempt_budget: None,
+//!         answer_grace: 20.0, drain_grace: 250.0, initial_warm_up_capacity: 0.3, warm_up_period: 14000.0,
+//!         overload_multiple: 3.0, overload_window: 1500.0, order_quiet_period: 0.0, retry_budget: None,
 //!     },
-//!     report_fields: vec![], must_subscribe: false, cross_zone_price: 0.0,
+//!     report_fields: vec![], must_subscribe: false, cross_zone_cost: 0.0,
 //! };
 //! let mut controller = Controller::new(settings, 7)?;
 //! let mut actions = Vec::new();
 //! let entries = vec![EngineEntry {
 //!     engine: "db-1".into(), state: EngineState::Ready, started: None, kind: Some(0), zone: None, cell: 0,
 //! }];
-//! controller.handle(0.0, Event::Engines { update: ListUpdate::Stale, entries }, &mut actions);
+//! controller.handle(0.0, Event::EngineList { update: ListUpdate::Stale, entries }, &mut actions);
 //! let query = Query {
 //!     id: 1, class: 0, tenant: None, key: None, tables: None, time_left: 2000.0, work: None, memory_mb: None,
 //! };
