--- a/src/decision/placement.rs
+++ b/src/decision/placement.rs
@@ -1,39 +1,40 @@
-//! The choice of an engine: of the first few usable ones in the dispatcher's own order two at
-//! random, and of these the less loaded.
+//! Choice of an engine for an attempt: takes the first few usable engines in this dispatcher's own
+//! order, draws two of them at random, and chooses the less loaded one.
 
-use super::admission::CALM_UTILIZATION;
+use super::admission::LOW_UTILIZATION;
 use super::controller::Controller;
 use super::model::utilization::FULL_UTILIZATION;
 use super::model::{Action, ClassId, Millis, QueryId, endpoint_list::EngineIndex};
 use super::model::{request::PendingRequest, request::Probing, selection::smallest_by_key};
 
-/// Engines that a query chooses among.
+/// Number of engines from which the two candidates of a query are drawn.
 pub(super) const CHOICE_SIZE: usize = 4;
 
-/// Engines that one decision looks at closely. Of a larger fleet these are the first with
-/// capacity in the dispatcher's own order, so that a decision costs no more before thousands of
-/// engines than before a hundred.
+/// Maximum number of engines that one decision examines closely. In a larger fleet these are the
+/// first engines with capacity in the dispatcher's own order, so that a decision costs no more with
+/// thousands of engines than with a hundred.
 pub(super) const CANDIDATE_LIMIT: usize = 128;
 
-/// How long a query waits for the probes of its candidates, ms: a few round trips.
+/// Maximum time that a query waits for the probes of its candidates, ms: a few round trips.
 const PROBE_TIMEOUT: Millis = 25.0;
 
-/// When no probed candidate has capacity, others are probed after this time, ms.
+/// Time after which other engines are probed when no probed candidate has capacity, ms.
 const PROBE_PAUSE: Millis = 200.0;
 
-/// A cost below this part of a class's weight is paid for a better engine.
-const NEGLIGIBLE_COST: f64 = 0.03;
+/// Cross-zone cost that is accepted for a better engine, as a fraction of the class's priority weight.
+const NEGLIGIBLE_COST_FRACTION: f64 = 0.03;
 
-/// Part of its spare time that a bulk load waits for an engine of its half.
-const AFFINITY_PATIENCE: f64 = 0.7;
+/// Fraction of its spare time that a bulk load waits for an engine of its half of the fleet.
+const AFFINITY_WAIT_FRACTION: f64 = 0.7;
 
-/// How long a report of a bulk load that locks tables keeps others away, ms.
+/// Time for which a reported table lock of a bulk load keeps other queries away from the engine, ms.
 pub(super) const TABLE_LOCK_TTL: Millis = 1000.0;
 
 impl Controller {
-    /// Of two random engines among those `with_capacity` for its class, the one with less
-    /// work of this dispatcher. If both have equally much, the one less utilized by a fresh
-    /// report, after a probe of both where there is none. `None`: the request waits.
+    /// Draws two random engines from those `with_capacity` for the request's class, and returns the
+    /// one with less work of this dispatcher. If both have the same amount, returns the less utilized
+    /// one by a fresh load report, and probes the engines first that have none. Returns `None` if the
+    /// request has to wait.
     pub(super) fn select_engine(
         &mut self,
         id: QueryId,
@@ -60,8 +61,8 @@
         self.less_loaded(&pair)
     }
 
-    /// The engines in service that have capacity for a query of this class; of a large
-    /// fleet the preferred ones.
+    /// Returns the engines in service that have capacity for a query of this class. In a large fleet,
+    /// returns only preferred ones, if there are any.
     pub(super) fn engines_with_capacity(&self, class: ClassId) -> Vec<EngineIndex> {
         let class = &self.state.classes[class].settings;
         let ready = self.state.engines.ready_indices();
@@ -101,7 +102,7 @@
         self.has_capacity(engine, threads) && self.may_send(request, engine)
     }
 
-    /// Two different engines at random, or the only one.
+    /// Draws two different engines at random, or returns the only one.
     fn sample_pair(&mut self, candidates: &[EngineIndex]) -> Vec<EngineIndex> {
         let count = candidates.len() as u64;
         let first = self.rng.rand_range(0..count) as usize;
@@ -113,7 +114,8 @@
         pair
     }
 
-    /// The engines to choose among, at least one; `None`: the request waits.
+    /// Returns the engines, at least one, from which two are drawn, or `None` if the request has to
+    /// wait.
     fn candidates(
         &self,
         request: &PendingRequest,
@@ -124,11 +126,11 @@
             return None;
         }
         let mut candidates = match request.may_repeat_only_near_first_attempt() {
-            // Those few may not be among the preferred ones.
+            // The few engines that qualify may not be among the preferred ones.
             true => self.usable_engines(request),
             false => with_capacity.to_vec(),
         };
-        // Between two probes only engines that are known by a fresh report are considered.
+        // While probing is paused, only engines with a fresh load report are considered.
         if request.is_probing_paused(state.now) {
             candidates.retain(|&engine| state.has_fresh_report(engine));
         }
@@ -139,13 +141,13 @@
             state.has_memory_for(request, engine)
         });
         self.apply_table_affinity(request, &mut candidates)?;
-        let candidates = self.first_choices(request, candidates);
+        let candidates = self.preferred_candidates(request, candidates);
         let candidates = self.up_to_median_load(candidates);
         (!candidates.is_empty()).then_some(candidates)
     }
 
-    /// Removes outliers, even the last with capacity, while another engine is healthy: what fails
-    /// fast has capacity for all, and would get the attempts of all.
+    /// Removes the outliers while another engine is healthy, even if no candidate remains: an engine
+    /// that fails fast always has capacity and would attract the attempts of all queries.
     fn remove_outliers(&self, request: &PendingRequest, candidates: &mut Vec<EngineIndex>) {
         let is_healthy = |engine: &EngineIndex| !self.is_outlier(*engine);
         if candidates.iter().all(is_healthy) {
@@ -157,10 +159,12 @@
         }
     }
 
-    /// Bulk loads of a table group prefer one half of the engines, its readers the other: all
-    /// dispatchers know the halves without communication. Halves by rank, since with one engine of
-    /// six to itself a hot group lost an eighth of its loads. Cost: half the choice. `None`: a load
-    /// waits, for readers would stall behind it elsewhere.
+    /// Keeps the candidates that the table group of the query prefers: bulk loads of a group prefer
+    /// one half of the engines, and readers of the group the other half. The halves follow from the
+    /// ranks of the engines, so that all dispatchers agree on them without communication. A group
+    /// gets half of the engines because a group with many queries that had one engine of six to
+    /// itself lost an eighth of its loads. The cost is that the choice is halved. Returns `None` if a
+    /// load has to wait, since readers would stall behind it on the other engines.
     fn apply_table_affinity(
         &self,
         request: &PendingRequest,
@@ -175,10 +179,12 @@
         };
         let middle = engines.median_rank(group);
         let is_in_half = |engine: EngineIndex| (engines[engine].rank(group) < middle) == is_load;
-        // A lock may have ended by now: others get that engine's capacity for a while.
+        // The lock may have ended by now: other queries get the capacity of that engine until the
+        // record expires.
         let now = self.state.now;
         let is_locked = |e: EngineIndex| engines[e].is_table_locked(now, TABLE_LOCK_TTL, group);
-        let wait_until = request.arrived_at + AFFINITY_PATIENCE * class.cost.spare_time(request);
+        let wait_until =
+            request.arrived_at + AFFINITY_WAIT_FRACTION * class.cost.spare_time(request);
         let stalls = self.state.utilization.has_stalling_classes();
         let is_best = |&engine: &EngineIndex| is_in_half(engine) && !is_locked(engine);
         if is_load && stalls && now < wait_until && !candidates.iter().any(is_best) {
@@ -189,10 +195,11 @@
         Some(())
     }
 
-    /// The first few candidates in the dispatcher's own order: its zone's, unless that does not
-    /// matter; warming ones, for random admissions left unused leave them idle; those it knows, for
-    /// few connections. Cost: less choice.
-    fn first_choices(
+    /// Returns the first few candidates in the dispatcher's own order. It prefers engines of its own
+    /// zone, where that matters; engines that are warming up, since they stay idle if their random
+    /// admissions are not used; and engines that have responded before, to keep connections few. The
+    /// cost is a smaller choice.
+    fn preferred_candidates(
         &self,
         request: &PendingRequest,
         candidates: Vec<EngineIndex>,
@@ -212,18 +219,21 @@
         })
     }
 
-    /// Not if crossing costs little of a query's weight, nor if the zone is full and another not
-    /// (lost racks).
+    /// Returns whether engines of the dispatcher's own zone are preferred. They are not if the
+    /// cross-zone cost is small compared with the priority weight of the query, or if the own zone is
+    /// full and another is not, as after the loss of racks.
     fn prefers_own_zone(&self, request: &PendingRequest) -> bool {
         let state = &self.state;
-        let crossing = state.settings.cross_zone_cost * state.mean_priority_weight.mean_or(0.0);
+        let crossing_cost =
+            state.settings.cross_zone_cost * state.mean_priority_weight.mean_or(0.0);
         let weight = state.class(&request.query).settings.priority_weight;
         let limit = state.lowest_zone_utilization().max(FULL_UTILIZATION);
-        crossing > NEGLIGIBLE_COST * weight && state.utilization.zone(state.settings.zone) <= limit
+        crossing_cost > NEGLIGIBLE_COST_FRACTION * weight
+            && state.utilization.zone(state.settings.zone) <= limit
     }
 
-    /// Those with no more of our attempts than the median: two chosen blindly would often be the
-    /// busiest.
+    /// Keeps the candidates with no more attempts of this dispatcher in flight than the median, since
+    /// two random ones of all candidates would often be the busiest.
     fn up_to_median_load(&self, mut candidates: Vec<EngineIndex>) -> Vec<EngineIndex> {
         let in_flight = |engine: EngineIndex| self.state.engines[engine].in_flight.len();
         let mut counts: Vec<usize> = candidates.iter().map(|&engine| in_flight(engine)).collect();
@@ -233,9 +243,9 @@
         candidates
     }
 
-    /// Of the first and the last candidate the one with less of our work, then the less utilized.
-    /// An engine that fails its queries is empty for that reason: its failures count as
-    /// utilization.
+    /// Returns the first or the last candidate, whichever has less work of this dispatcher, or the less
+    /// utilized one if both have the same. The failure rate is added to the utilization, since an
+    /// engine that fails its queries is idle for that very reason.
     fn less_loaded(&self, candidates: &[EngineIndex]) -> Option<EngineIndex> {
         let first = *candidates.first()?;
         let last = *candidates.last()?;
@@ -251,8 +261,8 @@
         Some(if is_last_better { last } else { first })
     }
 
-    /// Neither this dispatcher's own attempts nor reports tell the engines apart, and they may be
-    /// loaded.
+    /// Returns whether the engines should be probed: neither this dispatcher's own attempts nor fresh
+    /// load reports distinguish them, and they may be loaded.
     fn should_probe(&self, id: QueryId, pair: &[EngineIndex]) -> bool {
         let state = &self.state;
         let request = &state.requests[&id];
@@ -263,18 +273,19 @@
             && !request.is_probing_paused(state.now)
             && state.engines[pair[0]].is_budget_fractional(threads)
             && !pair.iter().all(|&engine| state.has_fresh_report(engine))
-            && !self.is_calm()
+            && !self.is_utilization_low()
     }
 
-    /// Utilization is known to be low everywhere. No report shows that where readers stall behind
-    /// bulk loads.
-    fn is_calm(&self) -> bool {
+    /// Returns whether the least utilized zone is known to have a low utilization, so that probes are
+    /// not needed. Load reports do not show this where readers stall behind bulk loads.
+    fn is_utilization_low(&self) -> bool {
         let utilization = &self.state.utilization;
         !utilization.has_stalling_classes()
             && utilization.known_zones().next().is_some()
-            && self.state.lowest_zone_utilization() < CALM_UTILIZATION
+            && self.state.lowest_zone_utilization() < LOW_UTILIZATION
     }
 
+    /// Probes the candidates without a fresh load report, and lets the request wait for the reports.
     fn probe(&mut self, id: QueryId, candidates: Vec<EngineIndex>) {
         for &engine in &candidates {
             if !self.state.has_fresh_report(engine) {
@@ -286,7 +297,7 @@
     }
 }
 
-/// Keeps the candidates that pass, if any does.
+/// Keeps only the preferred candidates, if there are any.
 fn retain_preferred(candidates: &mut Vec<EngineIndex>, is_preferred: impl Fn(EngineIndex) -> bool) {
     if candidates.iter().any(|&engine| is_preferred(engine)) {
         candidates.retain(|&engine| is_preferred(engine));
