--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -1,14 +1,15 @@
-//! The end of an attempt, with what is learned from it, and the end of a request.
+//! Handles the end of an attempt, updates the estimates from it, and finishes requests.
 
-use super::concurrency_limit::OVERLOAD_SIGN;
+use super::concurrency_limit::INFERRED_OVERLOAD_UTILIZATION;
 use super::controller::Controller;
 use super::model::{Action, Ended, Outcome, QueryId, request_lifecycle::EndedAttempt};
 
-/// An attempt runs far too long, or by a bad plan, at this multiple of the usual service time.
+/// Multiple of the usual service time from which an attempt counts as far too slow, as with a bad
+/// query plan.
 pub(super) const SLOW_PLAN_FACTOR: f64 = 4.0;
 
 impl Controller {
-    /// Learns from the end of an attempt, and ends its request or retries it.
+    /// Updates the estimates when an attempt ends, and finishes or retries its request.
     pub(super) fn on_attempt_ended(&mut self, ended: &Ended) {
         let Some(attempt) = self.state.end_attempt(ended) else {
             return;
@@ -28,7 +29,8 @@
         self.state.remove_if_done(ended.id);
     }
 
-    /// What its process before a restart had says nothing of the present one.
+    /// Records the outcome and the load report of an ended attempt for its engine. Both are ignored
+    /// if the engine has restarted since, as they do not describe the present process.
     fn record_response(&mut self, attempt: &EndedAttempt, ended: &Ended) {
         if ended.outcome.is_response() {
             self.record_activity(attempt.engine);
@@ -46,18 +48,21 @@
         }
     }
 
-    /// No answer, so no report, and none since it was sent: that it ran for so long is the only
-    /// sign of an overload where no probe may ask. Cost: lost answers and bad plans count, as their
-    /// part of all.
+    /// Records an overload of the engine if an attempt ran far too long without an answer and no
+    /// load report has come since it was sent. Where probes are not allowed, the run time is the
+    /// only sign of an overload. The cost is that lost answers and bad plans count as overload too,
+    /// in proportion to their share of all attempts.
     fn infer_overload(&mut self, attempt: &EndedAttempt, outcome: Outcome) {
         let reported_at = self.state.engines[attempt.engine].load.received_at;
         let is_unreported = !self.state.settings.limits.probes && reported_at < attempt.sent_at;
         let is_unanswered = outcome.is_unanswered() && !attempt.has_stalled;
         if is_unanswered && is_unreported && attempt.slowdown > SLOW_PLAN_FACTOR {
-            self.record_utilization(attempt.engine, OVERLOAD_SIGN);
+            self.record_utilization(attempt.engine, INFERRED_OVERLOAD_UTILIZATION);
         }
     }
 
+    /// Updates cost estimates, the engine's concurrency limit and the congestion window after an
+    /// answer.
     fn record_answer(&mut self, attempt: &EndedAttempt, ended: &Ended) {
         let is_in_time = self.state.learn_from_answer(attempt, ended);
         let engine = &mut self.state.engines[attempt.engine];
@@ -67,14 +72,14 @@
         }
     }
 
-    /// The request has its final answer, or nobody waits for one.
+    /// Finishes a request that has its final answer or whose client no longer waits.
     pub(super) fn finish(&mut self, id: QueryId) {
         self.state.finish(id);
         self.dequeue_and_cancel(id);
         self.state.remove_if_done(id);
     }
 
-    /// Takes a finished request out of its queue and cancels its attempts.
+    /// Removes a finished request from its queue and cancels its attempts in flight.
     fn dequeue_and_cancel(&mut self, id: QueryId) {
         let in_flight = self.state.dequeue(id);
         if self.state.settings.limits.cancel && !self.state.is_streaming(id) {
--- a/src/decision/concurrency_limit.rs
+++ b/src/decision/concurrency_limit.rs
@@ -1,32 +1,37 @@
-//! Limits on what is in flight: at each engine, and at all by a congestion window.
+//! Limits on the threads in flight: a concurrency limit per engine, and a congestion window over all
+//! engines.
 
 use super::controller::Controller;
 use super::model::{Millis, endpoint_list::EngineIndex, utilization::FULL_UTILIZATION};
 
-/// Utilization recorded for an attempt that ran far too long without an answer, or that found a
-/// queue.
-pub(super) const OVERLOAD_SIGN: f64 = 2.0;
+/// Utilization recorded for an engine on which an attempt ran far too long without an answer, or had
+/// to queue for memory.
+pub(super) const INFERRED_OVERLOAD_UTILIZATION: f64 = 2.0;
 
-/// Overload: the latest reports of every zone show this many times what its engines bear.
-const OVERLOAD_UTILIZATION: f64 = 1.25;
+/// Utilization above which a zone is overloaded by its latest load reports; 1 is what its engines
+/// sustain.
+const OVERLOAD_UTILIZATION_THRESHOLD: f64 = 1.25;
 
-/// How long a rejection for lack of capacity marks an engine as full, ms: a few load-report
-/// periods.
-const FULL_PERIOD: Millis = 1000.0;
+/// Time for which an engine counts as full after a rejection for lack of capacity, ms: a few
+/// load-report periods.
+const FULL_AFTER_REJECTION_PERIOD: Millis = 1000.0;
 
-/// Limit and window shrink to this part at a lack of capacity, ...
-const DECREASE: f64 = 0.8;
+/// Factor by which a concurrency limit or the congestion window decreases at a lack of capacity.
+const DECREASE_FACTOR: f64 = 0.8;
 
-/// ... at most once in these times, ms, since one lack shows in many queries, one overload in more,
-/// ...
+/// Minimum time between two decreases of an engine's concurrency limit, ms, since one lack of
+/// capacity affects many queries.
 const LIMIT_DECREASE_INTERVAL: Millis = 200.0;
+
+/// Minimum time between two decreases of the congestion window, ms. It is longer than that of a
+/// concurrency limit since one overload affects more queries than a lack of capacity at one engine.
 const WINDOW_DECREASE_INTERVAL: Millis = 500.0;
 
-/// ... and the window never below this part of this dispatcher's budgets.
+/// Lower bound of the congestion window, as a fraction of the thread budgets of this dispatcher.
 const MIN_WINDOW_FRACTION: f64 = 0.5;
 
 impl Controller {
-    /// The engine may get so many threads more from this dispatcher.
+    /// Returns whether this dispatcher may use `threads` more threads of the engine.
     pub(super) fn has_capacity(&self, engine: EngineIndex, threads: f64) -> bool {
         let now = self.state.now;
         let engine = &self.state.engines[engine];
@@ -38,17 +43,18 @@
         now >= engine.full_until && !is_limited && fits
     }
 
-    /// Takes over a load report, if it is well formed.
+    /// Records a load report, if it is well formed.
     pub(super) fn record_load_report(&mut self, engine: EngineIndex, report: &[f64]) {
         if let Some(utilization) = self.state.record_load_report(engine, report) {
             self.record_utilization(engine, utilization);
         }
     }
 
-    /// Counts an engine's utilization for its zone, and decreases the window if all known zones are
-    /// overloaded, for what is moved from one engine would overload the next. Guards against
-    /// overload of any cause; cost: a chance run of reports decreases it in vain, overload of one
-    /// zone is left to its engines' limits.
+    /// Records an engine's utilization for its zone, and decreases the congestion window if all known
+    /// zones are overloaded, since moving load from one engine would then overload the next. This
+    /// guards against overload of any cause. The cost is that a random run of high reports decreases
+    /// the window needlessly; the overload of a single zone is left to the concurrency limits of its
+    /// engines.
     pub(super) fn record_utilization(&mut self, engine: EngineIndex, utilization: f64) {
         let zone = self.state.engines[engine].zone;
         self.state.utilization.record(zone, utilization);
@@ -58,26 +64,29 @@
             .window
             .may_decrease(now, WINDOW_DECREASE_INTERVAL);
         if may_decrease && self.is_overloaded() {
-            // At least the widest query: a smaller window would hold it back for good.
+            // The window always fits the query with the most threads: a smaller window would block
+            // that query forever.
             let budget = self.state.engines.thread_budget() * MIN_WINDOW_FRACTION;
             let minimum = self.state.widest_query_or(budget);
             let window = &mut self.state.window;
             let used = window.threads().min(self.state.engines.threads());
-            window.decrease(now, (used * DECREASE).max(minimum));
+            window.decrease(now, (used * DECREASE_FACTOR).max(minimum));
         }
     }
 
-    /// All known zones are, and most are known: with many, a dispatcher never learns of some.
+    /// Returns whether all known zones are overloaded and more than half of the zones are known. Not
+    /// all need to be known, since with many zones a dispatcher never learns the load of some.
     fn is_overloaded(&self) -> bool {
         let mut known = self.state.utilization.known_zones();
         let known_count = self.state.utilization.known_zones().count();
-        known.all(|utilization| utilization > OVERLOAD_UTILIZATION)
+        known.all(|utilization| utilization > OVERLOAD_UTILIZATION_THRESHOLD)
             && known_count * 2 > self.state.engines.zone_count()
     }
 
-    /// Where no probe may ask, a burst is in flight before an answer shows the load: there the
-    /// window starts at the budgets, or one query of each class. Cost: busy dispatchers start
-    /// slowly.
+    /// Limits a still unlimited congestion window where probes are not allowed, since a whole burst
+    /// can be in flight there before an answer shows the load. The window starts at the thread
+    /// budgets, or at one query of each class if that is more. The cost is that busy dispatchers
+    /// start slowly.
     pub(super) fn open_window(&mut self) {
         if self.state.window.is_unlimited() && !self.state.settings.limits.probes {
             let budget = self.state.engines.thread_budget();
@@ -86,7 +95,8 @@
         }
     }
 
-    /// Only a window in use grows: one that was never filled says nothing of what engines bear.
+    /// Increases the congestion window if at least half of it is in use. A window that is not filled
+    /// does not show whether the engines sustain more.
     pub(super) fn grow_window(&mut self, threads: f64) {
         let used = self.state.engines.threads() + threads;
         if 2.0 * used >= self.state.window.threads() {
@@ -94,23 +104,24 @@
         }
     }
 
-    /// The engine lacks capacity: its limit decreases, and grows again with what it serves. Barred
-    /// for a while instead, it would move all that waits here to the one that is next free, which
-    /// then lacks capacity in its turn, and so on round the fleet. Cost: an engine full for a
-    /// moment fills up slowly.
+    /// Decreases the concurrency limit of an engine that lacks capacity; the limit grows again with
+    /// the queries that the engine serves. If the engine were excluded for a while instead, all
+    /// queued queries would go to the next free engine, which would then lack capacity in turn, and
+    /// so on through the fleet. The cost is that an engine that was full only briefly fills up
+    /// slowly.
     pub(super) fn decrease_limit(&mut self, engine: EngineIndex, minimum: f64) {
         let now = self.state.now;
         let engine = &mut self.state.engines[engine];
-        let decreased = (engine.threads() * DECREASE).max(minimum).max(1.0);
+        let decreased = (engine.threads() * DECREASE_FACTOR).max(minimum).max(1.0);
         let limit = &mut engine.concurrency_limit;
         if limit.may_decrease(now, LIMIT_DECREASE_INTERVAL) {
             limit.decrease(now, limit.threads().min(decreased));
         }
     }
 
-    /// Marks an engine as full that has rejected an attempt.
+    /// Marks an engine that has rejected an attempt as full and decreases its concurrency limit.
     pub(super) fn on_rejection(&mut self, engine: EngineIndex) {
-        self.state.engines[engine].full_until = self.state.now + FULL_PERIOD;
+        self.state.engines[engine].full_until = self.state.now + FULL_AFTER_REJECTION_PERIOD;
         self.decrease_limit(engine, 0.0);
     }
 }
--- a/src/decision/controller.rs
+++ b/src/decision/controller.rs
@@ -1,27 +1,27 @@
-//! The dispatch of events and timers to the decisions, each concern of which has a module beside
-//! this one.
+//! The decision controller: routes events and timers to the decision logic, which is split by concern
+//! into the sibling modules.
 
 use super::model::timers::wakeup_interval;
 use super::model::{Action, Event, Millis, Outcome, Settings, SettingsError, state::State};
 
-/// One dispatcher's decisions. Pure: time and the seed of its randomness are passed in, actions are
-/// returned.
+/// Decision logic of one dispatcher. It performs no I/O: the caller passes in the time and the random
+/// seed and carries out the returned actions.
 pub struct Controller {
     pub(super) state: State,
     pub(super) rng: oorandom::Rand64,
-    /// Salt of this dispatcher's own order of the engines.
+    /// Salt of the hash by which this dispatcher orders the engines.
     pub(super) rank_salt: u64,
-    /// What the present call asks to be done.
+    /// Actions requested by the event that is being handled.
     pub(super) actions: Vec<Action>,
 }
 
 impl Controller {
-    /// A controller for these settings. The seed decides its random choices and its order of the
-    /// engines.
+    /// Creates a controller with these settings. The seed determines its random choices and its
+    /// order of the engines.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] if the settings contradict themselves.
+    /// Returns [`SettingsError`] if the settings are inconsistent.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         Ok(Controller {
@@ -32,11 +32,11 @@
         })
     }
 
-    /// Handles one event at `now` and appends what is to be done.
+    /// Handles one event at the time `now` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         self.state.advance_clock(now);
         self.on_event(event);
-        // What can start now starts before the timer refuses what cannot.
+        // Queued requests that can start now do so before the timer sheds the others.
         self.dispatch_queued();
         let is_due = self.state.timers.is_due(self.state.now);
         if is_due {
@@ -84,7 +84,7 @@
             self.sample();
             self.state.ordered_queues.remove_idle(now);
         }
-        self.migrate_silent_attempts();
+        self.migrate_unresponsive_attempts();
         self.shed_late_requests();
     }
 
