--- a/src/decision/facade.rs
+++ b/src/decision/facade.rs
@@ -1,8 +1,8 @@
-//! The decisions behind three blocking calls: [`Facade::pick`], [`Facade::report`] and
+//! Synchronous interface to the decision logic: [`Facade::pick`], [`Facade::report`] and
 //! [`Facade::tick`].
 //!
-//! Each takes the time, returns what is to be done now and defers nothing, so that nothing outside
-//! ever handles the controller's events and actions.
+//! Each call takes the current time and returns everything that is to be done now, so that callers
+//! need not handle the events and actions of the controller.
 
 use super::controller::Controller;
 use super::model::{
@@ -10,7 +10,7 @@
     ProgressNote, Query, QueryId, Settings, SettingsError,
 };
 
-/// Something to be done now.
+/// An action that the caller carries out now.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
     /// Start the query's next attempt.
@@ -19,58 +19,58 @@
         query: QueryId,
         /// The engine's id.
         engine: String,
-        /// Memory it gets, MB; 0: the engine chooses.
+        /// Memory granted to the attempt, MB; 0 leaves the choice to the engine.
         memory_mb: f64,
-        /// Limit on the attempt, ms, beside the query's own deadline.
+        /// Timeout of the attempt, ms, in addition to the deadline of the query.
         timeout: Option<Millis>,
     },
     /// Cancel one attempt.
     Cancel {
         /// The query.
         query: QueryId,
-        /// Which of its attempts, from 0.
+        /// Number of the attempt within the query, from 0.
         attempt: u32,
     },
-    /// Final: refused before it had any effect.
+    /// Final answer: the query is refused and can safely be retried.
     Refuse {
         /// The query.
         query: QueryId,
-        /// When the client may come back, ms.
+        /// Time after which the client may retry, ms.
         retry_after: Option<Millis>,
     },
-    /// Final: failed, perhaps with an effect.
+    /// Final answer: the query has failed, and may have had an effect.
     Fail {
         /// The query.
         query: QueryId,
     },
-    /// A line for the log.
+    /// Write this line to the log.
     Log(String),
 }
 
-/// Something that happened outside.
+/// An external event that is reported to the decision logic.
 #[derive(Clone, Debug)]
 pub enum Report {
-    /// The engine list has changed.
+    /// The endpoint list has changed.
     Engines {
-        /// How the entries relate to the list before.
+        /// Whether the entries replace the previous list or change parts of it.
         update: ListUpdate,
-        /// The entries.
+        /// Entries of the endpoint list.
         entries: Vec<EngineEntry>,
     },
     /// An attempt has ended.
     Ended(Ended),
-    /// An engine reports of an attempt that has not ended.
+    /// An engine has sent a progress note for an attempt in flight.
     Progress {
         /// The query.
         query: QueryId,
-        /// Which of its attempts, from 0.
+        /// Number of the attempt within the query, from 0.
         attempt: u32,
-        /// The report.
+        /// The progress note.
         note: ProgressNote,
     },
     /// The client no longer waits for this query.
     ClientDisconnected(QueryId),
-    /// Another dispatcher has received this load report.
+    /// A peer has received this load report from an engine.
     PeerLoadReport {
         /// The engine's id.
         engine: String,
@@ -103,7 +103,7 @@
     }
 }
 
-/// One dispatcher's decisions behind blocking calls.
+/// Decision logic of one dispatcher behind synchronous calls.
 pub struct Facade {
     controller: Controller,
     next_wakeup: Option<Millis>,
@@ -111,11 +111,12 @@
 }
 
 impl Facade {
-    /// Decisions by these settings. The seed decides the random choices.
+    /// Creates the decision logic with these settings. The seed determines its random choices and its
+    /// order of the engines.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] if the settings contradict themselves.
+    /// Returns [`SettingsError`] if the settings are inconsistent.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         Ok(Facade {
             controller: Controller::new(settings, seed)?,
@@ -124,17 +125,17 @@
         })
     }
 
-    /// A query has arrived: where it goes, and what else is to be done.
+    /// Handles the arrival of a query, and returns its placement and any other decisions due now.
     pub fn pick(&mut self, now: Millis, query: Query) -> Vec<Decision> {
         self.handle(now, Event::Query(query))
     }
 
-    /// Something has happened: what is to be done.
+    /// Handles an external event, and returns the decisions that follow from it.
     pub fn report(&mut self, now: Millis, report: Report) -> Vec<Decision> {
         self.handle(now, report.into())
     }
 
-    /// Handles the timer, if it has expired.
+    /// Handles the timer if it is due, and returns the decisions that follow.
     pub fn tick(&mut self, now: Millis) -> Vec<Decision> {
         let is_due = self.next_wakeup.is_some_and(|at| at <= now);
         if !is_due {
@@ -144,37 +145,38 @@
         self.handle(now, Event::Timer(0))
     }
 
-    /// So many processes make the decisions of this dispatcher.
+    /// Sets the number of processes that make the decisions of this dispatcher.
     pub fn set_process_count(&mut self, processes: u32) {
         self.controller.set_process_count(processes);
     }
 
-    /// Takes over what has been heard of how many dispatchers run.
+    /// Records evidence of the number of running dispatchers.
     pub fn observe_fleet(&mut self, evidence: FleetEvidence) {
         self.controller.observe_fleet(evidence);
     }
 
-    /// The present process of an engine has started at this time at the latest.
+    /// Records that the present process of an engine started at the time `latest` or before.
     pub fn learn_engine_start(&mut self, engine: &str, latest: Millis) {
         self.controller.learn_engine_start(engine, latest);
     }
 
-    /// How many dispatchers are taken to run.
+    /// Returns the assumed number of running dispatchers.
     pub fn fleet_size(&self) -> FleetSizeRange {
         self.controller.fleet_size()
     }
 
-    /// Whether this engine is passed over while others are healthy.
+    /// Returns whether this engine is ejected: skipped while others are healthy.
     pub fn is_ejected(&self, engine: &str) -> bool {
         self.controller.is_ejected(engine)
     }
 
-    /// How often a warming engine was sent more than this dispatcher's part of what it bears.
+    /// Returns how often this dispatcher sent an engine that was warming up more than its share of
+    /// what the engine sustains.
     pub fn slow_start_overruns(&self) -> u64 {
         self.controller.slow_start_overruns()
     }
 
-    /// When the next tick is due, ms.
+    /// Returns the time at which the next tick is due, ms.
     pub fn next_tick(&self) -> Option<Millis> {
         self.next_wakeup
     }
@@ -183,7 +185,7 @@
         let mut actions = std::mem::take(&mut self.actions);
         self.controller.handle(now, event, &mut actions);
         let mut decisions = Vec::with_capacity(actions.len());
-        // The controller names a query's terms right before its attempt.
+        // The controller emits the terms of an attempt right before the attempt itself.
         let mut granted = None;
         for action in actions.drain(..) {
             if let Action::Terms { id, memory_mb, .. } = action {
@@ -218,11 +220,11 @@
             Action::Fail { id } => Decision::Fail { query: id },
             Action::Log(text) => Decision::Log(text),
             Action::Timer { at, .. } => {
-                // The last timer is the only one: an older one would find nothing due.
+                // Only the latest timer matters: nothing would be due at an earlier one.
                 self.next_wakeup = Some(at);
                 return None;
             }
-            // Engines are never probed here, and every list comes without a subscription.
+            // Engines are not probed through this interface, and endpoint lists need no subscription.
             Action::Terms { .. } | Action::Probe { .. } | Action::Subscribe => return None,
         })
     }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,5 +1,5 @@
-//! The decision module: which engine, whether again, what is refused. Pure: time and randomness are
-//! passed in.
+//! Dispatch decisions: placement of queries on engines, retries, and load shedding. The module
+//! performs no I/O: time and the random seed are passed in.
 
 mod admission;
 mod attempts;
