--- a/src/decision/feedback.rs
+++ b/src/decision/feedback.rs
@@ -1,37 +1,40 @@
-//! Integral feedback for proportional slowdown differentiation: the allocation of threads to
-//! classes, and the order in which queued requests are dispatched by it. Formulas (2) to (4) are
-//! those of the paper.
+//! Integral feedback control for proportional slowdown differentiation: allocates threads to the
+//! classes and dispatches queued requests in the order that follows from the allocation. The formulas
+//! (2) to (4) are those of the paper on this controller.
 
 use super::controller::Controller;
 use super::model::{ClassId, class::ClassState};
 
-/// Control factor g of formula (3); the paper's value.
+/// Control factor g of formula (3), with the value from the paper.
 const CONTROL_FACTOR: f64 = 1.0;
 
-/// The inverse rate stays at least this part of the inverse prediction: no class takes nearly all.
+/// Lower bound of the inverse rate, as a fraction of the inverse prediction. It keeps one class from
+/// getting nearly all threads.
 const MIN_INVERSE_RATE: f64 = 0.1;
 
-/// Requests of a queue that are tried when the first cannot start, and random draws for them.
+/// Maximum number of requests of a queue that are tried in one go, and of random draws for them.
 const QUEUE_SCAN_LIMIT: usize = 16;
 
-/// The same before so many engines that each request costs a walk over thousands.
+/// Minimum number of requests of a queue that are tried when there are thousands of engines, each of
+/// which is examined for each request.
 const MIN_QUEUE_SCAN: usize = 2;
 
-/// Random draws for each of those: a warming engine rejects most.
+/// Random draws of an engine for each request, since the random admission of an engine that is
+/// warming up rejects most requests.
 const DRAWS_PER_REQUEST: usize = 3;
 
-/// Engines that are looked at for the requests of one queue in one go. Without a bound the work
-/// for one event grows with the product of both, and a dispatcher before thousands of engines
-/// falls behind its deadlines.
+/// Maximum number of engines examined for the requests of one queue in one go. Without this bound the
+/// work for one event grows with the product of engines and queued requests, and a dispatcher with
+/// thousands of engines misses its deadlines.
 const ENGINE_SCAN_LIMIT: usize = 4096;
 
-/// Requests of a queue that are tried before so many engines with capacity.
+/// Returns how many requests of a queue are tried when `engines` engines have capacity.
 fn queue_scan_limit(engines: usize) -> usize {
     (ENGINE_SCAN_LIMIT / engines.max(1)).clamp(MIN_QUEUE_SCAN, QUEUE_SCAN_LIMIT)
 }
 
 impl Controller {
-    /// Ends a sampling period: allocates threads by what arrived and how the classes were slowed.
+    /// Ends a sampling period, and allocates threads to the classes by their arrivals and slowdowns.
     pub(super) fn sample(&mut self) {
         let predictions = self.state.predict_loads();
         self.integrate_slowdown_errors();
@@ -49,9 +52,9 @@
         }
     }
 
-    /// Adds δ(i)/δ(1) − S(i)/S(1) to each class's error, with δ = 1/weight: formula (2). Slowdowns
-    /// compare only over a period in which all classes were backlogged. Class 1 is the first of the
-    /// greatest weight.
+    /// Adds δ(i)/δ(1) − S(i)/S(1) to the error sum of each class, with δ = 1/weight: formula (2).
+    /// Slowdowns are comparable only over a period in which all classes were backlogged. Class 1 of
+    /// the formula is the first class with the greatest weight.
     fn integrate_slowdown_errors(&mut self) {
         let classes = &mut self.state.classes;
         let weight = |class: &ClassState| class.settings.priority_weight;
@@ -67,7 +70,8 @@
         }
     }
 
-    /// Starts queued requests while any can: first of classes below their allocation, then of any.
+    /// Starts queued requests as long as one can start: first those of classes below their
+    /// allocation, then those of any class.
     pub(super) fn dispatch_queued(&mut self) {
         if self
             .state
@@ -87,23 +91,24 @@
         }
     }
 
-    /// Starts one queued request and returns its class, given the threads that each class uses of
-    /// `total`.
+    /// Starts one queued request and returns its class. `threads` holds the threads in use by each
+    /// class, out of `total`.
     fn dispatch_next(&mut self, order: &[ClassId], total: f64, threads: &[f64]) -> Option<ClassId> {
         for below_allocation in [true, false] {
-            let mut better_classes = 0.0;
+            let mut higher_ranked_threads = 0.0;
             for &class in order {
                 let state = &self.state.classes[class];
                 let is_below = threads[class] < state.allocation * total;
-                better_classes += threads[class];
-                // What lesser classes use does not count against a better one: one wide query would
-                // shut the window for all. Where memory is overcommitted it does, for there one
-                // more slows all.
-                let competing = match self.state.settings.engines.overcommits_memory {
+                higher_ranked_threads += threads[class];
+                // Threads of lower-ranked classes do not count against a higher-ranked one, else one
+                // query with many threads would block the window for all. Where memory is
+                // overcommitted they count, since there each further query slows down all others.
+                let competing_threads = match self.state.settings.engines.overcommits_memory {
                     true => threads.iter().sum(),
-                    false => better_classes,
+                    false => higher_ranked_threads,
                 };
-                let fits = competing + state.settings.threads <= self.state.window.threads();
+                let fits =
+                    competing_threads + state.settings.threads <= self.state.window.threads();
                 if is_below == below_allocation && fits && self.dispatch_from(class) {
                     return Some(class);
                 }
@@ -112,19 +117,21 @@
         None
     }
 
-    /// Requests may wait for probes, and only engines out of service have capacity: those
-    /// requests are to be looked at, so that they probe others later.
-    fn has_probed_in_vain(&self, class: ClassId) -> bool {
+    /// Returns whether queued requests have to be examined although no engine in service has
+    /// capacity: requests may wait for probes of engines that have gone out of service since, and have
+    /// to schedule probes of other engines.
+    fn must_recheck_probing_requests(&self, class: ClassId) -> bool {
         let threads = self.state.classes[class].settings.threads;
         let mut engines = self.state.engines.indices();
         self.state.settings.limits.probes
             && engines.any(|engine| self.has_capacity(engine, threads))
     }
 
-    /// Starts a request from the head of a class's queue, if any engine may take one.
+    /// Starts one of the first requests in the queue of a class, if an engine can take it. Returns
+    /// whether a request was started.
     fn dispatch_from(&mut self, class: ClassId) -> bool {
         let with_capacity = self.engines_with_capacity(class);
-        if with_capacity.is_empty() && !self.has_probed_in_vain(class) {
+        if with_capacity.is_empty() && !self.must_recheck_probing_requests(class) {
             return false;
         }
         let scan_limit = queue_scan_limit(with_capacity.len());
@@ -136,7 +143,8 @@
             if request.is_some_and(|request| self.exceeds_overload_cost_limit(&request.query)) {
                 continue;
             }
-            // A warming engine admits it by a random sample; else another engine may.
+            // An engine that is warming up admits the request by a random sample. If it does not,
+            // another engine is drawn.
             while let Some(engine) = draws
                 .next()
                 .and_then(|_| self.select_engine(id, &with_capacity))
@@ -151,8 +159,8 @@
     }
 }
 
-/// u(i) of formula (3): the inverse of the prediction, corrected by the integral of the slowdown
-/// errors.
+/// Returns u(i) of formula (3): the inverse of the prediction, corrected by the integral of the
+/// slowdown errors.
 fn inverse_rate((class, prediction): (&ClassState, f64)) -> f64 {
     let corrected = 1.0 / prediction + CONTROL_FACTOR * class.error_sum;
     corrected.max(MIN_INVERSE_RATE / prediction)
