--- a/src/decision/send_guard.rs
+++ b/src/decision/send_guard.rs
@@ -1,52 +1,56 @@
-//! The rules that no attempt may break, and the one path by which attempts are sent.
+//! Enforces the seven dispatch rules on the only path by which attempts are sent.
 
 use super::controller::Controller;
 use super::model::{Action, Idempotency, QueryId, request::PendingRequest};
 use super::model::{endpoint::Engine, endpoint_list::EngineIndex, timers::WAKEUP_INTERVAL};
 
-/// Priorities of attempts, where engines accept one.
+/// Default priority of an attempt, where engines accept priorities.
 const NORMAL_PRIORITY: u8 = 1;
+/// Priority of an attempt of a bulk load.
 const BULK_LOAD_PRIORITY: u8 = 2;
+/// Priority of an attempt of the class with the greatest priority weight for its work.
 const BEST_CLASS_PRIORITY: u8 = 3;
 
 impl Controller {
-    /// Whether rules 1 to 7 allow this query to be sent to this engine now.
+    /// Returns whether dispatch rules 1 to 7 allow this request to be sent to this engine now.
     pub(super) fn may_send(&self, request: &PendingRequest, index: EngineIndex) -> bool {
         self.may_send_now(request) && self.may_send_to(request, index)
     }
 
-    /// The part of [`Controller::may_send`] that depends on the request alone.
+    /// Checks the part of [`Controller::may_send`] that depends on the request alone.
     pub(super) fn may_send_now(&self, request: &PendingRequest) -> bool {
-        // 1: nothing after the end, nor beyond the attempts allowed.
+        // Rule 1: no attempt after the final answer or the deadline, nor beyond the maximum number.
         self.accepts_attempt(request)
-            // 5: the order of its key.
+            // Rule 5: queries of one key run in order.
             && self.is_next_in_order(request)
-            // 7: further attempts within their budget.
+            // Rule 7: further attempts stay within the retry budget.
             && (request.attempts.is_empty() || self.retry_budget_available())
     }
 
-    /// The part of [`Controller::may_send`] that depends on the engine.
+    /// Checks the part of [`Controller::may_send`] that depends on the engine.
     pub(super) fn may_send_to(&self, request: &PendingRequest, index: EngineIndex) -> bool {
         let engine = &self.state.engines[index];
         let class = self.state.class(&request.query);
         let slow_start_work = || class.cost.slow_start_work(&request.query);
-        // 3: only to engines in service; the grace is not used.
+        // Rule 3: attempts go only to engines in service. The drain grace period is not used.
         engine.is_ready()
-            // 2: no double effect.
+            // Rule 2: a query has no second effect.
             && self.keeps_single_effect(request, engine)
-            // 4: a warming engine gets our part of its budget over any window.
+            // Rule 4: an engine that is warming up gets no more than this dispatcher's share of its
+            // budget over any overload window.
             && (!self.is_warming_up(engine)
                 || self.slow_start_probability(engine, slow_start_work()) > 0.0)
-            // 6: placement.
+            // Rule 6: a class stays in its allowed zones and on its allowed kinds.
             && class.settings.allows(engine.zone, engine.kind)
     }
 
-    /// Whether some engine in service may be sent this query now.
+    /// Returns whether this request may be sent to any engine in service now.
     pub(super) fn may_send_anywhere(&self, request: &PendingRequest) -> bool {
         let mut ready = self.state.engines.ready_indices().iter();
         self.may_send_now(request) && ready.any(|&engine| self.may_send_to(request, engine))
     }
 
+    /// Returns whether the request is open, in time, not yet streaming, and has attempts left.
     fn accepts_attempt(&self, request: &PendingRequest) -> bool {
         !request.is_finished
             && !request.is_streaming
@@ -54,7 +58,7 @@
             && (request.attempts.len() as u32) < self.state.settings.limits.max_attempts
     }
 
-    /// Another attempt there has no second effect.
+    /// Returns whether another attempt on this engine cannot have a second effect.
     fn keeps_single_effect(&self, request: &PendingRequest, engine: &Engine) -> bool {
         if request.has_in_flight() && !self.state.settings.limits.hedging {
             return false;
@@ -72,7 +76,8 @@
         self.state.now + WAKEUP_INTERVAL < repeat_by && first.shares_keys_with(engine, group)
     }
 
-    /// Nothing of its key is before it or, at its first attempt, may still run.
+    /// Returns whether the request is the first of its key and, at its first attempt, no earlier query
+    /// of the key may still run.
     fn is_next_in_order(&self, request: &PendingRequest) -> bool {
         let Some(queue) = self.state.ordered_queue(&request.query) else {
             return true;
@@ -81,8 +86,8 @@
         queue.is_first(request.query.id) && may_start
     }
 
-    /// Starts an attempt there, unless the rules or the random admission forbid it. Every attempt
-    /// is sent here.
+    /// Starts an attempt on an engine, unless the dispatch rules or the random admission forbid it.
+    /// Returns whether it was started. Every attempt is sent by this function.
     pub(super) fn start_attempt(&mut self, id: QueryId, engine: EngineIndex) -> bool {
         let Some(request) = self.state.requests.get(&id) else {
             return false;
@@ -95,16 +100,16 @@
         if !self.sample_admission(engine, slow_start_work) {
             return false;
         }
-        let granted_mb = self.announce_terms(id, engine);
+        let granted_mb = self.emit_terms(id, engine);
         self.state.start_attempt(id, engine, granted_mb);
         let name = &self.state.engines[engine].name;
         self.actions.push(Action::send(id, name));
         true
     }
 
-    /// Names memory and priority of the next attempt, where engines accept them. Returns the
-    /// memory, MB.
-    fn announce_terms(&mut self, id: QueryId, engine: EngineIndex) -> f64 {
+    /// Emits the memory grant and the priority of the next attempt, where engines accept either.
+    /// Returns the granted memory, MB; 0 leaves the choice to the engine.
+    fn emit_terms(&mut self, id: QueryId, engine: EngineIndex) -> f64 {
         let capabilities = &self.state.settings.engines;
         if !capabilities.accepts_memory_grants && !capabilities.accepts_priority {
             return 0.0;
@@ -116,8 +121,10 @@
         memory_mb
     }
 
-    /// The best class first, then bulk loads, since readers wait for them. Where memory that runs
-    /// out slows all, a query of low priority only uses its memory for longer.
+    /// Returns the priority of a request: bulk loads come before other queries, since readers wait for
+    /// them, but after the class with the greatest priority weight for its work. Where memory is
+    /// overcommitted, all requests have the same priority, since a query of low priority would only
+    /// hold its memory for longer there.
     fn priority(&self, request: &PendingRequest) -> u8 {
         let state = &self.state;
         let class = request.query.class;
