--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -1,56 +1,60 @@
-//! What a warming engine gets: this dispatcher's part of its budget over any window, by random
-//! admission where that part is below one query.
+//! Slow start of engines: an engine that is warming up gets no more than this dispatcher's share of
+//! its budget over any overload window, by random admission where that share is below one query.
 
 use super::controller::Controller;
 use super::model::{FleetEvidence, FleetSizeRange, Millis};
 use super::model::{endpoint::Engine, endpoint_list::EngineIndex};
 
-/// Part of the budget that is used: speeds and estimates are not known exactly.
+/// Fraction of the budget that is used, since engine speeds and work estimates are not exact.
 pub(super) const SLOW_START_SAFETY_FACTOR: f64 = 0.6;
 
-/// Part of its mean past which nothing is sampled: ten samples in a window at most.
-const SAMPLED_FRACTION: f64 = 0.9;
+/// Fraction of the sampled mean from which on nothing more is sampled in a window, which bounds the
+/// samples of a window to ten.
+const MAX_SAMPLED_FRACTION: f64 = 0.9;
 
-/// Part of an engine's limit that is used when the largest possible number of dispatchers run.
+/// Fraction of an engine's overload limit that is used when the largest possible number of
+/// dispatchers run.
 const LIMIT_SAFETY_FACTOR: f64 = 0.9;
 
-/// Standard deviations that the sum of all samples stays below a limit.
+/// Margin, in standard deviations, by which the mean of the sum of all samples stays below a limit.
 const SAMPLE_DEVIATIONS: f64 = 4.0;
 
-/// What one dispatcher may send to a warming engine within any overload window, in queries of one
-/// size.
+/// Number of queries of equal work that one dispatcher may send to an engine that is warming up
+/// within any overload window.
 struct SlowStartBudget {
-    /// Queries, if at least one fits.
+    /// Number of queries; it applies if it is at least 1.
     queries: f64,
-    /// The same for a process whose predecessor may have spent the budget within the window.
-    after_restart: f64,
-    /// The mean of sampled queries, if none fits.
+    /// Number of queries for a process whose predecessor may have used the budget within the window.
+    queries_after_restart: f64,
+    /// Mean number of randomly admitted queries; it applies if `queries` is below 1.
     sampled_mean: f64,
 }
 
-/// Queries in a window below which a warming engine's limit allows more for chance.
-const FEW_QUERIES: f64 = 30.0;
+/// Number of queries in a window below which the overload limit has a larger allowance for random
+/// variation.
+const LARGER_ALLOWANCE_QUERIES: f64 = 30.0;
 
-/// Queries of mean work in a window beyond which a warming engine fails that bears `bearable` of
-/// them when the window begins: chance is allowed for.
-fn overload_limit(bearable: f64) -> f64 {
-    let allowance = match bearable < FEW_QUERIES {
+/// Returns the number of queries of mean work in a window above which an engine that is warming up
+/// fails, given the number that it sustains when the window begins. The limit includes an allowance
+/// for random variation.
+fn overload_limit(sustainable: f64) -> f64 {
+    let allowance = match sustainable < LARGER_ALLOWANCE_QUERIES {
         true => 3.0,
         false => 2.0,
     };
-    bearable + allowance * bearable.sqrt() + allowance
+    sustainable + allowance * sustainable.sqrt() + allowance
 }
 
-/// The largest mean of a sum of samples that stays the standard deviations below `limit`: the
-/// variance is the mean at most.
+/// Returns the largest mean of a sum of samples that stays [`SAMPLE_DEVIATIONS`] standard deviations
+/// below `limit`, given that the variance is at most the mean.
 fn largest_mean(limit: f64) -> f64 {
     let half = SAMPLE_DEVIATIONS / 2.0;
     ((half * half + limit).sqrt() - half).powi(2)
 }
 
 impl Controller {
-    /// Its process has started so lately that it lacks capacity, or that its first load still
-    /// counts.
+    /// Returns whether the engine's process has started so recently that it does not have its full
+    /// capacity yet, or that its initial load still counts in an overload window.
     pub(super) fn is_warming_up(&self, engine: &Engine) -> bool {
         let rules = &self.state.settings.rules;
         let warmed_up_at = |started| started + rules.warm_up_period + rules.overload_window;
@@ -58,9 +62,10 @@
         warmed_up_at.is_some_and(|warmed_up_at| self.state.now < warmed_up_at)
     }
 
-    /// The probability of admission for a query of this work: 1 unless the engine is warming up. A
-    /// dispatcher keeps to its budget of what the engine bears in any window. A budget below one
-    /// query is sampled. Cost: an engine that warms up late gets more.
+    /// Returns the probability of admission for a query of this work: 1 unless the engine is warming
+    /// up. In any window, a dispatcher stays within its budget, its share of what the engine sustains.
+    /// A budget below one query is spent by random admission. The cost is that an engine that warms up
+    /// later than assumed gets more than it sustains.
     pub(super) fn slow_start_probability(&self, engine: &Engine, work: f64) -> f64 {
         let warming_since = engine.started.filter(|_| self.is_warming_up(engine));
         let Some(started) = warming_since else {
@@ -69,15 +74,15 @@
         let budget = self.slow_start_budget(engine, started, work);
         let window_start = self.overload_window_start();
         let used = engine.slow_start_usage.queries_after(window_start, work);
-        // Before this process began another may have spent the budget.
+        // Another process may have used the budget before this one started.
         let is_usage_known = window_start.max(started) >= self.state.timers.started_at();
         if budget.queries >= 1.0 {
             let usable = match is_usage_known {
                 true => budget.queries,
-                false => budget.after_restart,
+                false => budget.queries_after_restart,
             };
             f64::from(used.sent + 1.0 <= usable)
-        } else if is_usage_known && used.sampled < SAMPLED_FRACTION * budget.sampled_mean {
+        } else if is_usage_known && used.sampled < MAX_SAMPLED_FRACTION * budget.sampled_mean {
             (budget.sampled_mean - used.sampled).min(1.0)
         } else {
             0.0
@@ -88,60 +93,66 @@
         self.state.now - self.state.settings.rules.overload_window
     }
 
-    /// What the engine bears, with a margin, is shared by the dispatchers that are expected. If more
-    /// may run, the limit beyond which it fails is shared by all of them too, and the smaller part
-    /// counts: by the expected number alone a fleet of which the configuration names half
-    /// overloaded the engine.
+    /// Returns this dispatcher's budget for a query of this work. What the engine sustains, with a
+    /// margin, is shared by the expected number of dispatchers. If more may run, the limit above which
+    /// the engine fails is also shared by the largest possible number, and the smaller share applies.
+    /// With the expected number alone, a fleet of which only half was configured overloaded the
+    /// engine.
     fn slow_start_budget(&self, engine: &Engine, started: Millis, work: f64) -> SlowStartBudget {
         let state = &self.state;
         let window_start = self.overload_window_start();
         let processes = state.processes.max_since(window_start);
         let expected_count = state.fleet_size.expected() * processes;
-        let possible_count = state.fleet_size.upper_bound(state.now) * processes;
+        let max_count = state.fleet_size.upper_bound(state.now) * processes;
 
-        let bearable = state.bearable_queries(engine, started, work, state.now);
-        let expected_budget = SLOW_START_SAFETY_FACTOR * bearable / expected_count;
-        let expected_mean = largest_mean(bearable) / expected_count;
+        let sustainable = state.bearable_queries(engine, started, work, state.now);
+        let expected_budget = SLOW_START_SAFETY_FACTOR * sustainable / expected_count;
+        let expected_mean = largest_mean(sustainable) / expected_count;
 
         let expected = SlowStartBudget {
             queries: expected_budget,
-            after_restart: (1.0 - SLOW_START_SAFETY_FACTOR) * expected_budget,
+            queries_after_restart: (1.0 - SLOW_START_SAFETY_FACTOR) * expected_budget,
             sampled_mean: expected_mean,
         };
-        if possible_count <= expected_count {
+        if max_count <= expected_count {
             return expected;
         }
 
-        let limit = self.overload_limit_of(engine, started, work);
-        let possible_budget = LIMIT_SAFETY_FACTOR * limit / possible_count;
-        let possible_mean = largest_mean(limit) / possible_count;
+        let limit = self.engine_overload_limit(engine, started, work);
+        let max_fleet_budget = LIMIT_SAFETY_FACTOR * limit / max_count;
+        let max_fleet_mean = largest_mean(limit) / max_count;
 
-        let queries = expected.queries.min(possible_budget);
+        let queries = expected.queries.min(max_fleet_budget);
         SlowStartBudget {
             queries,
-            after_restart: expected.after_restart.min(possible_budget - queries),
-            sampled_mean: expected.sampled_mean.min(possible_mean),
+            queries_after_restart: expected
+                .queries_after_restart
+                .min(max_fleet_budget - queries),
+            sampled_mean: expected.sampled_mean.min(max_fleet_mean),
         }
     }
 
-    /// Queries of this work beyond which the engine fails in the window that ends now. It counts
-    /// work, and allows for chance by queries of mean work: heavier ones have no larger allowance.
-    fn overload_limit_of(&self, engine: &Engine, started: Millis, work: f64) -> f64 {
+    /// Returns the number of queries of this work above which the engine fails in the window that ends
+    /// now. The limit is on work, and its allowance for random variation is that of queries of mean
+    /// work: heavier queries have no larger allowance.
+    fn engine_overload_limit(&self, engine: &Engine, started: Millis, work: f64) -> f64 {
         let state = &self.state;
         let mean_work = state.mean_slow_start_work.mean_or(work).min(work);
-        let bearable_at = |at| state.bearable_queries(engine, started, mean_work, at);
-        let at_start = bearable_at(self.overload_window_start());
+        let sustainable_at = |at| state.bearable_queries(engine, started, mean_work, at);
+        let at_start = sustainable_at(self.overload_window_start());
         let mut limit = overload_limit(at_start);
-        // What is sent now counts in windows that begin up to now: their limits rise with the
-        // capacity, except where the larger allowance ends.
-        if at_start < FEW_QUERIES && bearable_at(state.now) >= FEW_QUERIES {
-            limit = limit.min(overload_limit(FEW_QUERIES));
+        // A query sent now counts in all windows that begin up to now. Their limits rise with the
+        // capacity of the engine, except at the point where the larger allowance ends.
+        if at_start < LARGER_ALLOWANCE_QUERIES
+            && sustainable_at(state.now) >= LARGER_ALLOWANCE_QUERIES
+        {
+            limit = limit.min(overload_limit(LARGER_ALLOWANCE_QUERIES));
         }
         limit * mean_work / work
     }
 
-    /// Decides at random whether a query of this work goes there: what it brings on average is
-    /// spent either way.
+    /// Decides at random whether to admit a query of this work to the engine. Either way, the budget
+    /// is charged: with the whole query if it is admitted, else with its probability of admission.
     pub(super) fn sample_admission(&mut self, engine: EngineIndex, work: f64) -> bool {
         let probability = self.slow_start_probability(&self.state.engines[engine], work);
         let is_admitted = probability >= 1.0 || self.rng.rand_float() < probability;
@@ -153,8 +164,9 @@
         is_admitted
     }
 
-    /// Whether a warming engine was sent more in the window that ends now than this dispatcher's whole
-    /// part of what it bears, or than the one query that a sample may admit.
+    /// Returns whether an engine that is warming up was sent more in the window that ends now than this
+    /// dispatcher's full share of what it sustains, and more than the one query that a random
+    /// admission may add.
     fn overruns_slow_start(&self, engine: EngineIndex, work: f64) -> bool {
         let state = &self.state;
         let engine = &state.engines[engine];
@@ -162,35 +174,35 @@
             return false;
         };
         let window_start = self.overload_window_start();
-        let bearable = state.bearable_queries(engine, started, work, state.now);
-        let part = bearable / state.fleet_size.expected();
+        let sustainable = state.bearable_queries(engine, started, work, state.now);
+        let full_share = sustainable / state.fleet_size.expected();
         let sent_before = engine
             .slow_start_usage
             .queries_after(window_start.max(started), work)
             .sent
             - 1.0;
-        sent_before > 0.0 && sent_before + 1.0 > part
+        sent_before > 0.0 && sent_before + 1.0 > full_share
     }
 
-    /// How often that has happened.
+    /// Returns how often an engine that was warming up was sent more than this dispatcher's share.
     pub(super) fn slow_start_overruns(&self) -> u64 {
         self.state.slow_start_overruns
     }
 
-    /// The present process of an engine has started at this time at the latest: it is older than
-    /// was known, and bears more.
+    /// Records that the present process of an engine started at the time `latest` or before. If that
+    /// is earlier than was known, the engine sustains more.
     pub fn learn_engine_start(&mut self, name: &str, latest: Millis) {
         if let Some(index) = self.state.engines.find(name) {
             self.state.engines.learn_start(index, latest);
         }
     }
 
-    /// Takes over what has been heard of how many dispatchers run.
+    /// Records evidence of the number of running dispatchers.
     pub fn observe_fleet(&mut self, evidence: FleetEvidence) {
         self.state.fleet_size.observe(evidence);
     }
 
-    /// How many dispatchers are taken to run: as expected, and at most.
+    /// Returns the assumed number of running dispatchers: the expected one and the largest possible.
     pub(super) fn fleet_size(&self) -> FleetSizeRange {
         FleetSizeRange {
             expected: self.state.fleet_size.expected(),
@@ -198,8 +210,8 @@
         }
     }
 
-    /// So many processes make the decisions of this dispatcher now, and share what a warming engine
-    /// may get.
+    /// Sets the number of processes that make the decisions of this dispatcher and share its budget
+    /// for engines that are warming up.
     pub fn set_process_count(&mut self, processes: u32) {
         self.state.processes.set(self.state.now, processes);
     }
