--- a/src/decision/tests/endpoint_list.rs
+++ b/src/decision/tests/endpoint_list.rs
@@ -1,10 +1,10 @@
-//! The engine list over a long time.
+//! Tests of the endpoint list over a long time.
 
 use super::{controller, entry, handle, list, query};
 use crate::decision::model::Event;
 
-/// Seen on the long day: new ids came all day, and what was gone was remembered and searched for
-/// good.
+/// Guards against unbounded growth of the endpoint list: in a long run with new engine ids all the
+/// time, engines that were gone were kept and searched forever.
 #[test]
 fn the_index_of_an_engine_that_is_gone_is_reused_once_no_query_refers_to_it() {
     let mut controller = controller();
@@ -16,13 +16,13 @@
     let engines = &controller.state.engines;
     assert!(
         engines.indices().len() <= 3 && engines.name_count() <= 3,
-        "{} are remembered",
+        "{} engines are kept",
         engines.indices().len()
     );
     let engine = controller.state.requests[&1].attempts[0].engine;
     assert_eq!(
         engines[engine].in_flight.len(),
         1,
-        "the one with a query in flight is"
+        "the engine with a query in flight is kept"
     );
 }
--- a/src/decision/tests/mod.rs
+++ b/src/decision/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures for the tests of the decisions, and those tests, by concern.
+//! Fixtures for the unit tests of the decisions; the submodules hold the tests, by concern.
 
 use super::Controller;
 use super::model::{
@@ -28,7 +28,8 @@
     }
 }
 
-/// Two classes, of weight 1 on one thread and of weight 8 on two, and engines of 8 cores.
+/// Returns settings with two classes, one of weight 1 on one thread and one of weight 8 on two
+/// threads, and engines of 8 cores.
 pub(super) fn settings() -> Settings {
     Settings {
         dispatchers: 1,
@@ -73,7 +74,7 @@
     }
 }
 
-/// An engine of 8 cores in service.
+/// Returns the entry of an engine of 8 cores that is in service.
 pub(super) fn entry(engine: &str, started: Option<Millis>) -> EngineEntry {
     EngineEntry {
         engine: engine.into(),
@@ -85,7 +86,7 @@
     }
 }
 
-/// A query of the first class without any estimate.
+/// Returns a query of the first class without any estimates.
 pub(super) fn query(id: QueryId) -> Query {
     Query {
         id,
@@ -99,7 +100,7 @@
     }
 }
 
-/// A controller with one engine, "e".
+/// Returns a controller with one engine, "e".
 fn controller() -> Controller {
     let mut controller = Controller::new(settings(), 1).unwrap();
     list(&mut controller, 0.0, vec![entry("e", None)]);
@@ -117,10 +118,10 @@
     actions
 }
 
-/// The two are equal to six decimal places.
+/// Asserts that two values differ by less than 1e-6.
 pub(super) fn assert_close(actual: f64, expected: f64) {
     assert!(
         (actual - expected).abs() < 1e-6,
-        "{actual} is not {expected}"
+        "the value is {actual}, expected {expected}"
     );
 }
--- a/src/decision/tests/placement.rs
+++ b/src/decision/tests/placement.rs
@@ -1,4 +1,4 @@
-//! The choice among many engines.
+//! Tests of the choice among many engines.
 
 use super::{controller, entry, handle, list, query, settings};
 use crate::decision::Controller;
@@ -8,8 +8,8 @@
 use crate::decision::placement::{CANDIDATE_LIMIT, CHOICE_SIZE};
 use std::ops::Range;
 
-/// Sends queries and counts those that went to the engine "new".
-fn count_new(controller: &mut Controller, ids: Range<u64>, work: f64) -> usize {
+/// Submits queries of this work and returns how many of them are sent to the engine "new".
+fn count_sent_to_new(controller: &mut Controller, ids: Range<u64>, work: f64) -> usize {
     let is_new =
         |action: &&Action| matches!(action, Action::Send { engine, .. } if engine == "new");
     let mut count = 0;
@@ -22,7 +22,7 @@
     count
 }
 
-/// More than a decision looks at.
+/// Number of engines, more than one decision examines.
 const LARGE_FLEET: usize = 8 * CANDIDATE_LIMIT;
 
 fn large_fleet() -> Vec<EngineEntry> {
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn before_a_large_fleet_healthy_engines_are_found_behind_any_number_of_failing_ones() {
+fn in_a_large_fleet_healthy_engines_are_found_behind_any_number_of_failing_ones() {
     let mut controller = controller();
     list(&mut controller, 5000.0, large_fleet());
     for engine in controller.state.engines.iter_mut().skip(10) {
@@ -50,13 +50,13 @@
     let healthy: Vec<String> = (0..10).map(|number| format!("e{number}")).collect();
     for id in 0..5 {
         let actions = handle(&mut controller, 5000.0, Event::Query(query(id)));
-        let engine = first_engine(&actions).expect("it is sent");
-        assert!(healthy.contains(&engine), "{engine}");
+        let engine = first_engine(&actions).expect("the query is sent");
+        assert!(healthy.contains(&engine), "{engine} is not healthy");
     }
 }
 
 #[test]
-fn before_a_large_fleet_a_warming_engine_is_among_those_chosen() {
+fn in_a_large_fleet_a_warming_engine_is_among_those_chosen() {
     let mut controller = controller();
     let mut entries = large_fleet();
     entries.push(EngineEntry {
@@ -72,12 +72,12 @@
             .unwrap();
         controller.state.engines.record_activity(index, 4900.0, 0.0);
     }
-    let new = count_new(&mut controller, 0..20, 10.0);
-    assert!(new >= 2, "{new} of 20 went to it");
+    let new = count_sent_to_new(&mut controller, 0..20, 10.0);
+    assert!(new >= 2, "{new} of 20 queries went to the warming engine");
 }
 
 #[test]
-fn before_a_large_fleet_what_may_repeat_only_in_its_zone_finds_an_engine_there() {
+fn in_a_large_fleet_a_query_that_may_repeat_only_in_its_zone_finds_an_engine_there() {
     let mut settings = settings();
     settings.limits.max_attempts = 2;
     settings.classes[0].idempotency = Idempotency::Keyed {
@@ -87,9 +87,9 @@
     let mut controller = Controller::new(settings, 1).unwrap();
     list(&mut controller, 5000.0, large_fleet());
     let actions = handle(&mut controller, 5000.0, Event::Query(query(1)));
-    let first = first_engine(&actions).expect("it is sent");
+    let first = first_engine(&actions).expect("the query is sent");
     let zone_of = |engine: &str| engine[1..].parse::<usize>().unwrap() % 4;
-    // Engines of other zones alone are known.
+    // Only engines of other zones have responded before.
     for number in (0..LARGE_FLEET).filter(|number| number % 4 != zone_of(&first)) {
         let index = controller
             .state
@@ -109,13 +109,14 @@
         report: vec![],
     };
     let actions = handle(&mut controller, 5010.0, Event::AttemptEnded(ended));
-    let second = first_engine(&actions).expect("it is sent again");
+    let second = first_engine(&actions).expect("the query is sent again");
     assert_eq!(zone_of(&second), zone_of(&first));
 }
 
-/// Seen when half of the engines were replaced: every dispatcher knew four others with capacity, so
-/// that none chose a warming one that its random admission allowed. Those were nearly idle while
-/// the others ran out of memory.
+/// Guards against idle warming engines after half of the engines were replaced: every dispatcher
+/// preferred four other engines that had responded before and had capacity, and never chose a
+/// warming engine that its random admission allowed. The warming engines were nearly idle while the
+/// others ran out of memory.
 #[test]
 fn a_warming_engine_that_may_be_used_is_among_those_chosen_though_enough_others_are_known() {
     let mut controller = controller();
@@ -127,14 +128,14 @@
             engine.last_response = 4900.0;
         }
     }
-    let new = count_new(&mut controller, 0..20, 10.0);
+    let new = count_sent_to_new(&mut controller, 0..20, 10.0);
     assert!(
         (2..10).contains(&new),
-        "{new} of 20 went to it: one of several"
+        "{new} of 20 queries went to the warming engine, which is one of several"
     );
     assert_eq!(
-        count_new(&mut controller, 20..40, 1e6),
+        count_sent_to_new(&mut controller, 20..40, 1e6),
         0,
-        "none that is beyond its budget"
+        "no query that exceeds the budget is sent to the warming engine"
     );
 }
--- a/src/decision/tests/send_guard.rs
+++ b/src/decision/tests/send_guard.rs
@@ -1,4 +1,4 @@
-//! The send path called directly.
+//! Tests that call the send path directly.
 
 use super::{controller, handle, query};
 use crate::decision::model::{Action, Event};
@@ -12,13 +12,16 @@
     assert!(actions.iter().any(is_send));
     assert!(
         !controller.start_attempt(1, 0),
-        "no caller can bypass the guard against a second attempt"
+        "a second attempt in flight is rejected whoever the caller is"
     );
     controller.state.settings.limits.hedging = true;
     assert!(
         controller.start_attempt(1, 0),
-        "where hedged requests are allowed"
+        "a second attempt in flight starts where hedging is allowed"
     );
     handle(&mut controller, 2.0, Event::ClientDisconnected(1));
-    assert!(!controller.start_attempt(1, 0), "nothing after the end");
+    assert!(
+        !controller.start_attempt(1, 0),
+        "no attempt starts after the request has finished"
+    );
 }
