--- a/tests/dispatch_rules.rs
+++ b/tests/dispatch_rules.rs
@@ -1,4 +1,5 @@
-//! The seven dispatch rules as scripted events: each test fails when the check that enforces its rule is removed.
+//! Tests of the seven dispatch rules with scripted events. Each test fails if the check that enforces
+//! its rule is removed.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -70,7 +71,7 @@
     assert_eq!(
         sent_attempts(&controller.end_attempt(2, 0, Outcome::Unreachable)).len(),
         1,
-        "proven unrun: free to go elsewhere"
+        "a query that certainly never ran may be sent to another engine"
     );
 }
 
@@ -105,19 +106,23 @@
         assert_eq!(
             again[0].1 == "a",
             first == "a",
-            "another cell does not know the repeat"
+            "a repeat stays in its cell, since another cell does not recognize it"
         );
         controller.now += 600.0;
         let out = controller.end_attempt(id, 1, Outcome::Reset);
-        assert!(sent_attempts(&out).is_empty(), "the window is over");
+        assert!(
+            sent_attempts(&out).is_empty(),
+            "no repeat is sent after the deduplication window"
+        );
         assert!(
             out.contains(&Action::Fail { id }),
-            "a refusal would promise too much"
+            "the query fails, since a refusal would promise that a retry is safe"
         );
     }
 }
 
-/// No engine has room, and the window passes: it could not be sent any more, so that nothing is waited for.
+/// No engine has capacity until the deduplication window ends. The query can no longer be sent then, so
+/// that it is answered instead of waiting further.
 #[test]
 fn queued_keyed_query_is_answered_when_its_window_ends() {
     for group in [
@@ -143,7 +148,7 @@
         let out = controller.end_attempt(1, 0, Outcome::Reset);
         assert!(
             sent_attempts(&out).is_empty() && final_answers(&out).is_empty(),
-            "it may be sent again, and waits: {out:?}"
+            "the query may still be sent again and waits: {out:?}"
         );
         let out = controller.advance(80.0);
         assert_eq!(final_answers(&out), [1], "{group:?}");
@@ -195,7 +200,8 @@
     let mut work: Vec<(f64, f64)> = vec![];
     for id in 0..600 {
         controller.now += 10.0;
-        // No estimates and no answers: the class's usual work is aim / (1 + stretch).
+        // Without estimates and answers, the usual work of the class is its latency objective divided
+        // by 1 + its slowdown allowance.
         for _ in sent_attempts(&controller.submit(query(id, 0))) {
             work.push((controller.now, 100.0));
         }
@@ -205,9 +211,14 @@
             controller.end_attempt(*id, 0, Outcome::Cancelled);
         }
     }
-    assert!(work.len() > 10, "it is used, {} sends", work.len());
+    assert!(
+        work.len() > 10,
+        "the budget is not used: {} attempts",
+        work.len()
+    );
     for (start, _) in &work {
-        // It warms evenly: what it can do by its age when the window begins.
+        // The capacity grows linearly with the engine's age; its value at the start of the window
+        // applies.
         let capacity = rules.initial_warm_up_capacity
             + (1.0 - rules.initial_warm_up_capacity)
                 * ((start - 1000.0) / rules.warm_up_period).min(1.0);
@@ -245,13 +256,16 @@
     );
     assert!(
         sent_attempts(&controller.handle(Event::ClientDisconnected(1))).is_empty(),
-        "its attempt is still out"
+        "the attempt of the first query is still in flight"
     );
     let out = controller.handle(Event::AttemptEnded(Ended {
         last: true,
         ..attempt_ended(1, 0, Outcome::TimedOut)
     }));
-    assert!(sent_attempts(&out).is_empty(), "the key rests");
+    assert!(
+        sent_attempts(&out).is_empty(),
+        "the quiet period of the key has not ended"
+    );
     assert!(sent_attempts(&controller.advance(280.0)).is_empty());
     assert_eq!(
         sent_attempts(&controller.advance(60.0)),
@@ -260,7 +274,7 @@
 }
 
 fn engine_of_second_query(controller: &mut TestController) -> String {
-    // Where query 2 went shows in its own retry: the other engine is taken then.
+    // The retry of query 2 goes to the other engine, which shows where its first attempt went.
     let retried = sent_attempts(&controller.end_attempt(2, 0, Outcome::Unreachable));
     if retried[0].1 == "a" {
         "b".into()
@@ -271,7 +285,7 @@
 
 #[test]
 fn rule_6_restricted_class_stays_in_its_zone_and_kind_during_an_outage() {
-    let bound = Class {
+    let restricted_class = Class {
         allowed_zones: Some(vec![1]),
         allowed_kinds: Some(vec![0]),
         ..class(1.0, 800.0)
@@ -290,7 +304,7 @@
             },
         ]
     };
-    let mut controller = TestController::new(test_settings(vec![bound]), engines());
+    let mut controller = TestController::new(test_settings(vec![restricted_class]), engines());
     for id in 0..10 {
         assert_eq!(
             sent_attempts(&controller.submit(query(id, 0)))[0].1,
@@ -313,24 +327,27 @@
         settings,
         vec![engine_entry("a"), engine_entry("b"), engine_entry("c")],
     );
-    let (mut received, mut retries) = (0.0, 0.0);
+    let (mut arrivals, mut retries) = (0.0, 0.0);
     for id in 0..60 {
         controller.now += 10.0;
-        received += 1.0;
+        arrivals += 1.0;
         let mut started = sent_attempts(&controller.submit(query(id, 0))).len();
         let mut attempt = 0;
         while started > 0 {
             started = sent_attempts(&controller.end_attempt(id, attempt, Outcome::Error)).len();
             attempt += 1;
             retries += started as f64;
-            assert!(retries <= 2.0 + 0.1 * received);
+            assert!(retries <= 2.0 + 0.1 * arrivals);
         }
     }
-    assert!(retries >= 6.0, "the ration is used, {retries}");
+    assert!(
+        retries >= 6.0,
+        "the retry budget is not used: {retries} retries"
+    );
 }
 
-/// A client that holds an engine's connection and asks nothing takes no thread there: transactions that idle would
-/// keep everybody else off, 8 of them off 8 cores.
+/// A client that holds a connection to an engine without a running statement uses no thread there.
+/// Otherwise idle transactions would block all other queries: 8 of them would block 8 cores.
 #[test]
 fn idle_held_attempt_frees_its_threads() {
     let multi_threaded = Class {
@@ -361,10 +378,10 @@
         assert_eq!(
             started == 12,
             idle,
-            "{started} of 12 on an engine that bears 16 threads"
+            "{started} of 12 queries started on an engine that sustains 16 threads"
         );
         if idle {
-            // Once they ask again, all of them count.
+            // All attempts count again as soon as they are active.
             (0..12).for_each(|id| {
                 drop(controller.handle(Event::Progress {
                     id,
