--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,9 +1,10 @@
-//! Random legal sequences of events: the dispatch rules hold in every one, as far as an observer can check them.
+//! Property test: the dispatch rules hold in random valid sequences of events, as far as an outside
+//! observer can check them.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 #![allow(
     clippy::too_many_lines,
-    reason = "one scenario each, not yet split into steps"
+    reason = "the scenario is not split into steps"
 )]
 
 mod common;
@@ -13,18 +14,22 @@
 use query_dispatcher::*;
 use std::collections::BTreeMap;
 
-/// What an outside observer knows of a query.
+/// State of a query as an outside observer knows it.
 struct ObservedQuery {
     class: ClassId,
     key: Option<String>,
     deadline: f64,
     finished: bool,
+    /// Number, engine and start time of each attempt in flight.
     attempts_in_flight: Vec<(u32, String, f64)>,
     attempts: u32,
+    /// Time and cell of the first attempt that may have run.
     first_run: Option<(f64, i64)>,
 }
 
+/// Deduplication window of the keyed class, ms.
 const KEYED_WINDOW: f64 = 800.0;
+/// Window of the retry budget, ms.
 const RETRY_BUDGET_SPAN: f64 = 3000.0;
 
 fn scenario_settings() -> Settings {
@@ -50,9 +55,10 @@
             ..class(3.0, 900.0)
         },
     ]);
-    // Our part of a budget is below one query, so that pairs are probed.
+    // The dispatcher's share of a thread budget is below one query, so that pairs are probed.
     (settings.dispatchers, settings.limits.probes) = (50, true);
-    settings.rules.initial_warm_up_capacity = 1.0; // and cold engines still get their draws
+    // With the full initial capacity, engines that are warming up still get random admissions.
+    settings.rules.initial_warm_up_capacity = 1.0;
     settings.rules.retry_budget = Some(RetryBudget {
         min_retries: 2.0,
         retry_ratio: 0.3,
@@ -73,7 +79,7 @@
     }
 }
 
-fn play(steps: &[(u8, u8, u16)]) -> Result<Vec<Action>, TestCaseError> {
+fn run_steps(steps: &[(u8, u8, u16)]) -> Result<Vec<Action>, TestCaseError> {
     let settings = scenario_settings();
     let mut controller = TestController::new(
         settings.clone(),
@@ -81,7 +87,7 @@
             .map(|i| engine(i, EngineState::Ready, None))
             .collect(),
     );
-    let mut seen: BTreeMap<QueryId, ObservedQuery> = BTreeMap::new();
+    let mut queries: BTreeMap<QueryId, ObservedQuery> = BTreeMap::new();
     let mut states: BTreeMap<String, EngineEntry> = (0..5)
         .map(|i| (format!("e{i}"), engine(i, EngineState::Ready, None)))
         .collect();
@@ -89,9 +95,9 @@
     let mut quiet_until: BTreeMap<String, (QueryId, f64)> = BTreeMap::new();
     let mut all_actions = vec![];
     let mut next = 0;
-    for &(kind, pick, variation) in steps {
+    for &(kind, selector, variation) in steps {
         controller.now += f64::from(variation % 50);
-        let expired: Vec<(QueryId, u32)> = seen
+        let expired: Vec<(QueryId, u32)> = queries
             .iter()
             .flat_map(|(&id, observed)| {
                 observed
@@ -104,13 +110,13 @@
             .collect();
         let mut events: Vec<Event> = vec![];
         for (id, attempt) in expired {
-            let last = seen[&id].finished;
+            let last = queries[&id].finished;
             events.push(Event::AttemptEnded(Ended {
                 last,
                 ..attempt_ended(id, attempt, Outcome::TimedOut)
             }));
         }
-        let in_flight: Vec<(QueryId, u32)> = seen
+        let in_flight: Vec<(QueryId, u32)> = queries
             .iter()
             .filter(|(_, observed)| observed.deadline > controller.now)
             .flat_map(|(&id, observed)| {
@@ -122,8 +128,8 @@
             .collect();
         match kind % 7 {
             0 | 1 => {
-                let class = usize::from(pick % 4);
-                let key = (class == 3).then(|| format!("k{}", pick / 4 % 2));
+                let class = usize::from(selector % 4);
+                let key = (class == 3).then(|| format!("k{}", selector / 4 % 2));
                 let arrival = Query {
                     key,
                     time_left: f64::from(variation % 3000) + 1.0,
@@ -143,11 +149,11 @@
                     attempts: 0,
                     first_run: None,
                 };
-                seen.insert(arrival.id, new_entry);
+                queries.insert(arrival.id, new_entry);
                 events.push(Event::Query(arrival));
             }
             2 | 3 if !in_flight.is_empty() => {
-                let (id, attempt) = in_flight[usize::from(pick) % in_flight.len()];
+                let (id, attempt) = in_flight[usize::from(selector) % in_flight.len()];
                 let outcome = [
                     Outcome::Served,
                     Outcome::Served,
@@ -156,26 +162,31 @@
                     Outcome::Unreachable,
                     Outcome::Reset,
                 ][usize::from(variation % 6)];
-                let last = outcome == Outcome::Served || seen[&id].finished;
+                let last = outcome == Outcome::Served || queries[&id].finished;
                 events.push(Event::AttemptEnded(Ended {
                     last,
                     work: Some(120.0),
-                    report: vec![f64::from(pick), 0.5],
+                    report: vec![f64::from(selector), 0.5],
                     ..attempt_ended(id, attempt, outcome)
                 }));
             }
             4 => {
                 let state = [EngineState::Ready, EngineState::Draining, EngineState::Gone]
                     [usize::from(variation % 3)];
-                let changed = engine(pick, state, (variation % 5 == 0).then_some(controller.now));
+                let changed = engine(
+                    selector,
+                    state,
+                    (variation % 5 == 0).then_some(controller.now),
+                );
                 events.push(Event::EngineList {
                     update: ListUpdate::Patch,
                     entries: vec![changed],
                 });
             }
             5 => {
-                let id = u64::from(pick);
-                // Odd but harmless: unknown ids, attempts never made, queries long over.
+                let id = u64::from(selector);
+                // Events that have to be ignored: unknown ids, attempts that were never started, and
+                // finished queries.
                 events.push(match variation % 3 {
                     0 => Event::AttemptEnded(attempt_ended(id + 100_000, 3, Outcome::Served)),
                     1 => Event::Progress {
@@ -187,15 +198,16 @@
                 });
             }
             6 => {
-                // Answers of probes, asked or not: unknown engines, garbage, failures, crowds.
+                // Load reports, whether probed for or not: from unknown engines, malformed, failed, or of
+                // any load.
                 let report = [
                     vec![],
                     vec![f64::NAN, 0.1],
-                    vec![f64::from(pick), 0.4],
+                    vec![f64::from(selector), 0.4],
                     vec![-1.0],
                 ];
                 events.push(Event::EngineReport {
-                    engine: format!("e{}", pick % 7),
+                    engine: format!("e{}", selector % 7),
                     outcome: [Outcome::Served, Outcome::Unreachable, Outcome::Rejected]
                         [usize::from(variation % 3)],
                     report: report[usize::from(variation % 4)].clone(),
@@ -214,27 +226,27 @@
                     );
                 }
                 Event::ClientDisconnected(id) => {
-                    if let Some(observed) = seen.get_mut(id) {
+                    if let Some(observed) = queries.get_mut(id) {
                         observed.finished = true;
                     }
                 }
                 _ => {}
             }
             if let Event::AttemptEnded(ending) = &event
-                && let Some(observed) = seen.get_mut(&ending.id)
+                && let Some(observed) = queries.get_mut(&ending.id)
             {
-                let proven = matches!(ending.outcome, Outcome::Rejected | Outcome::Unreachable);
+                let never_ran = matches!(ending.outcome, Outcome::Rejected | Outcome::Unreachable);
                 if let Some(position) = observed
                     .attempts_in_flight
                     .iter()
                     .position(|(a, _, _)| *a == ending.attempt)
                 {
                     let (_, name, sent) = observed.attempts_in_flight.remove(position);
-                    if !proven && observed.first_run.is_none() {
+                    if !never_ran && observed.first_run.is_none() {
                         observed.first_run = Some((sent, states[&name].cell));
                     }
                     if let (Some(key), false, true) =
-                        (&observed.key, proven, ending.outcome != Outcome::Served)
+                        (&observed.key, never_ran, ending.outcome != Outcome::Served)
                     {
                         quiet_until.insert(
                             key.clone(),
@@ -251,14 +263,17 @@
             for action in &actions {
                 match action {
                     Action::Send { id, engine, .. } => {
-                        let observed = &seen[id];
+                        let observed = &queries[id];
                         let class_settings = &settings.classes[observed.class];
                         let target = &states[engine];
                         prop_assert!(
                             !observed.finished && controller.now < observed.deadline,
-                            "sent after the end"
+                            "an attempt was sent after the final answer or the deadline"
+                        );
+                        prop_assert!(
+                            observed.attempts_in_flight.is_empty(),
+                            "two attempts are in flight"
                         );
-                        prop_assert!(observed.attempts_in_flight.is_empty(), "two attempts out");
                         prop_assert!(observed.attempts < settings.limits.max_attempts);
                         prop_assert_eq!(target.state, EngineState::Ready);
                         prop_assert!(
@@ -285,14 +300,20 @@
                             }
                         }
                         if let Some(key) = &observed.key {
-                            for (&other, earlier) in seen.range(..*id) {
+                            for (&other, earlier) in queries.range(..*id) {
                                 let same = earlier.key.as_ref() == Some(key);
                                 let free =
                                     earlier.finished && earlier.attempts_in_flight.is_empty();
-                                prop_assert!(!same || free, "{other} of the same key is not over");
+                                prop_assert!(
+                                    !same || free,
+                                    "query {other} of the same key has not finished"
+                                );
                             }
                             let (by, until) = quiet_until.get(key).copied().unwrap_or((*id, 0.0));
-                            prop_assert!(by == *id || controller.now >= until, "the key rests");
+                            prop_assert!(
+                                by == *id || controller.now >= until,
+                                "an attempt was sent in the quiet period of its key"
+                            );
                         }
                         if observed.attempts > 0 {
                             retries.push(controller.now);
@@ -304,9 +325,9 @@
                                 .iter()
                                 .filter(|t| **t > controller.now - RETRY_BUDGET_SPAN)
                                 .count() as f64;
-                            prop_assert!(used <= 2.0 + 0.3 * base, "over the ration");
+                            prop_assert!(used <= 2.0 + 0.3 * base, "the retry budget was exceeded");
                         }
-                        let observed = seen.get_mut(id).unwrap();
+                        let observed = queries.get_mut(id).unwrap();
                         observed.attempts_in_flight.push((
                             observed.attempts,
                             engine.clone(),
@@ -315,14 +336,14 @@
                         observed.attempts += 1;
                     }
                     Action::Refuse { id, .. } | Action::Fail { id } => {
-                        let observed = seen.get_mut(id).unwrap();
-                        prop_assert!(!observed.finished, "a second final answer");
+                        let observed = queries.get_mut(id).unwrap();
+                        prop_assert!(!observed.finished, "a query got a second final answer");
                         if matches!(action, Action::Refuse { .. }) {
                             let safe = settings.classes[observed.class].idempotency
                                 == Idempotency::Idempotent;
                             prop_assert!(
                                 safe || observed.first_run.is_none(),
-                                "a refusal that promises too much"
+                                "a query was refused although a retry is not safe"
                             );
                         }
                         observed.finished = true;
@@ -332,11 +353,11 @@
             }
             all_actions.extend(actions);
         }
-        for (id, observed) in &seen {
+        for (id, observed) in &queries {
             let answered = observed.finished
                 || controller.now <= observed.deadline + settings.rules.answer_grace + 50.0
                 || !observed.attempts_in_flight.is_empty();
-            prop_assert!(answered, "query {} was lost", id);
+            prop_assert!(answered, "query {} got no final answer in time", id);
         }
     }
     Ok(all_actions)
@@ -353,8 +374,11 @@
     let steps = prop::collection::vec((any::<u8>(), any::<u8>(), any::<u16>()), 1..250);
     TestRunner::new_with_rng(config, rng)
         .run(&steps, |steps| {
-            let first = play(&steps)?;
-            prop_assert!(first == play(&steps)?, "not the same twice");
+            let first = run_steps(&steps)?;
+            prop_assert!(
+                first == run_steps(&steps)?,
+                "the decisions differ between two runs"
+            );
             Ok(())
         })
         .unwrap();
