--- a/src/decision/model/actions.rs
+++ b/src/decision/model/actions.rs
@@ -1,68 +1,69 @@
-//! What the controller asks the dispatcher to do.
+//! Actions that the controller requests from the dispatcher.
 
 use super::{Millis, QueryId};
 
-/// Something to be done now, in the order given.
+/// An action to execute now, in the order in which it was returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start the query's next attempt.
+    /// Starts the query's next attempt.
     Send {
         /// The query.
         id: QueryId,
         /// The engine's id.
         engine: String,
-        /// Limit on the attempt, ms, beside the query's own deadline.
+        /// Time limit of the attempt, ms, in addition to the query's own deadline.
         timeout: Option<Millis>,
     },
-    /// Terms for further attempts of a query; its priority holds for those in flight as well.
+    /// Sets the terms of further attempts of a query. The priority applies to attempts in flight as
+    /// well.
     Terms {
         /// The query.
         id: QueryId,
-        /// From 0 to 3, the highest.
+        /// Priority from 0 to 3; 3 is the highest.
         priority: u8,
-        /// Memory it gets, MB; 0: the engine chooses.
+        /// Memory granted to an attempt, MB; 0 leaves the choice to the engine.
         memory_mb: f64,
     },
-    /// Cancel one attempt.
+    /// Cancels one attempt.
     Cancel {
         /// The query.
         id: QueryId,
-        /// Which of its attempts, from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// Final: refused before it had any effect.
+    /// Answers the query finally: refused before it had any effect.
     Refuse {
         /// The query.
         id: QueryId,
-        /// When the client may come back, ms.
+        /// Delay after which the client may retry, ms.
         retry_after: Option<Millis>,
     },
-    /// Final: failed, perhaps with an effect.
+    /// Answers the query finally: failed, possibly after it had an effect.
     Fail {
         /// The query.
         id: QueryId,
     },
-    /// Ask an engine for its load report.
+    /// Requests a load report from an engine.
     Probe {
         /// The engine's id.
         engine: String,
     },
-    /// Call again with [`Event::Timer`](super::Event::Timer) at this time; replaces any earlier
+    /// Requests an [`Event::Timer`](super::Event::Timer) at this time. It replaces any earlier
     /// timer.
     Timer {
-        /// When, ms.
+        /// Expiry time, ms.
         at: Millis,
-        /// Comes back with the event.
+        /// Token that the event returns.
         token: u64,
     },
-    /// Subscribe to changes of the engine list.
+    /// Subscribes to changes of the endpoint list.
     Subscribe,
-    /// A line for the log.
+    /// Writes a line to the log.
     Log(String),
 }
 
 impl Action {
-    /// Starts an attempt that only its query's deadline limits.
+    /// Creates an action that starts an attempt limited only by its query's deadline.
     pub(crate) fn send(id: QueryId, engine: &str) -> Self {
         Action::Send {
             id,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Names the terms of the next attempt.
+    /// Creates an action that sets the terms of the next attempt.
     pub(crate) fn terms(id: QueryId, priority: u8, memory_mb: f64) -> Self {
         Action::Terms {
             id,
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Asks an engine for its load report.
+    /// Creates an action that requests a load report from an engine.
     pub(crate) fn probe(engine: &str) -> Self {
         Action::Probe {
             engine: engine.into(),
--- a/src/decision/model/events.rs
+++ b/src/decision/model/events.rs
@@ -1,43 +1,43 @@
-//! What happens outside and is reported to the controller.
+//! Events that are reported to the controller.
 
 use super::{Millis, Query, QueryId};
 
 /// Whether an engine accepts new attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineState {
-    /// In service.
+    /// In service: accepts new attempts.
     Ready,
-    /// Finishes what it has and accepts nothing new.
+    /// Finishes its attempts in flight and accepts no new ones.
     Draining,
     /// No longer listed.
     Gone,
 }
 
-/// One entry of the engine list.
+/// One entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct EngineEntry {
     /// The engine's id.
     pub engine: String,
     /// Whether it accepts new attempts.
     pub state: EngineState,
-    /// When its process last started, ms; `None` is long ago.
+    /// When the engine's process last started, ms; `None`: long ago.
     pub started: Option<Millis>,
-    /// Its kind, by number; `None` is the first.
+    /// Number of the engine's kind; `None` is the first kind.
     pub kind: Option<usize>,
-    /// Its zone, by number.
+    /// Number of the engine's zone.
     pub zone: Option<usize>,
-    /// Its cell, by number.
+    /// Number of the engine's cell.
     pub cell: i64,
 }
 
-/// How a list of entries relates to the one before.
+/// How a list of entries relates to the previous one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// Only what changed.
+    /// Only the entries that changed.
     Patch,
     /// The complete list; an engine that is absent is gone.
     Snapshot,
-    /// The complete list as last seen before a restart.
+    /// The complete list as last received before a restart.
     Stale,
 }
 
@@ -46,24 +46,24 @@
 pub enum Outcome {
     /// Answered.
     Served,
-    /// The engine gave an error; may have run.
+    /// The engine returned an error; the query may have run.
     Error,
-    /// Rejected before execution; never ran.
+    /// The engine rejected it before execution; the query never ran.
     Rejected,
-    /// No answer in time; may have run.
+    /// No answer in time; the query may have run.
     TimedOut,
-    /// No connection; never ran.
+    /// The engine could not be connected to; the query never ran.
     Unreachable,
-    /// The connection broke; may have run.
+    /// The connection was reset; the query may have run.
     Reset,
-    /// Cancelled by the dispatcher; may have run.
+    /// Cancelled by the dispatcher; the query may have run.
     Cancelled,
     /// Never sent.
     NeverStarted,
 }
 
 impl Outcome {
-    /// The engine is certain not to have executed any of it.
+    /// Returns whether the engine certainly has not executed any part of the query.
     pub(crate) fn never_ran(self) -> bool {
         matches!(
             self,
@@ -71,22 +71,22 @@
         )
     }
 
-    /// The engine itself ended it, so that its process responds.
+    /// Returns whether the engine itself ended the attempt, which shows that its process responds.
     pub(crate) fn is_response(self) -> bool {
         !matches!(self, Self::TimedOut | Self::Cancelled | Self::NeverStarted)
     }
 
-    /// It ended without a word from the engine.
+    /// Returns whether the attempt ended without a response from the engine.
     pub(crate) fn is_unanswered(self) -> bool {
         matches!(self, Self::TimedOut | Self::Cancelled)
     }
 
-    /// A fault of the engine or of the way to it.
+    /// Returns whether the outcome shows a fault of the engine or of the connection to it.
     pub(crate) fn is_failure(self) -> bool {
         matches!(self, Self::Error | Self::Unreachable | Self::Reset)
     }
 
-    /// The engine had no capacity for it, or did not accept a connection.
+    /// Returns whether the engine lacked capacity for the attempt or did not accept a connection.
     pub(crate) fn lacks_capacity(self) -> bool {
         matches!(self, Self::Rejected | Self::Unreachable)
     }
@@ -97,82 +97,82 @@
 pub struct Ended {
     /// The query.
     pub id: QueryId,
-    /// Which of its attempts, from 0.
+    /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// The query is over, by this or before.
+    /// Whether the query has its final answer, by this attempt or an earlier one.
     pub last: bool,
-    /// Time it took, ms.
+    /// Duration of the attempt, ms.
     pub latency: Millis,
-    /// True work, ms of one thread, where answers report it.
+    /// Actual work, ms of one thread, if answers report it.
     pub work: Option<f64>,
-    /// True memory, MB, where answers report it.
+    /// Actual memory use, MB, if answers report it.
     pub memory_mb: Option<f64>,
-    /// The engine's load report; empty if there was none.
+    /// Load report of the engine; empty if there was none.
     pub report: Vec<f64>,
 }
 
-/// What an engine reports of an attempt that has not ended.
+/// What an engine reports about an attempt that is in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProgressNote {
     /// Fraction of the work done so far.
     Completed(f64),
-    /// Spills to disk: this many MB short.
+    /// The attempt spills to disk for lack of this much memory, MB.
     SpilledMemory(f64),
-    /// Queued for memory; nothing has run.
+    /// The attempt is queued for memory and has not started to run.
     WaitsForMemory,
-    /// Stalled behind a bulk load that locks its tables.
+    /// The attempt is stalled behind a bulk load that locks its tables.
     WaitsForLoad,
-    /// Its client asks nothing of it now, so that it uses no thread; the engine responds.
+    /// The client has no request pending, so the attempt uses no thread; the engine responds.
     Idle,
-    /// Its client has asked for something again.
+    /// The client has sent a request again.
     Active,
 }
 
-/// Something that happened outside.
+/// An event outside the controller.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The engine list has changed.
+    /// The endpoint list has changed.
     EngineList {
-        /// How the entries relate to the list before.
+        /// How the entries relate to the previous list.
         update: ListUpdate,
         /// The entries.
         entries: Vec<EngineEntry>,
     },
-    /// The subscription to the engine list failed.
+    /// The subscription to the endpoint list failed.
     DiscoveryFailed,
     /// A query has arrived.
     Query(Query),
     /// An attempt has ended.
     AttemptEnded(Ended),
-    /// An engine's load, from a probe or as gossip from another dispatcher.
+    /// The load of an engine, from a probe or from another dispatcher's gossip.
     EngineReport {
         /// The engine's id.
         engine: String,
         /// How the probe ended.
         outcome: Outcome,
-        /// The load report; empty if there was none.
+        /// Load report of the engine; empty if there was none.
         report: Vec<f64>,
     },
-    /// An engine reports of an attempt that has not ended.
+    /// An engine has sent a progress note about an attempt in flight.
     Progress {
         /// The query.
         id: QueryId,
-        /// Which of its attempts, from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
-        /// The report.
+        /// The progress note.
         note: ProgressNote,
     },
-    /// The client has begun to receive the answer: no other attempt can replace this one.
+    /// The client has begun to receive the answer, so no other attempt can replace this one.
     Streaming {
         /// The query.
         id: QueryId,
-        /// Which of its attempts, from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
     /// The client no longer waits for this query.
     ClientDisconnected(QueryId),
-    /// A timer that was requested has expired.
+    /// The requested timer with this token has expired.
     Timer(u64),
 }
--- a/src/decision/model/mod.rs
+++ b/src/decision/model/mod.rs
@@ -1,7 +1,8 @@
-//! What the decisions are made of, and no decision: settings, events and actions; the state of
-//! engines, requests and classes; statistics and estimates over them.
+//! The data model of the dispatch decisions: settings, events and actions; the state of engines,
+//! requests and classes; statistics and estimates over them. The decisions themselves are made
+//! elsewhere.
 //!
-//! Times are milliseconds on the dispatcher's one clock.
+//! Times are milliseconds on the dispatcher's clock.
 
 mod actions;
 mod events;
@@ -40,7 +41,7 @@
     RetryBudget, Rules, Settings, SettingsError, Tenant,
 };
 
-/// A moment or a span, in milliseconds.
+/// A point in time or a duration, in milliseconds.
 pub type Millis = f64;
 /// The dispatcher's own number for a query; never reused.
 pub type QueryId = u64;
--- a/src/decision/model/query.rs
+++ b/src/decision/model/query.rs
@@ -1,30 +1,30 @@
-//! A query as a client sends it.
+//! A query as received from a client.
 
 use super::{ClassId, Millis, QueryId};
 
 /// A query as it arrives.
 #[derive(Clone, Debug)]
 pub struct Query {
-    /// The dispatcher's own number for it.
+    /// The dispatcher's own number for the query.
     pub id: QueryId,
-    /// Its class.
+    /// Class of the query.
     pub class: ClassId,
-    /// Its tenant, by number, if it has one.
+    /// Number of the query's tenant, if it has one.
     pub tenant: Option<usize>,
-    /// Queries with one key run in order; only for classes in order.
+    /// Ordering key: queries with the same key run in order, if their class has to run in order.
     pub key: Option<String>,
-    /// Group of tables that it reads or writes.
+    /// Table group that the query reads or writes.
     pub tables: Option<u64>,
-    /// Until its client gives up on it, ms.
+    /// Time until the client gives up on the query, ms.
     pub time_left: Millis,
-    /// Estimate of its work, as time on one thread, ms.
+    /// Estimated work, ms of one thread.
     pub work: Option<f64>,
-    /// Estimate of the memory it needs, MB.
+    /// Estimated memory, MB.
     pub memory_mb: Option<f64>,
 }
 
 impl Query {
-    /// Absurd estimates are treated as absent, an absurd time left as none.
+    /// Removes invalid estimates, and replaces an invalid `time_left` by 0.
     pub(crate) fn sanitize(&mut self) {
         self.work = positive(self.work);
         self.memory_mb = positive(self.memory_mb);
@@ -35,7 +35,7 @@
     }
 }
 
-/// The number if it is finite and above 0.
+/// Returns the number if it is finite and above 0.
 pub(crate) fn positive(number: Option<f64>) -> Option<f64> {
     number.filter(|number| number.is_finite() && *number > 0.0)
 }
