--- a/src/decision/model/settings.rs
+++ b/src/decision/model/settings.rs
@@ -1,19 +1,19 @@
-//! What the operator states at start, and the check that refuses settings which cannot be.
+//! Settings that the operator provides at start, and their validation.
 
 use super::Millis;
 
 #[cfg(test)]
 mod tests;
 
-/// Everything the operator states at start. A limit that is not known is given as its cautious
-/// reading.
+/// All settings that the operator provides at start. An unknown limit is set to its most cautious
+/// value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How many dispatchers share the engines.
+    /// Number of dispatchers that share the engines.
     pub dispatchers: u32,
-    /// The zone this dispatcher runs in, by number.
+    /// Number of the zone that this dispatcher runs in.
     pub zone: Option<usize>,
-    /// Shortest time between two calls with a later clock, ms.
+    /// Minimum time by which the clock advances between two calls, ms.
     pub step: Millis,
     /// Query classes; a [`ClassId`](super::ClassId) is a position here.
     pub classes: Vec<Class>,
@@ -21,58 +21,61 @@
     pub tenants: Vec<Tenant>,
     /// Kinds of engine, by number.
     pub kinds: Vec<Kind>,
-    /// Priority weight of a query beyond its tenant's quota, as a part of its class's weight.
+    /// Priority weight of a query beyond its tenant's quota, as a fraction of its class's weight.
     pub over_quota_weight: f64,
-    /// What the platform allows a dispatcher to do.
+    /// Limits that the platform sets for a dispatcher.
     pub limits: Limits,
-    /// What the engines can do and report.
+    /// Capabilities of the engines.
     pub engines: EngineCapabilities,
     /// The rules that no decision may break.
     pub rules: Rules,
-    /// What a load report holds, in order.
+    /// Fields of a load report, in order.
     pub report_fields: Vec<ReportField>,
-    /// True if changes of the engine list arrive only after
+    /// Whether changes of the endpoint list arrive only after
     /// [`Action::Subscribe`](super::Action::Subscribe).
     pub must_subscribe: bool,
-    /// Priority weight lost by each attempt that crosses zones, per query.
+    /// Priority weight that a query loses for each attempt that crosses zones.
     pub cross_zone_cost: f64,
 }
 
-/// A class of queries with one objective.
+/// A class of queries with a common latency objective.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Weight of an answer in time.
+    /// Weight of an answer that meets the latency objective.
     pub priority_weight: f64,
-    /// An answer within this time, plus the slowdown allowance, earns the full weight, ms.
+    /// An answer within this time plus the slowdown allowance has the full weight, ms.
     pub latency_objective: Millis,
-    /// The objective grows by this times the query's work divided by its threads.
+    /// Slowdown allowance: the objective grows by this factor times the query's work divided by its
+    /// threads.
     pub latency_objective_slowdown: f64,
-    /// Part of the weight that a late answer still earns.
+    /// Fraction of the weight that a late answer still has.
     pub late_answer_weight: f64,
-    /// What running a query twice would do.
+    /// The effect of running a query twice.
     pub idempotency: Idempotency,
-    /// Queries with one key run one at a time, in the order of arrival.
+    /// Whether queries with the same key run one at a time, in the order of arrival.
     pub in_order: bool,
-    /// The only zones it may run in; `None` is anywhere.
+    /// Zones that the class may run in; `None` allows every zone.
     pub allowed_zones: Option<Vec<usize>>,
-    /// The only kinds of engine it may run on; `None` is any.
+    /// Kinds of engine that the class may run on; `None` allows every kind.
     pub allowed_kinds: Option<Vec<usize>>,
-    /// Threads that one query runs on.
+    /// Number of threads that one query runs on.
     pub threads: f64,
-    /// A bulk load: locks its group of tables on its engine while it runs.
+    /// Whether queries of the class are bulk loads, which lock their table group on their engine
+    /// while they run.
     pub holds_tables: bool,
-    /// A reader that stalls while a bulk load locks its group of tables.
+    /// Whether queries of the class are readers, which stall while a bulk load locks their table
+    /// group.
     pub waits_for_loads: bool,
 }
 
-/// What running a query twice would do.
+/// The effect of running a query twice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// Nothing: it may run any number of times.
+    /// Running it again has no further effect.
     Idempotent,
-    /// Engines of one scope drop repeats for `window` from the first attempt that may have run.
+    /// Engines of one scope drop repeats for `window` ms from the first attempt that may have run.
     Keyed {
-        /// The engines that share their knowledge of keys.
+        /// The engines that share their idempotency keys.
         group: DeduplicationScope,
         /// How long a key is remembered, ms.
         window: Millis,
@@ -81,7 +84,7 @@
     NonIdempotent,
 }
 
-/// The engines that know each other's idempotency keys.
+/// The engines that share their idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All engines.
@@ -95,108 +98,110 @@
 /// A tenant's quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Queries a second within its quota, for all dispatchers together.
+    /// Queries per second within the quota, for all dispatchers together.
     pub quota_per_s: f64,
 }
 
-/// A kind of engine, by its machine.
+/// A kind of engine, defined by its machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Kind {
-    /// Processor cores.
+    /// Number of processor cores.
     pub cores: f64,
-    /// Memory for queries, MB.
+    /// Memory available to queries, MB.
     pub memory_mb: f64,
 }
 
-/// What the platform allows a dispatcher to do.
+/// Limits that the platform sets for a dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Attempts for one query, the first included.
+    /// Maximum number of attempts for one query, including the first.
     pub max_attempts: u32,
-    /// A second attempt may run beside the first.
+    /// Whether a second attempt may run concurrently with the first.
     pub hedging: bool,
-    /// Cancelling an attempt stops its work.
+    /// Whether cancelling an attempt stops its work.
     pub cancel: bool,
-    /// Engines answer probes with a load report.
+    /// Whether engines answer probes with a load report.
     pub probes: bool,
-    /// A refusal may say when to come back.
+    /// Whether a refusal may name a delay after which the client may retry.
     pub sends_retry_after: bool,
-    /// The longest such time, ms.
+    /// Maximum retry delay that a refusal may name, ms.
     pub max_retry_after: Millis,
 }
 
-/// What the engines can do and report.
+/// Capabilities of the engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineCapabilities {
-    /// An attempt may name the memory it gets.
+    /// Whether an attempt may request a memory grant.
     pub accepts_memory_grants: bool,
-    /// An attempt may name its priority.
+    /// Whether an attempt may set its priority.
     pub accepts_priority: bool,
-    /// Part of an engine's memory that one query gets at most.
+    /// Maximum fraction of an engine's memory that one query gets.
     pub max_grant_share: f64,
-    /// Answers report true work and memory.
+    /// Whether answers report the actual work and memory of the query.
     pub reports_cost: bool,
-    /// When memory runs out, queries are still admitted and all slow down.
+    /// Whether an engine without free memory still admits queries, which slows down all of them.
     pub overcommits_memory: bool,
-    /// Every attempt that runs or waits sends a progress note this often, ms; 0: none does.
+    /// Interval between the progress notes of an attempt that runs or waits, ms; 0 if none are
+    /// sent.
     pub progress_interval: Millis,
 }
 
 /// The rules that no decision may break.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// Allowance for a final answer after the deadline, ms.
+    /// Grace period for a final answer after the deadline, ms.
     pub answer_grace: Millis,
-    /// Allowance for attempts at an engine that began to drain, ms.
+    /// Grace period for attempts at an engine that has begun to drain, ms.
     pub drain_grace: Millis,
-    /// Part of its capacity that an engine has when its process starts.
+    /// Fraction of its capacity that an engine has when its process starts.
     pub initial_warm_up_capacity: f64,
-    /// Time from its start until an engine has its full capacity, ms.
+    /// Time from the start of an engine's process until it has its full capacity, ms.
     pub warm_up_period: Millis,
-    /// A warming engine fails at this multiple of its capacity.
+    /// Multiple of its capacity at which an engine that is warming up fails.
     pub overload_multiple: f64,
-    /// The window over which that load is counted, ms.
+    /// Window over which the load of an engine that is warming up is counted, ms.
     pub overload_window: Millis,
-    /// How long a key rests after an attempt that may still run, ms.
+    /// Quiet period of a key after an attempt that may still run, ms: no query of the key is sent
+    /// during it.
     pub order_quiet_period: Millis,
-    /// Bound on further attempts; `None` is unbounded.
+    /// Limit on retries; `None` is unlimited.
     pub retry_budget: Option<RetryBudget>,
 }
 
-/// Within any `window`, retries stay within `min_retries` plus `retry_ratio` for each arrival.
+/// Limits the retries within any `window` to `min_retries` plus `retry_ratio` for each arrival.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Retries allowed in a window without any arrival.
+    /// Number of retries allowed in a window without any arrival.
     pub min_retries: f64,
-    /// Further retries for each arrival in the window.
+    /// Number of further retries allowed for each arrival in the window.
     pub retry_ratio: f64,
     /// Length of the window, ms.
     pub window: Millis,
 }
 
-/// What one position of a load report holds.
+/// The meaning of one position of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
-    /// Queries running or waiting at the engine.
+    /// Number of queries running or waiting at the engine.
     Inflight,
-    /// Queries waiting there for memory.
+    /// Number of queries waiting for memory at the engine.
     MemoryQueue,
-    /// Busy cores as a fraction of all.
+    /// Busy cores as a fraction of all cores.
     CpuBusy,
-    /// Granted memory as a fraction of all.
+    /// Granted memory as a fraction of all memory.
     MemoryGranted,
-    /// Busy disks as a fraction of all.
+    /// Busy disks as a fraction of all disks.
     DiskBusy,
-    /// Something the decisions do not use.
+    /// A value that the decisions do not use.
     Other,
 }
 
-/// Settings that contradict themselves or cannot be.
+/// An invalid or inconsistent setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The configuration key at fault.
+    /// The configuration key with the invalid value.
     pub field: String,
-    /// What is wrong with it.
+    /// Why the value is invalid.
     pub problem: &'static str,
 }
 
@@ -208,15 +213,15 @@
 
 impl std::error::Error for SettingsError {}
 
-/// A number by the configuration key it came from.
+/// A configuration key and its numeric value.
 type KeyedNumber = (String, f64);
 
 impl Settings {
-    /// Checks that every number can be used and that references resolve.
+    /// Checks that every number is valid and that references resolve.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] names the first field that is impossible.
+    /// Returns a [`SettingsError`] that names the first invalid field.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return invalid("classes", "no class");
@@ -239,11 +244,8 @@
         for (index, tenant) in self.tenants.iter().enumerate() {
             numbers.push((format!("tenants[{index}].quota_per_s"), tenant.quota_per_s));
         }
-        let is_impossible = |number: f64| !number.is_finite() || number < 0.0;
-        match numbers
-            .into_iter()
-            .find(|(_, number)| is_impossible(*number))
-        {
+        let is_invalid = |number: f64| !number.is_finite() || number < 0.0;
+        match numbers.into_iter().find(|(_, number)| is_invalid(*number)) {
             Some((field, _)) => invalid(field, "must be finite and not negative"),
             None => Ok(()),
         }
@@ -276,7 +278,7 @@
 }
 
 impl Class {
-    /// It may run on an engine of this zone and kind.
+    /// Returns whether the class may run on an engine of this zone and kind.
     pub(crate) fn allows(&self, zone: Option<usize>, kind: Option<usize>) -> bool {
         is_listed(&self.allowed_zones, zone) && is_listed(&self.allowed_kinds, kind)
     }
--- a/src/decision/model/settings/tests.rs
+++ b/src/decision/model/settings/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn the_first_impossible_field_is_named_by_its_key() {
+fn the_first_invalid_field_is_named_by_its_key() {
     assert_eq!(problem(|_| {}), None);
     let expect = |problem: Option<String>, expected: &str| {
         assert_eq!(problem.as_deref(), Some(expected));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_class_allows_listed_zones_and_kinds_only() {
+fn a_class_allows_only_listed_zones_and_kinds() {
     let mut class = settings().classes.remove(0);
     assert!(class.allows(None, None));
     class.allowed_zones = Some(vec![1]);
