--- a/src/decision/model/endpoint.rs
+++ b/src/decision/model/endpoint.rs
@@ -1,4 +1,5 @@
-//! An engine as this dispatcher knows it, and the attempts it has there.
+//! The state of an engine as this dispatcher knows it, and this dispatcher's attempts in flight
+//! there.
 
 use super::aimd_limit::AimdLimit;
 use super::in_flight_attempt::InFlightAttempt;
@@ -13,67 +14,71 @@
 #[cfg(test)]
 mod tests;
 
-/// Threads a core that an engine bears, for all dispatchers together.
+/// Threads per core that an engine sustains, for all dispatchers together.
 pub(crate) const THREADS_PER_CORE: f64 = 2.0;
 
-/// Weight that facts about engines keep at each sample: about ten samples count.
+/// Factor by which the weight of engine statistics decays at each sample: about the last ten
+/// samples count.
 pub(crate) const ENGINE_RETENTION: f64 = 0.85;
 
-/// Weight that facts which must not outlive their cause keep at each sample or sampling period.
+/// Decay factor, per sample or sampling period, for statistics that must not outlive their cause.
 const SHORT_RETENTION: f64 = 0.5;
 
-/// Weight of outcomes below which they are forgotten altogether.
+/// Weight of recorded outcomes below which they are discarded.
 const MIN_OUTCOME_WEIGHT: f64 = 0.5;
 
-/// An engine as this dispatcher knows it.
+/// The state of an engine as this dispatcher knows it.
 #[derive(Debug)]
 pub(crate) struct Engine {
-    /// Its id.
+    /// The engine's id.
     pub(crate) name: String,
     /// Whether it accepts new attempts.
     pub(crate) state: EngineState,
-    /// When its process last started, ms; `None` is long ago.
+    /// When the engine's process last started, ms; `None`: long ago.
     pub(crate) started: Option<Millis>,
-    /// Its kind, by number.
+    /// Number of the engine's kind.
     pub(crate) kind: Option<usize>,
-    /// Its zone, by number.
+    /// Number of the engine's zone.
     pub(crate) zone: Option<usize>,
-    /// Its cell, by number.
+    /// Number of the engine's cell.
     pub(crate) cell: i64,
-    /// Its cores, by its kind.
+    /// Number of cores of the engine's kind.
     pub(crate) cores: f64,
-    /// Its memory by its kind, MB.
+    /// Memory of the engine's kind, MB.
     pub(crate) memory_mb: f64,
-    /// This dispatcher's part of the threads that it bears.
+    /// This dispatcher's share of the threads that the engine sustains.
     pub(crate) thread_budget: f64,
-    /// The most memory that one query gets there, MB.
+    /// Maximum memory that one query gets at the engine, MB.
     pub(crate) max_grant_mb: f64,
-    /// This dispatcher's attempts there that have not ended.
+    /// This dispatcher's attempts in flight at the engine.
     pub(crate) in_flight: Vec<InFlightAttempt>,
-    /// It rejected an attempt for lack of capacity and counts as full until then, ms.
+    /// Time until which the engine counts as full, ms, because it rejected an attempt for lack of
+    /// capacity.
     pub(crate) full_until: Millis,
-    /// Threads this dispatcher may use there, once it has shown that it lacks capacity.
+    /// Maximum number of threads that this dispatcher may use at the engine; unlimited until the
+    /// engine has lacked capacity.
     pub(crate) concurrency_limit: AimdLimit,
-    /// Its load as it last reported it.
+    /// The engine's last load report.
     pub(crate) load: LoadReport,
-    /// Latency of its answers over the usual service time of their classes.
+    /// Latency of the engine's answers divided by the usual service time of their classes.
     pub(crate) slowdown: DecayingMean,
-    /// Failures among its outcomes: 1 for a failure, 0 for an answer.
+    /// Mean over the engine's outcomes: 1 for a failure, 0 for an answer.
     pub(crate) failures: DecayingMean,
-    /// When it last responded, ms.
+    /// When the engine last responded, ms.
     pub(crate) last_response: Millis,
-    /// Since when it responds without a pause, ms.
+    /// Since when the engine has responded without a pause, ms.
     pub(crate) responsive_since: Millis,
-    /// A random number for each sampling period, 0 to 1: rounds a budget below one query.
+    /// Random number from 0 to 1, drawn for each sampling period, that rounds a budget below one
+    /// query.
     pub(crate) budget_rounding: f64,
-    /// What it was sent in the window that counts for its slow start.
+    /// Work sent to the engine within the window that counts for its slow start.
     pub(crate) slow_start_usage: SlowStartUsage,
-    /// Groups of tables that a bulk load locks there, and when that was last reported, ms.
+    /// Table groups that a bulk load locks at the engine, and when each lock was last reported, ms.
     pub(crate) table_locks: BTreeMap<u64, Millis>,
 }
 
 impl Engine {
-    /// An engine of which nothing is known but its entry in the list.
+    /// Creates an engine from its entry in the endpoint list.
     pub(crate) fn new(entry: &EngineEntry, settings: &Settings) -> Self {
         let mut engine = Engine {
             name: entry.engine.clone(),
@@ -102,7 +107,7 @@
         engine
     }
 
-    /// Takes over what the list says of it, except a restart.
+    /// Updates the engine from its entry in the endpoint list, except for a restart.
     pub(crate) fn update(&mut self, entry: &EngineEntry, settings: &Settings) {
         self.state = entry.state;
         self.kind = entry.kind;
@@ -115,8 +120,8 @@
         self.max_grant_mb = self.memory_mb * settings.engines.max_grant_share;
     }
 
-    /// Its process has restarted: what was learned of the old one is void, except what this
-    /// dispatcher sent.
+    /// Resets the state after a restart of the engine's process. Only the attempts in flight and
+    /// the record of what this dispatcher sent are kept.
     pub(crate) fn restart(&mut self, entry: &EngineEntry, settings: &Settings) {
         let in_flight = std::mem::take(&mut self.in_flight);
         let slow_start_usage = std::mem::take(&mut self.slow_start_usage);
@@ -127,24 +132,25 @@
         };
     }
 
-    /// It is in service.
+    /// Returns whether the engine is in service.
     pub(crate) fn is_ready(&self) -> bool {
         self.state == EngineState::Ready
     }
 
-    /// Threads that it bears, for all dispatchers together.
+    /// Returns the number of threads that the engine sustains, for all dispatchers together.
     pub(crate) fn thread_capacity(&self) -> f64 {
         THREADS_PER_CORE * self.cores
     }
 
-    /// This dispatcher's part of its threads is below one query: own attempts do not show the
-    /// engine's load.
+    /// Returns whether this dispatcher's share of the engine's threads is below one query of this
+    /// many threads. The engine's load then can't be seen from this dispatcher's own attempts.
     pub(crate) fn is_budget_fractional(&self, threads: f64) -> bool {
         self.thread_budget < threads
     }
 
-    /// This dispatcher's part of its threads for queries of so many. A part below one query is
-    /// rounded at random, so that all dispatchers together keep to the whole.
+    /// Returns this dispatcher's share of the engine's threads for queries of this many threads. A
+    /// share below one query is rounded at random, so that all dispatchers together stay within the
+    /// engine's capacity.
     pub(crate) fn rounded_budget(&self, threads: f64) -> f64 {
         match self.is_budget_fractional(threads) {
             true => self.thread_budget + self.budget_rounding * threads,
@@ -152,19 +158,20 @@
         }
     }
 
-    /// A hash of its name: whoever knows name and salt ranks engines alike.
+    /// Returns a hash of the engine's name. All dispatchers that use the same salt rank engines
+    /// alike.
     pub(crate) fn rank(&self, salt: u64) -> u64 {
         let mix =
             |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
         self.name.bytes().fold(salt, mix)
     }
 
-    /// Threads that this dispatcher's attempts use there.
+    /// Returns the number of threads that this dispatcher's attempts use at the engine.
     pub(crate) fn threads(&self) -> f64 {
         self.in_flight.iter().map(|attempt| attempt.threads).sum()
     }
 
-    /// Work of this dispatcher's attempts there that is not done yet, ms of one thread.
+    /// Returns the remaining work of this dispatcher's attempts at the engine, ms of one thread.
     fn remaining_work(&self) -> f64 {
         self.in_flight
             .iter()
@@ -172,12 +179,12 @@
             .sum()
     }
 
-    /// The same for each core.
+    /// Returns the remaining work of this dispatcher's attempts per core of the engine, ms.
     pub(crate) fn work_per_core(&self) -> f64 {
         self.remaining_work() / self.cores
     }
 
-    /// Attempts sent after its last load report.
+    /// Returns the number of attempts sent after the engine's last load report.
     pub(crate) fn attempts_since_report(&self) -> usize {
         let reported_at = self.load.received_at;
         let unreported = self
@@ -187,8 +194,9 @@
         unreported.count()
     }
 
-    /// An attempt that gets this memory would not queue for it, by a fresh report and what was sent
-    /// since.
+    /// Returns whether an attempt that is granted this much memory would get it without queueing,
+    /// judged by the last load report and the attempts sent since. A stale report does not limit
+    /// memory.
     pub(crate) fn has_memory_for(&self, now: Millis, granted_mb: f64) -> bool {
         let reported_at = self.load.received_at;
         let unreported = self
@@ -200,8 +208,8 @@
         !self.load.is_fresh(now) || reported_mb + unreported_mb + granted_mb <= self.memory_mb
     }
 
-    /// Memory that an attempt has there, MB. The engine's own choice is taken for its threads' part
-    /// of all.
+    /// Returns the memory that an attempt has at the engine, MB. If the engine chose it, the
+    /// attempt is assumed to have the share of memory that corresponds to its threads.
     pub(crate) fn memory_of(&self, attempt: &InFlightAttempt) -> f64 {
         if attempt.granted_mb > 0.0 {
             attempt.granted_mb
@@ -210,14 +218,16 @@
         }
     }
 
-    /// Capacity as a fraction of the full one at this time after its start: it warms up evenly.
+    /// Returns the engine's capacity at the time `now` as a fraction of its full capacity, for a
+    /// process that started at `started`. The capacity grows linearly while the engine is warming
+    /// up.
     pub(crate) fn warm_up_capacity(&self, rules: &Rules, started: Millis, now: Millis) -> f64 {
         let progress = ((now - started) / rules.warm_up_period).clamp(0.0, 1.0);
         let initial = rules.initial_warm_up_capacity;
         initial + (1.0 - initial) * progress
     }
 
-    /// Both drop repeats of one key.
+    /// Returns whether both engines drop repeats of one idempotency key.
     pub(crate) fn shares_keys_with(&self, other: &Engine, scope: DeduplicationScope) -> bool {
         match scope {
             DeduplicationScope::All => true,
@@ -226,7 +236,8 @@
         }
     }
 
-    /// Records that it responds; after a silence longer than `pause` it is responsive anew.
+    /// Records that the engine responds. After a silence longer than `pause` ms its responsive
+    /// period starts again.
     pub(crate) fn record_activity(&mut self, now: Millis, pause: Millis) {
         if now > self.last_response + pause {
             self.responsive_since = now;
@@ -234,7 +245,7 @@
         self.last_response = now;
     }
 
-    /// Counts an outcome for the failure rate, if it is a failure or an answer.
+    /// Adds an outcome to the failure rate, if it is a failure or an answer.
     pub(crate) fn record_outcome(&mut self, outcome: Outcome) {
         if outcome.is_failure() {
             self.failures.add(1.0, ENGINE_RETENTION);
@@ -243,13 +254,14 @@
         }
     }
 
-    /// Failures of late as a fraction of its outcomes; a single one counts half.
+    /// Returns recent failures as a fraction of the engine's outcomes; a single failure counts
+    /// half.
     pub(crate) fn failure_rate(&self) -> f64 {
         self.failures.shrunken_mean()
     }
 
-    /// Lets outcomes decay by time: an engine that is sent nothing could never show that it has
-    /// recovered.
+    /// Decays the weight of outcomes with time. Without this an engine that is sent nothing could
+    /// never show that it has recovered.
     pub(crate) fn decay_failures(&mut self) {
         self.failures.decay(SHORT_RETENTION);
         if self.failures.weight() < MIN_OUTCOME_WEIGHT {
@@ -257,43 +269,43 @@
         }
     }
 
-    /// Records the latency of an answer over the usual service time of its class.
+    /// Records the latency of an answer divided by the usual service time of its class.
     pub(crate) fn record_slowdown(&mut self, slowdown: f64) {
         self.slowdown.add(slowdown, SHORT_RETENTION);
     }
 
-    /// The attempt that has not ended, by query and number.
+    /// Returns an attempt in flight by its query and number.
     pub(crate) fn attempt(&self, id: QueryId, attempt: u32) -> Option<&InFlightAttempt> {
-        let is_it = |other: &&InFlightAttempt| (other.id, other.attempt) == (id, attempt);
-        self.in_flight.iter().find(is_it)
+        let matches = |other: &&InFlightAttempt| (other.id, other.attempt) == (id, attempt);
+        self.in_flight.iter().find(matches)
     }
 
-    /// The same, to be changed.
+    /// Returns a mutable reference to an attempt in flight by its query and number.
     pub(crate) fn attempt_mut(
         &mut self,
         id: QueryId,
         attempt: u32,
     ) -> Option<&mut InFlightAttempt> {
-        let is_it = |other: &&mut InFlightAttempt| (other.id, other.attempt) == (id, attempt);
-        self.in_flight.iter_mut().find(is_it)
+        let matches = |other: &&mut InFlightAttempt| (other.id, other.attempt) == (id, attempt);
+        self.in_flight.iter_mut().find(matches)
     }
 
-    /// Takes out an attempt that has ended; true if it had stalled behind a bulk load.
+    /// Removes an attempt that has ended. Returns whether it had stalled behind a bulk load.
     pub(crate) fn remove_attempt(&mut self, id: QueryId, attempt: u32) -> bool {
-        let is_it = |other: &InFlightAttempt| (other.id, other.attempt) == (id, attempt);
-        let position = self.in_flight.iter().position(is_it);
+        let matches = |other: &InFlightAttempt| (other.id, other.attempt) == (id, attempt);
+        let position = self.in_flight.iter().position(matches);
         position.is_some_and(|position| self.in_flight.remove(position).has_stalled)
     }
 
-    /// Records that a bulk load locks a group of tables, and forgets reports older than `ttl`.
+    /// Records that a bulk load locks a table group, and discards reports older than `ttl` ms.
     pub(crate) fn record_table_lock(&mut self, now: Millis, ttl: Millis, group: Option<u64>) {
         self.table_locks
             .retain(|_, reported_at| now < *reported_at + ttl);
         self.table_locks.extend(group.map(|group| (group, now)));
     }
 
-    /// A bulk load locks this group of tables: one of this dispatcher, or one reported less than
-    /// `ttl` ago.
+    /// Returns whether a bulk load locks this table group: one of this dispatcher, or one that was
+    /// reported less than `ttl` ms ago.
     pub(crate) fn is_table_locked(&self, now: Millis, ttl: Millis, group: u64) -> bool {
         let locks =
             |attempt: &InFlightAttempt| attempt.tables == Some(group) && attempt.locks_tables;
@@ -301,7 +313,7 @@
         self.in_flight.iter().any(locks) || reported_at.is_some_and(|at| now < at + ttl)
     }
 
-    /// Its process has started after this time.
+    /// Returns whether the engine's process has started after this time.
     pub(crate) fn has_restarted_since(&self, time: Millis) -> bool {
         self.started.is_some_and(|started| time < started)
     }
--- a/src/decision/model/endpoint/tests.rs
+++ b/src/decision/model/endpoint/tests.rs
@@ -10,7 +10,7 @@
 #[test]
 fn a_budget_below_one_query_is_rounded_at_random() {
     let mut engine = engine();
-    // 8 cores bear 16 threads, for 32 dispatchers.
+    // 8 cores sustain 16 threads, for 32 dispatchers.
     assert_close(engine.thread_budget, 0.5);
     assert!(engine.is_budget_fractional(1.0) && !engine.is_budget_fractional(0.5));
     engine.budget_rounding = 0.75;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn capacity_grows_evenly_while_an_engine_warms_up() {
+fn capacity_grows_linearly_while_an_engine_is_warming_up() {
     let engine = engine();
     let rules = settings().rules;
     for (now, capacity) in [(100.0, 0.3), (600.0, 0.65), (1100.0, 1.0), (9000.0, 1.0)] {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_silence_makes_an_engine_responsive_anew() {
+fn a_silence_restarts_the_responsive_period() {
     let mut engine = engine();
     for (now, since) in [(10.0, 10.0), (15.0, 10.0), (20.0, 10.0), (26.0, 26.0)] {
         engine.record_activity(now, 5.0);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_stale_report_keeps_no_memory_back() {
+fn a_stale_report_does_not_limit_memory() {
     let mut engine = engine();
     let fields = [super::super::ReportField::MemoryGranted];
     assert!(engine.load.decode(0.0, &fields, &[0.75]));
