--- a/src/decision/model/endpoint_list.rs
+++ b/src/decision/model/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The engines that are known, by index and by name, as the engine list gives them.
+//! The known engines, by index and by name, as the endpoint list reports them.
 
 use super::endpoint::Engine;
 use super::endpoint_summary::{EndpointSummary, OwnOrder};
@@ -12,24 +12,26 @@
 #[cfg(test)]
 mod tests;
 
-/// Position of an engine in the [`EndpointList`]: it stays while a request refers to it.
+/// Position of an engine in the [`EndpointList`]. It stays the same while a request refers to the
+/// engine.
 pub(crate) type EngineIndex = usize;
 
-/// Medians that are remembered.
+/// Maximum number of cached medians.
 const MAX_CACHED_MEDIANS: usize = 256;
 
-/// Changed engines, as a part of those in service, from which a median is computed anew. Half of this
-/// part at most is in the wrong half; below so many engines every change counts.
+/// Divisor of the number of engines in service that gives the number of changes after which a
+/// cached median is recomputed. At most half as many engines are then in the wrong half. With fewer
+/// engines in service than this divisor, every change causes a recomputation.
 const MEDIAN_STALENESS_DIVISOR: usize = 128;
 
-/// A median rank, and the number of changes to the list when it was computed.
+/// A median rank, and the number of changes to the list at the time it was computed.
 #[derive(Clone, Copy, Debug)]
 struct CachedMedian {
     rank: u64,
     computed_at: usize,
 }
 
-/// The engines that are known.
+/// The known engines.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointList {
     engines: Vec<Engine>,
@@ -37,25 +39,25 @@
     last_response: Option<Millis>,
     /// Engines with an attempt in flight.
     busy: BTreeSet<EngineIndex>,
-    /// Engines that are gone, whose index may be used again.
+    /// Engines that are gone, whose index may be reused.
     gone: BTreeSet<EngineIndex>,
-    /// Engines that changes have named so far.
+    /// Number of entries in all updates so far.
     changes: usize,
-    /// What follows from all engines together, once it was asked for.
+    /// Aggregates over all engines, computed on first use.
     summary: OnceCell<EndpointSummary>,
-    /// Median ranks by salt, as far as they were asked for.
+    /// Cached median ranks, by salt.
     medians: RefCell<BTreeMap<u64, CachedMedian>>,
     /// Engines that have responded.
     responsive: BTreeSet<EngineIndex>,
-    /// The engines in service in the dispatcher's own order, once it was asked for.
+    /// The engines in service in this dispatcher's order of preference, computed on first use.
     own_order: OnceCell<OwnOrder>,
 }
 
 impl EndpointList {
-    /// Applies an update of the engine list.
+    /// Applies an update of the endpoint list.
     ///
-    /// New ids come all day: the index of an engine that is gone and to which nothing refers is
-    /// used again.
+    /// New ids keep arriving, so the index of an engine that is gone and that no request refers to
+    /// is reused.
     pub(crate) fn apply(
         &mut self,
         update: ListUpdate,
@@ -64,10 +66,11 @@
         is_referenced: impl Fn(EngineIndex) -> bool,
     ) {
         if update != ListUpdate::Patch {
-            self.forget_all();
+            self.mark_all_gone();
         }
         self.changes += entries.len();
-        // Known ones first: an index is reused only if its engine is not in this list.
+        // Known engines come first, so that an index is reused only if its engine is not in this
+        // update.
         let is_known = |entry: &EngineEntry| self.by_name.contains_key(&entry.engine);
         let (known, new): (Vec<_>, Vec<_>) = entries.into_iter().partition(is_known);
         for entry in known.into_iter().chain(new) {
@@ -78,8 +81,8 @@
         }
     }
 
-    /// Every engine is gone until it is listed again.
-    fn forget_all(&mut self) {
+    /// Marks every engine as gone until it is listed again.
+    fn mark_all_gone(&mut self) {
         self.summary.take();
         self.own_order.take();
         self.medians.get_mut().clear();
@@ -90,7 +93,7 @@
     }
 
     fn update(&mut self, index: EngineIndex, entry: &EngineEntry, settings: &Settings) {
-        self.exclude(index);
+        self.remove_from_aggregates(index);
         let engine = &mut self.engines[index];
         if entry.started.is_some() && entry.started != engine.started {
             engine.restart(entry, settings);
@@ -98,7 +101,7 @@
         } else {
             engine.update(entry, settings);
         }
-        self.include(index);
+        self.add_to_aggregates(index);
     }
 
     fn insert(
@@ -115,16 +118,16 @@
         if index == self.engines.len() {
             self.engines.push(engine);
         } else {
-            self.exclude(index);
+            self.remove_from_aggregates(index);
             let replaced = std::mem::replace(&mut self.engines[index], engine);
             self.responsive.remove(&index);
             self.by_name.remove(&replaced.name);
         }
-        self.include(index);
+        self.add_to_aggregates(index);
     }
 
-    /// Takes an engine out of what is known of all together, before it changes.
-    fn exclude(&mut self, index: EngineIndex) {
+    /// Removes an engine from the aggregates before it changes.
+    fn remove_from_aggregates(&mut self, index: EngineIndex) {
         if let Some(summary) = self.summary.get_mut() {
             summary.remove(index, &self.engines[index]);
         }
@@ -134,8 +137,8 @@
         self.gone.remove(&index);
     }
 
-    /// Counts an engine that has changed.
-    fn include(&mut self, index: EngineIndex) {
+    /// Adds an engine that has changed to the aggregates.
+    fn add_to_aggregates(&mut self, index: EngineIndex) {
         let engine = &self.engines[index];
         if let Some(summary) = self.summary.get_mut() {
             summary.add(index, engine);
@@ -150,23 +153,23 @@
         }
     }
 
-    /// The engine of this id.
+    /// Returns the index of the engine with this id.
     pub(crate) fn find(&self, name: &str) -> Option<EngineIndex> {
         self.by_name.get(name).copied()
     }
 
-    /// Names that are remembered.
+    /// Returns the number of known engine names.
     #[cfg(test)]
     pub(crate) fn name_count(&self) -> usize {
         self.by_name.len()
     }
 
-    /// The indices of all engines.
+    /// Returns the indices of all engines.
     pub(crate) fn indices(&self) -> Range<EngineIndex> {
         0..self.engines.len()
     }
 
-    /// All engines, to be changed.
+    /// Returns a mutable iterator over all engines.
     pub(crate) fn iter_mut(&mut self) -> std::slice::IterMut<'_, Engine> {
         self.engines.iter_mut()
     }
@@ -176,20 +179,21 @@
             .get_or_init(|| EndpointSummary::new(&self.engines))
     }
 
-    /// The indices of the engines in service, in order.
+    /// Returns the indices of the engines in service, in ascending order.
     pub(crate) fn ready_indices(&self) -> &[EngineIndex] {
         self.summary().ready()
     }
 
-    /// The engines in service.
+    /// Returns the engines in service.
     pub(crate) fn ready(&self) -> impl Iterator<Item = &Engine> {
         self.ready_indices()
             .iter()
             .map(|&index| &self.engines[index])
     }
 
-    /// The engines in service in the order in which a dispatcher of this zone and salt prefers them: up to `max_warming` of
-    /// those that started after `warming_since`, those that have responded, and the others, its zone's first.
+    /// Returns the engines in service in the order in which a dispatcher of this zone and salt
+    /// prefers them: first up to `max_warming` engines that started after `warming_since`, then
+    /// those that have responded, then the others with those of its own zone first.
     pub(crate) fn in_own_order(
         &self,
         zone: Option<usize>,
@@ -219,18 +223,18 @@
         )
     }
 
-    /// The zones in which an engine is in service.
+    /// Returns the zones in which an engine is in service.
     pub(crate) fn ready_zones(&self) -> impl Iterator<Item = Option<usize>> {
         self.summary().ready_zones()
     }
 
-    /// This dispatcher's part of the threads that all engines in service bear.
+    /// Returns this dispatcher's share of the threads that all engines in service sustain.
     pub(crate) fn thread_budget(&self) -> f64 {
         self.summary().thread_budget()
     }
 
-    /// The median rank of the engines in service: it divides them in halves that all dispatchers
-    /// know.
+    /// Returns the median rank of the engines in service. It divides them into the same two halves
+    /// at every dispatcher.
     pub(crate) fn median_rank(&self, salt: u64) -> u64 {
         let mut medians = self.medians.borrow_mut();
         let max_changes = self.ready_indices().len() / MEDIAN_STALENESS_DIVISOR;
@@ -256,27 +260,28 @@
         median
     }
 
-    /// The engine's present process has started at this time at the latest.
+    /// Lowers the start time of the engine's current process to `latest` if it is later than that.
     pub(crate) fn learn_start(&mut self, index: EngineIndex, latest: Millis) {
-        // The summary's latest start stays an upper bound, until the next change of the list.
+        // The summary's latest start time remains an upper bound until the next change of the list.
         if let Some(started) = &mut self.engines[index].started {
             *started = started.min(latest);
         }
     }
 
-    /// Records that an engine responds; after a silence longer than `pause` it is responsive anew.
+    /// Records that an engine responds. After a silence longer than `pause` ms its responsive
+    /// period starts again.
     pub(crate) fn record_activity(&mut self, index: EngineIndex, now: Millis, pause: Millis) {
         self.engines[index].record_activity(now, pause);
         self.responsive.insert(index);
         self.last_response = Some(now);
     }
 
-    /// Some engine has responded after `start`.
+    /// Returns whether any engine has responded after `start`.
     pub(crate) fn has_response_after(&self, start: Millis) -> bool {
         self.last_response.is_some_and(|at| at > start)
     }
 
-    /// All candidates have sent a load report since they were probed.
+    /// Returns whether all candidates have sent a load report since they were probed.
     pub(crate) fn have_reported(&self, probes: &Probes) -> bool {
         let reported_at = |&index: &EngineIndex| self.engines[index].load.received_at;
         let mut reports = probes.candidates.iter().map(reported_at);
@@ -289,7 +294,7 @@
         self.busy.insert(index);
     }
 
-    /// Takes out an attempt that has ended; true if it had stalled behind a bulk load.
+    /// Removes an attempt that has ended. Returns whether it had stalled behind a bulk load.
     pub(crate) fn remove_attempt(&mut self, index: EngineIndex, id: QueryId, number: u32) -> bool {
         let engine = &mut self.engines[index];
         let had_stalled = engine.remove_attempt(id, number);
@@ -299,22 +304,22 @@
         had_stalled
     }
 
-    /// The engines with an attempt in flight, in order of their indices.
+    /// Returns the engines with an attempt in flight, in ascending order of their indices.
     pub(crate) fn busy(&self) -> impl Iterator<Item = &Engine> {
         self.busy.iter().map(|&index| &self.engines[index])
     }
 
-    /// All attempts that have not ended.
+    /// Returns all attempts in flight.
     pub(crate) fn in_flight(&self) -> impl Iterator<Item = &InFlightAttempt> {
         self.busy().flat_map(|engine| &engine.in_flight)
     }
 
-    /// Zones in which an engine is or was listed.
+    /// Returns the number of zones in which an engine is or was listed.
     pub(crate) fn zone_count(&self) -> usize {
         self.summary().zone_count()
     }
 
-    /// Threads that this dispatcher's attempts use at all engines.
+    /// Returns the number of threads that this dispatcher's attempts use at all engines.
     pub(crate) fn threads(&self) -> f64 {
         self.busy().map(Engine::threads).sum()
     }
--- a/src/decision/model/endpoint_list/tests.rs
+++ b/src/decision/model/endpoint_list/tests.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_restart_voids_what_was_learned_except_what_was_sent() {
+fn a_restart_resets_an_engine_but_keeps_its_slow_start_usage() {
     let mut list = EndpointList::default();
     apply(&mut list, ListUpdate::Snapshot, vec![entry("a", Some(1.0))]);
     list[0].full_until = 9.0;
