--- a/src/decision/model/endpoint_summary.rs
+++ b/src/decision/model/endpoint_summary.rs
@@ -1,4 +1,5 @@
-//! What follows from the endpoint list as a whole. A change of one engine costs what it changes, not a walk over all.
+//! Aggregates over the whole endpoint list, updated incrementally: a change of one engine does not
+//! cause a pass over all of them.
 
 use super::Millis;
 use super::endpoint::Engine;
@@ -8,7 +9,7 @@
 #[cfg(test)]
 mod tests;
 
-/// How often each value occurs.
+/// Number of occurrences of each value.
 #[derive(Debug)]
 struct Counts<T>(BTreeMap<T, usize>);
 
@@ -33,21 +34,22 @@
     }
 }
 
-/// Figures over all engines and over those in service.
+/// Aggregates over all engines and over those in service.
 #[derive(Debug)]
 pub(super) struct EndpointSummary {
-    /// In service, in order.
+    /// Engines in service, in ascending order of their indices.
     ready: Vec<EngineIndex>,
     ready_zones: Counts<Option<usize>>,
     zones: Counts<Option<usize>>,
-    /// Thread budgets of the engines in service, as bits: few differ, for they follow from the kinds.
+    /// Bit patterns of the thread budgets of the engines in service. There are few distinct values,
+    /// because a budget depends only on the engine's kind.
     thread_budgets: Counts<u64>,
-    /// No engine in service has started later.
+    /// Upper bound on the start time of the engines in service, ms.
     latest_start: Millis,
 }
 
 impl EndpointSummary {
-    /// The summary of these engines.
+    /// Computes the summary of these engines.
     pub(super) fn new(engines: &[Engine]) -> Self {
         let mut summary = EndpointSummary {
             ready: vec![],
@@ -62,7 +64,7 @@
         summary
     }
 
-    /// Counts an engine that is not counted.
+    /// Adds an engine that is not in the summary.
     pub(super) fn add(&mut self, index: EngineIndex, engine: &Engine) {
         self.zones.add(engine.zone);
         if !engine.is_ready() {
@@ -76,7 +78,7 @@
         self.latest_start = self.latest_start.max(engine.started.unwrap_or(f64::MIN));
     }
 
-    /// Forgets an engine that is counted, as it is now.
+    /// Removes an engine that is in the summary. Its state must be the same as when it was added.
     pub(super) fn remove(&mut self, index: EngineIndex, engine: &Engine) {
         self.zones.remove(&engine.zone);
         if !engine.is_ready() {
@@ -89,22 +91,22 @@
         self.thread_budgets.remove(&engine.thread_budget.to_bits());
     }
 
-    /// The indices of the engines in service, in order.
+    /// Returns the indices of the engines in service, in ascending order.
     pub(super) fn ready(&self) -> &[EngineIndex] {
         &self.ready
     }
 
-    /// The zones in which an engine is in service.
+    /// Returns the zones in which an engine is in service.
     pub(super) fn ready_zones(&self) -> impl Iterator<Item = Option<usize>> {
         self.ready_zones.0.keys().copied()
     }
 
-    /// Zones in which an engine is or was listed.
+    /// Returns the number of zones in which an engine is or was listed.
     pub(super) fn zone_count(&self) -> usize {
         self.zones.0.len()
     }
 
-    /// This dispatcher's part of the threads that all engines in service bear.
+    /// Returns this dispatcher's share of the threads that all engines in service sustain.
     pub(super) fn thread_budget(&self) -> f64 {
         let budgets = self.thread_budgets.0.iter();
         budgets
@@ -112,13 +114,14 @@
             .sum()
     }
 
-    /// No engine in service has started later.
+    /// Upper bound on the start time of the engines in service, ms.
     pub(super) fn latest_start(&self) -> Millis {
         self.latest_start
     }
 }
 
-/// The engines in service in the order in which one dispatcher prefers them: its zone's first, each zone's by rank.
+/// The engines in service in one dispatcher's order of preference: those of its own zone first,
+/// then by rank.
 #[derive(Debug)]
 pub(super) struct OwnOrder {
     zone: Option<usize>,
@@ -126,11 +129,11 @@
     order: Vec<EngineIndex>,
 }
 
-/// What an engine's place in the order follows from.
-type Place = (bool, u64, EngineIndex);
+/// Sort key of an engine: whether it is in another zone, its rank and its index.
+type SortKey = (bool, u64, EngineIndex);
 
 impl OwnOrder {
-    /// The order of a dispatcher of this zone and salt.
+    /// Computes the order of a dispatcher of this zone and salt.
     pub(super) fn new(
         zone: Option<usize>,
         salt: u64,
@@ -138,23 +141,23 @@
         engines: &[Engine],
     ) -> Self {
         let mut order = ready.to_vec();
-        order.sort_by_cached_key(|&index| place(zone, salt, index, &engines[index]));
+        order.sort_by_cached_key(|&index| sort_key(zone, salt, index, &engines[index]));
         OwnOrder { zone, salt, order }
     }
 
-    /// The engines, the most preferred first.
+    /// Returns the engines, the most preferred first.
     pub(super) fn as_slice(&self) -> &[EngineIndex] {
         &self.order
     }
 
-    /// Adds an engine in service that is not in it.
+    /// Adds an engine in service that is not in the order.
     pub(super) fn add(&mut self, index: EngineIndex, engines: &[Engine]) {
         if let Err(position) = self.find(index, engines) {
             self.order.insert(position, index);
         }
     }
 
-    /// Takes out an engine, whose place is as it is now.
+    /// Removes an engine. Its sort key must be the same as when it was added.
     pub(super) fn remove(&mut self, index: EngineIndex, engines: &[Engine]) {
         if let Ok(position) = self.find(index, engines) {
             self.order.remove(position);
@@ -162,13 +165,13 @@
     }
 
     fn find(&self, index: EngineIndex, engines: &[Engine]) -> Result<usize, usize> {
-        let place = |index: EngineIndex| place(self.zone, self.salt, index, &engines[index]);
-        let wanted = place(index);
+        let sort_key = |index: EngineIndex| sort_key(self.zone, self.salt, index, &engines[index]);
+        let target = sort_key(index);
         self.order
-            .binary_search_by(|&other| place(other).cmp(&wanted))
+            .binary_search_by(|&other| sort_key(other).cmp(&target))
     }
 }
 
-fn place(zone: Option<usize>, salt: u64, index: EngineIndex, engine: &Engine) -> Place {
+fn sort_key(zone: Option<usize>, salt: u64, index: EngineIndex, engine: &Engine) -> SortKey {
     (engine.zone != zone, engine.rank(salt), index)
 }
--- a/src/decision/model/endpoint_summary/tests.rs
+++ b/src/decision/model/endpoint_summary/tests.rs
@@ -1,4 +1,5 @@
-//! The summary and the order that are kept up to date, against those that are made anew.
+//! Compares the summary and the order that are updated incrementally with ones computed from
+//! scratch.
 
 use super::{EndpointSummary, OwnOrder};
 use crate::decision::model::endpoint_list::EndpointList;
@@ -23,7 +24,7 @@
     }
 }
 
-/// All that the list tells of itself equals what a walk over its engines gives.
+/// Asserts that all aggregates of the list equal those of a full pass over its engines.
 fn assert_up_to_date(list: &EndpointList) {
     let engines: Vec<_> = list.indices().map(|index| &list[index]).collect();
     let ready: Vec<usize> = list
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn changes_one_by_one_come_to_what_a_whole_list_gives() {
+fn incremental_changes_match_a_computation_from_scratch() {
     for seed in 0..20 {
         let mut random = oorandom::Rand64::new(seed);
         let mut list = EndpointList::default();
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn an_engine_that_is_taken_out_and_put_back_changes_nothing() {
+fn removing_an_engine_and_adding_it_back_changes_nothing() {
     let mut list = EndpointList::default();
     let entries = (0..40).map(|number| entry(&format!("e{number}"), None));
     list.apply(ListUpdate::Snapshot, entries.collect(), &settings(), |_| {
