--- a/src/decision/model/request.rs
+++ b/src/decision/model/request.rs
@@ -1,4 +1,4 @@
-//! A query that this dispatcher has accepted, with its attempts.
+//! A query that this dispatcher has accepted, and its attempts.
 
 use super::endpoint_list::EngineIndex;
 use super::query::Query;
@@ -7,35 +7,35 @@
 #[cfg(test)]
 mod tests;
 
-/// Whether an attempt runs, and what is known once it does not.
+/// Whether an attempt is in flight, and whether it may have run once it has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptState {
-    /// Sent and not ended.
+    /// Sent and not ended yet.
     InFlight,
-    /// Ended; may have had its effect.
+    /// Ended; the query may have had its effect.
     MayHaveRun,
-    /// Ended; certainly had no effect.
+    /// Ended; the query certainly had no effect.
     NeverRan,
 }
 
 /// One attempt of a query.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
-    /// Where it was sent.
+    /// The engine that the attempt was sent to.
     pub(crate) engine: EngineIndex,
-    /// When it was sent, ms.
+    /// When the attempt was sent, ms.
     pub(crate) sent_at: Millis,
-    /// Whether it runs.
+    /// Whether the attempt is in flight or how it ended.
     pub(crate) state: AttemptState,
 }
 
 impl Attempt {
-    /// It has not ended.
+    /// Returns whether the attempt has not ended.
     pub(crate) fn is_in_flight(&self) -> bool {
         self.state == AttemptState::InFlight
     }
 
-    /// It may have its effect, now or before.
+    /// Returns whether the query may have its effect by this attempt, now or later.
     pub(crate) fn may_have_run(&self) -> bool {
         self.state != AttemptState::NeverRan
     }
@@ -46,57 +46,57 @@
 pub(crate) struct Probes {
     /// The engines that were probed.
     pub(crate) candidates: Vec<EngineIndex>,
-    /// When, ms.
+    /// When the probes were sent, ms.
     pub(crate) sent_at: Millis,
-    /// The query waits no longer than this, ms.
+    /// Time until which the query waits for the reports, ms.
     pub(crate) until: Millis,
 }
 
 /// Whether a queued query waits for the load reports of probed engines.
 #[derive(Clone, Debug)]
 pub(crate) enum Probing {
-    /// It has not asked for any.
+    /// The query has requested no reports.
     Idle,
-    /// It waits for reports.
+    /// The query waits for the reports of these probes.
     Waiting(Probes),
-    /// None of those probed had capacity: no further probe before this time, ms.
+    /// None of the probed engines had capacity; no further probe is sent during the pause.
     Paused {
         /// End of the pause, ms.
         until: Millis,
     },
 }
 
-/// A query that this dispatcher has accepted and whose last attempt has not ended.
+/// An accepted query that has no final answer yet or still has an attempt in flight.
 #[derive(Debug)]
 pub(crate) struct PendingRequest {
     /// The query.
     pub(crate) query: Query,
-    /// What running it twice would do.
+    /// The effect of running the query twice.
     pub(crate) idempotency: Idempotency,
-    /// When it arrived, ms.
+    /// When the query arrived, ms.
     pub(crate) arrived_at: Millis,
-    /// When its client gives up, ms.
+    /// When the client gives up on the query, ms.
     pub(crate) deadline: Millis,
-    /// Its time in the queue before each attempt so far, ms.
+    /// Total time in the queue before all attempts so far, ms.
     pub(crate) queue_time: Millis,
-    /// When it was last queued, ms.
+    /// When the query was last queued, ms.
     pub(crate) queued_at: Millis,
-    /// Its attempts, in order.
+    /// The attempts of the query, in order.
     pub(crate) attempts: Vec<Attempt>,
-    /// Whether it waits for probes.
+    /// Whether the query waits for probes.
     pub(crate) probing: Probing,
-    /// Memory that it needs, MB, once a spill has shown it.
+    /// Memory that the query needs, MB, once a spill has shown it.
     pub(crate) required_memory_mb: Option<f64>,
-    /// It is beyond its tenant's quota.
+    /// Whether the query exceeds its tenant's quota.
     pub(crate) over_quota: bool,
-    /// It has its final answer, or nobody waits for one.
+    /// Whether the query has its final answer, or no client waits for one.
     pub(crate) is_finished: bool,
-    /// Its client receives an answer.
+    /// Whether the client has begun to receive an answer.
     pub(crate) is_streaming: bool,
 }
 
 impl PendingRequest {
-    /// A query that arrives now.
+    /// Creates a request for a query that arrives now.
     pub(crate) fn new(
         query: Query,
         idempotency: Idempotency,
@@ -119,36 +119,37 @@
         }
     }
 
-    /// Where an attempt by its number runs, if it has not ended.
+    /// Returns the engine of the attempt with this number, if it has not ended.
     pub(crate) fn in_flight_engine(&self, attempt: u32) -> Option<EngineIndex> {
         let attempt = self.attempts.get(attempt as usize);
         let in_flight = attempt.filter(|attempt| attempt.is_in_flight());
         in_flight.map(|attempt| attempt.engine)
     }
 
-    /// Numbers of the attempts that have not ended.
+    /// Returns the numbers of the attempts that have not ended.
     pub(crate) fn in_flight(&self) -> impl Iterator<Item = u32> {
         let numbered = self.attempts.iter().enumerate();
         let in_flight = numbered.filter(|(_, attempt)| attempt.is_in_flight());
         in_flight.map(|(number, _)| number as u32)
     }
 
-    /// An attempt has not ended.
+    /// Returns whether any attempt has not ended.
     pub(crate) fn has_in_flight(&self) -> bool {
         self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// The first attempt that may have had its effect.
+    /// Returns the first attempt that may have run, if any.
     pub(crate) fn first_effective_attempt(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
 
-    /// It was sent to this engine before.
+    /// Returns whether an attempt was sent to this engine.
     pub(crate) fn has_tried(&self, engine: EngineIndex) -> bool {
         self.attempts.iter().any(|attempt| attempt.engine == engine)
     }
 
-    /// It may have run, and only engines near that attempt's recognize a repeat.
+    /// Returns whether the query may have run and only engines in the zone or cell of that attempt
+    /// recognize a repeat.
     pub(crate) fn may_repeat_only_near_first_attempt(&self) -> bool {
         let is_bound = matches!(
             self.idempotency,
@@ -157,7 +158,7 @@
         is_bound && self.first_effective_attempt().is_some()
     }
 
-    /// The engines that it remembers, as candidates or by an attempt.
+    /// Returns the engines that the request refers to, as probe candidates or by an attempt.
     pub(crate) fn engines(&self) -> impl Iterator<Item = EngineIndex> {
         let candidates = match &self.probing {
             Probing::Waiting(probes) => &probes.candidates[..],
@@ -167,18 +168,18 @@
         candidates.iter().copied().chain(tried)
     }
 
-    /// It waits for the reports of probed engines.
+    /// Returns whether the request waits for the reports of probed engines.
     pub(crate) fn awaits_probes(&self, now: Millis) -> bool {
         matches!(&self.probing, Probing::Waiting(probes) if now < probes.until)
     }
 
-    /// It may not probe again yet.
+    /// Returns whether the request may not probe again yet.
     pub(crate) fn is_probing_paused(&self, now: Millis) -> bool {
         matches!(&self.probing, Probing::Paused { until } if now < *until)
     }
 
-    /// Engines drop a repeat of it until then, ms, counted from the first attempt that may have
-    /// run.
+    /// Returns the time until which the query may be repeated without a second effect, ms: for a
+    /// keyed query, the end of the deduplication window from the first attempt that may have run.
     pub(crate) fn repeatable_until(&self) -> Millis {
         let Some(first) = self.first_effective_attempt() else {
             return f64::INFINITY;
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Its client may send it again without a second effect.
+    /// Returns whether the client may send the query again without a second effect.
     pub(crate) fn is_retry_safe(&self) -> bool {
         let may_have_run = self.first_effective_attempt().is_some();
         match self.idempotency {
@@ -211,7 +212,7 @@
         });
     }
 
-    /// Records the end of an attempt, and returns the attempt; `None` if it had ended before.
+    /// Records the end of an attempt and returns the attempt, or `None` if it was not in flight.
     pub(crate) fn end_attempt(&mut self, ended: &Ended) -> Option<Attempt> {
         let attempt = self.attempts.get_mut(ended.attempt as usize)?;
         if !attempt.is_in_flight() {
@@ -225,7 +226,7 @@
         Some(*attempt)
     }
 
-    /// Has its candidates probed: it waits for their reports, but no longer than `timeout`.
+    /// Makes the request wait for the reports of the probed candidates, for at most `timeout` ms.
     pub(crate) fn await_probes(
         &mut self,
         candidates: Vec<EngineIndex>,
--- a/src/decision/model/request/tests.rs
+++ b/src/decision/model/request/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn repeats_count_from_the_first_attempt_that_may_have_run() {
+fn the_deduplication_window_starts_with_the_first_attempt_that_may_have_run() {
     let mut request = PendingRequest::new(query(1), KEYED, 0.0, false);
     assert_eq!(request.repeatable_until(), f64::INFINITY);
     request.start_attempt(0, 10.0);
