--- a/src/decision/model/request_lifecycle.rs
+++ b/src/decision/model/request_lifecycle.rs
@@ -1,4 +1,4 @@
-//! Bookkeeping over the life of a request: its arrival, its attempts and its end.
+//! Methods of [`State`] for the lifecycle of a request: its arrival, its attempts and its end.
 
 use super::endpoint::{Engine, THREADS_PER_CORE};
 use super::endpoint_list::EngineIndex;
@@ -12,25 +12,26 @@
 /// An attempt that has ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndedAttempt {
-    /// Where it ran.
+    /// The engine that it was sent to.
     pub(crate) engine: EngineIndex,
-    /// When it was sent, ms.
+    /// When the attempt was sent, ms.
     pub(crate) sent_at: Millis,
-    /// Time since it was sent, ms.
+    /// Time from sending the attempt to its end, ms.
     pub(crate) elapsed: Millis,
-    /// Threads that it ran on.
+    /// Number of threads that the attempt ran on.
     pub(crate) threads: f64,
-    /// That time over the usual service time of its class.
+    /// Elapsed time divided by the usual service time of the query's class.
     pub(crate) slowdown: f64,
-    /// It had stalled behind a bulk load.
+    /// Whether the attempt had stalled behind a bulk load.
     pub(crate) has_stalled: bool,
-    /// Its engine's process has restarted since: what the old one had says nothing of the present
-    /// one.
+    /// Whether the engine's process has restarted since the attempt was sent, so that the result
+    /// does not describe the current process.
     pub(crate) is_stale: bool,
 }
 
 impl State {
-    /// Queues a query that has arrived. `None`: its class is unknown, or it is pending already.
+    /// Queues a query that has arrived. Returns `None` if its class is unknown or it is already
+    /// pending.
     pub(crate) fn enqueue(&mut self, mut query: Query) -> Option<QueryId> {
         query.sanitize();
         self.retry_usage.record_arrival(self.now);
@@ -52,21 +53,20 @@
         Some(id)
     }
 
-    /// The request, if it is pending and has no final answer.
+    /// Returns the request, if it is pending and has no final answer.
     pub(crate) fn open_request(&self, id: QueryId) -> Option<&PendingRequest> {
         let request = self.requests.get(&id);
         request.filter(|request| !request.is_finished)
     }
 
-    /// The queue of the query's key, if the query has to run in order.
+    /// Returns the queue of the query's key, if the query has to run in order.
     pub(crate) fn ordered_queue(&self, query: &Query) -> Option<&OrderedQueue> {
         let is_ordered = self.class(query).settings.in_order;
         let key = query.key.as_deref().filter(|_| is_ordered);
         self.ordered_queues.get(key?)
     }
 
-    /// Its candidates were probed: the request waits for their reports, but no longer than
-    /// `timeout`.
+    /// Makes a request wait for the reports of its probed candidates, for at most `timeout` ms.
     pub(crate) fn await_probes(
         &mut self,
         id: QueryId,
@@ -78,7 +78,8 @@
         }
     }
 
-    /// None of the probed engines has capacity: the request probes no other for this long.
+    /// Stops a request from probing for `pause` ms, because none of the probed engines has
+    /// capacity.
     pub(crate) fn pause_probing(&mut self, id: QueryId, pause: Millis) {
         if let Some(request) = self.requests.get_mut(&id) {
             let until = self.now + pause;
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Queues a request for another attempt, before all others.
+    /// Queues a request for another attempt, at the front of its class's queue.
     pub(crate) fn requeue(&mut self, id: QueryId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.queued_at = self.now;
@@ -110,7 +111,7 @@
         request.start_attempt(engine, self.now);
     }
 
-    /// Where an attempt runs, if it has not ended.
+    /// Returns the engine of an attempt, if it has not ended.
     pub(crate) fn in_flight_engine(&self, id: QueryId, attempt: u32) -> Option<EngineIndex> {
         self.requests.get(&id)?.in_flight_engine(attempt)
     }
@@ -120,7 +121,8 @@
         Some((engine, engine.attempt(id, attempt)?))
     }
 
-    /// Takes over what an engine reports of an attempt. Returns false if that says nothing.
+    /// Records a progress note about an attempt. Returns false if the attempt is not in flight or
+    /// the note is invalid.
     pub(crate) fn record_progress(
         &mut self,
         id: QueryId,
@@ -134,8 +136,8 @@
         attempt.is_some_and(|attempt| attempt.record_progress(note, self.now))
     }
 
-    /// A bulk load locks the request's tables there. Forgets what was reported longer than `ttl`
-    /// ago.
+    /// Records that a bulk load locks the request's tables at the engine, and discards locks that
+    /// were reported longer than `ttl` ms ago.
     pub(crate) fn record_table_lock(&mut self, id: QueryId, engine: EngineIndex, ttl: Millis) {
         if let Some(request) = self.requests.get(&id) {
             let group = request.query.tables;
@@ -143,8 +145,8 @@
         }
     }
 
-    /// Extrapolates the progress of an attempt beside the usual pace, or `default_pace` before that
-    /// is known.
+    /// Extrapolates the progress of an attempt and compares it with the usual pace of its class, or
+    /// with `default_pace` before that is known.
     pub(crate) fn forecast(
         &self,
         id: QueryId,
@@ -156,8 +158,8 @@
         Some(attempt.forecast(self.now, cost.usual_pace(default_pace)))
     }
 
-    /// Takes the memory that a request needs from an attempt that lacks so much, MB. Returns it;
-    /// `None` if it was known before or makes no sense.
+    /// Records the memory that a request needs, derived from an attempt that lacks `missing_mb`.
+    /// Returns it, MB, or `None` if it was already known or is not finite.
     pub(crate) fn record_required_memory(
         &mut self,
         id: QueryId,
@@ -174,21 +176,21 @@
         request.required_memory_mb
     }
 
-    /// The client has begun to receive an answer.
+    /// Records that the client has begun to receive an answer.
     pub(crate) fn start_streaming(&mut self, id: QueryId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.is_streaming = true;
         }
     }
 
-    /// The client receives an answer.
+    /// Returns whether the client has begun to receive an answer.
     pub(crate) fn is_streaming(&self, id: QueryId) -> bool {
         self.requests
             .get(&id)
             .is_some_and(|request| request.is_streaming)
     }
 
-    /// Records the end of an attempt; `None` if it was not in flight.
+    /// Records the end of an attempt. Returns `None` if it was not in flight.
     pub(crate) fn end_attempt(&mut self, ended: &Ended) -> Option<EndedAttempt> {
         let request = self.requests.get_mut(&ended.id)?;
         let attempt = request.end_attempt(ended)?;
@@ -210,8 +212,8 @@
         })
     }
 
-    /// Learns from an answer what its class costs. Returns whether the answer has met its latency
-    /// objective.
+    /// Updates the cost estimates of the class from an answer. Returns whether the answer has met
+    /// its latency objective.
     pub(crate) fn learn_from_answer(&mut self, attempt: &EndedAttempt, answer: &Ended) -> bool {
         let is_undisturbed = !attempt.has_stalled && self.has_idle_cores(attempt.engine);
         let Some(request) = self.requests.get(&answer.id) else {
@@ -223,7 +225,8 @@
         attempt.elapsed <= class.cost.latency_objective(work)
     }
 
-    /// Only on an engine with idle cores a latency shows the work of a query.
+    /// Returns whether the engine has idle cores: only then does the latency of a query show its
+    /// work.
     fn has_idle_cores(&self, engine: EngineIndex) -> bool {
         let engine = &self.engines[engine];
         let observed = self.utilization.observed(engine, self.now);
@@ -231,7 +234,8 @@
             && self.utilization.zone(engine.zone) <= FULL_UTILIZATION
     }
 
-    /// An attempt may still run: the next query of its key waits.
+    /// Starts a quiet period for the key of a request whose attempt may still run: the next query
+    /// of the key waits until it ends.
     pub(crate) fn start_quiet_period(&mut self, id: QueryId) {
         let until = self.now + self.settings.rules.order_quiet_period;
         let request = self.requests.get(&id);
@@ -240,14 +244,14 @@
         }
     }
 
-    /// The request has its final answer, or nobody waits for one.
+    /// Marks a request as finished: it has its final answer, or no client waits for one.
     pub(crate) fn finish(&mut self, id: QueryId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.is_finished = true;
         }
     }
 
-    /// Takes a finished request out of its queue. Returns the numbers of its attempts in flight.
+    /// Removes a finished request from its queue. Returns the numbers of its attempts in flight.
     pub(crate) fn dequeue(&mut self, id: QueryId) -> Vec<u32> {
         let Some(request) = self.requests.get(&id) else {
             return vec![];
