--- a/src/decision/model/state.rs
+++ b/src/decision/model/state.rs
@@ -1,4 +1,4 @@
-//! All that one dispatcher remembers, and the bookkeeping of what it learns about engines and load.
+//! The state of one dispatcher, and the methods that record what it learns about engines and load.
 
 use super::aimd_limit::AimdLimit;
 use super::class::ClassState;
@@ -18,50 +18,52 @@
 use std::cell::OnceCell;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Seconds of its quota that a tenant may save up.
+/// Burst capacity of a tenant's token bucket, in seconds of its quota.
 const QUOTA_BURST_SECONDS: f64 = 2.0;
 
-/// All that one dispatcher remembers.
+/// The state of one dispatcher.
 #[derive(Debug)]
 pub(crate) struct State {
-    /// What the operator has stated.
+    /// The operator's settings.
     pub(crate) settings: Settings,
-    /// The time of the present call, ms.
+    /// The time of the current call, ms.
     pub(crate) now: Millis,
-    /// The engines.
+    /// The known engines.
     pub(crate) engines: EndpointList,
-    /// Queries that have no final answer, or an attempt in flight.
+    /// Queries that have no final answer yet, or still have an attempt in flight.
     pub(crate) requests: BTreeMap<QueryId, PendingRequest>,
-    /// The classes, in the order of the settings.
+    /// The query classes, in the order of the settings.
     pub(crate) classes: Vec<ClassState>,
-    /// Queries that have to run in order.
+    /// Queues of the queries that have to run in order, by key.
     pub(crate) ordered_queues: OrderedQueues,
-    /// Quotas by tenant.
+    /// The quota of each tenant, by its number.
     pub(crate) quotas: Vec<TokenBucket>,
-    /// Arrivals and retries of late.
+    /// Recent arrivals and retries, for the retry budget.
     pub(crate) retry_usage: RetryUsage,
     /// Utilization of engines and zones.
     pub(crate) utilization: Utilization,
-    /// Mean priority weight of queries of late.
+    /// Mean priority weight of recent queries.
     pub(crate) mean_priority_weight: DecayingMean,
-    /// Mean expected work of queries of late, ms of one thread.
+    /// Mean expected work of recent queries, ms of one thread.
     pub(crate) mean_work: DecayingMean,
-    /// Mean work of queries of late as warming engines are counted by, ms of one thread.
+    /// Mean work of recent queries as it counts against the budget of an engine that is warming up,
+    /// ms of one thread.
     pub(crate) mean_slow_start_work: DecayingMean,
-    /// Congestion window: threads in flight at all engines.
+    /// Congestion window: the limit on threads in flight at all engines together.
     pub(crate) window: AimdLimit,
-    /// Processes that make the decisions of this dispatcher.
+    /// The number of processes that make the decisions of this dispatcher.
     pub(crate) processes: ProcessCount,
-    /// How many dispatchers share what a warming engine may get.
+    /// The number of dispatchers that share the budget of an engine that is warming up.
     pub(crate) fleet_size: FleetSize,
-    /// What is due when.
+    /// Times of the next wakeup, sampling period and subscription.
     pub(crate) timers: Timers,
-    /// How often a warming engine was sent more than its part.
+    /// Number of times an engine that is warming up was sent more than this dispatcher's share of
+    /// its budget.
     pub(crate) slow_start_overruns: u64,
 }
 
 impl State {
-    /// The state before the first event.
+    /// Creates the state before the first event.
     pub(crate) fn new(settings: Settings) -> Self {
         let class_ids = 0..settings.classes.len();
         let dispatchers = f64::from(settings.dispatchers);
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Moves the clock forward; it never goes back.
+    /// Moves the clock forward; an earlier or non-finite time leaves it unchanged.
     pub(crate) fn advance_clock(&mut self, now: Millis) {
         if now.is_finite() {
             self.now = now.max(self.now);
@@ -100,7 +102,7 @@
         self.timers.start(self.now);
     }
 
-    /// Applies an update of the engine list.
+    /// Applies an update of the endpoint list.
     pub(crate) fn apply_engine_list(&mut self, update: ListUpdate, entries: Vec<EngineEntry>) {
         let requests = &self.requests;
         let referenced: OnceCell<BTreeSet<EngineIndex>> = OnceCell::new();
@@ -115,17 +117,17 @@
             .apply(update, entries, &self.settings, is_referenced);
     }
 
-    /// The class of a query.
+    /// Returns the class of a query.
     pub(crate) fn class(&self, query: &Query) -> &ClassState {
         &self.classes[query.class]
     }
 
-    /// Work expected of a query, ms of one thread.
+    /// Returns the expected work of a query, ms of one thread.
     pub(crate) fn work(&self, query: &Query) -> f64 {
         self.class(query).cost.work(query)
     }
 
-    /// Threads that each class uses at all engines.
+    /// Returns the threads that the attempts in flight of each class use at all engines.
     pub(crate) fn threads_by_class(&self) -> Vec<f64> {
         let mut threads = vec![0.0; self.classes.len()];
         for attempt in self.engines.in_flight() {
@@ -134,7 +136,7 @@
         threads
     }
 
-    /// Classes by priority weight for work, best first.
+    /// Returns the classes by priority weight per unit of work, highest first.
     pub(crate) fn classes_by_gain(&self) -> Vec<ClassId> {
         let gain = |class: ClassId| self.classes[class].gain();
         let mut order: Vec<ClassId> = (0..self.classes.len()).collect();
@@ -142,13 +144,14 @@
         order
     }
 
-    /// Threads of the widest query, or `minimum` if that is more.
+    /// Returns the largest number of threads that a query of any class runs on, but at least
+    /// `minimum`.
     pub(crate) fn widest_query_or(&self, minimum: f64) -> f64 {
         let threads = self.classes.iter().map(|class| class.settings.threads);
         threads.fold(minimum, f64::max)
     }
 
-    /// Threads of one query of each class.
+    /// Returns the sum of the threads of one query of each class.
     pub(crate) fn threads_of_one_each(&self) -> f64 {
         self.classes
             .iter()
@@ -156,7 +159,8 @@
             .sum()
     }
 
-    /// Counts a query for the means over all, and for its class.
+    /// Records an arriving query in the means over all queries and in the sampling period of its
+    /// class.
     pub(crate) fn record_arrival(&mut self, query: &Query) {
         let class = &mut self.classes[query.class];
         class.period.arrivals += 1.0;
@@ -168,12 +172,13 @@
             .add(slow_start_work, CLASS_RETENTION);
     }
 
-    /// Records that an engine responds; after a silence longer than `pause` it is responsive anew.
+    /// Records that an engine responds. After a silence longer than `pause` ms its responsive
+    /// period starts again.
     pub(crate) fn record_activity(&mut self, engine: EngineIndex, pause: Millis) {
         self.engines.record_activity(engine, self.now, pause);
     }
 
-    /// Takes over a load report. Returns the engine's utilization; `None` if the report is
+    /// Records a load report. Returns the engine's utilization, or `None` if the report is
     /// malformed.
     pub(crate) fn record_load_report(&mut self, index: EngineIndex, report: &[f64]) -> Option<f64> {
         let fields = &self.settings.report_fields;
@@ -182,36 +187,38 @@
         is_well_formed.then(|| self.utilization_or(index, FULL_UTILIZATION))
     }
 
-    /// The utilization of an engine; `default` if nothing is known.
+    /// Returns the utilization of an engine, or `default` if it is unknown.
     pub(crate) fn utilization_or(&self, engine: EngineIndex, default: f64) -> f64 {
         let observed = self.utilization.observed(&self.engines[engine], self.now);
         observed.unwrap_or(default)
     }
 
-    /// The least utilization of a zone in service; infinite without any engine.
+    /// Returns the lowest utilization among the zones with an engine in service; infinite if there
+    /// is none.
     pub(crate) fn lowest_zone_utilization(&self) -> f64 {
         self.utilization.lowest_of_zones(&self.engines)
     }
 
-    /// The engine's last report is recent enough to compare engines by it.
+    /// Returns whether the engine's last load report is recent enough to compare engines by it.
     pub(crate) fn has_fresh_report(&self, engine: EngineIndex) -> bool {
         self.engines[engine].load.is_fresh(self.now)
     }
 
-    /// Memory to request for an attempt there, MB; 0: the engine's own choice.
+    /// Returns the memory to request for an attempt at the engine, MB; 0 leaves the choice to the
+    /// engine.
     pub(crate) fn memory_grant(&self, request: &PendingRequest, engine: EngineIndex) -> f64 {
         let cost = &self.class(&request.query).cost;
         cost.memory_grant(request, self.engines[engine].max_grant_mb)
     }
 
-    /// The request would not queue for memory there.
+    /// Returns whether the engine has enough free memory to run the request without queueing it.
     pub(crate) fn has_memory_for(&self, request: &PendingRequest, engine: EngineIndex) -> bool {
         let granted_mb = self.memory_grant(request, engine);
         self.engines[engine].has_memory_for(self.now, granted_mb)
     }
 
-    /// Queries of this work that a warming engine bears in an overload window, by its capacity at
-    /// the time `at`.
+    /// Returns how many queries of `work` ms each an engine that is warming up sustains in an
+    /// overload window, given its capacity at the time `at`.
     pub(crate) fn bearable_queries(
         &self,
         engine: &Engine,
@@ -224,11 +231,17 @@
         rules.overload_multiple * engine.cores * capacity * rules.overload_window / work
     }
 
-    /// Records a query that was sent to a warming engine, or that the sample rejected with this
-    /// probability `spent`.
-    pub(crate) fn record_admission(&mut self, engine: EngineIndex, work: f64, spent: f64) {
+    /// Records a query in the slow-start usage of an engine: `admission_probability` is 1 if the
+    /// query was sent, else the probability with which the sample that rejected it would have
+    /// admitted it.
+    pub(crate) fn record_admission(
+        &mut self,
+        engine: EngineIndex,
+        work: f64,
+        admission_probability: f64,
+    ) {
         let window = self.settings.rules.overload_window;
         let usage = &mut self.engines[engine].slow_start_usage;
-        usage.record(self.now, window, work, spent);
+        usage.record(self.now, window, work, admission_probability);
     }
 }
