--- a/src/decision/model/cost_estimator.rs
+++ b/src/decision/model/cost_estimator.rs
@@ -1,5 +1,5 @@
-//! What a query of one class costs: work, memory, latency. Learned from answers, guessed before
-//! them.
+//! Estimates of the work, memory and latency of the queries of one class, learned from answers.
+//! Before the first answers they are derived from the settings.
 
 use super::query::{Query, positive};
 use super::request::PendingRequest;
@@ -9,19 +9,21 @@
 #[cfg(test)]
 mod tests;
 
-/// Weight that facts about a class keep at each sample: about fifty samples count.
+/// Factor by which the weight of class statistics decays at each sample: about the last fifty
+/// samples count.
 pub(crate) const CLASS_RETENTION: f64 = 0.98;
 
-/// Variance assumed of an estimate's logarithm before answers show it.
+/// Variance assumed for the logarithm of an estimate before answers show the actual one.
 const PRIOR_LOG_VARIANCE: f64 = 0.05;
 
-/// Memory requested beyond the likely need, in standard deviations: a spill costs more than slack.
+/// Memory requested beyond the median need, in standard deviations, because a spill to disk costs
+/// more than unused memory.
 const GRANT_STANDARD_DEVIATIONS: f64 = 0.85;
 
-/// Shortest latency that is counted, ms, so that ratios stay finite.
+/// Lower bound on recorded latencies, ms, that keeps ratios finite.
 const MIN_LATENCY: Millis = 1e-3;
 
-/// What a query of one class costs.
+/// Estimates the cost of the queries of one class.
 #[derive(Debug)]
 pub(crate) struct CostEstimator {
     threads: f64,
@@ -31,14 +33,14 @@
     accepts_memory_grants: bool,
     work: DecayingMean,
     latency: DecayingMean,
-    /// Logarithm of latency in threads over expected work: 0 is as expected.
+    /// Logarithm of latency times threads divided by expected work; 0 is as expected.
     pace: DecayingMean,
-    /// Logarithms of estimates (x) and of what they turned out to be (y).
+    /// Logarithms of the estimates (x) and of the actual values (y).
     work_estimates: DecayingRegression,
     memory_estimates: DecayingRegression,
 }
 
-/// The distribution of a true cost, given its estimate, in logarithms.
+/// The distribution of the logarithm of an actual cost, given its estimate.
 #[derive(Clone, Copy, Debug)]
 struct LogEstimate {
     median: f64,
@@ -46,7 +48,7 @@
 }
 
 impl CostEstimator {
-    /// An estimator for a class of these settings, before any answer.
+    /// Creates an estimator for a class of these settings, before any answer.
     pub(crate) fn new(settings: &Settings, class: ClassId) -> Self {
         let class = &settings.classes[class];
         CostEstimator {
@@ -63,7 +65,8 @@
         }
     }
 
-    /// Work expected of a query, ms of one thread: its corrected estimate, else the class's mean.
+    /// Returns the expected work of a query, ms of one thread: its corrected estimate, or the
+    /// class's mean if it has none.
     pub(crate) fn work(&self, query: &Query) -> f64 {
         let Some(estimate) = query.work else {
             return self.usual_work();
@@ -72,15 +75,17 @@
         (corrected.median + corrected.variance / 2.0).exp()
     }
 
-    /// The class's mean work, ms of one thread; before any answer, what its latency objective
-    /// suggests.
+    /// Returns the class's mean work, ms of one thread. Before there are enough answers it is
+    /// derived from the latency objective.
     pub(crate) fn usual_work(&self) -> f64 {
         let guess = self.latency_objective * self.threads / (1.0 + self.latency_objective_slowdown);
         self.work.trusted_mean_or(guess).max(1.0)
     }
 
-    /// Work for the budget of a warming engine: the usual or more, or what answers took if nothing
-    /// else tells.
+    /// Returns the work that a query counts against the budget of an engine that is warming up, ms
+    /// of one thread: the larger of the class's mean and the query's own estimate. If neither
+    /// answers nor the query state the work, it is at least the mean latency of answers times the
+    /// class's threads.
     pub(crate) fn slow_start_work(&self, query: &Query) -> f64 {
         let is_known = self.reports_cost || query.work.is_some();
         let by_latency = match is_known {
@@ -90,30 +95,34 @@
         self.usual_work().max(self.work(query)).max(by_latency)
     }
 
-    /// Latency expected of an attempt of this much work now, ms: slowed as answers of late were.
+    /// Returns the expected latency of an attempt of this much work, ms, given the slowdown of
+    /// recent answers.
     pub(crate) fn expected_latency(&self, work: f64) -> Millis {
         let usual = self.usual_work();
         self.latency.trusted_mean_or(usual / self.threads) * work / usual
     }
 
-    /// Time within which a query of this work earns its full weight, ms.
+    /// Returns the time within which an answer to a query of this work has its full weight, ms.
     pub(crate) fn latency_objective(&self, work: f64) -> Millis {
         self.latency_objective + self.latency_objective_slowdown * work / self.threads
     }
 
-    /// Time that a request has beside its expected latency, ms; negative if it has none.
+    /// Returns the time that a request can spend waiting in addition to its expected latency, ms;
+    /// negative if it is already too late.
     pub(crate) fn spare_time(&self, request: &PendingRequest) -> Millis {
         let work = self.work(&request.query);
         let time = request.deadline - request.arrived_at;
         self.latency_objective(work).min(time) - self.expected_latency(work)
     }
 
-    /// Logarithm of latency in threads over expected work, as usual for the class, or `default`.
+    /// Returns the class's mean logarithm of latency times threads divided by expected work, or
+    /// `default` while there are too few answers.
     pub(crate) fn usual_pace(&self, default: f64) -> f64 {
         self.pace.trusted_mean_or(default)
     }
 
-    /// Memory to request for an attempt, MB, at most `limit_mb`; 0: the engine's own choice.
+    /// Returns the memory to request for an attempt, MB, at most `limit_mb`; 0 leaves the choice to
+    /// the engine.
     pub(crate) fn memory_grant(&self, request: &PendingRequest, limit_mb: f64) -> f64 {
         if !self.accepts_memory_grants {
             return 0.0;
@@ -126,10 +135,11 @@
         needed.map_or(0.0, |memory_mb| memory_mb.min(limit_mb))
     }
 
-    /// Learns from an answer that took `latency`, and returns the latency as it is counted.
+    /// Updates the estimates from an answer that took `latency` ms, and returns the latency as
+    /// recorded.
     ///
-    /// Where answers do not report their work it is inferred from the latency, if that is
-    /// `undisturbed`.
+    /// If answers do not report their work, it is inferred from the latency of an `undisturbed`
+    /// attempt.
     pub(crate) fn record_answer(
         &mut self,
         query: &Query,
@@ -159,11 +169,11 @@
     }
 }
 
-/// What an estimate means by the answers so far, as a shrunken regression of logarithms.
+/// Corrects an estimate by the answers so far, with a shrunken regression of logarithms.
 ///
-/// An estimate that scatters more than the truth is drawn to the usual, or half its queries spill.
-/// Guards against rough and biased estimates; cost: a rare query far off its class's usual is drawn
-/// there too.
+/// An estimate that varies more than the actual values is drawn to the mean; otherwise half of its
+/// queries would spill to disk. The correction guards against rough and biased estimates. Its cost
+/// is that a rare query far from its class's mean is drawn to the mean too.
 fn correct(history: &DecayingRegression, estimate: f64) -> LogEstimate {
     let samples = history.weight();
     if samples < TRUSTED_WEIGHT {
--- a/src/decision/model/cost_estimator/tests.rs
+++ b/src/decision/model/cost_estimator/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn before_answers_work_is_guessed_from_the_latency_objective() {
+fn before_any_answer_work_is_derived_from_the_latency_objective() {
     let cost = CostEstimator::new(&settings(), 0);
     // 1000 ms on one thread, slowed by 2.
     assert_close(cost.usual_work(), 1000.0 / 3.0);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn estimates_without_information_are_drawn_to_the_usual() {
+fn estimates_without_information_are_drawn_to_the_mean() {
     let mut cost = CostEstimator::new(&settings(), 0);
     for estimate in [1.0, 10.0, 100.0, 1000.0].repeat(30) {
         cost.record_answer(&estimated(estimate), &answer(100.0), 100.0, false);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn latency_shows_the_work_only_of_undisturbed_attempts() {
+fn work_is_inferred_only_from_the_latency_of_undisturbed_attempts() {
     let mut cost = CostEstimator::new(&settings(), 1);
     let unreported = Ended {
         work: None,
