--- a/src/decision/model/utilization/tests.rs
+++ b/src/decision/model/utilization/tests.rs
@@ -6,19 +6,19 @@
 }
 
 #[test]
-fn nothing_is_known_without_a_report() {
+fn utilization_is_unknown_without_a_report() {
     let settings = settings();
     let utilization = Utilization::new(&settings);
     assert_eq!(utilization.observed(&engine(&settings), 0.0), None);
 }
 
 #[test]
-fn the_greater_of_threads_and_memory_counts() {
+fn utilization_is_the_larger_of_threads_and_memory() {
     let mut settings = settings();
     settings.report_fields = vec![ReportField::Inflight, ReportField::MemoryGranted];
     let utilization = Utilization::new(&settings);
     let mut engine = engine(&settings);
-    // 8 cores bear 16 threads.
+    // 8 cores sustain 16 threads.
     let fields = &settings.report_fields;
     assert!(engine.load.decode(0.0, fields, &[4.0, 0.1]));
     assert_close(utilization.observed(&engine, 0.0).unwrap(), 0.25);
@@ -28,19 +28,19 @@
 }
 
 #[test]
-fn idle_cores_show_the_threads_where_queries_are_not_reported() {
+fn threads_follow_from_idle_cores_if_queries_are_not_reported() {
     let mut settings = settings();
     settings.report_fields = vec![ReportField::CpuBusy];
     let utilization = Utilization::new(&settings);
     let mut engine = engine(&settings);
     let busy = 1.0 - (-1.0_f64).exp();
     assert!(engine.load.decode(0.0, &settings.report_fields, &[busy]));
-    // One thread a core of the two that it bears.
+    // One thread per core, of the two that a core sustains.
     assert_close(utilization.observed(&engine, 0.0).unwrap(), 0.5);
 }
 
 #[test]
-fn a_zone_is_known_from_three_reports_on() {
+fn a_zone_is_known_once_its_samples_weigh_three() {
     let mut utilization = Utilization::new(&settings());
     for _ in 0..3 {
         utilization.record(Some(1), 2.0);
