--- a/src/decision/model/statistics.rs
+++ b/src/decision/model/statistics.rs
@@ -1,4 +1,4 @@
-//! Statistics that weigh new samples more than old ones, and sums over a sliding window of time.
+//! Statistics that weight recent samples more than old ones, and sums over a sliding time window.
 
 use super::Millis;
 use std::collections::VecDeque;
@@ -6,10 +6,10 @@
 #[cfg(test)]
 mod tests;
 
-/// Weight of samples from which on a mean is trusted.
+/// Minimum total weight of samples for a mean to be trusted.
 pub(crate) const TRUSTED_WEIGHT: f64 = 3.0;
 
-/// A mean whose samples lose weight with each later one.
+/// A mean whose samples lose weight with each later sample.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DecayingMean {
     sum: f64,
@@ -17,24 +17,24 @@
 }
 
 impl DecayingMean {
-    /// Adds a sample of weight 1, after the weight of those before is multiplied by `retention`.
+    /// Multiplies the weight of all earlier samples by `retention`, and adds a sample of weight 1.
     pub(crate) fn add(&mut self, sample: f64, retention: f64) {
         self.sum = self.sum * retention + sample;
         self.weight = self.weight * retention + 1.0;
     }
 
-    /// Takes weight from all samples without adding one.
+    /// Multiplies the weight of all samples by `retention` without adding one.
     pub(crate) fn decay(&mut self, retention: f64) {
         self.sum *= retention;
         self.weight *= retention;
     }
 
-    /// Weight of all samples together.
+    /// Returns the total weight of all samples.
     pub(crate) fn weight(&self) -> f64 {
         self.weight
     }
 
-    /// The mean, or `default` without any sample.
+    /// Returns the mean, or `default` without any sample.
     pub(crate) fn mean_or(&self, default: f64) -> f64 {
         if self.weight > 0.0 {
             self.sum / self.weight
@@ -43,12 +43,12 @@
         }
     }
 
-    /// Enough samples weigh in it to trust the mean.
+    /// Returns whether the total weight of the samples is high enough to trust the mean.
     pub(crate) fn is_trusted(&self) -> bool {
         self.weight >= TRUSTED_WEIGHT
     }
 
-    /// The mean, or `default` while it is not trusted.
+    /// Returns the mean, or `default` while it is not trusted.
     pub(crate) fn trusted_mean_or(&self, default: f64) -> f64 {
         if self.weight < TRUSTED_WEIGHT {
             default
@@ -57,7 +57,8 @@
         }
     }
 
-    /// The mean with one more sample of value 0, so that a single sample is not believed outright.
+    /// Returns the mean with one more sample of value 0, which limits the influence of a single
+    /// sample.
     pub(crate) fn shrunken_mean(&self) -> f64 {
         self.sum / (self.weight + 1.0)
     }
@@ -90,7 +91,7 @@
 }
 
 impl DecayingRegression {
-    /// Adds a pair of weight 1, after the weight of those before is multiplied by `retention`.
+    /// Multiplies the weight of all earlier pairs by `retention`, and adds a pair of weight 1.
     pub(crate) fn add(&mut self, x: f64, y: f64, retention: f64) {
         self.weight = self.weight * retention + 1.0;
         self.sum_x = self.sum_x * retention + x;
@@ -100,12 +101,12 @@
         self.sum_yy = self.sum_yy * retention + y * y;
     }
 
-    /// Weight of all pairs together.
+    /// Returns the total weight of all pairs.
     pub(crate) fn weight(&self) -> f64 {
         self.weight
     }
 
-    /// The moments; not a number without any pair.
+    /// Returns the moments; they are NaN or 0 without any pair.
     pub(crate) fn moments(&self) -> Moments {
         let mean_x = self.sum_x / self.weight;
         let mean_y = self.sum_y / self.weight;
@@ -119,14 +120,14 @@
     }
 }
 
-/// Amounts by the time they were spent, as far back as a window reaches.
+/// Sum of the amounts recorded within a sliding time window.
 #[derive(Debug, Default)]
 pub(crate) struct SlidingWindowSum {
     entries: VecDeque<(Millis, f64)>,
 }
 
 impl SlidingWindowSum {
-    /// Forgets what is older than `window`, and adds `amount` unless it is 0.
+    /// Discards amounts older than `window` ms, and adds `amount` if it is above 0.
     pub(crate) fn record(&mut self, now: Millis, window: Millis, amount: f64) {
         self.entries.retain(|(at, _)| *at >= now - window);
         if amount > 0.0 {
@@ -134,7 +135,7 @@
         }
     }
 
-    /// The sum of what was spent after `start`.
+    /// Returns the sum of the amounts recorded after `start`.
     pub(crate) fn sum_after(&self, start: Millis) -> f64 {
         let recent = self.entries.iter().filter(|(at, _)| *at > start);
         recent.map(|(_, amount)| amount).sum()
--- a/src/decision/model/statistics/tests.rs
+++ b/src/decision/model/statistics/tests.rs
@@ -2,7 +2,7 @@
 use crate::decision::tests::assert_close;
 
 #[test]
-fn a_mean_weighs_late_samples_more() {
+fn a_mean_weights_recent_samples_more() {
     let mut mean = DecayingMean::default();
     assert_eq!(mean.mean_or(7.0), 7.0);
     mean.add(1.0, 0.5);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_mean_is_trusted_from_three_samples_on() {
+fn a_mean_is_trusted_from_a_weight_of_three() {
     let mut mean = DecayingMean::default();
     for _ in 0..2 {
         mean.add(5.0, 1.0);
@@ -54,16 +54,20 @@
 }
 
 #[test]
-fn a_window_sum_counts_what_is_later_than_its_start() {
+fn a_window_sum_includes_only_amounts_after_its_start() {
     let mut sum = SlidingWindowSum::default();
     sum.record(0.0, 10.0, 1.0);
     sum.record(5.0, 10.0, 2.0);
     assert_eq!(sum.sum_after(-1.0), 3.0);
-    assert_eq!(sum.sum_after(0.0), 2.0, "not what is at the start itself");
+    assert_eq!(
+        sum.sum_after(0.0),
+        2.0,
+        "the start of the window is excluded"
+    );
     sum.record(11.0, 10.0, 0.0);
     assert_eq!(
         sum.sum_after(-1.0),
         2.0,
-        "older than the window is forgotten"
+        "amounts older than the window are discarded"
     );
 }
