--- a/src/decision/model/class.rs
+++ b/src/decision/model/class.rs
@@ -1,4 +1,4 @@
-//! The state of a query class: its queue, its allocation of threads, and the current sampling
+//! The state of a query class: its queue, its allocation of threads and the current sampling
 //! period.
 
 use super::cost_estimator::CostEstimator;
@@ -9,18 +9,18 @@
 #[cfg(test)]
 mod tests;
 
-/// What happened to a class in one sampling period.
+/// Statistics of a class over one sampling period.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PeriodStatistics {
-    /// Queries that arrived.
+    /// Number of queries that arrived.
     pub(crate) arrivals: f64,
-    /// Queries that were answered.
+    /// Number of queries that were answered.
     pub(crate) served: f64,
-    /// Sum of the service times of those, ms.
+    /// Sum of the service times of the answered queries, ms.
     pub(crate) service_time: Millis,
-    /// Sum of their slowdowns: time in the queue over service time.
+    /// Sum of the slowdowns of the answered queries: time in the queue divided by service time.
     pub(crate) slowdown: f64,
-    /// A query had to wait for capacity at some time.
+    /// Whether any query had to wait for capacity.
     pub(crate) is_backlogged: bool,
 }
 
@@ -32,7 +32,7 @@
         self.slowdown += queue_time / service_time;
     }
 
-    /// Mean slowdown of what was answered; 0 if nothing was.
+    /// Returns the mean slowdown of the answered queries; 0 if there were none.
     pub(crate) fn mean_slowdown(&self) -> f64 {
         if self.served > 0.0 {
             self.slowdown / self.served
@@ -45,24 +45,24 @@
 /// The state of a query class.
 #[derive(Debug)]
 pub(crate) struct ClassState {
-    /// Its settings.
+    /// Settings of the class.
     pub(crate) settings: Class,
-    /// Queries that wait for an engine, in order.
+    /// Queries that wait for an engine, in queue order.
     pub(crate) queue: VecDeque<QueryId>,
-    /// The current sampling period.
+    /// Statistics of the current sampling period.
     pub(crate) period: PeriodStatistics,
     /// Mean service time in the last sampling period with an answer, ms.
     pub(crate) service_time: Millis,
     /// Sum of the slowdown errors: the state of the integral controller.
     pub(crate) error_sum: f64,
-    /// Fraction of all threads that the controller allocates to it.
+    /// Fraction of all threads that the controller allocates to the class.
     pub(crate) allocation: f64,
-    /// What its queries cost.
+    /// Cost estimates for the queries of the class.
     pub(crate) cost: CostEstimator,
 }
 
 impl ClassState {
-    /// A class that has had no query yet. All classes begin with equal allocations.
+    /// Creates a class that has had no query yet. All classes start with equal allocations.
     pub(crate) fn new(settings: &Settings, class: ClassId) -> Self {
         ClassState {
             settings: settings.classes[class].clone(),
@@ -75,14 +75,14 @@
         }
     }
 
-    /// Takes the mean service time from the period that ends.
+    /// Updates the mean service time from the period that ends.
     pub(crate) fn update_service_time(&mut self) {
         if self.period.served > 0.0 {
             self.service_time = self.period.service_time / self.period.served;
         }
     }
 
-    /// Begins a sampling period.
+    /// Starts a new sampling period.
     pub(crate) fn begin_period(&mut self) {
         self.period = PeriodStatistics {
             is_backlogged: !self.queue.is_empty(),
@@ -90,25 +90,26 @@
         };
     }
 
-    /// The load of the last sampling period, λE\[X\] in threads, as a fraction of `total` threads.
+    /// Returns the load of the sampling period that ends, λE\[X\] in threads, as a fraction of
+    /// `total` threads.
     pub(crate) fn load(&self, period: Millis, total: f64) -> f64 {
         let arrival_rate = self.period.arrivals / period;
         let threads = arrival_rate * self.service_time * self.settings.threads;
         if total > 0.0 { threads / total } else { 0.0 }
     }
 
-    /// Arrivals of the last sampling period by their priority weight.
+    /// Returns the arrivals of the sampling period that ends times the class's priority weight.
     pub(crate) fn weighted_arrivals(&self) -> f64 {
         self.period.arrivals * self.settings.priority_weight
     }
 
-    /// Priority weight for a unit of work.
+    /// Returns the priority weight per unit of work.
     pub(crate) fn gain(&self) -> f64 {
         self.settings.priority_weight / self.cost.usual_work()
     }
 
-    /// Learns from an answer after `elapsed`. Its work may be inferred from that if it ran
-    /// `undisturbed`.
+    /// Updates the estimates and the period's statistics from an answer after `elapsed` ms. The
+    /// work may be inferred from that time if the attempt ran `undisturbed`.
     pub(crate) fn record_answer(
         &mut self,
         request: &PendingRequest,
--- a/src/decision/model/class/tests.rs
+++ b/src/decision/model/class/tests.rs
@@ -2,7 +2,7 @@
 use crate::decision::tests::{assert_close, settings};
 
 #[test]
-fn load_is_the_rate_of_threads_over_all() {
+fn load_is_the_fraction_of_all_threads_in_use() {
     let mut class = ClassState::new(&settings(), 1);
     assert_close(class.allocation, 0.5);
     class.period.arrivals = 10.0;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_period_begins_empty_and_backlogged_by_its_queue() {
+fn a_period_starts_empty_and_is_backlogged_if_queries_wait() {
     let mut class = ClassState::new(&settings(), 0);
     class.period.record_answer(10.0, 0.0);
     class.update_service_time();
--- a/src/decision/model/rate_predictor.rs
+++ b/src/decision/model/rate_predictor.rs
@@ -1,15 +1,17 @@
-//! Prediction of the load of each class in the next sampling period, as fractions of all threads.
+//! Prediction of the load of each class in the next sampling period, as a fraction of all threads.
 
 use super::class::ClassState;
 use super::state::State;
 use super::timers::SAMPLING_PERIOD;
 
-/// Least predicted fraction of a class, so that its inverse stays finite when nothing arrived.
+/// Lower bound on the predicted fraction of a class; it keeps the inverse finite when no query
+/// arrived.
 const MIN_PREDICTION: f64 = 1e-3;
 
 impl State {
-    /// Formula (4): p(i), the load of the last sampling period, and of what is left of all threads
-    /// a part by the weighted arrivals. Updates the mean threads of a query as well.
+    /// Returns p(i) of formula (4): the load of each class in the last sampling period, plus a
+    /// share of the unused threads in proportion to the class's weighted arrivals. Also updates the
+    /// mean threads of a running query.
     pub(crate) fn predict_loads(&mut self) -> Vec<f64> {
         let total = self.engines.thread_budget();
         for class in &mut self.classes {
@@ -31,7 +33,8 @@
         self.classes.iter().zip(&loads).map(predict).collect()
     }
 
-    /// Little's law: the threads in use over the queries in service, both times the period.
+    /// Applies Little's law: the threads in use divided by the queries in service, both multiplied
+    /// by the period.
     fn update_threads_per_query(&mut self, threads: f64) {
         let service_time = |class: &ClassState| class.period.arrivals * class.service_time;
         let queries: f64 = self.classes.iter().map(service_time).sum();
