--- a/src/decision/model/fleet_size.rs
+++ b/src/decision/model/fleet_size.rs
@@ -1,33 +1,35 @@
-//! How many dispatchers share the engines: the configured number, and what is heard of the others.
+//! Number of dispatchers that share the engines: the configured number, and the evidence from the
+//! other dispatchers.
 
 use super::Millis;
 
 #[cfg(test)]
 mod tests;
 
-/// While nothing confirms the configured number, so many times as many may run: a fleet is
-/// doubled before all of its configurations name the new size.
+/// While the configured number is unconfirmed, up to this multiple of it is assumed to run: a fleet
+/// can be doubled before all of its configurations name the new size.
 const MAX_UNDERCOUNT: f64 = 2.0;
 
-/// What has been heard of how many dispatchers run.
+/// Evidence of how many dispatchers run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetEvidence {
-    /// At least so many run, this one included.
+    /// Minimum number of dispatchers that run, including this one.
     pub min_dispatchers: u32,
-    /// Until then no more are taken to run than are configured; `None`: nothing shows that.
+    /// Time until which the configured number is confirmed as the maximum, ms; `None` if it is
+    /// unconfirmed.
     pub confirmed_until: Option<Millis>,
 }
 
-/// How many dispatchers are taken to run.
+/// Range of the number of dispatchers assumed to run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FleetSizeRange {
-    /// The configured number, or more if more are heard.
+    /// The configured number, or the number seen if that is larger.
     pub expected: f64,
-    /// The number that a warming engine is protected against.
+    /// The maximum number that an engine that is warming up is protected against.
     pub max: f64,
 }
 
-/// The number of dispatchers that a limit for all of them together is divided by.
+/// The number of dispatchers that a common limit is divided among.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FleetSize {
     configured: f64,
@@ -36,7 +38,7 @@
 }
 
 impl FleetSize {
-    /// The configured number, which nothing confirms yet.
+    /// Creates a fleet size from the configured number, which is still unconfirmed.
     pub(crate) fn new(configured: u32) -> Self {
         FleetSize {
             configured: f64::from(configured),
@@ -45,18 +47,19 @@
         }
     }
 
-    /// Takes over what has been heard.
+    /// Updates the fleet size from new evidence.
     pub(crate) fn observe(&mut self, evidence: FleetEvidence) {
         self.min_dispatchers = f64::from(evidence.min_dispatchers);
         self.confirmed_until = evidence.confirmed_until.unwrap_or(f64::MIN);
     }
 
-    /// The number that is expected: the configured one, unless more are heard.
+    /// Returns the expected number: the configured one, or the number seen if that is larger.
     pub(crate) fn expected(&self) -> f64 {
         self.configured.max(self.min_dispatchers)
     }
 
-    /// The number that may run: what every dispatcher does has to be borne from so many.
+    /// Returns the maximum number that may run. The engines must sustain what this many dispatchers
+    /// send in total.
     pub(crate) fn upper_bound(&self, now: Millis) -> f64 {
         match now < self.confirmed_until {
             true => self.expected(),
--- a/src/decision/model/fleet_size/tests.rs
+++ b/src/decision/model/fleet_size/tests.rs
@@ -1,14 +1,14 @@
 use super::{FleetEvidence, FleetSize};
 
 #[test]
-fn an_unconfirmed_number_may_be_half_of_what_runs() {
+fn twice_the_number_may_run_while_it_is_unconfirmed() {
     let size = FleetSize::new(150);
     assert_eq!(size.expected(), 150.0);
     assert_eq!(size.upper_bound(0.0), 300.0);
 }
 
 #[test]
-fn a_confirmation_holds_for_its_time() {
+fn a_confirmation_expires() {
     let mut size = FleetSize::new(150);
     size.observe(FleetEvidence {
         min_dispatchers: 21,
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn more_dispatchers_heard_than_configured_count() {
+fn more_dispatchers_seen_than_configured_are_counted() {
     let mut size = FleetSize::new(10);
     size.observe(FleetEvidence {
         min_dispatchers: 35,
--- a/src/decision/model/in_flight_attempt.rs
+++ b/src/decision/model/in_flight_attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt that has not ended, as the engine that runs it reports it.
+//! An attempt in flight, updated by the progress notes of its engine.
 
 use super::class::ClassState;
 use super::request::PendingRequest;
@@ -7,55 +7,56 @@
 #[cfg(test)]
 mod tests;
 
-/// Least fraction of work done from which progress is extrapolated, so that it stays finite.
+/// Lower bound on the completed fraction from which progress is extrapolated; it keeps the result
+/// finite.
 const MIN_COMPLETED: f64 = 1e-3;
 
-/// An attempt that has not ended.
+/// An attempt in flight.
 #[derive(Debug)]
 pub(crate) struct InFlightAttempt {
     /// The query.
     pub(crate) id: QueryId,
-    /// Which of the query's attempts, from 0.
+    /// Number of the attempt, from 0.
     pub(crate) attempt: u32,
     /// The query's class.
     pub(crate) class: ClassId,
-    /// Group of tables that it reads or writes.
+    /// Table group that the query reads or writes.
     pub(crate) tables: Option<u64>,
-    /// It locks that group while it runs.
+    /// Whether the attempt locks its table group while it runs.
     pub(crate) locks_tables: bool,
-    /// Threads that it uses when it runs.
+    /// Number of threads that the attempt uses while it runs.
     pub(crate) class_threads: f64,
-    /// Threads that it uses now.
+    /// Number of threads that the attempt uses now.
     pub(crate) threads: f64,
-    /// Its expected work, ms of one thread.
+    /// Expected work of the query, ms of one thread.
     pub(crate) work: f64,
-    /// When it was sent, ms.
+    /// When the attempt was sent, ms.
     pub(crate) sent_at: Millis,
-    /// Fraction of its work that is done.
+    /// Fraction of the work that is done.
     pub(crate) completed: f64,
-    /// When its last progress note came, ms; at first, when it was sent.
+    /// When the last progress note was received, ms; initially the time the attempt was sent.
     pub(crate) noted_at: Millis,
-    /// Memory requested for it, MB; 0 is the engine's choice.
+    /// Memory requested for the attempt, MB; 0 leaves the choice to the engine.
     pub(crate) granted_mb: f64,
-    /// It has stalled behind a bulk load.
+    /// Whether the attempt has stalled behind a bulk load.
     pub(crate) has_stalled: bool,
 }
 
-/// Where an attempt stands beside what is usual, extrapolated from its progress.
+/// The pace and remaining time of an attempt, extrapolated from its progress.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Forecast {
-    /// Logarithm of the latency in threads over the expected work.
+    /// Logarithm of latency times threads divided by the expected work.
     pub(crate) pace: f64,
-    /// The same as usual for the class.
+    /// The usual value of `pace` for the class.
     pub(crate) usual_pace: f64,
-    /// Time until it is done, ms.
+    /// Time until the attempt is done, ms.
     pub(crate) remaining: Millis,
     /// Time that a new attempt would take at the usual pace, ms.
     pub(crate) restart: Millis,
 }
 
 impl InFlightAttempt {
-    /// An attempt that is sent now, with this memory, MB.
+    /// Creates an attempt that is sent now and granted this memory, MB.
     pub(crate) fn new(
         request: &PendingRequest,
         class: &ClassState,
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Takes over what its engine reports of it. Returns false if that says nothing.
+    /// Records a progress note from the engine. Returns false if the note is invalid.
     pub(crate) fn record_progress(&mut self, note: ProgressNote, now: Millis) -> bool {
         self.noted_at = now;
         self.threads = match note {
@@ -96,7 +97,7 @@
         true
     }
 
-    /// Extrapolates its progress.
+    /// Extrapolates the progress of the attempt.
     pub(crate) fn forecast(&self, now: Millis, usual_pace: f64) -> Forecast {
         let elapsed = now - self.sent_at;
         let completed = self.completed.max(MIN_COMPLETED);
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Its work that is not done yet, ms of one thread.
+    /// Returns the remaining work of the attempt, ms of one thread.
     pub(crate) fn remaining_work(&self) -> f64 {
         self.work * (1.0 - self.completed)
     }
--- a/src/decision/model/in_flight_attempt/tests.rs
+++ b/src/decision/model/in_flight_attempt/tests.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn an_impossible_fraction_says_nothing() {
+fn a_fraction_that_is_not_a_number_is_rejected() {
     let mut attempt = attempt();
     assert!(!attempt.record_progress(ProgressNote::Completed(f64::NAN), 10.0));
     assert_eq!((attempt.completed, attempt.noted_at), (0.0, 10.0));
--- a/src/decision/model/load_report.rs
+++ b/src/decision/model/load_report.rs
@@ -1,25 +1,26 @@
-//! An engine's load as it last reported it.
+//! The last load report of an engine.
 
 use super::{Millis, ReportField};
 
 #[cfg(test)]
 mod tests;
 
-/// How long a report tells two engines apart, ms; by older ones dispatchers would herd.
+/// How long a report may be used to compare engines, ms. If dispatchers compared engines by older
+/// reports, they would all pick the same ones.
 const FRESHNESS: Millis = 500.0;
 
-/// An engine's load as it last reported it; all 0 before the first report.
+/// The last load report of an engine; all values are 0 before the first one.
 #[derive(Clone, Debug)]
 pub(crate) struct LoadReport {
-    /// Queries running or waiting there.
+    /// Number of queries running or waiting at the engine.
     pub(crate) inflight: f64,
-    /// Queries waiting there for memory.
+    /// Number of queries waiting for memory at the engine.
     pub(crate) memory_queue: f64,
-    /// Busy cores as a fraction of all.
+    /// Busy cores as a fraction of all cores.
     pub(crate) cpu_busy: f64,
-    /// Granted memory as a fraction of all.
+    /// Granted memory as a fraction of all memory.
     pub(crate) memory_granted: f64,
-    /// When the last report came, ms.
+    /// When the last report was received, ms.
     pub(crate) received_at: Millis,
 }
 
@@ -38,10 +39,11 @@
 impl LoadReport {
     /// Decodes a report, given the field that each position holds. Absent fields keep their values.
     ///
-    /// Returns false, and changes nothing, if the report is empty or holds an impossible number.
+    /// Returns false and changes nothing if the report is empty or contains a negative or
+    /// non-finite number.
     pub(crate) fn decode(&mut self, now: Millis, fields: &[ReportField], report: &[f64]) -> bool {
-        let is_impossible = |value: &f64| !value.is_finite() || *value < 0.0;
-        if report.is_empty() || report.iter().any(is_impossible) {
+        let is_invalid = |value: &f64| !value.is_finite() || *value < 0.0;
+        if report.is_empty() || report.iter().any(is_invalid) {
             return false;
         }
         self.received_at = now;
@@ -57,12 +59,12 @@
         true
     }
 
-    /// The last report is recent enough to compare engines by it.
+    /// Returns whether the last report is recent enough to compare engines by it.
     pub(crate) fn is_fresh(&self, now: Millis) -> bool {
         now <= self.received_at + FRESHNESS
     }
 
-    /// At least one report has come.
+    /// Returns whether any report has been received.
     pub(crate) fn is_known(&self) -> bool {
         self.received_at > f64::MIN
     }
--- a/src/decision/model/load_report/tests.rs
+++ b/src/decision/model/load_report/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn an_impossible_report_changes_nothing() {
+fn an_invalid_report_changes_nothing() {
     let mut load = LoadReport::default();
     for report in [&[][..], &[f64::NAN], &[f64::INFINITY], &[-1.0]] {
         assert!(!load.decode(10.0, &[Inflight], report), "{report:?}");
