--- a/src/decision/model/slow_start_usage.rs
+++ b/src/decision/model/slow_start_usage.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher has sent to one engine while that warms up.
+//! What a dispatcher has sent to one engine that is warming up.
 
 use super::Millis;
 use super::statistics::SlidingWindowSum;
@@ -6,10 +6,10 @@
 #[cfg(test)]
 mod tests;
 
-/// Work sent to an engine, and what sampled admission spent of the engine's budget.
+/// Work sent to an engine, and the use of its sampled budget.
 ///
-/// A query that the sample rejects spends what it would have brought on average, but of the sampled
-/// budget alone: nothing was sent.
+/// A query that the sample rejects counts against the sampled budget with the work that it would
+/// have brought on average. It does not count as sent.
 #[derive(Debug, Default)]
 pub(crate) struct SlowStartUsage {
     sent: SlidingWindowSum,
@@ -19,21 +19,34 @@
 /// Usage within a window, counted in queries of one size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct QueryCounts {
-    /// Queries that were sent.
+    /// Number of queries that were sent.
     pub(crate) sent: f64,
-    /// Queries that were sent, or would have been on average.
+    /// Number of queries that were sent, plus the admission probabilities of those that were
+    /// rejected.
     pub(crate) sampled: f64,
 }
 
 impl SlowStartUsage {
-    /// Records a query: `spent` is 1 if it was sent, else the probability that it had.
-    pub(crate) fn record(&mut self, now: Millis, window: Millis, work: f64, spent: f64) {
-        let sent = if spent >= 1.0 { work } else { 0.0 };
+    /// Records a query: `admission_probability` is 1 if it was sent, else the probability with
+    /// which it would have been.
+    pub(crate) fn record(
+        &mut self,
+        now: Millis,
+        window: Millis,
+        work: f64,
+        admission_probability: f64,
+    ) {
+        let sent = if admission_probability >= 1.0 {
+            work
+        } else {
+            0.0
+        };
         self.sent.record(now, window, sent);
-        self.sampled.record(now, window, work * spent);
+        self.sampled
+            .record(now, window, work * admission_probability);
     }
 
-    /// The usage after `start`, in queries of this work.
+    /// Returns the usage after `start`, in queries of this much work.
     pub(crate) fn queries_after(&self, start: Millis, work: f64) -> QueryCounts {
         QueryCounts {
             sent: self.sent.sum_after(start) / work,
--- a/src/decision/model/slow_start_usage/tests.rs
+++ b/src/decision/model/slow_start_usage/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_rejected_query_spends_of_the_sampled_budget_alone() {
+fn a_rejected_query_counts_against_the_sampled_budget_only() {
     let mut usage = SlowStartUsage::default();
     usage.record(0.0, 1000.0, 80.0, 1.0);
     usage.record(0.0, 1000.0, 80.0, 0.25);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn usage_leaves_the_window() {
+fn usage_at_the_start_of_the_window_is_excluded() {
     let mut usage = SlowStartUsage::default();
     usage.record(0.0, 1000.0, 80.0, 1.0);
     let none = QueryCounts {
