--- a/src/decision/model/aimd_limit/tests.rs
+++ b/src/decision/model/aimd_limit/tests.rs
@@ -11,7 +11,7 @@
     assert_eq!(
         limit.threads(),
         9.0,
-        "by 2 for each limit's worth of threads"
+        "grows by 2 for each full limit of threads served"
     );
 }
 
--- a/src/decision/model/ordered_queue.rs
+++ b/src/decision/model/ordered_queue.rs
@@ -1,4 +1,4 @@
-//! Queries that have to run one at a time, in the order of arrival, by key.
+//! Queues of the queries that have to run one at a time, in the order of arrival, by key.
 
 use super::{Millis, QueryId};
 use std::collections::{BTreeMap, VecDeque};
@@ -6,7 +6,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Queries of one key in the order of arrival, and until when the key rests.
+/// Queries of one key in the order of arrival, and the end of the key's quiet period.
 #[derive(Debug, Default)]
 pub(crate) struct OrderedQueue {
     ids: VecDeque<QueryId>,
@@ -14,12 +14,12 @@
 }
 
 impl OrderedQueue {
-    /// This query is the first of its key.
+    /// Returns whether this query is the first of its key.
     pub(crate) fn is_first(&self, id: QueryId) -> bool {
         self.ids.front() == Some(&id)
     }
 
-    /// An attempt that may still run keeps the key at rest.
+    /// Returns whether the key is in its quiet period, because an attempt may still run.
     pub(crate) fn is_quiet(&self, now: Millis) -> bool {
         now < self.quiet_until
     }
@@ -41,12 +41,12 @@
         self.by_key.entry(key.into()).or_default().ids.push_back(id);
     }
 
-    /// The queue of a key that is in use.
+    /// Returns the queue of a key, if the key is in use.
     pub(crate) fn get(&self, key: &str) -> Option<&OrderedQueue> {
         self.by_key.get(key)
     }
 
-    /// Takes a query out, and its queue with it once that is idle.
+    /// Removes a query, and the queue of its key if that becomes idle.
     pub(crate) fn remove(&mut self, key: &str, id: QueryId, now: Millis) {
         let Some(queue) = self.by_key.get_mut(key) else {
             return;
@@ -57,14 +57,14 @@
         }
     }
 
-    /// Lets a key that is in use rest until then, or longer if it already does.
+    /// Extends the quiet period of a key that is in use to `until`, unless it already lasts longer.
     pub(crate) fn extend_quiet_period(&mut self, key: &str, until: Millis) {
         if let Some(queue) = self.by_key.get_mut(key) {
             queue.quiet_until = queue.quiet_until.max(until);
         }
     }
 
-    /// Drops queues that are idle.
+    /// Removes queues that are idle.
     pub(crate) fn remove_idle(&mut self, now: Millis) {
         self.by_key.retain(|_, queue| !queue.is_idle(now));
     }
--- a/src/decision/model/ordered_queue/tests.rs
+++ b/src/decision/model/ordered_queue/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn queries_of_a_key_come_in_order() {
+fn queries_of_a_key_are_first_in_the_order_of_arrival() {
     let mut queues = OrderedQueues::default();
     queues.push("a", 1);
     queues.push("a", 2);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_key_rests_until_the_latest_time_and_is_remembered_till_then() {
+fn a_key_is_quiet_until_the_latest_time_and_is_kept_until_then() {
     let mut queues = OrderedQueues::default();
     queues.push("a", 1);
     queues.extend_quiet_period("a", 100.0);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn an_idle_queue_goes_with_its_last_query() {
+fn an_idle_queue_is_removed_with_its_last_query() {
     let mut queues = OrderedQueues::default();
     queues.push("a", 1);
     queues.remove("a", 1, 0.0);
--- a/src/decision/model/process_count.rs
+++ b/src/decision/model/process_count.rs
@@ -1,12 +1,12 @@
-//! The processes that make the decisions of one dispatcher: two while one takes over from the
-//! other.
+//! The number of processes that make the decisions of one dispatcher: two while one takes over from
+//! the other.
 
 use super::Millis;
 
 #[cfg(test)]
 mod tests;
 
-/// The present number of processes, and the one before.
+/// The current number of processes, and the previous one.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ProcessCount {
     current: f64,
@@ -25,14 +25,15 @@
 }
 
 impl ProcessCount {
-    /// From now on there are so many.
+    /// Sets the number of processes from now on; it is at least 1.
     pub(crate) fn set(&mut self, now: Millis, processes: u32) {
         self.previous = self.current;
         self.changed_at = now;
         self.current = f64::from(processes.max(1));
     }
 
-    /// The greater of the present number and the one that a change after `start` has replaced.
+    /// Returns the larger of the current number and the one that it replaced, if the change came
+    /// after `start`.
     pub(crate) fn max_since(&self, start: Millis) -> f64 {
         if start < self.changed_at {
             self.current.max(self.previous)
--- a/src/decision/model/process_count/tests.rs
+++ b/src/decision/model/process_count/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_process_that_has_ended_counts_until_the_window_has_passed() {
+fn an_ended_process_is_counted_until_the_window_has_passed() {
     let mut processes = ProcessCount::default();
     assert_eq!(processes.max_since(0.0), 1.0);
     processes.set(100.0, 2);
--- a/src/decision/model/retry_usage.rs
+++ b/src/decision/model/retry_usage.rs
@@ -1,4 +1,4 @@
-//! Arrivals and retries of late, for the retry budget.
+//! Recent arrivals and retries, for the retry budget.
 
 use super::statistics::SlidingWindowSum;
 use super::{Millis, RetryBudget};
@@ -20,7 +20,7 @@
         self.arrivals.push_back(now);
     }
 
-    /// Records an attempt, and forgets what is older than the window.
+    /// Records an attempt, and discards entries older than the window.
     pub(crate) fn record_attempt(
         &mut self,
         now: Millis,
@@ -33,7 +33,7 @@
         self.arrivals.retain(|&at| at >= now - window);
     }
 
-    /// Counts what lies within the window of a budget.
+    /// Counts the arrivals and retries within the window of a budget.
     pub(crate) fn count(&self, now: Millis, budget: RetryBudget) -> RetryCounts {
         let start = now - budget.window;
         let recent_arrivals = self.arrivals.iter().filter(|&&at| at > start);
@@ -44,11 +44,11 @@
     }
 }
 
-/// What happened within the window of a retry budget.
+/// Numbers of arrivals and retries within the window of a retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RetryCounts {
-    /// Queries that arrived after its start.
+    /// Number of queries that arrived after the start of the window.
     pub(crate) arrivals: f64,
-    /// Retries at its start or after.
+    /// Number of retries at the start of the window or after it.
     pub(crate) retries: f64,
 }
--- a/src/decision/model/retry_usage/tests.rs
+++ b/src/decision/model/retry_usage/tests.rs
@@ -7,7 +7,7 @@
 };
 
 #[test]
-fn counts_are_those_of_the_window() {
+fn counts_cover_only_the_window() {
     let mut usage = RetryUsage::default();
     for at in [0.0, 50.0, 100.0] {
         usage.record_arrival(at);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_first_attempt_is_no_retry() {
+fn a_first_attempt_is_not_a_retry() {
     let mut usage = RetryUsage::default();
     usage.record_arrival(0.0);
     usage.record_attempt(0.0, Some(BUDGET), false);
--- a/src/decision/model/selection.rs
+++ b/src/decision/model/selection.rs
@@ -3,8 +3,8 @@
 #[cfg(test)]
 mod tests;
 
-/// The first `count` of these indices by `key`, in its order: what a stable sort of them all would
-/// begin with.
+/// Returns the `count` indices with the smallest `key`, in ascending order; equal keys are ordered
+/// by index.
 pub(crate) fn smallest_by_key<K: Ord>(
     indices: Vec<usize>,
     count: usize,
--- a/src/decision/model/timers.rs
+++ b/src/decision/model/timers.rs
@@ -1,4 +1,4 @@
-//! When the controller has to be called again, and what is due then.
+//! Times at which the controller has to be called again, and what is due then.
 
 use super::Millis;
 
@@ -8,11 +8,11 @@
 /// Sampling period of the integral controller, ms.
 pub(crate) const SAMPLING_PERIOD: Millis = 2000.0;
 
-/// Between two wakeups while requests are pending, ms: below every latency objective, above the
-/// cost of a look.
+/// Interval between wakeups while requests are pending, ms: shorter than every latency objective,
+/// longer than a wakeup takes to run.
 pub(crate) const WAKEUP_INTERVAL: Millis = 20.0;
 
-/// Times of what comes next.
+/// Times of the next sampling period, wakeup and subscription.
 #[derive(Debug)]
 pub(crate) struct Timers {
     started_at: Millis,
@@ -22,7 +22,7 @@
 }
 
 impl Default for Timers {
-    /// Not started; a wakeup and a subscription are due at once.
+    /// Creates timers that have not started; a wakeup and a subscription are due at once.
     fn default() -> Self {
         Timers {
             started_at: f64::MIN,
@@ -34,7 +34,7 @@
 }
 
 impl Timers {
-    /// Begins the first sampling period at the first call.
+    /// Starts the first sampling period at the first call; later calls have no effect.
     pub(crate) fn start(&mut self, now: Millis) {
         if self.started_at == f64::MIN {
             self.started_at = now;
@@ -42,17 +42,17 @@
         }
     }
 
-    /// The first call; what the dispatcher did before is not known.
+    /// Returns the time of the first call. What the dispatcher did before it is unknown.
     pub(crate) fn started_at(&self) -> Millis {
         self.started_at
     }
 
-    /// The wakeup that was requested is due.
+    /// Returns whether the requested wakeup is due.
     pub(crate) fn is_due(&self, now: Millis) -> bool {
         now >= self.next_wakeup
     }
 
-    /// True once at the end of each sampling period; the next one begins.
+    /// Returns true once at the end of each sampling period, and starts the next period.
     pub(crate) fn end_period(&mut self, now: Millis) -> bool {
         let is_over = now >= self.period_end;
         if is_over {
@@ -61,12 +61,12 @@
         is_over
     }
 
-    /// The subscription has failed: it is due again some time later.
+    /// Schedules another subscription one sampling period after the previous one failed.
     pub(crate) fn retry_subscription(&mut self, now: Millis) {
         self.subscribe_at = now + SAMPLING_PERIOD;
     }
 
-    /// True once when a subscription is due.
+    /// Returns true once when a subscription is due.
     pub(crate) fn take_subscription(&mut self, now: Millis) -> bool {
         let is_due = now >= self.subscribe_at;
         if is_due {
@@ -75,8 +75,8 @@
         is_due
     }
 
-    /// The time of the next wakeup, if it has to be requested: the last one `was_due`, or this one
-    /// is earlier.
+    /// Returns the time of the next wakeup, if it has to be requested: the last one `was_due`, or
+    /// the new one is earlier.
     pub(crate) fn schedule(
         &mut self,
         now: Millis,
@@ -95,7 +95,8 @@
     }
 }
 
-/// Time to the next wakeup, ms, if nothing else is due, when the clock moves in steps of `step`.
+/// Returns the time to the next wakeup, ms, if nothing else is due; `step` is the minimum time by
+/// which the clock advances, ms.
 pub(crate) fn wakeup_interval(is_idle: bool, step: Millis) -> Millis {
     match is_idle {
         true => SAMPLING_PERIOD,
--- a/src/decision/model/token_bucket.rs
+++ b/src/decision/model/token_bucket.rs
@@ -5,7 +5,7 @@
 #[cfg(test)]
 mod tests;
 
-/// A token bucket that starts full. It holds at least one token when full, however low its rate.
+/// A token bucket that starts full. Its capacity is at least one token, however low its rate.
 #[derive(Debug)]
 pub(crate) struct TokenBucket {
     rate_per_s: f64,
@@ -15,7 +15,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket that saves up to `burst_seconds` of its rate.
+    /// Creates a full bucket whose capacity is `burst_seconds` of its rate, in tokens per second.
     pub(crate) fn new(rate_per_s: f64, burst_seconds: f64) -> Self {
         TokenBucket {
             rate_per_s,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Takes a token, if there is one.
+    /// Takes a token if one is available. Returns whether it did.
     pub(crate) fn try_acquire(&mut self, now: Millis) -> bool {
         let refilled = self.tokens + self.rate_per_s * (now - self.refilled_at) / 1000.0;
         self.tokens = refilled.min(self.capacity);
