--- a/src/decision/model/endpoint_list.rs
+++ b/src/decision/model/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The known engines, by index and by name, as the endpoint list reports them.
 
 use super::endpoint::Engine;
-use super::endpoint_summary::{EndpointSummary, OwnOrder};
+use super::endpoint_summary::{EndpointSummary, PreferenceOrder};
 use super::in_flight_attempt::InFlightAttempt;
 use super::request::Probes;
 use super::{EngineEntry, EngineState, ListUpdate, Millis, QueryId, Settings};
@@ -50,7 +50,7 @@
     /// Engines that have responded.
     responsive: BTreeSet<EngineIndex>,
     /// The engines in service in this dispatcher's order of preference, computed on first use.
-    own_order: OnceCell<OwnOrder>,
+    preference_order: OnceCell<PreferenceOrder>,
 }
 
 impl EndpointList {
@@ -84,7 +84,7 @@
     /// Marks every engine as gone until it is listed again.
     fn mark_all_gone(&mut self) {
         self.summary.take();
-        self.own_order.take();
+        self.preference_order.take();
         self.medians.get_mut().clear();
         self.gone = self.indices().collect();
         for engine in &mut self.engines {
@@ -131,8 +131,8 @@
         if let Some(summary) = self.summary.get_mut() {
             summary.remove(index, &self.engines[index]);
         }
-        if let Some(own_order) = self.own_order.get_mut() {
-            own_order.remove(index, &self.engines);
+        if let Some(preference_order) = self.preference_order.get_mut() {
+            preference_order.remove(index, &self.engines);
         }
         self.gone.remove(&index);
     }
@@ -143,10 +143,10 @@
         if let Some(summary) = self.summary.get_mut() {
             summary.add(index, engine);
         }
-        if let Some(own_order) = self.own_order.get_mut()
+        if let Some(preference_order) = self.preference_order.get_mut()
             && engine.is_ready()
         {
-            own_order.add(index, &self.engines);
+            preference_order.add(index, &self.engines);
         }
         if engine.state == EngineState::Gone {
             self.gone.insert(index);
@@ -194,27 +194,27 @@
     /// Returns the engines in service in the order in which a dispatcher of this zone and salt
     /// prefers them: first up to `max_warming` engines that started after `warming_since`, then
     /// those that have responded, then the others with those of its own zone first.
-    pub(crate) fn in_own_order(
+    pub(crate) fn in_preference_order(
         &self,
         zone: Option<usize>,
         salt: u64,
         warming_since: Millis,
         max_warming: usize,
     ) -> impl Iterator<Item = EngineIndex> {
-        let own_order = self
-            .own_order
-            .get_or_init(|| OwnOrder::new(zone, salt, self.ready_indices(), &self.engines))
+        let preference_order = self
+            .preference_order
+            .get_or_init(|| PreferenceOrder::new(zone, salt, self.ready_indices(), &self.engines))
             .as_slice();
         let is_warming = move |index: &EngineIndex| {
             let started = self.engines[*index].started;
             started.is_some_and(|started| started > warming_since)
         };
         let has_warming = self.summary().latest_start() > warming_since;
-        let searched = if has_warming { own_order } else { &[] };
+        let searched = if has_warming { preference_order } else { &[] };
         let warming = searched.iter().copied().filter(is_warming);
         let is_ready = |index: &EngineIndex| self.engines[*index].is_ready();
         let responsive = self.responsive.iter().copied().filter(is_ready);
-        let others = own_order.iter().copied();
+        let others = preference_order.iter().copied();
         let others = others.filter(|index| !self.responsive.contains(index));
         warming.take(max_warming).chain(
             responsive
--- a/src/decision/model/endpoint_summary.rs
+++ b/src/decision/model/endpoint_summary.rs
@@ -123,7 +123,7 @@
 /// The engines in service in one dispatcher's order of preference: those of its own zone first,
 /// then by rank.
 #[derive(Debug)]
-pub(super) struct OwnOrder {
+pub(super) struct PreferenceOrder {
     zone: Option<usize>,
     salt: u64,
     order: Vec<EngineIndex>,
@@ -132,7 +132,7 @@
 /// Sort key of an engine: whether it is in another zone, its rank and its index.
 type SortKey = (bool, u64, EngineIndex);
 
-impl OwnOrder {
+impl PreferenceOrder {
     /// Computes the order of a dispatcher of this zone and salt.
     pub(super) fn new(
         zone: Option<usize>,
@@ -142,7 +142,7 @@
     ) -> Self {
         let mut order = ready.to_vec();
         order.sort_by_cached_key(|&index| sort_key(zone, salt, index, &engines[index]));
-        OwnOrder { zone, salt, order }
+        PreferenceOrder { zone, salt, order }
     }
 
     /// Returns the engines, the most preferred first.
--- a/src/decision/model/endpoint_summary/tests.rs
+++ b/src/decision/model/endpoint_summary/tests.rs
@@ -1,7 +1,7 @@
 //! Compares the summary and the order that are updated incrementally with ones computed from
 //! scratch.
 
-use super::{EndpointSummary, OwnOrder};
+use super::{EndpointSummary, PreferenceOrder};
 use crate::decision::model::endpoint_list::EndpointList;
 use crate::decision::model::{EngineEntry, EngineState, ListUpdate};
 use crate::decision::tests::{entry, settings};
@@ -49,7 +49,7 @@
             index,
         )
     });
-    let own: Vec<usize> = list.in_own_order(ZONE, SALT, f64::MAX, 0).collect();
+    let own: Vec<usize> = list.in_preference_order(ZONE, SALT, f64::MAX, 0).collect();
     assert_eq!(own, order);
     let mut ranks: Vec<u64> = ready.iter().map(|&index| engines[index].rank(5)).collect();
     ranks.sort_unstable();
@@ -102,7 +102,7 @@
         })
         .collect();
     let mut summary = EndpointSummary::new(&engines);
-    let mut order = OwnOrder::new(ZONE, SALT, summary.ready(), &engines);
+    let mut order = PreferenceOrder::new(ZONE, SALT, summary.ready(), &engines);
     let before = (summary.ready().to_vec(), order.as_slice().to_vec());
     for index in [0, 17, 39] {
         summary.remove(index, &engines[index]);
--- a/src/decision/placement.rs
+++ b/src/decision/placement.rs
@@ -69,7 +69,7 @@
         if ready.len() > CANDIDATE_LIMIT {
             let state = &self.state;
             let rules = &state.settings.rules;
-            let in_own_order = state.engines.in_own_order(
+            let in_preference_order = state.engines.in_preference_order(
                 state.settings.zone,
                 self.rank_salt,
                 state.now - rules.warm_up_period - rules.overload_window,
@@ -80,7 +80,7 @@
                 class.allows(engine.zone, engine.kind) && !self.is_outlier(*index)
             };
             let preferred =
-                in_own_order.filter(|engine| is_preferred(engine) && has_capacity(engine));
+                in_preference_order.filter(|engine| is_preferred(engine) && has_capacity(engine));
             let preferred: Vec<EngineIndex> = preferred.take(CANDIDATE_LIMIT).collect();
             if !preferred.is_empty() {
                 return preferred;
