--- a/src/decision/model/state.rs
+++ b/src/decision/model/state.rs
@@ -219,7 +219,7 @@
 
     /// Returns how many queries of `work` ms each an engine that is warming up sustains in an
     /// overload window, given its capacity at the time `at`.
-    pub(crate) fn bearable_queries(
+    pub(crate) fn sustainable_queries(
         &self,
         engine: &Engine,
         started: Millis,
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -99,7 +99,7 @@
         let expected_count = state.fleet_size.expected() * processes;
         let possible_count = state.fleet_size.upper_bound(state.now) * processes;
 
-        let bearable = state.bearable_queries(engine, started, work, state.now);
+        let bearable = state.sustainable_queries(engine, started, work, state.now);
         let expected_budget = SLOW_START_SAFETY_FACTOR * bearable / expected_count;
         let expected_mean = largest_mean(bearable) / expected_count;
 
@@ -129,7 +129,7 @@
     fn overload_limit_of(&self, engine: &Engine, started: Millis, work: f64) -> f64 {
         let state = &self.state;
         let mean_work = state.mean_slow_start_work.mean_or(work).min(work);
-        let bearable_at = |at| state.bearable_queries(engine, started, mean_work, at);
+        let bearable_at = |at| state.sustainable_queries(engine, started, mean_work, at);
         let at_start = bearable_at(self.overload_window_start());
         let mut limit = overload_limit(at_start);
         // What is sent now counts in windows that begin up to now: their limits rise with the
@@ -162,7 +162,7 @@
             return false;
         };
         let window_start = self.overload_window_start();
-        let bearable = state.bearable_queries(engine, started, work, state.now);
+        let bearable = state.sustainable_queries(engine, started, work, state.now);
         let part = bearable / state.fleet_size.expected();
         let sent_before = engine
             .slow_start_usage
