--- a/src/decision/feedback.rs
+++ b/src/decision/feedback.rs
@@ -78,7 +78,7 @@
             return;
         }
         self.open_window();
-        let order = self.state.classes_by_gain();
+        let order = self.state.classes_by_weight_per_work();
         let total = self.state.engines.thread_budget();
         let total = total.min(self.state.window.threads());
         let mut threads = self.state.threads_by_class();
--- a/src/decision/model/state.rs
+++ b/src/decision/model/state.rs
@@ -137,7 +137,7 @@
     }
 
     /// Returns the classes by priority weight per unit of work, highest first.
-    pub(crate) fn classes_by_gain(&self) -> Vec<ClassId> {
+    pub(crate) fn classes_by_weight_per_work(&self) -> Vec<ClassId> {
         let gain = |class: ClassId| self.classes[class].gain();
         let mut order: Vec<ClassId> = (0..self.classes.len()).collect();
         order.sort_by(|&a, &b| gain(b).total_cmp(&gain(a)).then(a.cmp(&b)));
--- a/src/decision/send_guard.rs
+++ b/src/decision/send_guard.rs
@@ -125,7 +125,7 @@
             NORMAL_PRIORITY
         } else if state.classes[class].settings.holds_tables {
             BULK_LOAD_PRIORITY
-        } else if state.classes.len() > 1 && state.classes_by_gain()[0] == class {
+        } else if state.classes.len() > 1 && state.classes_by_weight_per_work()[0] == class {
             BEST_CLASS_PRIORITY
         } else {
             NORMAL_PRIORITY
