--- a/src/decision/model/class.rs
+++ b/src/decision/model/class.rs
@@ -104,7 +104,7 @@
     }
 
     /// Returns the priority weight per unit of work.
-    pub(crate) fn gain(&self) -> f64 {
+    pub(crate) fn weight_per_work(&self) -> f64 {
         self.settings.priority_weight / self.cost.usual_work()
     }
 
--- a/src/decision/model/state.rs
+++ b/src/decision/model/state.rs
@@ -138,9 +138,13 @@
 
     /// Returns the classes by priority weight per unit of work, highest first.
     pub(crate) fn classes_by_weight_per_work(&self) -> Vec<ClassId> {
-        let gain = |class: ClassId| self.classes[class].gain();
+        let weight_per_work = |class: ClassId| self.classes[class].weight_per_work();
         let mut order: Vec<ClassId> = (0..self.classes.len()).collect();
-        order.sort_by(|&a, &b| gain(b).total_cmp(&gain(a)).then(a.cmp(&b)));
+        order.sort_by(|&a, &b| {
+            weight_per_work(b)
+                .total_cmp(&weight_per_work(a))
+                .then(a.cmp(&b))
+        });
         order
     }
 
