--- a/src/decision/concurrency_limit.rs
+++ b/src/decision/concurrency_limit.rs
@@ -60,7 +60,7 @@
         if may_decrease && self.is_overloaded() {
             // At least the widest query: a smaller window would hold it back for good.
             let budget = self.state.engines.thread_budget() * MIN_WINDOW_FRACTION;
-            let minimum = self.state.widest_query_or(budget);
+            let minimum = self.state.max_query_threads_or(budget);
             let window = &mut self.state.window;
             let used = window.threads().min(self.state.engines.threads());
             window.decrease(now, (used * DECREASE).max(minimum));
@@ -81,7 +81,7 @@
     pub(super) fn open_window(&mut self) {
         if self.state.window.is_unlimited() && !self.state.settings.limits.probes {
             let budget = self.state.engines.thread_budget();
-            let threads = budget.max(self.state.threads_of_one_each());
+            let threads = budget.max(self.state.threads_of_one_query_per_class());
             self.state.window.open(threads);
         }
     }
--- a/src/decision/model/state.rs
+++ b/src/decision/model/state.rs
@@ -150,13 +150,13 @@
 
     /// Returns the largest number of threads that a query of any class runs on, but at least
     /// `minimum`.
-    pub(crate) fn widest_query_or(&self, minimum: f64) -> f64 {
+    pub(crate) fn max_query_threads_or(&self, minimum: f64) -> f64 {
         let threads = self.classes.iter().map(|class| class.settings.threads);
         threads.fold(minimum, f64::max)
     }
 
     /// Returns the sum of the threads of one query of each class.
-    pub(crate) fn threads_of_one_each(&self) -> f64 {
+    pub(crate) fn threads_of_one_query_per_class(&self) -> f64 {
         self.classes
             .iter()
             .map(|class| class.settings.threads)
