--- a/src/decision/model/in_flight_attempt.rs
+++ b/src/decision/model/in_flight_attempt.rs
@@ -35,7 +35,7 @@
     /// Fraction of the work that is done.
     pub(crate) completed: f64,
     /// When the last progress note was received, ms; initially the time the attempt was sent.
-    pub(crate) noted_at: Millis,
+    pub(crate) last_note_at: Millis,
     /// Memory requested for the attempt, MB; 0 leaves the choice to the engine.
     pub(crate) granted_mb: f64,
     /// Whether the attempt has stalled behind a bulk load.
@@ -75,7 +75,7 @@
             work: class.cost.work(query),
             sent_at: now,
             completed: 0.0,
-            noted_at: now,
+            last_note_at: now,
             granted_mb,
             has_stalled: false,
         }
@@ -83,7 +83,7 @@
 
     /// Records a progress note from the engine. Returns false if the note is invalid.
     pub(crate) fn record_progress(&mut self, note: ProgressNote, now: Millis) -> bool {
-        self.noted_at = now;
+        self.last_note_at = now;
         self.threads = match note {
             ProgressNote::Idle => 0.0,
             _ => self.class_threads,
--- a/src/decision/model/in_flight_attempt/tests.rs
+++ b/src/decision/model/in_flight_attempt/tests.rs
@@ -29,12 +29,12 @@
     assert!(attempt.record_progress(ProgressNote::Idle, 10.0));
     assert_eq!(attempt.threads, 0.0);
     assert!(attempt.record_progress(ProgressNote::Active, 20.0));
-    assert_eq!((attempt.threads, attempt.noted_at), (1.0, 20.0));
+    assert_eq!((attempt.threads, attempt.last_note_at), (1.0, 20.0));
 }
 
 #[test]
 fn a_fraction_that_is_not_a_number_is_rejected() {
     let mut attempt = attempt();
     assert!(!attempt.record_progress(ProgressNote::Completed(f64::NAN), 10.0));
-    assert_eq!((attempt.completed, attempt.noted_at), (0.0, 10.0));
+    assert_eq!((attempt.completed, attempt.last_note_at), (0.0, 10.0));
 }
--- a/src/decision/outlier_detection.rs
+++ b/src/decision/outlier_detection.rs
@@ -29,10 +29,10 @@
     /// a repeat in vain.
     fn is_lost(&self, engine: &Engine, attempt: &InFlightAttempt) -> bool {
         let interval = self.state.settings.engines.progress_interval;
-        let noted_at = attempt.noted_at.max(engine.responsive_since);
+        let last_note_at = attempt.last_note_at.max(engine.responsive_since);
         interval > 0.0
             && self.state.lowest_zone_utilization() <= FULL_UTILIZATION
-            && engine.last_response > noted_at + MISSED_NOTES_LOST * interval
+            && engine.last_response > last_note_at + MISSED_NOTES_LOST * interval
     }
 
     /// Its engine owes the answer for long and is silent since, while others respond.
