--- a/src/decision/model/request.rs
+++ b/src/decision/model/request.rs
@@ -139,7 +139,7 @@
     }
 
     /// Returns the first attempt that may have run, if any.
-    pub(crate) fn first_effective_attempt(&self) -> Option<&Attempt> {
+    pub(crate) fn first_attempt_that_may_have_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
 
@@ -155,7 +155,7 @@
             self.idempotency,
             Idempotency::Keyed { group, .. } if group != DeduplicationScope::All
         );
-        is_bound && self.first_effective_attempt().is_some()
+        is_bound && self.first_attempt_that_may_have_run().is_some()
     }
 
     /// Returns the engines that the request refers to, as probe candidates or by an attempt.
@@ -181,7 +181,7 @@
     /// Returns the time until which the query may be repeated without a second effect, ms: for a
     /// keyed query, the end of the deduplication window from the first attempt that may have run.
     pub(crate) fn repeatable_until(&self) -> Millis {
-        let Some(first) = self.first_effective_attempt() else {
+        let Some(first) = self.first_attempt_that_may_have_run() else {
             return f64::INFINITY;
         };
         match self.idempotency {
@@ -193,7 +193,7 @@
 
     /// Returns whether the client may send the query again without a second effect.
     pub(crate) fn is_retry_safe(&self) -> bool {
-        let may_have_run = self.first_effective_attempt().is_some();
+        let may_have_run = self.first_attempt_that_may_have_run().is_some();
         match self.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::Keyed { group, .. } => !may_have_run || group == DeduplicationScope::All,
--- a/src/decision/send_guard.rs
+++ b/src/decision/send_guard.rs
@@ -59,7 +59,7 @@
         if request.has_in_flight() && !self.state.settings.limits.hedging {
             return false;
         }
-        let Some(first) = request.first_effective_attempt() else {
+        let Some(first) = request.first_attempt_that_may_have_run() else {
             return true;
         };
         let group = match request.idempotency {
