--- a/src/decision/concurrency_limit.rs
+++ b/src/decision/concurrency_limit.rs
@@ -82,7 +82,7 @@
         if self.state.window.is_unlimited() && !self.state.settings.limits.probes {
             let budget = self.state.engines.thread_budget();
             let threads = budget.max(self.state.threads_of_one_query_per_class());
-            self.state.window.open(threads);
+            self.state.window.set_initial(threads);
         }
     }
 
--- a/src/decision/model/aimd_limit.rs
+++ b/src/decision/model/aimd_limit.rs
@@ -36,7 +36,7 @@
     }
 
     /// Sets the initial limit, in threads.
-    pub(crate) fn open(&mut self, threads: f64) {
+    pub(crate) fn set_initial(&mut self, threads: f64) {
         self.threads = threads;
     }
 
