--- a/src/decision/model/endpoint_summary.rs
+++ b/src/decision/model/endpoint_summary.rs
@@ -114,7 +114,7 @@
             .sum()
     }
 
-    /// Upper bound on the start time of the engines in service, ms.
+    /// Returns an upper bound on the start time of the engines in service, ms.
     pub(super) fn latest_start(&self) -> Millis {
         self.latest_start
     }
