--- a/src/decision/concurrency_limit.rs
+++ b/src/decision/concurrency_limit.rs
@@ -67,7 +67,7 @@
             // The window always fits the query with the most threads: a smaller window would block
             // that query forever.
             let budget = self.state.engines.thread_budget() * MIN_WINDOW_FRACTION;
-            let minimum = self.state.widest_query_or(budget);
+            let minimum = self.state.max_query_threads_or(budget);
             let window = &mut self.state.window;
             let used = window.threads().min(self.state.engines.threads());
             window.decrease(now, (used * DECREASE_FACTOR).max(minimum));
@@ -90,8 +90,8 @@
     pub(super) fn open_window(&mut self) {
         if self.state.window.is_unlimited() && !self.state.settings.limits.probes {
             let budget = self.state.engines.thread_budget();
-            let threads = budget.max(self.state.threads_of_one_each());
-            self.state.window.open(threads);
+            let threads = budget.max(self.state.threads_of_one_query_per_class());
+            self.state.window.set_initial(threads);
         }
     }
 
--- a/src/decision/outlier_detection.rs
+++ b/src/decision/outlier_detection.rs
@@ -30,10 +30,10 @@
     /// cost is a needless repeat of the attempt where only the notes get lost.
     fn is_lost(&self, engine: &Engine, attempt: &InFlightAttempt) -> bool {
         let interval = self.state.settings.engines.progress_interval;
-        let noted_at = attempt.noted_at.max(engine.responsive_since);
+        let last_note_at = attempt.last_note_at.max(engine.responsive_since);
         interval > 0.0
             && self.state.lowest_zone_utilization() <= FULL_UTILIZATION
-            && engine.last_response > noted_at + LOST_AFTER_MISSED_NOTES * interval
+            && engine.last_response > last_note_at + LOST_AFTER_MISSED_NOTES * interval
     }
 
     /// Returns whether the answer to an attempt is long overdue and its engine has not responded since,
--- a/src/decision/send_guard.rs
+++ b/src/decision/send_guard.rs
@@ -63,7 +63,7 @@
         if request.has_in_flight() && !self.state.settings.limits.hedging {
             return false;
         }
-        let Some(first) = request.first_effective_attempt() else {
+        let Some(first) = request.first_attempt_that_may_have_run() else {
             return true;
         };
         let group = match request.idempotency {
@@ -132,7 +132,7 @@
             NORMAL_PRIORITY
         } else if state.classes[class].settings.holds_tables {
             BULK_LOAD_PRIORITY
-        } else if state.classes.len() > 1 && state.classes_by_gain()[0] == class {
+        } else if state.classes.len() > 1 && state.classes_by_weight_per_work()[0] == class {
             BEST_CLASS_PRIORITY
         } else {
             NORMAL_PRIORITY
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -105,7 +105,7 @@
         let expected_count = state.fleet_size.expected() * processes;
         let max_count = state.fleet_size.upper_bound(state.now) * processes;
 
-        let sustainable = state.bearable_queries(engine, started, work, state.now);
+        let sustainable = state.sustainable_queries(engine, started, work, state.now);
         let expected_budget = SLOW_START_SAFETY_FACTOR * sustainable / expected_count;
         let expected_mean = largest_mean(sustainable) / expected_count;
 
@@ -138,7 +138,7 @@
     fn engine_overload_limit(&self, engine: &Engine, started: Millis, work: f64) -> f64 {
         let state = &self.state;
         let mean_work = state.mean_slow_start_work.mean_or(work).min(work);
-        let sustainable_at = |at| state.bearable_queries(engine, started, mean_work, at);
+        let sustainable_at = |at| state.sustainable_queries(engine, started, mean_work, at);
         let at_start = sustainable_at(self.overload_window_start());
         let mut limit = overload_limit(at_start);
         // A query sent now counts in all windows that begin up to now. Their limits rise with the
@@ -174,7 +174,7 @@
             return false;
         };
         let window_start = self.overload_window_start();
-        let sustainable = state.bearable_queries(engine, started, work, state.now);
+        let sustainable = state.sustainable_queries(engine, started, work, state.now);
         let full_share = sustainable / state.fleet_size.expected();
         let sent_before = engine
             .slow_start_usage
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -56,7 +56,7 @@
 pub use registry_view::{Membership, ObservationOutcome};
 pub use rejections::{MAX_REJECTED_ADDRESSES, RejectedAddress, RejectionLog};
 pub use resolution::{Reason, ResolvedState, Standing};
-pub use self_preservation::{MissingInstances, Preservation, SelfPreservationConfig};
+pub use self_preservation::{DisappearanceHistory, Preservation, SelfPreservationConfig};
 pub use snapshot::{PersistedInstance, SNAPSHOT_FORMAT_VERSION, Snapshot};
 pub use source_records::{DrainWatermark, MAX_CLOCK_SKEW_MS, SourceRecord, SourceRecords};
 pub use sources::{MAX_SOURCES, Source, SourceFailure, SourceId};
--- a/src/membership/networks.rs
+++ b/src/membership/networks.rs
@@ -24,7 +24,7 @@
     OutsideNetworks,
     /// It is unspecified, a multicast address or the broadcast address.
     #[error("no address of one host")]
-    NotOneHost,
+    NotUnicast,
     /// Its port is 0.
     #[error("port 0")]
     NoPort,
@@ -66,7 +66,7 @@
             return Err(AddressError::NoPort);
         }
         if !is_one_host(ip) {
-            return Err(AddressError::NotOneHost);
+            return Err(AddressError::NotUnicast);
         }
         match &self.allowed {
             Some(networks) if !networks.iter().any(|network| network.contains(&ip)) => {
--- a/src/membership/registry_view.rs
+++ b/src/membership/registry_view.rs
@@ -9,7 +9,7 @@
 use crate::membership::restore::RestoredSnapshot;
 use crate::membership::sources::SourceTable;
 use crate::membership::{
-    Change, Member, MembershipConfig, MissingInstances, Observation, RejectionLog, Source,
+    Change, DisappearanceHistory, Member, MembershipConfig, Observation, RejectionLog, Source,
     SourceFailure, SourceId,
 };
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,7 +21,7 @@
     pub(super) sources: SourceTable,
     pub(super) instances: InstanceStore,
     pub(super) address_owners: AddressOwners,
-    pub(super) missing: MissingInstances,
+    pub(super) missing: DisappearanceHistory,
     pub(super) administratively_drained: BTreeSet<String>,
     pub(super) rejections: RejectionLog,
     /// Records of instances beyond [`MembershipConfig::max_instances`] that were ignored.
@@ -48,7 +48,7 @@
             sources: SourceTable::new(),
             instances: InstanceStore::default(),
             address_owners: AddressOwners::default(),
-            missing: MissingInstances::default(),
+            missing: DisappearanceHistory::default(),
             administratively_drained: BTreeSet::new(),
             rejections: RejectionLog::default(),
             instances_over_limit: 0,
--- a/src/membership/self_preservation.rs
+++ b/src/membership/self_preservation.rs
@@ -57,12 +57,12 @@
 /// Disappearances within the duration that were believed: a list that shrinks step by step is as doubtful as one that
 /// shrinks at once.
 #[derive(Clone, Debug, Default)]
-pub struct MissingInstances {
+pub struct DisappearanceHistory {
     /// Oldest first; those of one time are one.
     believed: VecDeque<Disappearance>,
 }
 
-impl MissingInstances {
+impl DisappearanceHistory {
     /// `missing` instances disappear now of `in_service` before. Returns how they are to be kept in service, or none
     /// if the disappearance is believed: it counts for later ones then.
     pub fn evaluate(
