--- a/src/membership/administrative_drain.rs
+++ b/src/membership/administrative_drain.rs
@@ -1,15 +1,16 @@
-//! Administrative drains: the instances that operators took out of service at this dispatcher.
+//! Administrative drains: instances that operators have taken out of service at this dispatcher.
 
 use crate::membership::Membership;
 use std::collections::BTreeSet;
 
 impl Membership {
-    /// Exactly these are drained by operators. They count neither as in service nor as missing.
+    /// Replaces the set of instances that operators have drained. Self-preservation counts these neither as
+    /// in service nor as missing.
     pub fn set_administratively_drained(&mut self, drained: BTreeSet<String>) {
         self.administratively_drained = drained;
     }
 
-    /// Whether operators drained it.
+    /// Returns whether operators have drained this engine.
     pub fn is_administratively_drained(&self, engine: &str) -> bool {
         self.administratively_drained.contains(engine)
     }
--- a/src/membership/change.rs
+++ b/src/membership/change.rs
@@ -1,32 +1,32 @@
-//! What the registry view publishes: engines, and which of them changed.
+//! Changes of the endpoint list, as the registry view publishes them.
 
 use crate::decision::model::{EngineState, ListUpdate, Millis};
 use std::net::SocketAddr;
 
-/// One engine as it is published, or as a static list names it.
+/// One engine of a published or a static endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
-    /// Its own id: an address may pass to another engine.
+    /// The id of the engine. The address does not identify it: an address can move to another engine.
     pub id: String,
-    /// Absent if the engine is removed or its address belongs to another engine.
+    /// The address; `None` if the engine is removed or its address belongs to another engine.
     pub address: Option<SocketAddr>,
-    /// Whether it takes requests.
+    /// Whether the engine takes requests.
     pub state: EngineState,
     /// The availability zone, if known.
     pub zone: Option<String>,
     /// The machine type, if known.
     pub kind: Option<String>,
-    /// The cell that it belongs to; 0 where the list knows no cells.
+    /// The cell that the engine belongs to; 0 if the list has no cells.
     pub cell: i64,
-    /// When its process last started, on the Unix clock.
+    /// When the engine's process last started, in milliseconds since the Unix epoch, if known.
     pub started: Option<Millis>,
 }
 
-/// A change of the endpoint list, or the whole list.
+/// A change of the endpoint list, or a complete list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    /// Whether `engines` replaces the list or patches it.
+    /// Whether `engines` replaces the list or patches it, and whether it is stale.
     pub update: ListUpdate,
-    /// The engines that changed, removed ones first.
+    /// The engines of a complete list, or those that changed; removed ones are first.
     pub engines: Vec<Engine>,
 }
--- a/src/membership/config.rs
+++ b/src/membership/config.rs
@@ -1,24 +1,27 @@
-//! The registry view's configuration.
+//! Configuration of the registry view.
 
 use crate::decision::model::Millis;
 use crate::membership::{Networks, SelfPreservationConfig};
 
-/// The operators' settings of the registry view. Times are in milliseconds.
+/// Configuration of the registry view. Durations are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipConfig {
-    /// The networks that engines may be in.
+    /// Networks that engine addresses must be in.
     pub networks: Networks,
-    /// When a mass disappearance is not believed, and for how long.
+    /// When instances that disappear in large numbers are kept in service, and for how long.
     pub self_preservation: SelfPreservationConfig,
-    /// A source whose last answer is older is unreachable: its records count only if all sources are unreachable.
+    /// Age of its last answer at which a source counts as unreachable, in milliseconds. The records of an
+    /// unreachable source are used only while all sources are unreachable.
     pub unreachable_after: Millis,
-    /// How long an instance drains that one source no longer lists and another does.
+    /// How long an instance drains after one source stopped listing it while another still does, in
+    /// milliseconds.
     pub missing_grace: Millis,
-    /// How long the versions of a removed instance are kept, so that no older list brings it back.
+    /// How long the versions of a removed instance are kept, in milliseconds, so that no older list puts it
+    /// back.
     pub tombstone_ttl: Millis,
-    /// Instances at a time; further ones are ignored.
+    /// Maximum number of instances, tombstones excluded; records of further instances are ignored.
     pub max_instances: usize,
-    /// Tombstones at a time; the oldest is dropped for a new one.
+    /// Maximum number of tombstones; a new one beyond it evicts the oldest.
     pub max_tombstones: usize,
 }
 
--- a/src/membership/explanation.rs
+++ b/src/membership/explanation.rs
@@ -1,9 +1,9 @@
-//! The reasons of states, as operators read them in the log and the report.
+//! Texts of the reasons for states, as they appear in the log and in the operators' report.
 
 use crate::membership::{Membership, Reason, SourceId};
 
 impl Membership {
-    /// A reason in words.
+    /// Returns the text of a reason.
     pub fn explain(&self, reason: Reason) -> String {
         match reason {
             Reason::Listed => "listed as UP".into(),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The name of a source that may have been dropped since.
+    /// Returns the name of a source, or a placeholder if the source has been dropped.
     pub fn source_name(&self, id: SourceId) -> &str {
         self.sources.name(id).unwrap_or("an earlier source")
     }
--- a/src/membership/log_lines.rs
+++ b/src/membership/log_lines.rs
@@ -1,11 +1,11 @@
-//! Lines for the log: the registry view does no I/O and hands them to its driver.
+//! Queue of log lines: the registry view does no I/O, so its driver drains the lines and writes them.
 
 use std::collections::VecDeque;
 
-/// Lines that wait to be drained; further ones are dropped.
+/// Maximum number of queued log lines; further lines are dropped.
 pub(super) const MAX_LOG_LINES: usize = 64;
 
-/// Lines for the log that wait to be drained.
+/// Log lines that wait to be drained by the driver.
 #[derive(Debug, Default)]
 pub(super) struct LogLines {
     lines: VecDeque<String>,
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,23 +1,26 @@
-//! The registry view: what is known of every engine instance, whichever registry, connection, operator or earlier
-//! process reported it.
+//! The registry view: the state of every engine instance, merged from registries, connections, operators and
+//! the snapshot of an earlier process.
 //!
-//! A pure state machine: no I/O, and time is passed in, in milliseconds on the Unix clock ([`Millis`](crate::decision::model::Millis)). A
-//! [`Membership`] takes updates of registries ([`SourceUpdate`]), what connections show ([`Observation`]), the
-//! operators' administrative drains and the [`Snapshot`] of an earlier process, and returns the [`Change`]s that the
-//! request router applies. `docs/design/membership.md` explains the options that were weighed.
+//! It is a pure state machine: it does no I/O, and the caller passes the time in, in milliseconds since the
+//! Unix epoch ([`Millis`](crate::decision::model::Millis)). The inputs of a [`Membership`] are answers of
+//! registries ([`SourceUpdate`]), events on connections ([`Observation`]), the operators' administrative
+//! drains and the [`Snapshot`] of an earlier process; its outputs are the [`Change`]s of the endpoint list
+//! that the request router applies. `docs/design/membership.md` compares the alternatives that were
+//! considered.
 //!
 //! | rule | module |
 //! | --- | --- |
 //! | an older record never overrides a newer one | `source_records` |
-//! | contradicting sources are resolved towards draining | `resolution` |
-//! | a mass disappearance is not believed for a while | `self_preservation` |
-//! | connections that were all lost and are back show a restart | `liveness` |
-//! | addresses outside the configured networks are rejected | `networks`, `rejections` |
-//! | an address belongs to one instance | `address_owners` |
+//! | an instance on which sources contradict each other drains | `resolution` |
+//! | instances that disappear in large numbers stay in service for a limited time | `self_preservation` |
+//! | an engine that accepts connections again after all were lost has restarted | `liveness` |
+//! | an address outside the configured networks is rejected | `networks`, `rejections` |
+//! | an address belongs to at most one instance | `address_owners` |
 //! | the number of sources, instances and tombstones is bounded | `sources`, `instance_store` |
 //!
-//! An update passes through `ingestion` (records are stored), `reevaluation` (states are resolved, self-preservation
-//! and address ownership are applied) and `publication` (what differs from the last publication is returned).
+//! An update passes through `ingestion` (records are stored), `reevaluation` (states are resolved,
+//! self-preservation and address ownership are applied) and `publication` (the differences from the last
+//! publication are returned).
 
 mod address_owners;
 mod administrative_drain;
--- a/src/membership/time_index.rs
+++ b/src/membership/time_index.rs
@@ -1,15 +1,15 @@
-//! Instance ids ordered by a time.
+//! Index of instance ids by time.
 
 use crate::decision::model::Millis;
 use std::collections::BTreeSet;
 
-/// A time that can be ordered and compared exactly; times before the Unix epoch count as the epoch.
+/// A time as a totally ordered key; times before the Unix epoch are clamped to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct TimeKey(u64);
 
 impl TimeKey {
     pub(super) fn new(at: Millis) -> Self {
-        // The bits of floats that are not negative order as the floats do.
+        // The bit patterns of non-negative floats have the same order as the floats.
         TimeKey(at.max(0.0).to_bits())
     }
 
@@ -18,7 +18,8 @@
     }
 }
 
-/// Instance ids, each at most once, ordered by a time that the instance's entry holds as well.
+/// Instance ids ordered by a time, each at most once. The caller keeps the time of each id, to find its entry
+/// by it.
 #[derive(Debug, Default)]
 pub(super) struct TimeIndex {
     entries: BTreeSet<(TimeKey, String)>,
@@ -29,23 +30,23 @@
         self.entries.len()
     }
 
-    /// The earliest time.
+    /// Returns the earliest time.
     pub(super) fn first(&self) -> Option<TimeKey> {
         self.entries.first().map(|(at, _)| *at)
     }
 
-    /// Removes the earliest entry.
+    /// Removes the earliest entry and returns its id.
     pub(super) fn pop_first(&mut self) -> Option<String> {
         self.entries.pop_first().map(|(_, id)| id)
     }
 
-    /// Removes the earliest entry if it is not later than `now`.
+    /// Removes the earliest entry and returns its id, if the entry is not later than `now`.
     pub(super) fn pop_due(&mut self, now: TimeKey) -> Option<String> {
         let due = self.first().is_some_and(|at| at <= now);
         if due { self.pop_first() } else { None }
     }
 
-    /// Moves an instance from its former time to another; none: it is not in the index.
+    /// Moves an instance from its former time to the next; `None` stands for no entry in the index.
     pub(super) fn replace(&mut self, id: &str, former: Option<TimeKey>, next: Option<TimeKey>) {
         if former == next {
             return;
--- a/src/membership/update.rs
+++ b/src/membership/update.rs
@@ -1,4 +1,4 @@
-//! What a source delivers: one answer of one registry.
+//! Updates from sources: an update is one answer of one registry.
 
 use crate::decision::model::Millis;
 use crate::membership::{InstanceRecord, Version};
@@ -6,26 +6,28 @@
 /// One answer of one source.
 #[derive(Clone, Debug)]
 pub struct SourceUpdate {
-    /// The source's name: a registry's address. The same name is the same source.
+    /// Name of the source: the address of the registry. It identifies the source.
     pub source: String,
-    /// When the request was sent. An answer to an earlier request never counts after one to a later request.
+    /// When the request was sent, in milliseconds since the Unix epoch. An answer to an earlier request is
+    /// ignored after an answer to a later one.
     pub requested_at: Millis,
-    /// When the last byte of the answer arrived; the source counts as answering from then on.
+    /// When the last byte of the answer arrived, in milliseconds since the Unix epoch. The age of the
+    /// source's last answer is measured from here.
     pub received_at: Millis,
-    /// What the answer lists.
+    /// The instances that the answer lists.
     pub content: UpdateContent,
 }
 
-/// The instances that an answer lists.
+/// The instances of an answer.
 #[derive(Clone, Debug)]
 pub enum UpdateContent {
-    /// Everything that the source lists; an instance that is absent is no longer listed.
+    /// All instances that the source lists. It no longer lists an instance that is absent here.
     Full(Vec<InstanceRecord>),
-    /// What changed since the source's last answer.
+    /// Changes since the source's previous answer.
     Delta {
         /// Instances that were added or modified.
         changed: Vec<InstanceRecord>,
-        /// Ids of instances that were deleted, with the version of the deletion.
+        /// Ids of deleted instances, each with the version of the deletion.
         deleted: Vec<(String, Version)>,
     },
 }
