--- a/src/membership/address_owners.rs
+++ b/src/membership/address_owners.rs
@@ -1,7 +1,7 @@
-//! An address belongs to one instance: the newest that lists it.
+//! Address ownership: an address belongs to the newest instance that is listed with it.
 //!
-//! Reason: where two ids name one address, one process would get the work of two engines, and what is open there for
-//! the old instance leads to a process that does not know it.
+//! Reason: if two ids shared an address, one process would get the load of two engines, and connections that
+//! are open for the old instance would lead to a process that does not know their sessions.
 
 use crate::decision::model::EngineState;
 use crate::membership::Member;
@@ -10,14 +10,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Which instance each address belongs to.
+/// The instance that each address belongs to.
 #[derive(Debug, Default)]
 pub(super) struct AddressOwners {
     owners: BTreeMap<SocketAddr, String>,
 }
 
-/// Of two instances at one address the newer owns it: by the instance's own clock, then by its start.
-fn newness(member: &Member) -> (u64, TimeKey) {
+/// Returns the key by which instances at one address are ordered: the timestamp that the instance itself set,
+/// then the start of its process. The greatest owns the address.
+fn recency(member: &Member) -> (u64, TimeKey) {
     let started_at = member.started_at().unwrap_or(0.0);
     (
         member.records.newest_version.dirty,
@@ -26,8 +27,8 @@
 }
 
 impl AddressOwners {
-    /// Decides anew whom the addresses of these instances belong to. Instances that gain or lose an address by it are
-    /// added to `affected`.
+    /// Reassigns the addresses of the instances in `affected`, and adds to it the instances that gain or lose
+    /// an address.
     pub(super) fn reassign(
         &mut self,
         instances: &mut InstanceStore,
@@ -43,16 +44,16 @@
                 .filter(|_| member.state() != EngineState::Gone);
             released.extend(self.release_former(&id, member, wanted));
             if let Some(address) = wanted {
-                self.contend(instances, &id, address, affected);
+                self.claim(instances, &id, address, affected);
             }
         }
         released.retain(|address| !self.owners.contains_key(address));
         for address in released {
-            self.pass_on(instances, address, affected);
+            self.assign_released(instances, address, affected);
         }
     }
 
-    /// Releases the address that the instance owned and no longer names.
+    /// Releases and returns the address that the instance owned and is no longer listed with.
     fn release_former(
         &mut self,
         id: &str,
@@ -70,8 +71,8 @@
         Some(former)
     }
 
-    /// Gives the address to the instance if it is free or its owner is older.
-    fn contend(
+    /// Assigns the address to the instance if the address is free or its owner is older.
+    fn claim(
         &mut self,
         instances: &mut InstanceStore,
         id: &str,
@@ -83,12 +84,12 @@
             .get(&address)
             .filter(|owner| *owner != id)
             .cloned();
-        let rival = owner
+        let owner_recency = owner
             .as_ref()
             .and_then(|owner| instances.get(owner))
-            .map(newness);
-        let own = instances.get(id).map(newness);
-        let is_newer = rival.is_none() || own > rival;
+            .map(recency);
+        let own_recency = instances.get(id).map(recency);
+        let is_newer = owner_recency.is_none() || own_recency > owner_recency;
         if is_newer {
             self.owners.insert(address, id.to_string());
             if let Some(former_owner) = &owner
@@ -103,14 +104,14 @@
         }
     }
 
-    /// Gives a released address to the newest instance that was superseded there.
-    fn pass_on(
+    /// Assigns a released address to the newest of the superseded instances that are listed with it.
+    fn assign_released(
         &mut self,
         instances: &mut InstanceStore,
         address: SocketAddr,
         affected: &mut BTreeSet<String>,
     ) {
-        let heir = instances
+        let successor = instances
             .members()
             .iter()
             .filter(|(_, member)| member.superseded_by.is_some())
@@ -118,13 +119,13 @@
             .filter(|(_, member)| member.state() != EngineState::Gone)
             .max_by_key(|(_, member)| member.records.newest_version.dirty)
             .map(|(id, _)| id.clone());
-        let Some(heir) = heir else {
+        let Some(successor) = successor else {
             return;
         };
-        self.owners.insert(address, heir.clone());
-        if let Some(member) = instances.get_mut(&heir) {
+        self.owners.insert(address, successor.clone());
+        if let Some(member) = instances.get_mut(&successor) {
             member.superseded_by = None;
         }
-        affected.insert(heir);
+        affected.insert(successor);
     }
 }
--- a/src/membership/networks.rs
+++ b/src/membership/networks.rs
@@ -1,49 +1,50 @@
-//! Which addresses a registry may name.
+//! The addresses that a registry may list.
 //!
-//! Reason: whoever can write to a registry would otherwise choose where statements and the engines' password are sent.
-//! An address outside every network is rejected, counted and reported; it is never connected to.
+//! Reason: otherwise anyone who can write to a registry could choose where statements and the engines'
+//! password are sent. An address outside all configured networks is rejected, counted and reported; no
+//! connection to it is opened.
 
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
-/// Networks that one configuration may list.
+/// Maximum number of networks in a configuration.
 pub const MAX_NETWORKS: usize = 256;
 
-/// The networks that engines may be in.
+/// Networks that engine addresses must be in.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Networks {
-    /// None: any address that one host can have.
+    /// The allowed networks; `None` allows any unicast address.
     allowed: Option<Vec<IpNet>>,
 }
 
 /// Why an address is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AddressError {
-    /// No configured network contains it.
+    /// No configured network contains the address.
     #[error("outside the networks")]
     OutsideNetworks,
-    /// It is unspecified, a multicast address or the broadcast address.
+    /// The address is unspecified, a multicast address or the broadcast address.
     #[error("no address of one host")]
     NotOneHost,
-    /// Its port is 0.
+    /// The port is 0.
     #[error("port 0")]
     NoPort,
 }
 
 impl Networks {
-    /// Any address that one host can have.
+    /// Allows any unicast address.
     pub fn any() -> Self {
         Networks { allowed: None }
     }
 
-    /// Only these networks.
+    /// Allows only addresses in these networks.
     pub fn only(networks: &[IpNet]) -> Self {
         Networks {
             allowed: Some(IpNet::aggregate(&networks.to_vec())),
         }
     }
 
-    /// The private and loopback networks: the default where the configuration names none.
+    /// Allows private and loopback networks: the default if the configuration names no networks.
     pub fn private() -> Self {
         Networks::only(&[
             ipv4_network([127, 0, 0, 0], 8),
@@ -55,17 +56,18 @@
         ])
     }
 
-    /// The address as it is to be used, if it may be. An IPv4-mapped IPv6 address counts as the IPv4 address:
-    /// otherwise `::ffff:198.51.100.1` would pass by a network of IPv6, or a good one fail.
+    /// Checks an address and returns its canonical form. An IPv4-mapped IPv6 address counts as the IPv4
+    /// address: otherwise an IPv6 network could admit `::ffff:198.51.100.1`, or the mapped form of an allowed
+    /// IPv4 address could be rejected.
     ///
     /// # Errors
-    /// The address is not one host's, has no port, or lies outside the networks.
+    /// The address is not a unicast address, has port 0, or is outside the allowed networks.
     pub fn admit(&self, address: SocketAddr) -> Result<SocketAddr, AddressError> {
         let ip = address.ip().to_canonical();
         if address.port() == 0 {
             return Err(AddressError::NoPort);
         }
-        if !is_one_host(ip) {
+        if !is_unicast(ip) {
             return Err(AddressError::NotOneHost);
         }
         match &self.allowed {
@@ -77,7 +79,7 @@
     }
 }
 
-fn is_one_host(ip: IpAddr) -> bool {
+fn is_unicast(ip: IpAddr) -> bool {
     let is_broadcast = matches!(ip, IpAddr::V4(ipv4) if ipv4.is_broadcast());
     !ip.is_unspecified() && !ip.is_multicast() && !is_broadcast
 }
