--- a/src/membership/instance_record.rs
+++ b/src/membership/instance_record.rs
@@ -1,30 +1,31 @@
-//! What one answer of a registry says of one instance.
+//! Records of instances, as registries list them.
 
 use crate::decision::model::Millis;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Timestamps at or beyond this, in milliseconds, are garbage: they do not fit a float exactly.
+/// Limit of valid timestamps, in milliseconds since the Unix epoch: greater values are not exact in an `f64`.
 const TIMESTAMP_LIMIT_MS: f64 = 9e15;
 
-/// An instance's status, by the registries' names.
+/// Status of an instance, as in the registries' protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum Status {
-    /// It takes requests.
+    /// The instance takes requests.
     Up,
-    /// Its process has not come into service yet.
+    /// The instance's process has started and is not in service yet.
     Starting,
-    /// Operators took it out of service.
+    /// Operators took the instance out of service.
     OutOfService,
     /// A health check failed.
     Down,
-    /// None of the others.
+    /// The status is not known, or its name is none of the others.
     Unknown,
 }
 
 impl Status {
-    /// Reads a registry's name of a status; any other text is [`Status::Unknown`], which takes no requests.
+    /// Parses the name of a status; any other text is [`Status::Unknown`], with which an instance takes no
+    /// requests.
     pub fn parse(name: &str) -> Self {
         match name {
             "UP" => Status::Up,
@@ -35,7 +36,7 @@
         }
     }
 
-    /// The registries' name of it.
+    /// Returns the name of the status in the registries' protocol.
     pub fn as_str(self) -> &'static str {
         match self {
             Status::Up => "UP",
@@ -47,8 +48,8 @@
     }
 }
 
-/// How new a record is: ordered first by the instance's own clock, then by the registry's. Both are in milliseconds,
-/// and 0 where a registry gives none.
+/// Version of a record: ordered first by the instance's own clock, then by the registry's. Both timestamps
+/// are in milliseconds since the Unix epoch, and 0 if the registry sends none.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -60,12 +61,13 @@
 }
 
 impl Version {
-    /// A version of these timestamps, in milliseconds.
+    /// Creates a version from its timestamps, in milliseconds since the Unix epoch.
     pub fn new(dirty: u64, updated: u64) -> Self {
         Version { dirty, updated }
     }
 
-    /// The version of a record as registries write it: a timestamp that is not a positive number counts as absent.
+    /// Creates a version from the timestamps of a registry's record, in milliseconds since the Unix epoch. A
+    /// timestamp that is not a positive number or is out of range counts as absent.
     pub fn from_timestamps(dirty: Option<f64>, updated: Option<f64>) -> Self {
         let milliseconds = |timestamp: Option<f64>| {
             timestamp
@@ -75,50 +77,53 @@
         Version::new(milliseconds(dirty), milliseconds(updated))
     }
 
-    /// The registry gives no timestamps: only the order of requests is left, within that one source.
+    /// Returns whether the registry sends no timestamps. Then only the order of requests to this one source
+    /// orders its records.
     pub fn is_unset(self) -> bool {
         self == Version::default()
     }
 }
 
-/// What one answer says of one instance.
+/// The record of one instance in one answer of a registry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InstanceRecord {
-    /// The instance's id.
+    /// Id of the instance.
     pub id: String,
     /// The status that the instance reported.
     pub status: Status,
-    /// The status that operators set at the registry, if any. (Registries write `UNKNOWN` where nothing is set.)
+    /// The status that operators set at the registry, if any. (Registries send `UNKNOWN` if none is set.)
     pub overridden: Option<Status>,
-    /// Absent if the record names no address, or no open port.
+    /// The address; `None` if the record has no address or no enabled port.
     pub address: Option<SocketAddr>,
-    /// The availability zone, if given.
+    /// The availability zone, if the record has one.
     pub zone: Option<String>,
-    /// The machine type, if given.
+    /// The machine type, if the record has one.
     pub kind: Option<String>,
-    /// How new the record is.
+    /// Version of the record.
     pub version: Version,
-    /// `serviceUpTimestamp`: when its process came into service.
+    /// `serviceUpTimestamp`: when the instance's process came into service, in milliseconds since the Unix
+    /// epoch.
     pub started: Option<Millis>,
 }
 
-/// What a source reports of an instance.
+/// The state that a source reports of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reported {
-    /// It takes requests.
+    /// The instance takes requests.
     Serving,
-    /// It takes no new requests, because of this status.
+    /// The instance takes no new requests, because of this status.
     Draining(Status),
-    /// Its address must not be used.
+    /// The address is missing or rejected.
     UnusableAddress,
-    /// It was listed before and no longer is.
+    /// The source listed the instance before and no longer does.
     Absent,
 }
 
 impl InstanceRecord {
-    /// Any status but `UP`, and an override of any status but `UP`, drains the instance: requests that run may end.
-    /// Reason: `DOWN` is what a health check says of an instance that may well finish what it runs; only its
-    /// disappearance shows that it is removed.
+    /// Returns the state that the record reports. Any status except `UP`, or an override to any status except
+    /// `UP`, drains the instance: running requests may finish. Reason: an instance that fails a health check
+    /// (`DOWN`) may still be able to finish its running requests; only its absence from the list shows that
+    /// it is removed.
     pub fn reported(&self) -> Reported {
         match self.overridden.filter(|status| *status != Status::Up) {
             Some(status) => Reported::Draining(status),
--- a/src/membership/instance_store.rs
+++ b/src/membership/instance_store.rs
@@ -1,17 +1,18 @@
-//! All instances by id, the times at which their states change by themselves, and the tombstones of removed ones.
+//! Storage of all instances by id, with indexes of their deadlines and of the tombstones of removed
+//! instances.
 
 use crate::decision::model::{EngineState, Millis};
 use crate::membership::Member;
 use crate::membership::time_index::{TimeIndex, TimeKey};
 use std::collections::BTreeMap;
 
-/// All instances that are listed, and those that were until lately.
+/// All listed instances, and the tombstones of recently removed ones.
 #[derive(Debug, Default)]
 pub(super) struct InstanceStore {
     members: BTreeMap<String, Member>,
-    /// When an instance's state changes by itself.
+    /// When the states of instances change without a further report.
     deadlines: TimeIndex,
-    /// Removed instances, by when they were removed.
+    /// Removed instances, ordered by the time of their removal.
     tombstones: TimeIndex,
 }
 
@@ -40,14 +41,14 @@
         self.members.keys()
     }
 
-    /// The instance of this id, which is added if it is new.
+    /// Returns the instance with this id; adds it if it is new.
     pub(super) fn get_or_add(&mut self, now: Millis, id: &str) -> &mut Member {
         self.members
             .entry(id.to_string())
             .or_insert_with(|| Member::new(now))
     }
 
-    /// Instances that are no tombstones.
+    /// Returns the number of instances that are not tombstones.
     pub(super) fn live_count(&self) -> usize {
         self.members.len() - self.tombstones.len()
     }
@@ -56,12 +57,12 @@
         self.tombstones.len()
     }
 
-    /// When the first state changes by itself.
+    /// Returns the earliest time at which a state changes without a further report.
     pub(super) fn next_deadline(&self) -> Option<Millis> {
         self.deadlines.first().map(TimeKey::at)
     }
 
-    /// Takes the instances out whose states change by now.
+    /// Removes the deadlines that are due at `now` and returns the ids of their instances.
     pub(super) fn pop_due(&mut self, now: Millis) -> Vec<String> {
         let now = TimeKey::new(now);
         let mut due = vec![];
@@ -74,7 +75,7 @@
         due
     }
 
-    /// Brings the time indexes up to date with an instance's state.
+    /// Updates the indexes of deadlines and tombstones from the state of an instance.
     pub(super) fn update_indexes(&mut self, now: Millis, id: &str) {
         let Some(member) = self.members.get_mut(id) else {
             return;
@@ -88,7 +89,7 @@
         member.removed_at = removed_at;
     }
 
-    /// Drops tombstones that are older than `ttl` milliseconds, and the oldest beyond `max_tombstones`.
+    /// Drops tombstones that are older than `ttl` (in milliseconds), and the oldest beyond `max_tombstones`.
     pub(super) fn expire_tombstones(&mut self, now: Millis, ttl: Millis, max_tombstones: usize) {
         while let Some(removed_at) = self.tombstones.first() {
             let expired = removed_at.at() + ttl <= now;
--- a/src/membership/member.rs
+++ b/src/membership/member.rs
@@ -1,4 +1,5 @@
-//! One instance: its records, what connections showed, and the state that they resolve to.
+//! One instance: its records, the liveness evidence from its connections, and the state that these resolve
+//! to.
 
 use crate::decision::model::{EngineState, Millis};
 use crate::membership::reevaluation::Transition;
@@ -8,38 +9,39 @@
 };
 use std::net::SocketAddr;
 
-/// What is known of one instance.
+/// The stored data of one instance. Times are in milliseconds since the Unix epoch.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// What each source last reported of it.
+    /// The last report of each source.
     pub records: SourceRecords,
-    /// The address that the newest record names.
+    /// The last usable address that a record named.
     pub address: Option<SocketAddr>,
-    /// The zone that the newest record names.
+    /// The zone that the newest record names, if any.
     pub zone: Option<String>,
-    /// The machine type that the newest record names.
+    /// The machine type that the newest record names, if any.
     pub kind: Option<String>,
-    /// When its process started, as lists give it.
+    /// When the instance's process started, according to lists.
     pub listed_start: Option<Millis>,
-    /// What connections to it showed.
+    /// The evidence from connections to the instance.
     pub liveness: LivenessEvidence,
-    /// Restored from a snapshot of this time and confirmed by no source since: it may have restarted meanwhile.
+    /// Set while the instance is restored from a snapshot and not confirmed by a source: the time of the
+    /// snapshot, or of the publication of its instances. The instance may have restarted since.
     pub unconfirmed_since: Option<Millis>,
-    /// It is missing and kept in service by self-preservation.
+    /// Set while the instance is missing and self-preservation keeps it in service.
     pub preservation: Option<Preservation>,
-    /// What its records come to.
+    /// The state that the records resolve to.
     pub resolved: ResolvedState,
-    /// Since when it has its standing.
+    /// Since when the instance has had its standing.
     pub since: Millis,
-    /// The instance that its address belongs to now.
+    /// The newer instance that this instance's address belongs to, if any.
     pub superseded_by: Option<String>,
-    /// How often its standing has changed.
+    /// Number of changes of the standing.
     pub state_changes: u64,
-    /// As it was last published.
+    /// The engine as last published.
     pub(super) published: Option<Engine>,
-    /// When its state changes by itself.
+    /// When the state changes without a further report, as indexed.
     pub(super) deadline: Option<TimeKey>,
-    /// Since when it is a tombstone.
+    /// When the instance became a tombstone.
     pub(super) removed_at: Option<TimeKey>,
 }
 
@@ -68,7 +70,7 @@
         }
     }
 
-    /// The state that is published.
+    /// Returns the state to publish.
     pub fn state(&self) -> EngineState {
         let standing = match self.preservation {
             Some(_) => Standing::Serving,
@@ -81,14 +83,14 @@
         }
     }
 
-    /// Whether its records put it into service and its address is its own.
+    /// Returns whether the records put the instance into service and its address belongs to it.
     pub(super) fn is_in_service(&self) -> bool {
         self.resolved.standing == Standing::Serving && self.superseded_by.is_none()
     }
 
-    /// When its process last started, as far as known: the latest of what lists and connections show. Reason: an
-    /// engine that is wrongly taken as warming up gets less work than it could do, one that is wrongly taken as warm
-    /// is overloaded.
+    /// Returns when the instance's process last started, as far as known: the latest time that lists,
+    /// connections or a restored snapshot suggest. Reason: an engine that is wrongly treated as warming up
+    /// gets less load than it could sustain, but one that is wrongly treated as warm is overloaded.
     pub fn started_at(&self) -> Option<Millis> {
         latest([
             self.listed_start,
@@ -97,7 +99,7 @@
         ])
     }
 
-    /// When its state changes by itself.
+    /// Returns when the state changes without a further report.
     pub(super) fn next_change_at(&self) -> Option<Millis> {
         match &self.preservation {
             Some(preservation) => Some(preservation.until),
@@ -105,15 +107,16 @@
         }
     }
 
-    /// Adopts a newly resolved state and returns what the caller has to act on.
+    /// Adopts a newly resolved state and returns the transitions that the caller has to handle.
     pub(super) fn adopt(
         &mut self,
         now: Millis,
         resolved: ResolvedState,
         administratively_drained: bool,
     ) -> Transition {
-        // What drains already takes nothing new: nothing is lost when it is removed. One that a source has dropped
-        // and another lists counts as missing too: otherwise one replica that lost its list would drain every engine.
+        // An instance that already drains takes no new requests, so its removal needs no protection. An
+        // instance that one source dropped and another lists counts as missing too: otherwise one replica
+        // that lost its list would drain every engine.
         let is_missing = resolved.is_missing();
         let went_missing = is_missing
             && self.is_in_service()
@@ -147,7 +150,7 @@
     }
 }
 
-/// The latest of the times that are known.
+/// Returns the latest of the known times.
 pub(super) fn latest<const COUNT: usize>(times: [Option<Millis>; COUNT]) -> Option<Millis> {
     times.into_iter().flatten().reduce(f64::max)
 }
