--- a/src/membership/ingestion.rs
+++ b/src/membership/ingestion.rs
@@ -1,4 +1,4 @@
-//! Takes in the answers of sources: their records are checked and stored.
+//! Validates and stores the records of the sources' answers.
 
 use crate::decision::model::Millis;
 use crate::membership::member::latest;
@@ -9,21 +9,21 @@
 };
 use std::net::SocketAddr;
 
-/// The longest id, zone or machine type that is accepted, in bytes.
+/// Maximum length of an id, zone or machine type, in bytes.
 const MAX_TEXT_BYTES: usize = 512;
 
-/// The answer that records come from.
+/// The answer that a record is part of.
 #[derive(Clone, Copy)]
 struct Answer {
     now: Millis,
     source: SourceId,
     requested_at: Millis,
-    /// The source's full list that is in force.
+    /// Number of the source's latest full list.
     generation: u64,
 }
 
 impl Membership {
-    /// Applies a source's answer.
+    /// Applies an answer of a source and returns the resulting change of the endpoint list.
     pub fn apply_update(&mut self, now: Millis, update: SourceUpdate) -> Option<Change> {
         let id = self.register_source(&update.source);
         let source = self.sources.get_mut(id)?;
@@ -50,14 +50,14 @@
             UpdateContent::Full(records) => self.apply_full(answer, records),
             UpdateContent::Delta { changed, deleted } => self.apply_delta(answer, changed, deleted),
         };
-        if self.counted_sources_changed(now) {
+        if self.effective_sources_changed(now) {
             self.reevaluate_all(now)
         } else {
             self.reevaluate(now, affected)
         }
     }
 
-    /// Stores a full list; the ids of instances that it affects.
+    /// Stores a full list and returns the ids of the affected instances.
     fn apply_full(&mut self, answer: Answer, records: Vec<InstanceRecord>) -> Vec<String> {
         let mut affected = self.apply_records(answer, records);
         for (id, member) in self.instances.iter_mut() {
@@ -72,7 +72,7 @@
         affected
     }
 
-    /// Stores what changed since the last answer; the ids of instances that it affects.
+    /// Stores a delta and returns the ids of the affected instances.
     fn apply_delta(
         &mut self,
         answer: Answer,
@@ -97,7 +97,7 @@
             .collect()
     }
 
-    /// Stores one record; the instance's id, if its state has to be resolved anew.
+    /// Validates and stores one record. Returns the instance's id if its state has to be resolved again.
     fn apply_record(&mut self, answer: Answer, record: InstanceRecord) -> Option<String> {
         if !has_acceptable_texts(&record) {
             let reason = "its id, zone or kind is missing or too long";
@@ -128,14 +128,15 @@
         networks.admit(address).map_err(|error| error.to_string())
     }
 
-    /// Whether the instance is known or one more may be added; logs and counts those that may not.
+    /// Returns whether the instance is known or another one may be added; logs and counts instances beyond
+    /// the limit.
     fn has_capacity_for(&mut self, id: &str) -> bool {
         let max_instances = self.config.max_instances;
         if self.instances.contains(id) || self.instances.live_count() < max_instances {
             return true;
         }
         self.instances_over_limit += 1;
-        // A list that is far too long must not fill the log.
+        // Only every power of two is logged, so that a list far beyond the limit does not fill the log.
         if self.instances_over_limit.is_power_of_two() {
             let line = format!("engine {id:?} is one beyond {max_instances}: it is not taken");
             self.log.push(line);
@@ -164,7 +165,7 @@
         .mark_absent(answer.source, answer.requested_at, answer.now, deletion)
 }
 
-/// Stores a record of a known instance; its id, if its state has to be resolved anew.
+/// Stores a record of a known instance. Returns the instance's id if its state has to be resolved again.
 fn store_record(
     member: &mut Member,
     answer: Answer,
@@ -190,13 +191,13 @@
         return None;
     }
     let id = record.id.clone();
-    // The attributes are those of the newest record; of equally new ones the last that arrived.
+    // The attributes come from the newest record, and from the last that arrived among equally new ones.
     if record.version >= newest_before {
         adopt_attributes(member, address, record);
     }
     member.unconfirmed_since = None;
     let unchanged = attributes(member) == known;
-    // Most records of a full list repeat what is known: their states need not be resolved.
+    // Most records of a full list repeat the known state, which then needs no new resolution.
     let settled = member.resolved.standing != Standing::Removed
         && member.preservation.is_none()
         && member.resolved.reason == Reason::Listed
@@ -205,7 +206,7 @@
     (!repeats_known_state).then_some(id)
 }
 
-/// What a record may change of an instance that stays listed as serving.
+/// Returns the attributes that a record can change while the instance stays listed as serving.
 fn attributes(member: &Member) -> impl PartialEq + use<> {
     (
         member.records.newest_version,
--- a/src/membership/liveness.rs
+++ b/src/membership/liveness.rs
@@ -1,75 +1,77 @@
-//! What connections to an engine prove, whatever the lists say.
+//! Liveness evidence from connections to an engine, independent of the lists.
 //!
-//! **An engine whose connections were all lost, and that accepts one again, has restarted.** Reason: the list may be
-//! older than the restart (its registry is unreachable, or learns of an engine's start late); an engine that has just
-//! started bears a part of its load only, and what was learned of its old process is void. An engine that nobody had
-//! a connection to, while no registry answered, for longer than a process needs to restart ([`MIN_RESTART_MS`]) may
-//! have restarted unseen, and is taken as if it had.
+//! **An engine whose connections were all lost, and that accepts one again, has restarted.** Reason: the list
+//! may be older than the restart (its registry is unreachable, or learns of an engine's start late). An
+//! engine that has just started sustains only a part of its load, and measurements of its previous process no
+//! longer apply. An engine that had no connection, while no registry answered, for longer than the shortest
+//! restart ([`MIN_RESTART_MS`]) may have restarted unnoticed, and is treated as restarted.
 
 use crate::decision::model::Millis;
 
-/// No engine restarts in less, in milliseconds.
+/// Minimum duration of an engine's restart, in milliseconds.
 const MIN_RESTART_MS: Millis = 5_000.0;
 
-/// What happened on connections to one engine. `open_connections` is how many are open after it.
+/// An event on the connections to one engine. `open_connections` is the number of connections that are open
+/// after it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Observation {
-    /// A connection was opened and logged in.
+    /// A connection was opened, and the login succeeded.
     Opened {
-        /// When the connection was begun.
+        /// When the connection attempt began, in milliseconds since the Unix epoch.
         at: Millis,
     },
-    /// A connection broke that should not have, or the engine said that it shuts down.
+    /// A connection broke unexpectedly, or the engine announced its shutdown.
     Broken {
         /// Connections that are open still.
         open_connections: usize,
     },
-    /// A new connection was refused: nobody listens there. (One that is not answered proves nothing.)
+    /// A new connection was refused: no process listens at the address. (A connection attempt that times out
+    /// is no evidence.)
     Refused {
         /// Connections that are open still.
         open_connections: usize,
     },
-    /// A connection was closed in order, by either side.
+    /// A connection was closed in an orderly way, by either side.
     Closed {
         /// Connections that are open still.
         open_connections: usize,
     },
 }
 
-/// Whether a registry would have reported a restart.
+/// Whether any registry is reachable, so that it would have reported a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RegistryCoverage {
-    /// Some registry answered lately.
+pub enum RegistryReachability {
+    /// At least one registry answered recently.
     Answering,
     /// All registries are unreachable.
     Unreachable,
 }
 
-/// What connections have shown of one engine.
+/// Evidence from the connections to one engine. Times are in milliseconds since the Unix epoch.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LivenessEvidence {
-    /// All connections were lost then, and none has been opened since.
+    /// When all connections were lost, or one was refused while none was open, if none has been opened since.
     pub all_lost_at: Option<Millis>,
-    /// No connection has been open since then, lost or closed in order.
+    /// Since when no connection has been open, whether the last was lost or closed in an orderly way.
     pub unconnected_since: Option<Millis>,
-    /// The last restart that was detected.
+    /// When the last detected restart was.
     pub restarted_at: Option<Millis>,
-    /// A connection has been open at some time.
+    /// Whether a connection has ever been opened.
     pub ever_connected: bool,
-    /// Refusals since the last connection.
+    /// Number of refused connections since the last one that was opened.
     pub refusals: u32,
 }
 
 impl LivenessEvidence {
-    /// Records what happened on a connection; true if it shows that the engine has restarted.
+    /// Records an event on a connection. Returns whether it shows that the engine has restarted.
     pub fn record(
         &mut self,
         now: Millis,
         observation: Observation,
-        coverage: RegistryCoverage,
+        reachability: RegistryReachability,
     ) -> bool {
         match observation {
-            Observation::Opened { at } => return self.record_opened(now, at, coverage),
+            Observation::Opened { at } => return self.record_opened(now, at, reachability),
             Observation::Broken {
                 open_connections: 0,
             } => self.record_all_lost(now),
@@ -77,7 +79,7 @@
                 open_connections: 0,
             } => {
                 self.refusals = self.refusals.saturating_add(1);
-                // Nobody listens: whoever does later has started since.
+                // No process listens now, so one that accepts a connection later has started in between.
                 self.record_all_lost(now);
             }
             Observation::Closed {
@@ -92,12 +94,18 @@
         false
     }
 
-    fn record_opened(&mut self, now: Millis, at: Millis, coverage: RegistryCoverage) -> bool {
-        let unwatched_for_long = self
+    fn record_opened(
+        &mut self,
+        now: Millis,
+        at: Millis,
+        reachability: RegistryReachability,
+    ) -> bool {
+        let unconnected_for_long = self
             .unconnected_since
             .is_some_and(|since| now >= since + MIN_RESTART_MS);
-        let unseen_restart =
-            self.ever_connected && unwatched_for_long && coverage == RegistryCoverage::Unreachable;
+        let unseen_restart = self.ever_connected
+            && unconnected_for_long
+            && reachability == RegistryReachability::Unreachable;
         let restarted = self.all_lost_at.is_some() || unseen_restart;
         self.all_lost_at = None;
         self.unconnected_since = None;
@@ -114,7 +122,8 @@
         self.unconnected_since.get_or_insert(now);
     }
 
-    /// Connections confirm that the engine is removed: none is open, and it accepts none.
+    /// Returns whether the evidence confirms that the engine is gone: connections were refused or all lost,
+    /// and none has been opened since.
     pub fn is_unreachable(&self) -> bool {
         self.refusals > 0 || self.all_lost_at.is_some()
     }
--- a/src/membership/publication.rs
+++ b/src/membership/publication.rs
@@ -1,21 +1,21 @@
-//! Publishes what changed: compares instances with what was last published of them.
+//! Publication of changes: compares instances with their last published form.
 
 use crate::decision::model::{EngineState, ListUpdate, Millis};
 use crate::membership::{Change, Engine, Member, Membership};
 use std::collections::BTreeSet;
 
-/// What has been published so far.
+/// Whether a list has been published yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PublicationStage {
-    /// Nothing: a source is waited for.
+    /// Nothing has been published: no source has answered yet.
     Nothing,
-    /// Lists of sources, or the instances of a snapshot.
+    /// A list of a source, or the instances of a snapshot, has been published.
     Published,
 }
 
 impl Membership {
-    /// Returns what differs from what was published before, removed engines first: an address may pass to another
-    /// engine.
+    /// Returns the differences from what was published before. Removed engines are first, since their
+    /// addresses may belong to other engines of the same change.
     pub(super) fn publish(&mut self, now: Millis, affected: BTreeSet<String>) -> Option<Change> {
         let mut engines: Vec<Engine> = affected
             .iter()
@@ -23,8 +23,8 @@
             .collect();
         self.expire_tombstones(now);
         let is_first = self.publication == PublicationStage::Nothing;
-        // The first list is published even if it is empty: it is known then that there is no engine.
-        let publishes_empty = is_first && !self.sources.none_counted();
+        // The first list is published even if it is empty: an empty list states that there is no engine.
+        let publishes_empty = is_first && !self.sources.none_effective();
         if engines.is_empty() && !publishes_empty {
             return None;
         }
@@ -38,7 +38,7 @@
         Some(Change { update, engines })
     }
 
-    /// The instance as it is now, if it differs from what was published.
+    /// Returns the engine to publish if it differs from what was last published.
     fn publish_instance(&mut self, now: Millis, id: &str) -> Option<Engine> {
         self.instances.update_indexes(now, id);
         let member = self.instances.get_mut(id)?;
@@ -58,7 +58,7 @@
         Some(engine)
     }
 
-    /// Drops tombstones that are too old or too many.
+    /// Drops tombstones that are too old, or beyond the maximum number.
     pub(super) fn expire_tombstones(&mut self, now: Millis) {
         let ttl = self.config.tombstone_ttl;
         let max_tombstones = self.config.max_tombstones;
@@ -68,7 +68,7 @@
 
 fn published_form(id: &str, member: &Member) -> Engine {
     let state = member.state();
-    // What an address that belongs to another instance leads to is not this one.
+    // Connections to an address that belongs to another instance would not reach this one.
     let address = member
         .address
         .filter(|_| state != EngineState::Gone && member.superseded_by.is_none());
@@ -83,7 +83,8 @@
     }
 }
 
-/// Removed engines first, then those without an address, then the others.
+/// Returns the rank by which engines are ordered: removed ones, then those without an address, then the
+/// others.
 fn publication_rank(engine: &Engine) -> u8 {
     match (engine.state, engine.address) {
         (EngineState::Gone, _) => 0,
--- a/src/membership/reevaluation.rs
+++ b/src/membership/reevaluation.rs
@@ -1,31 +1,34 @@
-//! Resolves the states of instances anew, applies self-preservation and address ownership, and publishes the result.
+//! Reevaluation: resolves the states of instances again, applies self-preservation and address ownership, and
+//! publishes the result.
 
 use crate::decision::model::Millis;
 use crate::membership::log_lines::MAX_LOG_LINES;
 use crate::membership::{Change, Membership, Reason};
 use std::collections::BTreeSet;
 
-/// Lines of one reevaluation that say why instances drain; the rest of the log is for other lines.
+/// Maximum number of log lines of one reevaluation that explain why instances drain; the rest of the queue is
+/// kept for other lines.
 const MAX_DRAIN_LINES: usize = MAX_LOG_LINES / 2;
 
-/// What became of one instance when its state was resolved.
+/// Outcome of resolving the state of one instance.
 pub(super) struct Transition {
-    /// It was in service, and no source that counts lists it any more, or some of them do not.
+    /// Whether the instance was in service and is no longer listed by some or all effective sources.
     pub(super) went_missing: bool,
-    /// It is published and drains for another reason than before.
+    /// The reason, if the instance is published and drains for another reason than before.
     pub(super) drained_for: Option<Reason>,
 }
 
 impl Membership {
-    /// Another set of sources counts, so that every instance may resolve to another state.
+    /// Updates the set of effective sources and reevaluates all instances, since each may resolve to another
+    /// state.
     pub(super) fn reevaluate_all(&mut self, now: Millis) -> Option<Change> {
         let unreachable_after = self.config.unreachable_after;
-        self.sources.update_counted(now, unreachable_after);
+        self.sources.update_effective(now, unreachable_after);
         let ids = self.instances.ids().cloned().collect();
         self.reevaluate(now, ids)
     }
 
-    /// Resolves the states of these instances anew and returns what changes by it.
+    /// Resolves the states of these instances again and returns the resulting change of the endpoint list.
     pub(super) fn reevaluate(&mut self, now: Millis, ids: Vec<String>) -> Option<Change> {
         let in_service = self.in_service_count();
         let mut missing = vec![];
@@ -50,7 +53,7 @@
         self.publish(now, affected)
     }
 
-    /// Instances in service that operators did not drain.
+    /// Returns the number of instances in service that operators have not drained.
     fn in_service_count(&self) -> usize {
         self.instances
             .members()
@@ -63,14 +66,14 @@
         let administratively_drained = self.is_administratively_drained(id);
         let sources = &self.sources;
         let member = self.instances.get_mut(id)?;
-        // Only a snapshot lists it, and no source has answered since.
-        let resolved = if member.records.is_empty() && sources.none_counted() {
+        // Only the snapshot contains the instance, and no source has answered since.
+        let resolved = if member.records.is_empty() && sources.none_effective() {
             member.resolved.clone()
         } else {
             member
                 .records
                 .resolve(now, self.config.missing_grace, |source| {
-                    sources.counts(source)
+                    sources.is_effective(source)
                 })
         };
         Some(member.adopt(now, resolved, administratively_drained))
@@ -84,11 +87,12 @@
         }
     }
 
-    /// Keeps instances in service that went missing together with many others.
+    /// Keeps instances in service if they went missing together with many others.
     fn preserve_missing(&mut self, now: Millis, missing: Vec<String>, in_service: usize) {
         let config = &self.config.self_preservation;
-        // What was known from a snapshot that is older than the duration would no longer be preserved.
-        let doubted: Vec<String> = missing
+        // An instance that is known only from a snapshot older than the duration is not preserved: had it
+        // gone missing when the snapshot was taken, its preservation would have ended by now.
+        let candidates: Vec<String> = missing
             .into_iter()
             .filter(|id| {
                 let member = self.instances.get(id);
@@ -101,7 +105,7 @@
             .collect();
         let preservation = self
             .missing
-            .evaluate(config, now, doubted.len(), in_service);
+            .evaluate(config, now, candidates.len(), in_service);
         let Some(preservation) = preservation else {
             return;
         };
@@ -109,10 +113,10 @@
             "{} of {} engines vanished at once: {} are held in service for {} s",
             preservation.missing,
             preservation.in_service,
-            doubted.len(),
+            candidates.len(),
             config.duration / 1000.0
         ));
-        for id in doubted {
+        for id in candidates {
             if let Some(member) = self.instances.get_mut(&id) {
                 member.preservation = Some(preservation.clone());
             }
--- a/src/membership/registry_view.rs
+++ b/src/membership/registry_view.rs
@@ -1,9 +1,9 @@
-//! The registry view itself: what it holds, and its entry points besides sources' answers and snapshots.
+//! The registry view itself: its data, and the entry points that are not about sources' answers or snapshots.
 
 use crate::decision::model::Millis;
 use crate::membership::address_owners::AddressOwners;
 use crate::membership::instance_store::InstanceStore;
-use crate::membership::liveness::RegistryCoverage;
+use crate::membership::liveness::RegistryReachability;
 use crate::membership::log_lines::LogLines;
 use crate::membership::publication::PublicationStage;
 use crate::membership::restore::RestoredSnapshot;
@@ -14,7 +14,7 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is known of every instance. The rules are described at [`crate::membership`].
+/// The registry view of all instances. [`crate::membership`] describes its rules.
 #[derive(Debug)]
 pub struct Membership {
     pub(super) config: MembershipConfig,
@@ -24,24 +24,25 @@
     pub(super) missing: MissingInstances,
     pub(super) administratively_drained: BTreeSet<String>,
     pub(super) rejections: RejectionLog,
-    /// Records of instances beyond [`MembershipConfig::max_instances`] that were ignored.
+    /// Number of records that were ignored because of [`MembershipConfig::max_instances`].
     pub(super) instances_over_limit: u64,
     pub(super) publication: PublicationStage,
     pub(super) log: LogLines,
     pub(super) restored: Option<RestoredSnapshot>,
 }
 
-/// What an observation of a connection comes to.
+/// Outcome of an observation of a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ObservationOutcome {
-    /// What it changes in the published list.
+    /// The resulting change of the endpoint list, if any.
     pub change: Option<Change>,
-    /// The engine has restarted: the connection must carry nothing that was meant for its old process.
+    /// Whether the engine has restarted. If so, nothing that was meant for its previous process may be sent
+    /// on the connection.
     pub restarted: bool,
 }
 
 impl Membership {
-    /// A view in which nothing is known.
+    /// Creates an empty view.
     pub fn new(config: MembershipConfig) -> Self {
         Membership {
             config,
@@ -58,8 +59,8 @@
         }
     }
 
-    /// Applies a new configuration and the names of its sources. Nothing that is known is dropped: what sources that
-    /// are no longer named have listed stands until those that are named answer.
+    /// Applies a new configuration and the names of its sources. No data is dropped: the lists of sources
+    /// that are no longer named stay in force until a named source answers.
     pub fn configure(
         &mut self,
         now: Millis,
@@ -71,7 +72,8 @@
         self.reevaluate_all(now)
     }
 
-    /// A source was polled and gave nothing usable. Its records count until it is unreachable.
+    /// Records that a request to a source failed or that its answer was unusable. The source's records stay
+    /// in use until the source counts as unreachable.
     pub fn record_source_failure(
         &mut self,
         now: Millis,
@@ -86,7 +88,7 @@
         self.tick(now)
     }
 
-    /// Something happened on a connection to an engine.
+    /// Records an event on a connection to an engine.
     pub fn record_observation(
         &mut self,
         now: Millis,
@@ -97,17 +99,17 @@
             change: None,
             restarted: false,
         };
-        let coverage = self.registry_coverage(now);
+        let reachability = self.registry_reachability(now);
         let Some(member) = self.instances.get_mut(engine) else {
             return unaffected;
         };
         let was_unreachable = member.liveness.is_unreachable();
-        let restarted = member.liveness.record(now, observation, coverage);
+        let restarted = member.liveness.record(now, observation, reachability);
         if !restarted && member.liveness.is_unreachable() == was_unreachable {
             return unaffected;
         }
         if restarted {
-            // The connection confirms the instance, and its start is known now.
+            // The connection confirms the instance, and the start of its process is known now.
             member.unconfirmed_since = None;
             self.log.push(format!(
                 "engine {engine}: all connections were lost and it is back: it started anew"
@@ -119,19 +121,20 @@
         }
     }
 
-    fn registry_coverage(&self, now: Millis) -> RegistryCoverage {
+    fn registry_reachability(&self, now: Millis) -> RegistryReachability {
         let unreachable_after = self.config.unreachable_after;
         if self.sources.any_answering(now, unreachable_after) {
-            RegistryCoverage::Answering
+            RegistryReachability::Answering
         } else {
-            RegistryCoverage::Unreachable
+            RegistryReachability::Unreachable
         }
     }
 
-    /// Does what is due: sources that are unreachable by now, preservations and graces that end.
+    /// Handles everything that is due at `now`: sources that become unreachable, the ends of preservations
+    /// and grace periods, and the expiry of tombstones.
     pub fn tick(&mut self, now: Millis) -> Option<Change> {
         self.expire_tombstones(now);
-        if self.counted_sources_changed(now) {
+        if self.effective_sources_changed(now) {
             return self.reevaluate_all(now);
         }
         let due = self.instances.pop_due(now);
@@ -141,7 +144,7 @@
         self.reevaluate(now, due)
     }
 
-    /// When the next [`Membership::tick`] is due.
+    /// Returns when the next [`Membership::tick`] is due, if any is.
     pub fn next_wakeup(&self, now: Millis) -> Option<Millis> {
         let unreachable_after = self.config.unreachable_after;
         let deadline = self.instances.next_deadline();
@@ -152,12 +155,13 @@
             .reduce(f64::min)
     }
 
-    pub(super) fn counted_sources_changed(&self, now: Millis) -> bool {
+    pub(super) fn effective_sources_changed(&self, now: Millis) -> bool {
         let unreachable_after = self.config.unreachable_after;
-        self.sources.counted_changed(now, unreachable_after)
+        self.sources.effective_changed(now, unreachable_after)
     }
 
-    /// The source of this name. A new one may displace another, whose records are dropped.
+    /// Returns the id of the source with this name; adds it if it is new. Adding one beyond the maximum
+    /// evicts another source, whose records are dropped.
     pub(super) fn register_source(&mut self, name: &str) -> SourceId {
         let registered = self.sources.register(name);
         if let Some(dropped) = registered.dropped {
@@ -168,47 +172,47 @@
         registered.id
     }
 
-    /// Lines for the log since the last call.
+    /// Removes and returns the log lines since the last call.
     pub fn drain_log_lines(&mut self) -> Vec<String> {
         self.log.drain()
     }
 
-    /// All instances by id, tombstones included.
+    /// Returns all instances by id, tombstones included.
     pub fn members(&self) -> &BTreeMap<String, Member> {
         self.instances.members()
     }
 
-    /// All sources.
+    /// Returns all sources.
     pub fn sources(&self) -> impl Iterator<Item = &Source> {
         self.sources.iter()
     }
 
-    /// Whether a source's last answer is recent enough for its records to count.
+    /// Returns whether the source's last answer is recent enough for its records to be used.
     pub fn is_answering(&self, source: &Source, now: Millis) -> bool {
         source.is_answering(now, self.config.unreachable_after)
     }
 
-    /// Addresses that were rejected.
+    /// Returns the log of rejected addresses.
     pub fn rejections(&self) -> &RejectionLog {
         &self.rejections
     }
 
-    /// Records of instances beyond the limit that were ignored.
+    /// Returns the number of records that were ignored because of [`MembershipConfig::max_instances`].
     pub fn instances_over_limit(&self) -> u64 {
         self.instances_over_limit
     }
 
-    /// Removed instances whose versions are kept.
+    /// Returns the number of removed instances whose versions are kept.
     pub fn tombstone_count(&self) -> usize {
         self.instances.tombstone_count()
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn config(&self) -> &MembershipConfig {
         &self.config
     }
 
-    /// Missing instances that are kept in service.
+    /// Returns the number of missing instances that are kept in service.
     pub fn preserved_count(&self) -> usize {
         self.members()
             .values()
--- a/src/membership/resolution.rs
+++ b/src/membership/resolution.rs
@@ -1,20 +1,21 @@
-//! What the records of all sources on one instance come to.
+//! Resolution: the records of all sources on one instance are merged into one state.
 //!
-//! **A contradiction is resolved towards draining.** Registries that answer and differ on one instance cannot both be
-//! right; the price of a wrong drain is capacity, that of a wrong return to service is failed statements. Only a newer
-//! `lastDirtyTimestamp`, set by the instance itself, settles a contradiction for service at once.
+//! **An instance on which sources contradict each other drains.** Registries that answer and differ on one
+//! instance cannot both be right: a wrong drain costs capacity, a wrong return to service makes statements
+//! fail. Only a newer `lastDirtyTimestamp`, set by the instance itself, resolves a contradiction in favor of
+//! service at once.
 
 use crate::decision::model::Millis;
 use crate::membership::{Reported, SourceId, SourceRecord, SourceRecords, Status};
 
-/// What the records of one instance come to.
+/// The state that the records of one instance resolve to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResolvedState {
     /// Whether the instance takes requests.
     pub standing: Standing,
-    /// Why it does or does not.
+    /// The reason for the standing.
     pub reason: Reason,
-    /// When the state changes by itself, if nothing is reported before.
+    /// When the state changes without a further report, in milliseconds since the Unix epoch.
     pub until: Option<Millis>,
 }
 
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Some source that counts no longer lists the instance.
+    /// Returns whether some or all effective sources no longer list the instance.
     pub fn is_missing(&self) -> bool {
         self.standing == Standing::Removed || matches!(self.reason, Reason::MissingFrom(_))
     }
@@ -36,53 +37,56 @@
 /// Whether an instance takes requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It takes requests.
+    /// The instance takes requests.
     Serving,
-    /// It takes no new requests; those that run may end.
+    /// The instance takes no new requests; running requests may finish.
     Draining,
-    /// No source lists it.
+    /// No effective source lists the instance.
     Removed,
 }
 
-/// Why an instance has its standing.
+/// The reason for an instance's standing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// It is listed as `UP`.
+    /// The instance is listed as `UP`.
     Listed,
-    /// It is listed with a status that is not `UP`.
+    /// The instance is listed with this status, which is not `UP`.
     ListedAs(Status),
-    /// A source names no usable address for it.
+    /// A source lists the instance without a usable address.
     UnusableAddress,
-    /// Sources that answer differ: this one lists it with this status.
+    /// This source lists the instance with this status, and another effective source lists it as `UP`.
     Contradicted(SourceId, Status),
-    /// This source no longer lists it, another still does.
+    /// This source no longer lists the instance, and another effective source still does.
     MissingFrom(SourceId),
-    /// What lists it as `UP` is no newer than a drain that was reported.
+    /// No record that lists the instance as `UP` is newer than the newest drain that was reported.
     OlderThanDrain,
-    /// No source that counts lists it.
+    /// No effective source lists the instance.
     Unlisted,
 }
 
 impl Reason {
-    /// Whether sources contradict each other.
+    /// Returns whether the reason is a contradiction between sources.
     pub fn contradicts(self) -> bool {
         matches!(self, Reason::Contradicted(..) | Reason::MissingFrom(_))
     }
 }
 
 impl SourceRecords {
-    /// What the records come to. `counts` selects the sources whose records count: those that answer, or all if none
-    /// does. `missing_grace` bounds, in milliseconds, for how long an instance drains since one source no longer lists
-    /// it and another does: after that the listing wins, for an instance that renews its lease anywhere is alive.
+    /// Resolves the records to a state. `is_effective` selects the effective sources: those that answer, or
+    /// those that answered last if none does. `missing_grace` is how long, in milliseconds, an instance
+    /// drains after one source stopped listing it while another still does. After that the instance is in
+    /// service again, because one that renews its lease at any registry is alive.
     pub fn resolve(
         &self,
         now: Millis,
         missing_grace: Millis,
-        counts: impl Fn(SourceId) -> bool,
+        is_effective: impl Fn(SourceId) -> bool,
     ) -> ResolvedState {
-        let counted: Vec<&SourceRecord> =
-            self.iter().filter(|record| counts(record.source)).collect();
-        let listed: Vec<&SourceRecord> = counted
+        let effective: Vec<&SourceRecord> = self
+            .iter()
+            .filter(|record| is_effective(record.source))
+            .collect();
+        let listed: Vec<&SourceRecord> = effective
             .iter()
             .copied()
             .filter(|record| record.reported != Reported::Absent)
@@ -99,12 +103,13 @@
             .filter(|record| self.is_newer_than_drain(record))
             .max_by_key(|record| record.version);
         match newest_serving {
-            Some(serving) => resolve_serving(now, missing_grace, serving, &counted),
+            Some(serving) => resolve_serving(now, missing_grace, serving, &effective),
             None => ResolvedState::new(Standing::Draining, Reason::OlderThanDrain),
         }
     }
 
-    /// Why the instance drains, if a record says so that the instance itself has not superseded since.
+    /// Returns why the instance drains, if a record makes it drain that is current: the instance itself has
+    /// reported no newer `lastDirtyTimestamp` since.
     fn drain_reason(&self, listed: &[&SourceRecord]) -> Option<Reason> {
         let current = || {
             listed
@@ -116,7 +121,8 @@
             _ => None,
         });
         if let Some((source, status)) = draining {
-            // Also where the other source only lags: operators are to see that the registries differ.
+            // This includes the case that the other source only lags: operators should see that the
+            // registries differ.
             let contradicted = current().any(|record| record.reported == Reported::Serving);
             return Some(match contradicted {
                 true => Reason::Contradicted(source, status),
@@ -129,14 +135,15 @@
     }
 }
 
-/// The state of an instance that is listed as serving, unless another source dropped it a short time ago.
+/// Returns the state of an instance that a source lists as serving: it drains while the grace period since
+/// another source dropped it lasts.
 fn resolve_serving(
     now: Millis,
     missing_grace: Millis,
     serving: &SourceRecord,
-    counted: &[&SourceRecord],
+    effective: &[&SourceRecord],
 ) -> ResolvedState {
-    let dropped_last = counted
+    let dropped_last = effective
         .iter()
         .filter(|record| record.reported == Reported::Absent)
         .filter(|record| record.version.dirty >= serving.version.dirty)
--- a/src/membership/source_records.rs
+++ b/src/membership/source_records.rs
@@ -1,55 +1,58 @@
-//! What each source last reported of one instance.
+//! The last report of each source on one instance.
 //!
-//! **An older record never overrides a newer one, whichever registry it comes from.** Records are ordered by their
-//! [`Version`]. The instance itself increments `lastDirtyTimestamp`, by its own clock, and replicas copy it: so it
-//! orders records of different registries. `lastUpdatedTimestamp` is set by the registry that sent the record, so it
-//! orders records under one `lastDirtyTimestamp`: within one registry exactly, between two only beyond
-//! [`MAX_CLOCK_SKEW_MS`]. Reason: a registry behind the others (a lagging replica, a cached answer) shows what was
-//! true before, and a drained engine that it puts back gets statements while it shuts down.
+//! **An older record never overrides a newer one, whichever registry it comes from.** Records are ordered by
+//! their [`Version`]. The instance itself sets `lastDirtyTimestamp`, by its own clock, and replicas copy it,
+//! so it orders records of different registries. `lastUpdatedTimestamp` is set by the registry that sent the
+//! record, so it orders records with the same `lastDirtyTimestamp`: exactly within one registry, and between
+//! two registries only if the timestamps differ by more than [`MAX_CLOCK_SKEW_MS`]. Reason: a registry behind
+//! the others (a lagging replica, a cached answer) reports an outdated state, and if it put a drained engine
+//! back into service, the engine would get statements while it shuts down.
 
 use crate::decision::model::Millis;
 use crate::membership::{Reported, SourceId, Version};
 use std::net::SocketAddr;
 
-/// Registries' clocks differ by less than this, in milliseconds: records that are closer are concurrent.
+/// Maximum difference between the clocks of two registries, in milliseconds: records of two registries whose
+/// timestamps differ by no more are concurrent.
 pub const MAX_CLOCK_SKEW_MS: u64 = 1000;
 
-/// No exchange with a registry takes longer, in milliseconds. An answer whose request seems to be still older than
-/// the one before shows that the machine's clock was set back, not that the answer is late.
+/// Maximum duration of an exchange with a registry, in milliseconds. If the request of an answer seems older
+/// than the previous one by more than this, the machine's clock was set back and the answer is not late.
 const MAX_EXCHANGE_MS: Millis = 60_000.0;
 
-/// Whether a request was sent before another, as far as the clock can be trusted.
+/// Returns whether a request was sent before another, unless the clock was set back in between.
 pub(super) fn requested_before(requested_at: Millis, other: Millis) -> bool {
     requested_at < other && other - requested_at <= MAX_EXCHANGE_MS
 }
 
-/// The last that one source reported of an instance.
+/// The last report of one source on an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SourceRecord {
-    /// The source that reported it.
+    /// The source of the report.
     pub source: SourceId,
-    /// What it reported.
+    /// The reported state.
     pub reported: Reported,
-    /// How new the report is.
+    /// Version of the report.
     pub version: Version,
-    /// The address that it named, if it may be used.
+    /// The reported address, if it is usable.
     pub address: Option<SocketAddr>,
-    /// When the answer was requested.
+    /// When the answer was requested, in milliseconds since the Unix epoch.
     pub requested_at: Millis,
-    /// Since when the source reports this.
+    /// Since when the source has reported this state, in milliseconds since the Unix epoch.
     pub since: Millis,
-    /// The source's full list that last held the instance: an older number shows that the newest list omits it.
+    /// Number of the source's full list that last contained the instance. If it is not the number of the
+    /// source's latest full list, that list omits the instance.
     pub generation: u64,
 }
 
-/// The newest drain that any source reported: no record that is as old or older puts the instance back into service.
+/// The newest drain that any source reported. Only a newer record puts the instance back into service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DrainWatermark {
     /// The version of the drain.
     pub version: Version,
-    /// The source that reported it; 0: an earlier process's snapshot.
+    /// The source that reported the drain; 0 for the snapshot of an earlier process.
     pub source: SourceId,
-    /// When the answer was requested.
+    /// When the answer was requested, in milliseconds since the Unix epoch.
     pub requested_at: Millis,
 }
 
@@ -61,30 +64,31 @@
     pub newest_version: Version,
     /// The newest drain that any source reported.
     pub drain_watermark: Option<DrainWatermark>,
-    /// Records that were ignored because a newer one was known.
+    /// Number of records that were ignored because a newer one was known.
     pub outdated_records: u64,
 }
 
 impl SourceRecords {
-    /// The records, one a source.
+    /// Returns the records, one per source.
     pub fn iter(&self) -> impl Iterator<Item = &SourceRecord> {
         self.records.iter()
     }
 
-    /// No source has reported the instance.
+    /// Returns whether there is no record of any source.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// What this source last reported.
+    /// Returns the record of this source.
     pub fn of_source(&self, source: SourceId) -> Option<&SourceRecord> {
         self.records.iter().find(|record| record.source == source)
     }
 
-    /// Stores a record unless its source reported a newer one; false if it was ignored. The watermark and
-    /// `newest_version` only ever rise: that makes the result independent of the order of arrival.
+    /// Stores a record unless its source reported a newer one. Returns whether the record was accepted. The
+    /// watermark and `newest_version` never decrease, which makes the result independent of the order of
+    /// arrival.
     pub fn apply(&mut self, mut new: SourceRecord) -> bool {
-        // A drain counts at its version, even if its source has reported something newer since.
+        // A drain raises the watermark to its version even if its source has reported a newer record since.
         self.raise_drain_watermark(&new);
         let known = self
             .records
@@ -98,7 +102,7 @@
             }
             Some(old) if is_outdated(&new, old) => {
                 let repeated = is_same_answer(&new, old) && new.version == old.version;
-                // An older record shows all the same that the instance is listed.
+                // Even an outdated record shows that the list contains the instance.
                 old.generation = new.generation;
                 if !repeated {
                     self.outdated_records += 1;
@@ -132,8 +136,9 @@
         }
     }
 
-    /// Records that the source no longer lists the instance; `deletion` is the version of an explicit deletion.
-    /// False if nothing changed: it was absent before, or the source reported something newer.
+    /// Records that the source no longer lists the instance; `deletion` is the version of an explicit
+    /// deletion. Returns whether anything changed: nothing does if the instance was absent before or the
+    /// source reported a newer record.
     pub fn mark_absent(
         &mut self,
         source: SourceId,
@@ -161,24 +166,25 @@
         true
     }
 
-    /// Drops the records of a source that was forgotten.
+    /// Removes the record of a source that was dropped.
     pub fn remove_source(&mut self, source: SourceId) {
         self.records.retain(|record| record.source != source);
     }
 
-    /// Whether a record is newer than the newest drain, so that it may put the instance into service.
+    /// Returns whether a record is newer than the newest drain, so that it may put the instance into service.
     pub(super) fn is_newer_than_drain(&self, record: &SourceRecord) -> bool {
         let Some(drain) = self.drain_watermark else {
             return true;
         };
         if record.version.is_unset() && drain.version.is_unset() {
-            // Without timestamps the answer to the later request is the newer.
+            // Without timestamps, the answer to the later request is newer.
             return record.requested_at > drain.requested_at;
         }
         if record.source == drain.source {
             return record.version > drain.version;
         }
-        // The instance's own clock orders; two registries' clocks order only beyond what they may differ by.
+        // The instance's own clock takes precedence; timestamps of two registries are compared with tolerance
+        // for their clock skew.
         let same_dirty = record.version.dirty == drain.version.dirty;
         record.version.dirty > drain.version.dirty
             || (same_dirty && record.version.updated > drain.version.updated + MAX_CLOCK_SKEW_MS)
@@ -189,7 +195,7 @@
     old.requested_at == new.requested_at && old.generation == new.generation
 }
 
-/// Whether the record is older than the one that its source sent before.
+/// Returns whether the record is older than the previous one of its source.
 fn is_outdated(new: &SourceRecord, old: &SourceRecord) -> bool {
     let requested_earlier = requested_before(new.requested_at, old.requested_at);
     if new.version.is_unset() || old.version.is_unset() {
@@ -198,7 +204,8 @@
     if new.version != old.version {
         return new.version < old.version;
     }
-    // One answer may list an instance twice: of two records that are equally new, the drain stays.
+    // One answer may list an instance twice: of two records with the same version, the one that drains is
+    // kept.
     let drained_by_same_answer = is_same_answer(new, old) && old.reported != Reported::Serving;
     drained_by_same_answer || requested_earlier
 }
--- a/src/membership/sources.rs
+++ b/src/membership/sources.rs
@@ -1,43 +1,47 @@
-//! The sources: registries that have answered or failed, and which of them count.
+//! The sources: registries that have answered or failed, and which of them are effective.
+//!
+//! Only the records of effective sources are used: those of the sources that answer or, while none answers,
+//! of those that answered last.
 
 use crate::decision::model::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Sources at a time; the one that answered least recently is dropped for a new one.
+/// Maximum number of sources; a new one beyond it evicts the one that answered least recently.
 pub const MAX_SOURCES: usize = 16;
 
-/// A source, as a number that is never used again.
+/// Id of a source; ids are not reused.
 pub type SourceId = u32;
 
-/// A source as operators see it.
+/// A source and its statistics.
 #[derive(Clone, Debug)]
 pub struct Source {
-    /// Its number.
+    /// Id of the source.
     pub id: SourceId,
-    /// Its name: a registry's address.
+    /// Name of the source: the address of the registry.
     pub name: String,
-    /// When its last answer arrived; none also for one that the configuration no longer names.
+    /// When the last answer arrived, in milliseconds since the Unix epoch; also `None` if the configuration
+    /// no longer names the source.
     pub last_answered_at: Option<Millis>,
-    /// Its last exchange that gave nothing usable.
+    /// The last failed exchange, if any.
     pub last_failure: Option<SourceFailure>,
-    /// Exchanges that gave nothing usable.
+    /// Number of exchanges that failed or gave an unusable answer.
     pub failures: u64,
-    /// Full lists that it sent.
+    /// Number of full lists that the source sent.
     pub full_lists: u64,
-    /// Deltas that it sent.
+    /// Number of deltas that the source sent.
     pub deltas: u64,
-    /// Instances in its last full list.
+    /// Number of instances in the last full list.
     pub listed: usize,
-    /// The number of its last full list: see [`crate::membership::SourceRecord::generation`].
+    /// Number of the last full list: see [`crate::membership::SourceRecord::generation`].
     pub(super) generation: u64,
-    /// When the answer that counts was requested.
+    /// When the last accepted answer was requested, in milliseconds since the Unix epoch.
     pub(super) last_requested_at: Millis,
 }
 
-/// An exchange with a source that gave nothing usable.
+/// An exchange with a source that failed or gave an unusable answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SourceFailure {
-    /// When it failed.
+    /// When the exchange failed, in milliseconds since the Unix epoch.
     pub at: Millis,
     /// What went wrong.
     pub problem: String,
@@ -59,26 +63,26 @@
         }
     }
 
-    /// Whether its last answer is recent enough for its records to count.
+    /// Returns whether the last answer is recent enough for the source's records to be used.
     pub(super) fn is_answering(&self, now: Millis, unreachable_after: Millis) -> bool {
         self.last_answered_at
             .is_some_and(|at| now < at + unreachable_after)
     }
 }
 
-/// A source that was looked up by name, and the one that was dropped for it.
+/// Result of registering a source by name: its id, and the id of the source that was evicted for it, if any.
 pub(super) struct Registered {
     pub(super) id: SourceId,
     pub(super) dropped: Option<SourceId>,
 }
 
-/// All sources, and those whose records count.
+/// All sources, and which of them are effective.
 #[derive(Debug)]
 pub(super) struct SourceTable {
     sources: BTreeMap<SourceId, Source>,
     next_id: SourceId,
-    /// The sources whose records counted when all instances were last reevaluated.
-    counted: BTreeSet<SourceId>,
+    /// The sources that were effective when all instances were last reevaluated.
+    effective: BTreeSet<SourceId>,
 }
 
 impl SourceTable {
@@ -86,7 +90,7 @@
         SourceTable {
             sources: BTreeMap::new(),
             next_id: 1,
-            counted: BTreeSet::new(),
+            effective: BTreeSet::new(),
         }
     }
 
@@ -102,7 +106,7 @@
         self.sources.get(&id).map(|source| source.name.as_str())
     }
 
-    /// The source of this name, which is added if it is new.
+    /// Looks up the source with this name; adds it if it is new.
     pub(super) fn register(&mut self, name: &str) -> Registered {
         if let Some(known) = self.iter().find(|source| source.name == name) {
             return Registered {
@@ -131,8 +135,8 @@
         Some(least_recent)
     }
 
-    /// Sources that the configuration no longer names count as unreachable: their last lists stay in force until
-    /// another source answers.
+    /// Marks the sources that the configuration no longer names as unreachable: their last lists stay in
+    /// force until another source answers.
     pub(super) fn retire_unnamed(&mut self, names: &[String]) {
         for source in self.sources.values_mut() {
             if !names.contains(&source.name) {
@@ -146,41 +150,42 @@
             .any(|source| source.is_answering(now, unreachable_after))
     }
 
-    /// The sources whose records count: those that answer. While none does, those that last did go on counting: the
-    /// last lists stay in force.
-    fn counting(&self, now: Millis, unreachable_after: Millis) -> BTreeSet<SourceId> {
+    /// Returns the effective sources: those that answer or, while none does, those that answered last, so
+    /// that their last lists stay in force.
+    fn effective_at(&self, now: Millis, unreachable_after: Millis) -> BTreeSet<SourceId> {
         let answering: BTreeSet<SourceId> = self
             .iter()
             .filter(|source| source.is_answering(now, unreachable_after))
             .map(|source| source.id)
             .collect();
         if answering.is_empty() {
-            self.counted.clone()
+            self.effective.clone()
         } else {
             answering
         }
     }
 
-    /// Another set of sources counts by now, so that every instance may resolve to another state.
-    pub(super) fn counted_changed(&self, now: Millis, unreachable_after: Millis) -> bool {
-        self.counting(now, unreachable_after) != self.counted
+    /// Returns whether the set of effective sources has changed since the last reevaluation of all instances.
+    /// Every instance may then resolve to another state.
+    pub(super) fn effective_changed(&self, now: Millis, unreachable_after: Millis) -> bool {
+        self.effective_at(now, unreachable_after) != self.effective
     }
 
-    pub(super) fn update_counted(&mut self, now: Millis, unreachable_after: Millis) {
-        self.counted = self.counting(now, unreachable_after);
+    pub(super) fn update_effective(&mut self, now: Millis, unreachable_after: Millis) {
+        self.effective = self.effective_at(now, unreachable_after);
     }
 
-    /// No source has answered yet.
-    pub(super) fn none_counted(&self) -> bool {
-        self.counted.is_empty()
+    /// Returns whether no source is effective, that is, whether none has answered yet.
+    pub(super) fn none_effective(&self) -> bool {
+        self.effective.is_empty()
     }
 
-    /// Whether a source's records count. While no source has answered all do.
-    pub(super) fn counts(&self, id: SourceId) -> bool {
-        self.counted.is_empty() || self.counted.contains(&id)
+    /// Returns whether the source is effective. All sources are while none has answered.
+    pub(super) fn is_effective(&self, id: SourceId) -> bool {
+        self.effective.is_empty() || self.effective.contains(&id)
     }
 
-    /// When the next source becomes unreachable, if it does not answer before.
+    /// Returns when the next source becomes unreachable unless it answers before.
     pub(super) fn next_unreachable_at(
         &self,
         now: Millis,
