--- a/src/membership/rejections.rs
+++ b/src/membership/rejections.rs
@@ -1,31 +1,31 @@
-//! Addresses and records that were rejected, for operators.
+//! Log of rejected addresses and records, for operators.
 
 use crate::decision::model::Millis;
 use crate::membership::InstanceRecord;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Rejected addresses that are kept for operators; the oldest is dropped for a new one.
+/// Maximum number of rejected addresses that are kept for operators; a new one beyond it evicts the oldest.
 pub const MAX_REJECTED_ADDRESSES: usize = 64;
-/// Characters of an instance's id that are kept: a rejected id may be of any length.
+/// Maximum number of characters kept of an instance's id: a rejected id may be of any length.
 const MAX_ID_CHARS: usize = 80;
 
-/// An instance's address that was rejected.
+/// A rejected address of an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RejectedAddress {
-    /// The instance's id, its first 80 characters.
+    /// Id of the instance, cut to its first 80 characters.
     pub id: String,
-    /// The address, if one was named.
+    /// The address, if the record named one.
     pub address: Option<SocketAddr>,
-    /// Why it was rejected, for operators.
+    /// Why the address was rejected, for operators.
     pub reason: String,
-    /// How often it was rejected.
+    /// Number of rejections of this address of the instance.
     pub count: u64,
-    /// When it was last rejected.
+    /// When the address was last rejected, in milliseconds since the Unix epoch.
     pub last_rejected_at: Millis,
 }
 
-/// The latest rejected addresses, and how many rejections there were.
+/// The latest rejected addresses, and the total number of rejections.
 #[derive(Debug, Default)]
 pub struct RejectionLog {
     recent: VecDeque<RejectedAddress>,
@@ -33,17 +33,18 @@
 }
 
 impl RejectionLog {
-    /// The rejected addresses that are kept, oldest first.
+    /// Returns the rejected addresses that are kept, the earliest recorded first.
     pub fn recent(&self) -> impl Iterator<Item = &RejectedAddress> {
         self.recent.iter()
     }
 
-    /// Rejections since the start.
+    /// Returns the number of rejections since the start of the process.
     pub fn total(&self) -> u64 {
         self.total
     }
 
-    /// Records a rejection; the line for the log, if it is the first of this instance and address.
+    /// Records a rejection. Returns a log line if it is the first kept rejection of this instance and
+    /// address.
     pub(super) fn record(
         &mut self,
         now: Millis,
--- a/src/membership/restore.rs
+++ b/src/membership/restore.rs
@@ -1,4 +1,4 @@
-//! A start from the snapshot of an earlier process.
+//! Restores the snapshot of an earlier process.
 
 use crate::decision::model::{ListUpdate, Millis};
 use crate::membership::publication::PublicationStage;
@@ -9,21 +9,21 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// The source of what a snapshot holds; sources are numbered from 1.
+/// Id that stands for a snapshot as the source of a drain; the ids of sources start at 1.
 const SNAPSHOT_SOURCE: SourceId = 0;
 
 /// The snapshot that this process started from.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RestoredSnapshot {
-    /// When it was taken.
+    /// When the snapshot was taken.
     taken_at: Millis,
-    /// Whether its instances were published because no source answered.
+    /// Whether the restored instances were published because no source had answered.
     published: bool,
 }
 
 impl Membership {
-    /// Loads what an earlier process knew, before any source answers: its drains count against older lists from the
-    /// start. The instances themselves are published by [`Membership::serve_restored`] only.
+    /// Loads the snapshot of an earlier process, before any source has answered, so that older lists cannot
+    /// undo the drains in it. Only [`Membership::serve_restored`] publishes the instances.
     pub fn restore(&mut self, now: Millis, snapshot: Snapshot) {
         self.restored = Some(RestoredSnapshot {
             taken_at: snapshot.taken_at,
@@ -31,7 +31,7 @@
         });
         let max_instances = self.config.max_instances;
         for instance in snapshot.instances.into_iter().take(max_instances) {
-            // The networks may have changed since.
+            // The configured networks may have changed since the snapshot was taken.
             if let Ok(address) = self.config.networks.admit(instance.address) {
                 let member = self.instances.get_or_add(now, &instance.id);
                 restore_member(member, snapshot.taken_at, address, instance);
@@ -39,8 +39,9 @@
         }
     }
 
-    /// No source has answered yet: publishes the restored instances, each as one that has just started, since nobody
-    /// knows whether it restarted meanwhile. None if there is nothing to publish.
+    /// Publishes the restored instances if no source has answered yet. Each is published as just started,
+    /// since it is not known whether it restarted after the snapshot. Returns `None` if there is nothing to
+    /// publish.
     pub fn serve_restored(&mut self, now: Millis) -> Option<Change> {
         if self.publication == PublicationStage::Published {
             return None;
@@ -63,7 +64,7 @@
         Some(change)
     }
 
-    /// When the snapshot that this process started from was taken.
+    /// Returns when the restored snapshot was taken, if there is one.
     pub fn snapshot_taken_at(&self) -> Option<Millis> {
         self.restored.map(|restored| restored.taken_at)
     }
--- a/src/membership/self_preservation.rs
+++ b/src/membership/self_preservation.rs
@@ -1,23 +1,27 @@
-//! Self-preservation: when many instances disappear from the lists at once, the lists are doubted before the
-//! instances are.
+//! Self-preservation: instances that disappear from the lists in large numbers are kept in service for a
+//! limited time.
 //!
-//! Reason: a registry that was just restarted, or cut off from the engines, shows an empty or short list while the
-//! engines go on serving; a dispatcher that believes it rejects every request. A registry does the same for its own
-//! clients. The protection has a size ([`SelfPreservationConfig::max_missing_share`],
-//! [`SelfPreservationConfig::max_missing_count`]), a duration ([`SelfPreservationConfig::duration`]) and an end:
-//! connections that are refused confirm a disappearance at once.
+//! Reason: a registry that has just restarted, or is cut off from the engines, sends an empty or short list
+//! while the engines are still serving; a dispatcher that trusted the list would reject every request.
+//! Registries protect the instances that they list in the same way. The thresholds are
+//! [`SelfPreservationConfig::max_missing_share`] and [`SelfPreservationConfig::max_missing_count`].
+//! Preservation ends after [`SelfPreservationConfig::duration`], or at once when a refused connection
+//! confirms that the instance is gone.
 
 use crate::decision::model::Millis;
 use std::collections::VecDeque;
 
-/// When a disappearance is not believed, and for how long.
+/// When missing instances are kept in service, and for how long.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SelfPreservationConfig {
-    /// More than this part of the instances in service must go missing within the duration, 0 to 1, ...
+    /// Maximum share of the instances in service that may go missing within the duration without
+    /// preservation, 0 to 1.
     pub max_missing_share: f64,
-    /// ... and more than so many: two of three instances may well be removed together.
+    /// Maximum number of instances that may go missing within the duration without preservation. Preservation
+    /// needs both limits to be exceeded: in a small fleet, two of three instances may well be removed
+    /// together.
     pub max_missing_count: usize,
-    /// How long missing instances are kept in service, in milliseconds; 0: never.
+    /// How long missing instances are kept in service, in milliseconds; 0 disables self-preservation.
     pub duration: Millis,
 }
 
@@ -31,40 +35,42 @@
     }
 }
 
-/// Why and how long a missing instance is kept in service.
+/// Why and until when a missing instance is kept in service. Times are in milliseconds since the Unix epoch.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Preservation {
-    /// When it went missing.
+    /// When the instance went missing.
     pub since: Millis,
-    /// Until when it is kept in service.
+    /// Until when the instance is kept in service.
     pub until: Millis,
-    /// Instances that went missing within the duration ...
+    /// Number of instances that went missing within the duration.
     pub missing: usize,
-    /// ... of so many that were in service.
+    /// Number of instances that were in service before they went missing.
     pub in_service: usize,
 }
 
-/// Instances that went missing at one time.
+/// Instances that went missing at the same time.
 #[derive(Clone, Copy, Debug)]
 struct Disappearance {
     at: Millis,
     count: usize,
 }
 
-/// Disappearances are told apart up to so many; the oldest two become one.
+/// Maximum number of disappearances that are stored separately; beyond it the oldest two are merged.
 const MAX_DISAPPEARANCES: usize = 64;
 
-/// Disappearances within the duration that were believed: a list that shrinks step by step is as doubtful as one that
-/// shrinks at once.
+/// Accepted disappearances within the duration, that is, those whose instances were removed. They count
+/// towards the limits of later ones, since a list that shrinks step by step is as suspect as one that shrinks
+/// at once.
 #[derive(Clone, Debug, Default)]
 pub struct MissingInstances {
-    /// Oldest first; those of one time are one.
-    believed: VecDeque<Disappearance>,
+    /// Accepted disappearances, oldest first; those at the same time are one entry.
+    accepted: VecDeque<Disappearance>,
 }
 
 impl MissingInstances {
-    /// `missing` instances disappear now of `in_service` before. Returns how they are to be kept in service, or none
-    /// if the disappearance is believed: it counts for later ones then.
+    /// Evaluates the disappearance of `missing` of `in_service` instances. Returns the preservation of the
+    /// missing instances, or `None` if the disappearance is accepted; it then counts towards the limits of
+    /// later ones.
     pub fn evaluate(
         &mut self,
         config: &SelfPreservationConfig,
@@ -76,9 +82,9 @@
             return None;
         }
         self.expire(now, config.duration);
-        let believed: usize = self.believed.iter().map(|past| past.count).sum();
-        let total_missing = believed + missing;
-        let total_in_service = believed + in_service;
+        let accepted: usize = self.accepted.iter().map(|past| past.count).sum();
+        let total_missing = accepted + missing;
+        let total_in_service = accepted + in_service;
         let tolerated = config.max_missing_share * total_in_service as f64;
         if total_missing > config.max_missing_count && total_missing as f64 > tolerated {
             return Some(Preservation {
@@ -88,30 +94,30 @@
                 in_service: total_in_service,
             });
         }
-        self.believe(now, missing);
+        self.accept(now, missing);
         None
     }
 
     fn expire(&mut self, now: Millis, duration: Millis) {
         let expired = |past: &Disappearance| past.at + duration <= now;
-        while self.believed.front().is_some_and(expired) {
-            self.believed.pop_front();
+        while self.accepted.front().is_some_and(expired) {
+            self.accepted.pop_front();
         }
     }
 
-    fn believe(&mut self, now: Millis, count: usize) {
-        match self.believed.back_mut() {
+    fn accept(&mut self, now: Millis, count: usize) {
+        match self.accepted.back_mut() {
             Some(last) if last.at == now => last.count += count,
-            _ => self.believed.push_back(Disappearance { at: now, count }),
+            _ => self.accepted.push_back(Disappearance { at: now, count }),
         }
-        if self.believed.len() > MAX_DISAPPEARANCES {
+        if self.accepted.len() > MAX_DISAPPEARANCES {
             self.merge_oldest();
         }
     }
 
     fn merge_oldest(&mut self) {
-        if let Some(oldest) = self.believed.pop_front()
-            && let Some(next) = self.believed.front_mut()
+        if let Some(oldest) = self.accepted.pop_front()
+            && let Some(next) = self.accepted.front_mut()
         {
             next.count += oldest.count;
         }
--- a/src/membership/snapshot.rs
+++ b/src/membership/snapshot.rs
@@ -1,6 +1,6 @@
-//! What one process leaves for the next: enough to serve while every registry is unreachable, and to know the drains
-//! that an older list must not undo. Connections, preservations and sources' records are not kept: they belong to the
-//! process that saw them.
+//! Snapshots: the data that one process stores for the next, so that it can serve while every registry is
+//! unreachable, and does not let an older list undo a drain. Liveness evidence, preservations and sources'
+//! records are not stored: they are valid only in the process that collected them.
 
 use crate::decision::model::{EngineState, Millis};
 use crate::membership::member::latest;
@@ -8,37 +8,37 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The format version of [`Snapshot`]; it rises when an older program could not read the new form.
+/// Format version of [`Snapshot`]; it is incremented when an older program cannot read the new format.
 pub const SNAPSHOT_FORMAT_VERSION: u32 = 1;
 
-/// The registry view as it is stored.
+/// The stored form of the registry view.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// When it was taken, on the Unix clock, in milliseconds.
+    /// When the snapshot was taken, in milliseconds since the Unix epoch.
     #[serde(rename = "written")]
     pub taken_at: Millis,
-    /// The instances that were listed.
+    /// The instances that were in service or draining.
     #[serde(rename = "engines")]
     pub instances: Vec<PersistedInstance>,
 }
 
-/// One instance that was listed.
+/// The stored form of one instance. Times are in milliseconds since the Unix epoch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PersistedInstance {
-    /// The instance's id.
+    /// Id of the instance.
     pub id: String,
-    /// The address that belonged to it.
+    /// The address that belonged to the instance.
     pub address: SocketAddr,
-    /// Its zone, if known.
+    /// The availability zone, if known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// Its machine type, if known.
+    /// The machine type, if known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kind: Option<String>,
-    /// Whether it was in service; it drained otherwise.
+    /// Whether the instance was in service; otherwise it was draining.
     #[serde(rename = "serves")]
     pub in_service: bool,
-    /// Since when it had its standing.
+    /// Since when the instance had had its standing.
     pub since: Millis,
     /// The newest version that any source reported.
     #[serde(rename = "newest")]
@@ -46,13 +46,14 @@
     /// The version of the newest drain that any source reported.
     #[serde(rename = "drained", default, skip_serializing_if = "Option::is_none")]
     pub drained_version: Option<Version>,
-    /// When its process started, if known.
+    /// When the instance's process started, if known.
     #[serde(rename = "started", default, skip_serializing_if = "Option::is_none")]
     pub started_at: Option<Millis>,
 }
 
 impl Membership {
-    /// What is known now; none while no instance is listed, so that an empty start overwrites nothing.
+    /// Takes a snapshot. Returns `None` while there is no instance to store, so that a start without
+    /// instances does not overwrite the stored snapshot.
     pub fn snapshot(&self, now: Millis) -> Option<Snapshot> {
         let instances: Vec<PersistedInstance> = self
             .members()
@@ -69,7 +70,7 @@
     }
 }
 
-/// The instance as it is stored, if it is listed and has an address of its own.
+/// Returns the stored form of an instance, if the instance is not removed and its address belongs to it.
 fn persisted_form(id: &str, member: &Member) -> Option<PersistedInstance> {
     if member.state() == EngineState::Gone || member.superseded_by.is_some() {
         return None;
