--- a/src/membership/report/build.rs
+++ b/src/membership/report/build.rs
@@ -1,4 +1,4 @@
-//! Builds the report.
+//! Builds the operators' report.
 
 use super::{
     Counts, MAX_MEMBERS_PER_REPORT, MemberReport, PreservationReport, Query, RejectedReport,
@@ -17,7 +17,7 @@
 }
 
 impl Membership {
-    /// Counts over all instances.
+    /// Returns counts over all instances.
     pub fn counts(&self) -> Counts {
         let mut counts = Counts {
             rejections: self.rejections().total(),
@@ -39,7 +39,7 @@
         counts
     }
 
-    /// What is known of the instances that the query selects, and why.
+    /// Returns the report on the sources and on the instances that the query selects.
     pub fn report(&self, now: Millis, query: &Query) -> Report {
         let page = self.member_page(now, query);
         let rejected = self.rejections().recent();
--- a/src/membership/report/mod.rs
+++ b/src/membership/report/mod.rs
@@ -1,4 +1,5 @@
-//! What operators are shown of the registry view: the JSON of `GET /_members`. Ages are in milliseconds before the call.
+//! The operators' report on the registry view: the JSON of `GET /_members`. Ages are in milliseconds at the
+//! time of the call.
 
 mod build;
 mod query;
@@ -14,42 +15,42 @@
 pub struct Report {
     /// All sources.
     pub sources: Vec<SourceReport>,
-    /// The age of the snapshot that this process started from.
+    /// Age of the restored snapshot, in milliseconds, if there is one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub snapshot_age_ms: Option<f64>,
     /// Counts over all instances.
     pub counts: Counts,
     /// The instances that the query selects, ordered by id.
     pub members: Vec<MemberReport>,
-    /// The id after which the next call continues, if there are more.
+    /// The value of `after` for the next call, if there are more instances.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub next: Option<String>,
-    /// The latest rejected addresses.
+    /// The latest rejected addresses, the earliest recorded first.
     pub rejected: Vec<RejectedReport>,
 }
 
-/// One source.
+/// The report on one source.
 #[derive(Debug, Serialize)]
 pub struct SourceReport {
-    /// The registry's address.
+    /// Name of the source: the address of the registry.
     pub name: String,
-    /// Whether its last answer is recent enough for its records to count.
+    /// Whether the last answer is recent enough for the source's records to be used.
     #[serde(rename = "answers")]
     pub answering: bool,
-    /// The age of its last answer.
+    /// Age of the last answer, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub answered_age_ms: Option<f64>,
-    /// Full lists that it sent.
+    /// Number of full lists that the source sent.
     #[serde(rename = "whole_lists")]
     pub full_lists: u64,
-    /// Deltas that it sent.
+    /// Number of deltas that the source sent.
     pub deltas: u64,
-    /// Exchanges that gave nothing usable.
+    /// Number of exchanges that failed or gave an unusable answer.
     pub failures: u64,
-    /// What went wrong in the last of these.
+    /// Problem of the last failed exchange.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub last_failure: Option<String>,
-    /// The age of the last failure.
+    /// Age of the last failed exchange, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub last_failure_age_ms: Option<f64>,
 }
@@ -57,127 +58,127 @@
 /// Counts over all instances.
 #[derive(Debug, Default, PartialEq, Serialize)]
 pub struct Counts {
-    /// Instances that take requests.
+    /// Number of instances that take requests.
     pub ready: usize,
-    /// Instances that take no new requests.
+    /// Number of instances that take no new requests.
     pub draining: usize,
-    /// Missing instances that are kept in service.
+    /// Number of missing instances that self-preservation keeps in service.
     #[serde(rename = "held")]
     pub preserved: usize,
-    /// Instances on which sources contradict each other.
+    /// Number of instances on which sources contradict each other.
     pub contradicted: usize,
-    /// Restored instances that no source has confirmed.
+    /// Number of restored instances that no source has confirmed.
     #[serde(rename = "unproven")]
     pub unconfirmed: usize,
-    /// Instances that operators drained.
+    /// Number of instances that operators have drained.
     #[serde(rename = "by_hand")]
     pub administratively_drained: usize,
-    /// Removed instances whose versions are kept.
+    /// Number of removed instances whose versions are kept.
     #[serde(rename = "gone")]
     pub tombstones: usize,
-    /// Rejected addresses since the start.
+    /// Number of rejections since the start of the process.
     pub rejections: u64,
-    /// Records of instances beyond the limit that were ignored.
+    /// Number of records that were ignored because of the maximum number of instances.
     #[serde(rename = "beyond_bound")]
     pub over_limit: u64,
-    /// Records that were ignored because a newer one was known.
+    /// Number of records that were ignored because a newer one was known.
     #[serde(rename = "passed_over")]
     pub outdated_records: u64,
 }
 
-/// One instance.
+/// The report on one instance.
 #[derive(Debug, Serialize)]
 pub struct MemberReport {
-    /// Its id.
+    /// Id of the instance.
     pub id: String,
-    /// Its address, if known.
+    /// The address, if known.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub address: Option<SocketAddr>,
     /// `ready`, `draining` or `gone`.
     pub state: &'static str,
-    /// Why it is in this state.
+    /// The reason for the state.
     #[serde(rename = "why")]
     pub reason: String,
-    /// Since when it has its standing.
+    /// Time since the standing last changed, in milliseconds.
     pub state_age_ms: f64,
-    /// How often its standing has changed.
+    /// Number of changes of the standing.
     #[serde(rename = "turns")]
     pub state_changes: u64,
-    /// Its zone, if known.
+    /// The availability zone, if known.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// Its machine type, if known.
+    /// The machine type, if known.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub kind: Option<String>,
-    /// The age of its process, if known.
+    /// Time since the instance's process started, in milliseconds, if known.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub started_age_ms: Option<f64>,
     /// The newest version that any source reported.
     pub version: Version,
-    /// Sources contradict each other.
+    /// Whether sources contradict each other on the instance.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub contradiction: bool,
-    /// Restored from a snapshot and confirmed by no source since.
+    /// Whether the instance was restored from a snapshot and no source has confirmed it since.
     #[serde(rename = "unproven", skip_serializing_if = "std::ops::Not::not")]
     pub unconfirmed: bool,
-    /// Operators drained it.
+    /// Whether operators have drained the instance.
     #[serde(rename = "by_hand", skip_serializing_if = "std::ops::Not::not")]
     pub administratively_drained: bool,
-    /// Connections show that nobody is there.
+    /// Whether all connections to the instance were lost or refused, and none has been opened since.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub connections_lost: bool,
-    /// It is missing and kept in service.
+    /// Set while the instance is missing and self-preservation keeps it in service.
     #[serde(rename = "held", skip_serializing_if = "Option::is_none")]
     pub preservation: Option<PreservationReport>,
-    /// The instance that its address belongs to now.
+    /// The newer instance that this instance's address belongs to, if any.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub superseded_by: Option<String>,
-    /// What each source last reported of it.
+    /// The last report of each source.
     #[serde(rename = "claims")]
     pub records: Vec<SourceRecordReport>,
 }
 
-/// Why and how long a missing instance is kept in service.
+/// Why and for how much longer a missing instance is kept in service.
 #[derive(Debug, Serialize)]
 pub struct PreservationReport {
-    /// How many went missing with it.
+    /// Text that states how many instances went missing together.
     #[serde(rename = "why")]
     pub reason: String,
-    /// The time that is left.
+    /// Time until the preservation ends, in milliseconds.
     pub ends_in_ms: f64,
 }
 
-/// What one source last reported of an instance.
+/// The last report of one source on an instance.
 #[derive(Debug, Serialize)]
 pub struct SourceRecordReport {
-    /// The source's name.
+    /// Name of the source.
     pub source: String,
-    /// The status that it reported, or that it does not list the instance.
+    /// The reported status, or a text that states that the address is unusable or the instance not listed.
     #[serde(rename = "says")]
     pub reported: String,
-    /// How new the report is.
+    /// Version of the report.
     pub version: Version,
-    /// Since when the source reports this.
+    /// Time since the source first reported this state, in milliseconds.
     pub since_age_ms: f64,
-    /// The instance itself has reported something newer since.
+    /// Whether a newer `lastDirtyTimestamp` of the instance is known.
     #[serde(rename = "older", skip_serializing_if = "std::ops::Not::not")]
     pub outdated: bool,
 }
 
-/// An address that was rejected.
+/// A rejected address.
 #[derive(Debug, Serialize)]
 pub struct RejectedReport {
-    /// The instance's id.
+    /// Id of the instance.
     pub id: String,
-    /// The address, if one was named.
+    /// The address, if the record named one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub address: Option<SocketAddr>,
-    /// Why it was rejected.
+    /// Why the address was rejected.
     #[serde(rename = "why")]
     pub reason: String,
-    /// How often it was rejected.
+    /// Number of rejections of this address of the instance.
     #[serde(rename = "times")]
     pub count: u64,
-    /// The age of the last rejection.
+    /// Time since the last rejection, in milliseconds.
     pub last_age_ms: f64,
 }
--- a/src/membership/report/query.rs
+++ b/src/membership/report/query.rs
@@ -1,43 +1,43 @@
-//! The query of `GET /_members`: which instances are reported.
+//! The query string of `GET /_members`, which selects the instances to report.
 
 use crate::decision::model::EngineState;
 use crate::membership::Member;
 
-/// Instances that one report holds at most; the next call continues after [`super::Report::next`].
+/// Maximum number of instances in one report; the next call continues after [`super::Report::next`].
 pub const MAX_MEMBERS_PER_REPORT: usize = 1000;
 
-/// Which instances are reported, as the call's query says.
+/// Parsed query string of a call.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Query {
-    /// At most so many.
+    /// Maximum number of instances; [`MAX_MEMBERS_PER_REPORT`] if absent.
     pub limit: Option<usize>,
-    /// Only ids after this one.
+    /// Only instances with ids after this one are reported.
     pub after: Option<String>,
-    /// Only instances of this kind; none: all that are not removed.
+    /// Only instances that pass this filter are reported; if absent, all that are not removed.
     pub filter: Option<MemberFilter>,
 }
 
-/// A kind of instances.
+/// Filter of instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberFilter {
-    /// Those that take requests.
+    /// Instances that take requests.
     Ready,
-    /// Those that take no new requests.
+    /// Instances that take no new requests.
     Draining,
-    /// Removed ones whose versions are kept.
+    /// Removed instances whose versions are kept.
     Removed,
-    /// Missing ones that are kept in service.
+    /// Missing instances that self-preservation keeps in service.
     Preserved,
-    /// Those on which sources contradict each other.
+    /// Instances on which sources contradict each other.
     Contradicted,
-    /// Restored ones that no source has confirmed.
+    /// Restored instances that no source has confirmed.
     Unconfirmed,
 }
 
-/// What is wrong with a query.
+/// Error in a query string.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum QueryError {
-    /// The limit is no number, or out of range.
+    /// The limit is not a number, or out of range.
     #[error("limit: {0:?} is no number from 1 to {MAX_MEMBERS_PER_REPORT}")]
     Limit(String),
     /// The filter is unknown.
@@ -49,10 +49,10 @@
 }
 
 impl Query {
-    /// Reads `limit=…&after=…&only=…`, escaped as in a form.
+    /// Parses `limit=…&after=…&only=…`, in the encoding `application/x-www-form-urlencoded`.
     ///
     /// # Errors
-    /// An unknown key or a value out of range, by name.
+    /// A key is unknown, or a value is out of range; the error names the key.
     pub fn parse(text: &str) -> Result<Self, QueryError> {
         let mut query = Query::default();
         for (key, value) in url::form_urlencoded::parse(text.as_bytes()) {
