--- a/src/membership/tests/addresses.rs
+++ b/src/membership/tests/addresses.rs
@@ -1,4 +1,4 @@
-//! Whom an address belongs to, and which addresses are rejected.
+//! Tests of address ownership and of rejected addresses.
 
 use super::{SOURCE_A, Simulation, address, up, up_at};
 use crate::decision::model::EngineState::{Draining, Gone, Ready};
@@ -24,11 +24,11 @@
             .iter()
             .any(|member| member.superseded_by.as_deref() == Some("new"))
     );
-    // Listed again in another order: it stays with the newer.
+    // Listed again in another order: the address stays with the newer instance.
     simulation.full_list(SOURCE_A, &[new, other.clone(), old.clone()]);
     assert_eq!(simulation.state("old"), Draining);
     assert_eq!(simulation.state("new"), Ready);
-    // When the newer is removed, the address is free for the one that still lists it.
+    // When the newer instance is removed, the address returns to the one that is still listed with it.
     simulation.full_list(SOURCE_A, &[old, other]);
     assert_eq!(simulation.state("new"), Gone);
     assert_eq!(simulation.state("old"), Ready);
@@ -72,9 +72,9 @@
         Some(address(3306)),
         "an IPv4-mapped address counts as the IPv4 address"
     );
-    // A known engine whose address is poisoned drains, and never gets the new address.
-    let poisoned = up_at_text("ok", "198.51.100.7:3306", 6);
-    simulation.delta(SOURCE_A, &[poisoned], &[]);
+    // A known engine that is listed with a rejected address drains and keeps its former address.
+    let rejected = up_at_text("ok", "198.51.100.7:3306", 6);
+    simulation.delta(SOURCE_A, &[rejected], &[]);
     assert_eq!(simulation.state("ok"), Draining);
     assert_eq!(simulation.published_address("ok"), Some(address(3306)));
     assert_eq!(simulation.view.rejections().total(), 6);
--- a/src/membership/tests/bounds.rs
+++ b/src/membership/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! Bounds on what is stored.
+//! Tests of the limits on stored data.
 
 use super::{SOURCE_A, Simulation, up};
 use crate::membership::{InstanceRecord, MembershipConfig};
--- a/src/membership/tests/contradictions.rs
+++ b/src/membership/tests/contradictions.rs
@@ -1,4 +1,4 @@
-//! Sources that answer and differ on one instance.
+//! Tests of sources that answer and differ on one instance.
 
 use super::{SOURCE_A, SOURCE_B, Simulation, many, out_of_service, up};
 use crate::decision::model::EngineState::{Draining, Gone, Ready};
@@ -24,7 +24,7 @@
     assert_eq!(report.counts.contradicted, 1);
     let reason = &report.members[0].reason;
     assert!(reason.contains(SOURCE_A), "{reason}");
-    // A newer timestamp of the instance itself settles it.
+    // A newer timestamp that the instance itself set resolves the contradiction.
     simulation.delta(SOURCE_B, &[up("e", 6, 100_500)], &[]);
     assert_eq!(simulation.state("e"), Ready);
 }
--- a/src/membership/tests/invariants.rs
+++ b/src/membership/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! What holds for every sequence of events.
+//! Property tests: invariants that hold for every sequence of events.
 
 use super::{SOURCE_A, Simulation, address, many, record};
 use crate::decision::model::EngineState::Ready;
@@ -20,7 +20,7 @@
     Status::Starting,
 ];
 
-/// A record of an instance, by small numbers.
+/// A generated record of an instance; all fields are small numbers.
 #[derive(Clone, Debug)]
 struct RecordInput {
     instance: usize,
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug)]
 struct UpdateInput {
     source: usize,
-    /// How long ago the answer was requested.
+    /// How long ago the answer was requested, in milliseconds.
     age: u32,
     full: bool,
     records: Vec<RecordInput>,
@@ -43,7 +43,11 @@
 #[derive(Clone, Debug)]
 enum Step {
     Update(UpdateInput),
-    Observation { instance: usize, kind: usize },
+    Observation {
+        instance: usize,
+        kind: usize,
+    },
+    /// The clock advances by so many milliseconds.
     Advance(u32),
 }
 
@@ -51,7 +55,7 @@
     format!("e{number}")
 }
 
-/// Steps of two seconds: beyond what registries' clocks differ by.
+/// Returns a timestamp of a registry, in steps of two seconds: more than the clock skew between registries.
 fn updated_timestamp(step: u8) -> u64 {
     1 + 2_000 * u64::from(step)
 }
@@ -145,7 +149,7 @@
     prop::collection::vec(step, 1..40)
 }
 
-/// The newest versions that sources reported of each instance.
+/// The newest reported versions of each instance, by whether the record puts it into service.
 #[derive(Default)]
 struct ReportedVersions {
     serving: BTreeMap<String, Version>,
@@ -163,7 +167,7 @@
     }
 }
 
-/// A simulation, and what sources reported to it.
+/// A simulation with the versions that sources reported to it.
 struct Checked {
     simulation: Simulation,
     versions: ReportedVersions,
@@ -229,7 +233,7 @@
         let count = addresses.len();
         addresses.sort();
         addresses.dedup();
-        prop_assert_eq!(addresses.len(), count, "an address belongs to one engine");
+        prop_assert_eq!(addresses.len(), count, "two engines share an address");
         Ok(())
     }
 
@@ -239,7 +243,7 @@
             prop_assert_eq!(
                 self.simulation.state(id),
                 member.state(),
-                "{} is published as it is resolved",
+                "the published state of {} is the resolved one",
                 id
             );
             prop_assert!(member.records.iter().count() <= SOURCES.len());
@@ -253,7 +257,7 @@
         let wakeup = self.simulation.view.next_wakeup(now);
         prop_assert!(
             wakeup.is_none_or(|at| at > now),
-            "no wake-up in the past: {wakeup:?} at {now}"
+            "the next wake-up is not in the future: {wakeup:?} at {now}"
         );
         Ok(())
     }
@@ -263,9 +267,9 @@
     #![proptest_config(ProptestConfig { cases: 600, failure_persistence: None,
         rng_seed: proptest::test_runner::RngSeed::Fixed(9), ..ProptestConfig::default() })]
 
-    /// Whatever is reported in whatever order: an engine in service was reported as UP by a record that is newer than
-    /// every drain that was reported of it; no two published engines share an address; what was published is what is
-    /// resolved; and nothing grows.
+    /// For reports in any order: an engine in service was reported as UP by a record that is newer than every
+    /// drain reported of it; no two published engines share an address; the published state is the resolved
+    /// state; the number of stored instances and records is bounded; and the next wake-up is in the future.
     #[test]
     fn a_newer_drain_is_never_undone_by_an_older_up(steps in steps()) {
         let mut checked = Checked::new();
@@ -286,21 +290,21 @@
         let limits = config.self_preservation.clone();
         let mut simulation = Simulation::new(config);
         simulation.full_list(SOURCE_A, &many(60));
-        let mut believed: Vec<(Millis, usize)> = vec![];
+        let mut accepted: Vec<(Millis, usize)> = vec![];
         for size in sizes {
             simulation.now += f64::from(gap);
             let published_before = simulation.published.len();
             let preserved = simulation.view.preserved_count();
             simulation.full_list(SOURCE_A, &many(size));
             let removed = published_before.saturating_sub(simulation.published.len());
-            // What is removed because a preservation ended by time is not the list's doing.
+            // Removals at the end of a preservation are not caused by the list, so they are not checked.
             if preserved == 0 && removed > 0 {
-                believed.retain(|(at, _)| *at + limits.duration > simulation.now);
-                let recent: usize = believed.iter().map(|(_, count)| count).sum();
+                accepted.retain(|(at, _)| *at + limits.duration > simulation.now);
+                let recent: usize = accepted.iter().map(|(_, count)| count).sum();
                 let in_service = (published_before + recent) as f64;
                 let tolerated = (in_service * limits.max_missing_share) as usize;
                 prop_assert!(removed + recent <= limits.max_missing_count.max(tolerated));
-                believed.push((simulation.now, removed));
+                accepted.push((simulation.now, removed));
             }
         }
     }
--- a/src/membership/tests/liveness.rs
+++ b/src/membership/tests/liveness.rs
@@ -1,4 +1,4 @@
-//! What connections prove.
+//! Tests of the liveness evidence from connections.
 
 use super::{SOURCE_A, Simulation, up};
 use crate::decision::model::EngineState::Ready;
@@ -19,7 +19,7 @@
     let opened = opened_now(&simulation);
     assert!(
         !simulation.observe("e", opened),
-        "the first connection proves nothing"
+        "the first connection is no evidence of a restart"
     );
     // The registry is unreachable from here on.
     simulation.advance(60_000.0);
@@ -41,7 +41,10 @@
     simulation.full_list(SOURCE_A, &[listed]);
     assert_eq!(simulation.published["e"].started, Some(back_at));
     let opened = opened_now(&simulation);
-    assert!(!simulation.observe("e", opened), "once");
+    assert!(
+        !simulation.observe("e", opened),
+        "the restart is reported only once"
+    );
 }
 
 #[test]
--- a/src/membership/tests/mod.rs
+++ b/src/membership/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The registry view, through its public interface.
+//! Tests of the registry view through its public interface.
 
 mod addresses;
 mod bounds;
@@ -26,7 +26,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// A port that depends on the id alone.
+/// Returns a port that depends only on the id.
 fn port_of(id: &str) -> u16 {
     let hash = id.bytes().fold(0u16, |hash, byte| {
         hash.wrapping_mul(31).wrapping_add(byte.into())
@@ -62,14 +62,14 @@
     }
 }
 
-/// Instances `e0000`, `e0001`, ... that are up.
+/// Returns `count` records of instances `e0000`, `e0001`, ... with status `UP`.
 fn many(count: usize) -> Vec<InstanceRecord> {
     (0..count)
         .map(|number| up_at(&format!("e{number:04}"), 5, 2000 + number as u16))
         .collect()
 }
 
-/// A registry view with a clock, and the list that was published so far.
+/// A registry view with a simulated clock, the endpoint list published so far, and the log lines.
 struct Simulation {
     view: Membership,
     now: Millis,
--- a/src/membership/tests/ordering.rs
+++ b/src/membership/tests/ordering.rs
@@ -1,4 +1,4 @@
-//! Statuses of one source, and which of its records counts.
+//! Tests of statuses and of the order of records.
 
 use super::{SOURCE_A, SOURCE_B, Simulation, out_of_service, record, up};
 use crate::decision::model::EngineState::{Draining, Gone, Ready};
@@ -33,7 +33,7 @@
     assert_eq!(
         simulation.state("down"),
         Draining,
-        "an override of UP makes no engine well"
+        "an override to UP does not put an engine into service"
     );
     simulation.delta(SOURCE_A, &[], &[("plain0", Version::new(5, 200))]);
     assert_eq!(simulation.state("plain0"), Gone);
@@ -50,7 +50,8 @@
     simulation.full_list(SOURCE_A, &[up("e", 5, 100)]);
     simulation.delta(SOURCE_A, &[out_of_service("e", 5, 5_000)], &[]);
     assert_eq!(simulation.state("e"), Draining);
-    // The same registry, from an older cache; another that lags; and that one alone when the first is unreachable.
+    // An older cached answer of the same registry, then a lagging second registry, then the second registry
+    // alone while the first is unreachable.
     simulation.full_list(SOURCE_A, &[up("e", 5, 100)]);
     assert_eq!(simulation.state("e"), Draining);
     simulation.full_list(SOURCE_B, &[up("e", 5, 100)]);
@@ -60,7 +61,7 @@
     assert_eq!(simulation.state("e"), Draining);
     assert_eq!(simulation.reason("e"), Reason::OlderThanDrain);
     assert!(simulation.view.members()["e"].records.outdated_records > 0);
-    // A newer record of either does.
+    // A newer record of either registry puts the engine back.
     simulation.full_list(SOURCE_B, &[up("e", 6, 100)]);
     assert_eq!(simulation.state("e"), Ready);
 }
@@ -68,7 +69,7 @@
 #[test]
 fn an_answer_to_an_earlier_request_never_counts_after_one_to_a_later_request() {
     let mut simulation = Simulation::new(MembershipConfig::default());
-    // A registry without timestamps: only the order of requests orders its records.
+    // The registry sends no timestamps, so only the order of requests orders its records.
     simulation.full_list(SOURCE_A, &[up("e", 0, 0)]);
     simulation.now += 100.0;
     simulation.full_list(SOURCE_A, &[record("e", Status::Down, 0, 0)]);
--- a/src/membership/tests/report.rs
+++ b/src/membership/tests/report.rs
@@ -1,4 +1,4 @@
-//! The query of the operators' report.
+//! Tests of the query string of the operators' report.
 
 use crate::membership::report::{MemberFilter, Query};
 
--- a/src/membership/tests/self_preservation.rs
+++ b/src/membership/tests/self_preservation.rs
@@ -1,4 +1,4 @@
-//! Mass disappearances.
+//! Tests of instances that disappear in large numbers.
 
 use super::{SOURCE_A, Simulation, many};
 use crate::decision::model::EngineState::{Gone, Ready};
@@ -39,7 +39,7 @@
     simulation.full_list(SOURCE_A, &many(200));
     assert_eq!(simulation.view.preserved_count(), 0);
     assert_eq!(simulation.state("e0007"), Ready);
-    // The preservation of a further disappearance ends by itself.
+    // The preservation of a second disappearance ends after its duration.
     simulation.full_list(SOURCE_A, &many(1));
     simulation.advance(60_000.0);
     simulation.full_list(SOURCE_A, &many(1));
--- a/src/membership/tests/snapshot.rs
+++ b/src/membership/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! A start from the snapshot of an earlier process.
+//! Tests of a start from the snapshot of an earlier process.
 
 use super::{SOURCE_A, SOURCE_B, Simulation, out_of_service, up};
 use crate::decision::model::EngineState::{Draining, Gone, Ready};
@@ -8,9 +8,9 @@
 
 #[test]
 fn a_start_with_every_registry_unreachable_serves_the_snapshot_as_unconfirmed() {
-    let mut former = Simulation::new(MembershipConfig::default());
-    former.full_list(SOURCE_A, &[up("e", 5, 100), out_of_service("d", 5, 9_000)]);
-    let snapshot = former.view.snapshot(former.now).unwrap();
+    let mut earlier = Simulation::new(MembershipConfig::default());
+    earlier.full_list(SOURCE_A, &[up("e", 5, 100), out_of_service("d", 5, 9_000)]);
+    let snapshot = earlier.view.snapshot(earlier.now).unwrap();
     let stored = serde_json::to_string(&snapshot).unwrap();
     let mut simulation = Simulation::new(MembershipConfig::default());
     simulation.now += 40_000.0;
@@ -31,13 +31,13 @@
     assert_eq!(
         simulation.published["e"].started,
         Some(simulation.now),
-        "nobody knows whether it restarted: it warms up"
+        "it is warming up, since it may have restarted"
     );
     let report_at = simulation.now + 500.0;
     let report = simulation.view.report(report_at, &Query::default());
     assert_eq!(report.snapshot_age_ms, Some(40_500.0));
     assert_eq!(report.counts.unconfirmed, 2);
-    // A lagging registry answers first, and cannot undo the drain; it confirms the other engine.
+    // A lagging registry answers first: it cannot undo the drain, and it confirms the other engine.
     simulation.now += 1000.0;
     simulation.full_list(SOURCE_B, &[up("e", 5, 100), up("d", 5, 100)]);
     assert_eq!(simulation.state("e"), Ready);
@@ -47,9 +47,9 @@
 
 #[test]
 fn the_first_list_takes_precedence_over_the_snapshot() {
-    let mut former = Simulation::new(MembershipConfig::default());
-    former.full_list(SOURCE_A, &[up("removed", 5, 100), up("e", 5, 100)]);
-    let snapshot = former.view.snapshot(former.now).unwrap();
+    let mut earlier = Simulation::new(MembershipConfig::default());
+    earlier.full_list(SOURCE_A, &[up("removed", 5, 100), up("e", 5, 100)]);
+    let snapshot = earlier.view.snapshot(earlier.now).unwrap();
     let mut simulation = Simulation::new(MembershipConfig::default());
     simulation.now += 500_000.0;
     simulation.view.restore(simulation.now, snapshot);
--- a/src/membership/tests/sources.rs
+++ b/src/membership/tests/sources.rs
@@ -1,4 +1,4 @@
-//! Sources that are unreachable, and sources that the configuration replaces.
+//! Tests of unreachable sources and of sources that the configuration replaces.
 
 use super::{SOURCE_A, SOURCE_B, Simulation, many, up};
 use crate::decision::model::EngineState::{Gone, Ready};
