--- a/src/membership/ingestion.rs
+++ b/src/membership/ingestion.rs
@@ -138,7 +138,7 @@
         self.instances_over_limit += 1;
         // Only every power of two is logged, so that a list far beyond the limit does not fill the log.
         if self.instances_over_limit.is_power_of_two() {
-            let line = format!("engine {id:?} is one beyond {max_instances}: it is not taken");
+            let line = format!("engine {id:?} is ignored: the limit is {max_instances} instances");
             self.log.push(line);
         }
         false
--- a/src/membership/reevaluation.rs
+++ b/src/membership/reevaluation.rs
@@ -83,7 +83,7 @@
         for (id, reason) in drained.into_iter().take(MAX_DRAIN_LINES) {
             let reason = self.explain(reason);
             self.log
-                .push(format!("engine {id} takes nothing new: {reason}"));
+                .push(format!("engine {id} takes no new requests: {reason}"));
         }
     }
 
@@ -110,7 +110,7 @@
             return;
         };
         self.log.push(format!(
-            "{} of {} engines vanished at once: {} are held in service for {} s",
+            "{} of {} engines vanished at once: {} are kept in service for {} s",
             preservation.missing,
             preservation.in_service,
             candidates.len(),
--- a/src/membership/registry_view.rs
+++ b/src/membership/registry_view.rs
@@ -112,7 +112,7 @@
             // The connection confirms the instance, and the start of its process is known now.
             member.unconfirmed_since = None;
             self.log.push(format!(
-                "engine {engine}: all connections were lost and it is back: it started anew"
+                "engine {engine} counts as restarted: it accepts connections again after none was open"
             ));
         }
         ObservationOutcome {
--- a/tests/recorded_state/expected.rs
+++ b/tests/recorded_state/expected.rs
@@ -5,7 +5,7 @@
 pub(crate) const REGISTRY_CONFLICTS: Expected = Expected {
     profile: "registry conflicts",
     state: "6288f4d42bc192a35bec3e49dc35a0a864eb04851a22ea4e6ac6f13eefd5f99a",
-    wording: "d570d5d9eaa18c8106f9a98be5c8f8ccffa7398554b1ab12bee49f39d17b1055",
+    wording: "439b571c656d92a0218d236b9f8778409b566b6199edf7f47f8a4ad573dc4c78",
     counts: &[
         ("address passed on", 1038),
         ("change patch", 2374),
@@ -33,7 +33,7 @@
 pub(crate) const REGISTRY_SELF_PRESERVATION: Expected = Expected {
     profile: "registry self preservation",
     state: "b032fc0950e9499e3f8fdcc8289207b25a46411de66f02ae97026ca014798ff4",
-    wording: "2412ddccf12273455542061852438c983569159aaa9299169c1fcfd387099cdc",
+    wording: "9a5bf6292bc5d0af5475d387bb8a941e1748dc812ccae690df84f5a1599a1ae5",
     counts: &[
         ("change patch", 781),
         ("change whole", 60),
@@ -60,7 +60,7 @@
 pub(crate) const REGISTRY_RESTARTS: Expected = Expected {
     profile: "registry restarts",
     state: "8e87d5b7e49227f2e216709eff5a8d57ceac48a36f25069f051b681b104607ad",
-    wording: "3b2e352cdee451f6c7d65814ee5851aca43edcd372758175a20581b0e54c8734",
+    wording: "0663013aa22c6af59c82e0c875fb5ea12fc08c5b9a208ee56efe428dd18925cf",
     counts: &[
         ("address passed on", 606),
         ("change patch", 1040),
@@ -93,7 +93,7 @@
 pub(crate) const REGISTRY_LIMITS: Expected = Expected {
     profile: "registry limits",
     state: "c1a324ed83c9af255bcce4d8c6e8094ee6e0bb0e626d57f702f983c03770d8e0",
-    wording: "7a9d962020b12af06dc0829ca98f14c557f4cca1558fe32a92edb3ab51aa5583",
+    wording: "7aca51dd5a87324fe815f4662d8b6e30273a0b908390d3de1f931d20557e9ab7",
     counts: &[
         ("address passed on", 327),
         ("beyond instance limit", 622),
@@ -310,7 +310,7 @@
 pub(crate) const REGISTRY_LIVENESS: Expected = Expected {
     profile: "registry liveness",
     state: "316f1fd237bc6b17239b0876ca87723d9e222e768af66c3cc54dce85c76adf5c",
-    wording: "aaed1622ae57fe9c6586df8930386370e1c306cd1451463900c1198d74bf79b3",
+    wording: "a1fa1a1defd1e5bb9de1864d24390644024eedb3a1282014eab09281cc69c2df",
     counts: &[
         ("change patch", 380),
         ("change whole", 80),
