--- a/crates/mysql-conformance/src/lib.rs
+++ b/crates/mysql-conformance/src/lib.rs
@@ -15,7 +15,7 @@
 use cases::{CASES, Case, Engine as Against, Step, UNTESTED, Want};
 use query_dispatcher::config::{EndpointSource, MysqlConfig};
 use query_dispatcher::core::{Core, CoreLimits};
-use query_dispatcher::discovery::{Change, Engine as Listed};
+use query_dispatcher::discovery::{EndpointListChange, Engine as Listed};
 use query_dispatcher::dispatch::RequestRouter;
 use query_dispatcher::frontend::mysql::Frontend;
 use query_dispatcher::protocol::mysql::packet::{
@@ -91,7 +91,7 @@
         cell: 0,
         started: None,
     });
-    router.update_endpoints(&Change {
+    router.update_endpoints(&EndpointListChange {
         update: ListUpdate::Snapshot,
         engines: listed.collect(),
     });
--- a/src/discovery/journal.rs
+++ b/src/discovery/journal.rs
@@ -3,7 +3,7 @@
 
 use crate::decision::model::{EngineState, ListUpdate};
 use crate::discovery::backoff::Backoff;
-use crate::discovery::{Change, ChangeHandler, Discovery, Engine};
+use crate::discovery::{ChangeHandler, Discovery, EndpointListChange, Engine};
 use crate::log_line;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -60,7 +60,7 @@
 }
 
 impl Hosts {
-    fn change(self) -> Change {
+    fn change(self) -> EndpointListChange {
         let update = if self.reset {
             ListUpdate::Snapshot
         } else {
@@ -80,7 +80,7 @@
             cell: i.cell.unwrap_or(0),
             started: i.started_at_ms.filter(|t| *t > 0.0),
         });
-        Change {
+        EndpointListChange {
             update,
             engines: engines.collect(),
         }
@@ -94,7 +94,7 @@
     /// Number of the last event that was applied.
     pos: u64,
     /// The configuration's list, delivered before the first connection.
-    first: Vec<Change>,
+    first: Vec<EndpointListChange>,
     silence: Duration,
     backoff: Backoff,
     /// Position after which an event could not be parsed: it is requested once more, then skipped.
@@ -126,7 +126,7 @@
         };
         if !known.is_null() {
             let known: Known = serde_json::from_value(known)?;
-            let mut changes: Vec<Change> = known
+            let mut changes: Vec<EndpointListChange> = known
                 .entries
                 .into_iter()
                 .filter_map(|e| e.hosts)
@@ -143,7 +143,11 @@
     }
 
     /// Applies one event of the stream; `id` is its number, which its data may give instead.
-    fn event(&mut self, id: Option<u64>, data: &str) -> std::io::Result<Option<Change>> {
+    fn event(
+        &mut self,
+        id: Option<u64>,
+        data: &str,
+    ) -> std::io::Result<Option<EndpointListChange>> {
         let event: Event = match serde_json::from_str(data) {
             Ok(event) => event,
             Err(_) if id.is_some_and(|pos| pos <= self.pos) => return Ok(None),
@@ -167,7 +171,7 @@
 
     /// Applies the events of one read. Patches in a row are one change, for each change costs a round of decisions.
     fn apply(&mut self, events: Vec<ServerSentEvent>, sink: &ChangeHandler) -> std::io::Result<()> {
-        let mut pending: Option<Change> = None;
+        let mut pending: Option<EndpointListChange> = None;
         let mut outcome = Ok(());
         for (id, data) in events {
             let change = match self.event(id, &data) {
--- a/src/discovery/membership_driver.rs
+++ b/src/discovery/membership_driver.rs
@@ -9,7 +9,7 @@
 use crate::log_line;
 use crate::membership::report::{Query, QueryError, Report};
 use crate::membership::{
-    Change, Membership, Observation, SNAPSHOT_FORMAT_VERSION, Snapshot, SourceUpdate,
+    EndpointListChange, Membership, Observation, SNAPSHOT_FORMAT_VERSION, Snapshot, SourceUpdate,
 };
 use crate::storage::{LoadError, LocalFileSystem, RecordError, RecordKind, RecordStore};
 use serde::Serialize;
@@ -220,7 +220,7 @@
     }
 
     /// Logs what membership has to say, passes a change on and wakes the timers.
-    fn publish(&self, change: Option<Change>) {
+    fn publish(&self, change: Option<EndpointListChange>) {
         let lines = self.membership.borrow_mut().drain_log_lines();
         lines.iter().for_each(|line| log_line!("members: {line}"));
         if let Some(change) = change {
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -8,10 +8,10 @@
 
 use crate::config::StaticEngine;
 use crate::decision::model::{EngineState, ListUpdate};
-pub use crate::membership::{Change, Engine};
+pub use crate::membership::{EndpointListChange, Engine};
 
 /// Callback that receives each change of the engine list, in order.
-pub type ChangeHandler = Box<dyn Fn(Change)>;
+pub type ChangeHandler = Box<dyn Fn(EndpointListChange)>;
 
 /// A source of engine list changes.
 pub trait Discovery {
@@ -21,7 +21,7 @@
 }
 
 /// The change that a static list from the configuration amounts to: one snapshot in which every engine is ready.
-pub fn fixed(engines: &[StaticEngine]) -> Change {
+pub fn fixed(engines: &[StaticEngine]) -> EndpointListChange {
     let engine = |e: &StaticEngine| Engine {
         id: e.id.clone(),
         address: Some(e.address),
@@ -31,7 +31,7 @@
         cell: 0,
         started: None,
     };
-    Change {
+    EndpointListChange {
         update: ListUpdate::Snapshot,
         engines: engines.iter().map(engine).collect(),
     }
--- a/src/dispatch/endpoints.rs
+++ b/src/dispatch/endpoints.rs
@@ -3,7 +3,7 @@
 use crate::clock::{process_time_millis, wall_clock_millis};
 use crate::config::position_of;
 use crate::decision::model::{EngineEntry, ListUpdate, Millis};
-use crate::discovery::{Change, Engine};
+use crate::discovery::{EndpointListChange, Engine};
 use crate::dispatch::request_router::RequestRouter;
 use crate::dispatch::start_times::Now;
 use crate::dispatch::upstream::Upstream;
@@ -23,7 +23,7 @@
 
 impl<U: Upstream> RequestRouter<U> {
     /// Applies a change of the endpoint list. Changes are to come in the order in which discovery reports them.
-    pub fn update_endpoints(self: &Rc<Self>, change: &Change) {
+    pub fn update_endpoints(self: &Rc<Self>, change: &EndpointListChange) {
         let now = Now {
             process_ms: process_time_millis(),
             wall_clock_ms: wall_clock_millis(),
@@ -38,7 +38,11 @@
     }
 
     /// The change as the core takes it, and as the upstream does, with the starts of engines on the clock of the process.
-    fn localize(&self, now: Now, change: &Change) -> (Vec<EngineEntry>, Change) {
+    fn localize(
+        &self,
+        now: Now,
+        change: &EndpointListChange,
+    ) -> (Vec<EngineEntry>, EndpointListChange) {
         let mut start_times = self.start_times.borrow_mut();
         let mut entries = Vec::with_capacity(change.engines.len());
         let mut engines = Vec::with_capacity(change.engines.len());
@@ -54,7 +58,7 @@
         }
         start_times.forget_removed(change);
         let update = change.update;
-        (entries, Change { update, engines })
+        (entries, EndpointListChange { update, engines })
     }
 
     /// A request to a peer about the ages of engines, if one is due.
@@ -157,7 +161,7 @@
 
 /// The entry as a change for the upstream, which keeps the address that it knows and closes connections to an earlier
 /// process.
-fn patch(entry: EngineEntry) -> Change {
+fn patch(entry: EngineEntry) -> EndpointListChange {
     let engine = Engine {
         id: entry.engine,
         address: None,
@@ -167,7 +171,7 @@
         cell: entry.cell,
         started: entry.started,
     };
-    Change {
+    EndpointListChange {
         update: ListUpdate::Patch,
         engines: vec![engine],
     }
--- a/src/dispatch/start_times.rs
+++ b/src/dispatch/start_times.rs
@@ -8,7 +8,7 @@
 
 use crate::decision::model::{EngineState, ListUpdate, Millis};
 use crate::gossip::{EngineAge, MAX_STARTS, StartId};
-use crate::membership::Change;
+use crate::membership::EndpointListChange;
 use std::collections::{HashMap, HashSet};
 
 /// The wall clocks of two machines differ by at most this: each may be off by an hour.
@@ -149,7 +149,7 @@
     }
 
     /// Forgets the engines that a change removes.
-    pub(super) fn forget_removed(&mut self, change: &Change) {
+    pub(super) fn forget_removed(&mut self, change: &EndpointListChange) {
         if change.update != ListUpdate::Patch {
             let listed: HashSet<&str> = change.engines.iter().map(|e| e.id.as_str()).collect();
             self.by_engine.retain(|id, _| listed.contains(id.as_str()));
--- a/src/dispatch/start_times/tests.rs
+++ b/src/dispatch/start_times/tests.rs
@@ -3,7 +3,7 @@
 use super::{MAX_CLOCK_ERROR_MS, Now, REQUEST_DELAYS_MS, StartTimes};
 use crate::decision::model::{EngineState, ListUpdate};
 use crate::gossip::{EngineAge, MAX_STARTS, StartId};
-use crate::membership::{Change, Engine};
+use crate::membership::{EndpointListChange, Engine};
 
 const HOUR_MS: f64 = 3_600_000.0;
 
@@ -76,12 +76,12 @@
     for id in ["a", "b", "c"] {
         starts.locate(at(1e12, 0.0), id, 1e12);
     }
-    starts.forget_removed(&Change {
+    starts.forget_removed(&EndpointListChange {
         update: ListUpdate::Patch,
         engines: vec![engine("a", EngineState::Gone)],
     });
     assert_eq!(starts.by_engine.len(), 2);
-    starts.forget_removed(&Change {
+    starts.forget_removed(&EndpointListChange {
         update: ListUpdate::Snapshot,
         engines: vec![engine("b", EngineState::Ready)],
     });
--- a/src/dispatch/upstream.rs
+++ b/src/dispatch/upstream.rs
@@ -1,7 +1,7 @@
 //! The interface between the request router and the connections to the engines.
 
 use crate::core::{AttemptId, StartAttempt};
-use crate::discovery::Change;
+use crate::discovery::EndpointListChange;
 use crate::dispatch::request_router::RequestRouter;
 use std::rc::Rc;
 
@@ -19,7 +19,7 @@
     fn cancel_attempt(&self, attempt: AttemptId);
 
     /// Applies a change of the endpoint list.
-    fn update_endpoints(&self, change: &Change);
+    fn update_endpoints(&self, change: &EndpointListChange);
 
     /// Sets how many processes of this dispatcher share the limits on connections to engines.
     fn set_process_count(&self, processes: usize);
--- a/src/membership/change.rs
+++ b/src/membership/change.rs
@@ -24,7 +24,7 @@
 
 /// A change of the endpoint list, or a complete list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Change {
+pub struct EndpointListChange {
     /// Whether `engines` replaces the list or patches it, and whether it is stale.
     pub update: ListUpdate,
     /// The engines of a complete list, or those that changed; removed ones are first.
--- a/src/membership/ingestion.rs
+++ b/src/membership/ingestion.rs
@@ -4,8 +4,8 @@
 use crate::membership::member::latest;
 use crate::membership::source_records::requested_before;
 use crate::membership::{
-    Change, InstanceRecord, Member, Membership, Reason, Reported, SourceId, SourceRecord,
-    SourceUpdate, Standing, UpdateContent, Version,
+    EndpointListChange, InstanceRecord, Member, Membership, Reason, Reported, SourceId,
+    SourceRecord, SourceUpdate, Standing, UpdateContent, Version,
 };
 use std::net::SocketAddr;
 
@@ -24,7 +24,11 @@
 
 impl Membership {
     /// Applies an answer of a source and returns the resulting change of the endpoint list.
-    pub fn apply_update(&mut self, now: Millis, update: SourceUpdate) -> Option<Change> {
+    pub fn apply_update(
+        &mut self,
+        now: Millis,
+        update: SourceUpdate,
+    ) -> Option<EndpointListChange> {
         let id = self.register_source(&update.source);
         let source = self.sources.get_mut(id)?;
         if requested_before(update.requested_at, source.last_requested_at) {
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -4,7 +4,7 @@
 //! It is a pure state machine: it does no I/O, and the caller passes the time in, in milliseconds since the
 //! Unix epoch ([`Millis`](crate::decision::model::Millis)). The inputs of a [`Membership`] are answers of
 //! registries ([`SourceUpdate`]), events on connections ([`Observation`]), the operators' administrative
-//! drains and the [`Snapshot`] of an earlier process; its outputs are the [`Change`]s of the endpoint list
+//! drains and the [`Snapshot`] of an earlier process; its outputs are the [`EndpointListChange`]s of the endpoint list
 //! that the request router applies. `docs/design/membership.md` compares the alternatives that were
 //! considered.
 //!
@@ -50,7 +50,7 @@
 mod time_index;
 mod update;
 
-pub use change::{Change, Engine};
+pub use change::{EndpointListChange, Engine};
 pub use config::MembershipConfig;
 pub use instance_record::{InstanceRecord, Reported, Status, Version};
 pub use liveness::{LivenessEvidence, Observation};
--- a/src/membership/publication.rs
+++ b/src/membership/publication.rs
@@ -1,7 +1,7 @@
 //! Publication of changes: compares instances with their last published form.
 
 use crate::decision::model::{EngineState, ListUpdate, Millis};
-use crate::membership::{Change, Engine, Member, Membership};
+use crate::membership::{EndpointListChange, Engine, Member, Membership};
 use std::collections::BTreeSet;
 
 /// Whether a list has been published yet.
@@ -16,7 +16,11 @@
 impl Membership {
     /// Returns the differences from what was published before. Removed engines are first, since their
     /// addresses may belong to other engines of the same change.
-    pub(super) fn publish(&mut self, now: Millis, affected: BTreeSet<String>) -> Option<Change> {
+    pub(super) fn publish(
+        &mut self,
+        now: Millis,
+        affected: BTreeSet<String>,
+    ) -> Option<EndpointListChange> {
         let mut engines: Vec<Engine> = affected
             .iter()
             .filter_map(|id| self.publish_instance(now, id))
@@ -35,7 +39,7 @@
         } else {
             ListUpdate::Patch
         };
-        Some(Change { update, engines })
+        Some(EndpointListChange { update, engines })
     }
 
     /// Returns the engine to publish if it differs from what was last published.
--- a/src/membership/reevaluation.rs
+++ b/src/membership/reevaluation.rs
@@ -3,7 +3,7 @@
 
 use crate::decision::model::Millis;
 use crate::membership::log_lines::MAX_LOG_LINES;
-use crate::membership::{Change, Membership, Reason};
+use crate::membership::{EndpointListChange, Membership, Reason};
 use std::collections::BTreeSet;
 
 /// Maximum number of log lines of one reevaluation that explain why instances drain; the rest of the queue is
@@ -21,7 +21,7 @@
 impl Membership {
     /// Updates the set of effective sources and reevaluates all instances, since each may resolve to another
     /// state.
-    pub(super) fn reevaluate_all(&mut self, now: Millis) -> Option<Change> {
+    pub(super) fn reevaluate_all(&mut self, now: Millis) -> Option<EndpointListChange> {
         let unreachable_after = self.config.unreachable_after;
         self.sources.update_effective(now, unreachable_after);
         let ids = self.instances.ids().cloned().collect();
@@ -29,7 +29,11 @@
     }
 
     /// Resolves the states of these instances again and returns the resulting change of the endpoint list.
-    pub(super) fn reevaluate(&mut self, now: Millis, ids: Vec<String>) -> Option<Change> {
+    pub(super) fn reevaluate(
+        &mut self,
+        now: Millis,
+        ids: Vec<String>,
+    ) -> Option<EndpointListChange> {
         let in_service = self.in_service_count();
         let mut missing = vec![];
         let mut drained = vec![];
--- a/src/membership/registry_view.rs
+++ b/src/membership/registry_view.rs
@@ -9,8 +9,8 @@
 use crate::membership::restore::RestoredSnapshot;
 use crate::membership::sources::SourceTable;
 use crate::membership::{
-    Change, Member, MembershipConfig, MissingInstances, Observation, RejectionLog, Source,
-    SourceFailure, SourceId,
+    EndpointListChange, Member, MembershipConfig, MissingInstances, Observation, RejectionLog,
+    Source, SourceFailure, SourceId,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ObservationOutcome {
     /// The resulting change of the endpoint list, if any.
-    pub change: Option<Change>,
+    pub change: Option<EndpointListChange>,
     /// Whether the engine has restarted. If so, nothing that was meant for its previous process may be sent
     /// on the connection.
     pub restarted: bool,
@@ -66,7 +66,7 @@
         now: Millis,
         config: MembershipConfig,
         source_names: &[String],
-    ) -> Option<Change> {
+    ) -> Option<EndpointListChange> {
         self.config = config;
         self.sources.retire_unnamed(source_names);
         self.reevaluate_all(now)
@@ -79,7 +79,7 @@
         now: Millis,
         source: &str,
         problem: String,
-    ) -> Option<Change> {
+    ) -> Option<EndpointListChange> {
         let id = self.register_source(source);
         if let Some(source) = self.sources.get_mut(id) {
             source.failures += 1;
@@ -132,7 +132,7 @@
 
     /// Handles everything that is due at `now`: sources that become unreachable, the ends of preservations
     /// and grace periods, and the expiry of tombstones.
-    pub fn tick(&mut self, now: Millis) -> Option<Change> {
+    pub fn tick(&mut self, now: Millis) -> Option<EndpointListChange> {
         self.expire_tombstones(now);
         if self.effective_sources_changed(now) {
             return self.reevaluate_all(now);
--- a/src/membership/restore.rs
+++ b/src/membership/restore.rs
@@ -3,8 +3,8 @@
 use crate::decision::model::{ListUpdate, Millis};
 use crate::membership::publication::PublicationStage;
 use crate::membership::{
-    Change, DrainWatermark, Member, Membership, PersistedInstance, Reason, ResolvedState, Snapshot,
-    SourceId, Standing,
+    DrainWatermark, EndpointListChange, Member, Membership, PersistedInstance, Reason,
+    ResolvedState, Snapshot, SourceId, Standing,
 };
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -42,7 +42,7 @@
     /// Publishes the restored instances if no source has answered yet. Each is published as just started,
     /// since it is not known whether it restarted after the snapshot. Returns `None` if there is nothing to
     /// publish.
-    pub fn serve_restored(&mut self, now: Millis) -> Option<Change> {
+    pub fn serve_restored(&mut self, now: Millis) -> Option<EndpointListChange> {
         if self.publication == PublicationStage::Published {
             return None;
         }
--- a/src/membership/tests/mod.rs
+++ b/src/membership/tests/mod.rs
@@ -12,7 +12,7 @@
 mod sources;
 
 use super::{
-    Change, Engine, InstanceRecord, Membership, MembershipConfig, Observation, Reason,
+    EndpointListChange, Engine, InstanceRecord, Membership, MembershipConfig, Observation, Reason,
     SourceUpdate, Status, UpdateContent, Version,
 };
 use crate::decision::model::{EngineState, ListUpdate, Millis};
@@ -87,7 +87,7 @@
         }
     }
 
-    fn apply(&mut self, change: Option<Change>) {
+    fn apply(&mut self, change: Option<EndpointListChange>) {
         self.log_lines.extend(self.view.drain_log_lines());
         let Some(change) = change else { return };
         if change.update != ListUpdate::Patch {
--- a/src/upstream/mysql/mod.rs
+++ b/src/upstream/mysql/mod.rs
@@ -21,7 +21,7 @@
 use crate::config::{EngineCredentials, SocketSettings};
 use crate::core::AttemptId;
 use crate::decision::model::{Millis, ProgressNote};
-use crate::discovery::Change;
+use crate::discovery::EndpointListChange;
 use crate::discovery::membership_driver::ConnectionObserver;
 use crate::dispatch::{RequestRouter, StartAttempt, Upstream};
 use crate::spool_io::Spools;
@@ -144,7 +144,7 @@
         self.0.pool.set_processes(processes);
     }
 
-    fn update_endpoints(&self, change: &Change) {
+    fn update_endpoints(&self, change: &EndpointListChange) {
         let invalidated = self.0.pool.apply(change);
         for attempt in self.0.running.borrow().values() {
             attempt.abandon_if(&invalidated);
--- a/src/upstream/mysql/pool.rs
+++ b/src/upstream/mysql/pool.rs
@@ -5,7 +5,7 @@
 use super::prepared_statements::StatementKey;
 use crate::clock::duration_from_millis;
 use crate::decision::model::{EngineState, ListUpdate, Millis, Outcome};
-use crate::discovery::Change;
+use crate::discovery::EndpointListChange;
 use crate::discovery::membership_driver::ConnectionObserver;
 use crate::membership::Observation;
 use crate::protocol::mysql::packet::PacketError;
@@ -307,7 +307,7 @@
     }
 
     /// Applies a change of the endpoint list.
-    pub(super) fn apply(&self, change: &Change) -> Invalidated {
+    pub(super) fn apply(&self, change: &EndpointListChange) -> Invalidated {
         let mut engines = self.engines.borrow_mut();
         if change.update != ListUpdate::Patch {
             remove_unlisted(&mut engines, change);
@@ -324,7 +324,7 @@
     }
 }
 
-fn remove_unlisted(engines: &mut HashMap<String, EnginePool>, change: &Change) {
+fn remove_unlisted(engines: &mut HashMap<String, EnginePool>, change: &EndpointListChange) {
     let listed: HashSet<&str> = change
         .engines
         .iter()
@@ -341,7 +341,7 @@
 }
 
 /// The engine at each address, by the change.
-fn owners(change: &Change) -> HashMap<SocketAddr, String> {
+fn owners(change: &EndpointListChange) -> HashMap<SocketAddr, String> {
     change
         .engines
         .iter()
@@ -367,7 +367,7 @@
 /// Updates the listed engines; returns those that were restarted or have moved, with the time of it.
 fn update_listed(
     engines: &mut HashMap<String, EnginePool>,
-    change: &Change,
+    change: &EndpointListChange,
 ) -> HashMap<String, Millis> {
     let mut replaced_at: HashMap<String, Millis> = HashMap::new();
     for listed in &change.engines {
--- a/src/upstream/resp/engine_pool.rs
+++ b/src/upstream/resp/engine_pool.rs
@@ -4,7 +4,7 @@
 use crate::config::SocketSettings;
 use crate::core::AttemptId;
 use crate::decision::model::{EngineState, ListUpdate};
-use crate::discovery::{Change, Engine};
+use crate::discovery::{EndpointListChange, Engine};
 use crate::dispatch::RequestRouter;
 use crate::transport::buffer_pool::BufferPool;
 use crate::transport::descriptors::DescriptorBudget;
@@ -215,7 +215,7 @@
 
     /// Follows the endpoint list. An address may pass to another engine, or an engine restart under its id: connections
     /// from before lead to nobody. A change costs no more than the engines that it names, for thousands may come one by one.
-    pub(super) fn update_endpoints(&self, change: &Change) {
+    pub(super) fn update_endpoints(&self, change: &EndpointListChange) {
         let mut engines = self.engines.borrow_mut();
         if change.update != ListUpdate::Patch {
             self.unlist_missing(&mut engines, change);
@@ -235,7 +235,11 @@
     }
 
     /// Engines that a whole list does not name have no address any more.
-    fn unlist_missing(&self, engines: &mut HashMap<String, EngineSlot>, change: &Change) {
+    fn unlist_missing(
+        &self,
+        engines: &mut HashMap<String, EngineSlot>,
+        change: &EndpointListChange,
+    ) {
         let listed: HashSet<&str> = change.engines.iter().map(|e| e.id.as_str()).collect();
         let mut owners = self.address_owners.borrow_mut();
         engines.retain(|id, slot| {
--- a/src/upstream/resp/mod.rs
+++ b/src/upstream/resp/mod.rs
@@ -14,7 +14,7 @@
 use crate::config::SocketSettings;
 use crate::core::AttemptId;
 use crate::decision::model::Outcome;
-use crate::discovery::Change;
+use crate::discovery::EndpointListChange;
 use crate::dispatch::{RequestRouter, StartAttempt, Upstream};
 use crate::frontend::frames::Work;
 use crate::transport::buffer_pool::{Buffer, BufferPool};
@@ -80,7 +80,7 @@
         self.0.set_process_count(processes);
     }
 
-    fn update_endpoints(&self, change: &Change) {
+    fn update_endpoints(&self, change: &EndpointListChange) {
         self.0.update_endpoints(change);
     }
 }
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use futures_util::SinkExt;
 use query_dispatcher::ListUpdate;
-use query_dispatcher::discovery::Change;
+use query_dispatcher::discovery::EndpointListChange;
 use query_dispatcher::dispatch::RequestRouter;
 use query_dispatcher::frontend::mysql::Frontend;
 use query_dispatcher::protocol::mysql::auth;
@@ -560,7 +560,7 @@
         for how in ["quit", "early and closed", "closed", "reset"] {
             let (router, client, addresses, mut seen) = set_up().await;
             let mut w = log_in(client.address, "ann", "secret").await.unwrap();
-            router.update_endpoints(&Change {
+            router.update_endpoints(&EndpointListChange {
                 update: ListUpdate::Snapshot,
                 engines: vec![],
             });
--- a/tests/mysql_client_disconnect.rs
+++ b/tests/mysql_client_disconnect.rs
@@ -14,7 +14,7 @@
 use query_dispatcher::config::tls::{CertificateFiles, TlsSettings, TlsVersion};
 use query_dispatcher::config::{EngineCredentials, MysqlFrontendConfig, SpoolSettings};
 use query_dispatcher::core::{Core, CoreLimits};
-use query_dispatcher::discovery::Change;
+use query_dispatcher::discovery::EndpointListChange;
 use query_dispatcher::dispatch::RequestRouter;
 use query_dispatcher::frontend::mysql::Frontend;
 use query_dispatcher::protocol::mysql::auth;
@@ -744,7 +744,7 @@
 fn nothing_starts_for_hundreds_of_clients_that_disconnect_together() {
     on_one_thread(async {
         let stand = stand(1).await;
-        stand.router.update_endpoints(&Change {
+        stand.router.update_endpoints(&EndpointListChange {
             update: ListUpdate::Snapshot,
             engines: vec![],
         });
--- a/tests/recorded_state/registry_adapter.rs
+++ b/tests/recorded_state/registry_adapter.rs
@@ -4,9 +4,9 @@
 use super::registry_text::*;
 use query_dispatcher::membership::report::Query;
 use query_dispatcher::membership::{
-    Change, InstanceRecord, Member, Membership, MembershipConfig, Networks, Observation,
-    ObservationOutcome, SelfPreservationConfig, Snapshot, SourceUpdate, Status, UpdateContent,
-    Version,
+    EndpointListChange, InstanceRecord, Member, Membership, MembershipConfig, Networks,
+    Observation, ObservationOutcome, SelfPreservationConfig, Snapshot, SourceUpdate, Status,
+    UpdateContent, Version,
 };
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -344,7 +344,7 @@
         recording.wording(&self.0.explain(member.resolved.reason));
     }
 
-    fn record_change(&mut self, change: Option<Change>, recording: &mut Recording) {
+    fn record_change(&mut self, change: Option<EndpointListChange>, recording: &mut Recording) {
         match change {
             None => recording.state("change none"),
             Some(change) => {
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -31,7 +31,7 @@
     User,
 };
 use query_dispatcher::core::{Core, CoreLimits};
-use query_dispatcher::discovery::{Change, Engine};
+use query_dispatcher::discovery::{EndpointListChange, Engine};
 use query_dispatcher::dispatch::{RequestRouter, Upstream};
 use query_dispatcher::server::instance_registry::InstanceRegistry;
 use query_dispatcher::transport::buffer_pool::BufferPool;
@@ -111,7 +111,10 @@
 }
 
 /// The whole list, with one engine that is special.
-pub(crate) fn change(addresses: &[SocketAddr], special: Option<(usize, &str)>) -> Change {
+pub(crate) fn change(
+    addresses: &[SocketAddr],
+    special: Option<(usize, &str)>,
+) -> EndpointListChange {
     let engine = |(i, a): (usize, &SocketAddr)| {
         let is = |what| special == Some((i, what));
         Engine {
@@ -128,7 +131,7 @@
             started: is("restart").then(|| query_dispatcher::clock::process_time_millis() + 1.0),
         }
     };
-    Change {
+    EndpointListChange {
         update: ListUpdate::Snapshot,
         engines: addresses.iter().enumerate().map(engine).collect(),
     }
