--- a/crates/mysql-conformance/src/lib.rs
+++ b/crates/mysql-conformance/src/lib.rs
@@ -15,7 +15,7 @@
 use cases::{CASES, Case, Engine as Against, Step, UNTESTED, Want};
 use query_dispatcher::config::{EndpointSource, MysqlConfig};
 use query_dispatcher::core::{Core, CoreLimits};
-use query_dispatcher::discovery::{EndpointListChange, Engine as Listed};
+use query_dispatcher::discovery::{DiscoveredEngine as Listed, EndpointListChange};
 use query_dispatcher::dispatch::RequestRouter;
 use query_dispatcher::frontend::mysql::Frontend;
 use query_dispatcher::protocol::mysql::packet::{
--- a/src/discovery/journal.rs
+++ b/src/discovery/journal.rs
@@ -3,7 +3,7 @@
 
 use crate::decision::model::{EngineState, ListUpdate};
 use crate::discovery::backoff::Backoff;
-use crate::discovery::{ChangeHandler, Discovery, EndpointListChange, Engine};
+use crate::discovery::{ChangeHandler, DiscoveredEngine, Discovery, EndpointListChange};
 use crate::log_line;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -66,7 +66,7 @@
         } else {
             ListUpdate::Patch
         };
-        let engines = self.instances.into_iter().map(|i| Engine {
+        let engines = self.instances.into_iter().map(|i| DiscoveredEngine {
             address: i.host_port.as_deref().and_then(|a| a.parse().ok()),
             state: match i.lifecycle.as_str() {
                 "in_service" => EngineState::Ready,
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::config::StaticEngine;
 use crate::decision::model::{EngineState, ListUpdate};
-pub use crate::membership::{EndpointListChange, Engine};
+pub use crate::membership::{DiscoveredEngine, EndpointListChange};
 
 /// Callback that receives each change of the engine list, in order.
 pub type ChangeHandler = Box<dyn Fn(EndpointListChange)>;
@@ -22,7 +22,7 @@
 
 /// The change that a static list from the configuration amounts to: one snapshot in which every engine is ready.
 pub fn fixed(engines: &[StaticEngine]) -> EndpointListChange {
-    let engine = |e: &StaticEngine| Engine {
+    let engine = |e: &StaticEngine| DiscoveredEngine {
         id: e.id.clone(),
         address: Some(e.address),
         state: EngineState::Ready,
--- a/src/dispatch/endpoints.rs
+++ b/src/dispatch/endpoints.rs
@@ -3,7 +3,7 @@
 use crate::clock::{process_time_millis, wall_clock_millis};
 use crate::config::position_of;
 use crate::decision::model::{EngineEntry, ListUpdate, Millis};
-use crate::discovery::{EndpointListChange, Engine};
+use crate::discovery::{DiscoveredEngine, EndpointListChange};
 use crate::dispatch::request_router::RequestRouter;
 use crate::dispatch::start_times::Now;
 use crate::dispatch::upstream::Upstream;
@@ -51,7 +51,7 @@
                 .started
                 .map(|told| start_times.locate(now, &engine.id, told));
             entries.push(self.engine_entry(engine, started.map(|time| time.latest)));
-            engines.push(Engine {
+            engines.push(DiscoveredEngine {
                 started: started.map(|time| time.estimate),
                 ..engine.clone()
             });
@@ -95,7 +95,7 @@
     }
 
     /// The engine with numbers in place of names; names that are not configured have none.
-    fn engine_entry(&self, engine: &Engine, started: Option<Millis>) -> EngineEntry {
+    fn engine_entry(&self, engine: &DiscoveredEngine, started: Option<Millis>) -> EngineEntry {
         let number = |names: &[String], name: &Option<String>| {
             name.as_deref().and_then(|name| position_of(names, name))
         };
@@ -162,7 +162,7 @@
 /// The entry as a change for the upstream, which keeps the address that it knows and closes connections to an earlier
 /// process.
 fn patch(entry: EngineEntry) -> EndpointListChange {
-    let engine = Engine {
+    let engine = DiscoveredEngine {
         id: entry.engine,
         address: None,
         state: entry.state,
--- a/src/dispatch/start_times/tests.rs
+++ b/src/dispatch/start_times/tests.rs
@@ -3,7 +3,7 @@
 use super::{MAX_CLOCK_ERROR_MS, Now, REQUEST_DELAYS_MS, StartTimes};
 use crate::decision::model::{EngineState, ListUpdate};
 use crate::gossip::{EngineAge, MAX_STARTS, StartId};
-use crate::membership::{EndpointListChange, Engine};
+use crate::membership::{DiscoveredEngine, EndpointListChange};
 
 const HOUR_MS: f64 = 3_600_000.0;
 
@@ -63,7 +63,7 @@
 
 #[test]
 fn engines_that_are_removed_are_forgotten() {
-    let engine = |id: &str, state| Engine {
+    let engine = |id: &str, state| DiscoveredEngine {
         id: id.into(),
         address: None,
         state,
--- a/src/membership/change.rs
+++ b/src/membership/change.rs
@@ -5,7 +5,7 @@
 
 /// One engine of a published or a static endpoint list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Engine {
+pub struct DiscoveredEngine {
     /// The id of the engine. The address does not identify it: an address can move to another engine.
     pub id: String,
     /// The address; `None` if the engine is removed or its address belongs to another engine.
@@ -28,5 +28,5 @@
     /// Whether `engines` replaces the list or patches it, and whether it is stale.
     pub update: ListUpdate,
     /// The engines of a complete list, or those that changed; removed ones are first.
-    pub engines: Vec<Engine>,
+    pub engines: Vec<DiscoveredEngine>,
 }
--- a/src/membership/member.rs
+++ b/src/membership/member.rs
@@ -5,7 +5,8 @@
 use crate::membership::reevaluation::Transition;
 use crate::membership::time_index::TimeKey;
 use crate::membership::{
-    Engine, LivenessEvidence, Preservation, Reason, ResolvedState, SourceRecords, Standing,
+    DiscoveredEngine, LivenessEvidence, Preservation, Reason, ResolvedState, SourceRecords,
+    Standing,
 };
 use std::net::SocketAddr;
 
@@ -38,7 +39,7 @@
     /// Number of changes of the standing.
     pub state_changes: u64,
     /// The engine as last published.
-    pub(super) published: Option<Engine>,
+    pub(super) published: Option<DiscoveredEngine>,
     /// When the state changes without a further report, as indexed.
     pub(super) deadline: Option<TimeKey>,
     /// When the instance became a tombstone.
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -50,7 +50,7 @@
 mod time_index;
 mod update;
 
-pub use change::{EndpointListChange, Engine};
+pub use change::{DiscoveredEngine, EndpointListChange};
 pub use config::MembershipConfig;
 pub use instance_record::{InstanceRecord, Reported, Status, Version};
 pub use liveness::{LivenessEvidence, Observation};
--- a/src/membership/publication.rs
+++ b/src/membership/publication.rs
@@ -1,7 +1,7 @@
 //! Publication of changes: compares instances with their last published form.
 
 use crate::decision::model::{EngineState, ListUpdate, Millis};
-use crate::membership::{EndpointListChange, Engine, Member, Membership};
+use crate::membership::{DiscoveredEngine, EndpointListChange, Member, Membership};
 use std::collections::BTreeSet;
 
 /// Whether a list has been published yet.
@@ -21,7 +21,7 @@
         now: Millis,
         affected: BTreeSet<String>,
     ) -> Option<EndpointListChange> {
-        let mut engines: Vec<Engine> = affected
+        let mut engines: Vec<DiscoveredEngine> = affected
             .iter()
             .filter_map(|id| self.publish_instance(now, id))
             .collect();
@@ -43,7 +43,7 @@
     }
 
     /// Returns the engine to publish if it differs from what was last published.
-    fn publish_instance(&mut self, now: Millis, id: &str) -> Option<Engine> {
+    fn publish_instance(&mut self, now: Millis, id: &str) -> Option<DiscoveredEngine> {
         self.instances.update_indexes(now, id);
         let member = self.instances.get_mut(id)?;
         let engine = published_form(id, member);
@@ -70,13 +70,13 @@
     }
 }
 
-fn published_form(id: &str, member: &Member) -> Engine {
+fn published_form(id: &str, member: &Member) -> DiscoveredEngine {
     let state = member.state();
     // Connections to an address that belongs to another instance would not reach this one.
     let address = member
         .address
         .filter(|_| state != EngineState::Gone && member.superseded_by.is_none());
-    Engine {
+    DiscoveredEngine {
         id: id.to_string(),
         address,
         state,
@@ -89,7 +89,7 @@
 
 /// Returns the rank by which engines are ordered: removed ones, then those without an address, then the
 /// others.
-fn publication_rank(engine: &Engine) -> u8 {
+fn publication_rank(engine: &DiscoveredEngine) -> u8 {
     match (engine.state, engine.address) {
         (EngineState::Gone, _) => 0,
         (_, None) => 1,
--- a/src/membership/tests/mod.rs
+++ b/src/membership/tests/mod.rs
@@ -12,8 +12,8 @@
 mod sources;
 
 use super::{
-    EndpointListChange, Engine, InstanceRecord, Membership, MembershipConfig, Observation, Reason,
-    SourceUpdate, Status, UpdateContent, Version,
+    DiscoveredEngine, EndpointListChange, InstanceRecord, Membership, MembershipConfig,
+    Observation, Reason, SourceUpdate, Status, UpdateContent, Version,
 };
 use crate::decision::model::{EngineState, ListUpdate, Millis};
 use std::collections::BTreeMap;
@@ -73,7 +73,7 @@
 struct Simulation {
     view: Membership,
     now: Millis,
-    published: BTreeMap<String, Engine>,
+    published: BTreeMap<String, DiscoveredEngine>,
     log_lines: Vec<String>,
 }
 
--- a/src/upstream/resp/engine_pool.rs
+++ b/src/upstream/resp/engine_pool.rs
@@ -4,7 +4,7 @@
 use crate::config::SocketSettings;
 use crate::core::AttemptId;
 use crate::decision::model::{EngineState, ListUpdate};
-use crate::discovery::{EndpointListChange, Engine};
+use crate::discovery::{DiscoveredEngine, EndpointListChange};
 use crate::dispatch::RequestRouter;
 use crate::transport::buffer_pool::BufferPool;
 use crate::transport::descriptors::DescriptorBudget;
@@ -345,7 +345,7 @@
 
 impl EngineSlot {
     /// Follows the endpoint list.
-    fn update(&mut self, endpoint: &Engine) {
+    fn update(&mut self, endpoint: &DiscoveredEngine) {
         for connection in &self.connections {
             let moved = endpoint
                 .address
--- a/tests/recorded_state/registry_text.rs
+++ b/tests/recorded_state/registry_text.rs
@@ -3,12 +3,12 @@
 use super::recording::{Recording, float, optional, optional_float};
 use query_dispatcher::membership::report::{MemberFilter, QueryError};
 use query_dispatcher::membership::{
-    DrainWatermark, Engine, LivenessEvidence, Member, PersistedInstance, Preservation, Reason,
-    Reported, ResolvedState, Source, SourceRecord, Standing, Version,
+    DiscoveredEngine, DrainWatermark, LivenessEvidence, Member, PersistedInstance, Preservation,
+    Reason, Reported, ResolvedState, Source, SourceRecord, Standing, Version,
 };
 use query_dispatcher::{EngineState, ListUpdate};
 
-pub(crate) fn record_engine(engine: &Engine, recording: &mut Recording) {
+pub(crate) fn record_engine(engine: &DiscoveredEngine, recording: &mut Recording) {
     recording.count(match engine.state {
         EngineState::Ready => "engine ready",
         EngineState::Draining => "engine draining",
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -31,7 +31,7 @@
     User,
 };
 use query_dispatcher::core::{Core, CoreLimits};
-use query_dispatcher::discovery::{EndpointListChange, Engine};
+use query_dispatcher::discovery::{DiscoveredEngine, EndpointListChange};
 use query_dispatcher::dispatch::{RequestRouter, Upstream};
 use query_dispatcher::server::instance_registry::InstanceRegistry;
 use query_dispatcher::transport::buffer_pool::BufferPool;
@@ -117,7 +117,7 @@
 ) -> EndpointListChange {
     let engine = |(i, a): (usize, &SocketAddr)| {
         let is = |what| special == Some((i, what));
-        Engine {
+        DiscoveredEngine {
             id: format!("{}{i}", if is("takeover") { "new" } else { "e" }),
             address: Some(*a),
             state: if is("drain") {
