--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -4,7 +4,7 @@
 //! It is a pure state machine: it does no I/O, and the caller passes the time in, in milliseconds since the
 //! Unix epoch ([`Millis`](crate::decision::model::Millis)). The inputs of a [`Membership`] are answers of
 //! registries ([`SourceUpdate`]), events on connections ([`Observation`]), the operators' administrative
-//! drains and the [`Snapshot`] of an earlier process; its outputs are the [`EndpointListChange`]s of the endpoint list
+//! drains and the [`Snapshot`] of an earlier process; its outputs are the [`EndpointListChange`]s
 //! that the request router applies. `docs/design/membership.md` compares the alternatives that were
 //! considered.
 //!
@@ -59,7 +59,7 @@
 pub use registry_view::{Membership, ObservationOutcome};
 pub use rejections::{MAX_REJECTED_ADDRESSES, RejectedAddress, RejectionLog};
 pub use resolution::{Reason, ResolvedState, Standing};
-pub use self_preservation::{MissingInstances, Preservation, SelfPreservationConfig};
+pub use self_preservation::{DisappearanceHistory, Preservation, SelfPreservationConfig};
 pub use snapshot::{PersistedInstance, SNAPSHOT_FORMAT_VERSION, Snapshot};
 pub use source_records::{DrainWatermark, MAX_CLOCK_SKEW_MS, SourceRecord, SourceRecords};
 pub use sources::{MAX_SOURCES, Source, SourceFailure, SourceId};
--- a/src/membership/networks.rs
+++ b/src/membership/networks.rs
@@ -25,7 +25,7 @@
     OutsideNetworks,
     /// The address is unspecified, a multicast address or the broadcast address.
     #[error("no address of one host")]
-    NotOneHost,
+    NotUnicast,
     /// The port is 0.
     #[error("port 0")]
     NoPort,
@@ -68,7 +68,7 @@
             return Err(AddressError::NoPort);
         }
         if !is_unicast(ip) {
-            return Err(AddressError::NotOneHost);
+            return Err(AddressError::NotUnicast);
         }
         match &self.allowed {
             Some(networks) if !networks.iter().any(|network| network.contains(&ip)) => {
--- a/src/membership/reevaluation.rs
+++ b/src/membership/reevaluation.rs
@@ -108,7 +108,7 @@
             })
             .collect();
         let preservation = self
-            .missing
+            .disappearances
             .evaluate(config, now, candidates.len(), in_service);
         let Some(preservation) = preservation else {
             return;
--- a/src/membership/registry_view.rs
+++ b/src/membership/registry_view.rs
@@ -9,7 +9,7 @@
 use crate::membership::restore::RestoredSnapshot;
 use crate::membership::sources::SourceTable;
 use crate::membership::{
-    EndpointListChange, Member, MembershipConfig, MissingInstances, Observation, RejectionLog,
+    DisappearanceHistory, EndpointListChange, Member, MembershipConfig, Observation, RejectionLog,
     Source, SourceFailure, SourceId,
 };
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,7 +21,7 @@
     pub(super) sources: SourceTable,
     pub(super) instances: InstanceStore,
     pub(super) address_owners: AddressOwners,
-    pub(super) missing: MissingInstances,
+    pub(super) disappearances: DisappearanceHistory,
     pub(super) administratively_drained: BTreeSet<String>,
     pub(super) rejections: RejectionLog,
     /// Number of records that were ignored because of [`MembershipConfig::max_instances`].
@@ -49,7 +49,7 @@
             sources: SourceTable::new(),
             instances: InstanceStore::default(),
             address_owners: AddressOwners::default(),
-            missing: MissingInstances::default(),
+            disappearances: DisappearanceHistory::default(),
             administratively_drained: BTreeSet::new(),
             rejections: RejectionLog::default(),
             instances_over_limit: 0,
--- a/src/membership/self_preservation.rs
+++ b/src/membership/self_preservation.rs
@@ -62,12 +62,12 @@
 /// towards the limits of later ones, since a list that shrinks step by step is as suspect as one that shrinks
 /// at once.
 #[derive(Clone, Debug, Default)]
-pub struct MissingInstances {
+pub struct DisappearanceHistory {
     /// Accepted disappearances, oldest first; those at the same time are one entry.
     accepted: VecDeque<Disappearance>,
 }
 
-impl MissingInstances {
+impl DisappearanceHistory {
     /// Evaluates the disappearance of `missing` of `in_service` instances. Returns the preservation of the
     /// missing instances, or `None` if the disappearance is accepted; it then counts towards the limits of
     /// later ones.
