--- a/src/membership/tests/mod.rs
+++ b/src/membership/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The registry view, through its public interface.
+//! Tests of the registry view through its public interface.
 
 mod addresses;
 mod bounds;
@@ -12,8 +12,8 @@
 mod sources;
 
 use super::{
-    Change, Engine, InstanceRecord, Membership, MembershipConfig, Observation, Reason,
-    SourceUpdate, Status, UpdateContent, Version,
+    DiscoveredEngine, EndpointListChange, InstanceRecord, Membership, MembershipConfig,
+    Observation, Reason, SourceUpdate, Status, UpdateContent, Version,
 };
 use crate::decision::model::{EngineState, ListUpdate, Millis};
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// A port that depends on the id alone.
+/// Returns a port that depends only on the id.
 fn port_of(id: &str) -> u16 {
     let hash = id.bytes().fold(0u16, |hash, byte| {
         hash.wrapping_mul(31).wrapping_add(byte.into())
@@ -62,18 +62,18 @@
     }
 }
 
-/// Instances `e0000`, `e0001`, ... that are up.
+/// Returns `count` records of instances `e0000`, `e0001`, ... with status `UP`.
 fn many(count: usize) -> Vec<InstanceRecord> {
     (0..count)
         .map(|number| up_at(&format!("e{number:04}"), 5, 2000 + number as u16))
         .collect()
 }
 
-/// A registry view with a clock, and the list that was published so far.
+/// A registry view with a simulated clock, the endpoint list published so far, and the log lines.
 struct Simulation {
     view: Membership,
     now: Millis,
-    published: BTreeMap<String, Engine>,
+    published: BTreeMap<String, DiscoveredEngine>,
     log_lines: Vec<String>,
 }
 
@@ -87,7 +87,7 @@
         }
     }
 
-    fn apply(&mut self, change: Option<Change>) {
+    fn apply(&mut self, change: Option<EndpointListChange>) {
         self.log_lines.extend(self.view.drain_log_lines());
         let Some(change) = change else { return };
         if change.update != ListUpdate::Patch {
