--- a/src/discovery/backoff.rs
+++ b/src/discovery/backoff.rs
@@ -1,15 +1,16 @@
-//! Backoff between connections to the journal service, with jitter: a hundred dispatchers that restart together, or lose
-//! the service together, would otherwise connect in the same millisecond and again in step. Does no I/O.
+//! Backoff between connections to the journal service, with jitter: a hundred dispatchers that restart
+//! together, or lose the service together, would otherwise connect in the same millisecond and again in step.
+//! Does no I/O.
 
 use oorandom::Rand32;
 use std::time::Duration;
 
-/// Delay after a connection that brought events.
+/// Delay after a connection that delivered events.
 const MIN_DELAY: Duration = Duration::from_millis(100);
-/// Maximum delay after connections that brought none.
+/// Maximum delay after connections that delivered no events.
 const MAX_DELAY: Duration = Duration::from_millis(400);
 
-/// The delays of one dispatcher, randomized by its own seed.
+/// Computes the delays of one dispatcher, randomized by its own seed.
 pub(super) struct Backoff {
     delay: Duration,
     random: Rand32,
@@ -24,16 +25,17 @@
         }
     }
 
-    /// The delay before the first connection of a process, and before the first to a new address.
+    /// Returns the delay before the first connection of a process, and before the first one to a new address.
     pub(super) fn initial(&mut self) -> Duration {
         self.delay = MIN_DELAY;
         MIN_DELAY.mul_f32(self.random.rand_float())
     }
 
-    /// The delay after a connection: doubled after each that brought no events, up to a maximum. Half of it is random, so
-    /// that no delay is longer than it would be for one dispatcher alone.
-    pub(super) fn after(&mut self, brought_events: bool) -> Duration {
-        self.delay = if brought_events {
+    /// Returns the delay after a connection: doubled after each connection that delivered no events, up to
+    /// [`MAX_DELAY`]. Half of the delay is random; the randomness only shortens it, so that no delay is
+    /// longer than the one without jitter.
+    pub(super) fn after(&mut self, received_events: bool) -> Duration {
+        self.delay = if received_events {
             MIN_DELAY
         } else {
             (self.delay * 2).min(MAX_DELAY)
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,5 +1,5 @@
-//! Service discovery: the list of engines, from the platform's journal or from Eureka registries. Either source
-//! delivers the same kind of change, in order.
+//! Service discovery: the endpoint list, from the platform's journal or from Eureka registries. Both
+//! sources deliver the same type of change, in order.
 
 mod backoff;
 pub mod eureka;
@@ -10,29 +10,30 @@
 use crate::decision::model::{EngineState, ListUpdate};
 pub use crate::membership::{Change, Engine};
 
-/// Callback that receives each change of the engine list, in order.
+/// Callback that receives each change of the endpoint list, in order.
 pub type ChangeHandler = Box<dyn Fn(Change)>;
 
-/// A source of engine list changes.
+/// A source of changes of the endpoint list.
 pub trait Discovery {
-    /// Delivers changes to `sink` for the life of the process. Does not return: an outage of the service behind it
-    /// is retried.
+    /// Delivers changes to `sink` for the life of the process. Does not return: during an outage of the
+    /// discovery service the connection is retried.
     fn run(self, sink: ChangeHandler) -> impl Future<Output = ()>;
 }
 
-/// The change that a static list from the configuration amounts to: one snapshot in which every engine is ready.
+/// Returns the change that represents a static list from the configuration: one snapshot in which every
+/// engine is ready.
 pub fn fixed(engines: &[StaticEngine]) -> Change {
-    let engine = |e: &StaticEngine| Engine {
-        id: e.id.clone(),
-        address: Some(e.address),
+    let to_engine = |engine: &StaticEngine| Engine {
+        id: engine.id.clone(),
+        address: Some(engine.address),
         state: EngineState::Ready,
-        zone: e.zone.clone(),
-        kind: e.kind.clone(),
+        zone: engine.zone.clone(),
+        kind: engine.kind.clone(),
         cell: 0,
         started: None,
     };
     Change {
         update: ListUpdate::Snapshot,
-        engines: engines.iter().map(engine).collect(),
+        engines: engines.iter().map(to_engine).collect(),
     }
 }
