--- a/src/discovery/eureka/mod.rs
+++ b/src/discovery/eureka/mod.rs
@@ -97,7 +97,7 @@
             Ok(()) => true,
             Err(e) => {
                 self.replicas[server].borrow_mut().forget();
-                members.failed(name, e.to_string());
+                members.record_source_failure(name, e.to_string());
                 log_line!("eureka {name}: {e}; what it told before stays");
                 false
             }
@@ -109,7 +109,7 @@
         let (source, replica) = (&self.source, &self.replicas[server]);
         let name = &source.servers[server].name;
         let publish = |requested_at: f64, content: UpdateContent| {
-            members.view(SourceUpdate {
+            members.apply_update(SourceUpdate {
                 source: name.clone(),
                 requested_at,
                 received_at: process_time_millis(),
--- a/src/discovery/membership_driver.rs
+++ b/src/discovery/membership_driver.rs
@@ -1,5 +1,5 @@
-//! Drives [`Membership`]: passes its changes to the hub, feeds it what registries and connections report, keeps its
-//! snapshot on disk and answers operators' queries.
+//! Drives [`Membership`]: applies registry updates and connection observations to it, passes its changes to
+//! the dispatcher, saves its snapshot to disk and serves operators' queries.
 
 use crate::clock::duration_from_millis;
 use crate::clock::process_time_millis;
@@ -21,60 +21,60 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Maximum number of observations that wait to be applied; the oldest are dropped.
+/// Maximum number of queued observations; beyond it the oldest is dropped.
 const MAX_OBSERVATIONS: usize = 4096;
-/// Delay from a change to the snapshot, so that a burst of changes takes one write.
+/// Delay from a change to the write of the snapshot, so that a burst of changes takes one write.
 const SAVE_DELAY: Duration = Duration::from_millis(500);
-/// Maximum interval between snapshots, so that a snapshot's age is that of its process's end.
+/// Maximum interval between snapshots, so that after a restart the snapshot's age is close to the time since
+/// the previous process ended.
 const MAX_SAVE_INTERVAL: Duration = Duration::from_secs(30);
-/// Name of the snapshot's record.
-const NAME: &str = "members";
-const KIND: RecordKind = RecordKind {
+/// File name of the snapshot's record.
+const RECORD_NAME: &str = "members";
+const RECORD_KIND: RecordKind = RecordKind {
     tag: *b"MEMB",
     version: SNAPSHOT_FORMAT_VERSION,
 };
 /// Maximum size of the snapshot, in bytes; 20,000 engines need about 6 MB.
 const MAX_SNAPSHOT_BYTES: usize = 64 << 20;
 
-/// Receives what connections to engines show of them.
+/// Receives observations of engines from the connections to them.
 pub trait ConnectionObserver {
-    /// Records an observation that needs no answer. `engine` is the engine's ID.
-    fn report(&self, engine: &str, seen: Observation);
-    /// Records that a connection to `engine` was opened; the attempt began at `at`, in milliseconds since the Unix
-    /// epoch. Returns whether the engine has restarted: if so, nothing that was meant for its previous process may be
-    /// written on the connection.
+    /// Queues an observation whose outcome the caller does not need. `engine` is the engine's ID.
+    fn report(&self, engine: &str, observation: Observation);
+    /// Records that a connection to `engine` was opened; the connection attempt began at `at`, in
+    /// milliseconds since the Unix epoch. Returns whether the engine has restarted: if so, nothing that was
+    /// meant for its previous process may be written on the connection.
     fn opened(&self, engine: &str, at: Millis) -> bool;
 }
 
-/// The membership of one Eureka source, kept for the life of the process across configuration changes.
+/// The membership of one Eureka source. It is kept across configuration changes for the life of the process.
 pub struct MembershipDriver {
     membership: RefCell<Membership>,
     sink: ChangeHandler,
-    /// Observations that wait to be applied, with their engines' IDs.
+    /// Queued observations, with their engines' IDs.
     observations: RefCell<VecDeque<(String, Observation)>>,
-    /// Wakes `clock`.
+    /// Wakes `clock`, the task that runs the timers.
     wake: Notify,
-    /// Wakes `keep`.
+    /// Wakes `keep`, the task that writes the snapshot.
     changed: Notify,
     store: Option<Arc<RecordStore>>,
-    /// Whether any list of engines has been passed to `sink` yet.
+    /// Whether any endpoint list has been passed to `sink` yet.
     serving: Cell<bool>,
-    /// Why the last write or read of the snapshot failed, until a write succeeds.
+    /// Why the last read or write of the snapshot failed; cleared when a write succeeds.
     snapshot_problem: RefCell<Option<String>>,
-    lease: RefCell<Option<Shown>>,
-    /// The engines that operators have drained.
-    hands: Hands,
+    registration_mismatch: RefCell<Option<RegistrationMismatch>>,
+    administrative_drains: AdministrativeDrains,
 }
 
-/// Returns how the registry's entry of this dispatcher differs from what was registered, if it does.
-pub type Shown = Rc<dyn Fn() -> Option<String>>;
-/// Returns the IDs of the engines that operators have drained by hand.
-pub type Hands = Box<dyn Fn() -> BTreeSet<String>>;
+/// Returns how the registry's entry of this dispatcher differs from its registration; `None` if it does not.
+pub type RegistrationMismatch = Rc<dyn Fn() -> Option<String>>;
+/// Returns the IDs of the engines under an administrative drain.
+pub type AdministrativeDrains = Box<dyn Fn() -> BTreeSet<String>>;
 
 /// The body of `GET /_members`.
 #[derive(Serialize)]
-struct Page {
-    /// Whether the dispatcher has a list of engines, or still waits for a registry.
+struct ReportPage {
+    /// Whether the dispatcher has an endpoint list; if not, it still waits for a registry.
     serving: bool,
     #[serde(flatten)]
     report: Report,
@@ -85,35 +85,38 @@
 }
 
 impl MembershipDriver {
-    /// Creates the driver and restores the snapshot, if there is one that can be read; an unreadable one is logged.
+    /// Creates the driver and restores the snapshot if there is a valid one; an unreadable snapshot is
+    /// logged.
     ///
-    /// `folder` is the existing state directory; without one no snapshot is kept. `sink` receives every change,
-    /// `hands` names the engines that operators have drained.
+    /// `state_directory` must exist; without one no snapshot is saved. `sink` receives every change,
+    /// `administrative_drains` returns the engines that operators have drained.
     pub fn new(
         source: &EurekaSettings,
-        folder: Option<&Path>,
+        state_directory: Option<&Path>,
         sink: ChangeHandler,
-        hands: Hands,
+        administrative_drains: AdministrativeDrains,
     ) -> Rc<Self> {
-        let store = folder.map(|f| {
+        let store = state_directory.map(|directory| {
             Arc::new(RecordStore::new(
                 LocalFileSystem,
-                f,
-                NAME,
-                KIND,
+                directory,
+                RECORD_NAME,
+                RECORD_KIND,
                 MAX_SNAPSHOT_BYTES,
             ))
         });
         let mut membership = Membership::new(source.rules.clone());
         let mut snapshot_problem = None;
         if let Some(store) = &store {
-            match load(store) {
+            match load_snapshot(store) {
                 Ok(Some(snapshot)) => {
-                    let (age, n) = (
+                    let (age_seconds, engines) = (
                         (process_time_millis() - snapshot.taken_at) / 1000.0,
                         snapshot.instances.len(),
                     );
-                    log_line!("members: a snapshot of {n} engines, {age:.0} s old, is at hand");
+                    log_line!(
+                        "members: a snapshot of {engines} engines, {age_seconds:.0} s old, was loaded"
+                    );
                     membership.restore(process_time_millis(), snapshot);
                 }
                 Ok(None) => {}
@@ -132,36 +135,36 @@
             store,
             serving: Cell::new(false),
             snapshot_problem: RefCell::new(snapshot_problem),
-            lease: RefCell::default(),
-            hands,
+            registration_mismatch: RefCell::default(),
+            administrative_drains,
         })
     }
 
-    /// Sets what `/_members` reports as the difference between this dispatcher's registration and the registry's entry.
-    pub fn lease(&self, differs: Shown) {
-        *self.lease.borrow_mut() = Some(differs);
+    /// Sets the function that provides `registration` in the body of `GET /_members`.
+    pub fn lease(&self, mismatch: RegistrationMismatch) {
+        *self.registration_mismatch.borrow_mut() = Some(mismatch);
     }
 
-    /// Whether any list of engines has been passed to the hub yet.
+    /// Returns whether any endpoint list has been passed to the sink yet.
     pub fn serving(&self) -> bool {
         self.serving.get()
     }
 
-    /// Applies a registry's answer, together with the engines that operators have drained.
-    pub fn view(&self, view: SourceUpdate) {
+    /// Applies a registry's response, after refreshing the set of administratively drained engines.
+    pub(super) fn apply_update(&self, update: SourceUpdate) {
         self.apply_observations();
         self.membership
             .borrow_mut()
-            .set_administratively_drained((self.hands)());
+            .set_administratively_drained((self.administrative_drains)());
         let change = self
             .membership
             .borrow_mut()
-            .apply_update(process_time_millis(), view);
+            .apply_update(process_time_millis(), update);
         self.publish(change);
     }
 
-    /// Records that the registry `source` could not be used; `problem` is shown to operators.
-    pub fn failed(&self, source: &str, problem: String) {
+    /// Records that polling the registry `source` failed; `problem` is reported at `/_members`.
+    pub(super) fn record_source_failure(&self, source: &str, problem: String) {
         let change = self.membership.borrow_mut().record_source_failure(
             process_time_millis(),
             source,
@@ -170,7 +173,7 @@
         self.publish(change);
     }
 
-    /// Applies a new configuration's servers and rules; what is known of the engines is kept.
+    /// Applies the servers and rules of a new configuration; the members are kept.
     pub fn configure(&self, source: &EurekaSettings) {
         let change = self.membership.borrow_mut().configure(
             process_time_millis(),
@@ -180,7 +183,7 @@
         self.publish(change);
     }
 
-    /// Serves the engines of the restored snapshot, if there is one: for when no registry has answered.
+    /// Publishes the engines of the restored snapshot, if there is one. Used when no registry has responded.
     pub fn serve_restored(&self) {
         let change = self
             .membership
@@ -188,14 +191,15 @@
             .serve_restored(process_time_millis());
         if let Some(change) = &change {
             log_line!(
-                "members: no registry answers: {} engines of the snapshot are served",
+                "members: no registry has responded; serving {} engines from the snapshot",
                 change.engines.len()
             );
         }
         self.publish(change);
     }
 
-    /// The body of `GET /_members`: an indented JSON object and a newline. `query` is the URL's query string.
+    /// Returns the body of `GET /_members`: an indented JSON object and a newline. `query` is the URL's query
+    /// string.
     ///
     /// # Errors
     /// The query string is not valid.
@@ -204,22 +208,22 @@
         self.apply_observations();
         self.membership
             .borrow_mut()
-            .set_administratively_drained((self.hands)());
+            .set_administratively_drained((self.administrative_drains)());
         let report = self
             .membership
             .borrow()
             .report(process_time_millis(), &query);
-        let lease = self.lease.borrow().clone();
-        let page = Page {
+        let mismatch = self.registration_mismatch.borrow().clone();
+        let page = ReportPage {
             serving: self.serving.get(),
             report,
             snapshot_problem: self.snapshot_problem.borrow().clone(),
-            registration: lease.and_then(|differs| differs()),
+            registration: mismatch.and_then(|describe| describe()),
         };
         Ok(serde_json::to_string_pretty(&page).unwrap_or_default() + "\n")
     }
 
-    /// Logs what membership has to say, passes a change on and wakes the timers.
+    /// Writes membership's pending log lines, passes a change to the sink and wakes the timers.
     fn publish(&self, change: Option<Change>) {
         let lines = self.membership.borrow_mut().drain_log_lines();
         lines.iter().for_each(|line| log_line!("members: {line}"));
@@ -231,14 +235,15 @@
         self.wake.notify_one();
     }
 
-    /// Applies the waiting observations, in order.
+    /// Applies the queued observations, in order.
     fn apply_observations(&self) {
         loop {
-            let Some((engine, seen)) = self.observations.borrow_mut().pop_front() else {
+            let Some((engine, observation)) = self.observations.borrow_mut().pop_front() else {
                 return;
             };
             let mut membership = self.membership.borrow_mut();
-            let outcome = membership.record_observation(process_time_millis(), &engine, seen);
+            let outcome =
+                membership.record_observation(process_time_millis(), &engine, observation);
             drop(membership);
             if outcome.change.is_some() {
                 self.publish(outcome.change);
@@ -246,7 +251,7 @@
         }
     }
 
-    /// Runs the timers of membership, and applies observations as they are reported. Does not return.
+    /// Runs membership's timers and applies observations as they are reported. Does not return.
     pub async fn clock(self: Rc<Self>) {
         loop {
             let next = self.membership.borrow().next_wakeup(process_time_millis());
@@ -266,8 +271,8 @@
         }
     }
 
-    /// Writes the snapshot after changes, and at least every 30 s, on the blocking thread pool. Returns at once if there
-    /// is no state directory, else never.
+    /// Writes the snapshot after changes, and at least every `MAX_SAVE_INTERVAL`, on the blocking thread
+    /// pool. Returns immediately if there is no state directory, and never otherwise.
     pub async fn keep(self: Rc<Self>) {
         let Some(store) = self.store.clone() else {
             return;
@@ -297,12 +302,12 @@
 }
 
 impl ConnectionObserver for MembershipDriver {
-    fn report(&self, engine: &str, seen: Observation) {
+    fn report(&self, engine: &str, observation: Observation) {
         let mut queue = self.observations.borrow_mut();
         if queue.len() >= MAX_OBSERVATIONS {
             queue.pop_front();
         }
-        queue.push_back((engine.to_string(), seen));
+        queue.push_back((engine.to_string(), observation));
         self.wake.notify_one();
     }
 
@@ -320,8 +325,8 @@
     }
 }
 
-/// The snapshot in the store, if there is one that can be read.
-fn load(store: &RecordStore) -> Result<Option<Snapshot>, LoadError> {
+/// Reads the snapshot from the store; `None` if there is none.
+fn load_snapshot(store: &RecordStore) -> Result<Option<Snapshot>, LoadError> {
     store.load(|content| {
         serde_json::from_slice(content).map_err(|e| RecordError::Content(e.to_string()))
     })
