--- a/src/discovery/journal/tests.rs
+++ b/src/discovery/journal/tests.rs
@@ -3,25 +3,26 @@
 use std::rc::Rc;
 use tokio::net::TcpListener;
 
-fn event(pos: u64, id: &str, state: &str) -> String {
+fn event(position: u64, id: &str, lifecycle: &str) -> String {
     format!(
-        "id: {pos}\ndata: {{\"pos\":{pos},\"hosts\":{{\"reset\":false,\"instances\":[{{\"instanceId\":\"{id}\",\
-         \"hostPort\":\"127.0.0.1:1\",\"lifecycle\":\"{state}\",\"startedAtMs\":0}}]}}}}\n\n"
+        "id: {position}\ndata: {{\"pos\":{position},\"hosts\":{{\"reset\":false,\"instances\":[{{\
+         \"instanceId\":\"{id}\",\
+         \"hostPort\":\"127.0.0.1:1\",\"lifecycle\":\"{lifecycle}\",\"startedAtMs\":0}}]}}}}\n\n"
     )
 }
 
-const PLAIN: &str = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
-const CHUNKED: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+const PLAIN_HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
+const CHUNKED_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 #[test]
-fn a_stream_reads_alike_wherever_it_is_cut() {
+fn a_stream_parses_the_same_wherever_it_is_split() {
     let text = format!(
         ": hello\n{}\r\n{}",
         event(4, "a", "in_service"),
         event(5, "b", "terminating")
     );
-    let plain = format!("{PLAIN}{text}").into_bytes();
-    let mut chunked = CHUNKED.as_bytes().to_vec();
+    let plain = format!("{PLAIN_HEAD}{text}").into_bytes();
+    let mut chunked = CHUNKED_HEAD.as_bytes().to_vec();
     for part in text.as_bytes().chunks(37) {
         chunked.extend(format!("{:x}\r\n", part.len()).bytes());
         chunked.extend(part);
@@ -29,28 +30,32 @@
     }
     for stream in [plain, chunked] {
         for size in [1, 2, 7, 64, stream.len()] {
-            let mut reader = Reader::default();
+            let mut parser = EventStreamParser::default();
             let mut events = vec![];
             for piece in stream.chunks(size) {
-                events.extend(reader.feed(piece).unwrap());
+                events.extend(parser.feed(piece).unwrap());
             }
-            let ids: Vec<_> = events.iter().map(|e| e.0).collect();
-            assert_eq!(ids, [Some(4), Some(5)], "pieces of {size}");
+            let ids: Vec<_> = events.iter().map(|(id, _)| *id).collect();
+            assert_eq!(ids, [Some(4), Some(5)], "split into pieces of {size} bytes");
             assert!(events[1].1.contains("terminating"));
         }
     }
-    assert!(Reader::default().feed(b"HTTP/1.1 503 No\r\n\r\n").is_err());
-    let endless = [PLAIN.as_bytes(), &vec![b'x'; MAX_LINE_BYTES + 1]].concat();
     assert!(
-        Reader::default().feed(&endless).is_err(),
-        "a line without an end"
+        EventStreamParser::default()
+            .feed(b"HTTP/1.1 503 No\r\n\r\n")
+            .is_err()
+    );
+    let endless = [PLAIN_HEAD.as_bytes(), &vec![b'x'; MAX_LINE_BYTES + 1]].concat();
+    assert!(
+        EventStreamParser::default().feed(&endless).is_err(),
+        "a line that exceeds the maximum size"
     );
 }
 
-/// Streams that break off, repeat events and fall silent: each event is told once and in order, and each
-/// new connection asks from where the list in hand ends.
+/// Streams that end early, repeat events or stop sending: each event is delivered once and in order, and each
+/// new connection resumes after the last applied position.
 #[test]
-fn the_journal_goes_on_where_it_was_cut_off_and_reopens_what_is_silent() {
+fn the_journal_resumes_after_the_last_event_and_reopens_idle_streams() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -59,63 +64,69 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let known = r#"{"pos":3,"entries":[{"pos":1,"hosts":{"reset":true,"instances":[]}}]}"#;
         let known = serde_json::from_str(known).unwrap();
-        let (_at, address) = watch::channel(listener.local_addr().unwrap());
+        let (_address_sender, address) = watch::channel(listener.local_addr().unwrap());
         let mut journal = Journal::new(address, known, 1).unwrap();
-        journal.silence = Duration::from_millis(60);
-        let told = Rc::new(RefCell::new(vec![]));
-        let tell = told.clone();
-        let sink: ChangeHandler = Box::new(move |c| {
-            tell.borrow_mut()
-                .push((c.update, c.engines.first().map(|e| (e.id.clone(), e.state))));
+        journal.idle_timeout = Duration::from_millis(60);
+        let delivered = Rc::new(RefCell::new(vec![]));
+        let delivered_by_sink = delivered.clone();
+        let sink: ChangeHandler = Box::new(move |change| {
+            delivered_by_sink.borrow_mut().push((
+                change.update,
+                change
+                    .engines
+                    .first()
+                    .map(|engine| (engine.id.clone(), engine.state)),
+            ));
         });
         let half = event(5, "b", "in_service");
         let half = &half[..half.len() / 2];
         let streams = [
-            (3, "id: 4\ndata: {\"pos\":4,\"ho#sts\":[}\n\n".into(), false), // spoilt
-            (3, format!("{}{half}", event(4, "a", "in_service")), true),    // cut inside an event
+            (3, "id: 4\ndata: {\"pos\":4,\"ho#sts\":[}\n\n".into(), false), // corrupted
+            (3, format!("{}{half}", event(4, "a", "in_service")), true),    // ends inside an event
             (
                 4,
                 event(4, "a", "in_service") + &event(5, "b", "terminating"),
                 false,
-            ), // then silent
+            ), // then idle
             (5, event(6, "a", "terminated"), true),
         ];
         let service = async {
-            let mut silent = vec![];
-            for (from, text, ends) in streams {
+            let mut idle = vec![];
+            for (last_event_id, text, ends) in streams {
                 let (mut tcp, _) = listener.accept().await.unwrap();
                 let mut buffer = [0; 1024];
-                let n = tcp.read(&mut buffer).await.unwrap();
-                let asked = String::from_utf8_lossy(&buffer[..n]).into_owned();
+                let read = tcp.read(&mut buffer).await.unwrap();
+                let request = String::from_utf8_lossy(&buffer[..read]).into_owned();
                 assert!(
-                    asked.contains(&format!("Last-Event-ID: {from}\r\n")),
-                    "{asked}"
+                    request.contains(&format!("Last-Event-ID: {last_event_id}\r\n")),
+                    "{request}"
                 );
-                tcp.write_all(format!("{PLAIN}{text}").as_bytes())
+                tcp.write_all(format!("{PLAIN_HEAD}{text}").as_bytes())
                     .await
                     .unwrap();
                 if !ends {
-                    silent.push(tcp);
+                    idle.push(tcp);
                 }
             }
-            listener.accept().await.unwrap(); // the last stream has been worked through
+            listener.accept().await.unwrap(); // the last stream has been read to its end
         };
         tokio::select! { () = service => {}, () = journal.run(sink) => {} }
         use EngineState::{Draining, Gone, Ready};
         let patch = |id: &str, state| (ListUpdate::Patch, Some((id.to_string(), state)));
-        let wanted = [
+        let expected = [
             (ListUpdate::Stale, None),
             patch("a", Ready),
             patch("b", Draining),
             patch("a", Gone),
         ];
-        assert_eq!(told.take(), wanted);
+        assert_eq!(delivered.take(), expected);
     });
 }
 
-/// A new configuration moves the service: the open stream at the old address must not be waited for.
+/// After a new configuration moved the service, the journal must not wait for the open stream at the old
+/// address.
 #[test]
-fn the_journal_moves_at_once_and_reads_on_from_the_same_number() {
+fn the_journal_moves_at_once_and_resumes_at_the_same_position() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -125,121 +136,134 @@
             TcpListener::bind("127.0.0.1:0").await.unwrap(),
             TcpListener::bind("127.0.0.1:0").await.unwrap(),
         );
-        let (at, address) = watch::channel(old.local_addr().unwrap());
+        let (address_sender, address) = watch::channel(old.local_addr().unwrap());
         let journal =
             Journal::new(address, serde_json::from_str(r#"{"pos":3}"#).unwrap(), 1).unwrap();
-        let told = Rc::new(RefCell::new(vec![]));
-        let tell = told.clone();
-        let sink: ChangeHandler = Box::new(move |c| {
-            tell.borrow_mut()
-                .extend(c.engines.into_iter().map(|e| e.id))
+        let delivered = Rc::new(RefCell::new(vec![]));
+        let delivered_by_sink = delivered.clone();
+        let sink: ChangeHandler = Box::new(move |change| {
+            delivered_by_sink
+                .borrow_mut()
+                .extend(change.engines.into_iter().map(|engine| engine.id))
         });
         let service = async {
             let (mut tcp, _) = old.accept().await.unwrap();
             let first = event(4, "a", "in_service");
-            tcp.write_all(format!("{PLAIN}{first}").as_bytes())
+            tcp.write_all(format!("{PLAIN_HEAD}{first}").as_bytes())
                 .await
                 .unwrap();
-            while told.borrow().is_empty() {
+            while delivered.borrow().is_empty() {
                 tokio::task::yield_now().await;
             }
-            at.send(new.local_addr().unwrap()).unwrap();
-            // Well before the old stream would count as silent.
-            let soon = Duration::from_millis(500);
-            let (mut moved, _) = tokio::time::timeout(soon, new.accept())
+            address_sender.send(new.local_addr().unwrap()).unwrap();
+            // Well before the old stream would time out.
+            let limit = Duration::from_millis(500);
+            let (mut moved, _) = tokio::time::timeout(limit, new.accept())
                 .await
-                .expect("at once")
+                .expect("a connection to the new address")
                 .unwrap();
             let mut buffer = [0; 1024];
-            let n = moved.read(&mut buffer).await.unwrap();
-            assert!(String::from_utf8_lossy(&buffer[..n]).contains("Last-Event-ID: 4\r\n"));
-            // What the old one still says counts for nothing.
+            let read = moved.read(&mut buffer).await.unwrap();
+            assert!(String::from_utf8_lossy(&buffer[..read]).contains("Last-Event-ID: 4\r\n"));
+            // Events of the old stream are ignored.
             let _ = tcp
                 .write_all(event(5, "old", "in_service").as_bytes())
                 .await;
             moved
-                .write_all(format!("{PLAIN}{}", event(5, "b", "in_service")).as_bytes())
+                .write_all(format!("{PLAIN_HEAD}{}", event(5, "b", "in_service")).as_bytes())
                 .await
                 .unwrap();
-            while told.borrow().len() < 2 {
+            while delivered.borrow().len() < 2 {
                 tokio::task::yield_now().await;
             }
         };
         tokio::select! { () = service => {}, () = journal.run(sink) => {} }
-        assert_eq!(told.take(), ["a", "b"]);
+        assert_eq!(delivered.take(), ["a", "b"]);
     });
 }
 
-/// A head that never comes, a stream that falls silent, silent again right after, and one that trickles bytes and
-/// never a line: each is given up within the span, and the drain is told by the next that speaks.
+/// A response without a head, two streams that send nothing after the head, and one that trickles bytes
+/// without a complete line: each is closed at the idle timeout, and the drain is delivered by the next stream
+/// that sends it.
 #[test]
-fn a_stream_without_lines_is_silent_however_it_comes() {
+fn a_stream_without_complete_lines_times_out() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
     runtime.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (_at, address) = watch::channel(listener.local_addr().unwrap());
+        let (_address_sender, address) = watch::channel(listener.local_addr().unwrap());
         let mut journal = Journal::new(address, serde_json::Value::Null, 1).unwrap();
-        journal.silence = Duration::from_millis(60);
-        let told = Rc::new(RefCell::new(vec![]));
-        let tell = told.clone();
-        let sink: ChangeHandler = Box::new(move |c| tell.borrow_mut().extend(c.engines.into_iter().map(|e| e.state)));
+        journal.idle_timeout = Duration::from_millis(60);
+        let delivered = Rc::new(RefCell::new(vec![]));
+        let delivered_by_sink = delivered.clone();
+        let sink: ChangeHandler = Box::new(move |change| {
+            let states = change.engines.into_iter().map(|engine| engine.state);
+            delivered_by_sink.borrow_mut().extend(states)
+        });
         let service = async {
-            let mut kept = vec![];
-            for text in ["", PLAIN, PLAIN] {
+            let mut open = vec![];
+            for text in ["", PLAIN_HEAD, PLAIN_HEAD] {
                 let (mut tcp, _) = listener.accept().await.unwrap();
                 tcp.write_all(text.as_bytes()).await.unwrap();
-                kept.push(tcp);
+                open.push(tcp);
             }
-            let (mut trickles, _) = listener.accept().await.unwrap();
-            trickles.write_all(PLAIN.as_bytes()).await.unwrap();
-            let (mut speaks, _) = loop {
+            let (mut trickling, _) = listener.accept().await.unwrap();
+            trickling.write_all(PLAIN_HEAD.as_bytes()).await.unwrap();
+            let (mut sending, _) = loop {
                 tokio::select! {
                     next = listener.accept() => break next.unwrap(),
-                    () = tokio::time::sleep(Duration::from_millis(10)) => drop(trickles.write_all(b":").await),
+                    () = tokio::time::sleep(Duration::from_millis(10)) => {
+                        drop(trickling.write_all(b":").await)
+                    }
                 }
             };
-            speaks.write_all(format!("{PLAIN}{}", event(1, "a", "terminating")).as_bytes()).await.unwrap();
-            while told.borrow().is_empty() {
+            let stream = format!("{PLAIN_HEAD}{}", event(1, "a", "terminating"));
+            sending.write_all(stream.as_bytes()).await.unwrap();
+            while delivered.borrow().is_empty() {
                 tokio::task::yield_now().await;
             }
         };
-        let all = async { tokio::select! { () = service => {}, () = journal.run(sink) => {} } };
-        tokio::time::timeout(Duration::from_secs(4), all).await.expect("none is waited for");
-        assert_eq!(told.take(), [EngineState::Draining]);
+        let whole_test = async {
+            tokio::select! { () = service => {}, () = journal.run(sink) => {} }
+        };
+        tokio::time::timeout(Duration::from_secs(4), whole_test)
+            .await
+            .expect("each idle stream is closed in time");
+        assert_eq!(delivered.take(), [EngineState::Draining]);
     });
 }
 
-/// All start in the same moment and the service, which starts as well, ends each stream at once.
+/// All dispatchers start at the same moment, and the service, which is starting too, ends each stream at
+/// once.
 #[test]
-fn dispatchers_that_restart_at_once_call_the_service_one_after_the_other() {
+fn connections_of_dispatchers_that_restart_at_once_are_spread_out() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (_at, address) = watch::channel(listener.local_addr().unwrap());
+        let (_address_sender, address) = watch::channel(listener.local_addr().unwrap());
         for seed in 0..40 {
             let journal = Journal::new(address.clone(), serde_json::Value::Null, seed).unwrap();
             tokio::task::spawn_local(journal.run(Box::new(|_| {})));
         }
         let start = std::time::Instant::now();
-        let mut calls = vec![];
-        while calls.len() < 80 {
+        let mut connected_at = vec![];
+        while connected_at.len() < 80 {
             drop(listener.accept().await.unwrap());
-            calls.push(start.elapsed());
+            connected_at.push(start.elapsed());
         }
-        let spread = |c: &[Duration]| c[c.len() - 1] - c[0];
+        let spread = |times: &[Duration]| times[times.len() - 1] - times[0];
         assert!(
-            spread(&calls[..40]) > Duration::from_millis(60),
-            "{calls:?}"
+            spread(&connected_at[..40]) > Duration::from_millis(60),
+            "{connected_at:?}"
         );
         assert!(
-            spread(&calls[40..]) > Duration::from_millis(60),
-            "{calls:?}"
+            spread(&connected_at[40..]) > Duration::from_millis(60),
+            "{connected_at:?}"
         );
     });
 }
