--- a/tests/eureka.rs
+++ b/tests/eureka.rs
@@ -1,5 +1,5 @@
-//! The program against stand-in registries, engines and clients on loopback: the hard cases of membership, each by
-//! name. Clients are a driver that others wrote; what engines were sent is checked by the engines' own account.
+//! Tests the program's Eureka membership against fake registries and fake engines on loopback. The clients
+//! use a third-party MySQL driver; the executions that the fake engines record show what was sent to them.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -18,53 +18,54 @@
 use testbed::program::{Folder, Program};
 use tokio::task::LocalSet;
 
-/// Plays on one thread.
-fn play(f: impl Future<Output = ()>) {
+/// Runs a scenario on a single-threaded runtime, with a time limit of 60 s.
+fn run_scenario(scenario: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
     let timed = async {
-        tokio::time::timeout(Duration::from_secs(60), f)
+        tokio::time::timeout(Duration::from_secs(60), scenario)
             .await
-            .expect("it takes too long")
+            .expect("the scenario exceeds 60 s")
     };
     LocalSet::new().block_on(&runtime, timed)
 }
 
-fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+fn ms(milliseconds: u64) -> Duration {
+    Duration::from_millis(milliseconds)
 }
 
-async fn pass(n: u64) {
-    tokio::time::sleep(ms(n)).await;
+async fn sleep_ms(milliseconds: u64) {
+    tokio::time::sleep(ms(milliseconds)).await;
 }
 
-async fn node() -> Node {
+/// Starts a fake registry node.
+async fn start_node() -> Node {
     Node::start(ephemeral_address(), Rules::default())
         .await
         .unwrap()
 }
 
-/// The program, on this file; its folder for state is `FOLDER` there.
-async fn start(folder: &Folder, name: &str, text: &str) -> Program {
-    let text = text.replace("FOLDER", folder.path().to_str().unwrap());
+/// Starts the program with this configuration, in which `FOLDER` stands for the path of `folder`.
+async fn start_program(folder: &Folder, name: &str, configuration: &str) -> Program {
+    let configuration = configuration.replace("FOLDER", folder.path().to_str().unwrap());
     Program::start(
         Path::new(env!("CARGO_BIN_EXE_hitchwinch")),
         folder,
         name,
-        &text,
+        &configuration,
     )
     .await
     .unwrap()
 }
 
-fn folder(name: &str) -> Folder {
+fn test_folder(name: &str) -> Folder {
     Folder::new(&format!("eureka-{name}")).unwrap()
 }
 
-/// 16 clients, 160 requests a second, one in eight a load.
-fn load(program: &Program) -> Clients {
+/// Starts 16 clients that send 160 requests a second together, of which one in eight is a load.
+fn start_clients(program: &Program) -> Clients {
     let load = Load {
         clients: 16,
         gap: ms(100),
@@ -74,48 +75,56 @@
     Clients::start(program.address, load)
 }
 
+/// Returns the member with this ID on the `/_members` page; null if there is none.
 fn member<'a>(page: &'a Value, id: &str) -> &'a Value {
-    let all = page["members"]
+    let members = page["members"]
         .as_array()
         .map(Vec::as_slice)
         .unwrap_or_default();
-    all.iter().find(|m| m["id"] == id).unwrap_or(&Value::Null)
+    members
+        .iter()
+        .find(|member| member["id"] == id)
+        .unwrap_or(&Value::Null)
 }
 
-fn ready(page: &Value, n: u64) -> bool {
-    page["counts"]["ready"] == n
+fn has_ready(page: &Value, engines: u64) -> bool {
+    page["counts"]["ready"] == engines
 }
 
-/// Every request was answered, none failed, and no load ran twice.
-fn sound(account: &testbed::clients::load::LoadSummary, engines: &[Engine]) {
+/// Checks that more than 20 requests were served, that none was lost, failed or late, and that no load ran
+/// twice.
+fn check_clients(summary: &testbed::clients::load::LoadSummary, engines: &[Engine]) {
     assert!(
-        account.count(End::Served) > 20,
+        summary.count(End::Served) > 20,
         "{:?}",
-        account.ends.borrow()
+        summary.ends.borrow()
     );
-    let bad = [End::Lost, End::Failed, End::Late].map(|e| account.count(e));
-    assert_eq!(bad, [0, 0, 0], "{:?}", account.troubles.borrow());
+    let failures = [End::Lost, End::Failed, End::Late].map(|end| summary.count(end));
+    assert_eq!(failures, [0, 0, 0], "{:?}", summary.troubles.borrow());
     assert!(check_loads_run_once(engines).unwrap() > 0);
 }
 
 #[test]
 fn drain_takes_effect_within_a_second_and_running_statements_finish() {
-    play(async {
-        let (node, engines) = (node().await, fixture::engines(5, ms(30)).await.unwrap());
+    run_scenario(async {
+        let (node, engines) = (
+            start_node().await,
+            fixture::engines(5, ms(30)).await.unwrap(),
+        );
         register_engines(&[&node], &engines);
-        let folder = folder("drain");
-        let program = start(
+        let folder = test_folder("drain");
+        let program = start_program(
             &folder,
             "a",
             &dispatcher_file("", &eureka_section(&[&node], "")),
         )
         .await;
         program
-            .until("five engines", |p| ready(p, 5))
+            .until("five engines", |page| has_ready(page, 5))
             .await
             .unwrap();
-        let clients = load(&program);
-        pass(500).await;
+        let clients = start_clients(&program);
+        sleep_ms(500).await;
         let statuses = [
             Status::Down,
             Status::OutOfService,
@@ -123,19 +132,22 @@
             Status::Unknown,
         ];
         for (engine, status) in engines.iter().zip(statuses) {
-            engine.work(ms(400)); // something runs when the notice comes
-            pass(150).await;
+            engine.work(ms(400)); // a statement runs when the drain is reported
+            sleep_ms(150).await;
             node.watch(engine.name());
             node.set_status("ENGINES", engine.name(), Some(status));
-            pass(900).await;
+            sleep_ms(900).await;
         }
-        pass(600).await;
+        sleep_ms(600).await;
         for engine in &engines[..4] {
-            let notice = node.told(engine.name()).expect("it was told");
+            let notice = node.told(engine.name()).expect("the drain was reported");
             check_drain(engine, notice).unwrap();
             assert!(
-                engine.executions().iter().all(|r| r.answered),
-                "what ran when it came went on to its end"
+                engine
+                    .executions()
+                    .iter()
+                    .all(|execution| execution.answered),
+                "statements that were running are finished"
             );
         }
         let page = program.members("").await.unwrap();
@@ -150,42 +162,45 @@
                 .contains("DOWN"),
             "{page}"
         );
-        sound(&*clients.stop().await, &engines);
+        check_clients(&*clients.stop().await, &engines);
         assert!(program.ends().await.unwrap());
     });
 }
 
 #[test]
 fn stale_list_does_not_restore_a_drained_engine() {
-    play(async {
-        let (a, b) = (node().await, node().await);
+    run_scenario(async {
+        let (a, b) = (start_node().await, start_node().await);
         let engines = fixture::engines(3, ms(10)).await.unwrap();
         register_engines(&[&a, &b], &engines);
-        b.fault(Fault::Stale); // as of now, for ever
-        let folder = folder("stale");
-        let program = start(
+        b.fault(Fault::Stale); // it repeats its current list from now on
+        let folder = test_folder("stale");
+        let program = start_program(
             &folder,
             "a",
             &dispatcher_file("", &eureka_section(&[&a, &b], "")),
         )
         .await;
         program
-            .until("three engines", |p| ready(p, 3))
+            .until("three engines", |page| has_ready(page, 3))
             .await
             .unwrap();
-        let clients = load(&program);
-        pass(300).await;
+        let clients = start_clients(&program);
+        sleep_ms(300).await;
         a.watch("engine-1");
         a.set_status("ENGINES", "engine-1", Some(Status::OutOfService));
-        program.until("it drains", |p| ready(p, 2)).await.unwrap();
-        // The registry that told it goes away; the stale one alone answers, on and on.
+        program
+            .until("the engine drains", |page| has_ready(page, 2))
+            .await
+            .unwrap();
+        // The registry that reported the drain becomes unreachable; only the stale one responds.
         a.away();
-        pass(4_000).await;
+        sleep_ms(4_000).await;
         let page = program.members("").await.unwrap();
-        assert!(ready(&page, 2), "{page}");
+        assert!(has_ready(&page, 2), "{page}");
         assert_eq!(member(&page, "engine-1")["state"], "draining");
         check_drain(&engines[1], a.told("engine-1").unwrap()).unwrap();
-        // A newer word puts it back.
+        // A newer record restores the engine.
         b.fault(Fault::None);
         b.register(Instance::engine(
             "ENGINES",
@@ -193,44 +208,50 @@
             engines[1].address().port(),
             testbed::now() + 1.0,
         ));
-        program.until("it is back", |p| ready(p, 3)).await.unwrap();
-        sound(&*clients.stop().await, &engines);
+        program
+            .until("the engine is back", |page| has_ready(page, 3))
+            .await
+            .unwrap();
+        check_clients(&*clients.stop().await, &engines);
     });
 }
 
 #[test]
 fn flapping_disagreement_of_two_registries_keeps_the_engine_out() {
-    play(async {
-        let (a, b) = (node().await, node().await);
+    run_scenario(async {
+        let (a, b) = (start_node().await, start_node().await);
         let engines = fixture::engines(3, ms(10)).await.unwrap();
         register_engines(&[&a, &b], &engines);
-        let folder = folder("flap");
-        let program = start(
+        let folder = test_folder("flap");
+        let program = start_program(
             &folder,
             "a",
             &dispatcher_file("", &eureka_section(&[&a, &b], "")),
         )
         .await;
         program
-            .until("three engines", |p| ready(p, 3))
+            .until("three engines", |page| has_ready(page, 3))
             .await
             .unwrap();
-        let clients = load(&program);
+        let clients = start_clients(&program);
         a.watch("engine-0");
         a.set_status("ENGINES", "engine-0", Some(Status::OutOfService));
-        program.until("it drains", |p| ready(p, 2)).await.unwrap();
-        for i in 0..10u64 {
-            // The one repeats the drain, the other that it is up, each newer than the word before.
-            pass(150).await;
-            let node = if i % 2 == 0 { &b } else { &a };
-            let status = if i % 2 == 0 {
+        program
+            .until("the engine drains", |page| has_ready(page, 2))
+            .await
+            .unwrap();
+        for turn in 0..10u64 {
+            // One registry repeats the drain, the other reports UP, each with a newer timestamp than before.
+            sleep_ms(150).await;
+            let node = if turn % 2 == 0 { &b } else { &a };
+            let status = if turn % 2 == 0 {
                 None
             } else {
                 Some(Status::OutOfService)
             };
             node.set_status("ENGINES", "engine-0", status);
         }
-        pass(500).await;
+        sleep_ms(500).await;
         let page = program.members("").await.unwrap();
         let shown = member(&page, "engine-0");
         assert_eq!(
@@ -241,151 +262,177 @@
         assert_eq!(
             shown["claims"].as_array().unwrap().len(),
             2,
-            "both words are shown"
+            "the records of both registries are shown"
         );
         assert_eq!(shown["turns"], 2);
         check_drain(&engines[0], a.told("engine-0").unwrap()).unwrap();
-        sound(&*clients.stop().await, &engines);
+        check_clients(&*clients.stop().await, &engines);
     });
 }
 
 #[test]
 fn engine_restarted_during_a_registry_outage_gets_slow_start() {
-    play(async {
-        let (node, engines) = (node().await, fixture::engines(3, ms(400)).await.unwrap());
+    run_scenario(async {
+        let (node, engines) = (
+            start_node().await,
+            fixture::engines(3, ms(400)).await.unwrap(),
+        );
         register_engines(&[&node], &engines);
-        let folder = folder("cold");
-        let program = start(
+        let folder = test_folder("cold");
+        let program = start_program(
             &folder,
             "a",
             &dispatcher_file("", &eureka_section(&[&node], "")),
         )
         .await;
         program
-            .until("three engines", |p| ready(p, 3))
+            .until("three engines", |page| has_ready(page, 3))
             .await
             .unwrap();
-        // 90 statements a second, each 400 ms: 12 threads on each of 3 engines.
-        let many = Load {
+        // 90 statements a second of 400 ms each occupy 12 threads on each of 3 engines.
+        let heavy_load = Load {
             clients: 90,
             gap: ms(1000),
             loads: 0,
             prepared: false,
         };
-        let clients = Clients::start(program.address, many);
-        pass(2_500).await;
+        let clients = Clients::start(program.address, heavy_load);
+        sleep_ms(2_500).await;
         node.away();
-        pass(1_000).await;
-        let warm = engines[0].count();
+        sleep_ms(1_000).await;
+        let before_restart = engines[0].count();
 
         engines[0].end();
-        pass(1_500).await;
+        sleep_ms(1_500).await;
         engines[0].again().await.unwrap();
         let page = program
-            .until("it is known to have started anew", |p| {
-                member(p, "engine-0")["started_age_ms"]
+            .until("the restart is known", |page| {
+                member(page, "engine-0")["started_age_ms"]
                     .as_f64()
-                    .is_some_and(|a| a < 3_000.0)
+                    .is_some_and(|age| age < 3_000.0)
             })
             .await
             .unwrap();
         assert_eq!(
             member(&page, "engine-0")["state"],
             "ready",
-            "whatever the old list says"
+            "the last list still applies"
         );
-        pass(3_500).await;
-        // What it bears at its age, by the settings: 4 times 0.3 of 8 cores over 2 s, at 400 ms a statement, and all
-        // of them at 15 s.
-        let bears = |age: f64| {
+        sleep_ms(3_500).await;
+        // Number of statements that the settings allow in 2 s at an engine's age: 4 times 0.3 of 8 cores at
+        // age 0, at 400 ms a statement, and 4 times all 8 cores from an age of 15 s.
+        let allowed = |age: f64| {
             (4.0 * (0.3 + 0.7 * (age / 15_000.0).min(1.0)) * 8.0 * 2_000.0 / 400.0) as usize
         };
-        let (_, all) = check_slow_start(&engines[0], 2_000.0, bears).unwrap();
+        let (_, executions) = check_slow_start(&engines[0], 2_000.0, allowed).unwrap();
 
-        assert!(all > 20, "and it is used: {all}");
-        assert!(warm > 60, "it had its share before: {warm}");
-        let account = clients.stop().await;
+        assert!(
+            executions > 20,
+            "the restarted engine is used: {executions}"
+        );
+        assert!(
+            before_restart > 60,
+            "the engine had its share before: {before_restart}"
+        );
+        let summary = clients.stop().await;
         assert_eq!(
-            account.count(End::Lost),
+            summary.count(End::Lost),
             0,
             "{:?}",
-            account.troubles.borrow()
+            summary.troubles.borrow()
         );
     });
 }
 
 #[test]
 fn list_shrinking_from_200_engines_to_one_rejects_no_request() {
-    play(async {
-        let (node, engines) = (node().await, fixture::engines(200, ms(5)).await.unwrap());
+    run_scenario(async {
+        let (node, engines) = (
+            start_node().await,
+            fixture::engines(200, ms(5)).await.unwrap(),
+        );
         register_engines(&[&node], &engines);
-        let folder = folder("short");
-        let program = start(
+        let folder = test_folder("short");
+        let program = start_program(
             &folder,
             "a",
             &dispatcher_file("", &eureka_section(&[&node], "[eureka.hold]\nfor_s = 3")),
         )
         .await;
         program
-            .until("200 engines", |p| ready(p, 200))
+            .until("200 engines", |page| has_ready(page, 200))
             .await
             .unwrap();
-        let clients = load(&program);
-        pass(300).await;
+        let clients = start_clients(&program);
+        sleep_ms(300).await;
         node.fault(Fault::Only(1));
         let page = program
-            .until("199 are held", |p| p["counts"]["held"] == 199)
+            .until("199 engines are held", |page| page["counts"]["held"] == 199)
             .await
             .unwrap();
-        assert!(ready(&page, 200));
+        assert!(has_ready(&page, 200));
         let held = &member(&page, "engine-7")["held"];
         assert!(
             held["why"].as_str().unwrap().contains("199 of 200"),
             "{held}"
         );
-        // Connections confirm those that are gone indeed, one by one.
+        // Refused connections confirm, one by one, the engines that are really gone.
         engines[50..].iter().for_each(Engine::end);
-        let refused = program
-            .until("some are gone", |p| p["counts"]["gone"].as_u64() > Some(0))
+        let page = program
+            .until("some engines are gone", |page| {
+                page["counts"]["gone"].as_u64() > Some(0)
+            })
             .await
             .unwrap();
-        assert!(refused["counts"]["held"].as_u64() < Some(199));
-        // The list is whole again before the doubt ends: nothing more has happened.
+        assert!(page["counts"]["held"].as_u64() < Some(199));
+        // The list is complete again before the hold ends: the held engines are released without further
+        // effect.
         node.fault(Fault::None);
         program
-            .until("none is held", |p| p["counts"]["held"] == 0)
+            .until("no engine is held", |page| page["counts"]["held"] == 0)
             .await
             .unwrap();
-        // And if it is not, the doubt ends.
+        // If the list stays short, the hold ends and the engines are removed.
         node.fault(Fault::Only(1));
         program
-            .until("held again", |p| p["counts"]["held"].as_u64() > Some(0))
+            .until("engines are held again", |page| {
+                page["counts"]["held"].as_u64() > Some(0)
+            })
+            .await
+            .unwrap();
+        program
+            .until("one engine is ready", |page| has_ready(page, 1))
             .await
             .unwrap();
-        program.until("let go", |p| ready(p, 1)).await.unwrap();
-        let account = clients.stop().await;
-        let bad = [End::Lost, End::Late].map(|e| account.count(e));
-        assert_eq!(bad, [0, 0], "{:?}", account.troubles.borrow());
+        let summary = clients.stop().await;
+        let failures = [End::Lost, End::Late].map(|end| summary.count(end));
+        assert_eq!(failures, [0, 0], "{:?}", summary.troubles.borrow());
         check_loads_run_once(&engines).unwrap();
     });
 }
 
 #[test]
 fn reassigned_address_is_used_for_its_new_instance_only() {
-    play(async {
-        let (node, engines) = (node().await, fixture::engines(2, ms(10)).await.unwrap());
+    run_scenario(async {
+        let (node, engines) = (
+            start_node().await,
+            fixture::engines(2, ms(10)).await.unwrap(),
+        );
         register_engines(&[&node], &engines);
-        let folder = folder("passed");
-        let program = start(
+        let folder = test_folder("passed");
+        let program = start_program(
             &folder,
             "a",
             &dispatcher_file("", &eureka_section(&[&node], "")),
         )
         .await;
-        program.until("two engines", |p| ready(p, 2)).await.unwrap();
-        let clients = load(&program);
-        pass(300).await;
-        // The old instance's lease has not ended when the new one registers the same address.
+        program
+            .until("two engines", |page| has_ready(page, 2))
+            .await
+            .unwrap();
+        let clients = start_clients(&program);
+        sleep_ms(300).await;
+        // The new instance registers the address before the old instance's lease ends.
         node.register(Instance::engine(
             "ENGINES",
             "engine-new",
@@ -393,8 +440,8 @@
             testbed::now(),
         ));
         let page = program
-            .until("it has passed", |p| {
-                member(p, "engine-new")["state"] == "ready"
+            .until("the new instance is ready", |page| {
+                member(page, "engine-new")["state"] == "ready"
             })
             .await
             .unwrap();
@@ -404,20 +451,22 @@
             (&"draining".into(), &"engine-new".into()),
             "{page}"
         );
-        pass(300).await;
+        sleep_ms(300).await;
         node.cancel("ENGINES", "engine-0");
         program
-            .until("the old one is gone", |p| member(p, "engine-0").is_null())
+            .until("the old instance is gone", |page| {
+                member(page, "engine-0").is_null()
+            })
             .await
             .unwrap();
-        pass(300).await;
-        assert!(ready(&program.members("").await.unwrap(), 2));
-        let account = clients.stop().await;
+        sleep_ms(300).await;
+        assert!(has_ready(&program.members("").await.unwrap(), 2));
+        let summary = clients.stop().await;
         assert_eq!(
-            account.count(End::Lost),
+            summary.count(End::Lost),
             0,
             "{:?}",
-            account.troubles.borrow()
+            summary.troubles.borrow()
         );
         check_loads_run_once(&engines).unwrap();
     });
@@ -425,93 +474,116 @@
 
 #[test]
 fn drain_in_the_same_poll_as_the_last_heartbeat_takes_effect() {
-    play(async {
-        let (node, engines) = (node().await, fixture::engines(2, ms(10)).await.unwrap());
+    run_scenario(async {
+        let (node, engines) = (
+            start_node().await,
+            fixture::engines(2, ms(10)).await.unwrap(),
+        );
         register_engines(&[&node], &engines);
-        let folder = folder("heartbeat");
-        let program = start(
+        let folder = test_folder("heartbeat");
+        let program = start_program(
             &folder,
             "a",
             &dispatcher_file("", &eureka_section(&[&node], "")),
         )
         .await;
-        program.until("two engines", |p| ready(p, 2)).await.unwrap();
-        let clients = load(&program);
-        pass(300).await;
+        program
+            .until("two engines", |page| has_ready(page, 2))
+            .await
+            .unwrap();
+        let clients = start_clients(&program);
+        sleep_ms(300).await;
         node.watch("engine-0");
-        // One instant: it registers itself as up, newer than before, and operators take it out of service.
-        let mut last = Instance::engine(
+        // At the same time the engine registers itself as UP with a newer timestamp and operators take it out
+        // of service.
+        let mut last_heartbeat = Instance::engine(
             "ENGINES",
             "engine-0",
             engines[0].address().port(),
             testbed::now() + 5.0,
         );
-        last.renewed = testbed::now();
-        node.register(last);
+        last_heartbeat.renewed = testbed::now();
+        node.register(last_heartbeat);
         node.set_status("ENGINES", "engine-0", Some(Status::OutOfService));
-        program.until("it drains", |p| ready(p, 1)).await.unwrap();
-        pass(1_200).await;
+        program
+            .until("the engine drains", |page| has_ready(page, 1))
+            .await
+            .unwrap();
+        sleep_ms(1_200).await;
         check_drain(&engines[0], node.told("engine-0").unwrap()).unwrap();
-        sound(&*clients.stop().await, &engines);
+        check_clients(&*clients.stop().await, &engines);
     });
 }
 
 #[test]
 fn start_during_a_registry_outage_serves_the_snapshot_with_its_age() {
-    play(async {
-        let (node, engines) = (node().await, fixture::engines(3, ms(10)).await.unwrap());
+    run_scenario(async {
+        let (node, engines) = (
+            start_node().await,
+            fixture::engines(3, ms(10)).await.unwrap(),
+        );
         register_engines(&[&node], &engines);
         node.set_status("ENGINES", "engine-2", Some(Status::OutOfService));
-        let folder = folder("snapshot");
+        let folder = test_folder("snapshot");
         let text = dispatcher_file("state_dir = \"FOLDER\"", &eureka_section(&[&node], ""));
-        let program = start(&folder, "a", &text).await;
-        program.until("two engines", |p| ready(p, 2)).await.unwrap();
-        let kept = folder.path().join("hitchwinch/members");
-        while !kept.exists() {
-            pass(20).await;
+        let program = start_program(&folder, "a", &text).await;
+        program
+            .until("two engines", |page| has_ready(page, 2))
+            .await
+            .unwrap();
+        let snapshot = folder.path().join("hitchwinch/members");
+        while !snapshot.exists() {
+            sleep_ms(20).await;
         }
         program.kill().await.unwrap();
         node.away();
-        let program = start(&folder, "b", &text).await;
+        let program = start_program(&folder, "b", &text).await;
         program.says("a snapshot of 3 engines").await.unwrap();
         let page = program
-            .until("two engines", |p| p["serving"] == true && ready(p, 2))
+            .until("two engines", |page| {
+                page["serving"] == true && has_ready(page, 2)
+            })
             .await
             .unwrap();
         assert!(page["snapshot_age_ms"].as_f64().unwrap() > 0.0);
         assert_eq!(page["counts"]["unproven"], 3);
         assert_eq!(program.call("GET", "/_ready").await.unwrap().0, 200);
-        let clients = load(&program);
-        pass(800).await;
-        assert_eq!(engines[2].count(), 0, "it drained when it was last known");
-        // The registry is back, and proves them.
+        let clients = start_clients(&program);
+        sleep_ms(800).await;
+        assert_eq!(engines[2].count(), 0, "the snapshot has it as draining");
+        // The registry is back and confirms the engines.
         node.back().await.unwrap();
         program
-            .until("proven", |p| p["counts"]["unproven"] == 0)
+            .until("all engines are confirmed", |page| {
+                page["counts"]["unproven"] == 0
+            })
             .await
             .unwrap();
-        sound(&*clients.stop().await, &engines);
+        check_clients(&*clients.stop().await, &engines);
         program.kill().await.unwrap();
-        // What cannot be read is told of and set aside, and never fatal.
-        let good = std::fs::read(&kept).unwrap();
-        let future = [&good[..12], &9u32.to_be_bytes(), &good[16..]].concat();
-        for (i, (bytes, what)) in [
-            (&good[..good.len() / 2], "torn"),
+        // An unreadable snapshot is reported and set aside, and is never fatal.
+        let valid = std::fs::read(&snapshot).unwrap();
+        let newer_version = [&valid[..12], &9u32.to_be_bytes(), &valid[16..]].concat();
+        for (index, (bytes, what)) in [
+            (&valid[..valid.len() / 2], "torn"),
             (b"#!/bin/sh", "no record"),
-            (&future, "later program"),
+            (&newer_version, "later program"),
         ]
         .into_iter()
         .enumerate()
         {
-            std::fs::write(&kept, bytes).unwrap();
-            let program = start(&folder, &format!("c{i}"), &text).await;
+            std::fs::write(&snapshot, bytes).unwrap();
+            let program = start_program(&folder, &format!("c{index}"), &text).await;
             let line = program.says("set aside").await.unwrap();
             assert!(line.contains(what), "{line}");
             assert_eq!(
-                std::fs::read(kept.with_extension(format!("unread-{i}"))).unwrap(),
+                std::fs::read(snapshot.with_extension(format!("unread-{index}"))).unwrap(),
                 bytes
             );
-            program.until("two engines", |p| ready(p, 2)).await.unwrap();
+            program
+                .until("two engines", |page| has_ready(page, 2))
+                .await
+                .unwrap();
             program.kill().await.unwrap();
         }
     });
@@ -519,19 +591,22 @@
 
 #[test]
 fn registry_with_malformed_answers_is_skipped_and_the_list_stays() {
-    play(async {
-        let (a, b) = (node().await, node().await);
+    run_scenario(async {
+        let (a, b) = (start_node().await, start_node().await);
         let engines = fixture::engines(2, ms(10)).await.unwrap();
         register_engines(&[&a], &engines);
-        let folder = folder("nonsense");
-        let program = start(
+        let folder = test_folder("nonsense");
+        let program = start_program(
             &folder,
             "a",
             &dispatcher_file("", &eureka_section(&[&a], "max_body = 100000")),
         )
         .await;
-        program.until("two engines", |p| ready(p, 2)).await.unwrap();
-        let clients = load(&program);
+        program
+            .until("two engines", |page| has_ready(page, 2))
+            .await
+            .unwrap();
+        let clients = start_clients(&program);
         let faults = [
             (Fault::Html, "neither JSON nor XML"),
             (
@@ -559,21 +634,21 @@
             let before = program.members("").await.unwrap()["sources"][0]["failures"].as_u64();
             a.fault(fault.clone());
             let page = program
-                .until(what, |p| {
-                    let source = &p["sources"][0];
+                .until(what, |page| {
+                    let source = &page["sources"][0];
                     source["failures"].as_u64() > before
                         && source["last_failure"]
                             .as_str()
-                            .is_some_and(|f| f.contains(what) || what == "eureka")
+                            .is_some_and(|failure| failure.contains(what) || what == "eureka")
                 })
                 .await
                 .unwrap_or_else(|e| panic!("{fault:?}: {e}"));
-            assert!(ready(&page, 2), "{fault:?}: {page}");
+            assert!(has_ready(&page, 2), "{fault:?}: {page}");
             a.fault(Fault::None);
-            let whole = page["sources"][0]["whole_lists"].as_u64();
+            let full_lists = page["sources"][0]["whole_lists"].as_u64();
             program
-                .until("answered", |p| {
-                    p["sources"][0]["whole_lists"].as_u64() > whole
+                .until("the registry responds", |page| {
+                    page["sources"][0]["whole_lists"].as_u64() > full_lists
                 })
                 .await
                 .unwrap();
@@ -581,35 +656,43 @@
         assert!(program.memory().1 < 100.0, "{:?} MB", program.memory());
         assert!(
             b.calls().is_empty(),
-            "nothing went where the configuration does not lead"
+            "no request is sent to a server outside the configuration"
         );
-        sound(&*clients.stop().await, &engines);
+        check_clients(&*clients.stop().await, &engines);
     });
 }
 
 #[test]
 fn address_outside_the_allowed_networks_is_never_connected_to() {
-    play(async {
-        let (node, engines) = (node().await, fixture::engines(2, ms(10)).await.unwrap());
+    run_scenario(async {
+        let (node, engines) = (
+            start_node().await,
+            fixture::engines(2, ms(10)).await.unwrap(),
+        );
         register_engines(&[&node], &engines);
         let decoy = Engine::start("decoy", "127.9.9.9:0".parse().unwrap(), ms(1))
             .await
             .unwrap();
-        let folder = folder("poison");
+        let folder = test_folder("poison");
         let text = dispatcher_file(
             "",
             &eureka_section(&[&node], "networks = [\"127.0.0.0/24\"]"),
         );
-        let program = start(&folder, "a", &text).await;
-        program.until("two engines", |p| ready(p, 2)).await.unwrap();
-        let clients = load(&program);
+        let program = start_program(&folder, "a", &text).await;
+        program
+            .until("two engines", |page| has_ready(page, 2))
+            .await
+            .unwrap();
+        let clients = start_clients(&program);
         let poisoned = |id: &str, now| Instance {
             ip: "127.9.9.9".into(),
             ..Instance::engine("ENGINES", id, decoy.address().port(), now)
         };
         node.register(poisoned("engine-x", testbed::now()));
         let page = program
-            .until("rejected", |p| p["counts"]["rejections"].as_u64() > Some(0))
+            .until("the address is rejected", |page| {
+                page["counts"]["rejections"].as_u64() > Some(0)
+            })
             .await
             .unwrap();
         assert_eq!(page["rejected"][0]["address"], decoy.address().to_string());
@@ -620,78 +703,94 @@
                 .unwrap()
                 .contains("engine-x")
         );
-        // A known engine that is led there takes nothing more.
+        // A known engine that moves to that address receives no more requests.
         node.register(poisoned("engine-1", testbed::now() + 1.0));
-        program.until("led astray", |p| ready(p, 1)).await.unwrap();
-        pass(500).await;
+        program
+            .until(
+                "the engine with the rejected address is not ready",
+                |page| has_ready(page, 1),
+            )
+            .await
+            .unwrap();
+        sleep_ms(500).await;
         assert_eq!(decoy.count(), 0);
-        sound(&*clients.stop().await, &engines);
+        check_clients(&*clients.stop().await, &engines);
     });
 }
 
 #[test]
 fn no_request_is_lost_in_a_registry_outage_and_the_nearest_registry_is_preferred_after() {
-    play(async {
-        let (near, far) = (node().await, node().await);
+    run_scenario(async {
+        let (near, far) = (start_node().await, start_node().await);
         let engines = fixture::engines(3, ms(10)).await.unwrap();
         near.peer(&far);
         register_engines(&[&near], &engines);
-        pass(50).await;
-        let folder = folder("away");
+        sleep_ms(50).await;
+        let folder = test_folder("away");
         let zoned = format!(
             "[eureka]\nservers = [{{ url = {:?}, zone = \"far\" }}, {{ url = {:?}, zone = \"home\" }}]
              app = \"ENGINES\"\nperiod_s = 0.2\ntimeout_ms = 1000\nask = 1",
             far.url(),
             near.url()
         );
-        let program = start(&folder, "a", &dispatcher_file("zone = \"home\"", &zoned)).await;
+        let program =
+            start_program(&folder, "a", &dispatcher_file("zone = \"home\"", &zoned)).await;
         program
-            .until("three engines", |p| ready(p, 3))
+            .until("three engines", |page| has_ready(page, 3))
             .await
             .unwrap();
-        assert!(far.calls().is_empty(), "the own zone goes first");
-        let clients = load(&program);
+        assert!(
+            far.calls().is_empty(),
+            "the registry of the own zone is polled first"
+        );
+        let clients = start_clients(&program);
         near.away();
         program
-            .until("fail-over", |p| {
-                p["sources"].as_array().is_some_and(|s| s.len() == 2)
+            .until("both registries were polled", |page| {
+                page["sources"]
+                    .as_array()
+                    .is_some_and(|sources| sources.len() == 2)
             })
             .await
             .unwrap();
         far.away();
-        pass(3_000).await;
-        assert!(ready(&program.members("").await.unwrap(), 3));
+        sleep_ms(3_000).await;
+        assert!(has_ready(&program.members("").await.unwrap(), 3));
         far.back().await.unwrap();
         near.back().await.unwrap();
         let calls = near.calls().len();
         while near.calls().len() < calls + 3 {
-            pass(50).await;
+            sleep_ms(50).await;
         }
-        let of_far = far.calls().len();
-        pass(1_000).await;
-        assert_eq!(far.calls().len(), of_far, "the return to the nearest");
-        sound(&*clients.stop().await, &engines);
+        let far_calls = far.calls().len();
+        sleep_ms(1_000).await;
+        assert_eq!(
+            far.calls().len(),
+            far_calls,
+            "the nearest registry is polled again"
+        );
+        check_clients(&*clients.stop().await, &engines);
     });
 }
 
 #[test]
 fn sighup_replaces_servers_without_loss_and_ignores_an_invalid_file() {
-    play(async {
-        let (a, b) = (node().await, node().await);
+    run_scenario(async {
+        let (a, b) = (start_node().await, start_node().await);
         let engines = fixture::engines(3, ms(10)).await.unwrap();
         register_engines(&[&a, &b], &engines);
-        let folder = folder("swap");
-        let program = start(
+        let folder = test_folder("swap");
+        let program = start_program(
             &folder,
             "a",
             &dispatcher_file("", &eureka_section(&[&a], "")),
         )
         .await;
         program
-            .until("three engines", |p| ready(p, 3))
+            .until("three engines", |page| has_ready(page, 3))
             .await
             .unwrap();
-        let clients = load(&program);
+        let clients = start_clients(&program);
         program
             .configure(&dispatcher_file(
                 "",
@@ -706,67 +805,82 @@
                 .unwrap()
                 .contains("eureka.networks[0]")
         );
-        b.fault(Fault::Delay(ms(800))); // the list in hand stays until the new one is here
-        let (asked, seen) = (a.calls().len(), b.calls().len());
+        b.fault(Fault::Delay(ms(800))); // the current list stays until the new one arrives
+        let (old_calls, new_calls) = (a.calls().len(), b.calls().len());
         program
             .configure(&dispatcher_file("", &eureka_section(&[&b], "")))
             .await
             .unwrap();
         program.says("in force").await.unwrap();
-        pass(400).await;
-        assert!(ready(&program.members("").await.unwrap(), 3));
+        sleep_ms(400).await;
+        assert!(has_ready(&program.members("").await.unwrap(), 3));
         b.fault(Fault::None);
-        pass(1_200).await;
-        assert!(ready(&program.members("").await.unwrap(), 3));
+        sleep_ms(1_200).await;
+        assert!(has_ready(&program.members("").await.unwrap(), 3));
         assert!(
-            b.calls().len() > seen && a.calls().len() <= asked + 2,
-            "the old one is asked no more"
+            b.calls().len() > new_calls && a.calls().len() <= old_calls + 2,
+            "the old registry is no longer polled"
         );
-        sound(&*clients.stop().await, &engines);
+        check_clients(&*clients.stop().await, &engines);
     });
 }
 
 #[test]
 fn dispatcher_registers_itself_as_up_when_ready_and_deregisters_on_shutdown() {
-    play(async {
-        let (node, engines) = (node().await, fixture::engines(1, ms(400)).await.unwrap());
-        let folder = folder("register");
-        let more = "[eureka.register]\nip = \"127.0.0.1\"\nport = 3390\ninstance_id = \"us\"\nrenew_s = 0.3\n\
+    run_scenario(async {
+        let (node, engines) = (
+            start_node().await,
+            fixture::engines(1, ms(400)).await.unwrap(),
+        );
+        let folder = test_folder("register");
+        let register_section = "[eureka.register]\nip = \"127.0.0.1\"\nport = 3390\ninstance_id = \"us\"\n\
+                    renew_s = 0.3\n\
                     metadata = { zone = \"depot\" }";
         node.fault(Fault::Status(503)); // no list yet
-        let program = start(
+        let program = start_program(
             &folder,
             "a",
-            &dispatcher_file("", &eureka_section(&[&node], more)),
+            &dispatcher_file("", &eureka_section(&[&node], register_section)),
         )
         .await;
-        let status = || node.instance("HITCHWINCH", "us").map(|i| i.listed());
+        let status = || {
+            node.instance("HITCHWINCH", "us")
+                .map(|instance| instance.listed())
+        };
         while status().is_none() {
-            pass(20).await;
+            sleep_ms(20).await;
         }
-        assert_eq!(status(), Some(Status::Starting), "it is not ready");
+        assert_eq!(
+            status(),
+            Some(Status::Starting),
+            "the dispatcher is not ready"
+        );
         register_engines(&[&node], &engines);
         node.fault(Fault::None);
         while status() != Some(Status::Up) {
-            pass(20).await;
+            sleep_ms(20).await;
         }
-        let us = node.instance("HITCHWINCH", "us").unwrap();
+        let own_entry = node.instance("HITCHWINCH", "us").unwrap();
         assert_eq!(
-            (us.port, us.metadata["zone"].as_str(), us.vip.as_str()),
+            (
+                own_entry.port,
+                own_entry.metadata["zone"].as_str(),
+                own_entry.vip.as_str()
+            ),
             (3390, "depot", "hitchwinch")
         );
-        // The registry forgets it: a heartbeat finds that out, and it registers again.
+        // The registry loses the entry: the next heartbeat gets 404, and the dispatcher registers again.
         node.cancel("HITCHWINCH", "us");
         while status() != Some(Status::Up) {
-            pass(20).await;
+            sleep_ms(20).await;
         }
-        // Operators set another status over it, and it is shown.
+        // Operators override the status, which `/_members` reports.
         node.set_status("HITCHWINCH", "us", Some(Status::OutOfService));
         program
-            .until("the override is shown", |p| {
-                p["registration"]
+            .until("the override is shown", |page| {
+                page["registration"]
                     .as_str()
-                    .is_some_and(|t| t.contains("shows OUT_OF_SERVICE"))
+                    .is_some_and(|text| text.contains("shows OUT_OF_SERVICE"))
             })
             .await
             .unwrap();
@@ -780,19 +894,23 @@
                 prepared: false,
             },
         );
-        pass(300).await;
+        sleep_ms(300).await;
         program.signal("TERM").await.unwrap();
         while status() == Some(Status::Up) {
-            pass(5).await;
+            sleep_ms(5).await;
         }
-        assert_eq!(status(), Some(Status::OutOfService), "while it winds down");
+        assert_eq!(
+            status(),
+            Some(Status::OutOfService),
+            "while the dispatcher shuts down"
+        );
         while status().is_some() {
-            pass(10).await;
+            sleep_ms(10).await;
         }
         assert!(
             node.calls()
                 .iter()
-                .any(|c| c.starts_with("DELETE /eureka/apps/HITCHWINCH/us"))
+                .any(|call| call.starts_with("DELETE /eureka/apps/HITCHWINCH/us"))
         );
         drop(clients);
     });
@@ -800,30 +918,42 @@
 
 #[test]
 fn registration_passes_to_the_new_process_on_takeover() {
-    play(async {
-        let (node, engines) = (node().await, fixture::engines(1, ms(10)).await.unwrap());
+    run_scenario(async {
+        let (node, engines) = (
+            start_node().await,
+            fixture::engines(1, ms(10)).await.unwrap(),
+        );
         register_engines(&[&node], &engines);
-        let folder = folder("upgrade");
-        let more = "[eureka.register]\nport = 3390\ninstance_id = \"us\"\nrenew_s = 0.3";
-        let text = dispatcher_file("state_dir = \"FOLDER\"", &eureka_section(&[&node], more));
-        let old = start(&folder, "old", &text).await;
-        let status = || node.instance("HITCHWINCH", "us").map(|i| i.listed());
+        let folder = test_folder("upgrade");
+        let register_section =
+            "[eureka.register]\nport = 3390\ninstance_id = \"us\"\nrenew_s = 0.3";
+        let text = dispatcher_file(
+            "state_dir = \"FOLDER\"",
+            &eureka_section(&[&node], register_section),
+        );
+        let old = start_program(&folder, "old", &text).await;
+        let status = || {
+            node.instance("HITCHWINCH", "us")
+                .map(|instance| instance.listed())
+        };
         while status() != Some(Status::Up) {
-            pass(20).await;
+            sleep_ms(20).await;
         }
-        let new = start(&folder, "new", &text).await;
-        new.until("one engine", |p| p["serving"] == true && ready(p, 1))
-            .await
-            .unwrap();
+        let new = start_program(&folder, "new", &text).await;
+        new.until("one engine", |page| {
+            page["serving"] == true && has_ready(page, 1)
+        })
+        .await
+        .unwrap();
         old.says("2 processes").await.unwrap();
         assert!(old.ends().await.unwrap());
-        pass(700).await;
+        sleep_ms(700).await;
         assert_eq!(
             status(),
             Some(Status::Up),
-            "whoever looks for it finds the new one"
+            "the registry lists the new process"
         );
-        assert!(!node.calls().iter().any(|c| c.starts_with("DELETE")));
+        assert!(!node.calls().iter().any(|call| call.starts_with("DELETE")));
         assert!(new.ends().await.unwrap());
         assert_eq!(status(), None);
     });
@@ -831,13 +961,16 @@
 
 #[test]
 fn lists_are_read_by_name_as_compressed_xml_with_credentials_and_regions() {
-    play(async {
-        let (node, engines) = (node().await, fixture::engines(4, ms(5)).await.unwrap());
+    run_scenario(async {
+        let (node, engines) = (
+            start_node().await,
+            fixture::engines(4, ms(5)).await.unwrap(),
+        );
         register_engines(&[&node], &engines);
         node.authorize("Basic YW5uOnNAY3JldA==");
-        let with = node.url().replace("http://", "http://ann:s%40cret@");
-        let folder = folder("forms");
-        let forms = [
+        let url = node.url().replace("http://", "http://ann:s%40cret@");
+        let folder = test_folder("forms");
+        let queries = [
             ("app = \"engines\"\nformat = \"xml\"", "GET /eureka/apps"),
             (
                 "app = \"engines\"\nfetch = \"app\"",
@@ -853,11 +986,16 @@
                 "GET /eureka/apps?regions=north,south",
             ),
         ];
-        for (i, (form, call)) in forms.into_iter().enumerate() {
-            let section = format!("[eureka]\nservers = [{with:?}]\nperiod_s = 0.1\n{form}");
-            let program = start(&folder, &format!("f{i}"), &dispatcher_file("", &section)).await;
+        for (index, (query, call)) in queries.into_iter().enumerate() {
+            let section = format!("[eureka]\nservers = [{url:?}]\nperiod_s = 0.1\n{query}");
+            let program = start_program(
+                &folder,
+                &format!("f{index}"),
+                &dispatcher_file("", &section),
+            )
+            .await;
             let page = program
-                .until("four engines", |p| ready(p, 4))
+                .until("four engines", |page| has_ready(page, 4))
                 .await
                 .unwrap();
             assert!(
@@ -869,12 +1007,18 @@
                 "{call}: {:?}",
                 node.calls().last()
             );
-            // A drain comes by each of them.
+            // Each kind of query delivers a drain.
             node.set_status("ENGINES", "engine-3", Some(Status::Down));
-            program.until("it drains", |p| ready(p, 3)).await.unwrap();
+            program
+                .until("the engine drains", |page| has_ready(page, 3))
+                .await
+                .unwrap();
             node.set_status("ENGINES", "engine-3", None);
-            program.until("it is back", |p| ready(p, 4)).await.unwrap();
-            assert!(!program.log().iter().any(|l| l.contains("cret")));
+            program
+                .until("the engine is back", |page| has_ready(page, 4))
+                .await
+                .unwrap();
+            assert!(!program.log().iter().any(|line| line.contains("cret")));
             program.kill().await.unwrap();
         }
     });
@@ -882,62 +1026,79 @@
 
 #[test]
 fn queued_or_half_prepared_statements_of_a_draining_engine_go_elsewhere() {
-    play(async {
-        let (node, engines) = (node().await, fixture::engines(2, ms(100)).await.unwrap());
+    run_scenario(async {
+        let (node, engines) = (
+            start_node().await,
+            fixture::engines(2, ms(100)).await.unwrap(),
+        );
         register_engines(&[&node], &engines);
-        let folder = folder("queued");
-        let program = start(
+        let folder = test_folder("queued");
+        let program = start_program(
             &folder,
             "a",
             &dispatcher_file("", &eureka_section(&[&node], "")),
         )
         .await;
-        program.until("two engines", |p| ready(p, 2)).await.unwrap();
-        // Sessions that have their statements prepared, and more requests than engines bear.
+        program
+            .until("two engines", |page| has_ready(page, 2))
+            .await
+            .unwrap();
+        // Sessions with prepared statements, which send more requests than the engines sustain.
         let mut sessions = vec![];
-        for n in 0..16u32 {
-            let mut c = mysql_async::Conn::new(testbed::clients::load::opts(program.address))
-                .await
-                .unwrap();
-            let s = c
+        for session in 0..16u32 {
+            let mut connection =
+                mysql_async::Conn::new(testbed::clients::load::opts(program.address))
+                    .await
+                    .unwrap();
+            let statement = connection
                 .prep("select engine from stock where n = ?")
                 .await
                 .unwrap();
-            sessions.push((n, c, s));
+            sessions.push((session, connection, statement));
         }
         node.watch("engine-0");
         node.set_status("ENGINES", "engine-0", Some(Status::Down));
-        let asked = sessions.into_iter().map(|(n, mut c, s)| {
-            tokio::task::spawn_local(async move {
-                let mut engines = vec![];
-                for k in 0..12u32 {
-                    // More than engines bear is refused, and comes again.
-                    let row = loop {
-                        match c
-                            .exec_first::<(String, String), _, _>(&s, (1000 * n + k,))
-                            .await
-                        {
-                            Ok(row) => break row,
-                            Err(mysql_async::Error::Server(e)) if e.code == 3168 => pass(100).await,
-                            Err(e) => panic!("{e}"),
-                        }
-                    };
-                    engines.push(row.unwrap().0);
-                }
-                c.disconnect().await.unwrap();
-                engines
-            })
-        });
-        let mut last = vec![];
-        for task in asked.collect::<Vec<_>>() {
-            last.push(task.await.unwrap().pop().unwrap());
+        let tasks = sessions
+            .into_iter()
+            .map(|(session, mut connection, statement)| {
+                tokio::task::spawn_local(async move {
+                    let mut engines = vec![];
+                    for request in 0..12u32 {
+                        // Requests beyond what the engines sustain are refused with error 3168 and repeated.
+                        let row = loop {
+                            match connection
+                                .exec_first::<(String, String), _, _>(
+                                    &statement,
+                                    (1000 * session + request,),
+                                )
+                                .await
+                            {
+                                Ok(row) => break row,
+                                Err(mysql_async::Error::Server(e)) if e.code == 3168 => {
+                                    sleep_ms(100).await
+                                }
+                                Err(e) => panic!("{e}"),
+                            }
+                        };
+                        engines.push(row.unwrap().0);
+                    }
+                    connection.disconnect().await.unwrap();
+                    engines
+                })
+            });
+        let mut last_engines = vec![];
+        for task in tasks.collect::<Vec<_>>() {
+            last_engines.push(task.await.unwrap().pop().unwrap());
         }
-        assert!(last.iter().all(|e| e == "engine-1"), "{last:?}");
+        assert!(
+            last_engines.iter().all(|engine| engine == "engine-1"),
+            "{last_engines:?}"
+        );
         check_drain(&engines[0], node.told("engine-0").unwrap()).unwrap();
         let answered = engines
             .iter()
             .flat_map(Engine::executions)
-            .filter(|r| r.answered)
+            .filter(|execution| execution.answered)
             .count();
         assert!(answered >= 16 * 12);
     });
@@ -945,38 +1106,52 @@
 
 #[test]
 fn instance_churn_leaks_nothing() {
-    play(async {
-        let (node, engines) = (node().await, fixture::engines(12, ms(2)).await.unwrap());
-        let folder = folder("churn");
-        let program = start(
+    run_scenario(async {
+        let (node, engines) = (
+            start_node().await,
+            fixture::engines(12, ms(2)).await.unwrap(),
+        );
+        let folder = test_folder("churn");
+        let program = start_program(
             &folder,
             "a",
             &dispatcher_file("", &eureka_section(&[&node], "[eureka.hold]\nfor_s = 0")),
         )
         .await;
-        let name = |i: usize| format!("c{i}");
-        let add = |i: usize| {
-            let port = engines[i % 12].address().port();
-            node.register(Instance::engine("ENGINES", &name(i), port, testbed::now()));
+        let name = |index: usize| format!("c{index}");
+        let add = |index: usize| {
+            let port = engines[index % 12].address().port();
+            node.register(Instance::engine(
+                "ENGINES",
+                &name(index),
+                port,
+                testbed::now(),
+            ));
         };
         (0..6).for_each(add);
-        program.until("six engines", |p| ready(p, 6)).await.unwrap();
-        let clients = load(&program);
-        // One goes and another comes under a new id, at an address that an earlier one had.
-        for i in 6..60 {
-            add(i);
-            node.set_status("ENGINES", &name(i - 6), Some(Status::Down));
-            pass(30).await;
-            node.cancel("ENGINES", &name(i - 6));
+        program
+            .until("six engines", |page| has_ready(page, 6))
+            .await
+            .unwrap();
+        let clients = start_clients(&program);
+        // One instance is removed and another is added with a new ID, at the address of an earlier instance.
+        for index in 6..60 {
+            add(index);
+            node.set_status("ENGINES", &name(index - 6), Some(Status::Down));
+            sleep_ms(30).await;
+            node.cancel("ENGINES", &name(index - 6));
         }
-        let page = program.until("six engines", |p| ready(p, 6)).await.unwrap();
+        let page = program
+            .until("six engines", |page| has_ready(page, 6))
+            .await
+            .unwrap();
         assert!(page["counts"]["gone"].as_u64() <= Some(54), "{page}");
-        let account = clients.stop().await;
+        let summary = clients.stop().await;
         assert_eq!(
-            account.count(End::Lost),
+            summary.count(End::Lost),
             0,
             "{:?}",
-            account.troubles.borrow()
+            summary.troubles.borrow()
         );
         check_loads_run_once(&engines).unwrap();
     });
