--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -22,7 +22,7 @@
 
 /// Returns the change that represents a static list from the configuration: one snapshot in which every
 /// engine is ready.
-pub fn fixed(engines: &[StaticEngine]) -> Change {
+pub fn static_snapshot(engines: &[StaticEngine]) -> Change {
     let to_engine = |engine: &StaticEngine| Engine {
         id: engine.id.clone(),
         address: Some(engine.address),
--- a/src/server/endpoint_source.rs
+++ b/src/server/endpoint_source.rs
@@ -3,8 +3,8 @@
 use crate::config::{self, EurekaSettings};
 use crate::discovery::eureka::lease::{Lease, Standing};
 use crate::discovery::eureka::{self};
-use crate::discovery::fixed;
 use crate::discovery::membership_driver::MembershipDriver;
+use crate::discovery::static_snapshot;
 use crate::dispatch::RequestRouter;
 use crate::upstream::mysql::MysqlUpstream;
 use std::cell::RefCell;
@@ -62,7 +62,7 @@
         match source {
             config::EndpointSource::Static(engines) => {
                 self.stop_registry();
-                self.router.update_endpoints(&fixed(engines));
+                self.router.update_endpoints(&static_snapshot(engines));
             }
             config::EndpointSource::Eureka(source) => {
                 let source = Rc::new((**source).clone());
