--- a/src/discovery/eureka/lease.rs
+++ b/src/discovery/eureka/lease.rs
@@ -31,13 +31,13 @@
 
 /// The dispatcher's state that determines the status of its registration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum DispatcherState {
     /// Started, but not ready to serve clients.
     Starting,
     /// Serving clients.
     Ready,
     /// Shutting down, without a successor process.
-    Ending,
+    ShuttingDown,
     /// Shutting down, while another process of this dispatcher maintains the same lease.
     HandedOver,
 }
@@ -82,14 +82,14 @@
 
     /// Registers this dispatcher and renews the lease, with the status that corresponds to `current_state`,
     /// which is checked every 100 ms between requests. Returns once the lease is handed over or cancelled.
-    pub async fn keep(self: Rc<Self>, current_state: impl Fn() -> Standing) {
+    pub async fn run(self: Rc<Self>, current_state: impl Fn() -> DispatcherState) {
         loop {
             let now = process_time_millis();
             let status = match current_state() {
-                Standing::Starting => Status::Starting,
-                Standing::Ready => Status::Up,
-                Standing::Ending => Status::OutOfService,
-                Standing::HandedOver => {
+                DispatcherState::Starting => Status::Starting,
+                DispatcherState::Ready => Status::Up,
+                DispatcherState::ShuttingDown => Status::OutOfService,
+                DispatcherState::HandedOver => {
                     self.state.borrow_mut().hand_over();
                     return;
                 }
@@ -137,7 +137,7 @@
 
     /// Returns how the status in the registry differs from the registered one, for instance because of an
     /// operator's override; `None` if it does not.
-    pub fn differs(&self) -> Option<String> {
+    pub fn status_mismatch(&self) -> Option<String> {
         self.mismatch.borrow().clone()
     }
 
--- a/src/server/endpoint_source.rs
+++ b/src/server/endpoint_source.rs
@@ -1,7 +1,7 @@
 //! Where a MySQL process takes its endpoint list from: a fixed list or a Eureka registry, exchanged on reload.
 
 use crate::config::{self, EurekaSettings};
-use crate::discovery::eureka::lease::{Lease, Standing};
+use crate::discovery::eureka::lease::{DispatcherState, Lease};
 use crate::discovery::eureka::{self};
 use crate::discovery::membership_driver::MembershipDriver;
 use crate::discovery::static_snapshot;
@@ -14,7 +14,7 @@
 use tokio::task::{AbortHandle, spawn_local};
 
 /// Tells what this dispatcher's registration should show.
-pub(super) type StandingProbe = Rc<dyn Fn() -> Standing>;
+pub(super) type StandingProbe = Rc<dyn Fn() -> DispatcherState>;
 /// The membership of the registry that is followed, if one is; operators look at it.
 pub(super) type SharedMembership = Rc<RefCell<Option<Rc<MembershipDriver>>>>;
 
@@ -148,11 +148,11 @@
         let lease = Lease::new(source.clone());
         let shown = lease.clone();
         membership.lease(Rc::new(move || {
-            shown.as_ref().and_then(|lease| lease.differs())
+            shown.as_ref().and_then(|lease| lease.status_mismatch())
         }));
         let renewal = lease.clone().map(|lease| {
             let standing = standing.clone();
-            spawn_local(lease.keep(move || standing())).abort_handle()
+            spawn_local(lease.run(move || standing())).abort_handle()
         });
         Registration { lease, renewal }
     }
--- a/src/server/mysql.rs
+++ b/src/server/mysql.rs
@@ -4,7 +4,7 @@
 use crate::clock::process_time_millis;
 use crate::config::MysqlConfig;
 use crate::core::Core;
-use crate::discovery::eureka::lease::Standing;
+use crate::discovery::eureka::lease::DispatcherState;
 use crate::dispatch::{RequestRouter, Upstream};
 use crate::frontend::mysql::Frontend;
 use crate::log_line;
@@ -172,13 +172,13 @@
     Rc::new(move || {
         if router.is_shutting_down() {
             match instances.processes() {
-                Ok(2..) => Standing::HandedOver,
-                _ => Standing::Ending,
+                Ok(2..) => DispatcherState::HandedOver,
+                _ => DispatcherState::ShuttingDown,
             }
         } else if router.is_ready() {
-            Standing::Ready
+            DispatcherState::Ready
         } else {
-            Standing::Starting
+            DispatcherState::Starting
         }
     })
 }
