--- a/src/admin/routes.rs
+++ b/src/admin/routes.rs
@@ -101,7 +101,10 @@
     /// The resolved state of the engines that a registry lists, and why it is that.
     fn members(&self, query: &str) -> Response {
         let membership = self.sources.membership.borrow();
-        match membership.as_ref().map(|membership| membership.page(query)) {
+        match membership
+            .as_ref()
+            .map(|membership| membership.report_page(query))
+        {
             Some(Ok(page)) => Response::json(page),
             Some(Err(error)) => Response::text(400, format!("{error}\n")),
             None => Response::text(404, "no registry lists the engines\n"),
--- a/src/discovery/membership_driver.rs
+++ b/src/discovery/membership_driver.rs
@@ -53,9 +53,9 @@
     sink: ChangeHandler,
     /// Queued observations, with their engines' IDs.
     observations: RefCell<VecDeque<(String, Observation)>>,
-    /// Wakes `clock`, the task that runs the timers.
+    /// Wakes `run_timers`, the task that runs the timers.
     wake: Notify,
-    /// Wakes `keep`, the task that writes the snapshot.
+    /// Wakes `save_snapshots`, the task that writes the snapshot.
     changed: Notify,
     store: Option<Arc<RecordStore>>,
     /// Whether any endpoint list has been passed to `sink` yet.
@@ -141,7 +141,7 @@
     }
 
     /// Sets the function that provides `registration` in the body of `GET /_members`.
-    pub fn lease(&self, mismatch: RegistrationMismatch) {
+    pub fn set_registration_mismatch(&self, mismatch: RegistrationMismatch) {
         *self.registration_mismatch.borrow_mut() = Some(mismatch);
     }
 
@@ -203,7 +203,7 @@
     ///
     /// # Errors
     /// The query string is not valid.
-    pub fn page(&self, query: &str) -> Result<String, QueryError> {
+    pub fn report_page(&self, query: &str) -> Result<String, QueryError> {
         let query = Query::parse(query)?;
         self.apply_observations();
         self.membership
@@ -252,7 +252,7 @@
     }
 
     /// Runs membership's timers and applies observations as they are reported. Does not return.
-    pub async fn clock(self: Rc<Self>) {
+    pub async fn run_timers(self: Rc<Self>) {
         loop {
             let next = self.membership.borrow().next_wakeup(process_time_millis());
             let sleep = duration_from_millis(
@@ -273,7 +273,7 @@
 
     /// Writes the snapshot after changes, and at least every `MAX_SAVE_INTERVAL`, on the blocking thread
     /// pool. Returns immediately if there is no state directory, and never otherwise.
-    pub async fn keep(self: Rc<Self>) {
+    pub async fn save_snapshots(self: Rc<Self>) {
         let Some(store) = self.store.clone() else {
             return;
         };
--- a/src/server/endpoint_source.rs
+++ b/src/server/endpoint_source.rs
@@ -105,8 +105,8 @@
         let (configuration, configured) = watch::channel(source.clone());
         let tasks = vec![
             spawn_local(eureka::follow(configured, membership.clone())).abort_handle(),
-            spawn_local(membership.clone().clock()).abort_handle(),
-            spawn_local(membership.clone().keep()).abort_handle(),
+            spawn_local(membership.clone().run_timers()).abort_handle(),
+            spawn_local(membership.clone().save_snapshots()).abort_handle(),
         ];
         self.registry = Some(RegistrySource {
             configuration,
@@ -147,7 +147,7 @@
     ) -> Self {
         let lease = Lease::new(source.clone());
         let shown = lease.clone();
-        membership.lease(Rc::new(move || {
+        membership.set_registration_mismatch(Rc::new(move || {
             shown.as_ref().and_then(|lease| lease.status_mismatch())
         }));
         let renewal = lease.clone().map(|lease| {
