--- a/src/server/endpoint_source.rs
+++ b/src/server/endpoint_source.rs
@@ -1,10 +1,10 @@
 //! Where a MySQL process takes its endpoint list from: a fixed list or a Eureka registry, exchanged on reload.
 
 use crate::config::{self, EurekaSettings};
-use crate::discovery::eureka::lease::{Lease, Standing};
+use crate::discovery::eureka::lease::{DispatcherState, Lease};
 use crate::discovery::eureka::{self};
-use crate::discovery::fixed;
 use crate::discovery::membership_driver::MembershipDriver;
+use crate::discovery::static_snapshot;
 use crate::dispatch::RequestRouter;
 use crate::upstream::mysql::MysqlUpstream;
 use std::cell::RefCell;
@@ -14,7 +14,7 @@
 use tokio::task::{AbortHandle, spawn_local};
 
 /// Tells what this dispatcher's registration should show.
-pub(super) type StandingProbe = Rc<dyn Fn() -> Standing>;
+pub(super) type StandingProbe = Rc<dyn Fn() -> DispatcherState>;
 /// The membership of the registry that is followed, if one is; operators look at it.
 pub(super) type SharedMembership = Rc<RefCell<Option<Rc<MembershipDriver>>>>;
 
@@ -62,7 +62,7 @@
         match source {
             config::EndpointSource::Static(engines) => {
                 self.stop_registry();
-                self.router.update_endpoints(&fixed(engines));
+                self.router.update_endpoints(&static_snapshot(engines));
             }
             config::EndpointSource::Eureka(source) => {
                 let source = Rc::new((**source).clone());
@@ -105,8 +105,8 @@
         let (configuration, configured) = watch::channel(source.clone());
         let tasks = vec![
             spawn_local(eureka::follow(configured, membership.clone())).abort_handle(),
-            spawn_local(membership.clone().clock()).abort_handle(),
-            spawn_local(membership.clone().keep()).abort_handle(),
+            spawn_local(membership.clone().run_timers()).abort_handle(),
+            spawn_local(membership.clone().save_snapshots()).abort_handle(),
         ];
         self.registry = Some(RegistrySource {
             configuration,
@@ -147,12 +147,12 @@
     ) -> Self {
         let lease = Lease::new(source.clone());
         let shown = lease.clone();
-        membership.lease(Rc::new(move || {
-            shown.as_ref().and_then(|lease| lease.differs())
+        membership.set_registration_mismatch(Rc::new(move || {
+            shown.as_ref().and_then(|lease| lease.status_mismatch())
         }));
         let renewal = lease.clone().map(|lease| {
             let standing = standing.clone();
-            spawn_local(lease.keep(move || standing())).abort_handle()
+            spawn_local(lease.run(move || standing())).abort_handle()
         });
         Registration { lease, renewal }
     }
