--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -1,4 +1,4 @@
-//! The state machine of one attempt.
+//! The state machine of an attempt.
 
 use crate::decision::model::{Millis, Outcome};
 
@@ -13,17 +13,17 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum AttemptState {
-    /// Handed to an upstream; no part of a result has arrived.
+    /// Passed to an upstream; no part of a result has arrived.
     InFlight,
-    /// Pages of its result are arriving.
+    /// Pages of the result are arriving.
     Receiving { last_page_at: Millis },
-    /// Over. The engine may have run it.
+    /// Ended. The engine may have run it.
     MayHaveRun,
-    /// Over, and proven never to have run.
+    /// Ended, and known never to have run.
     NeverRan,
 }
 
-/// One attempt of a request at one engine.
+/// One attempt to run a request on an engine.
 #[derive(Debug)]
 pub(super) struct Attempt {
     engine: String,
@@ -33,7 +33,7 @@
 }
 
 impl Attempt {
-    /// An attempt that is started now.
+    /// Creates an attempt that is started now.
     pub(super) fn start(engine: String, now: Millis, deadline: Millis) -> Self {
         Attempt {
             engine,
@@ -43,7 +43,8 @@
         }
     }
 
-    /// An attempt that was decided on but must not be started. It keeps its index among the request's attempts.
+    /// Creates an attempt that the decision module requested but that must not be started. It still takes an
+    /// index among the request's attempts.
     pub(super) fn suppressed(engine: String, now: Millis, deadline: Millis) -> Self {
         Attempt {
             state: AttemptState::NeverRan,
@@ -51,22 +52,22 @@
         }
     }
 
-    /// The engine that it was sent to.
+    /// Returns the id of the engine that the attempt was sent to.
     pub(super) fn engine(&self) -> &str {
         &self.engine
     }
 
-    /// When it was started, on the clock of the process, in milliseconds.
+    /// Returns the time at which the attempt was started, in milliseconds on the process clock.
     pub(super) fn started_at(&self) -> Millis {
         self.started_at
     }
 
-    /// When it times out, on the clock of the process, in milliseconds.
+    /// Returns the time at which the attempt times out, in milliseconds on the process clock.
     pub(super) fn deadline(&self) -> Millis {
         self.deadline
     }
 
-    /// It has been started and is not over.
+    /// Returns whether the attempt has been started and has not ended.
     pub(super) fn is_in_flight(&self) -> bool {
         match self.state {
             AttemptState::InFlight | AttemptState::Receiving { .. } => true,
@@ -74,12 +75,13 @@
         }
     }
 
-    /// Nothing proves that its engine has not run it.
+    /// Returns whether the engine may have run the attempt: nothing proves that it has not.
     pub(super) fn may_have_run(&self) -> bool {
         self.state != AttemptState::NeverRan
     }
 
-    /// The last page of its result arrived less than `page_timeout` ago, and more are expected.
+    /// Returns whether the last page of the result arrived less than `page_timeout` milliseconds ago and more
+    /// are expected.
     pub(super) fn is_receiving(&self, now: Millis, page_timeout: Millis) -> bool {
         match self.state {
             AttemptState::Receiving { last_page_at } => now < last_page_at + page_timeout,
@@ -87,32 +89,34 @@
         }
     }
 
-    /// It is in flight though its deadline has passed.
+    /// Returns whether the attempt is in flight though its deadline has passed.
     pub(super) fn is_overdue(&self, now: Millis) -> bool {
         self.is_in_flight() && self.deadline <= now
     }
 
-    /// A page of its result has arrived and more follow. No effect on an attempt that is over.
+    /// Records that a page of the result has arrived and more follow. Has no effect on an attempt that has
+    /// ended.
     pub(super) fn receive_page(&mut self, now: Millis) {
         if self.is_in_flight() {
             self.state = AttemptState::Receiving { last_page_at: now };
         }
     }
 
-    /// It ended with this outcome. No effect on an attempt that is over.
+    /// Ends the attempt with this outcome. Has no effect on an attempt that has ended.
     pub(super) fn finish(&mut self, outcome: Outcome) {
         if self.is_in_flight() {
             self.state = final_state(outcome);
         }
     }
 
-    /// It was cancelled: its engine may have run it all the same. No effect on an attempt that is over.
+    /// Ends the attempt as cancelled: its engine may have run it nevertheless. Has no effect on an attempt
+    /// that has ended.
     pub(super) fn cancel(&mut self) {
         self.finish(Outcome::Cancelled);
     }
 }
 
-/// What an outcome proves of the attempt's execution.
+/// Returns the final state for an outcome, depending on whether it proves that the attempt never ran.
 fn final_state(outcome: Outcome) -> AttemptState {
     match outcome {
         Outcome::Rejected | Outcome::Unreachable | Outcome::NeverStarted => AttemptState::NeverRan,
--- a/src/core/attempt/tests.rs
+++ b/src/core/attempt/tests.rs
@@ -17,14 +17,14 @@
 }
 
 #[test]
-fn a_suppressed_attempt_is_over_and_never_ran() {
+fn a_suppressed_attempt_has_ended_and_never_ran() {
     let attempt = Attempt::suppressed("a".into(), START, DEADLINE);
     assert!(!attempt.is_in_flight() && !attempt.may_have_run());
     assert!(!attempt.is_overdue(DEADLINE));
 }
 
 #[test]
-fn only_outcomes_that_prove_it_rule_out_execution() {
+fn only_some_outcomes_prove_that_an_attempt_never_ran() {
     let outcomes = [
         (Outcome::Served, true),
         (Outcome::Error, true),
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn the_first_outcome_stands() {
+fn later_outcomes_do_not_change_the_first() {
     let mut attempt = in_flight();
     attempt.finish(Outcome::Unreachable);
     attempt.finish(Outcome::Served);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn each_page_extends_the_time_in_which_the_result_counts_as_arriving() {
+fn each_page_extends_the_period_of_receiving() {
     let mut attempt = in_flight();
     assert!(!attempt.is_receiving(START, PAGE_TIMEOUT));
     attempt.receive_page(START);
--- a/src/core/deadlines.rs
+++ b/src/core/deadlines.rs
@@ -1,11 +1,11 @@
-//! The queue of moments at which requests need attention.
+//! A queue of the deadlines of requests and attempts.
 
 use crate::core::command::RequestId;
 use crate::decision::model::Millis;
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
 
-/// A moment that can be ordered: finite or infinite, never negative.
+/// A totally ordered time in milliseconds on the process clock: never negative, possibly infinite.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Deadline(Millis);
 
@@ -29,28 +29,28 @@
     }
 }
 
-/// Deadlines of requests and of their attempts, earliest first; those of one moment in the order of request ids. A
-/// request may have several deadlines; equal ones count once.
+/// Deadlines of requests and of their attempts, ordered by time and then by request id. A request may have
+/// several deadlines; equal ones are stored once.
 #[derive(Debug, Default)]
 pub(super) struct DeadlineQueue(BTreeSet<(Deadline, RequestId)>);
 
 impl DeadlineQueue {
-    /// Adds a deadline of this request.
+    /// Adds a deadline of a request.
     pub(super) fn insert(&mut self, at: Millis, request: RequestId) {
         self.0.insert((Deadline::new(at), request));
     }
 
-    /// Removes a deadline of this request, if it is queued.
+    /// Removes a deadline of a request, if it is queued.
     pub(super) fn remove(&mut self, at: Millis, request: RequestId) {
         self.0.remove(&(Deadline::new(at), request));
     }
 
-    /// The earliest deadline.
-    pub(super) fn next(&self) -> Option<Millis> {
+    /// Returns the earliest deadline.
+    pub(super) fn earliest(&self) -> Option<Millis> {
         self.0.first().map(|(deadline, _)| deadline.0)
     }
 
-    /// Removes the earliest deadline if it has passed, and returns its request.
+    /// Removes the earliest deadline if it has passed, and returns the id of its request.
     pub(super) fn pop_due(&mut self, now: Millis) -> Option<RequestId> {
         let (deadline, _) = self.0.first()?;
         if *deadline > Deadline::new(now) {
--- a/src/core/deadlines/tests.rs
+++ b/src/core/deadlines/tests.rs
@@ -8,10 +8,10 @@
     queue.insert(10.0, 2);
     queue.insert(-5.0, 4);
     queue.insert(10.0, 2);
-    assert_eq!(queue.next(), Some(0.0));
+    assert_eq!(queue.earliest(), Some(0.0));
     let due: Vec<RequestId> = std::iter::from_fn(|| queue.pop_due(10.0)).collect();
     assert_eq!(due, [4, 2, 3]);
-    assert_eq!(queue.next(), Some(30.0));
+    assert_eq!(queue.earliest(), Some(30.0));
     assert_eq!(queue.pop_due(29.9), None);
 }
 
@@ -24,5 +24,5 @@
     queue.remove(15.0, 1);
     assert_eq!(queue.pop_due(15.0), None);
     assert_eq!(queue.pop_due(20.0), Some(1));
-    assert_eq!(queue.next(), None);
+    assert_eq!(queue.earliest(), None);
 }
--- a/src/core/request.rs
+++ b/src/core/request.rs
@@ -7,10 +7,10 @@
 /// The state of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestState {
-    /// Its client waits for the final answer.
+    /// The client is waiting for the final answer.
     AwaitingAnswer,
-    /// Its deadline has passed, and the final answer is about to be given: whatever it is, the client is told that
-    /// the request timed out.
+    /// The deadline has passed and the final answer is about to be given. A rejection or failure is replaced
+    /// with a time-out.
     Expired,
     /// The final answer was given, or the client has disconnected.
     Closed,
@@ -27,7 +27,7 @@
 }
 
 impl Request {
-    /// A request that awaits its answer, which is due by `deadline`.
+    /// Creates a request whose answer is due by `deadline`.
     pub(super) fn new(class: ClassId, idempotency: Idempotency, deadline: Millis) -> Self {
         Request {
             class,
@@ -38,45 +38,45 @@
         }
     }
 
-    /// Its class.
+    /// Returns the request's class.
     pub(super) fn class(&self) -> ClassId {
         self.class
     }
 
-    /// When its answer is due, on the clock of the process, in milliseconds.
+    /// Returns the time at which the answer is due, in milliseconds on the process clock.
     pub(super) fn deadline(&self) -> Millis {
         self.deadline
     }
 
-    /// All its attempts, in the order in which they were decided on.
+    /// Returns all attempts, including suppressed ones, in the order of the decisions to start them.
     pub(super) fn attempts(&self) -> &[Attempt] {
         &self.attempts
     }
 
-    /// The attempt of this index, unless it is over.
+    /// Returns the attempt with this index, if it is in flight.
     pub(super) fn in_flight_mut(&mut self, index: u32) -> Option<&mut Attempt> {
         self.attempts
             .get_mut(index as usize)
             .filter(|attempt| attempt.is_in_flight())
     }
 
-    /// No answer is due any more.
+    /// Returns whether the request has been answered or its client has disconnected.
     pub(super) fn is_closed(&self) -> bool {
         self.state == RequestState::Closed
     }
 
-    /// Closed, with no attempt in flight.
+    /// Returns whether the request is closed and has no attempt in flight.
     pub(super) fn is_finished(&self) -> bool {
         self.is_closed() && !self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// It must not run twice.
+    /// Returns whether the request must not run twice.
     pub(super) fn is_non_idempotent(&self) -> bool {
         self.idempotency == Idempotency::NonIdempotent
     }
 
-    /// A retry by the client does no harm. The client may reach any engine, so that a deduplication key helps only
-    /// if all engines share it.
+    /// Returns whether the client may safely retry. The retry may reach any engine, so a deduplication key
+    /// makes it safe only if all engines share the key.
     pub(super) fn is_retry_safe(&self) -> bool {
         match self.idempotency {
             Idempotency::Idempotent
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Until when another attempt may be written: engines recognize duplicates for a window that begins with the
-    /// first attempt that may have run.
+    /// Returns the time until which another attempt may be written: engines recognize duplicates for a window
+    /// that begins with the first attempt that may have run.
     pub(super) fn write_deadline(&self) -> Millis {
         let Some(first) = self.attempts.iter().find(|attempt| attempt.may_have_run()) else {
             return f64::INFINITY;
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Another attempt may be started now.
+    /// Returns whether another attempt may be started now.
     pub(super) fn allows_attempt(&self, now: Millis, max_attempts: usize) -> bool {
         !self.is_closed()
             && self.attempts.len() < max_attempts
@@ -111,8 +111,8 @@
             && now < self.write_deadline()
     }
 
-    /// When an attempt that is started now times out: after `timeout` milliseconds, at the request's deadline at
-    /// the latest.
+    /// Returns the time at which an attempt that is started now times out: after `timeout` milliseconds, but
+    /// no later than the request's deadline.
     pub(super) fn attempt_deadline(&self, now: Millis, timeout: Option<Millis>) -> Millis {
         timeout.map_or(self.deadline, |timeout| self.deadline.min(now + timeout))
     }
@@ -124,8 +124,8 @@
         index
     }
 
-    /// The indices of the attempts that have timed out: all in flight if the request has expired, else those past
-    /// their own deadlines.
+    /// Returns the indices of the attempts in flight that have timed out: all of them if the request has
+    /// expired, otherwise those past their own deadlines.
     pub(super) fn overdue_attempts(&self, now: Millis) -> Vec<u32> {
         let has_expired = self.state == RequestState::Expired;
         let is_overdue =
@@ -137,7 +137,7 @@
             .collect()
     }
 
-    /// Makes an open request's answer due at `by` if it would be due later; true if that changed its deadline.
+    /// Shortens an open request's deadline to `by` if it is later. Returns whether the deadline changed.
     pub(super) fn shorten_deadline(&mut self, by: Millis) -> bool {
         let is_shortened = !self.is_closed() && self.deadline > by;
         if is_shortened {
@@ -146,7 +146,7 @@
         is_shortened
     }
 
-    /// Expires an open request whose deadline has passed; true if it has.
+    /// Marks an open request as expired if its deadline has passed. Returns whether it has.
     pub(super) fn expire(&mut self, now: Millis) -> bool {
         let has_expired = !self.is_closed() && self.deadline <= now;
         if has_expired {
@@ -155,13 +155,14 @@
         has_expired
     }
 
-    /// Closes the request without an answer, or with one that was given.
+    /// Closes the request, either after its answer was given or because its client disconnected.
     pub(super) fn close(&mut self) {
         self.state = RequestState::Closed;
     }
 
-    /// The answer that the client gets where the decision module proposes this one. A rejection promises that a
-    /// retry is safe, so that it becomes a failure where that does not hold.
+    /// Returns the answer that the client gets in place of the proposed one. A rejection states that a retry
+    /// is safe, so it becomes a failure if that is not the case. A rejection or failure of an expired request
+    /// becomes a time-out.
     pub(super) fn final_answer(&self, proposed: Answer) -> Answer {
         let retry_safe = self.is_retry_safe();
         match proposed {
--- a/src/core/request/tests.rs
+++ b/src/core/request/tests.rs
@@ -12,15 +12,15 @@
     reason: RejectionReason::NoCapacity,
 };
 
-fn keyed(group: DeduplicationScope) -> Idempotency {
+fn keyed_idempotency(group: DeduplicationScope) -> Idempotency {
     Idempotency::Keyed {
         group,
         window: WINDOW,
     }
 }
 
-/// A request with one attempt that ended so.
-fn attempted(idempotency: Idempotency, outcome: Outcome) -> Request {
+/// Returns a request with one attempt that ended with this outcome.
+fn request_after_attempt(idempotency: Idempotency, outcome: Outcome) -> Request {
     let mut request = Request::new(0, idempotency, DEADLINE);
     request.push_attempt(Attempt::start("a".into(), START, DEADLINE));
     request.in_flight_mut(0).unwrap().finish(outcome);
@@ -31,36 +31,36 @@
 fn a_retry_is_safe_unless_it_could_run_twice_unnoticed() {
     let cases = [
         (Idempotency::Idempotent, true),
-        (keyed(DeduplicationScope::All), true),
-        (keyed(DeduplicationScope::Zone), false),
-        (keyed(DeduplicationScope::Cell), false),
+        (keyed_idempotency(DeduplicationScope::All), true),
+        (keyed_idempotency(DeduplicationScope::Zone), false),
+        (keyed_idempotency(DeduplicationScope::Cell), false),
         (Idempotency::NonIdempotent, false),
     ];
     for (idempotency, is_safe_after_reset) in cases {
-        let reset = attempted(idempotency, Outcome::Reset);
+        let reset = request_after_attempt(idempotency, Outcome::Reset);
         assert_eq!(
             reset.is_retry_safe(),
             is_safe_after_reset,
             "{idempotency:?}"
         );
-        assert!(attempted(idempotency, Outcome::Unreachable).is_retry_safe());
+        assert!(request_after_attempt(idempotency, Outcome::Unreachable).is_retry_safe());
     }
 }
 
 #[test]
-fn a_rejection_of_what_may_have_run_becomes_a_failure() {
-    let request = attempted(Idempotency::NonIdempotent, Outcome::Reset);
+fn a_rejection_becomes_a_failure_if_an_attempt_may_have_run() {
+    let request = request_after_attempt(Idempotency::NonIdempotent, Outcome::Reset);
     let failed = Answer::Failed {
         reason: FailureReason::MayHaveRun,
     };
     assert_eq!(request.final_answer(REJECTED), failed);
-    let request = attempted(Idempotency::NonIdempotent, Outcome::Rejected);
+    let request = request_after_attempt(Idempotency::NonIdempotent, Outcome::Rejected);
     assert_eq!(request.final_answer(REJECTED), REJECTED);
 }
 
 #[test]
 fn an_expired_request_times_out_whatever_is_proposed() {
-    let mut request = attempted(Idempotency::NonIdempotent, Outcome::Reset);
+    let mut request = request_after_attempt(Idempotency::NonIdempotent, Outcome::Reset);
     assert!(!request.expire(DEADLINE - 1.0));
     assert!(request.expire(DEADLINE));
     let timed_out = Answer::TimedOut { retry_safe: false };
@@ -69,17 +69,18 @@
 
 #[test]
 fn retries_are_written_within_the_deduplication_window() {
-    let request = attempted(keyed(DeduplicationScope::Cell), Outcome::Reset);
+    let request =
+        request_after_attempt(keyed_idempotency(DeduplicationScope::Cell), Outcome::Reset);
     assert_eq!(request.write_deadline(), START + WINDOW);
     assert!(request.allows_attempt(START + WINDOW - 1.0, MAX_ATTEMPTS));
     assert!(!request.allows_attempt(START + WINDOW, MAX_ATTEMPTS));
-    let request = attempted(Idempotency::NonIdempotent, Outcome::Reset);
+    let request = request_after_attempt(Idempotency::NonIdempotent, Outcome::Reset);
     assert!(!request.allows_attempt(START, MAX_ATTEMPTS));
 }
 
 #[test]
 fn attempts_are_limited_in_number_and_by_the_deadline() {
-    let mut request = attempted(Idempotency::Idempotent, Outcome::Reset);
+    let mut request = request_after_attempt(Idempotency::Idempotent, Outcome::Reset);
     assert!(request.allows_attempt(DEADLINE - 1.0, MAX_ATTEMPTS));
     assert!(!request.allows_attempt(DEADLINE, MAX_ATTEMPTS));
     request.push_attempt(Attempt::suppressed("b".into(), START, DEADLINE));
--- a/src/core/request_table.rs
+++ b/src/core/request_table.rs
@@ -1,4 +1,4 @@
-//! The open requests, with the queue of their deadlines.
+//! The table of unfinished requests, with the queue of their deadlines.
 
 use crate::core::attempt::Attempt;
 use crate::core::command::{AttemptId, RequestId};
@@ -7,18 +7,18 @@
 use crate::decision::model::Millis;
 use std::collections::BTreeMap;
 
-/// Requests that are not finished, by id.
+/// Unfinished requests by id: those that await an answer or have attempts in flight.
 #[derive(Debug)]
 pub(super) struct RequestTable {
     requests: BTreeMap<RequestId, Request>,
     next_id: RequestId,
     deadlines: DeadlineQueue,
-    /// Requests that may be finished since the last [`RequestTable::remove_finished`].
+    /// Ids of requests that may have finished since the last [`RequestTable::remove_finished`].
     finish_candidates: Vec<RequestId>,
 }
 
 impl RequestTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub(super) fn new() -> Self {
         RequestTable {
             requests: BTreeMap::new(),
@@ -28,19 +28,19 @@
         }
     }
 
-    /// An id that no request has had.
+    /// Allocates a request id that has not been used before.
     pub(super) fn allocate_id(&mut self) -> RequestId {
         let id = self.next_id;
         self.next_id += 1;
         id
     }
 
-    /// Requests in the table, closed ones with attempts in flight included.
+    /// Returns the number of requests in the table, including closed ones with attempts in flight.
     pub(super) fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Requests that await an answer.
+    /// Returns the number of requests that await an answer.
     pub(super) fn unanswered(&self) -> usize {
         self.requests
             .values()
@@ -54,47 +54,47 @@
         self.requests.insert(id, request);
     }
 
-    /// The request of this id, unless it is finished.
+    /// Returns the request with this id, unless it is finished.
     pub(super) fn get(&self, id: RequestId) -> Option<&Request> {
         self.requests.get(&id)
     }
 
-    /// The request of this id, unless it is finished.
+    /// Returns the request with this id, unless it is finished.
     pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut Request> {
         self.requests.get_mut(&id)
     }
 
-    /// The request of this id, if it awaits an answer.
+    /// Returns the request with this id, if it awaits an answer.
     pub(super) fn open_mut(&mut self, id: RequestId) -> Option<&mut Request> {
         self.get_mut(id).filter(|request| !request.is_closed())
     }
 
-    /// The attempt of this id, while its request is in the table.
+    /// Returns the attempt with this id, if its request is in the table.
     pub(super) fn attempt(&self, id: AttemptId) -> Option<&Attempt> {
         self.get(id.request)?.attempts().get(id.index as usize)
     }
 
-    /// The attempt of this id, unless it is over.
+    /// Returns the attempt with this id, if it is in flight.
     pub(super) fn in_flight_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
         self.get_mut(id.request)?.in_flight_mut(id.index)
     }
 
-    /// Queues an attempt's own deadline.
+    /// Queues the deadline of an attempt of this request.
     pub(super) fn insert_deadline(&mut self, at: Millis, id: RequestId) {
         self.deadlines.insert(at, id);
     }
 
-    /// The earliest deadline of a request or an attempt.
+    /// Returns the earliest deadline of a request or an attempt.
     pub(super) fn next_deadline(&self) -> Option<Millis> {
-        self.deadlines.next()
+        self.deadlines.earliest()
     }
 
-    /// Removes the earliest deadline if it has passed, and returns its request.
+    /// Removes the earliest deadline if it has passed, and returns the id of its request.
     pub(super) fn pop_due(&mut self, now: Millis) -> Option<RequestId> {
         self.deadlines.pop_due(now)
     }
 
-    /// Makes every answer due at `by` that would be due later.
+    /// Shortens the deadlines of all unanswered requests to `by` where they are later.
     pub(super) fn shorten_deadlines(&mut self, by: Millis) {
         for (&id, request) in &mut self.requests {
             let old_deadline = request.deadline();
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The request may be finished: the next [`RequestTable::remove_finished`] looks at it.
+    /// Registers a request that may be finished, for the next [`RequestTable::remove_finished`] to check.
     pub(super) fn add_finish_candidate(&mut self, id: RequestId) {
         self.finish_candidates.push(id);
     }
