--- a/src/core/answer.rs
+++ b/src/core/answer.rs
@@ -1,19 +1,19 @@
-//! The final answer to a request, and the reasons that its client is given.
+//! The final answer to a request, with the reasons that are reported to the client.
 
 use crate::core::command::AttemptId;
 use crate::core::metrics::RequestOutcome;
 use crate::decision::model::Millis;
 use std::fmt;
 
-/// The one final answer to a request. The core names the attempt that served it; the request router puts the
-/// attempt's result in its place.
+/// The final answer to a request. The core's answers identify the attempt that served the request; the
+/// request router replaces the attempt's id with its result.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer<R = AttemptId> {
     /// The request was served.
     Served(R),
-    /// The request was rejected and never ran, or running it again does no harm: a retry is safe.
+    /// The request was rejected. A retry is safe: the request never ran, or may run again.
     Rejected {
-        /// When the client may retry, in milliseconds from now.
+        /// Time after which the client may retry, in milliseconds from now.
         retry_after: Option<Millis>,
         /// Why it was rejected.
         reason: RejectionReason,
@@ -25,14 +25,13 @@
     },
     /// The request's deadline has passed.
     TimedOut {
-        /// True if it never ran, or running it again does no harm.
+        /// Whether a retry is safe: the request never ran, or may run again.
         retry_safe: bool,
     },
 }
 
 impl Answer {
-    /// The answer with the served attempt's result in place of its id. A served answer whose result is missing
-    /// becomes a failure.
+    /// Replaces the served attempt's id with its result. A served answer without a result becomes a failure.
     pub fn with_result<R>(self, result: Option<R>) -> Answer<R> {
         match self {
             Answer::Served(_) => result.map_or(
@@ -53,7 +52,7 @@
         }
     }
 
-    /// How the metrics count this answer.
+    /// Returns the outcome under which the metrics count this answer.
     pub(super) fn outcome(&self) -> RequestOutcome {
         match self {
             Answer::Served(_) => RequestOutcome::Success,
@@ -65,21 +64,21 @@
     }
 }
 
-/// Why a request was rejected. Clients see the text.
+/// The reason for a rejection. Its text is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// [`CoreLimits::max_open_requests`](crate::core::CoreLimits::max_open_requests) are open.
+    /// The limit [`CoreLimits::max_open_requests`](crate::core::CoreLimits::max_open_requests) is reached.
     TooManyOpenRequests,
-    /// The deadline is closer than the margin that an answer needs.
+    /// The deadline is closer than [`CoreLimits::answer_margin`](crate::core::CoreLimits::answer_margin).
     DeadlineTooClose,
     /// The decision module shed the request: no engine has capacity before its deadline.
     NoCapacity,
-    /// An adapter rejected it before the core saw it; the text is the adapter's.
+    /// An adapter rejected the request before it reached the core, with this text.
     Adapter(&'static str),
 }
 
 impl RejectionReason {
-    /// The text that clients see.
+    /// Returns the text that is sent to the client.
     pub const fn as_str(self) -> &'static str {
         match self {
             RejectionReason::TooManyOpenRequests => "too many requests are open",
@@ -96,23 +95,23 @@
     }
 }
 
-/// Why a request failed. Clients see the text.
+/// The reason for a failure. Its text is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureReason {
     /// The request's class is not configured, or its deadline is not finite.
     InvalidRequest,
-    /// The decision module gave up: no attempt was served, and no other may be started.
+    /// No attempt was served, and the decision module starts no other.
     NoEngineAnswered,
     /// The request would have been rejected, but an attempt may have run.
     MayHaveRun,
-    /// An attempt was served, but its result is not there any more.
+    /// An attempt was served, but its result is no longer available.
     ResultLost,
-    /// An adapter failed it; the text is the adapter's.
+    /// An adapter failed the request, with this text.
     Adapter(&'static str),
 }
 
 impl FailureReason {
-    /// The text that clients see.
+    /// Returns the text that is sent to the client.
     pub const fn as_str(self) -> &'static str {
         match self {
             FailureReason::InvalidRequest => "the request names no class or deadline",
--- a/src/core/command.rs
+++ b/src/core/command.rs
@@ -1,4 +1,4 @@
-//! Messages at the core's border: new requests in, commands out.
+//! Input and output types of the core: new requests in, commands out.
 
 use crate::core::answer::Answer;
 use crate::decision::model::{ClassId, Millis, QueryId};
@@ -11,42 +11,42 @@
 pub struct AttemptId {
     /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Its position among the request's attempts, from 0.
+    /// Zero-based index among the request's attempts.
     pub index: u32,
 }
 
-/// A request as a frontend received it.
+/// A request as received by a frontend.
 #[derive(Clone, Debug)]
 pub struct NewRequest {
-    /// Its class, as a position in the settings.
+    /// Class of the request, as an index into the settings.
     pub class: ClassId,
-    /// Its tenant, as a position in the settings; `None` if no quota applies.
+    /// Tenant of the request, as an index into the settings; `None` if no quota applies.
     pub tenant: Option<usize>,
-    /// The group of tables that it reads or writes.
+    /// Table group that the request reads or writes.
     pub group: Option<u64>,
-    /// When its client gives up, on the clock of the process, in milliseconds.
+    /// Time at which the client gives up, in milliseconds on the process clock.
     pub deadline: Millis,
-    /// The client's estimate of its work, in milliseconds on one thread.
+    /// The client's estimate of the execution time, in milliseconds on one thread.
     pub work: Option<f64>,
-    /// The client's estimate of the memory that it needs, in megabytes.
+    /// The client's estimate of the required memory, in megabytes.
     pub memory_mb: Option<f64>,
 }
 
-/// What the adapters have to do.
+/// A side effect that the adapters have to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Send an attempt to its engine.
     Start(StartAttempt),
-    /// Cancel an attempt. Its outcome is not reported any more.
+    /// Cancel an attempt. The outcome of the attempt is no longer reported.
     Cancel {
         /// The attempt to cancel.
         attempt: AttemptId,
     },
-    /// Give a request its final answer.
+    /// Send the final answer to a request.
     Answer {
-        /// The request that is answered.
+        /// The answered request.
         request: RequestId,
-        /// Its answer.
+        /// The final answer.
         answer: Answer,
     },
     /// Write a line to the log.
@@ -58,18 +58,19 @@
 /// An attempt that an upstream has to start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StartAttempt {
-    /// The attempt's id.
+    /// Id of the attempt.
     pub attempt: AttemptId,
-    /// The engine that it is sent to.
+    /// Id of the engine that the attempt is sent to.
     pub engine: String,
-    /// When the attempt times out, on the clock of the process, in milliseconds.
+    /// Time at which the attempt times out, in milliseconds on the process clock.
     pub deadline: Millis,
-    /// The attempt is written in full by this time, or never: later no engine would recognize
-    /// it as a duplicate of an earlier attempt. Infinite where that does not matter.
+    /// Time by which the attempt must be written in full, in milliseconds on the process clock; a later write
+    /// is not allowed, because engines no longer recognize the attempt as a duplicate of an earlier one.
+    /// Infinite if there is no such limit.
     pub write_by: Millis,
-    /// Memory granted to it, in megabytes; 0 leaves the grant to the engine.
+    /// Memory grant of the attempt, in megabytes; 0 lets the engine choose the grant.
     pub memory_mb: f64,
-    /// True if the request must not run twice: its attempt should share no connection with others, whose faults
-    /// could end it.
+    /// Whether the attempt needs a connection of its own. True for non-idempotent requests: a fault of
+    /// another attempt on a shared connection could end this one, and it could not be retried.
     pub exclusive_connection: bool,
 }
--- a/src/core/decisions.rs
+++ b/src/core/decisions.rs
@@ -1,14 +1,14 @@
-//! Applies what the decision module decides.
+//! Applies the decisions of the decision module.
 
 use crate::core::answer::{Answer, FailureReason, RejectionReason};
 use crate::core::attempt::Attempt;
 use crate::core::command::{AttemptId, Command, RequestId, StartAttempt};
 use crate::core::invariants::{Violation, check_start};
-use crate::core::request_core::{Core, ended};
+use crate::core::request_core::{Core, ended_attempt};
 use crate::decision::facade::{Decision, Report};
 use crate::decision::model::{Ended, Millis, Outcome};
 
-/// An attempt that the decision module wants to start.
+/// An attempt that the decision module has requested.
 struct AttemptPlan {
     request: RequestId,
     engine: String,
@@ -17,8 +17,9 @@
 }
 
 impl Core {
-    /// Applies the decisions. The decision module is told of outcomes that follow from them (an attempt cancelled)
-    /// only after all of them, as if these came from outside.
+    /// Applies decisions. Outcomes that follow from them, such as a cancelled attempt, are reported to the
+    /// decision module only after all of these decisions have been applied, in the same way as external
+    /// events.
     pub(super) fn apply_decisions(&mut self, now: Millis, decisions: Vec<Decision>) {
         self.apply_each(now, decisions);
         while let Some(report) = self.pending_reports.pop_front() {
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Starts an attempt, if the request still allows one.
+    /// Starts an attempt, if the request still allows one. Otherwise reports the attempt as never started.
     fn start_attempt(&mut self, now: Millis, plan: AttemptPlan) {
         let is_in_service = self.endpoints.is_in_service(&plan.engine);
         let Some(request) = self.requests.get_mut(plan.request) else {
@@ -82,11 +83,11 @@
             return;
         };
         let deadline = request.attempt_deadline(now, plan.timeout);
-        let broken = check_start(request, is_in_service).err();
-        if let Some(violation) = broken {
+        let violation = check_start(request, is_in_service).err();
+        if let Some(violation) = violation {
             self.metrics.violations.record(violation);
         }
-        if broken.is_some() || !request.allows_attempt(now, self.max_attempts) {
+        if violation.is_some() || !request.allows_attempt(now, self.max_attempts) {
             let suppressed = Attempt::suppressed(plan.engine, now, deadline);
             let id = AttemptId {
                 request: plan.request,
@@ -94,7 +95,7 @@
             };
             let ended = Ended {
                 last: request.is_closed(),
-                ..ended(id, Outcome::NeverStarted)
+                ..ended_attempt(id, Outcome::NeverStarted)
             };
             self.pending_reports.push_back(Report::Ended(ended));
             return;
@@ -118,7 +119,8 @@
         self.commands.push(Command::Start(start));
     }
 
-    /// Cancels an attempt in flight. One whose result is arriving for a request that awaits it goes on for a while.
+    /// Cancels an attempt in flight, unless its result is being received for a request that still awaits an
+    /// answer: such an attempt is exempt until the page timeout has passed without a further page.
     fn cancel_attempt(&mut self, now: Millis, id: AttemptId) {
         let Some(request) = self.requests.get_mut(id.request) else {
             return;
@@ -134,14 +136,14 @@
         let ended = Ended {
             last: is_closed,
             latency: now - attempt.started_at(),
-            ..ended(id, Outcome::Cancelled)
+            ..ended_attempt(id, Outcome::Cancelled)
         };
         self.requests.add_finish_candidate(id.request);
         self.commands.push(Command::Cancel { attempt: id });
         self.pending_reports.push_back(Report::Ended(ended));
     }
 
-    /// Cancels all attempts of a request.
+    /// Cancels all attempts of a request that are in flight, as [`Core::cancel_attempt`] does.
     pub(super) fn cancel_all(&mut self, now: Millis, request: RequestId) {
         let attempts = self
             .requests
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,14 +1,15 @@
-//! The request core: a pure state machine for requests and their attempts. It does no I/O and reads no clock; time is
-//! passed in, and what has to be done comes out as [`Command`]s that the adapters carry out.
+//! The request core: a pure state machine for requests and their attempts. It does no I/O and reads no clock:
+//! callers pass the current time in, and side effects come out as [`Command`]s for the adapters to execute.
 //!
-//! The decision module chooses engines, retries and rejections. The core enforces what must hold whatever it decides:
+//! The decision module chooses engines, retries and rejections. Independently of its decisions, the core
+//! guarantees that:
 //!
-//! - every request gets exactly one final answer, in time for its client to read it;
+//! - every request gets exactly one final answer, early enough for its client to read it;
 //! - no further attempt is started once a non-idempotent request may have run;
 //! - no attempt stays in flight once its request is closed.
 //!
-//! [`Core`] is the entry point. Its parts each hold one concern: the request table, the states of a request and of an
-//! attempt, the deadline queue, the endpoint list with its administrative drains, and the metrics.
+//! [`Core`] is the entry point. The submodules implement the request table, the state machines of requests
+//! and of attempts, the deadline queue, the endpoint list with the administrative drains, and the metrics.
 
 mod administrative_drain;
 mod answer;
--- a/src/core/request_core.rs
+++ b/src/core/request_core.rs
@@ -1,4 +1,4 @@
-//! The core itself: requests are opened, attempts end, deadlines pass.
+//! The core's main type: opens requests, processes ended attempts and enforces deadlines.
 
 use crate::core::answer::{Answer, FailureReason, RejectionReason};
 use crate::core::command::{AttemptId, Command, NewRequest, RequestId};
@@ -16,36 +16,38 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// The request core. All times are milliseconds on the clock of the process; `now` is the time of the call.
+/// The request core. All times are milliseconds on the process clock; `now` is the time of the call.
 ///
-/// Each call may leave commands to be fetched with [`Core::take_commands`].
+/// Each call may queue commands, which the caller fetches with [`Core::take_commands`].
 pub struct Core {
     pub(super) policy: Facade,
-    /// By class: what running a request twice would do.
+    /// Idempotency of each class: whether a request of it may run twice.
     idempotency_by_class: Vec<Idempotency>,
     pub(super) max_attempts: usize,
     pub(super) limits: CoreLimits,
     pub(super) requests: RequestTable,
     pub(super) endpoints: EndpointList,
-    /// Outcomes that follow from decisions, and of which the decision module is told once all of these are applied.
+    /// Outcomes that follow from decisions, to be reported to the decision module once all decisions are
+    /// applied.
     pub(super) pending_reports: VecDeque<Report>,
     pub(super) commands: Vec<Command>,
-    /// Once shutdown has begun: when the last answer is due.
+    /// Time at which the last answer is due; set when shutdown begins.
     shutdown_deadline: Option<Millis>,
     pub(super) metrics: Metrics,
-    /// Processes of this dispatcher, which share its limits.
+    /// Number of processes of this dispatcher, which share its limits.
     process_count: usize,
     pub(super) gossip: Option<Broadcaster>,
-    /// The dispatchers that are heard, by the address that they send from.
+    /// The dispatchers that gossip is received from, by source address.
     pub(super) census: Option<FleetCensus<SocketAddr>>,
 }
 
 impl Core {
-    /// A core without requests or engines. `seed` is for the decision module's random choices.
+    /// Creates a core without requests or engines. `seed` initializes the decision module's random number
+    /// generator.
     ///
     /// # Errors
     ///
-    /// Settings that contradict themselves.
+    /// Returns an error if the settings are inconsistent.
     pub fn new(settings: Settings, seed: u64, limits: CoreLimits) -> Result<Self, SettingsError> {
         let idempotency_by_class: Vec<_> = settings
             .classes
@@ -69,16 +71,16 @@
         })
     }
 
-    /// The commands since the last call, in the order in which they are to be carried out.
+    /// Returns the commands queued since the last call, in the order in which they must be executed.
     pub fn take_commands(&mut self) -> Vec<Command> {
         std::mem::take(&mut self.commands)
     }
 
-    /// Opens a request. Its answer comes as a command, perhaps at once.
+    /// Opens a request. The answer is given as a command, possibly by this call.
     pub fn open(&mut self, now: Millis, new: NewRequest) -> RequestId {
         let id = self.requests.allocate_id();
         let deadline = self.answer_deadline(new.deadline);
-        if let Some(answer) = self.answer_on_arrival(now, new.class, deadline) {
+        if let Some(answer) = self.immediate_answer(now, new.class, deadline) {
             self.answer(id, new.class, answer);
             return id;
         }
@@ -88,25 +90,25 @@
         if let Some(gossip) = &mut self.gossip {
             gossip.credit_request();
         }
-        let decisions = self.policy.pick(now, query(id, &new, deadline - now));
+        let decisions = self.policy.pick(now, to_query(id, &new, deadline - now));
         self.apply_decisions(now, decisions);
         id
     }
 
-    /// When the answer to a client with this deadline is due.
+    /// Returns the time at which the answer to a client with this deadline is due.
     fn answer_deadline(&self, client_deadline: Millis) -> Millis {
         let deadline = client_deadline - self.limits.answer_margin_ms();
         deadline.min(self.shutdown_deadline.unwrap_or(f64::INFINITY))
     }
 
-    /// The answer to a request that is not opened at all.
-    fn answer_on_arrival(&self, now: Millis, class: ClassId, deadline: Millis) -> Option<Answer> {
+    /// Returns the answer to a request that is invalid or rejected without being opened.
+    fn immediate_answer(&self, now: Millis, class: ClassId, deadline: Millis) -> Option<Answer> {
         if class >= self.idempotency_by_class.len() || !deadline.is_finite() {
             return Some(Answer::Failed {
                 reason: FailureReason::InvalidRequest,
             });
         }
-        // More requests than this would outgrow the process's memory limit.
+        // More open requests could exceed the memory limit of the process.
         let max_open = self.limits.max_open_requests / self.process_count;
         let reason = if self.requests.len() >= max_open {
             RejectionReason::TooManyOpenRequests
@@ -121,7 +123,8 @@
         })
     }
 
-    /// The client has disconnected or cancelled: no answer is due any more, and the request's attempts are cancelled.
+    /// Closes a request whose client has disconnected or cancelled: no answer is given, and the request's
+    /// attempts are cancelled.
     pub fn abandon(&mut self, now: Millis, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -132,15 +135,15 @@
         self.report(now, Report::ClientDisconnected(id));
     }
 
-    /// A page of the attempt's result has arrived, and more follow.
+    /// Records that a page of the attempt's result has arrived and that more follow.
     pub fn page_received(&mut self, now: Millis, id: AttemptId) {
         if let Some(attempt) = self.requests.in_flight_mut(id) {
             attempt.receive_page(now);
         }
     }
 
-    /// An attempt ended. `load_report` is what its engine said of its load. Returns false if the attempt was over
-    /// already, so that its result does not count.
+    /// Processes the end of an attempt. `load_report` is the load report that its engine sent with the
+    /// outcome. Returns false if the attempt had already ended, in which case its result must be discarded.
     pub fn attempt_ended(
         &mut self,
         now: Millis,
@@ -162,13 +165,13 @@
             last: self.requests.get(id.request).is_none_or(Request::is_closed),
             latency,
             report: load_report,
-            ..ended(id, outcome)
+            ..ended_attempt(id, outcome)
         };
         self.report(now, Report::Ended(ended));
         true
     }
 
-    /// The engine reported progress of an attempt.
+    /// Processes an engine's progress note about an attempt.
     pub fn progress(&mut self, now: Millis, id: AttemptId, note: ProgressNote) {
         if self.requests.in_flight_mut(id).is_none() {
             return;
@@ -181,24 +184,25 @@
         self.report(now, report);
     }
 
-    /// Ready for clients: an endpoint list has been received and shutdown has not begun.
+    /// Returns whether clients can be served: an endpoint list has been received and shutdown has not begun.
     pub fn is_ready(&self) -> bool {
         self.endpoints.is_received() && self.shutdown_deadline.is_none()
     }
 
-    /// Begins shutdown: every answer is given by `deadline`, also those to requests that are opened later.
+    /// Begins shutdown: every answer is given by `deadline`, including answers to requests that are opened
+    /// later.
     pub fn begin_shutdown(&mut self, now: Millis, deadline: Millis) {
         self.shutdown_deadline = Some(deadline);
         self.requests.shorten_deadlines(deadline);
         self.tick(now);
     }
 
-    /// Requests that await an answer.
+    /// Returns the number of requests that await an answer.
     pub fn unanswered_requests(&self) -> usize {
         self.requests.unanswered()
     }
 
-    /// When [`Core::tick`] is due next.
+    /// Returns the time at which [`Core::tick`] is due next.
     pub fn next_wakeup(&self) -> Option<Millis> {
         [self.requests.next_deadline(), self.policy.next_tick()]
             .into_iter()
@@ -206,7 +210,7 @@
             .reduce(f64::min)
     }
 
-    /// Lets the decision module run its timer, and times out what is past its deadline.
+    /// Runs the decision module's timer, and times out requests and attempts whose deadlines have passed.
     pub fn tick(&mut self, now: Millis) {
         let decisions = self.policy.tick(now);
         self.apply_decisions(now, decisions);
@@ -231,7 +235,8 @@
         }
     }
 
-    /// Answers an expired request, unless the decision module gave it up when its attempts timed out.
+    /// Answers an expired request, unless the decision module failed or rejected it when its attempts timed
+    /// out.
     fn time_out(&mut self, now: Millis, id: RequestId) {
         let Some(request) = self.requests.open_mut(id) else {
             return;
@@ -242,13 +247,14 @@
         self.report(now, Report::ClientDisconnected(id));
     }
 
-    /// Tells the decision module what happened, and applies what it decides.
+    /// Reports an event to the decision module and applies the resulting decisions.
     pub(super) fn report(&mut self, now: Millis, report: Report) {
         let decisions = self.policy.report(now, report);
         self.apply_decisions(now, decisions);
     }
 
-    /// Gives an open request its final answer: this one, or what the request's state makes of it.
+    /// Gives an open request its final answer: the proposed one, or the one that [`Request::final_answer`]
+    /// puts in its place.
     pub(super) fn finish(&mut self, id: RequestId, proposed: Answer) {
         let Some(request) = self.requests.open_mut(id) else {
             return;
@@ -270,13 +276,13 @@
         self.answer(id.request, class, Answer::Served(id));
     }
 
-    /// The one place where answers are given, and so counted.
+    /// Emits and counts an answer. All answers pass through here, so that each is counted once.
     fn answer(&mut self, request: RequestId, class: ClassId, answer: Answer) {
         self.metrics.record_answer(class, answer.outcome());
         self.commands.push(Command::Answer { request, answer });
     }
 
-    /// Counts a request that a frontend answered itself, without opening it here.
+    /// Counts a request that a frontend answered itself, without opening it in the core.
     pub fn record_rejection(&mut self, class: ClassId, outcome: RequestOutcome) {
         self.metrics.record_answer(class, outcome);
     }
@@ -286,7 +292,7 @@
         self.metrics.violations.record(violation);
     }
 
-    /// Counts an attempt that has been written in full to its engine.
+    /// Counts an attempt that has been written to its engine in full.
     pub fn record_dispatch(&mut self) {
         self.metrics.dispatches += 1;
     }
@@ -297,7 +303,7 @@
         self.policy.set_process_count(processes);
     }
 
-    /// The counters, and the gauges as of now.
+    /// Returns the counters, and the current values of the gauges.
     pub fn metrics(&self) -> Metrics {
         let unavailable = self
             .endpoints
@@ -319,14 +325,15 @@
     }
 }
 
-/// The request as the decision module sees it.
-fn query(id: RequestId, new: &NewRequest, time_left: Millis) -> Query {
+/// Converts a request to the decision module's representation.
+fn to_query(id: RequestId, new: &NewRequest, time_left: Millis) -> Query {
     Query {
         id,
         class: new.class,
         tenant: new.tenant,
         key: None,
-        // Engines are ranked by this value: another encoding would send a group to other engines.
+        // Engines are ranked by a hash of this value: another encoding would move table groups to other
+        // engines.
         tables: new.group.map(|group| (group as f64).to_bits()),
         time_left,
         work: new.work,
@@ -334,8 +341,9 @@
     }
 }
 
-/// An attempt that never ran, with this outcome, as the decision module is told of it.
-pub(super) fn ended(id: AttemptId, outcome: Outcome) -> Ended {
+/// Creates the decision module's record of an attempt that ended with this outcome, with zero latency and no
+/// load report.
+pub(super) fn ended_attempt(id: AttemptId, outcome: Outcome) -> Ended {
     Ended {
         id: id.request,
         attempt: id.index,
