--- a/src/core/administrative_drain/tests.rs
+++ b/src/core/administrative_drain/tests.rs
@@ -15,7 +15,7 @@
 fn a_drain_overrides_ready_and_nothing_else() {
     let mut drains = AdministrativeDrains::default();
     assert!(drains.drain("a"));
-    assert!(!drains.drain("a"), "it is drained already");
+    assert!(!drains.drain("a"), "it is already drained");
     let state = |listed| drains.apply_to(entry(listed, None)).state;
     assert_eq!(state(EngineState::Ready), EngineState::Draining);
     assert_eq!(state(EngineState::Draining), EngineState::Draining);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn an_engine_counts_as_restarted_when_its_drain_ended() {
+fn an_engine_counts_as_restarted_when_its_drain_ends() {
     let mut drains = AdministrativeDrains::default();
     assert!(!drains.undrain("a"), "it was not drained");
     drains.drain("a");
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_restart_is_forgotten_with_its_engine_and_by_the_next_drain() {
+fn a_restart_time_is_removed_with_its_engine_and_by_the_next_drain() {
     let started =
         |drains: &AdministrativeDrains| drains.apply_to(entry(EngineState::Ready, None)).started;
     let mut drains = AdministrativeDrains::default();
--- a/src/core/endpoints.rs
+++ b/src/core/endpoints.rs
@@ -1,4 +1,4 @@
-//! The core's endpoint list, administrative drains and gossip.
+//! The core's handling of the endpoint list, of administrative drains and of gossip.
 
 use crate::core::command::{AttemptId, Command};
 use crate::core::request_core::Core;
@@ -16,7 +16,7 @@
         self.report(now, Report::Engines { update, entries });
     }
 
-    /// Tells gossip which engines are listed. A change costs no more than the engines that it names.
+    /// Passes the listed engines to gossip. The cost of a patch is proportional to the number of its entries.
     fn update_gossip(&mut self, update: ListUpdate, entries: &[EngineEntry]) {
         let Some(gossip) = &mut self.gossip else {
             return;
@@ -32,30 +32,31 @@
         }
     }
 
-    /// New work may be sent to this engine: it is listed as ready and not administratively drained.
+    /// Returns whether new work may be sent to an engine: it is listed as ready and not administratively
+    /// drained.
     pub fn is_in_service(&self, engine: &str) -> bool {
         self.endpoints.is_in_service(engine)
     }
 
-    /// The engine is listed, or was when operators drained it.
+    /// Returns whether an engine is listed or administratively drained.
     pub fn is_known(&self, engine: &str) -> bool {
         self.endpoints.is_known(engine)
     }
 
-    /// The engines that are administratively drained.
+    /// Returns the ids of the administratively drained engines.
     pub fn drained_engines(&self) -> &BTreeSet<String> {
         self.endpoints.drained()
     }
 
-    /// Drains an engine, whatever the endpoint list says, until [`Core::undrain_engine`]. Returns its entry if it is
-    /// listed and was not drained before.
+    /// Drains an engine, regardless of the endpoint list, until [`Core::undrain_engine`]. Returns the
+    /// engine's entry if it is listed and was not already drained.
     pub fn drain_engine(&mut self, now: Millis, engine: &str) -> Option<EngineEntry> {
         let is_new = self.endpoints.drain(engine);
         self.report_endpoint(now, engine).filter(|_| is_new)
     }
 
-    /// Ends an engine's administrative drain: it is what the endpoint list says, with a process that has just
-    /// started. Returns its entry if it is listed and was drained.
+    /// Ends an engine's administrative drain: the engine has the listed state again, and its process counts
+    /// as just started. Returns the engine's entry if it is listed and was drained.
     pub fn undrain_engine(&mut self, now: Millis, engine: &str) -> Option<EngineEntry> {
         if !self.endpoints.undrain(now, engine) {
             return None;
@@ -74,7 +75,7 @@
         Some(entry)
     }
 
-    /// Shares load reports with the other dispatchers of the tier from now on.
+    /// Starts sharing load reports with the peer dispatchers.
     pub fn join_gossip(&mut self, budget: GossipBudget) {
         let mut gossip = Broadcaster::new(budget.clone());
         gossip.set_engines(self.endpoints.engines());
@@ -86,7 +87,7 @@
     ///
     /// # Errors
     ///
-    /// A message that cannot be decoded changes nothing but the metrics.
+    /// Returns an error if the message cannot be decoded. Such a message only changes the metrics.
     pub fn receive_gossip(&mut self, now: Millis, message: &[u8]) -> Result<(), DecodeError> {
         let Some(gossip) = &mut self.gossip else {
             return Ok(());
@@ -101,13 +102,15 @@
         Ok(())
     }
 
-    /// Pays for a gossip message of this length to one peer, if there is credit for it.
+    /// Spends gossip credit on a message of this length to one peer. Returns false if there is too little
+    /// credit.
     pub fn pay_for_one_peer(&mut self, message_bytes: usize) -> bool {
         let gossip = self.gossip.as_mut();
         gossip.is_some_and(|gossip| gossip.pay_for_one_peer(message_bytes))
     }
 
-    /// The present process of an engine has started at this time at the latest, earlier than was known.
+    /// Applies newly received evidence that the present process of an engine started earlier than assumed: at
+    /// `started` at the latest.
     pub fn learn_engine_start(&mut self, engine: &str, started: Millis) {
         self.endpoints.learn_start(engine, started);
         let entry = self.endpoints.effective_entry(engine);
@@ -116,7 +119,8 @@
         }
     }
 
-    /// No more dispatchers are taken to run than are configured: nothing else can tell their number.
+    /// Treats the configured number of dispatchers as confirmed for good, because there is no other evidence
+    /// of their number.
     pub fn trust_configured_fleet(&mut self) {
         self.policy.observe_fleet(FleetEvidence {
             min_dispatchers: 0,
@@ -124,20 +128,20 @@
         });
     }
 
-    /// A listed peer was heard: what it sent could be read.
+    /// Records a listed peer from which a readable message was received.
     pub fn record_listed_peer(&mut self, now: Millis, peer: SocketAddr) {
         if let Some(census) = &mut self.census {
             self.policy.observe_fleet(census.record_listed(now, peer));
         }
     }
 
-    /// Counts a gossip message whose sender is not a peer.
+    /// Counts a rejected gossip message whose sender is not a peer.
     pub fn record_foreign_message(&mut self) {
         self.metrics.rejected_gossip_messages += 1;
     }
 
-    /// Counts a gossip message whose sender is not listed. One that can be read shows that more dispatchers run than
-    /// the configuration says.
+    /// Counts a rejected gossip message whose sender is not listed. A readable one shows that more
+    /// dispatchers run than are configured.
     pub fn record_unlisted_peer(&mut self, now: Millis, peer: SocketAddr, message: &[u8]) {
         self.record_foreign_message();
         let is_readable = |gossip: &Broadcaster| gossip.is_readable(message);
@@ -148,8 +152,8 @@
         }
     }
 
-    /// Broadcasts the load report that an attempt brought, if the gossip budget allows it. The report of a process
-    /// that has been restarted since says nothing of the new one.
+    /// Broadcasts the load report that came with an attempt's outcome, if the gossip budget allows it. A
+    /// report from before the engine's last restart is dropped: it does not describe the new process.
     pub(super) fn broadcast_load_report(&mut self, now: Millis, id: AttemptId, report: &[f64]) {
         let Some(gossip) = &mut self.gossip else {
             return;
--- a/src/core/invariants.rs
+++ b/src/core/invariants.rs
@@ -1,31 +1,32 @@
-//! What must hold whatever is decided, checked where attempts start, repeat and end and where answers and closes happen. A
-//! breach that can be prevented is; each is counted, for operators and for the soak.
+//! Invariants that must hold regardless of the decision module's decisions, checked where attempts start, are
+//! retried and end, and where requests are answered and connections closed. Violations are prevented where
+//! that is possible, and each is counted for operators and for the soak test.
 
 use crate::core::request::Request;
 use crate::decision::model::Millis;
 
-/// An answer that is later than this after its client's deadline is lost, in milliseconds.
+/// Maximum delay of an answer after its client's deadline, in milliseconds. A later answer counts as lost.
 pub const LATE_ANSWER_MS: Millis = 500.0;
 
-/// A broken invariant.
+/// A violation of an invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// An attempt was to start though its request had its answer, or nobody waited for one.
+    /// An attempt was requested for a request that had been answered or whose client had disconnected.
     AttemptAfterEnd,
-    /// An attempt was to start at an engine that gets no new work.
+    /// An attempt was requested on an engine that gets no new work.
     EngineOutOfService,
-    /// A request was to run again though it may have run and must not run twice.
+    /// A retry was requested for a non-idempotent request that may have run.
     RepeatedEffect,
-    /// A warming engine got more than this dispatcher's part of what it bears.
+    /// An engine that is warming up got more than this dispatcher's share of the load that it sustains.
     SlowStartOverrun,
-    /// An answer was given long after its deadline.
+    /// An answer was given more than [`LATE_ANSWER_MS`] after its client's deadline.
     LateAnswer,
     /// A client's connection was closed, or the process ended, with a request unanswered.
     ClosedUnanswered,
 }
 
 impl Violation {
-    /// All of them, in the order of their discriminants.
+    /// All violations, in the order of their discriminants.
     pub const ALL: [Violation; 6] = [
         Violation::AttemptAfterEnd,
         Violation::EngineOutOfService,
@@ -35,7 +36,7 @@
         Violation::ClosedUnanswered,
     ];
 
-    /// Its name at the operators' address.
+    /// Returns the name under which the operators' address reports the violation.
     pub fn name(self) -> &'static str {
         match self {
             Violation::AttemptAfterEnd => "attempt_after_end",
@@ -48,31 +49,33 @@
     }
 }
 
-/// Violations so far, by kind.
+/// Number of violations of each kind since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ViolationCounts([u64; Violation::ALL.len()]);
 
 impl ViolationCounts {
-    /// Counts one.
+    /// Counts one violation of a kind.
     pub fn record(&mut self, violation: Violation) {
         self.0[violation as usize] += 1;
     }
 
-    /// How many of this kind there were.
-    pub fn of(&self, violation: Violation) -> u64 {
+    /// Returns the number of violations of a kind.
+    pub fn count(&self, violation: Violation) -> u64 {
         self.0[violation as usize]
     }
 
-    /// Sets the count of a kind that is counted elsewhere.
+    /// Sets the number of violations of a kind that is counted elsewhere.
     pub fn set(&mut self, violation: Violation, count: u64) {
         self.0[violation as usize] = count;
     }
 }
 
-/// Whether an attempt of this request may start at an engine; the guard of everything that is sent.
+/// Checks whether an attempt of a request may start on an engine. Every attempt passes this check before it
+/// is sent.
 ///
 /// # Errors
-/// The invariant that it would break.
+///
+/// Returns the invariant that the attempt would violate.
 pub(super) fn check_start(request: &Request, is_in_service: bool) -> Result<(), Violation> {
     if request.is_closed() {
         Err(Violation::AttemptAfterEnd)
--- a/src/core/invariants/tests.rs
+++ b/src/core/invariants/tests.rs
@@ -1,4 +1,4 @@
-//! The guard of what is sent.
+//! Tests of the check before each attempt, and of the violation counters.
 
 use super::{Violation, ViolationCounts, check_start};
 use crate::core::attempt::Attempt;
@@ -15,19 +15,19 @@
 }
 
 #[test]
-fn nothing_starts_after_the_end_or_at_an_engine_out_of_service() {
-    let mut ended = request(Idempotency::Idempotent, &[]);
-    assert_eq!(check_start(&ended, true), Ok(()));
+fn no_attempt_starts_on_a_closed_request_or_an_engine_out_of_service() {
+    let mut closed = request(Idempotency::Idempotent, &[]);
+    assert_eq!(check_start(&closed, true), Ok(()));
     assert_eq!(
-        check_start(&ended, false),
+        check_start(&closed, false),
         Err(Violation::EngineOutOfService)
     );
-    ended.close();
-    assert_eq!(check_start(&ended, true), Err(Violation::AttemptAfterEnd));
+    closed.close();
+    assert_eq!(check_start(&closed, true), Err(Violation::AttemptAfterEnd));
 }
 
 #[test]
-fn what_must_not_run_twice_is_repeated_only_if_it_never_ran() {
+fn a_non_idempotent_request_is_retried_only_if_it_never_ran() {
     let never_ran = request(Idempotency::NonIdempotent, &[Outcome::Rejected]);
     assert_eq!(check_start(&never_ran, true), Ok(()));
     let may_have_run = request(Idempotency::NonIdempotent, &[Outcome::Reset]);
@@ -35,8 +35,8 @@
         check_start(&may_have_run, true),
         Err(Violation::RepeatedEffect)
     );
-    let harmless = request(Idempotency::Idempotent, &[Outcome::Reset]);
-    assert_eq!(check_start(&harmless, true), Ok(()));
+    let idempotent = request(Idempotency::Idempotent, &[Outcome::Reset]);
+    assert_eq!(check_start(&idempotent, true), Ok(()));
 }
 
 #[test]
@@ -50,6 +50,6 @@
         } else {
             0
         };
-        assert_eq!(counts.of(violation), expected, "{violation:?}");
+        assert_eq!(counts.count(violation), expected, "{violation:?}");
     }
 }
--- a/src/core/metrics.rs
+++ b/src/core/metrics.rs
@@ -1,19 +1,19 @@
-//! Counters since the process started and gauges of its present state, as operators read them.
+//! Metrics for operators: counters since the start of the process, and gauges of its present state.
 
 use crate::core::invariants::{Violation, ViolationCounts};
 use crate::decision::model::{ClassId, FleetSizeRange};
 
-/// Variants of [`RequestOutcome`].
+/// Number of variants of [`RequestOutcome`].
 const OUTCOMES: usize = 3;
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// It was served.
+    /// The request was served.
     Success,
-    /// It was rejected or timed out, and a retry is safe.
+    /// The request was rejected or timed out, and a retry is safe.
     Overload,
-    /// It failed.
+    /// The request failed, or timed out and may have run.
     Error,
 }
 
@@ -25,7 +25,7 @@
         RequestOutcome::Error,
     ];
 
-    /// The outcome's name at the operators' address.
+    /// Returns the outcome's name at the operators' address.
     fn name(self) -> &'static str {
         match self {
             RequestOutcome::Success => "success",
@@ -35,34 +35,34 @@
     }
 }
 
-/// Answers of one class by outcome, in the order of [`RequestOutcome`].
+/// Number of answers to requests of one class by outcome, in the order of [`RequestOutcome`].
 pub type AnswerCounts = [u64; OUTCOMES];
 
 /// Counters and gauges of one process.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Metrics {
-    /// Answers, by class.
+    /// Answer counts by class.
     pub answers: Vec<AnswerCounts>,
-    /// Attempts that have been written in full to engines.
+    /// Number of attempts that have been written to engines in full.
     pub dispatches: u64,
-    /// Requests that await an answer now.
+    /// Number of requests that await an answer.
     pub unanswered_requests: usize,
-    /// Engines that are listed now.
+    /// Number of listed engines.
     pub endpoints: usize,
-    /// Listed engines that get no new work now: not ready, administratively drained, or ejected.
+    /// Number of listed engines that get no new work: not ready, administratively drained, or ejected.
     pub unavailable_endpoints: usize,
-    /// Gossip messages that could not be decoded or whose sender is not a peer.
+    /// Number of gossip messages that could not be decoded or whose sender is not a peer.
     pub rejected_gossip_messages: u64,
-    /// Times in which the process stood still: it was stopped, or one piece of work held its thread.
+    /// Number of standstills of the process: periods in which it was stopped or its thread was blocked.
     pub standstills: u64,
-    /// Broken invariants.
+    /// Counts of violated invariants.
     pub violations: ViolationCounts,
-    /// How many dispatchers are taken to run.
+    /// Expected and maximum number of running dispatchers.
     pub fleet_size: FleetSizeRange,
 }
 
 impl Metrics {
-    /// Metrics of a process that has just started, for this number of classes.
+    /// Creates the metrics of a process that has just started, for this number of classes.
     pub fn new(classes: usize) -> Self {
         Metrics {
             answers: vec![AnswerCounts::default(); classes],
@@ -77,12 +77,12 @@
         }
     }
 
-    /// The text of the broken invariants, a line `violations.name=value` for each kind, of the standstills, and of how many
-    /// dispatchers are taken to run.
+    /// Formats the invariants for the operators' address: a line `violations.NAME=VALUE` for each kind of
+    /// violation, the number of standstills, and the expected and maximum number of running dispatchers.
     pub fn invariants_text(&self) -> String {
         let mut text = String::new();
         for violation in Violation::ALL {
-            let (name, count) = (violation.name(), self.violations.of(violation));
+            let (name, count) = (violation.name(), self.violations.count(violation));
             text.push_str(&format!("violations.{name}={count}\n"));
         }
         text.push_str(&format!("standstills={}\n", self.standstills));
@@ -92,7 +92,8 @@
         text
     }
 
-    /// The text at the operators' address, a line `name=value` for each metric. `classes` are the classes' names.
+    /// Formats the metrics for the operators' address, a line `NAME=VALUE` for each. `classes` are the names
+    /// of the classes.
     pub fn text(&self, classes: &[String]) -> String {
         let mut text = String::new();
         for (class, counts) in classes.iter().zip(&self.answers) {
--- a/src/core/metrics/tests.rs
+++ b/src/core/metrics/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_text_has_a_line_for_each_metric_under_the_operators_names() {
+fn the_text_has_a_line_for_each_metric_under_its_public_name() {
     let mut metrics = Metrics::new(2);
     metrics.record_answer(0, RequestOutcome::Success);
     metrics.record_answer(0, RequestOutcome::Success);
