--- a/src/dispatch/start_times.rs
+++ b/src/dispatch/start_times.rs
@@ -1,88 +1,97 @@
-//! When engines started, as far as other machines' wall clocks can tell.
+//! Start times of engines, allowing for errors of the wall clocks that they come from.
 //!
-//! Discovery tells an engine's start as a Unix time of another machine. Neither that clock nor this machine's is known to be
-//! right: both may be stepped, before this process began or since. An engine that is taken for older than it is gets more
-//! than it bears, so its age is what two wrong clocks leave certain: it counts as started when its start was first heard of,
-//! unless the start is longer ago than any clock error, or a peer has known of it for longer. Peers are requested a few times
-//! for each start: their ages are spans of real time.
+//! Discovery reports an engine's start as a Unix time of another machine. Neither that machine's clock nor
+//! the local one can be relied on: both may be stepped, before or after the start of this process. An engine
+//! whose age is overestimated gets more load than it sustains, so only the age that is certain despite two
+//! wrong clocks is used: an engine counts as started when its start was first reported here, unless the
+//! reported start is longer ago than any clock error, or a peer has known of the start for longer. Peers are
+//! polled a few times for each start: the ages that they report are spans of real time, which clock errors do
+//! not change.
 
 use crate::decision::model::{EngineState, ListUpdate, Millis};
 use crate::gossip::{EngineAge, MAX_STARTS, StartId};
 use crate::membership::Change;
 use std::collections::{HashMap, HashSet};
 
-/// The wall clocks of two machines differ by at most this: each may be off by an hour.
+/// Maximum difference between the wall clocks of two machines, in milliseconds: each may be off by an hour.
 const MAX_CLOCK_ERROR_MS: Millis = 7_200_000.0;
 
-/// Times after which peers are requested for the age of a start, each after the one before, in ms: the first may have been
-/// requested when it did not know the start either.
+/// Delays between the requests to peers for the age of a start, in milliseconds, each after the previous
+/// request. There are several because the first peer may not have known the start yet.
 const REQUEST_DELAYS_MS: [Millis; 3] = [0.0, 500.0, 2000.0];
 
-/// The time on both clocks of this process.
+/// A reading of the process clock and the wall clock at the same time.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Now {
-    /// The time that the process goes by.
+pub(super) struct ClockReading {
+    /// Time on the process clock, in milliseconds.
     pub(super) process_ms: Millis,
-    /// The wall clock's Unix time.
+    /// Unix time of the wall clock, in milliseconds.
     pub(super) wall_clock_ms: Millis,
 }
 
-/// When an engine started, on the clock of the process.
+/// The start of an engine, in milliseconds on the process clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct StartTime {
-    /// If both wall clocks are right: which connections lead to the present process depends on it.
+    /// Start time if both wall clocks are right. It determines which connections lead to the engine's present
+    /// process.
     pub(super) estimate: Millis,
-    /// The latest time that wrong clocks leave possible: how much the engine bears depends on it.
+    /// Latest start time that is possible with wrong clocks. It determines how much load the engine sustains.
     pub(super) latest: Millis,
 }
 
-/// One start of an engine.
+/// A start of an engine, and the state of the requests to peers for its age.
 #[derive(Clone, Copy, Debug)]
 struct Start {
-    /// As discovery tells it: it identifies the start.
-    told: Millis,
+    /// Start time as reported by discovery, in milliseconds of Unix time. It identifies the start.
+    reported: Millis,
     id: StartId,
     time: StartTime,
-    /// Questions to peers that have been requested.
-    requests: usize,
-    /// When the next one is due, if there is one.
+    /// Number of requests sent to peers.
+    requests_sent: usize,
+    /// Time at which the next request is due, on the process clock; infinite if there is none.
     next_request_at: Millis,
 }
 
 impl Start {
-    fn is_unresolved(&self) -> bool {
-        self.requests < REQUEST_DELAYS_MS.len()
+    fn has_requests_left(&self) -> bool {
+        self.requests_sent < REQUEST_DELAYS_MS.len()
     }
 
     fn is_request_due(&self, now: Millis) -> bool {
-        self.is_unresolved() && now >= self.next_request_at
+        self.has_requests_left() && now >= self.next_request_at
     }
 
     fn record_request(&mut self, now: Millis) {
-        self.requests += 1;
-        let delay = REQUEST_DELAYS_MS.get(self.requests);
+        self.requests_sent += 1;
+        let delay = REQUEST_DELAYS_MS.get(self.requests_sent);
         self.next_request_at = now + delay.copied().unwrap_or(f64::INFINITY);
     }
 }
 
-/// The starts of all listed engines.
+/// The latest starts of all listed engines.
 #[derive(Debug, Default)]
 pub(super) struct StartTimes {
     by_engine: HashMap<String, Start>,
-    /// The engines by the starts that are meant among peers.
+    /// Engine ids by the start ids that gossip uses.
     engines: HashMap<StartId, String>,
-    /// Some start may have a request left.
-    has_unresolved: bool,
+    /// Whether any start may have requests to peers left.
+    has_requests_left: bool,
 }
 
 impl StartTimes {
-    /// When this start was, on the clock of the process. The same start keeps its time.
-    pub(super) fn locate(&mut self, now: Now, engine: &str, told: Millis) -> StartTime {
+    /// Records the start time of an engine that discovery reports, and returns it on the process clock. A
+    /// start that has been recorded before keeps its time.
+    pub(super) fn record_start(
+        &mut self,
+        now: ClockReading,
+        engine: &str,
+        reported: Millis,
+    ) -> StartTime {
         let known = self.by_engine.get(engine);
-        if let Some(start) = known.filter(|start| start.told == told) {
+        if let Some(start) = known.filter(|start| start.reported == reported) {
             return start.time;
         }
-        let apparent_age = now.wall_clock_ms - told;
+        let apparent_age = now.wall_clock_ms - reported;
         let time = StartTime {
             estimate: now.process_ms - apparent_age.max(0.0),
             latest: now.process_ms - (apparent_age - MAX_CLOCK_ERROR_MS).max(0.0),
@@ -90,10 +99,10 @@
         self.insert(
             engine,
             Start {
-                told,
-                id: StartId::new(engine, told),
+                reported,
+                id: StartId::new(engine, reported),
                 time,
-                requests: 0,
+                requests_sent: 0,
                 next_request_at: now.process_ms + REQUEST_DELAYS_MS[0],
             },
         );
@@ -105,12 +114,13 @@
             self.engines.remove(&replaced.id);
         }
         self.engines.insert(start.id, engine.to_string());
-        self.has_unresolved = true;
+        self.has_requests_left = true;
     }
 
-    /// Starts whose ages a peer is to be asked for now, one message's worth.
+    /// Returns the starts whose ages are to be requested from a peer now, at most as many as fit in one
+    /// message, and counts the requests as sent.
     pub(super) fn due_requests(&mut self, now: Millis) -> Vec<StartId> {
-        if !self.has_unresolved {
+        if !self.has_requests_left {
             return vec![];
         }
         let starts = self.by_engine.values_mut();
@@ -120,11 +130,11 @@
             start.record_request(now);
             requested.push(start.id);
         }
-        self.has_unresolved = self.by_engine.values().any(Start::is_unresolved);
+        self.has_requests_left = self.by_engine.values().any(Start::has_requests_left);
         requested
     }
 
-    /// How old these are at least, as far as they are known here.
+    /// Returns the minimum ages of those of the requested starts that are known here.
     pub(super) fn ages(&self, now: Millis, requested: &[StartId]) -> Vec<EngineAge> {
         let known = requested.iter().filter_map(|id| {
             let start = self.by_engine.get(self.engines.get(id)?)?;
@@ -136,8 +146,9 @@
         known.collect()
     }
 
-    /// Takes over a peer's word that an engine is older than is known here: the engine, and the latest time of its start.
-    pub(super) fn learn(&mut self, now: Millis, age: EngineAge) -> Option<(&str, Millis)> {
+    /// Applies the minimum age of a start that a peer reports. If it is older than known here, returns the
+    /// engine and the new latest possible start time.
+    pub(super) fn apply_peer_age(&mut self, now: Millis, age: EngineAge) -> Option<(&str, Millis)> {
         let engine = self.engines.get(&age.start)?;
         let start = self.by_engine.get_mut(engine)?;
         let latest = now - age.min_age;
@@ -148,8 +159,8 @@
         Some((engine, latest))
     }
 
-    /// Forgets the engines that a change removes.
-    pub(super) fn forget_removed(&mut self, change: &Change) {
+    /// Removes the engines that a change no longer lists.
+    pub(super) fn remove_unlisted(&mut self, change: &Change) {
         if change.update != ListUpdate::Patch {
             let listed: HashSet<&str> = change.engines.iter().map(|e| e.id.as_str()).collect();
             self.by_engine.retain(|id, _| listed.contains(id.as_str()));
