--- a/src/dispatch/commands.rs
+++ b/src/dispatch/commands.rs
@@ -1,4 +1,4 @@
-//! Carries the core's commands out.
+//! Execution of the core's commands.
 
 use crate::clock::process_time_millis;
 use crate::core::invariants::LATE_ANSWER_MS;
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 impl<U: Upstream> RequestRouter<U> {
-    /// Carries out the core's commands, also those that follow from carrying them out.
+    /// Executes the core's commands, including those that are queued while others are executed.
     pub(super) fn run_commands(self: &Rc<Self>) {
         loop {
             let commands = self.core.borrow_mut().take_commands();
@@ -20,7 +20,7 @@
                 self.run_command(command);
             }
         }
-        self.clock_changed.notify_one();
+        self.wakeup_changed.notify_one();
     }
 
     fn run_command(self: &Rc<Self>, command: Command) {
--- a/src/dispatch/gossip_driver.rs
+++ b/src/dispatch/gossip_driver.rs
@@ -1,5 +1,5 @@
-//! Gossip between the dispatchers of a tier, over UDP: datagrams may be late or lost. Their content is
-//! [`crate::gossip`]'s.
+//! Transport of gossip between peer dispatchers over UDP: datagrams may be delayed or lost. [`crate::gossip`]
+//! defines their content.
 
 use crate::clock::process_time_millis;
 use crate::config::GossipSettings;
@@ -13,53 +13,54 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 
-/// The least time between two requests about the ages of engines.
+/// Minimum time between two requests for the ages of engines.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The pause after a failure of the socket: another process of this dispatcher may still hold the address.
+/// Delay after a socket error: another process of this dispatcher may still be bound to the address.
 const SOCKET_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Receives the peers' messages, and lets the router send to them, until the router is dropped.
+/// Runs gossip until the router is dropped: receives the peers' messages and gives the router a sender.
 pub async fn attend<U: Upstream>(router: Weak<RequestRouter<U>>, peers: GossipSettings) {
     let socket = Rc::new(bind(peers.listen).await);
     let outgoing = socket.clone();
     let all_peers = peers.broadcast;
     let sender = move |message: &[u8]| {
-        // A message that cannot be sent at once is dropped: it would be stale by the time that it could.
+        // A message that cannot be sent at once is dropped: it would be stale later.
         let _ = outgoing.try_send_to(message, all_peers);
     };
     match router.upgrade() {
         Some(router) => router.join_gossip(peers.budget, Box::new(sender)),
         None => return,
     }
-    let sources = Sources {
+    let listed_addresses = ListedAddresses {
         own: peers.listen,
-        listed: peers.members.iter().copied().collect(),
+        all: peers.members.iter().copied().collect(),
     };
     tokio::join!(
-        receive(&router, &socket, &sources),
-        request_ages(&router, &socket, &sources),
+        receive(&router, &socket, &listed_addresses),
+        request_ages(&router, &socket, &listed_addresses),
     );
 }
 
-/// The addresses that the configuration lists for the dispatchers of the tier.
-struct Sources {
-    /// What this dispatcher sends from, another process of it as well.
+/// The configured gossip addresses of all dispatchers.
+struct ListedAddresses {
+    /// Address that all processes of this dispatcher send from.
     own: SocketAddr,
-    listed: HashSet<SocketAddr>,
+    /// Addresses of all dispatchers, including this one.
+    all: HashSet<SocketAddr>,
 }
 
-impl Sources {
-    /// The listed addresses of the other dispatchers.
+impl ListedAddresses {
+    /// Returns the addresses of the other dispatchers, in ascending order.
     fn others(&self) -> Vec<SocketAddr> {
-        let listed = self.listed.iter().copied();
-        let mut others: Vec<SocketAddr> = listed.filter(|address| *address != self.own).collect();
+        let all = self.all.iter().copied();
+        let mut others: Vec<SocketAddr> = all.filter(|address| *address != self.own).collect();
         others.sort_unstable();
         others
     }
 }
 
-/// Binds the address, as soon as it is free. Only the first failure is logged.
+/// Binds a socket to the address, retrying until the address is free. Only the first failure is logged.
 async fn bind(address: SocketAddr) -> UdpSocket {
     let mut is_logged = false;
     loop {
@@ -67,7 +68,9 @@
             Ok(socket) => return socket,
             Err(error) => {
                 if !is_logged {
-                    log_line!("peer_listen {address}: {error}; no gossip until it is free");
+                    log_line!(
+                        "peer_listen {address}: {error}; no gossip until the address is free"
+                    );
                 }
                 is_logged = true;
             }
@@ -76,13 +79,14 @@
     }
 }
 
-/// Hands messages to the router until it is dropped.
+/// Passes received messages to the router until the router is dropped.
 async fn receive<U: Upstream>(
     router: &Weak<RequestRouter<U>>,
     socket: &UdpSocket,
-    sources: &Sources,
+    listed_addresses: &ListedAddresses,
 ) {
-    // One byte more than a message may hold, so that a longer one can be told from a full one.
+    // One byte longer than the longest message, to distinguish a longer datagram from a message of maximum
+    // length.
     let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
     loop {
         let received = socket.recv_from(&mut buffer).await;
@@ -90,7 +94,7 @@
             return;
         };
         match received {
-            Ok((size, sender)) if !sources.listed.contains(&sender) => {
+            Ok((size, sender)) if !listed_addresses.all.contains(&sender) => {
                 router.record_unlisted_peer(sender, &buffer[..size]);
                 log_line!("peer {sender}: not listed, its message is ignored");
             }
@@ -98,41 +102,41 @@
                 let message = &buffer[..size];
                 match AgeMessage::decode(message) {
                     Some(AgeMessage::Request(starts)) => {
-                        if let Some(answer) = router.answer_age_request(&starts) {
-                            let _ = socket.try_send_to(&answer, sender);
+                        if let Some(response) = router.answer_age_request(&starts) {
+                            let _ = socket.try_send_to(&response, sender);
                         }
                     }
                     Some(AgeMessage::Response(ages)) => router.learn_engine_ages(ages),
-                    None => receive_report(&router, sources, sender, message),
+                    None => receive_report(&router, listed_addresses, sender, message),
                 }
             }
-            // The error of an earlier datagram that could not be delivered.
+            // The error belongs to an earlier datagram that could not be delivered.
             Err(_) => tokio::time::sleep(SOCKET_RETRY_DELAY).await,
         }
     }
 }
 
-/// A listed peer's load report.
+/// Passes a listed peer's load report to the router.
 fn receive_report<U: Upstream>(
     router: &Rc<RequestRouter<U>>,
-    sources: &Sources,
+    listed_addresses: &ListedAddresses,
     sender: SocketAddr,
     message: &[u8],
 ) {
     match router.receive_gossip(message) {
-        Ok(()) if sender == sources.own => {}
+        Ok(()) if sender == listed_addresses.own => {}
         Ok(()) => router.record_listed_peer(sender),
         Err(error) => log_line!("peer {sender}: {error}; its message is ignored"),
     }
 }
 
-/// Asks peers for the ages of engines, a random peer each time, until the router is dropped.
+/// Requests the ages of engines from peers, a random one each time, until the router is dropped.
 async fn request_ages<U: Upstream>(
     router: &Weak<RequestRouter<U>>,
     socket: &UdpSocket,
-    sources: &Sources,
+    listed_addresses: &ListedAddresses,
 ) {
-    let others: Vec<SocketAddr> = sources.others();
+    let others: Vec<SocketAddr> = listed_addresses.others();
     if others.is_empty() {
         return;
     }
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -1,4 +1,5 @@
-//! Drives the pure request core: the request router with its clock, and the gossip driver.
+//! Drives the pure request core: the request router, which runs the core's timers and commands, and the
+//! gossip driver.
 
 mod commands;
 mod endpoints;
--- a/src/dispatch/request_router.rs
+++ b/src/dispatch/request_router.rs
@@ -1,4 +1,4 @@
-//! The request router: joins the pure core to the frontends and the upstream, and keeps its clock.
+//! The request router: connects the pure core with the frontends and the upstream, and runs its timers.
 
 use crate::clock::{duration_from_millis, process_time_millis};
 use crate::config::NameTable;
@@ -17,22 +17,22 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The final answer as a frontend gets it: with the result itself.
+/// The final answer as a frontend gets it, with the result instead of the attempt's id.
 pub type Reply<R> = Answer<R>;
 
-/// Receives the final answer to one request.
+/// A callback for the final answer to a request.
 pub type ReplyHandler<R> = Box<dyn FnOnce(Reply<R>)>;
 
-/// Sends a message to every peer. It may be lost.
+/// A callback that sends a message to every peer, without guaranteed delivery.
 pub type GossipSender = Box<dyn Fn(&[u8])>;
 
 /// A request that has not been answered.
 pub(super) struct OpenRequest<U: Upstream> {
     pub(super) work: Rc<U::Work>,
-    /// The result, between the end of the attempt that was served and the answer.
+    /// Result of the served attempt, kept until the answer is given.
     pub(super) output: Option<U::Output>,
     pub(super) reply_handler: ReplyHandler<U::Output>,
-    /// When its client gives up, on the clock of the process.
+    /// Time at which the client gives up, in milliseconds on the process clock.
     pub(super) deadline: Millis,
 }
 
@@ -43,16 +43,16 @@
     pub(super) start_times: RefCell<StartTimes>,
     pub(super) names: NameTable,
     pub(super) upstream: U,
-    /// The core's next wakeup may have changed.
-    pub(super) clock_changed: Notify,
+    /// Notified after commands have run, as the core's next wakeup may have changed.
+    pub(super) wakeup_changed: Notify,
     is_shutting_down: Cell<bool>,
     heartbeat: Heartbeat,
-    /// The way to the peers, where there are any.
+    /// Sender to the peers, if gossip has been joined.
     pub(super) gossip_sender: OnceCell<GossipSender>,
 }
 
 impl<U: Upstream> RequestRouter<U> {
-    /// A router over this core and upstream. `names` are what the core's numbers stand for.
+    /// Creates a router for this core and upstream. `names` are the names for the core's indices.
     pub fn new(core: Core, names: NameTable, upstream: U) -> Rc<Self> {
         Rc::new(RequestRouter {
             core: RefCell::new(core),
@@ -60,24 +60,24 @@
             start_times: RefCell::default(),
             names,
             upstream,
-            clock_changed: Notify::new(),
+            wakeup_changed: Notify::new(),
             is_shutting_down: Cell::new(false),
             heartbeat: Heartbeat::new(process_time_millis()),
             gossip_sender: OnceCell::new(),
         })
     }
 
-    /// The connections to the engines.
+    /// Returns the connections to the engines.
     pub fn upstream(&self) -> &U {
         &self.upstream
     }
 
-    /// The names of classes, tenants, zones and kinds of engine.
+    /// Returns the names of classes, tenants, zones and engine kinds.
     pub fn names(&self) -> &NameTable {
         &self.names
     }
 
-    /// Opens a request. `reply_handler` gets its answer, perhaps before this returns.
+    /// Opens a request. `reply_handler` is called with the answer, possibly before this function returns.
     pub fn open(
         self: &Rc<Self>,
         new: NewRequest,
@@ -97,7 +97,7 @@
         id
     }
 
-    /// The client has disconnected or cancelled: the request is not answered any more.
+    /// Closes a request whose client has disconnected or cancelled: its reply handler is dropped.
     pub fn abandon(self: &Rc<Self>, id: RequestId) {
         let request = self.open.borrow_mut().remove(&id);
         drop(request);
@@ -105,14 +105,15 @@
         self.run_commands();
     }
 
-    /// A page of the attempt's result has arrived, and more follow.
+    /// Records that a page of the attempt's result has arrived and that more follow.
     pub fn page_received(self: &Rc<Self>, attempt: AttemptId) {
         self.core
             .borrow_mut()
             .page_received(process_time_millis(), attempt);
     }
 
-    /// An attempt was served. `load_report` is what its engine said of its load.
+    /// Processes the result of a served attempt. `load_report` is the load report that its engine sent with
+    /// it.
     pub fn attempt_served(
         self: &Rc<Self>,
         attempt: AttemptId,
@@ -125,7 +126,8 @@
         self.attempt_ended(attempt, Outcome::Served, load_report);
     }
 
-    /// An attempt ended with this outcome. `load_report` is what its engine said of its load.
+    /// Processes the end of an attempt. `load_report` is the load report that its engine sent with the
+    /// outcome.
     pub fn attempt_ended(
         self: &Rc<Self>,
         attempt: AttemptId,
@@ -138,7 +140,7 @@
         self.run_commands();
     }
 
-    /// The engine reported progress of an attempt.
+    /// Processes an engine's progress note about an attempt.
     pub fn progress(self: &Rc<Self>, attempt: AttemptId, note: ProgressNote) {
         self.core
             .borrow_mut()
@@ -146,29 +148,30 @@
         self.run_commands();
     }
 
-    /// Counts a request that a frontend answered itself, without opening it here.
+    /// Counts a request that a frontend answered itself, without opening it in the core.
     pub fn record_rejection(&self, class: ClassId, outcome: RequestOutcome) {
         self.core.borrow_mut().record_rejection(class, outcome);
     }
 
-    /// Counts a broken invariant, and logs it.
+    /// Logs and counts a violated invariant.
     pub fn record_violation(&self, violation: Violation) {
         log_line!("invariant broken: {}", violation.name());
         self.core.borrow_mut().record_violation(violation);
     }
 
-    /// Counts attempts that have been written in full to their engines.
+    /// Counts attempts that have been written to their engines in full.
     pub fn record_dispatches(&self, attempts: usize) {
         let mut core = self.core.borrow_mut();
         (0..attempts).for_each(|_| core.record_dispatch());
     }
 
-    /// The metrics as text, a line for each.
+    /// Formats the metrics for operators, a line for each.
     pub fn metrics(&self) -> String {
         self.core.borrow().metrics().text(&self.names.classes)
     }
 
-    /// The counts of broken invariants and of standstills as text, a line for each.
+    /// Formats the invariants for operators: violations, standstills and the number of dispatchers, a line
+    /// for each.
     pub fn invariants(&self) -> String {
         let metrics = Metrics {
             standstills: self.heartbeat.standstills(),
@@ -183,17 +186,17 @@
         self.upstream.set_process_count(processes as usize);
     }
 
-    /// Shutdown has begun.
+    /// Returns whether shutdown has begun.
     pub fn is_shutting_down(&self) -> bool {
         self.is_shutting_down.get()
     }
 
-    /// Ready for clients: an endpoint list has been received and shutdown has not begun.
+    /// Returns whether clients can be served: an endpoint list has been received and shutdown has not begun.
     pub fn is_ready(&self) -> bool {
         !self.is_shutting_down() && self.core.borrow().is_ready()
     }
 
-    /// Begins shutdown: every answer is given by `deadline`, a time of the process.
+    /// Begins shutdown: every answer is given by `deadline`, in milliseconds on the process clock.
     pub fn begin_shutdown(self: &Rc<Self>, deadline: Millis) {
         self.is_shutting_down.set(true);
         self.core
@@ -202,12 +205,12 @@
         self.run_commands();
     }
 
-    /// Requests that await an answer.
+    /// Returns the number of requests that await an answer.
     pub fn unanswered_requests(&self) -> usize {
         self.core.borrow().unanswered_requests()
     }
 
-    /// Shares load reports with the other dispatchers of the tier from now on; only the first call has an effect.
+    /// Starts sharing load reports with the peer dispatchers. Only the first call has an effect.
     pub fn join_gossip(&self, budget: GossipBudget, sender: GossipSender) {
         if self.gossip_sender.set(sender).is_ok() {
             self.core.borrow_mut().join_gossip(budget);
@@ -218,7 +221,7 @@
     ///
     /// # Errors
     ///
-    /// A message that cannot be decoded.
+    /// Returns an error if the message cannot be decoded.
     pub fn receive_gossip(self: &Rc<Self>, message: &[u8]) -> Result<(), DecodeError> {
         self.core
             .borrow_mut()
@@ -227,31 +230,32 @@
         Ok(())
     }
 
-    /// A listed peer was heard.
+    /// Records a listed peer from which a readable message was received.
     pub fn record_listed_peer(&self, peer: SocketAddr) {
         self.core
             .borrow_mut()
             .record_listed_peer(process_time_millis(), peer);
     }
 
-    /// Counts a gossip message whose sender is not listed.
+    /// Counts a rejected gossip message whose sender is not listed.
     pub fn record_unlisted_peer(&self, peer: SocketAddr, message: &[u8]) {
         self.core
             .borrow_mut()
             .record_unlisted_peer(process_time_millis(), peer, message);
     }
 
-    /// The earliest time at which a request that is read now can have arrived.
+    /// Returns the earliest time at which a request that is read now can have arrived, in milliseconds on the
+    /// process clock.
     pub fn earliest_arrival(&self) -> Millis {
         self.heartbeat.earliest_arrival(process_time_millis())
     }
 
-    /// Runs the core's timers for ever.
+    /// Runs the core's timers and the heartbeat. Never returns.
     pub async fn run_clock(self: Rc<Self>) {
         loop {
             tokio::select! {
                 () = tokio::time::sleep(self.until_next_wakeup()) => self.tick(),
-                () = self.clock_changed.notified() => self.heartbeat.beat(process_time_millis()),
+                () = self.wakeup_changed.notified() => self.heartbeat.record(process_time_millis()),
             }
         }
     }
@@ -264,7 +268,7 @@
 
     fn tick(self: &Rc<Self>) {
         let now = process_time_millis();
-        self.heartbeat.beat(now);
+        self.heartbeat.record(now);
         let is_due = self.core.borrow().next_wakeup().is_some_and(|at| at <= now);
         if is_due {
             self.core.borrow_mut().tick(now);
--- a/src/dispatch/standstill.rs
+++ b/src/dispatch/standstill.rs
@@ -1,19 +1,21 @@
-//! Notices when the process stood still: it was stopped, its machine was, or one piece of work held the thread.
+//! Detection of standstills: periods in which the process did not run, because it or its machine was stopped
+//! or because a task blocked the thread.
 //!
-//! What clients sent meanwhile is read right after, all at once. How long it had waited by then is not known, so that it
-//! counts as sent when the standstill began: no engine is told more time than the client has left.
+//! Requests that clients send during a standstill are read right after it, all at once. How long they have
+//! waited is not known, so they count as sent when the standstill began: no engine is given more time than
+//! the client has left.
 
 use crate::decision::model::Millis;
 use std::cell::Cell;
 
-/// How often the process shows that it runs, in milliseconds.
+/// Maximum time between two heartbeats of a running process, in milliseconds.
 pub(super) const HEARTBEAT_INTERVAL_MS: Millis = 40.0;
-/// A heartbeat that is later than this after the last one ends a standstill, in milliseconds.
+/// Time between two heartbeats above which the process counts as having stood still, in milliseconds.
 const STANDSTILL_MS: Millis = 100.0;
-/// What arrived during a standstill has been read this long after it, in milliseconds.
+/// Time after a standstill by which everything that arrived during it has been read, in milliseconds.
 const CATCH_UP_MS: Millis = 100.0;
 
-/// A time in which the process did not run.
+/// A period in which the process did not run, in milliseconds on the process clock.
 #[derive(Clone, Copy, Debug)]
 struct Standstill {
     began: Millis,
@@ -23,24 +25,24 @@
 /// The heartbeats of the process.
 #[derive(Debug)]
 pub(super) struct Heartbeat {
-    last: Cell<Millis>,
+    last_heartbeat_at: Cell<Millis>,
     latest_standstill: Cell<Option<Standstill>>,
     standstills: Cell<u64>,
 }
 
 impl Heartbeat {
-    /// The process begins to run.
+    /// Creates the state of a process that starts at `now`.
     pub(super) fn new(now: Millis) -> Self {
         Heartbeat {
-            last: Cell::new(now),
+            last_heartbeat_at: Cell::new(now),
             latest_standstill: Cell::new(None),
             standstills: Cell::new(0),
         }
     }
 
-    /// The process runs.
-    pub(super) fn beat(&self, now: Millis) {
-        let began = self.last.replace(now);
+    /// Records that the process is running, and a standstill if the last heartbeat is too long ago.
+    pub(super) fn record(&self, now: Millis) {
+        let began = self.last_heartbeat_at.replace(now);
         if now - began > STANDSTILL_MS {
             self.latest_standstill
                 .set(Some(Standstill { began, ended: now }));
@@ -48,10 +50,10 @@
         }
     }
 
-    /// The earliest time at which what is read now can have arrived.
+    /// Returns the earliest time at which data that is read now can have arrived.
     pub(super) fn earliest_arrival(&self, now: Millis) -> Millis {
-        if now - self.last.get() > STANDSTILL_MS {
-            return self.last.get();
+        if now - self.last_heartbeat_at.get() > STANDSTILL_MS {
+            return self.last_heartbeat_at.get();
         }
         match self.latest_standstill.get() {
             Some(standstill) if now < standstill.ended + CATCH_UP_MS => standstill.began,
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Standstills so far.
+    /// Returns the number of standstills since the process started.
     pub(super) fn standstills(&self) -> u64 {
         self.standstills.get()
     }
--- a/src/dispatch/upstream.rs
+++ b/src/dispatch/upstream.rs
@@ -7,15 +7,15 @@
 
 /// Connections to the engines over one protocol.
 pub trait Upstream: Sized + 'static {
-    /// What a frontend hands over with a request: the statement, and what is needed to send it.
+    /// Payload that a frontend passes with a request: the statement, and what is needed to send it.
     type Work: 'static;
-    /// The result that an engine returns.
+    /// Result that an engine returns.
     type Output: 'static;
 
-    /// Starts an attempt. Its outcome is reported to `router`, unless the attempt is cancelled before.
+    /// Starts an attempt. The outcome is reported to `router`, unless the attempt is cancelled first.
     fn start(&self, router: &Rc<RequestRouter<Self>>, start: StartAttempt, work: Rc<Self::Work>);
 
-    /// Cancels an attempt, whose outcome is not to be reported any more.
+    /// Cancels an attempt. Its outcome must no longer be reported.
     fn cancel_attempt(&self, attempt: AttemptId);
 
     /// Applies a change of the endpoint list.
