--- a/tests/core.rs
+++ b/tests/core.rs
@@ -1,21 +1,19 @@
-//! The request core on an injected clock. Most tests are scripts, a step a line:
+//! Tests of the request core with an injected clock. Most tests are scripts with one step per line:
 //!
-//! - `open NAME CLASS MS`: a request with a deadline in so many milliseconds;
-//! - `started NAME [ENGINE]`: the core starts an attempt of it (at this engine);
+//! - `open NAME CLASS MS`: opens a request whose deadline is in MS milliseconds;
+//! - `started NAME [ENGINE]`: expects that the core starts an attempt of the request (on this engine);
 //! - `page NAME`: a page of the last attempt's result arrives;
-//! - `end NAME OUTCOME`: the last attempt ends;
-//! - `cancelled NAME`: the core cancels the last attempt;
-//! - `abandon NAME`: its client disconnects;
-//! - `answered NAME ANSWER`: the core gives this answer;
-//! - `drain ENGINE`, `undrain ENGINE`: an operator drains an engine and ends that;
-//! - `wait MS`, `shutdown MS`: time passes; shutdown begins, with so much time for the last answers;
-//! - `nothing`: no command is left.
+//! - `end NAME OUTCOME`: the last attempt ends with this outcome;
+//! - `cancelled NAME`: expects that the core cancels the last attempt;
+//! - `abandon NAME`: the request's client disconnects;
+//! - `answered NAME ANSWER`: expects that the core gives this answer;
+//! - `drain ENGINE`, `undrain ENGINE`: an operator begins or ends an engine's drain;
+//! - `wait MS`: MS milliseconds pass;
+//! - `shutdown MS`: shutdown begins, with MS milliseconds for the last answers;
+//! - `nothing`: expects that no command is left.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
-#![allow(
-    clippy::too_many_lines,
-    reason = "one scenario each, not yet split into steps"
-)]
+#![allow(clippy::too_many_lines, reason = "each test is one scenario")]
 
 mod scenario;
 
@@ -27,7 +25,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A Unix time in milliseconds: arithmetic that loses precision on large numbers shows.
+/// A realistic Unix time in milliseconds, large enough to reveal arithmetic that loses precision.
 const START: Millis = 1.79e12;
 
 const LIMITS: CoreLimits = CoreLimits {
@@ -57,8 +55,8 @@
     }
 }
 
-/// Plays scripts, one step after the other.
-struct Player<'a> {
+/// Runs the steps of a script on a core.
+struct ScriptRunner<'a> {
     now: Millis,
     core: Core,
     requests: BTreeMap<&'a str, RequestId>,
@@ -67,8 +65,8 @@
     commands: Vec<Command>,
 }
 
-impl<'a> Player<'a> {
-    /// A core with engines `a` and `b`.
+impl<'a> ScriptRunner<'a> {
+    /// Creates a core with engines `a` and `b`.
     fn new() -> Self {
         let mut settings = scenario::settings();
         settings.limits.max_attempts = 2;
@@ -77,7 +75,7 @@
         let engines = vec![without_zone("a"), without_zone("b")];
         core.update_endpoints(START, ListUpdate::Stale, engines);
         assert!(core.is_ready());
-        Player {
+        ScriptRunner {
             now: START,
             core,
             requests: BTreeMap::new(),
@@ -104,14 +102,15 @@
             ["shutdown", ms] => self.core.begin_shutdown(self.now, after(self.now, ms)),
             ["nothing"] => assert!(self.commands.is_empty(), "{line}: {:?}", self.commands),
             [] => {}
-            _ => panic!("no such step: {line}"),
+            _ => panic!("unknown step: {line}"),
         }
     }
 
-    /// Removes the first command that is wanted.
-    fn expect(&mut self, line: &str, is_wanted: impl Fn(&Command) -> bool) -> Command {
-        let position = self.commands.iter().position(is_wanted);
-        let position = position.unwrap_or_else(|| panic!("{line}: only {:?}", self.commands));
+    /// Removes and returns the first command that matches; panics if there is none.
+    fn expect(&mut self, line: &str, matches: impl Fn(&Command) -> bool) -> Command {
+        let position = self.commands.iter().position(matches);
+        let position = position
+            .unwrap_or_else(|| panic!("{line}: not among the commands {:?}", self.commands));
         self.commands.remove(position)
     }
 
@@ -119,7 +118,7 @@
         let class = match class {
             "lookup" => LOOKUP,
             "load" => LOAD,
-            _ => panic!("no such class: {class}"),
+            _ => panic!("unknown class: {class}"),
         };
         let id = self.core.open(self.now, request(class, deadline));
         self.requests.insert(name, id);
@@ -181,7 +180,7 @@
         "reset" => Outcome::Reset,
         "rejected" => Outcome::Rejected,
         "unreachable" => Outcome::Unreachable,
-        _ => panic!("no such outcome: {word}"),
+        _ => panic!("unknown outcome: {word}"),
     }
 }
 
@@ -195,22 +194,26 @@
     }
 }
 
-/// Plays a script; at its end no command but log lines may be left.
-fn play(script: &str) {
-    let mut player = Player::new();
+/// Runs a script; at its end no commands other than log lines may be left.
+fn run_script(script: &str) {
+    let mut runner = ScriptRunner::new();
     for line in script.lines() {
-        player.step(line.trim());
+        runner.step(line.trim());
     }
-    player.commands.extend(player.core.take_commands());
-    player
+    runner.commands.extend(runner.core.take_commands());
+    runner
         .commands
         .retain(|command| !matches!(command, Command::Log(_)));
-    assert!(player.commands.is_empty(), "left: {:?}", player.commands);
+    assert!(
+        runner.commands.is_empty(),
+        "unexpected commands: {:?}",
+        runner.commands
+    );
 }
 
 #[test]
 fn every_request_gets_one_answer_under_races() {
-    play(
+    run_script(
         "open a lookup 900
         started a
         end a served
@@ -219,7 +222,7 @@
         abandon a
         nothing",
     );
-    play(
+    run_script(
         "open a lookup 900
         started a
         abandon a
@@ -227,7 +230,7 @@
         end a served
         nothing",
     );
-    play(
+    run_script(
         "open a lookup 900
         started a
         page a
@@ -237,7 +240,7 @@
         wait 2000
         nothing",
     );
-    play(
+    run_script(
         "open a lookup 900
         started a
         wait 900
@@ -246,7 +249,7 @@
         end a served
         nothing",
     );
-    play(
+    run_script(
         "open a load 900
         started a
         wait 900
@@ -258,7 +261,7 @@
 
 #[test]
 fn an_idempotent_request_that_may_have_run_is_retried() {
-    play(
+    run_script(
         "open a lookup 900
         started a
         end a reset
@@ -266,7 +269,7 @@
         end a served
         answered a served",
     );
-    play(
+    run_script(
         "open a lookup 900
         started a
         page a
@@ -279,7 +282,7 @@
 
 #[test]
 fn a_non_idempotent_request_is_retried_only_if_it_never_ran() {
-    play(
+    run_script(
         "open a load 900
         started a
         end a reset
@@ -287,7 +290,7 @@
         wait 2000
         nothing",
     );
-    play(
+    run_script(
         "open a load 900
         started a
         page a
@@ -296,7 +299,7 @@
         wait 2000
         nothing",
     );
-    play(
+    run_script(
         "open a load 900
         started a
         end a unreachable
@@ -304,7 +307,7 @@
         end a reset
         answered a failed",
     );
-    play(
+    run_script(
         "open a load 900
         started a
         end a rejected
@@ -317,12 +320,12 @@
 
 #[test]
 fn limits_and_expired_deadlines_are_answered_at_once() {
-    play(
+    run_script(
         "open a lookup 10
         answered a rejected
         nothing",
     );
-    play(
+    run_script(
         "open a lookup 900
         started a
         open b lookup 900
@@ -343,7 +346,7 @@
 
 #[test]
 fn final_answers_are_given_before_shutdown() {
-    play(
+    run_script(
         "open a lookup 5000
         started a
         open b load 5000
@@ -364,10 +367,10 @@
     );
 }
 
-/// An engine that operators have repaired must not be avoided for what its old process did.
+/// Guards against avoiding an engine that operators have repaired because of outcomes of its old process.
 #[test]
 fn undrained_engine_is_evaluated_by_its_new_process() {
-    play(
+    run_script(
         "drain b
         open x lookup 4000
         started x a
@@ -385,7 +388,7 @@
     );
 }
 
-/// A core with engines `a` and `b` in one cell, and look-ups of this idempotency.
+/// Creates a core with engines `a` and `b` in one cell, and look-ups of this idempotency.
 fn core_with(idempotency: Idempotency) -> Core {
     let mut settings = scenario::settings();
     settings.limits.max_attempts = 3;
@@ -403,24 +406,24 @@
     core_with(Idempotency::Keyed { group, window })
 }
 
-/// The attempts started and the answers given since the last call.
+/// The attempts started and the answers given since commands were last taken.
 #[derive(Default)]
-struct Progress {
+struct StartsAndAnswers {
     started: Vec<StartAttempt>,
     answers: Vec<Answer>,
 }
 
-impl Progress {
-    fn of(core: &mut Core) -> Self {
-        let mut progress = Progress::default();
+impl StartsAndAnswers {
+    fn take_from(core: &mut Core) -> Self {
+        let mut taken = StartsAndAnswers::default();
         for command in core.take_commands() {
             match command {
-                Command::Start(start) => progress.started.push(start),
-                Command::Answer { answer, .. } => progress.answers.push(answer),
+                Command::Start(start) => taken.started.push(start),
+                Command::Answer { answer, .. } => taken.answers.push(answer),
                 _ => {}
             }
         }
-        progress
+        taken
     }
 
     fn is_rejected(&self) -> bool {
@@ -428,13 +431,13 @@
     }
 }
 
-/// The first attempt that was started since the last call.
+/// Returns the first attempt that was started since commands were last taken.
 fn first_started(core: &mut Core) -> StartAttempt {
-    Progress::of(core).started.swap_remove(0)
+    StartsAndAnswers::take_from(core).started.swap_remove(0)
 }
 
-/// The first attempt may be written at any time, further ones within the deduplication window of the first that may
-/// have run.
+/// Attempts may be written at any time until one may have run; later ones must be written within the
+/// deduplication window that begins with the start of that one.
 #[test]
 fn retry_is_sent_within_the_deduplication_window_of_the_first_attempt() {
     for group in [
@@ -446,18 +449,22 @@
         core.open(START, request(LOOKUP, START + 3000.0));
         let first = first_started(&mut core);
         assert_eq!(first.write_by, f64::INFINITY);
-        // It never ran, so that the second is the first that may have.
+        // The first attempt never ran, so the second is the first that may have run.
         core.attempt_ended(START + 10.0, first.attempt, Outcome::Unreachable, vec![]);
         let second = first_started(&mut core);
         assert_eq!(second.write_by, f64::INFINITY);
         core.attempt_ended(START + 40.0, second.attempt, Outcome::Reset, vec![]);
         let third = first_started(&mut core);
-        assert_eq!(third.write_by, START + 110.0, "from the second's start");
-        // It waited for a connection until then.
+        assert_eq!(
+            third.write_by,
+            START + 110.0,
+            "the window begins with the second attempt"
+        );
+        // The third attempt waited for a connection until the window ended.
         core.attempt_ended(START + 111.0, third.attempt, Outcome::NeverStarted, vec![]);
-        let progress = Progress::of(&mut core);
-        assert!(progress.started.is_empty());
-        let is_rejected = progress.is_rejected();
+        let taken = StartsAndAnswers::take_from(&mut core);
+        assert!(taken.started.is_empty());
+        let is_rejected = taken.is_rejected();
         assert_eq!(is_rejected, group == DeduplicationScope::All, "{group:?}");
     }
 }
@@ -471,26 +478,27 @@
     assert_eq!(first_started(&mut core).write_by, f64::INFINITY);
 }
 
-/// Whether a keyed request that may have run is safe to retry, by the scope of its key.
+/// Whether a keyed request that may have run is safe to retry, by the scope of its deduplication key.
 const KEYED_RETRIES: [(DeduplicationScope, bool); 3] = [
     (DeduplicationScope::All, true),
     (DeduplicationScope::Zone, false),
     (DeduplicationScope::Cell, false),
 ];
 
-/// Where only some engines would recognize a duplicate, no answer promises a safe retry once an attempt may have run.
+/// If only some engines recognize a duplicate, no answer may state that a retry is safe once an attempt may
+/// have run.
 #[test]
 fn a_keyed_request_that_timed_out_is_retry_safe_only_if_all_engines_share_its_key() {
     for (group, retry_safe) in KEYED_RETRIES {
         for shutdown_after in [None, Some(200.0)] {
             let mut core = core_with_keys(group, 4000.0);
             core.open(START, request(LOOKUP, START + 500.0));
-            assert_eq!(Progress::of(&mut core).started.len(), 1);
+            assert_eq!(StartsAndAnswers::take_from(&mut core).started.len(), 1);
             if let Some(ms) = shutdown_after {
                 core.begin_shutdown(START, START + ms);
             }
             core.tick(START + shutdown_after.unwrap_or(480.0));
-            let answers = Progress::of(&mut core).answers;
+            let answers = StartsAndAnswers::take_from(&mut core).answers;
             assert_eq!(answers, [Answer::TimedOut { retry_safe }], "{group:?}");
         }
     }
@@ -505,7 +513,7 @@
         core.attempt_ended(START + 1.0, first.attempt, Outcome::Unreachable, vec![]);
         let second = first_started(&mut core);
         core.attempt_ended(START + 480.0, second.attempt, Outcome::Rejected, vec![]);
-        let progress = Progress::of(&mut core);
-        assert!(progress.is_rejected(), "{group:?}: {:?}", progress.answers);
+        let taken = StartsAndAnswers::take_from(&mut core);
+        assert!(taken.is_rejected(), "{group:?}: {:?}", taken.answers);
     }
 }
