--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -1,4 +1,5 @@
-//! The program while its machine's wall clock is stepped: deadlines and slow starts are spans of real time.
+//! Tests of the program while its machine's wall clock is stepped. Deadlines and slow starts are spans of
+//! real time, so a step must neither move a deadline nor end a slow start early.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -16,9 +17,9 @@
 const HOUR_MS: i64 = 3_600_000;
 const WORK: Duration = Duration::from_millis(400);
 const REQUESTS_PER_SECOND: u64 = 200;
-const LIMIT: Duration = Duration::from_millis(1200);
-/// Longer than an answer may be late.
-const LATE: Duration = Duration::from_millis(700);
+const DEADLINE: Duration = Duration::from_millis(1200);
+/// Longer than the maximum delay of an answer after its deadline.
+const ANSWER_GRACE: Duration = Duration::from_millis(700);
 
 fn settings() -> Settings {
     Settings {
@@ -35,8 +36,8 @@
     }
 }
 
-/// A dispatcher under the shim, two engines and the journal.
-struct World {
+/// A dispatcher whose wall clock is controlled by a shim, with two engines and the journal.
+struct TestSetup {
     fleet: Fleet,
     journal: std::rc::Rc<Journal>,
     dispatcher: Dispatcher,
@@ -46,8 +47,9 @@
     _folder: Folder,
 }
 
-impl World {
-    /// `clock_offset_ms`: how wrong the machine's clock is when the dispatcher starts.
+impl TestSetup {
+    /// Starts the dispatcher, engines and journal. `clock_offset_ms` is the error of the dispatcher's wall
+    /// clock at its start, in milliseconds.
     async fn start(name: &str, clock_offset_ms: i64) -> Self {
         let folder = Folder::new(name).unwrap();
         let fleet = Fleet::start(2, WORK, 1000).await.unwrap();
@@ -71,7 +73,7 @@
             process: 0,
         };
         let connection = Connection::open(target, &log).await.unwrap();
-        World {
+        TestSetup {
             fleet,
             journal,
             dispatcher,
@@ -96,7 +98,7 @@
             return;
         }
         let id = format!("{:016x}", self.sent);
-        self.connection.send(&id, "lookup", LIMIT).await.unwrap();
+        self.connection.send(&id, "lookup", DEADLINE).await.unwrap();
     }
 
     async fn send_for(&mut self, span: Duration) {
@@ -107,7 +109,8 @@
         }
     }
 
-    /// Engine 1 restarts, and the journal tells it. The engine's machine has the right time.
+    /// Restarts engine 1 and announces the restart in the journal, with the right time. Returns the time of
+    /// the restart.
     async fn restart_engine(&self) -> Instant {
         self.fleet.engines[1].restart().await.unwrap();
         let restarted = instance(&self.fleet, 1, testbed::now());
@@ -135,18 +138,18 @@
 }
 
 async fn assert_deadlines_hold_across_steps() {
-    let mut world = World::start("wall-clock-deadlines", 0).await;
-    world.fleet.engines[1].behaviour.set(Behaviour::Hanging);
+    let mut setup = TestSetup::start("wall-clock-deadlines", 0).await;
+    setup.fleet.engines[1].behaviour.set(Behaviour::Hanging);
     for offset_ms in [-HOUR_MS, 0, 5000, HOUR_MS, -5000] {
-        world.send_for(Duration::from_millis(100)).await;
-        world.step_clock_to(offset_ms);
-        world.send_for(Duration::from_millis(100)).await;
-        tokio::time::sleep(LIMIT + LATE).await;
+        setup.send_for(Duration::from_millis(100)).await;
+        setup.step_clock_to(offset_ms);
+        setup.send_for(Duration::from_millis(100)).await;
+        tokio::time::sleep(DEADLINE + ANSWER_GRACE).await;
     }
-    let records = world.records();
+    let records = setup.records();
     let violations = judge(&records, &settings(), Instant::now());
     assert_eq!(violations, [], "deadlines across steps of the clock");
-    // No answer of a timed-out request comes early: it is due shortly before the deadline.
+    // A time-out is answered shortly before the deadline, never much earlier.
     let early = records.requests.iter().find(|request| {
         let answer = request.answers.first().unwrap();
         answer.body.starts_with("the time is over")
@@ -155,21 +158,22 @@
     assert!(early.is_none(), "timed out too early: {early:?}");
 }
 
-/// A step after the engine's start, or a clock that was wrong when the dispatcher began.
-async fn assert_slow_start_holds(name: &str, offset_at_start: i64, offset_after: i64) {
-    let mut world = World::start(name, offset_at_start).await;
-    world.send_for(Duration::from_millis(500)).await;
-    let started_at = world.restart_engine().await;
+/// Checks that a restarted engine is not overloaded if the wall clock is stepped after its start or was wrong
+/// when the dispatcher started.
+async fn assert_slow_start_holds(name: &str, offset_at_start_ms: i64, offset_after_ms: i64) {
+    let mut setup = TestSetup::start(name, offset_at_start_ms).await;
+    setup.send_for(Duration::from_millis(500)).await;
+    let started_at = setup.restart_engine().await;
     tokio::time::sleep(Duration::from_millis(100)).await;
-    world.step_clock_to(offset_after);
+    setup.step_clock_to(offset_after_ms);
     // The whole load goes to the restarted engine.
-    world.journal.announce(&[Instance {
+    setup.journal.announce(&[Instance {
         lifecycle: Lifecycle::Draining,
-        ..instance(&world.fleet, 0, 0.0)
+        ..instance(&setup.fleet, 0, 0.0)
     }]);
-    world.send_for(Duration::from_secs(4)).await;
-    tokio::time::sleep(LIMIT + LATE).await;
-    let mut records = world.records();
+    setup.send_for(Duration::from_secs(4)).await;
+    tokio::time::sleep(DEADLINE + ANSWER_GRACE).await;
+    let mut records = setup.records();
     records.slow_starts.push(SlowStart {
         engine: 1,
         started_at,
@@ -178,7 +182,7 @@
     });
     assert_eq!(judge(&records, &settings(), Instant::now()), [], "{name}");
     let served = records.executions.iter().filter(|e| e.engine == 1);
-    assert!(served.count() > 5, "{name}: the engine gets its part");
+    assert!(served.count() > 5, "{name}: the engine gets its share");
 }
 
 #[tokio::test(flavor = "current_thread")]
