--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,5 +1,5 @@
-//! The program before thousands of engines on loopback: that every request is answered in time must not depend on how
-//! many there are.
+//! A test of the program with thousands of engines on loopback: every request must be answered in time
+//! regardless of the number of engines.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -17,17 +17,18 @@
 use tokio::task::{LocalSet, spawn_local};
 
 const ENGINES: usize = 3200;
-/// Engines that stay in service when all others begin to drain.
+/// Number of engines that stay in service when all others begin to drain.
 const REMAINING: usize = 20;
 const CONNECTIONS: usize = 40;
 const REQUESTS_PER_SECOND: f64 = 300.0;
 const WORK: Duration = Duration::from_millis(250);
 const SLOTS: usize = 2;
-const FAULTS_BEGIN: Duration = Duration::from_secs(2);
-const DRAIN_BEGINS: Duration = Duration::from_secs(4);
-const TRAFFIC_ENDS: Duration = Duration::from_secs(7);
-/// The longest deadline, half a second in which an answer counts as late, and some more.
-const LAST_ANSWERS: Duration = Duration::from_millis(3500);
+const FAULTS_START: Duration = Duration::from_secs(2);
+const DRAIN_START: Duration = Duration::from_secs(4);
+const TRAFFIC_END: Duration = Duration::from_secs(7);
+/// Time for the last answers: the longest deadline, the half second after which an answer counts as lost, and
+/// a margin.
+const LAST_ANSWERS_WAIT: Duration = Duration::from_millis(3500);
 
 fn class(name: &'static str, effect: Effect, deadline: f64, weight: f64) -> Class {
     Class {
@@ -61,7 +62,7 @@
     }
 }
 
-/// A third of the engines hang, a third are full.
+/// Makes a third of the engines hang and a third reject requests as full.
 fn inject_faults(fleet: &Fleet) {
     for engine in &fleet.engines {
         match engine.number % 3 {
@@ -72,7 +73,7 @@
     }
 }
 
-/// Each engine's drain is an event of its own.
+/// Announces the drain of all but [`REMAINING`] engines, each in an event of its own.
 fn drain_all_but_a_few(fleet: &Fleet, journal: &Journal) {
     for engine in &fleet.engines[REMAINING..] {
         journal.announce(&[instance(engine, Lifecycle::Draining)]);
@@ -90,15 +91,15 @@
     let limit = Duration::from_millis(limit);
     let stream = connection.send(&id, class, limit).await.unwrap();
     if random.chance(0.1) {
-        let patience = Duration::from_millis(random.below(200) as u64);
+        let cancel_delay = Duration::from_millis(random.below(200) as u64);
         spawn_local(async move {
-            tokio::time::sleep(patience).await;
+            tokio::time::sleep(cancel_delay).await;
             let _ = connection.cancel(stream).await;
         });
     }
 }
 
-async fn play() -> Records {
+async fn run_scenario() -> Records {
     let folder = Folder::new("large-fleet").unwrap();
     let fleet = Fleet::start(ENGINES, WORK, SLOTS).await.unwrap();
     let listed: Vec<Instance> = fleet
@@ -124,23 +125,23 @@
         connections.push(Connection::open(target, &log).await.unwrap());
     }
     let mut random = Streams::new(1).stream("traffic");
-    let began = Instant::now();
-    let mut faults = vec![FAULTS_BEGIN, DRAIN_BEGINS];
+    let started_at = Instant::now();
+    let mut faults = vec![FAULTS_START, DRAIN_START];
     for number in 0.. {
         let due = Duration::from_secs_f64(f64::from(number) / REQUESTS_PER_SECOND);
-        if due > TRAFFIC_ENDS {
+        if due > TRAFFIC_END {
             break;
         }
-        tokio::time::sleep(due.saturating_sub(began.elapsed())).await;
-        if faults.first().is_some_and(|at| began.elapsed() > *at) {
+        tokio::time::sleep(due.saturating_sub(started_at.elapsed())).await;
+        if faults.first().is_some_and(|at| started_at.elapsed() > *at) {
             match faults.remove(0) {
-                FAULTS_BEGIN => inject_faults(&fleet),
+                FAULTS_START => inject_faults(&fleet),
                 _ => drain_all_but_a_few(&fleet, &journal),
             }
         }
         send_one(&connections, &mut random).await;
     }
-    tokio::time::sleep(LAST_ANSWERS).await;
+    tokio::time::sleep(LAST_ANSWERS_WAIT).await;
     println!("processor time: {:.2} s", dispatcher.processor_seconds());
     Records {
         requests: log.requests(),
@@ -149,14 +150,14 @@
     }
 }
 
-/// An overload while nearly all of 3,200 engines begin to drain, told one by one: each list event and each decision that
-/// costs a walk over all engines, or over all engines for each queued request, adds up to seconds in which nothing is
-/// answered.
+/// Guards against list events and decisions that each iterate over all engines, or over all engines for each
+/// queued request. Under overload, while nearly all of 3,200 engines begin to drain in one event each, these
+/// add up to seconds without answers.
 #[tokio::test(flavor = "current_thread")]
 async fn a_drain_of_thousands_of_engines_under_overload_holds_no_answer_back() {
-    let began = Instant::now();
-    let records = LocalSet::new().run_until(play()).await;
-    let violations = judge(&records, &settings(), began);
+    let started_at = Instant::now();
+    let records = LocalSet::new().run_until(run_scenario()).await;
+    let violations = judge(&records, &settings(), started_at);
     let first: Vec<_> = violations.iter().take(5).collect();
     assert!(
         violations.is_empty(),
