--- a/src/dispatch/gossip_driver.rs
+++ b/src/dispatch/gossip_driver.rs
@@ -20,7 +20,7 @@
 const SOCKET_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// Runs gossip until the router is dropped: receives the peers' messages and gives the router a sender.
-pub async fn attend<U: Upstream>(router: Weak<RequestRouter<U>>, peers: GossipSettings) {
+pub async fn run<U: Upstream>(router: Weak<RequestRouter<U>>, peers: GossipSettings) {
     let socket = Rc::new(bind(peers.listen).await);
     let outgoing = socket.clone();
     let all_peers = peers.broadcast;
--- a/src/server/platform.rs
+++ b/src/server/platform.rs
@@ -60,7 +60,7 @@
     operators.listen(config.admin_address).await?;
 
     if let Some(peers) = config.gossip.clone() {
-        spawn_local(gossip_driver::attend(Rc::downgrade(&router), peers));
+        spawn_local(gossip_driver::run(Rc::downgrade(&router), peers));
     }
     let change_target = router.clone();
     spawn_local(journal.run(Box::new(move |change| {
