--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,6 +1,6 @@
 //! The clocks of the process, and durations for the runtime's timers.
 //!
-//! The process uses [`process_time_millis`], the process clock, for all deadlines, windows, delays and grace
+//! The process uses [`process_clock_millis`], the process clock, for all deadlines, windows, delays and grace
 //! periods: these are spans of real time, which a step of the machine's wall clock must not change.
 //! [`wall_clock_millis`] is only used to exchange times with other machines.
 
@@ -27,7 +27,7 @@
 
 /// Returns the time of the process clock, in milliseconds: the wall clock's Unix time at the first call,
 /// advanced by the monotonic clock since. It never goes back and never jumps.
-pub fn process_time_millis() -> f64 {
+pub fn process_clock_millis() -> f64 {
     static ANCHOR: OnceLock<Anchor> = OnceLock::new();
     let anchor = ANCHOR.get_or_init(Anchor::now);
     anchor.wall_clock_ms + anchor.monotonic.elapsed().as_secs_f64() * 1000.0
--- a/src/discovery/eureka/lease.rs
+++ b/src/discovery/eureka/lease.rs
@@ -2,7 +2,7 @@
 //! sends it.
 
 use crate::clock::duration_from_millis;
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use crate::config::EurekaSettings;
 use crate::config::eureka::InstanceRegistration;
 use crate::discovery::eureka::http::{Answer, Call, Client, HttpError};
@@ -65,7 +65,7 @@
                 MAX_BODY_BYTES,
             ),
             servers: RefCell::new(Servers::new(&zones, source.zone.as_deref(), random)),
-            state: RefCell::new(Registration::new(process_time_millis(), renew)),
+            state: RefCell::new(Registration::new(process_clock_millis(), renew)),
             differs: RefCell::default(),
             registration,
             source,
@@ -76,7 +76,7 @@
     /// once the lease is handed over or cancelled.
     pub async fn keep(self: Rc<Self>, stand: impl Fn() -> Standing) {
         loop {
-            let now = process_time_millis();
+            let now = process_clock_millis();
             let status = match stand() {
                 Standing::Starting => Status::Starting,
                 Standing::Ready => Status::Up,
@@ -92,7 +92,7 @@
                 let outcome = self.send(step).await;
                 self.state
                     .borrow_mut()
-                    .done(process_time_millis(), step, outcome, random());
+                    .done(process_clock_millis(), step, outcome, random());
                 let renewed = self.state.borrow().renewed;
                 if matches!(step, Step::Renew(_)) && renewed % RENEWALS_PER_CHECK == 1 {
                     self.check_shown(status).await;
@@ -137,7 +137,7 @@
             let chosen = self
                 .servers
                 .borrow()
-                .choose(process_time_millis(), self.source.servers.len());
+                .choose(process_clock_millis(), self.source.servers.len());
             let Some(server) = chosen.into_iter().find(|s| !tried.contains(s)) else {
                 return Outcome::Failed;
             };
@@ -167,7 +167,7 @@
                     log_line!("eureka {name}: our registration: {problem}");
                     self.servers
                         .borrow_mut()
-                        .failed(process_time_millis(), server, random());
+                        .failed(process_clock_millis(), server, random());
                 }
             }
         }
@@ -214,7 +214,7 @@
         let Some(server) = self
             .servers
             .borrow()
-            .choose(process_time_millis(), 1)
+            .choose(process_clock_millis(), 1)
             .first()
             .copied()
         else {
--- a/src/discovery/eureka/mod.rs
+++ b/src/discovery/eureka/mod.rs
@@ -14,7 +14,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use crate::config::EurekaSettings;
 use crate::config::eureka::PayloadFormat;
 use crate::discovery::membership_driver::MembershipDriver;
@@ -112,12 +112,12 @@
             members.view(SourceUpdate {
                 source: name.clone(),
                 requested_at,
-                received_at: process_time_millis(),
+                received_at: process_clock_millis(),
                 content,
             });
         };
         if source.query.has_deltas() && replica.borrow().listed() {
-            let requested_at = process_time_millis();
+            let requested_at = process_clock_millis();
             let document = self.get(server, "/apps/delta").await?;
             let applied = replica.borrow_mut().delta(&document, &source.query)?;
             let differs = applied.differs;
@@ -126,7 +126,7 @@
                 return Ok(());
             }
         }
-        let requested_at = process_time_millis();
+        let requested_at = process_clock_millis();
         let document = self.get(server, &source.query.path()).await?;
         let content = replica.borrow_mut().whole(&document, &source.query)?;
         publish(requested_at, content);
@@ -219,7 +219,7 @@
         let mut servers = self.round.servers.borrow_mut();
         match ok {
             true => servers.answered(server),
-            false => servers.failed(process_time_millis(), server, random()),
+            false => servers.failed(process_clock_millis(), server, random()),
         }
     }
 
@@ -239,7 +239,7 @@
             .round
             .servers
             .borrow()
-            .choose(process_time_millis(), self.round.source.servers_per_round);
+            .choose(process_clock_millis(), self.round.source.servers_per_round);
         for server in selected {
             if !self.busy.contains(&server) && self.asked.insert(server) {
                 self.busy.insert(server);
--- a/src/discovery/membership_driver.rs
+++ b/src/discovery/membership_driver.rs
@@ -2,7 +2,7 @@
 //! snapshot on disk and answers operators' queries.
 
 use crate::clock::duration_from_millis;
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use crate::config::EurekaSettings;
 use crate::decision::model::Millis;
 use crate::discovery::ChangeHandler;
@@ -110,11 +110,11 @@
             match load(store) {
                 Ok(Some(snapshot)) => {
                     let (age, n) = (
-                        (process_time_millis() - snapshot.taken_at) / 1000.0,
+                        (process_clock_millis() - snapshot.taken_at) / 1000.0,
                         snapshot.instances.len(),
                     );
                     log_line!("members: a snapshot of {n} engines, {age:.0} s old, is at hand");
-                    membership.restore(process_time_millis(), snapshot);
+                    membership.restore(process_clock_millis(), snapshot);
                 }
                 Ok(None) => {}
                 Err(e) => {
@@ -156,14 +156,14 @@
         let change = self
             .membership
             .borrow_mut()
-            .apply_update(process_time_millis(), view);
+            .apply_update(process_clock_millis(), view);
         self.publish(change);
     }
 
     /// Records that the registry `source` could not be used; `problem` is shown to operators.
     pub fn failed(&self, source: &str, problem: String) {
         let change = self.membership.borrow_mut().record_source_failure(
-            process_time_millis(),
+            process_clock_millis(),
             source,
             problem,
         );
@@ -173,7 +173,7 @@
     /// Applies a new configuration's servers and rules; what is known of the engines is kept.
     pub fn configure(&self, source: &EurekaSettings) {
         let change = self.membership.borrow_mut().configure(
-            process_time_millis(),
+            process_clock_millis(),
             source.rules.clone(),
             &source.names(),
         );
@@ -185,7 +185,7 @@
         let change = self
             .membership
             .borrow_mut()
-            .serve_restored(process_time_millis());
+            .serve_restored(process_clock_millis());
         if let Some(change) = &change {
             log_line!(
                 "members: no registry answers: {} engines of the snapshot are served",
@@ -208,7 +208,7 @@
         let report = self
             .membership
             .borrow()
-            .report(process_time_millis(), &query);
+            .report(process_clock_millis(), &query);
         let lease = self.lease.borrow().clone();
         let page = Page {
             serving: self.serving.get(),
@@ -238,7 +238,7 @@
                 return;
             };
             let mut membership = self.membership.borrow_mut();
-            let outcome = membership.record_observation(process_time_millis(), &engine, seen);
+            let outcome = membership.record_observation(process_clock_millis(), &engine, seen);
             drop(membership);
             if outcome.change.is_some() {
                 self.publish(outcome.change);
@@ -249,9 +249,9 @@
     /// Runs the timers of membership, and applies observations as they are reported. Does not return.
     pub async fn clock(self: Rc<Self>) {
         loop {
-            let next = self.membership.borrow().next_wakeup(process_time_millis());
+            let next = self.membership.borrow().next_wakeup(process_clock_millis());
             let sleep = duration_from_millis(
-                next.map_or(1000.0, |at| at - process_time_millis())
+                next.map_or(1000.0, |at| at - process_clock_millis())
                     .clamp(1.0, 1000.0),
             );
             tokio::select! {
@@ -259,7 +259,7 @@
                 () = self.wake.notified() => {}
             }
             self.apply_observations();
-            let change = self.membership.borrow_mut().tick(process_time_millis());
+            let change = self.membership.borrow_mut().tick(process_clock_millis());
             if change.is_some() {
                 self.publish(change);
             }
@@ -275,7 +275,7 @@
         loop {
             let _ = tokio::time::timeout(MAX_SAVE_INTERVAL, self.changed.notified()).await;
             tokio::time::sleep(SAVE_DELAY).await;
-            let Some(snapshot) = self.membership.borrow().snapshot(process_time_millis()) else {
+            let Some(snapshot) = self.membership.borrow().snapshot(process_clock_millis()) else {
                 continue;
             };
             let store = store.clone();
@@ -309,7 +309,7 @@
     fn opened(&self, engine: &str, at: Millis) -> bool {
         self.apply_observations();
         let outcome = self.membership.borrow_mut().record_observation(
-            process_time_millis(),
+            process_clock_millis(),
             engine,
             Observation::Opened { at },
         );
--- a/src/dispatch/commands.rs
+++ b/src/dispatch/commands.rs
@@ -1,6 +1,6 @@
 //! Execution of the core's commands.
 
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use crate::core::invariants::LATE_ANSWER_MS;
 use crate::core::{Answer, Command, RequestId, StartAttempt, Violation};
 use crate::dispatch::request_router::RequestRouter;
@@ -47,7 +47,7 @@
     fn answer(&self, id: RequestId, answer: Answer) {
         let request = self.open.borrow_mut().remove(&id);
         if let Some(request) = request {
-            if process_time_millis() > request.deadline + LATE_ANSWER_MS {
+            if process_clock_millis() > request.deadline + LATE_ANSWER_MS {
                 self.record_violation(Violation::LateAnswer);
             }
             (request.reply_handler)(answer.with_result(request.output));
--- a/src/dispatch/endpoints.rs
+++ b/src/dispatch/endpoints.rs
@@ -1,6 +1,6 @@
 //! The router's handling of the endpoint list: updates from discovery, and administrative drains.
 
-use crate::clock::{process_time_millis, wall_clock_millis};
+use crate::clock::{process_clock_millis, wall_clock_millis};
 use crate::config::position_of;
 use crate::decision::model::{EngineEntry, ListUpdate, Millis};
 use crate::discovery::{Change, Engine};
@@ -26,7 +26,7 @@
     /// them.
     pub fn update_endpoints(self: &Rc<Self>, change: &Change) {
         let now = ClockReading {
-            process_ms: process_time_millis(),
+            process_ms: process_clock_millis(),
             wall_clock_ms: wall_clock_millis(),
         };
         let (entries, change) = self.convert_change(now, change);
@@ -61,7 +61,7 @@
 
     /// Returns an encoded request to a peer for the ages of engines, if one is due.
     pub fn age_request(&self) -> Option<Vec<u8>> {
-        let now = process_time_millis();
+        let now = process_clock_millis();
         let starts = self.start_times.borrow_mut().due_requests(now);
         (!starts.is_empty()).then(|| AgeMessage::Request(starts).encode())
     }
@@ -72,7 +72,7 @@
         let ages = self
             .start_times
             .borrow()
-            .ages(process_time_millis(), starts);
+            .ages(process_clock_millis(), starts);
         if ages.is_empty() {
             return None;
         }
@@ -83,7 +83,7 @@
 
     /// Applies a peer's response with the ages of engines.
     pub fn learn_engine_ages(&self, ages: Vec<EngineAge>) {
-        let now = process_time_millis();
+        let now = process_clock_millis();
         let mut start_times = self.start_times.borrow_mut();
         let mut core = self.core.borrow_mut();
         for age in ages {
@@ -126,11 +126,11 @@
             AdministrativeDrain::Drained => self
                 .core
                 .borrow_mut()
-                .drain_engine(process_time_millis(), engine),
+                .drain_engine(process_clock_millis(), engine),
             AdministrativeDrain::Undrained => self
                 .core
                 .borrow_mut()
-                .undrain_engine(process_time_millis(), engine),
+                .undrain_engine(process_clock_millis(), engine),
         };
         if let Some(entry) = changed {
             let status = match drain {
--- a/src/dispatch/gossip_driver.rs
+++ b/src/dispatch/gossip_driver.rs
@@ -1,7 +1,7 @@
 //! Transport of gossip between peer dispatchers over UDP: datagrams may be delayed or lost. [`crate::gossip`]
 //! defines their content.
 
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use crate::config::GossipSettings;
 use crate::dispatch::request_router::RequestRouter;
 use crate::dispatch::upstream::Upstream;
@@ -140,7 +140,7 @@
     if others.is_empty() {
         return;
     }
-    let mut random = oorandom::Rand64::new(process_time_millis().to_bits().into());
+    let mut random = oorandom::Rand64::new(process_clock_millis().to_bits().into());
     while let Some(request) = router.upgrade().map(|router| router.age_request()) {
         if let Some(request) = request {
             let peer = random.rand_range(0..others.len() as u64) as usize;
--- a/src/dispatch/request_router.rs
+++ b/src/dispatch/request_router.rs
@@ -1,6 +1,6 @@
 //! The request router: connects the pure core with the frontends and the upstream, and runs its timers.
 
-use crate::clock::{duration_from_millis, process_time_millis};
+use crate::clock::{duration_from_millis, process_clock_millis};
 use crate::config::NameTable;
 use crate::core::{
     Answer, AttemptId, Core, Metrics, NewRequest, RequestId, RequestOutcome, Violation,
@@ -62,7 +62,7 @@
             upstream,
             wakeup_changed: Notify::new(),
             is_shutting_down: Cell::new(false),
-            heartbeat: Heartbeat::new(process_time_millis()),
+            heartbeat: Heartbeat::new(process_clock_millis()),
             gossip_sender: OnceCell::new(),
         })
     }
@@ -85,7 +85,7 @@
         reply_handler: ReplyHandler<U::Output>,
     ) -> RequestId {
         let deadline = new.deadline;
-        let id = self.core.borrow_mut().open(process_time_millis(), new);
+        let id = self.core.borrow_mut().open(process_clock_millis(), new);
         let request = OpenRequest {
             work: Rc::new(work),
             output: None,
@@ -101,7 +101,7 @@
     pub fn abandon(self: &Rc<Self>, id: RequestId) {
         let request = self.open.borrow_mut().remove(&id);
         drop(request);
-        self.core.borrow_mut().abandon(process_time_millis(), id);
+        self.core.borrow_mut().abandon(process_clock_millis(), id);
         self.run_commands();
     }
 
@@ -109,7 +109,7 @@
     pub fn page_received(self: &Rc<Self>, attempt: AttemptId) {
         self.core
             .borrow_mut()
-            .page_received(process_time_millis(), attempt);
+            .page_received(process_clock_millis(), attempt);
     }
 
     /// Processes the result of a served attempt. `load_report` is the load report that its engine sent with
@@ -136,7 +136,7 @@
     ) {
         self.core
             .borrow_mut()
-            .attempt_ended(process_time_millis(), attempt, outcome, load_report);
+            .attempt_ended(process_clock_millis(), attempt, outcome, load_report);
         self.run_commands();
     }
 
@@ -144,7 +144,7 @@
     pub fn progress(self: &Rc<Self>, attempt: AttemptId, note: ProgressNote) {
         self.core
             .borrow_mut()
-            .progress(process_time_millis(), attempt, note);
+            .progress(process_clock_millis(), attempt, note);
         self.run_commands();
     }
 
@@ -201,7 +201,7 @@
         self.is_shutting_down.set(true);
         self.core
             .borrow_mut()
-            .begin_shutdown(process_time_millis(), deadline);
+            .begin_shutdown(process_clock_millis(), deadline);
         self.run_commands();
     }
 
@@ -225,7 +225,7 @@
     pub fn receive_gossip(self: &Rc<Self>, message: &[u8]) -> Result<(), DecodeError> {
         self.core
             .borrow_mut()
-            .receive_gossip(process_time_millis(), message)?;
+            .receive_gossip(process_clock_millis(), message)?;
         self.run_commands();
         Ok(())
     }
@@ -234,20 +234,20 @@
     pub fn record_listed_peer(&self, peer: SocketAddr) {
         self.core
             .borrow_mut()
-            .record_listed_peer(process_time_millis(), peer);
+            .record_listed_peer(process_clock_millis(), peer);
     }
 
     /// Counts a rejected gossip message whose sender is not listed.
     pub fn record_unlisted_peer(&self, peer: SocketAddr, message: &[u8]) {
         self.core
             .borrow_mut()
-            .record_unlisted_peer(process_time_millis(), peer, message);
+            .record_unlisted_peer(process_clock_millis(), peer, message);
     }
 
     /// Returns the earliest time at which a request that is read now can have arrived, in milliseconds on the
     /// process clock.
     pub fn earliest_arrival(&self) -> Millis {
-        self.heartbeat.earliest_arrival(process_time_millis())
+        self.heartbeat.earliest_arrival(process_clock_millis())
     }
 
     /// Runs the core's timers and the heartbeat. Never returns.
@@ -255,19 +255,19 @@
         loop {
             tokio::select! {
                 () = tokio::time::sleep(self.until_next_wakeup()) => self.tick(),
-                () = self.wakeup_changed.notified() => self.heartbeat.record(process_time_millis()),
+                () = self.wakeup_changed.notified() => self.heartbeat.record(process_clock_millis()),
             }
         }
     }
 
     fn until_next_wakeup(&self) -> std::time::Duration {
         let next_wakeup = self.core.borrow().next_wakeup();
-        let wait = next_wakeup.map_or(f64::INFINITY, |at| at - process_time_millis());
+        let wait = next_wakeup.map_or(f64::INFINITY, |at| at - process_clock_millis());
         duration_from_millis(wait.min(HEARTBEAT_INTERVAL_MS))
     }
 
     fn tick(self: &Rc<Self>) {
-        let now = process_time_millis();
+        let now = process_clock_millis();
         self.heartbeat.record(now);
         let is_due = self.core.borrow().next_wakeup().is_some_and(|at| at <= now);
         if is_due {
--- a/src/log.rs
+++ b/src/log.rs
@@ -4,7 +4,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// Lines that are written in one second; further ones are only counted.
@@ -50,7 +50,7 @@
 
 /// Permission to write one line now; `None`: this second's lines are used up, and the line counts as suppressed.
 pub fn acquire_line() -> Option<LinePermit> {
-    LIMITER.acquire((process_time_millis() / 1000.0) as u64)
+    LIMITER.acquire((process_clock_millis() / 1000.0) as u64)
 }
 
 /// Writes one line to the log; its arguments are those of [`eprintln!`].
--- a/src/server/graceful_shutdown.rs
+++ b/src/server/graceful_shutdown.rs
@@ -3,7 +3,7 @@
 //! Clients are still accepted for a moment and told that this process is not ready; then they are asked to go
 //! elsewhere, and every request that is open is answered before the platform's SIGKILL can come.
 
-use crate::clock::{duration_from_millis, process_time_millis};
+use crate::clock::{duration_from_millis, process_clock_millis};
 use crate::core::Violation;
 use crate::decision::model::Millis;
 use crate::dispatch::{RequestRouter, Upstream};
@@ -119,7 +119,7 @@
     sigterm.recv().await;
     let began = Instant::now();
     let answer_period = plan.answer_period();
-    router.begin_shutdown(process_time_millis() + answer_period.as_secs_f64() * 1000.0);
+    router.begin_shutdown(process_clock_millis() + answer_period.as_secs_f64() * 1000.0);
     if plan.handed_over {
         frontend.announce_shutdown(plan.handed_over);
     }
--- a/src/server/mysql.rs
+++ b/src/server/mysql.rs
@@ -1,7 +1,7 @@
 //! A process that serves the MySQL protocol, to clients and to engines.
 
 use crate::admin::ReportSources;
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use crate::config::MysqlConfig;
 use crate::core::Core;
 use crate::discovery::eureka::lease::Standing;
@@ -106,7 +106,7 @@
     spools: &Rc<Spools>,
 ) -> Result<Rc<RequestRouter<MysqlUpstream>>, ServerError> {
     let limits = core_limits(&config.sockets);
-    let seed = process_time_millis() as u64;
+    let seed = process_clock_millis() as u64;
     let mut core = Core::new(config.settings.clone(), seed, limits)?;
     // There is no gossip here that could confirm the number: unconfirmed, engines would stay half used for good.
     core.trust_configured_fleet();
--- a/src/spool_io/completion.rs
+++ b/src/spool_io/completion.rs
@@ -4,7 +4,7 @@
 use super::result::{BufferedPageState, SpooledResult};
 use super::spools::Spools;
 use super::status::describe_disk_state;
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use crate::log_line;
 use crate::spool::{SpoolId, WriteOutcome};
 use std::rc::Rc;
@@ -30,7 +30,7 @@
     }
 
     fn maintain(&self) {
-        let expired = self.index.borrow_mut().expire(process_time_millis());
+        let expired = self.index.borrow_mut().expire(process_clock_millis());
         for id in expired {
             self.remove_result(id);
         }
@@ -42,7 +42,7 @@
             .index
             .borrow()
             .disk_health()
-            .accepts_writes(process_time_millis());
+            .accepts_writes(process_clock_millis());
         if self.retry_writes.get() && disk_accepts_writes {
             self.retry_writes.set(false);
             self.persist_complete_results();
@@ -59,7 +59,7 @@
             .map(|(id, _)| *id)
             .collect();
         for id in unpersisted {
-            let commands = self.index.borrow_mut().persist(process_time_millis(), id);
+            let commands = self.index.borrow_mut().persist(process_clock_millis(), id);
             self.execute(commands);
             self.write_to_disk(id);
         }
@@ -90,7 +90,7 @@
             Err(WriteFailure::Disk(message)) => WriteOutcome::Failed(message.clone()),
             Err(WriteFailure::Skipped) => return,
         };
-        let now = process_time_millis();
+        let now = process_clock_millis();
         let duration_ms = completion.duration.as_secs_f64() * 1000.0;
         let mut index = self.index.borrow_mut();
         if index.record_disk_write(now, duration_ms, outcome) {
--- a/src/spool_io/listing.rs
+++ b/src/spool_io/listing.rs
@@ -4,7 +4,7 @@
 use super::reader::ResultReader;
 use super::result::{PersistedBegin, SpooledResult, decode_with_json};
 use super::spools::Spools;
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use crate::decision::model::Millis;
 use crate::spool::{ResumeError, SpoolId};
 use std::rc::Rc;
@@ -38,7 +38,7 @@
         let exists = self
             .index
             .borrow_mut()
-            .attach_reader(process_time_millis(), id);
+            .attach_reader(process_clock_millis(), id);
         exists.then(|| ResultReader::new(self.clone(), id, first_page))
     }
 
@@ -79,7 +79,7 @@
     /// The complete results of a user, also those of other processes.
     pub async fn list(self: &Rc<Self>, user: &str) -> Vec<ResultListing> {
         self.import_results_of(user).await;
-        let now = process_time_millis();
+        let now = process_clock_millis();
         let results = self.results.borrow();
         results
             .iter()
--- a/src/spool_io/paging.rs
+++ b/src/spool_io/paging.rs
@@ -5,7 +5,7 @@
     BufferedPageState, PersistedBegin, PersistedEnd, ResultOwner, SpooledResult, encode_with_json,
 };
 use super::spools::Spools;
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use crate::spool::{AdmissionRequest, Placement, SpoolCommand, SpoolId, SpoolRejection};
 use bytes::Bytes;
 
@@ -23,7 +23,7 @@
         owner: ResultOwner,
         header: Bytes,
     ) -> Result<SpoolId, SpoolRejection> {
-        let now = process_time_millis();
+        let now = process_clock_millis();
         let opened = self.index.borrow_mut().open(now, request)?;
         let id = opened.id;
         let mut random = [0; 16];
@@ -51,7 +51,7 @@
         let outcome = self
             .index
             .borrow_mut()
-            .add_page(process_time_millis(), id, length);
+            .add_page(process_clock_millis(), id, length);
         let placement = match outcome.placement {
             Ok(placement) => placement,
             Err(rejection) => {
@@ -75,7 +75,7 @@
 
     /// Completes a result, and persists it if the disk has capacity, so that it outlives the process.
     pub(super) fn complete(&self, id: SpoolId, trailer: Bytes) {
-        let now = process_time_millis();
+        let now = process_clock_millis();
         if let Some(result) = self.results.borrow_mut().get_mut(&id) {
             result.trailer = Some(trailer);
         }
@@ -209,7 +209,7 @@
     let end = PersistedEnd {
         rows: result.rows,
         bytes: result.bytes,
-        completed_at: process_time_millis(),
+        completed_at: process_clock_millis(),
     };
     encode_with_json(&end, result.trailer.as_deref().unwrap_or_default())
 }
--- a/src/spool_io/reader.rs
+++ b/src/spool_io/reader.rs
@@ -3,7 +3,7 @@
 use super::disk::{DiskCommand, ReadError};
 use super::result::PageSource;
 use super::spools::Spools;
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use crate::spool::SpoolId;
 use bytes::Bytes;
 use std::rc::Rc;
@@ -65,7 +65,7 @@
         self.spools
             .index
             .borrow_mut()
-            .record_read(process_time_millis(), self.id);
+            .record_read(process_clock_millis(), self.id);
         Ok(Some(bytes))
     }
 
@@ -92,7 +92,7 @@
 impl Drop for ResultReader {
     fn drop(&mut self) {
         self.spools.index.borrow_mut().detach_reader(
-            process_time_millis(),
+            process_clock_millis(),
             self.id,
             self.read_to_end,
         );
--- a/src/spool_io/spools.rs
+++ b/src/spool_io/spools.rs
@@ -3,7 +3,7 @@
 use super::disk::{DiskCommand, DiskCompletion, DiskHandle, PersistedSpool};
 use super::result::{RestoredResult, ResultOwner, SpooledResult};
 use super::writer::ResultWriter;
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use crate::config::SpoolSettings;
 use crate::log_line;
 use crate::spool::{
@@ -120,7 +120,7 @@
         };
         self.index
             .borrow_mut()
-            .restore(process_time_millis(), entry);
+            .restore(process_clock_millis(), entry);
         self.handles
             .borrow_mut()
             .restore(id, &result.owner.user, &restored.handle);
@@ -165,7 +165,7 @@
     pub fn admit(&self, request: AdmissionRequest) -> Admission {
         self.index
             .borrow_mut()
-            .admit(process_time_millis(), request)
+            .admit(process_clock_millis(), request)
     }
 
     /// A writer for the result of one attempt.
--- a/src/spool_io/status.rs
+++ b/src/spool_io/status.rs
@@ -1,7 +1,7 @@
 //! What operators see of the spools: a page and metrics. Keys and texts are part of the interface of the program.
 
 use super::spools::Spools;
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use crate::decision::model::Millis;
 use crate::spool::DiskState;
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
 impl Spools {
     /// The page `GET /_spools`, as JSON.
     pub fn status_page(&self) -> String {
-        let now = process_time_millis();
+        let now = process_clock_millis();
         let index = self.index.borrow();
         let limits = index.limits();
         let usage = index.usage();
--- a/src/upstream/mysql/downstream.rs
+++ b/src/upstream/mysql/downstream.rs
@@ -1,7 +1,7 @@
 //! A session's client, as whoever writes to an engine on its behalf sees it at that moment. The session's task learns
 //! of its client's disconnect when the runtime does, which may be a long poll later; the socket knows at once.
 
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use crate::decision::model::Millis;
 use crate::protocol::mysql::packet::PacketError;
 use crate::transport::client_socket::SocketProbe;
@@ -77,7 +77,7 @@
             match self.state() {
                 ClientState::Waiting => return Ok(()),
                 ClientState::Disconnected => return Err(PacketError::ClientDisconnected),
-                ClientState::UnreadInput if process_time_millis() >= deadline => {
+                ClientState::UnreadInput if process_clock_millis() >= deadline => {
                     return Err(PacketError::Protocol(
                         "what its client has said was not read in time",
                     ));
--- a/src/upstream/mysql/executor.rs
+++ b/src/upstream/mysql/executor.rs
@@ -3,7 +3,7 @@
 use super::connection::{Connection, ConnectionId, WaitingClient};
 use super::prepared_statements::StatementKey;
 use super::work::{Job, Output, Packets, Work};
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use crate::protocol::mysql::error::code;
 use crate::protocol::mysql::packet::{
     COM_INIT_DB, COM_QUERY, COM_STMT_CLOSE, COM_STMT_EXECUTE, COM_STMT_PREPARE,
@@ -66,7 +66,7 @@
     /// deadline have passed.
     fn check(&self) -> Result<(), PacketError> {
         let in_service = self.gate == WriteGate::SessionHeld || self.events.in_service();
-        if !in_service || process_time_millis() >= self.client.deadline {
+        if !in_service || process_clock_millis() >= self.client.deadline {
             return Err(PacketError::Protocol("no longer in service, or too late"));
         }
         Ok(())
--- a/src/upstream/mysql/login.rs
+++ b/src/upstream/mysql/login.rs
@@ -1,7 +1,7 @@
 //! Connecting to an engine and logging in.
 
 use super::connection::{Connection, ConnectionId};
-use crate::clock::{duration_from_millis, process_time_millis};
+use crate::clock::{duration_from_millis, process_clock_millis};
 use crate::config::{EngineCredentials, SocketSettings};
 use crate::protocol::mysql::auth::{self, MYSQL_NATIVE_PASSWORD};
 use crate::protocol::mysql::packet::{
@@ -33,7 +33,7 @@
     /// Connects and logs in, each within the time for a connection.
     pub(super) async fn open(&self, address: SocketAddr) -> Result<Connection, PacketError> {
         let limit = duration_from_millis(self.sockets.connect_timeout);
-        let opened = process_time_millis();
+        let opened = process_clock_millis();
         let tcp = tokio::time::timeout(limit, TcpStream::connect(address))
             .await
             .map_err(io::Error::from)??;
--- a/src/upstream/mysql/mod.rs
+++ b/src/upstream/mysql/mod.rs
@@ -17,7 +17,7 @@
 pub mod sticky;
 pub mod work;
 
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use crate::config::{EngineCredentials, SocketSettings};
 use crate::core::AttemptId;
 use crate::decision::model::{Millis, ProgressNote};
@@ -122,7 +122,7 @@
             task: spawn_local(task).abort_handle(),
             address: self.0.pool.address(&engine),
             engine,
-            started: process_time_millis(),
+            started: process_clock_millis(),
             state,
         };
         self.0.running.borrow_mut().insert(attempt, running);
--- a/src/upstream/mysql/sticky.rs
+++ b/src/upstream/mysql/sticky.rs
@@ -6,7 +6,7 @@
 use super::executor::{AttemptEvents, Execution, Executor, WriteGate, WrittenOn};
 use super::kill::Killer;
 use super::work::{Output, Work};
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use crate::decision::model::Millis;
 use crate::protocol::mysql::error::{SqlError, code};
 use crate::protocol::mysql::packet::{
@@ -136,8 +136,8 @@
         self.events.session_started();
         let mut open = OpenSession {
             connection,
-            session: StickySession::new(self.channel.limits.clone(), process_time_millis()),
-            last_contact: process_time_millis(),
+            session: StickySession::new(self.channel.limits.clone(), process_clock_millis()),
+            last_contact: process_clock_millis(),
         };
         if let Some(first) = &self.channel.first_statement {
             self.executor
@@ -154,7 +154,7 @@
                 reply,
             } = command;
             open.session
-                .on_statement_sent(process_time_millis(), effect);
+                .on_statement_sent(process_clock_millis(), effect);
             self.events.session_active();
             self.written_on.set(None);
             let result = self.execute(&mut open, &work).await?;
@@ -188,7 +188,7 @@
                 self.channel.expired.set(Some(expired));
                 return Ok(None);
             }
-            let now = process_time_millis();
+            let now = process_clock_millis();
             if now >= open.last_contact + PING_INTERVAL_MS {
                 open.last_contact = now;
                 self.executor
@@ -201,7 +201,7 @@
 
     /// The limit that ends the session now, if one does.
     fn check_limits(&self, open: &mut OpenSession<'_>) -> Option<Expired> {
-        let now = process_time_millis();
+        let now = process_clock_millis();
         if !self.events.in_service() {
             open.session.on_engine_draining(now);
         }
@@ -233,7 +233,7 @@
                 result = &mut run => return Ok(result),
                 () = tokio::time::sleep(CHECK_INTERVAL) => {}
             }
-            let now = process_time_millis();
+            let now = process_clock_millis();
             if !self.events.in_service() {
                 session.on_engine_draining(now);
             }
@@ -252,7 +252,7 @@
         open: &mut OpenSession<'_>,
         result: Result<Output, PacketError>,
     ) -> Result<SessionAnswer, PacketError> {
-        open.last_contact = process_time_millis();
+        open.last_contact = process_clock_millis();
         let output = match result {
             Ok(output) => output,
             // The schema, a setting or the statement is wrong, and nothing ran: that is the answer.
--- a/src/upstream/resp/commands.rs
+++ b/src/upstream/resp/commands.rs
@@ -1,6 +1,6 @@
 //! Writes attempts and their cancellations on a connection.
 
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use crate::decision::model::Outcome;
 use crate::dispatch::StartAttempt;
 use crate::frontend::frames::Work;
@@ -39,7 +39,7 @@
         else {
             return Ok(());
         };
-        let now = process_time_millis();
+        let now = process_clock_millis();
         let write_by = start.write_by;
         let time_left = start.deadline - now;
         let is_late = time_left < 1.0 || now >= write_by;
--- a/src/upstream/resp/connection.rs
+++ b/src/upstream/resp/connection.rs
@@ -1,6 +1,6 @@
 //! One connection to an engine, and the attempts on it.
 
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use crate::config::SocketSettings;
 use crate::core::AttemptId;
 use crate::decision::model::Millis;
@@ -112,7 +112,7 @@
         Connection {
             number,
             address,
-            opened: process_time_millis(),
+            opened: process_clock_millis(),
             commands,
             is_established: Cell::new(false),
             pending: RefCell::default(),
@@ -121,7 +121,7 @@
             unwanted_since: Cell::default(),
             closing: Cell::new(false),
             has_partial_reply: Cell::new(false),
-            last_activity: Cell::new(process_time_millis()),
+            last_activity: Cell::new(process_clock_millis()),
             close_requested: Notify::new(),
             changed: Notify::new(),
         }
@@ -180,7 +180,7 @@
     /// Remembers an id that a late reply may come for. The oldest are dropped, so that memory stays bounded.
     pub(super) fn abandon(&self, txn: &str, until: Millis) {
         let mut abandoned = self.abandoned.borrow_mut();
-        let now = process_time_millis();
+        let now = process_clock_millis();
         abandoned.retain(|(_, until)| now < *until);
         if abandoned.len() >= MAX_ABANDONED_IDS {
             abandoned.pop_front();
@@ -200,7 +200,7 @@
         }
         self.abandon(&txn, f64::INFINITY);
         if self.partially_written.borrow().as_ref() == Some(&txn) {
-            let now = process_time_millis();
+            let now = process_clock_millis();
             let since = self.unwanted_since.get().map_or(now, |at| at.min(now));
             self.unwanted_since.set(Some(since));
             self.changed.notify_one();
--- a/src/upstream/resp/connection_task.rs
+++ b/src/upstream/resp/connection_task.rs
@@ -1,6 +1,6 @@
 //! Serves one connection to an engine, from its descriptor to its end.
 
-use crate::clock::{duration_from_millis, process_time_millis};
+use crate::clock::{duration_from_millis, process_clock_millis};
 use crate::decision::model::{Millis, Outcome};
 use crate::dispatch::RequestRouter;
 use crate::log_line;
@@ -219,7 +219,7 @@
         let blocked_on = self.blocked.as_ref().map(|(_, blocked_on)| *blocked_on);
         let until_writable = blocked_on == Some(BlockedOn::WriteCapacity);
         let write_grace = connection.unwanted_since.get().map(|since| {
-            duration_from_millis(since + CANCELLED_WRITE_GRACE_MS - process_time_millis())
+            duration_from_millis(since + CANCELLED_WRITE_GRACE_MS - process_clock_millis())
         });
         let idle_timeout =
             duration_from_millis(task.pool.sockets.idle_timeout * IDLE_TIMEOUT_FACTOR);
@@ -272,7 +272,7 @@
                 self.partial_reply_checks = 0;
                 let connection = &self.task.connection;
                 connection.has_partial_reply.set(false);
-                connection.last_activity.set(process_time_millis());
+                connection.last_activity.set(process_clock_millis());
                 self.handle_reply(&reply)?;
             }
         }
@@ -296,7 +296,7 @@
         let connection = &self.task.connection;
         let is_partial = self.partial_reply_checks > PARTIAL_REPLY_CHECKS;
         connection.has_partial_reply.set(is_partial);
-        let now = process_time_millis();
+        let now = process_clock_millis();
         if self.partial_reply_checks > STALLED_REPLY_CHECKS
             || connection.is_stalled(now)
             || connection.is_dead(now, self.task.pool.sockets.progress_interval)
--- a/src/upstream/resp/engine_pool.rs
+++ b/src/upstream/resp/engine_pool.rs
@@ -1,6 +1,6 @@
 //! The connections to each engine, and their share of the process's descriptors.
 
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use crate::config::SocketSettings;
 use crate::core::AttemptId;
 use crate::decision::model::{EngineState, ListUpdate};
@@ -163,7 +163,7 @@
         let mut engines = self.engines.borrow_mut();
         let slot = engines.get(engine)?;
         let address = slot.address?;
-        let now = process_time_millis();
+        let now = process_clock_millis();
         // Established ones go first: another may be established late, or never.
         let accepting = [true, false].into_iter().flat_map(|established| {
             slot.connections.iter().filter(move |connection| {
--- a/src/upstream/resp/mod.rs
+++ b/src/upstream/resp/mod.rs
@@ -10,7 +10,7 @@
 mod engine_pool;
 mod replies;
 
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use crate::config::SocketSettings;
 use crate::core::AttemptId;
 use crate::decision::model::Outcome;
@@ -62,7 +62,7 @@
             return router.attempt_ended(attempt, Outcome::Unreachable, vec![]);
         }
         if connection.pending.borrow().is_empty() {
-            connection.last_activity.set(process_time_millis());
+            connection.last_activity.set(process_clock_millis());
         }
         connection.pending.borrow_mut().insert(txn.clone(), pending);
         let mut attempts = self.0.attempts.borrow_mut();
--- a/src/upstream/resp/replies.rs
+++ b/src/upstream/resp/replies.rs
@@ -1,6 +1,6 @@
 //! Reads what an engine replies, and puts results together from their pages.
 
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use crate::core::AttemptId;
 use crate::decision::model::{Millis, Outcome};
 use crate::dispatch::RequestRouter;
@@ -119,7 +119,7 @@
             pages,
             missing_pages: total - 1,
             result_bytes,
-            last_page_at: process_time_millis(),
+            last_page_at: process_clock_millis(),
             report: load_report(fields, &self.task.pool.report_fields),
         };
         drop(pending);
@@ -160,7 +160,7 @@
             return Err(RespError::Length(*result_bytes));
         }
         *page = Some(body);
-        *last_page_at = process_time_millis();
+        *last_page_at = process_clock_millis();
         *missing_pages -= 1;
         Ok(())
     }
@@ -191,7 +191,7 @@
             return;
         }
         let finished = connection.pending.borrow_mut().remove(txn);
-        connection.abandon(txn, process_time_millis() + FINISHED_ID_TTL_MS);
+        connection.abandon(txn, process_clock_millis() + FINISHED_ID_TTL_MS);
         self.task.pool.attempts.borrow_mut().remove(&attempt);
         if let Some(PendingAttempt {
             stage: Stage::Paging { pages, report, .. },
@@ -211,7 +211,7 @@
         let connection = &self.task.connection;
         let forgotten = connection.pending.borrow_mut().remove(txn);
         if forgotten.is_some_and(|attempt| !matches!(attempt.stage, Stage::Queued { .. })) {
-            connection.abandon(txn, process_time_millis() + FINISHED_ID_TTL_MS);
+            connection.abandon(txn, process_clock_millis() + FINISHED_ID_TTL_MS);
         }
         self.task.pool.attempts.borrow_mut().remove(&attempt);
     }
--- a/tests/client_disconnect_races.rs
+++ b/tests/client_disconnect_races.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use protocol::fixture::{DispatcherFixture, Parts};
 use protocol::*;
-use query_dispatcher::clock::process_time_millis;
+use query_dispatcher::clock::process_clock_millis;
 use query_dispatcher::config::{MachineLimits, NameTable, SocketSettings};
 use query_dispatcher::core::{Core, NewRequest};
 use query_dispatcher::dispatch::Reply;
@@ -114,7 +114,7 @@
         class,
         tenant: Some(0),
         group: None,
-        deadline: process_time_millis() + 5000.0,
+        deadline: process_clock_millis() + 5000.0,
         work: None,
         memory_mb: None,
     };
@@ -924,7 +924,9 @@
         read_request_id(&mut engine).await;
         drain_engine(&fixture);
         submit(&fixture, 2, 1, &answers);
-        fixture.router.begin_shutdown(process_time_millis() + 100.0);
+        fixture
+            .router
+            .begin_shutdown(process_clock_millis() + 100.0);
         restore_engine(&fixture);
         let mut sorted_answers = vec![];
         while fixture.router.unanswered_requests() > 0 {
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -11,7 +11,7 @@
 use protocol::fixture::{DispatcherFixture, Parts};
 use protocol::*;
 use query_dispatcher::admin::{Admin, ReportSources};
-use query_dispatcher::clock::process_time_millis;
+use query_dispatcher::clock::process_clock_millis;
 use query_dispatcher::config::SocketSettings;
 use query_dispatcher::core::{Core, CoreLimits, NewRequest};
 use query_dispatcher::dispatch::Reply;
@@ -105,7 +105,7 @@
 
     /// Submits a request with this time to its deadline, in milliseconds, and this size of its statement.
     fn submit_with(&self, txn: u64, class: usize, ms: f64, size: usize) {
-        let deadline = process_time_millis() + ms;
+        let deadline = process_clock_millis() + ms;
         let request = NewRequest {
             class,
             tenant: Some(0),
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -125,7 +125,7 @@
             zone: None,
             kind: Some("std".into()),
             cell: 0,
-            started: is("restart").then(|| query_dispatcher::clock::process_time_millis() + 1.0),
+            started: is("restart").then(|| query_dispatcher::clock::process_clock_millis() + 1.0),
         }
     };
     Change {
