--- a/src/core/endpoints.rs
+++ b/src/core/endpoints.rs
@@ -121,7 +121,7 @@
 
     /// Treats the configured number of dispatchers as confirmed for good, because there is no other evidence
     /// of their number.
-    pub fn trust_configured_fleet(&mut self) {
+    pub fn confirm_configured_fleet_size(&mut self) {
         self.policy.observe_fleet(FleetEvidence {
             min_dispatchers: 0,
             confirmed_until: Some(f64::INFINITY),
--- a/src/server/mysql.rs
+++ b/src/server/mysql.rs
@@ -109,7 +109,7 @@
     let seed = process_clock_millis() as u64;
     let mut core = Core::new(config.settings.clone(), seed, limits)?;
     // There is no gossip here that could confirm the number: unconfirmed, engines would stay half used for good.
-    core.trust_configured_fleet();
+    core.confirm_configured_fleet_size();
     let upstream = MysqlUpstream::new(
         config.engine_credentials.clone(),
         config.sockets.clone(),
--- a/tests/slow_start_budget.rs
+++ b/tests/slow_start_budget.rs
@@ -152,7 +152,7 @@
 
     fn list(&mut self, now: f64) {
         if self.case.confirmed {
-            self.core.trust_configured_fleet();
+            self.core.confirm_configured_fleet_size();
         }
         let engine = |started| EngineEntry {
             started,
