--- a/src/core/request_core.rs
+++ b/src/core/request_core.rs
@@ -283,7 +283,7 @@
     }
 
     /// Counts a request that a frontend answered itself, without opening it in the core.
-    pub fn record_rejection(&mut self, class: ClassId, outcome: RequestOutcome) {
+    pub fn record_frontend_answer(&mut self, class: ClassId, outcome: RequestOutcome) {
         self.metrics.record_answer(class, outcome);
     }
 
--- a/src/dispatch/request_router.rs
+++ b/src/dispatch/request_router.rs
@@ -149,8 +149,10 @@
     }
 
     /// Counts a request that a frontend answered itself, without opening it in the core.
-    pub fn record_rejection(&self, class: ClassId, outcome: RequestOutcome) {
-        self.core.borrow_mut().record_rejection(class, outcome);
+    pub fn record_frontend_answer(&self, class: ClassId, outcome: RequestOutcome) {
+        self.core
+            .borrow_mut()
+            .record_frontend_answer(class, outcome);
     }
 
     /// Logs and counts a violated invariant.
--- a/src/frontend/frames/client.rs
+++ b/src/frontend/frames/client.rs
@@ -178,7 +178,7 @@
         // One that cannot be read names no class, and is rejected all the same.
         if let Some(class) = parse_class(&self.frontend.router, frame) {
             let router = &self.frontend.router;
-            router.record_rejection(class, RequestOutcome::Overload);
+            router.record_frontend_answer(class, RequestOutcome::Overload);
         }
         Ok(())
     }
@@ -252,7 +252,7 @@
         let Some(memory) = memory.filter(|_| self.open.by_stream.len() < MAX_OPEN_STREAMS) else {
             self.record_protocol_error();
             let router = &frontend.router;
-            router.record_rejection(request.class, RequestOutcome::Overload);
+            router.record_frontend_answer(request.class, RequestOutcome::Overload);
             return enqueue_too_much(wire, stream);
         };
         work.attach(memory, id, self.socket.clone());
@@ -276,7 +276,7 @@
         self.record_protocol_error();
         if let Some(class) = unusable.class {
             let router = &self.frontend.router;
-            router.record_rejection(class, RequestOutcome::Error);
+            router.record_frontend_answer(class, RequestOutcome::Error);
         }
         enqueue_answer(wire, stream, code::FAILED, unusable.reason.as_bytes())
     }
--- a/src/frontend/mysql/request.rs
+++ b/src/frontend/mysql/request.rs
@@ -110,7 +110,7 @@
         if !is_prepare && let Err(rejection) = self.admit_result(admission) {
             self.frontend
                 .router
-                .record_rejection(class, RequestOutcome::Overload);
+                .record_frontend_answer(class, RequestOutcome::Overload);
             return Ok(rejection);
         }
         let limit = time_limit(&config, class);
