--- a/src/discovery/eureka/lease.rs
+++ b/src/discovery/eureka/lease.rs
@@ -2,7 +2,7 @@
 //! is due; this module sends it.
 
 use crate::clock::duration_from_millis;
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use crate::config::EurekaSettings;
 use crate::config::eureka::InstanceRegistration;
 use crate::discovery::eureka::http::{Client, HttpError, RegistryRequest, RegistryResponse};
@@ -71,7 +71,7 @@
             ),
             servers: RefCell::new(Servers::new(&zones, source.zone.as_deref(), random)),
             state: RefCell::new(Registration::new(
-                process_time_millis(),
+                process_clock_millis(),
                 renewal_interval_ms,
             )),
             mismatch: RefCell::default(),
@@ -84,7 +84,7 @@
     /// which is checked every 100 ms between requests. Returns once the lease is handed over or cancelled.
     pub async fn run(self: Rc<Self>, current_state: impl Fn() -> DispatcherState) {
         loop {
-            let now = process_time_millis();
+            let now = process_clock_millis();
             let status = match current_state() {
                 DispatcherState::Starting => Status::Starting,
                 DispatcherState::Ready => Status::Up,
@@ -99,7 +99,7 @@
             if let Some(request) = request {
                 let outcome = self.send(request).await;
                 self.state.borrow_mut().record_outcome(
-                    process_time_millis(),
+                    process_clock_millis(),
                     request,
                     outcome,
                     random(),
@@ -149,7 +149,7 @@
             let selected = self
                 .servers
                 .borrow()
-                .choose(process_time_millis(), self.source.servers.len());
+                .choose(process_clock_millis(), self.source.servers.len());
             let Some(server) = selected.into_iter().find(|server| !tried.contains(server)) else {
                 return Outcome::Failed;
             };
@@ -178,7 +178,7 @@
                     };
                     log_line!("eureka {name}: registration request failed: {problem}");
                     self.servers.borrow_mut().record_failure(
-                        process_time_millis(),
+                        process_clock_millis(),
                         server,
                         random(),
                     );
@@ -228,7 +228,7 @@
         let Some(server) = self
             .servers
             .borrow()
-            .choose(process_time_millis(), 1)
+            .choose(process_clock_millis(), 1)
             .first()
             .copied()
         else {
--- a/src/discovery/eureka/mod.rs
+++ b/src/discovery/eureka/mod.rs
@@ -15,7 +15,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use crate::config::EurekaSettings;
 use crate::config::eureka::PayloadFormat;
 use crate::discovery::membership_driver::MembershipDriver;
@@ -123,12 +123,12 @@
             members.apply_update(SourceUpdate {
                 source: name.clone(),
                 requested_at,
-                received_at: process_time_millis(),
+                received_at: process_clock_millis(),
                 content,
             });
         };
         if source.query.has_deltas() && replica.borrow().has_full_list() {
-            let requested_at = process_time_millis();
+            let requested_at = process_clock_millis();
             let document = self.fetch_document(server, "/apps/delta").await?;
             let applied = replica.borrow_mut().apply_delta(&document, &source.query)?;
             let needs_full_list = applied.needs_full_list;
@@ -137,7 +137,7 @@
                 return Ok(());
             }
         }
-        let requested_at = process_time_millis();
+        let requested_at = process_clock_millis();
         let document = self.fetch_document(server, &source.query.path()).await?;
         let content = replica
             .borrow_mut()
@@ -236,7 +236,7 @@
         let mut servers = self.registries.servers.borrow_mut();
         match succeeded {
             true => servers.record_success(server),
-            false => servers.record_failure(process_time_millis(), server, random()),
+            false => servers.record_failure(process_clock_millis(), server, random()),
         }
     }
 
@@ -254,7 +254,7 @@
     /// the snapshot is served.
     fn start_polls(&mut self) {
         let selected = self.registries.servers.borrow().choose(
-            process_time_millis(),
+            process_clock_millis(),
             self.registries.source.servers_per_round,
         );
         for server in selected {
--- a/src/discovery/membership_driver.rs
+++ b/src/discovery/membership_driver.rs
@@ -2,7 +2,7 @@
 //! the dispatcher, saves its snapshot to disk and serves operators' queries.
 
 use crate::clock::duration_from_millis;
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use crate::config::EurekaSettings;
 use crate::decision::model::Millis;
 use crate::discovery::ChangeHandler;
@@ -111,13 +111,13 @@
             match load_snapshot(store) {
                 Ok(Some(snapshot)) => {
                     let (age_seconds, engines) = (
-                        (process_time_millis() - snapshot.taken_at) / 1000.0,
+                        (process_clock_millis() - snapshot.taken_at) / 1000.0,
                         snapshot.instances.len(),
                     );
                     log_line!(
                         "members: a snapshot of {engines} engines, {age_seconds:.0} s old, was loaded"
                     );
-                    membership.restore(process_time_millis(), snapshot);
+                    membership.restore(process_clock_millis(), snapshot);
                 }
                 Ok(None) => {}
                 Err(e) => {
@@ -159,14 +159,14 @@
         let change = self
             .membership
             .borrow_mut()
-            .apply_update(process_time_millis(), update);
+            .apply_update(process_clock_millis(), update);
         self.publish(change);
     }
 
     /// Records that polling the registry `source` failed; `problem` is reported at `/_members`.
     pub(super) fn record_source_failure(&self, source: &str, problem: String) {
         let change = self.membership.borrow_mut().record_source_failure(
-            process_time_millis(),
+            process_clock_millis(),
             source,
             problem,
         );
@@ -176,7 +176,7 @@
     /// Applies the servers and rules of a new configuration; the members are kept.
     pub fn configure(&self, source: &EurekaSettings) {
         let change = self.membership.borrow_mut().configure(
-            process_time_millis(),
+            process_clock_millis(),
             source.rules.clone(),
             &source.names(),
         );
@@ -188,7 +188,7 @@
         let change = self
             .membership
             .borrow_mut()
-            .serve_restored(process_time_millis());
+            .serve_restored(process_clock_millis());
         if let Some(change) = &change {
             log_line!(
                 "members: no registry has responded; serving {} engines from the snapshot",
@@ -212,7 +212,7 @@
         let report = self
             .membership
             .borrow()
-            .report(process_time_millis(), &query);
+            .report(process_clock_millis(), &query);
         let mismatch = self.registration_mismatch.borrow().clone();
         let page = ReportPage {
             serving: self.serving.get(),
@@ -243,7 +243,7 @@
             };
             let mut membership = self.membership.borrow_mut();
             let outcome =
-                membership.record_observation(process_time_millis(), &engine, observation);
+                membership.record_observation(process_clock_millis(), &engine, observation);
             drop(membership);
             if outcome.change.is_some() {
                 self.publish(outcome.change);
@@ -254,9 +254,9 @@
     /// Runs membership's timers and applies observations as they are reported. Does not return.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
-            let next = self.membership.borrow().next_wakeup(process_time_millis());
+            let next = self.membership.borrow().next_wakeup(process_clock_millis());
             let sleep = duration_from_millis(
-                next.map_or(1000.0, |at| at - process_time_millis())
+                next.map_or(1000.0, |at| at - process_clock_millis())
                     .clamp(1.0, 1000.0),
             );
             tokio::select! {
@@ -264,7 +264,7 @@
                 () = self.wake.notified() => {}
             }
             self.apply_observations();
-            let change = self.membership.borrow_mut().tick(process_time_millis());
+            let change = self.membership.borrow_mut().tick(process_clock_millis());
             if change.is_some() {
                 self.publish(change);
             }
@@ -280,7 +280,7 @@
         loop {
             let _ = tokio::time::timeout(MAX_SAVE_INTERVAL, self.changed.notified()).await;
             tokio::time::sleep(SAVE_DELAY).await;
-            let Some(snapshot) = self.membership.borrow().snapshot(process_time_millis()) else {
+            let Some(snapshot) = self.membership.borrow().snapshot(process_clock_millis()) else {
                 continue;
             };
             let store = store.clone();
@@ -314,7 +314,7 @@
     fn opened(&self, engine: &str, at: Millis) -> bool {
         self.apply_observations();
         let outcome = self.membership.borrow_mut().record_observation(
-            process_time_millis(),
+            process_clock_millis(),
             engine,
             Observation::Opened { at },
         );
--- a/src/dispatch/commands.rs
+++ b/src/dispatch/commands.rs
@@ -1,6 +1,6 @@
-//! Carries the core's commands out.
+//! Execution of the core's commands.
 
-use crate::clock::process_time_millis;
+use crate::clock::process_clock_millis;
 use crate::core::invariants::LATE_ANSWER_MS;
 use crate::core::{Answer, Command, RequestId, StartAttempt, Violation};
 use crate::dispatch::request_router::RequestRouter;
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 impl<U: Upstream> RequestRouter<U> {
-    /// Carries out the core's commands, also those that follow from carrying them out.
+    /// Executes the core's commands, including those that are queued while others are executed.
     pub(super) fn run_commands(self: &Rc<Self>) {
         loop {
             let commands = self.core.borrow_mut().take_commands();
@@ -20,7 +20,7 @@
                 self.run_command(command);
             }
         }
-        self.clock_changed.notify_one();
+        self.wakeup_changed.notify_one();
     }
 
     fn run_command(self: &Rc<Self>, command: Command) {
@@ -47,7 +47,7 @@
     fn answer(&self, id: RequestId, answer: Answer) {
         let request = self.open.borrow_mut().remove(&id);
         if let Some(request) = request {
-            if process_time_millis() > request.deadline + LATE_ANSWER_MS {
+            if process_clock_millis() > request.deadline + LATE_ANSWER_MS {
                 self.record_violation(Violation::LateAnswer);
             }
             (request.reply_handler)(answer.with_result(request.output));
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -128,7 +128,7 @@
             zone: None,
             kind: Some("std".into()),
             cell: 0,
-            started: is("restart").then(|| query_dispatcher::clock::process_time_millis() + 1.0),
+            started: is("restart").then(|| query_dispatcher::clock::process_clock_millis() + 1.0),
         }
     };
     EndpointListChange {
