--- a/src/sticky_sessions/mod.rs
+++ b/src/sticky_sessions/mod.rs
@@ -1,11 +1,12 @@
-//! Sticky sessions: when a client session keeps one engine connection, for how long, and what becomes of its open
-//! transaction when that connection is lost.
+//! Sticky sessions: when a client session holds an engine connection, for how long, and the transaction
+//! outcome when that connection is lost.
 //!
-//! Everything here is pure: the time is a parameter, and engine responses arrive as typed values. Times are [`Millis`]
-//! on the Unix clock, periods are milliseconds.
+//! This module does no I/O and reads no clock: the time is a parameter, and engine responses are typed
+//! values. Times are [`Millis`] on the Unix clock, periods are in milliseconds.
 //!
-//! To the decision module a sticky session is a single attempt. The engine is chosen when the session begins, the
-//! session goes on while that engine drains, and none of its statements is ever retried on another engine.
+//! For the decision module a sticky session is a single attempt. The engine is selected when the session
+//! begins, the session continues while that engine drains, and none of its statements is ever retried on
+//! another engine.
 
 mod limits;
 mod session;
--- a/src/sticky_sessions/session.rs
+++ b/src/sticky_sessions/session.rs
@@ -10,10 +10,10 @@
 /// `ER_LOCK_DEADLOCK`: the engine has rolled back the whole transaction.
 const ER_LOCK_DEADLOCK: u16 = 1213;
 
-/// Connection state that binds a session to its engine connection.
+/// Connection state that makes a session keep its engine connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StickyReason {
-    /// A transaction is open, until the status flags of the engine say otherwise.
+    /// An open transaction, until the status flags of the engine report its end.
     Transaction,
     /// `LOCK TABLES`, until `UNLOCK TABLES`.
     TableLocks,
@@ -32,8 +32,8 @@
     pub acquires: Option<StickyReason>,
     /// The statement is `UNLOCK TABLES`.
     pub unlocks_tables: bool,
-    /// The statement commits, explicitly or implicitly. Once it is sent, losing the response leaves the outcome of
-    /// the transaction unknown.
+    /// The statement commits, explicitly or implicitly. If the connection is lost after it is sent and before
+    /// the response, the transaction outcome is unknown.
     pub commits: bool,
 }
 
@@ -54,7 +54,7 @@
 pub enum ConnectionDisposition {
     /// The session keeps its connection.
     Retain,
-    /// Nothing binds the session any more: the connection may serve other sessions.
+    /// No connection state remains: the connection may serve other sessions.
     Release,
 }
 
@@ -64,10 +64,10 @@
     /// No statement was sent within the idle timeout.
     #[error("no statement came for too long")]
     Idle,
-    /// The maximum lifetime is over.
+    /// The session has reached its maximum lifetime.
     #[error("it was open for too long")]
     MaxLifetime,
-    /// The drain timeout of the engine is over.
+    /// The engine has been draining for the drain timeout.
     #[error("its engine drains")]
     EngineDraining,
 }
@@ -82,7 +82,8 @@
 }
 
 impl TransactionOutcome {
-    /// The outcome of a transaction whose connection broke while `in_flight` had no response yet.
+    /// Returns the outcome of a transaction whose connection was lost before the response to the statement
+    /// `in_flight`.
     pub fn of_lost_connection(in_flight: Option<StatementEffect>) -> Self {
         if in_flight.is_some_and(|statement| statement.commits) {
             TransactionOutcome::Unknown
@@ -92,7 +93,7 @@
     }
 }
 
-/// A session bound to one engine connection.
+/// A session that holds an engine connection.
 #[derive(Clone, Debug)]
 pub struct StickySession {
     limits: StickySessionLimits,
@@ -104,7 +105,7 @@
 }
 
 impl StickySession {
-    /// A session that begins now, before its first statement.
+    /// Creates a session that begins at `now`, before its first statement.
     pub fn new(limits: StickySessionLimits, now: Millis) -> Self {
         StickySession {
             limits,
@@ -142,7 +143,8 @@
         }
     }
 
-    /// Applies what a successful statement did, except to the transaction: that is read from the status flags.
+    /// Applies the effect of a successful statement, except on the transaction, whose state the status flags
+    /// report.
     fn apply_effect(&mut self, statement: StatementEffect) {
         if let Some(reason) = statement.acquires
             && reason != StickyReason::Transaction
@@ -167,7 +169,8 @@
         self.draining_since.get_or_insert(now);
     }
 
-    /// When the session expires if nothing else happens, and why. A session with a statement in flight is not idle.
+    /// Returns when the session expires if nothing else happens, and why. A session with a statement in
+    /// flight is not idle.
     pub fn expiry(&self) -> (Millis, Expired) {
         let lifetime_end = self.created_at + self.limits.max_lifetime;
         let idle_end = self.last_used_at + self.limits.idle_timeout;
@@ -188,13 +191,13 @@
         earliest
     }
 
-    /// Why the session has expired, if it has.
+    /// Returns why the session has expired, or `None` if it has not.
     pub fn expired(&self, now: Millis) -> Option<Expired> {
         let (expires_at, cause) = self.expiry();
         (now >= expires_at).then_some(cause)
     }
 
-    /// Whether this kind of connection state binds the session.
+    /// Whether the session keeps its connection because of this kind of connection state.
     pub fn is_bound_by(&self, reason: StickyReason) -> bool {
         self.reasons.contains(&reason)
     }
--- a/src/sticky_sessions/session/tests.rs
+++ b/src/sticky_sessions/session/tests.rs
@@ -6,18 +6,18 @@
 const NOT_IN_TRANSACTION: EngineResponse = EngineResponse::Status {
     in_transaction: false,
 };
-const PLAIN: StatementEffect = StatementEffect {
+const NO_EFFECT: StatementEffect = StatementEffect {
     acquires: None,
     unlocks_tables: false,
     commits: false,
 };
 const COMMIT: StatementEffect = StatementEffect {
     commits: true,
-    ..PLAIN
+    ..NO_EFFECT
 };
 const UNLOCK_TABLES: StatementEffect = StatementEffect {
     unlocks_tables: true,
-    ..PLAIN
+    ..NO_EFFECT
 };
 
 fn new_session() -> StickySession {
@@ -34,7 +34,7 @@
 fn acquires(reason: StickyReason) -> StatementEffect {
     StatementEffect {
         acquires: Some(reason),
-        ..PLAIN
+        ..NO_EFFECT
     }
 }
 
@@ -53,11 +53,11 @@
     let mut session = new_session();
     let begin = acquires(StickyReason::Transaction);
     assert_eq!(run(&mut session, begin, IN_TRANSACTION), Retain);
-    assert_eq!(run(&mut session, PLAIN, IN_TRANSACTION), Retain);
+    assert_eq!(run(&mut session, NO_EFFECT, IN_TRANSACTION), Retain);
     assert_eq!(
-        run(&mut session, PLAIN, EngineResponse::Error(1062)),
+        run(&mut session, NO_EFFECT, EngineResponse::Error(1062)),
         Retain,
-        "a duplicate key ends nothing"
+        "a duplicate-key error does not end the transaction"
     );
     // COMMIT AND CHAIN opens the next transaction.
     assert_eq!(run(&mut session, COMMIT, IN_TRANSACTION), Retain);
@@ -76,13 +76,13 @@
         acquires(StickyReason::Transaction),
         IN_TRANSACTION,
     );
-    assert_eq!(run(&mut session, PLAIN, DEADLOCK), Release);
+    assert_eq!(run(&mut session, NO_EFFECT, DEADLOCK), Release);
     run(
         &mut session,
         acquires(StickyReason::TemporaryTable),
         IN_TRANSACTION,
     );
-    assert_eq!(run(&mut session, PLAIN, DEADLOCK), Retain);
+    assert_eq!(run(&mut session, NO_EFFECT, DEADLOCK), Retain);
     assert!(session.is_bound_by(StickyReason::TemporaryTable));
     assert!(!session.is_bound_by(StickyReason::Transaction));
 }
@@ -130,11 +130,11 @@
     session.on_response(500.0, IN_TRANSACTION);
     assert_eq!(session.expired(599.0), None);
     assert_eq!(session.expired(600.0), Some(Expired::Idle));
-    session.on_statement_sent(600.0, PLAIN);
+    session.on_statement_sent(600.0, NO_EFFECT);
     assert_eq!(
         session.expired(1000.0),
         Some(Expired::MaxLifetime),
-        "however busy"
+        "the maximum lifetime also applies to a busy session"
     );
 }
 
@@ -156,6 +156,6 @@
 fn only_a_commit_in_flight_leaves_the_outcome_unknown() {
     let outcome = TransactionOutcome::of_lost_connection;
     assert_eq!(outcome(None), TransactionOutcome::RolledBack);
-    assert_eq!(outcome(Some(PLAIN)), TransactionOutcome::RolledBack);
+    assert_eq!(outcome(Some(NO_EFFECT)), TransactionOutcome::RolledBack);
     assert_eq!(outcome(Some(COMMIT)), TransactionOutcome::Unknown);
 }
--- a/src/sticky_sessions/table.rs
+++ b/src/sticky_sessions/table.rs
@@ -1,4 +1,4 @@
-//! The count of sticky sessions, in total and by tenant.
+//! Number of sticky sessions, in total and by tenant.
 
 use super::StickySessionLimits;
 use std::collections::BTreeMap;
@@ -17,7 +17,8 @@
     Tenant,
 }
 
-/// Counts the sticky sessions and enforces the limits on their number. Requests without a tenant count as one tenant.
+/// Counts sticky sessions and enforces the limits on their number. Sessions without a tenant count as one
+/// tenant.
 #[derive(Debug, Default)]
 pub struct StickySessionTable {
     total: usize,
@@ -25,10 +26,10 @@
 }
 
 impl StickySessionTable {
-    /// Counts one more session of this tenant. Each success is paired with a [`StickySessionTable::release`].
+    /// Adds one session of this tenant. Each success has to be followed by a [`StickySessionTable::release`].
     ///
     /// # Errors
-    /// A limit is reached; nothing is counted.
+    /// A limit is reached; the counts are unchanged.
     pub fn acquire(
         &mut self,
         limits: &StickySessionLimits,
@@ -37,28 +38,28 @@
         if self.total >= limits.max_sessions {
             return Err(StickySessionLimitError::Total);
         }
-        let of_tenant = self.by_tenant.get(&tenant).copied().unwrap_or(0);
-        if of_tenant >= limits.max_sessions_per_tenant {
+        let tenant_count = self.by_tenant.get(&tenant).copied().unwrap_or(0);
+        if tenant_count >= limits.max_sessions_per_tenant {
             return Err(StickySessionLimitError::Tenant);
         }
         self.total += 1;
-        self.by_tenant.insert(tenant, of_tenant + 1);
+        self.by_tenant.insert(tenant, tenant_count + 1);
         Ok(())
     }
 
-    /// Counts one session of this tenant less; ignored for a tenant without sessions.
+    /// Removes one session of this tenant. Does nothing for a tenant without sessions.
     pub fn release(&mut self, tenant: Option<usize>) {
-        let Some(of_tenant) = self.by_tenant.get_mut(&tenant) else {
+        let Some(tenant_count) = self.by_tenant.get_mut(&tenant) else {
             return;
         };
-        *of_tenant -= 1;
-        if *of_tenant == 0 {
+        *tenant_count -= 1;
+        if *tenant_count == 0 {
             self.by_tenant.remove(&tenant);
         }
         self.total -= 1;
     }
 
-    /// The number of sessions of all tenants.
+    /// Returns the number of sessions of all tenants.
     pub fn total(&self) -> usize {
         self.total
     }
