--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -1,4 +1,4 @@
-//! Frontends: clients' connections, from accept to the final answer.
+//! Frontends: client connections, from accept to the final answer.
 
 pub(crate) mod estimates;
 pub mod frames;
