--- a/src/frontend/mysql/administrative_statements.rs
+++ b/src/frontend/mysql/administrative_statements.rs
@@ -1,12 +1,13 @@
-//! Administrative statements: the stored results of a user, and their pages. Parsed with combinators; anything else is
-//! left to the engines.
+//! Parser for administrative statements, which list the stored results of a user and fetch their pages. Every
+//! other statement is left to the engines.
 //!
 //! ```sql
 //! SHOW HITCHWINCH RESULTS
 //! FETCH HITCHWINCH RESULT '0123456789abcdef0123456789abcdef' FROM PAGE 3
 //! ```
 //!
-//! Keywords are read in any case. Pages count from 0; without `FROM PAGE` it is the first. A `;` may end it.
+//! Keywords are case-insensitive. Pages are numbered from 0; without `FROM PAGE`, fetching starts at page 0.
+//! A `;` may end the statement.
 
 #[cfg(test)]
 mod tests;
@@ -20,30 +21,30 @@
 /// An administrative statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdministrativeStatement {
-    /// SHOW HITCHWINCH RESULTS
+    /// `SHOW HITCHWINCH RESULTS`: lists the stored results.
     ListResults,
-    /// FETCH HITCHWINCH RESULT
+    /// `FETCH HITCHWINCH RESULT`: returns the rows of a stored result.
     FetchResult {
         /// The handle of the result.
         handle: String,
-        /// The first page, counted from 0.
+        /// The first page to return, counted from 0.
         from_page: u32,
     },
 }
 
-/// What is wrong with a statement that began as an administrative one.
+/// A syntax error in a statement that begins as an administrative one.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("at character {at}: {message}")]
+#[error("at character {position}: {message}")]
 pub struct ParseError {
-    /// The place, counted from 1.
-    pub at: usize,
-    /// What was expected there.
+    /// Byte position of the error, counted from 1.
+    pub position: usize,
+    /// Description of what was expected at that position.
     pub message: String,
 }
 
-/// Limit of a statement in bytes: the longest is a handle and a few keywords.
+/// Maximum number of bytes that are parsed: the longest statement is a handle and a few keywords.
 const MAX_STATEMENT_BYTES: usize = 512;
-/// Limit of a handle in characters.
+/// Maximum length of a handle, in characters.
 const MAX_HANDLE_CHARS: usize = 64;
 
 type Result<T> = winnow::Result<T, ErrMode<ContextError>>;
@@ -106,15 +107,15 @@
     .parse_next(input)
 }
 
-/// Parses an administrative statement. `None` if it is another one; an error if it begins as an administrative one and
-/// does not go on so.
+/// Parses an administrative statement. Returns `None` for any other statement, and an error for one that
+/// begins as an administrative statement and is not one.
 pub fn parse(sql: &[u8]) -> Option<std::result::Result<AdministrativeStatement, ParseError>> {
     let text = std::str::from_utf8(sql.get(..sql.len().min(MAX_STATEMENT_BYTES))?).ok()?;
     let mut rest = text;
     match statement.parse_next(&mut rest) {
         Ok(statement) => Some(Ok(statement)),
         Err(ErrMode::Cut(error)) => Some(Err(ParseError {
-            at: text.len() - rest.len() + 1,
+            position: text.len() - rest.len() + 1,
             message: expectation(&error),
         })),
         Err(_) => None,
--- a/src/frontend/mysql/administrative_statements/tests.rs
+++ b/src/frontend/mysql/administrative_statements/tests.rs
@@ -63,11 +63,11 @@
         ("FETCH HITCHWINCH RESULT 'ab' FROM 3", 35, "PAGE"),
         ("FETCH HITCHWINCH RESULT 'ab' or 1=1", 30, "the end"),
     ];
-    for (sql, at, expected) in cases {
+    for (sql, position, expected) in cases {
         let Some(Err(error)) = parse(sql.as_bytes()) else {
             panic!("{sql}: {:?}", parse(sql.as_bytes()))
         };
         assert!(error.message.contains(expected), "{sql}: {error}");
-        assert_eq!(error.at, at, "{sql}: {error}");
+        assert_eq!(error.position, position, "{sql}: {error}");
     }
 }
