--- a/src/frontend/mysql/cursor.rs
+++ b/src/frontend/mysql/cursor.rs
@@ -1,5 +1,5 @@
-//! Server-side cursors: the rows of one result, fetched piece by piece, from a result that is in memory or page by page
-//! from its spool.
+//! Server-side cursors, which return the rows of one result in several fetches, either from memory or page by
+//! page from a spool.
 
 use super::StatementUpstream;
 use super::replies::{result_interrupted, result_removed};
@@ -13,53 +13,53 @@
 use crate::upstream::mysql::work::Output;
 use bytes::Bytes;
 
-/// Limit of the bytes of one fetch.
+/// Number of bytes after which a fetch returns no further row.
 const MAX_FETCH_BYTES: usize = 1 << 20;
-/// The length before each packet of a result in memory.
+/// Length in bytes of the length field before each packet of a result in memory.
 const LENGTH_BYTES: usize = 4;
 
-/// The rows of one result, from where the last fetch ended.
+/// The rows of one result that have not been fetched.
 pub(super) struct Cursor {
-    /// Rows in memory, each behind its length.
+    /// Rows in memory, each preceded by its length.
     buffered: Bytes,
-    /// Where more come from.
+    /// Source of further rows; `None` once all have been read.
     reader: Option<ResultReader>,
 }
 
 /// The rows of one fetch.
-pub(super) struct Fetched {
-    /// Rows, each behind its length.
+pub(super) struct FetchedRows {
+    /// Rows, each preceded by its length.
     pub(super) pages: Vec<Bytes>,
-    /// More rows follow.
+    /// Whether more rows follow.
     pub(super) more: bool,
 }
 
 impl Cursor {
-    /// Over rows in memory, each behind its length.
-    pub(super) fn over(rows: Bytes) -> Self {
+    /// Creates a cursor over rows in memory, each preceded by its length.
+    pub(super) fn from_rows(rows: Bytes) -> Self {
         Cursor {
             buffered: rows,
             reader: None,
         }
     }
 
-    /// Over a stored result.
-    pub(super) fn paged(reader: ResultReader) -> Self {
+    /// Creates a cursor over a stored result.
+    pub(super) fn from_reader(reader: ResultReader) -> Self {
         Cursor {
             buffered: Bytes::new(),
             reader: Some(reader),
         }
     }
 
-    /// Up to so many rows, until they reach `max_bytes`.
+    /// Returns up to `rows` rows, and no further one once their size has reached `max_bytes`.
     ///
     /// # Errors
-    /// A page cannot be read.
+    /// A page of the stored result cannot be read.
     pub(super) async fn fetch(
         &mut self,
         rows: u32,
         max_bytes: usize,
-    ) -> Result<Fetched, SpoolError> {
+    ) -> Result<FetchedRows, SpoolError> {
         let mut pages = vec![];
         let mut remaining = rows;
         let mut bytes = 0;
@@ -81,10 +81,10 @@
             pages.push(self.buffered.split_to(end));
         }
         let more = !self.buffered.is_empty() || self.refill().await?;
-        Ok(Fetched { pages, more })
+        Ok(FetchedRows { pages, more })
     }
 
-    /// Reads the next page; false at the end.
+    /// Reads the next page into memory; returns false at the end of the result.
     async fn refill(&mut self) -> Result<bool, SpoolError> {
         let Some(reader) = &mut self.reader else {
             return Ok(false);
@@ -102,17 +102,17 @@
     }
 }
 
-/// The parts of a result in memory; packets are behind their lengths.
+/// The parts of a result in memory, in which each packet is preceded by its length.
 pub(super) struct ResultParts {
-    /// The count of columns, the columns and their EOF.
+    /// The column count, the column definitions and their EOF.
     pub(super) header: Bytes,
     /// The rows.
     pub(super) rows: Bytes,
-    /// The payload of the last packet.
+    /// The last packet, without its length.
     pub(super) last: Bytes,
 }
 
-/// Splits a result in memory. `None` if it has no rows: an OK or an ERR.
+/// Splits a result in memory into its parts. Returns `None` for an answer without rows: an OK or an ERR.
 pub(super) fn split_result(result: &Bytes) -> Option<ResultParts> {
     let first = packets(result).next();
     if let Some(None | Some(&(OK_HEADER | ERR_HEADER))) = first.map(<[u8]>::first) {
@@ -139,7 +139,7 @@
 }
 
 impl<U: StatementUpstream> Session<'_, U> {
-    /// Sends the columns of a result, and keeps its rows to be fetched. A result without rows needs no cursor.
+    /// Sends the columns of a result, and opens a cursor over its rows. An answer without rows is sent whole.
     pub(super) async fn open_cursor(
         &mut self,
         body: &Bytes,
@@ -149,7 +149,7 @@
             Output::Inline(packets) => {
                 let result = packets.into_bytes();
                 match split_result(&result) {
-                    Some(parts) => (parts.header, Cursor::over(parts.rows)),
+                    Some(parts) => (parts.header, Cursor::from_rows(parts.rows)),
                     None => return self.send_result(result).await,
                 }
             }
@@ -161,7 +161,7 @@
                         .send_error(&result_removed(code::ER_TOO_BIG_SELECT))
                         .await;
                 };
-                (header, Cursor::paged(reader))
+                (header, Cursor::from_reader(reader))
             }
         };
         if let Ok(statement) = self.statements.get(body) {
@@ -174,7 +174,7 @@
         self.send_packets(all.iter().map(Vec::as_slice)).await
     }
 
-    /// COM_STMT_FETCH: the next rows of a cursor.
+    /// Answers COM_STMT_FETCH with the next rows of a cursor.
     pub(super) async fn fetch_rows(&mut self, body: Bytes) -> Result<(), SessionEnd> {
         let rows = rows_to_fetch(&body);
         let cursor = match self.statements.get(&body) {
@@ -186,7 +186,8 @@
             let error = SqlError::new(code::ER_STMT_HAS_NO_OPEN_CURSOR, message);
             return self.send_error(&error).await;
         };
-        // Whatever number is asked for, the bytes in memory are limited; the rest comes with the next fetch.
+        // MAX_FETCH_BYTES bounds the memory for any requested number of rows; the next fetch returns the
+        // rest.
         let fetched = match cursor.fetch(rows.max(1), MAX_FETCH_BYTES).await {
             Ok(fetched) => fetched,
             Err(error) => return self.send_error(&result_interrupted(&error)).await,
@@ -208,7 +209,7 @@
     }
 }
 
-/// The number of rows of a COM_STMT_FETCH; 0 if it is missing.
+/// Returns the number of rows that a COM_STMT_FETCH requests, or 0 if it is missing.
 fn rows_to_fetch(body: &Bytes) -> u32 {
     let mut reader = PayloadReader(body.clone());
     let _statement = reader.u32();
