--- a/src/frontend/mysql/settings.rs
+++ b/src/frontend/mysql/settings.rs
@@ -1,4 +1,5 @@
-//! SET: what a session sets is applied as data, after an engine has agreed where it may disagree.
+//! Execution of SET: changes the session's stored settings, after an engine has accepted those that it might
+//! refuse.
 
 use super::StatementUpstream;
 use super::request::StatementRequest;
@@ -16,14 +17,15 @@
 use crate::upstream::mysql::work::{Job, Output, error_of_reply};
 use bytes::Bytes;
 
-/// Catalog, schema, table, original table, name and original name of a column definition.
-const COLUMN_TEXTS: usize = 6;
-/// Character set and length of a column definition, before its type.
+/// Number of strings at the start of a column definition: catalog, schema, table, original table, name and
+/// original name.
+const COLUMN_DEFINITION_STRINGS: usize = 6;
+/// Length in bytes of the character set and the column length, which precede the type in a column definition.
 const COLUMN_CHARSET_AND_LENGTH_BYTES: usize = 6;
-/// A first packet that announces one column.
+/// First packet of a result with one column.
 const ONE_COLUMN: [u8; 1] = [1];
 
-/// The state after a SET, and whether an engine has to agree first.
+/// The session state after a SET, and whether an engine has to accept it first.
 struct NewState {
     state: SessionState,
     validation: Validation,
@@ -33,7 +35,7 @@
     /// Executes a SET.
     pub(super) async fn set(&mut self, sql: Bytes) -> Result<(), SessionEnd> {
         if self.sticky.is_some() && sets_next_transaction(&sql) {
-            // The next transaction begins on the session's connection, which has to be told.
+            // The next transaction begins on the held engine connection, so the SET is sent there.
             let context = self.state.context().clone();
             return self
                 .execute_and_reply(StatementRequest {
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Applies the state if an engine connection accepts it.
+    /// Applies the state if an engine accepts it.
     async fn validate_on_engine(&mut self, state: SessionState) -> Result<(), SessionEnd> {
         let request = StatementRequest {
             kind: StatementKind::Read,
@@ -73,7 +75,7 @@
         }
     }
 
-    /// The state after a SET; its expressions are evaluated by engines.
+    /// Returns the state after a SET. Engines evaluate the expressions in it.
     async fn evaluate_set(
         &mut self,
         sql: &Bytes,
@@ -106,7 +108,8 @@
         })
     }
 
-    /// A sticky session's connection always has to follow.
+    /// Pairs a state with its validation. In a sticky session the held engine connection always has to apply
+    /// the state.
     fn new_state(&self, state: SessionState, validation: Validation) -> NewState {
         let validation = match self.sticky {
             Some(_) => Validation::NeedsEngine,
@@ -115,7 +118,7 @@
         NewState { state, validation }
     }
 
-    /// The value of an expression as a literal, evaluated by an engine.
+    /// Evaluates an expression on an engine and returns the value as an SQL literal.
     async fn evaluate(&mut self, expression: &str) -> Result<Result<String, SqlError>, SessionEnd> {
         let select = Bytes::from(format!("SELECT {expression}"));
         if statement::classify(&select) != StatementKind::Read {
@@ -132,7 +135,7 @@
         Ok(result.and_then(|reply| single_value(&reply)))
     }
 
-    /// The context of a statement; one that reads it gets the session's LAST_INSERT_ID.
+    /// Returns the context of a statement, with the session's LAST_INSERT_ID if the statement reads it.
     pub(super) fn context_for(&self, sql: &[u8]) -> SessionContext {
         match statement::reads_last_insert_id(sql) {
             true => self.state.context_with_insert_id(),
@@ -167,7 +170,7 @@
     )
 }
 
-/// The one value of a result, as a literal.
+/// Returns the only value of a result as an SQL literal.
 fn single_value(reply: &Reply<Output>) -> Result<String, SqlError> {
     if let Some(error) = error_of_reply(reply) {
         return Err(error);
@@ -194,15 +197,16 @@
     }
 }
 
-/// DECIMAL, TINY, SHORT, LONG, FLOAT, DOUBLE, LONGLONG, INT24 and NEWDECIMAL.
+/// Whether a column type is numeric: DECIMAL, TINY, SHORT, LONG, FLOAT, DOUBLE, LONGLONG, INT24 or
+/// NEWDECIMAL.
 fn is_numeric(column_type: u8) -> bool {
     matches!(column_type, 0..=5 | 8 | 9 | 0xf6)
 }
 
-/// The type in a column definition.
+/// Returns the column type from a column definition.
 fn column_type(definition: &Bytes) -> Option<u8> {
     let mut reader = PayloadReader(definition.clone());
-    for _ in 0..COLUMN_TEXTS {
+    for _ in 0..COLUMN_DEFINITION_STRINGS {
         reader.length_encoded_bytes().ok()?;
     }
     let _fixed_fields_length = reader.length_encoded_integer().ok()?;
