--- a/src/frontend/mysql/login.rs
+++ b/src/frontend/mysql/login.rs
@@ -1,4 +1,4 @@
-//! A client's login: the greeting, TLS and the password.
+//! Login of a client: greeting, TLS and authentication.
 
 use super::accept::ClientConnection;
 use super::session::SessionEnd;
@@ -13,16 +13,16 @@
 use bytes::{Bytes, BytesMut};
 use futures_util::SinkExt;
 
-/// Bytes of the random nonce of a login.
+/// Length in bytes of the random nonce of a login.
 pub(super) const NONCE_BYTES: usize = 20;
-/// `caching_sha2_password`: the password was verified without a full exchange.
+/// Packet of `caching_sha2_password` that reports a password as verified without a full exchange.
 const FAST_AUTH_SUCCESS: [u8; 2] = [1, 3];
-/// What some clients send in place of an empty response.
+/// Response that some clients send in place of an empty one.
 const ZERO_RESPONSE: [u8; 1] = [0];
 
 /// A client that has logged in.
 pub(super) struct LoggedInClient {
-    /// Its session's number.
+    /// Session number.
     pub(super) number: u32,
     pub(super) user: String,
     pub(super) tenant: Option<usize>,
@@ -30,16 +30,16 @@
     pub(super) result_format: ResultFormat,
 }
 
-/// A user whose password was verified.
+/// A user whose password and certificate were verified.
 pub(super) struct VerifiedUser {
     pub(super) tenant: Option<usize>,
 }
 
 impl<U: StatementUpstream> Frontend<U> {
-    /// Greets the client and verifies its password; `None` if it was wrong.
+    /// Greets and authenticates a client. Returns `None` if it was rejected.
     pub(super) async fn log_in(
         &self,
-        wire: &mut ClientConnection,
+        connection: &mut ClientConnection,
         host: &str,
     ) -> Result<Option<LoggedInClient>, SessionEnd> {
         let number = self.next_session_number.get();
@@ -53,14 +53,15 @@
             plugin: MYSQL_NATIVE_PASSWORD.into(),
             capabilities: FRONTEND_CAPABILITIES | tls_capability,
         };
-        wire.send(&greeting.write(&self.config().server_version)[..])
+        connection
+            .send(&greeting.write(&self.config().server_version)[..])
             .await?;
-        let first = read_packet(&mut **wire).await?;
-        let Some(login) = login_packet(wire, first, tls_keys.as_deref()).await? else {
+        let first = read_packet(&mut **connection).await?;
+        let Some(login) = login_packet(connection, first, tls_keys.as_deref()).await? else {
             return Ok(None);
         };
         let login = Login::read(login)?;
-        let verified = self.authenticate(wire, &login, &nonce, host).await?;
+        let verified = self.authenticate(connection, &login, &nonce, host).await?;
         Ok(verified.map(|verified| LoggedInClient {
             number,
             user: login.user,
@@ -70,17 +71,23 @@
         }))
     }
 
-    /// Verifies a client's password and certificate, and tells it the outcome; `None` if they were wrong.
+    /// Verifies a client's password and certificate, and sends the outcome. Returns `None` if either was
+    /// wrong.
     pub(super) async fn authenticate(
         &self,
-        wire: &mut ClientConnection,
+        connection: &mut ClientConnection,
         login: &Login,
         nonce: &[u8; NONCE_BYTES],
         host: &str,
     ) -> Result<Option<VerifiedUser>, SessionEnd> {
-        let (plugin, response) = auth_response(wire, login, nonce).await?;
+        let (plugin, response) = auth_response(connection, login, nonce).await?;
         let config = self.config();
-        let certificate_name = || wire.get_ref().certificate().and_then(tls::common_name);
+        let certificate_name = || {
+            connection
+                .get_ref()
+                .certificate()
+                .and_then(tls::common_name)
+        };
         let user = config
             .users
             .get(&login.user)
@@ -91,22 +98,23 @@
             });
         let Some(user) = user else {
             let error = access_denied(&login.user, host, &response);
-            wire.send(&err_packet(&error)[..]).await?;
+            connection.send(&err_packet(&error)[..]).await?;
             return Ok(None);
         };
         if plugin == CACHING_SHA2_PASSWORD && !response.is_empty() {
-            wire.send(&FAST_AUTH_SUCCESS[..]).await?;
+            connection.send(&FAST_AUTH_SUCCESS[..]).await?;
         }
-        wire.send(&ok_packet()[..]).await?;
+        connection.send(&ok_packet()[..]).await?;
         Ok(Some(VerifiedUser {
             tenant: user.tenant,
         }))
     }
 }
 
-/// The login proper: behind the switch to TLS, if the client asks for it. `None` if it should have asked.
+/// Returns the login packet, after switching to TLS if the client requests it. Returns `None` if TLS is
+/// required and the client did not request it.
 async fn login_packet(
-    wire: &mut ClientConnection,
+    connection: &mut ClientConnection,
     first: Bytes,
     tls_keys: Option<&TlsKeys>,
 ) -> Result<Option<Bytes>, SessionEnd> {
@@ -114,37 +122,38 @@
         return Ok(Some(first));
     };
     if Login::asks_tls(&first) {
-        let read_ahead = BytesMut::from(&wire.read_buffer()[..]);
-        wire.read_buffer_mut().clear();
-        wire.get_mut()
+        let read_ahead = BytesMut::from(&connection.read_buffer()[..]);
+        connection.read_buffer_mut().clear();
+        connection
+            .get_mut()
             .upgrade_to_tls(read_ahead, keys.server_config())
             .await
             .map_err(PacketError::from)?;
-        return Ok(Some(read_packet(&mut **wire).await?));
+        return Ok(Some(read_packet(&mut **connection).await?));
     }
     if keys.required() {
         let message = "Connections using insecure transport are prohibited: this one is not in TLS";
         let error = SqlError::new(code::ER_SECURE_TRANSPORT_REQUIRED, message);
-        wire.send(&err_packet(&error)[..]).await?;
+        connection.send(&err_packet(&error)[..]).await?;
         return Ok(None);
     }
     Ok(Some(first))
 }
 
-/// The client's plugin and its response. A client that answered for an unknown plugin is asked again, for one that is
-/// known here.
+/// Returns the authentication plugin and the client's response. A client that used an unsupported plugin is
+/// asked to switch to `mysql_native_password`.
 async fn auth_response(
-    wire: &mut ClientConnection,
+    connection: &mut ClientConnection,
     login: &Login,
     nonce: &[u8; NONCE_BYTES],
 ) -> Result<(&'static str, Vec<u8>), SessionEnd> {
     let (plugin, response) = match login.plugin.as_str() {
-        // One that names no plugin knows only the oldest.
+        // A client that names no plugin supports only the oldest one.
         "" | MYSQL_NATIVE_PASSWORD => (MYSQL_NATIVE_PASSWORD, login.auth.clone()),
         CACHING_SHA2_PASSWORD => (CACHING_SHA2_PASSWORD, login.auth.clone()),
         _ => {
-            wire.send(&auth_switch_request(nonce)[..]).await?;
-            let response = read_packet(&mut **wire).await?.to_vec();
+            connection.send(&auth_switch_request(nonce)[..]).await?;
+            let response = read_packet(&mut **connection).await?.to_vec();
             (MYSQL_NATIVE_PASSWORD, response)
         }
     };
@@ -152,7 +161,7 @@
     Ok((plugin, if is_empty { vec![] } else { response }))
 }
 
-/// Asks a client for a response of `mysql_native_password` to this nonce.
+/// Returns the packet that requests a response of `mysql_native_password` to this nonce.
 pub(super) fn auth_switch_request(nonce: &[u8; NONCE_BYTES]) -> Vec<u8> {
     let plugin = MYSQL_NATIVE_PASSWORD.as_bytes();
     [&[EOF_HEADER], plugin, &[0], nonce, &[0]].concat()
@@ -165,7 +174,7 @@
     SqlError::new(code::ER_ACCESS_DENIED, message)
 }
 
-/// Random bytes for a login. None is zero: in a packet a zero byte ends the nonce.
+/// Returns random bytes for a login. None of them is zero, since a zero byte ends the nonce in a packet.
 pub(super) fn random_nonce() -> Result<[u8; NONCE_BYTES], PacketError> {
     let mut nonce = [0u8; NONCE_BYTES];
     getrandom::fill(&mut nonce)
