--- a/src/frontend/mysql/accept.rs
+++ b/src/frontend/mysql/accept.rs
@@ -1,7 +1,7 @@
-//! Accepts clients, within the limit of connections, and rejects them when the dispatcher shuts down.
+//! Accepts clients up to the connection limit, and rejects them during shutdown.
 
 use super::session::{Session, SessionEnd};
-use super::{BusyGuard, Frontend, StatementUpstream, WRITE_TIMEOUT};
+use super::{Frontend, PendingAnswerGuard, StatementUpstream, WRITE_TIMEOUT};
 use crate::log_line;
 use crate::protocol::mysql::error::{ErrorCode, SqlError, code};
 use crate::protocol::mysql::packet::{PacketCodec, PacketError, err_packet};
@@ -17,11 +17,12 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// A client has this long to log in.
+/// Time limit for a client to log in.
 pub(super) const LOGIN_TIMEOUT: Duration = Duration::from_secs(10);
-/// Clients beyond the limit that are told so at a time; the others are closed without a word.
+/// Maximum number of clients beyond the limit that are sent an error at the same time; the connections of
+/// others are closed without one.
 const MAX_CONCURRENT_REJECTIONS: usize = 64;
-/// Pause after an accept that failed, such as for want of file descriptors.
+/// Pause after a failed accept, for example when no file descriptor is free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// The connection to a client.
@@ -44,8 +45,8 @@
 }
 
 impl<U: StatementUpstream> Frontend<U> {
-    /// Accepts clients until the shutdown begins. Those that the machine has accepted by then are told of it, unless
-    /// another process holds the listening socket and will accept them.
+    /// Accepts clients until the shutdown begins. Connections in the listen queue at that time get a shutdown
+    /// error, unless another process holds the listening socket and will accept them.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         let mut stopping = self.stopping.subscribe();
         loop {
@@ -68,10 +69,10 @@
     }
 
     fn rejection_limit(&self) -> usize {
-        MAX_CONCURRENT_REJECTIONS.min(self.descriptor_shares().final_clients)
+        MAX_CONCURRENT_REJECTIONS.min(self.descriptor_budget().final_clients)
     }
 
-    /// Serves a client in a task of its own, or rejects it there.
+    /// Serves a client, or rejects it, in a new task.
     fn admit(self: &Rc<Self>, tcp: TcpStream, peer: SocketAddr) {
         let permit: Option<PermitGuard> = self.limiter.try_acquire(Instant::now());
         let rejected = usize::from(permit.is_none());
@@ -90,13 +91,13 @@
         });
     }
 
-    /// Tells the clients that the machine has accepted by now that the dispatcher shuts down.
+    /// Sends a shutdown error to the clients in the listen queue.
     fn reject_accepted(self: &Rc<Self>, listener: TcpListener) {
         for tcp in listener::accepted(listener, self.rejection_limit()) {
             let frontend = self.clone();
             spawn_local(async move {
-                let mut wire = frontend.client_connection(tcp);
-                frontend.send_shutdown(&mut wire).await
+                let mut connection = frontend.client_connection(tcp);
+                frontend.send_shutdown(&mut connection).await
             });
         }
     }
@@ -109,14 +110,14 @@
         FramedConnection::new(&self.buffers, Stream::from(tcp), codec)
     }
 
-    /// Tells a client that it has to connect again, and closes its connection.
+    /// Sends a client the error that asks it to connect again, and closes the connection.
     pub(super) async fn send_shutdown(
         &self,
-        wire: &mut ClientConnection,
+        connection: &mut ClientConnection,
     ) -> Result<(), SessionEnd> {
-        let _busy = BusyGuard::new(&self.busy);
+        let _pending = PendingAnswerGuard::new(&self.pending_answers);
         let message = "the dispatcher shuts down; connect again".to_string();
-        reject(wire, code::ER_SERVER_SHUTDOWN, message).await
+        reject(connection, code::ER_SERVER_SHUTDOWN, message).await
     }
 
     async fn serve_client(
@@ -126,43 +127,43 @@
         permit: Option<&ConnectionPermit>,
     ) -> Result<(), SessionEnd> {
         tcp.set_nodelay(true).map_err(PacketError::from)?;
-        let mut wire = self.client_connection(tcp);
+        let mut connection = self.client_connection(tcp);
         let Some(permit) = permit else {
             let message = "Too many connections".into();
-            return reject(&mut wire, code::ER_CON_COUNT, message).await;
+            return reject(&mut connection, code::ER_CON_COUNT, message).await;
         };
         let mut stopping = self.stopping.subscribe();
         let login = tokio::select! {
-            login = tokio::time::timeout(LOGIN_TIMEOUT, self.log_in(&mut wire, host)) => Some(login),
+            login = tokio::time::timeout(LOGIN_TIMEOUT, self.log_in(&mut connection, host)) => Some(login),
             _ = stopping.wait_for(|stopping| *stopping) => None,
             () = permit.eviction.notified() => return Ok(()),
         };
         let Some(login) = login else {
-            return self.send_shutdown(&mut wire).await;
+            return self.send_shutdown(&mut connection).await;
         };
         let Some(client) = login.map_err(timed_out)?? else {
             return Ok(());
         };
         permit.set_activity(Activity::Idle, Instant::now());
-        Session::open(self, wire, client).serve().await
+        Session::open(self, connection, client).serve().await
     }
 }
 
-/// A step of the client that took too long.
+/// Converts a client's timeout to an I/O error of the connection.
 pub(super) fn timed_out(elapsed: tokio::time::error::Elapsed) -> PacketError {
     PacketError::from(io::Error::from(elapsed))
 }
 
-/// Sends a client its last answer and closes its connection.
+/// Sends a client a final error and closes the connection.
 pub(super) async fn reject(
-    wire: &mut ClientConnection,
+    connection: &mut ClientConnection,
     code: ErrorCode,
     message: String,
 ) -> Result<(), SessionEnd> {
     let packet = err_packet(&SqlError::new(code, message));
-    tokio::time::timeout(WRITE_TIMEOUT, wire.send(&packet[..]))
+    tokio::time::timeout(WRITE_TIMEOUT, connection.send(&packet[..]))
         .await
         .map_err(timed_out)??;
-    wire.close_gracefully().await;
+    connection.close_gracefully().await;
     Ok(())
 }
--- a/src/frontend/mysql/commands.rs
+++ b/src/frontend/mysql/commands.rs
@@ -1,4 +1,4 @@
-//! The commands of a session.
+//! Execution of the MySQL protocol commands of a session.
 
 use super::accept::{LOGIN_TIMEOUT, timed_out};
 use super::administrative_statements;
@@ -20,10 +20,10 @@
 use bytes::Bytes;
 use futures_util::SinkExt;
 
-/// COM_SET_OPTION: several statements in one command are turned off.
+/// Body of a COM_SET_OPTION that turns off several statements in one command.
 const MULTI_STATEMENTS_OFF: [u8; 2] = [1, 0];
-/// In place of a client's host name, where a client that is connected already logs in again.
-const HOST_OF_CHANGE_USER: &str = "this session";
+/// Text in place of the client's host name in the error of a failed COM_CHANGE_USER.
+const CHANGE_USER_HOST: &str = "this session";
 
 impl<U: StatementUpstream> Session<'_, U> {
     /// Runs one command and answers it.
@@ -51,7 +51,7 @@
             COM_QUERY => self.query(body).await,
             COM_STMT_PREPARE => self.prepare(body).await,
             COM_STMT_EXECUTE => self.execute_prepared(body).await,
-            // Neither of the two has an answer, whatever it names.
+            // COM_STMT_SEND_LONG_DATA and COM_STMT_CLOSE have no answer, even for an unknown statement.
             COM_STMT_SEND_LONG_DATA => {
                 self.add_long_data(&body);
                 Ok(())
@@ -73,7 +73,8 @@
         }
     }
 
-    /// All but the user and the schema as at the start. What is open on an engine ends with its connection.
+    /// Restores the initial state of the session, except for user and schema. Dropping the held engine
+    /// connection ends an open transaction there.
     fn reset(&mut self) {
         self.statements.clear();
         self.sticky = None;
@@ -82,7 +83,8 @@
         self.last_error = None;
     }
 
-    /// Several statements in one command are not supported: turning them off changes nothing.
+    /// Answers COM_SET_OPTION. Several statements in one command are not supported, so turning them off has
+    /// no effect and turning them on is an error.
     async fn set_option(&mut self, body: &[u8]) -> Result<(), SessionEnd> {
         if body == MULTI_STATEMENTS_OFF {
             let packet = eof_packet(SERVER_STATUS_AUTOCOMMIT);
@@ -98,17 +100,21 @@
         self.send_packet(text.as_bytes()).await
     }
 
-    /// Another user takes the session over, if the client proves to be that one; else the session ends.
+    /// Answers COM_CHANGE_USER: the session continues as another user if the client authenticates as that
+    /// user, else it ends.
     async fn change_user(&mut self, body: Bytes) -> Result<(), SessionEnd> {
         let mut reader = PayloadReader(body);
         let user = reader.text();
         let response_length = reader.u8()?;
         reader.bytes(response_length.into())?;
         let schema = Some(reader.text()).filter(|schema| !schema.is_empty());
-        // The response in the command was made for the nonce of the login: the client is asked for a new one.
+        // The response in the command belongs to the nonce of the login, so a new one is requested for a new
+        // nonce.
         let nonce = random_nonce()?;
-        self.wire.send(&auth_switch_request(&nonce)[..]).await?;
-        let response = tokio::time::timeout(LOGIN_TIMEOUT, read_packet(&mut *self.wire))
+        self.connection
+            .send(&auth_switch_request(&nonce)[..])
+            .await?;
+        let response = tokio::time::timeout(LOGIN_TIMEOUT, read_packet(&mut *self.connection))
             .await
             .map_err(timed_out)??;
         let login = Login {
@@ -120,7 +126,7 @@
         };
         let verified = self
             .frontend
-            .authenticate(&mut self.wire, &login, &nonce, HOST_OF_CHANGE_USER)
+            .authenticate(&mut self.connection, &login, &nonce, CHANGE_USER_HOST)
             .await?;
         let Some(verified) = verified else {
             return Err(SessionEnd::Quit);
@@ -133,7 +139,7 @@
         Ok(())
     }
 
-    /// A statement of the text protocol.
+    /// Executes a statement of the text protocol (COM_QUERY).
     async fn query(&mut self, sql: Bytes) -> Result<(), SessionEnd> {
         match administrative_statements::parse(&sql) {
             Some(Ok(statement)) => return self.run_administrative(statement, false).await,
@@ -171,7 +177,7 @@
         }
     }
 
-    /// The warnings of the statement before, as SHOW WARNINGS lists them.
+    /// Answers SHOW WARNINGS with the warnings, or else the error, of the previous statement.
     async fn show_warnings(&mut self) -> Result<(), SessionEnd> {
         let warnings = self.warnings.borrow().clone();
         let result = warnings.unwrap_or_else(|| {
@@ -182,7 +188,7 @@
                     error.message.clone(),
                 ]
             });
-            text_result::joined(&text_result::text_table(
+            text_result::join_packets(&text_result::text_table(
                 &["Level", "Code", "Message"],
                 rows,
                 text_result::RowFormat::Text,
@@ -191,7 +197,7 @@
         self.send_result(result).await
     }
 
-    /// Kills the request of another session of the same user.
+    /// Kills the request of a session of the same user.
     fn kill_query(&self, number: u32) -> Result<(), SqlError> {
         match self.frontend.sessions.borrow().get(&number) {
             Some(session) if session.user == self.user => {
--- a/src/frontend/mysql/mod.rs
+++ b/src/frontend/mysql/mod.rs
@@ -1,6 +1,6 @@
-//! The MySQL frontend: sessions of clients. What a session holds (its schema and settings, its prepared statements, long
-//! data) is kept here, so that each statement can run on any engine; what only an engine connection can hold makes the
-//! session sticky for a while.
+//! The MySQL frontend, which serves client sessions. The frontend keeps the state of a session (schema and
+//! settings, prepared statements, long data), so that each statement can run on any engine. State that only
+//! an engine connection can hold makes the session sticky for as long as that state exists.
 
 mod accept;
 pub mod administrative_statements;
@@ -32,7 +32,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A client that does not take an answer within this is disconnected.
+/// Time limit for sending an answer: a client that has not read it by then is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// An upstream that executes MySQL statements.
@@ -40,58 +40,58 @@
 
 impl<U: Upstream<Work = Work, Output = Output>> StatementUpstream for U {}
 
-/// Serves MySQL clients.
+/// Accepts MySQL clients and serves their sessions.
 pub struct Frontend<U: StatementUpstream> {
     router: Rc<RequestRouter<U>>,
     buffers: BufferPool,
-    /// Replaced as a whole by a new configuration; a session reads the current one at each step.
+    /// Replaced as a whole on a reload; sessions read the current configuration at each step.
     config: RefCell<Rc<MysqlFrontendConfig>>,
     spools: Rc<Spools>,
     limiter: Rc<ConnectionLimiter>,
-    /// File descriptors that the machine lets the processes hold.
-    descriptors: Cell<usize>,
-    /// Processes that share the limits.
-    processes: Cell<usize>,
-    /// Clients beyond the limit that are being told so.
+    /// Maximum number of file descriptors that the processes of this dispatcher may hold together.
+    descriptor_limit: Cell<usize>,
+    /// Number of processes of this dispatcher that share the limits.
+    process_count: Cell<usize>,
+    /// Number of clients beyond the limit to which an error is being sent.
     rejections: Cell<usize>,
     next_session_number: Cell<u32>,
-    /// For clients that ask for TLS.
+    /// Keys for clients that request TLS; `None` if TLS is not offered.
     tls_keys: RefCell<Option<Rc<TlsKeys>>>,
-    /// Counts the sessions that hold engine connections.
+    /// Number of sessions that hold an engine connection, in total and by tenant.
     sticky_sessions: RefCell<StickySessionTable>,
-    /// Open sessions by their numbers.
+    /// Open sessions by session number.
     sessions: RefCell<BTreeMap<u32, SessionEntry>>,
     stopping: tokio::sync::watch::Sender<bool>,
-    /// Another process accepts this dispatcher's clients.
+    /// Whether another process accepts this dispatcher's clients.
     handed_over: Cell<bool>,
-    /// Commands that are being answered, and shutdown messages.
-    busy: Cell<usize>,
+    /// Number of commands that are being answered and of shutdown errors that are being sent.
+    pending_answers: Cell<usize>,
 }
 
-/// An open session, as other sessions see it.
+/// The data of an open session that KILL QUERY from another session needs.
 struct SessionEntry {
     user: String,
     downstream: Rc<Downstream>,
 }
 
-/// Counts while something is owed to a client.
-struct BusyGuard<'a>(&'a Cell<usize>);
+/// Counts a pending answer to a client until it is dropped.
+struct PendingAnswerGuard<'a>(&'a Cell<usize>);
 
-impl<'a> BusyGuard<'a> {
+impl<'a> PendingAnswerGuard<'a> {
     fn new(count: &'a Cell<usize>) -> Self {
         count.set(count.get() + 1);
-        BusyGuard(count)
+        PendingAnswerGuard(count)
     }
 }
 
-impl Drop for BusyGuard<'_> {
+impl Drop for PendingAnswerGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 impl<U: StatementUpstream> Frontend<U> {
-    /// A frontend whose requests go through `router`.
+    /// Creates a frontend whose requests go through `router`.
     pub fn new(
         router: Rc<RequestRouter<U>>,
         pool: BufferPool,
@@ -99,7 +99,7 @@
         spools: Rc<Spools>,
     ) -> Rc<Self> {
         let (stopping, _) = tokio::sync::watch::channel(false);
-        // Sessions keep their connection while they are idle, for they hold what they prepared.
+        // Sessions that have logged in are not evicted while idle: they would lose their prepared statements.
         let limiter = ConnectionLimiter::new(config.max_clients, Activity::NoRequest);
         Rc::new(Frontend {
             router,
@@ -107,8 +107,8 @@
             config: RefCell::new(Rc::new(config)),
             spools,
             limiter,
-            descriptors: Cell::new(usize::MAX),
-            processes: Cell::new(1),
+            descriptor_limit: Cell::new(usize::MAX),
+            process_count: Cell::new(1),
             rejections: Cell::new(0),
             next_session_number: Cell::new(1),
             tls_keys: RefCell::default(),
@@ -116,7 +116,7 @@
             sessions: RefCell::default(),
             stopping,
             handed_over: Cell::new(false),
-            busy: Cell::new(0),
+            pending_answers: Cell::new(0),
         })
     }
 
@@ -124,56 +124,57 @@
         self.config.borrow().clone()
     }
 
-    /// Applies a new configuration: sessions that are open go on, within its limits.
+    /// Applies a new configuration. Open sessions continue under its limits.
     pub fn configure(&self, config: MysqlFrontendConfig) {
         *self.config.borrow_mut() = Rc::new(config);
         self.apply_client_limit();
     }
 
-    /// From now on clients may switch to TLS.
+    /// Offers TLS to clients that connect from now on.
     pub fn secure(&self, keys: Rc<TlsKeys>) {
         *self.tls_keys.borrow_mut() = Some(keys);
     }
 
-    /// So many processes of this dispatcher share the limit of clients.
+    /// Sets the number of processes of this dispatcher that share the limit of clients.
     pub fn share(&self, processes: u32) {
-        self.processes.set(processes.max(1) as usize);
+        self.process_count.set(processes.max(1) as usize);
         self.apply_client_limit();
     }
 
     fn apply_client_limit(&self) {
-        let configured = self.config().max_clients / self.processes.get();
-        let limit = configured.min(self.descriptor_shares().clients).max(1);
+        let configured = self.config().max_clients / self.process_count.get();
+        let limit = configured.min(self.descriptor_budget().clients).max(1);
         self.limiter.set_limit(limit);
     }
 
-    fn descriptor_shares(&self) -> DescriptorBudget {
-        DescriptorBudget::per_process(self.descriptors.get(), self.processes.get())
+    fn descriptor_budget(&self) -> DescriptorBudget {
+        DescriptorBudget::per_process(self.descriptor_limit.get(), self.process_count.get())
     }
 
-    /// The machine lets this dispatcher's processes hold so many file descriptors: no more clients are admitted than
-    /// leave enough for the rest.
+    /// Sets the number of file descriptors that the processes of this dispatcher may hold together. Fewer
+    /// clients than configured are admitted if the other uses of descriptors would otherwise run short.
     pub fn within(&self, descriptors: usize) {
-        self.descriptors.set(descriptors);
+        self.descriptor_limit.set(descriptors);
         let max_clients = self.config().max_clients;
-        let clients = self.descriptor_shares().clients;
+        let clients = self.descriptor_budget().clients;
         if clients < max_clients {
             log_line!(
-                "max_clients {max_clients}: {descriptors} descriptors have places for {clients}, so that many are let in"
+                "max_clients is {max_clients}, but {descriptors} file descriptors suffice \
+                 for {clients} clients; admitting at most {clients}"
             );
         }
         self.apply_client_limit();
     }
 
-    /// Begins the graceful shutdown: idle sessions end now, the others after the answer that they wait for.
-    /// `to_another`: another process holds the listening socket and accepts clients.
+    /// Begins the graceful shutdown: idle sessions end now, the others after their pending answer. With
+    /// `to_another`, another process holds the listening socket and accepts clients.
     pub fn stop(&self, to_another: bool) {
         self.handed_over.set(to_another);
         self.stopping.send_replace(true);
     }
 
-    /// Sessions that are owed an answer, or the rest of one.
+    /// Returns the number of answers to clients that are not completely sent.
     pub fn busy(&self) -> usize {
-        self.busy.get()
+        self.pending_answers.get()
     }
 }
--- a/src/frontend/mysql/prepared_statements.rs
+++ b/src/frontend/mysql/prepared_statements.rs
@@ -1,4 +1,5 @@
-//! Prepared statements of a session. Their ids are the session's own: every engine connection has others.
+//! Prepared statements of a session. Statement ids are assigned by the session, since each engine connection
+//! assigns different ones.
 
 use super::StatementUpstream;
 use super::administrative_statements::{self, AdministrativeStatement};
@@ -15,55 +16,56 @@
 use bytes::{Bytes, BytesMut};
 use std::collections::BTreeMap;
 
-/// COM_STMT_EXECUTE asks for a cursor.
+/// Flag of COM_STMT_EXECUTE that requests a read-only cursor.
 const CURSOR_TYPE_READ_ONLY: u8 = 1;
-/// The bytes of a statement's id, before everything else in a command on it.
+/// Length in bytes of the statement id at the start of a command's body.
 const STATEMENT_ID_BYTES: usize = 4;
-/// The bytes of COM_STMT_SEND_LONG_DATA to an engine beside the data.
+/// Bytes reserved for the header of COM_STMT_SEND_LONG_DATA to an engine, besides the data.
 const LONG_DATA_OVERHEAD_BYTES: usize = 16;
-/// Header, statement id, number of columns and of parameters, filler and warnings.
+/// Length in bytes of the first packet of an answer to COM_STMT_PREPARE: header, statement id, number of
+/// columns and of parameters, filler and warning count.
 const PREPARE_OK_BYTES: usize = 12;
 
 /// A statement that the session has prepared.
 pub(super) struct PreparedStatement {
-    /// Names were resolved in the schema of the session at that time.
+    /// Schema of the session when the statement was prepared, in which its names are resolved.
     schema: Option<String>,
     sql: Bytes,
     kind: StatementKind,
     parameter_count: usize,
-    /// The parameters' types, as the client named them last.
+    /// Parameter types, as the client sent them last.
     bound_types: Option<Vec<ParameterType>>,
     long_data: BTreeMap<u16, BytesMut>,
-    /// Long data exceeded its limit; reported at the execution, since the command itself has no answer.
+    /// Long data exceeded its limit; reported at execution, since COM_STMT_SEND_LONG_DATA has no answer.
     long_data_too_large: bool,
-    /// It is answered here, not by an engine.
+    /// Set if the frontend answers the statement instead of an engine.
     administrative: Option<AdministrativeStatement>,
-    /// Rows that are still to be fetched.
+    /// Open cursor over the rows that remain to be fetched.
     pub(super) cursor: Option<Cursor>,
 }
 
-/// The statements of a session, by their ids.
-pub(super) struct StatementRegistry {
+/// Prepared statements of a session, by statement id.
+pub(super) struct PreparedStatements {
     statements: BTreeMap<u32, PreparedStatement>,
     next_id: u32,
 }
 
-impl Default for StatementRegistry {
+impl Default for PreparedStatements {
     fn default() -> Self {
-        StatementRegistry {
+        PreparedStatements {
             statements: BTreeMap::new(),
             next_id: 1,
         }
     }
 }
 
-/// The id that a command on a statement begins with.
+/// Returns the statement id at the start of a command's body.
 fn statement_id(body: &Bytes) -> u32 {
     PayloadReader(body.clone()).u32().unwrap_or(0)
 }
 
-impl StatementRegistry {
-    /// The statement that a command's body names.
+impl PreparedStatements {
+    /// Returns the statement whose id is in a command's body.
     pub(super) fn get(&mut self, body: &Bytes) -> Result<&mut PreparedStatement, SqlError> {
         let id = statement_id(body);
         self.statements.get_mut(&id).ok_or_else(|| {
@@ -74,12 +76,12 @@
         })
     }
 
-    /// COM_STMT_CLOSE.
+    /// Executes COM_STMT_CLOSE.
     pub(super) fn close(&mut self, body: &Bytes) {
         self.statements.remove(&statement_id(body));
     }
 
-    /// COM_STMT_RESET: drops long data and the cursor.
+    /// Executes COM_STMT_RESET: drops long data and the cursor.
     pub(super) fn reset(&mut self, body: &Bytes) -> Result<(), SqlError> {
         let statement = self.get(body)?;
         statement.long_data.clear();
@@ -98,7 +100,7 @@
     }
 }
 
-/// An execution as a client asks for it.
+/// An execution that a client has requested.
 struct Execution {
     request: ExecutionRequest,
     with_cursor: bool,
@@ -115,7 +117,7 @@
 }
 
 impl PreparedStatement {
-    /// Takes the parameters of COM_STMT_EXECUTE.
+    /// Reads the flags and parameters of COM_STMT_EXECUTE, and consumes the long data sent before.
     fn bind(&mut self, body: &Bytes) -> Result<Execution, SqlError> {
         let long_data = std::mem::take(&mut self.long_data);
         self.cursor = None;
@@ -126,14 +128,14 @@
             ));
         }
         let mut reader = PayloadReader(body.slice(STATEMENT_ID_BYTES..));
-        let flags = reader.u8().map_err(truncated)?;
+        let flags = reader.u8().map_err(truncated_error)?;
         if flags & !CURSOR_TYPE_READ_ONLY != 0 {
             return Err(SqlError::new(
                 code::ER_NOT_SUPPORTED_YET,
                 "only read-only cursors are carried",
             ));
         }
-        let iterations = reader.u32().map_err(truncated)?;
+        let iterations = reader.u32().map_err(truncated_error)?;
         if iterations != 1 {
             return Err(SqlError::new(
                 code::ER_WRONG_ARGUMENTS,
@@ -162,12 +164,12 @@
     }
 }
 
-fn truncated(_: PacketError) -> SqlError {
+fn truncated_error(_: PacketError) -> SqlError {
     SqlError::new(code::ER_MALFORMED_PACKET, "the command ends too early")
 }
 
-/// Why a statement cannot be prepared, if it cannot.
-fn unpreparable(kind: &StatementKind) -> Option<&'static str> {
+/// Returns why a statement cannot be prepared, or `None` if it can be.
+fn unpreparable_reason(kind: &StatementKind) -> Option<&'static str> {
     match kind {
         StatementKind::Unsupported(reason) => Some(reason),
         StatementKind::Set
@@ -179,7 +181,7 @@
 }
 
 impl<U: StatementUpstream> Session<'_, U> {
-    /// COM_STMT_PREPARE.
+    /// Answers COM_STMT_PREPARE.
     pub(super) async fn prepare(&mut self, sql: Bytes) -> Result<(), SessionEnd> {
         let administrative = match administrative_statements::parse(&sql) {
             Some(Err(error)) => {
@@ -190,7 +192,7 @@
             None => None,
         };
         let kind = statement::classify(&sql);
-        if let Some(reason) = unpreparable(&kind).filter(|_| administrative.is_none()) {
+        if let Some(reason) = unpreparable_reason(&kind).filter(|_| administrative.is_none()) {
             let error = SqlError::new(code::ER_NOT_SUPPORTED_YET, reason);
             return self.send_error(&error).await;
         }
@@ -233,7 +235,8 @@
         self.send_prepared(statement, description).await
     }
 
-    /// Registers a statement whose preparation succeeded, and sends its description under the session's own id.
+    /// Stores a statement if its preparation succeeded, and sends its description with the session's
+    /// statement id.
     async fn send_prepared(
         &mut self,
         mut statement: PreparedStatement,
@@ -255,7 +258,7 @@
         self.send_packets(packets.into_iter()).await
     }
 
-    /// COM_STMT_EXECUTE.
+    /// Answers COM_STMT_EXECUTE.
     pub(super) async fn execute_prepared(&mut self, body: Bytes) -> Result<(), SessionEnd> {
         let execution = self
             .statements
@@ -278,7 +281,7 @@
                 sql,
                 execute,
             } => StatementRequest {
-                // Names as they were, all else as the session is now.
+                // The schema is that of the preparation; the other settings are the session's current ones.
                 context: SessionContext {
                     schema,
                     ..self.context_for(&sql)
@@ -294,7 +297,7 @@
         }
     }
 
-    /// COM_STMT_SEND_LONG_DATA, which has no answer.
+    /// Executes COM_STMT_SEND_LONG_DATA, which has no answer.
     pub(super) fn add_long_data(&mut self, body: &Bytes) {
         let max_packet = self.frontend.config().max_packet;
         let Ok(statement) = self.statements.get(body) else {
@@ -306,7 +309,7 @@
         };
         let data = reader.0;
         let collected: usize = statement.long_data.values().map(BytesMut::len).sum();
-        // All of it has to fit one packet to the engine.
+        // All long data of the statement together has to fit in one packet to the engine.
         let is_too_large = collected + data.len() + LONG_DATA_OVERHEAD_BYTES > max_packet;
         if is_too_large || usize::from(parameter) >= statement.parameter_count {
             statement.long_data_too_large = true;
--- a/src/frontend/mysql/replies.rs
+++ b/src/frontend/mysql/replies.rs
@@ -1,4 +1,5 @@
-//! What a session sends to its client: single packets, whole results, and stored results at the client's pace.
+//! Answers to the client: single packets, whole results, and stored results at the rate at which the client
+//! reads.
 
 use super::accept::timed_out;
 use super::cursor::split_result;
@@ -19,15 +20,15 @@
 use tokio::io::AsyncWriteExt;
 use tokio_util::codec::Encoder;
 
-/// Bytes of a stored result that are written at a time.
+/// Number of bytes of a stored result after which the buffer is written to the socket.
 const CHUNK_BYTES: usize = 12 * 1024;
 
-/// A stored result that was removed before it was read.
+/// Returns the error for a stored result that was removed before it was read.
 pub(super) fn result_removed(code: crate::protocol::mysql::error::ErrorCode) -> SqlError {
     SqlError::new(code, SpoolError::Removed.to_string())
 }
 
-/// A stored result that can't be read any further.
+/// Returns the error for a stored result whose remaining rows cannot be read.
 pub(super) fn result_interrupted(error: &SpoolError) -> SqlError {
     SqlError::new(
         code::ER_TOO_BIG_SELECT,
@@ -36,7 +37,7 @@
 }
 
 impl<U: StatementUpstream> Session<'_, U> {
-    /// An OK packet of the frontend itself, with the session's status.
+    /// Returns an OK packet with the session's status, for commands that the frontend answers itself.
     pub(super) fn ok_packet(&self) -> Vec<u8> {
         let in_transaction = self
             .sticky
@@ -79,12 +80,12 @@
         &mut self,
         packets: impl Iterator<Item = &'p [u8]>,
     ) -> Result<(), SessionEnd> {
-        let wire = &mut *self.wire;
+        let connection = &mut *self.connection;
         let write = async {
             for packet in packets {
-                wire.feed(packet).await?;
+                connection.feed(packet).await?;
             }
-            SinkExt::<&[u8]>::flush(wire).await
+            SinkExt::<&[u8]>::flush(connection).await
         };
         tokio::time::timeout(WRITE_TIMEOUT, write)
             .await
@@ -110,7 +111,8 @@
         }
     }
 
-    /// Sends a whole result, each packet behind its length, with its ends in the client's format.
+    /// Sends a whole result, in which each packet follows its length. Header and last packet are converted to
+    /// the client's result format.
     pub(super) async fn send_result(&mut self, result: Bytes) -> Result<(), SessionEnd> {
         let format = self.result_format;
         if format == ResultFormat::default() {
@@ -130,7 +132,7 @@
         self.send_packets(all).await
     }
 
-    /// Sends an answer that is no result with rows.
+    /// Sends an answer without rows, such as an OK or an error.
     async fn send_without_rows(&mut self, answer: &[u8]) -> Result<(), SessionEnd> {
         let format = self.result_format;
         let in_format = |packet: &[u8]| match packet.first() {
@@ -141,7 +143,7 @@
         self.send_packets(all.iter().map(Vec::as_slice)).await
     }
 
-    /// The packets before the rows, in the client's format.
+    /// Returns the packets before the rows, in the client's result format.
     fn header_packets(&self, header: &[u8]) -> Vec<Vec<u8>> {
         packets(header)
             .filter(|packet| self.wants_before_rows(packet))
@@ -149,20 +151,22 @@
             .collect()
     }
 
-    /// Whether a packet before the rows is sent: a client may want no EOF there.
+    /// Whether a packet before the rows is sent: a client that has set CLIENT_DEPRECATE_EOF gets no EOF
+    /// there.
     pub(super) fn wants_before_rows(&self, packet: &[u8]) -> bool {
         !self.result_format.deprecate_eof || eof_status(packet).is_none()
     }
 
-    /// Sends a stored result at the client's pace.
+    /// Sends a stored result page by page, at the rate at which the client reads.
     pub(super) async fn send_stored_result(
         &mut self,
         mut reader: ResultReader,
     ) -> Result<(), SessionEnd> {
         let spools = self.frontend.spools.clone();
         let id = reader.id();
-        let ends = spools.with_result(id, |result| (result.header.clone(), result.trailer.clone()));
-        let Some((header, trailer)) = ends else {
+        let header_and_trailer =
+            spools.with_result(id, |result| (result.header.clone(), result.trailer.clone()));
+        let Some((header, trailer)) = header_and_trailer else {
             return self
                 .send_error(&result_removed(code::ER_TOO_BIG_SELECT))
                 .await;
@@ -175,7 +179,8 @@
                     self.send_rows(&page, spools.client_stall_timeout()).await?;
                 }
                 Ok(None) => break,
-                // Rows have been sent already: the error ends them, and nothing looks complete.
+                // Rows may have been sent already. The error packet ends the result, so that it does not look
+                // complete.
                 Err(error) => return self.send_error(&result_interrupted(&error)).await,
             }
         }
@@ -187,17 +192,17 @@
         self.send_packet(&last).await
     }
 
-    /// Sends rows at the client's pace: a client that takes nothing for a while is disconnected, one that takes little
-    /// is not.
+    /// Sends rows at the rate at which the client reads. A client that reads nothing for `stall_timeout` is
+    /// disconnected; one that reads slowly is not.
     pub(super) async fn send_rows(
         &mut self,
         page: &[u8],
         stall_timeout: Duration,
     ) -> Result<(), SessionEnd> {
         let mut chunk = self.frontend.buffers.take();
-        SinkExt::<&[u8]>::flush(&mut *self.wire).await?;
+        SinkExt::<&[u8]>::flush(&mut *self.connection).await?;
         for row in packets(page) {
-            self.wire.codec_mut().encode(row, &mut chunk)?;
+            self.connection.codec_mut().encode(row, &mut chunk)?;
             if chunk.len() >= CHUNK_BYTES {
                 self.write_chunk(&mut chunk, stall_timeout).await?;
             }
@@ -210,7 +215,7 @@
         chunk: &mut BytesMut,
         stall_timeout: Duration,
     ) -> Result<(), SessionEnd> {
-        let socket = self.wire.get_mut();
+        let socket = self.connection.get_mut();
         while !chunk.is_empty() {
             let written = tokio::time::timeout(stall_timeout, socket.write(chunk))
                 .await
--- a/src/frontend/mysql/request.rs
+++ b/src/frontend/mysql/request.rs
@@ -1,4 +1,4 @@
-//! Sends a session's statements through the request core.
+//! Execution of a session's statements as requests of the core.
 
 use super::session::{MAX_READ_AHEAD_BYTES, Session, SessionEnd, contains_quit, end_of_read_ahead};
 use super::sticky::ExecutionResult;
@@ -19,15 +19,15 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// Why a request fails that another session of its user has killed.
-pub(super) const KILLED: &str = "it was killed by KILL QUERY";
-/// The time of a request whose class has none configured.
+/// Reason of the failure of a request that another session of the same user has killed.
+pub(super) const KILLED_REASON: &str = "it was killed by KILL QUERY";
+/// Time limit of a request whose class has no configured one, in milliseconds.
 const DEFAULT_TIME_LIMIT_MS: Millis = 10_000.0;
 
-/// A statement that an engine is to execute.
+/// A statement to be executed by an engine.
 pub(super) struct StatementRequest {
     pub(super) kind: StatementKind,
-    /// The state that the engine connection has to be in.
+    /// Session state that the engine connection has to have.
     pub(super) context: SessionContext,
     pub(super) sql: Bytes,
     pub(super) job: Job,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Abandons a request when it is dropped: its client may disconnect at any time.
+/// Abandons a request when dropped, since the client may disconnect at any time.
 pub(super) struct RequestGuard<'a, U: StatementUpstream> {
     router: &'a Rc<RequestRouter<U>>,
     id: RequestId,
@@ -52,7 +52,7 @@
 }
 
 impl<U: StatementUpstream> Frontend<U> {
-    /// Opens a request; its one answer comes through the receiver.
+    /// Opens a request; the receiver gets its only answer.
     pub(super) fn open_request(
         &self,
         request: NewRequest,
@@ -72,7 +72,7 @@
     }
 }
 
-/// The time limit of a class, in milliseconds.
+/// Returns the time limit of a class, in milliseconds.
 pub(super) fn time_limit(config: &MysqlFrontendConfig, class: ClassId) -> Millis {
     config
         .deadlines
@@ -81,7 +81,7 @@
         .unwrap_or(DEFAULT_TIME_LIMIT_MS)
 }
 
-/// The value of a numeric hint; one out of range counts as none.
+/// Returns the value of a numeric hint, or `None` if it is missing, not positive or above `max`.
 fn numeric_hint(hints: &Hints, name: &str, max: f64) -> Option<f64> {
     hints
         .get(name)
@@ -90,7 +90,7 @@
 }
 
 impl<U: StatementUpstream> Session<'_, U> {
-    /// Sends a statement through the core and waits for its one answer, or for the client to disconnect.
+    /// Opens a request for a statement and waits for its answer, or for the client to disconnect.
     pub(super) async fn dispatch(
         &mut self,
         request: StatementRequest,
@@ -99,14 +99,14 @@
         let hints = Hints::parse(&request.sql);
         let is_prepare = matches!(request.job, Job::Prepare);
         let class = match is_prepare {
-            // Preparing runs nothing, so it may be repeated, whatever the statement does.
+            // Preparing executes nothing, so it is idempotent for every statement.
             true => config.class_rules.read_class,
             false => config
                 .class_rules
                 .class_of(request.reads(), hints.get("class"), &request.sql),
         };
         let admission = self.admission_request(class, &request);
-        // Where its result could not be stored, nothing is sent: nothing has run.
+        // If the result could not be stored, the request is rejected before anything is executed.
         if !is_prepare && let Err(rejection) = self.admit_result(admission) {
             self.frontend
                 .router
@@ -135,15 +135,20 @@
         work: Work,
     ) -> Result<Reply<Output>, SessionEnd> {
         let frontend = self.frontend;
-        let (_abandons, mut reply) = frontend.open_request(request, work);
+        let (_guard, mut reply) = frontend.open_request(request, work);
         tokio::select! {
             biased;
             reply = &mut reply => {
                 Ok(reply.unwrap_or(Reply::Failed { reason: FailureReason::Adapter("the request was lost") }))
             }
-            () = self.downstream.killed() => Ok(Reply::Failed { reason: FailureReason::Adapter(KILLED) }),
-            // A client that sends its next command early has not left; one that quits has, and one that closes.
-            end = self.wire.read_ahead(MAX_READ_AHEAD_BYTES, contains_quit) => Err(end_of_read_ahead(end)),
+            () = self.downstream.killed() => {
+                Ok(Reply::Failed { reason: FailureReason::Adapter(KILLED_REASON) })
+            }
+            // A client that sends its next command early is still waiting; one that sends COM_QUIT or closes
+            // the connection is not.
+            end = self.connection.read_ahead(MAX_READ_AHEAD_BYTES, contains_quit) => {
+                Err(end_of_read_ahead(end))
+            }
         }
     }
 
@@ -159,7 +164,10 @@
         }
     }
 
-    /// Whether a result can be stored; else the answer that rejects the request.
+    /// Checks whether a result can be stored.
+    ///
+    /// # Errors
+    /// It cannot be: the answer that rejects the request.
     pub(super) fn admit_result(&self, request: AdmissionRequest) -> Result<(), Reply<Output>> {
         match self.frontend.spools.admit(request) {
             Admission::Rejected {
@@ -173,7 +181,7 @@
         }
     }
 
-    /// The work of a statement, on behalf of this session.
+    /// Returns the work of a statement, owned by this session's user.
     pub(super) fn work(&self, request: StatementRequest, admission: AdmissionRequest) -> Work {
         let statement = String::from_utf8_lossy(&request.sql)
             .chars()
--- a/src/frontend/mysql/session.rs
+++ b/src/frontend/mysql/session.rs
@@ -1,10 +1,10 @@
-//! One client's session: its state and its command loop.
+//! The session of one client: its state and its command loop.
 
 use super::accept::{ClientConnection, reject};
 use super::login::LoggedInClient;
-use super::prepared_statements::StatementRegistry;
-use super::sticky::StickyHold;
-use super::{BusyGuard, Frontend, SessionEntry, StatementUpstream};
+use super::prepared_statements::PreparedStatements;
+use super::sticky::HeldConnection;
+use super::{Frontend, PendingAnswerGuard, SessionEntry, StatementUpstream};
 use crate::core::Violation;
 use crate::protocol::mysql::error::{SqlError, code};
 use crate::protocol::mysql::packet::{COM_QUIT, PacketError, ResultFormat};
@@ -17,14 +17,15 @@
 use std::rc::Rc;
 use tokio_stream::StreamExt;
 
-/// Limit of the bytes that are read ahead of a client that is owed an answer: its next commands, sent early.
+/// Maximum number of bytes that are read from a client while its answer is pending: commands that it sends
+/// early.
 pub(super) const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
 
 /// Why a session ends.
 pub(super) enum SessionEnd {
-    /// The client has disconnected, or was told why it is.
+    /// The client has disconnected, or has been sent the reason for the end.
     Quit,
-    /// The connection failed, or the client broke the protocol.
+    /// The connection failed, or the client violated the protocol.
     Broken(PacketError),
 }
 
@@ -37,31 +38,31 @@
 /// A client's session.
 pub(super) struct Session<'a, U: StatementUpstream> {
     pub(super) frontend: &'a Rc<Frontend<U>>,
-    pub(super) wire: ClientConnection,
+    pub(super) connection: ClientConnection,
     pub(super) tenant: Option<usize>,
     pub(super) user: String,
     pub(super) result_format: ResultFormat,
     pub(super) state: SessionState,
-    /// Its number here, as the greeting gave it.
+    /// Session number, which the client received as its connection id in the greeting.
     pub(super) number: u32,
-    /// Its client, for those who act on its behalf.
+    /// State of the client, shared with the attempts that write to engines for this session.
     pub(super) downstream: Rc<Downstream>,
-    /// The warnings of the statement before.
+    /// Warnings of the previous statement.
     pub(super) warnings: SharedWarnings,
-    /// The error of the statement before.
+    /// Error of the previous statement.
     pub(super) last_error: Option<SqlError>,
-    /// The engine connection that a sticky session holds.
-    pub(super) sticky: Option<StickyHold<'a, U>>,
-    pub(super) statements: StatementRegistry,
-    /// A command has been read and its answer is not complete.
-    owes_answer: bool,
+    /// Engine connection that the session holds while it is sticky.
+    pub(super) sticky: Option<HeldConnection<'a, U>>,
+    pub(super) statements: PreparedStatements,
+    /// Whether a command has been read whose answer is not complete.
+    answer_pending: bool,
 }
 
 impl<U: StatementUpstream> Drop for Session<'_, U> {
     fn drop(&mut self) {
         self.frontend.sessions.borrow_mut().remove(&self.number);
-        // A client that does not take what is written for it is not waiting for the dispatcher.
-        if self.owes_answer && self.wire.is_flushed() {
+        // While output is unflushed, the dispatcher is waiting for the client rather than the reverse.
+        if self.answer_pending && self.connection.is_flushed() {
             self.frontend
                 .router
                 .record_violation(Violation::ClosedUnanswered);
@@ -70,16 +71,16 @@
 }
 
 impl<'a, U: StatementUpstream> Session<'a, U> {
-    /// Begins the session of a client that has logged in.
+    /// Opens the session of a client that has logged in.
     pub(super) fn open(
         frontend: &'a Rc<Frontend<U>>,
-        wire: ClientConnection,
+        connection: ClientConnection,
         client: LoggedInClient,
     ) -> Self {
-        let downstream = Rc::new(Downstream::new(wire.get_ref().probe()));
+        let downstream = Rc::new(Downstream::new(connection.get_ref().probe()));
         let session = Session {
             frontend,
-            wire,
+            connection,
             tenant: client.tenant,
             user: client.user,
             result_format: client.result_format,
@@ -89,14 +90,14 @@
             warnings: SharedWarnings::default(),
             last_error: None,
             sticky: None,
-            statements: StatementRegistry::default(),
-            owes_answer: false,
+            statements: PreparedStatements::default(),
+            answer_pending: false,
         };
         session.register();
         session
     }
 
-    /// Makes the session known to others under its user.
+    /// Registers the session under its user, so that other sessions can kill its request.
     pub(super) fn register(&self) {
         let entry = SessionEntry {
             user: self.user.clone(),
@@ -112,17 +113,17 @@
     pub(super) async fn serve(mut self) -> Result<(), SessionEnd> {
         let mut stopping = self.frontend.stopping.subscribe();
         loop {
-            self.wire.codec_mut().sequence = 0;
+            self.connection.codec_mut().sequence = 0;
             let command = tokio::select! {
                 biased;
-                command = self.wire.next() => command,
+                command = self.connection.next() => command,
                 _ = stopping.wait_for(|stopping| *stopping) => {
-                    // What it has sent by now is answered first.
+                    // Commands that the client has sent by now are answered first.
                     if self.has_unread_input() {
                         tokio::task::yield_now().await;
                         continue;
                     }
-                    return self.frontend.send_shutdown(&mut self.wire).await;
+                    return self.frontend.send_shutdown(&mut self.connection).await;
                 }
                 () = tokio::time::sleep(self.frontend.config().idle_timeout) => {
                     if !self.has_unread_input() {
@@ -146,35 +147,40 @@
     }
 
     fn has_unread_input(&self) -> bool {
-        self.wire.get_ref().pending_input() == PendingInput::Bytes
+        self.connection.get_ref().pending_input() == PendingInput::Bytes
     }
 
     async fn answer(&mut self, command: Bytes) -> Result<(), SessionEnd> {
-        let _busy = BusyGuard::new(&self.frontend.busy);
-        self.owes_answer = true;
+        let _pending = PendingAnswerGuard::new(&self.frontend.pending_answers);
+        self.answer_pending = true;
         self.downstream.begin_command();
         let mut end = self.run_command(command).await;
         if let Err(SessionEnd::Broken(error)) = end {
             end = self.reject_broken(error).await;
         }
-        // The client has its answer, or has gone.
-        self.owes_answer = false;
+        // The client has received the answer or has disconnected.
+        self.answer_pending = false;
         end
     }
 
-    /// Ends a session that cannot go on in the middle of a command. The command has been read, so its client is told,
-    /// unless its connection has failed.
+    /// Ends a session after an error in the middle of a command. The command has been read, so the client is
+    /// sent the error, unless its connection has failed.
     async fn reject_broken(&mut self, error: PacketError) -> Result<(), SessionEnd> {
         if !matches!(error, PacketError::Io(_) | PacketError::ClientDisconnected) {
-            reject(&mut self.wire, code::ER_MALFORMED_PACKET, error.to_string()).await?;
+            reject(
+                &mut self.connection,
+                code::ER_MALFORMED_PACKET,
+                error.to_string(),
+            )
+            .await?;
         }
         Err(error.into())
     }
 
-    /// Ends a session whose client sent something that is no command.
+    /// Ends a session after an error while the next command was read.
     async fn reject_unreadable(&mut self, error: PacketError) -> Result<(), SessionEnd> {
         let code = match &error {
-            // Disconnected between two commands, in TLS without a closing message.
+            // The client disconnected between two commands, in TLS possibly without a close_notify message.
             PacketError::Io(error)
                 if matches!(
                     error.kind(),
@@ -186,14 +192,14 @@
             PacketError::TooLarge(_) => code::ER_NET_PACKET_TOO_LARGE,
             _ => code::ER_MALFORMED_PACKET,
         };
-        self.wire.codec_mut().sequence = 1;
-        reject(&mut self.wire, code, error.to_string()).await?;
+        self.connection.codec_mut().sequence = 1;
+        reject(&mut self.connection, code, error.to_string()).await?;
         Err(error.into())
     }
 }
 
-/// Whether COM_QUIT is among commands that were sent early: the client disconnects, and waits for nothing, neither for
-/// what it has asked nor for what precedes the COM_QUIT here.
+/// Whether COM_QUIT is among the commands that a client has sent early. Such a client waits for no answer any
+/// more, neither to its current command nor to those before the COM_QUIT.
 pub(super) fn contains_quit(mut bytes: &[u8]) -> bool {
     while let [low, middle, high, _sequence, rest @ ..] = bytes {
         let length = u32::from_le_bytes([*low, *middle, *high, 0]) as usize;
@@ -205,7 +211,8 @@
     false
 }
 
-/// Why a session ends whose client is owed an answer: it has disconnected, or sends too much meanwhile.
+/// Returns why a session ends while an answer is pending: the client has disconnected, or has sent
+/// [`MAX_READ_AHEAD_BYTES`] or more.
 pub(super) fn end_of_read_ahead(result: io::Result<()>) -> SessionEnd {
     match result {
         Err(error) if error.kind() == io::ErrorKind::InvalidData => {
--- a/src/frontend/mysql/sticky.rs
+++ b/src/frontend/mysql/sticky.rs
@@ -1,6 +1,6 @@
-//! The client's end of a sticky session: its statements go to the one engine connection that it holds for a while.
+//! The client side of a sticky session, which sends its statements to the engine connection that it holds.
 
-use super::request::{KILLED, RequestGuard, StatementRequest, time_limit};
+use super::request::{KILLED_REASON, RequestGuard, StatementRequest, time_limit};
 use super::session::{MAX_READ_AHEAD_BYTES, Session, SessionEnd, contains_quit, end_of_read_ahead};
 use super::{Frontend, StatementUpstream};
 use crate::clock::duration_from_millis;
@@ -22,7 +22,7 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 
-/// What the request of a sticky session is listed by.
+/// Text in place of the statement in the work of a sticky session's request.
 const SESSION_DESCRIPTION: &str = "a transaction";
 
 /// Counts a sticky session of a tenant until it is dropped.
@@ -41,40 +41,42 @@
 }
 
 /// The engine connection that a session holds.
-pub(super) struct StickyHold<'a, U: StatementUpstream> {
+pub(super) struct HeldConnection<'a, U: StatementUpstream> {
     commands: mpsc::Sender<SessionCommand>,
     channel: Rc<StickyChannel>,
     reply: oneshot::Receiver<Reply<Output>>,
-    /// By then its first statement has to have reached an engine.
+    /// Time by which an engine has to begin executing the first statement.
     begin_deadline: tokio::time::Instant,
-    /// A transaction is open.
+    /// Whether a transaction is open.
     pub(super) in_transaction: bool,
-    /// Ends the attempt, and with it what is open, before the permit is given back.
+    /// Dropped before the permit, so that the attempt and an open transaction end before another session may
+    /// begin.
     _request: RequestGuard<'a, U>,
     _permit: StickyPermit<'a, U>,
 }
 
-impl<U: StatementUpstream> StickyHold<'_, U> {
-    /// What the client is told if the connection is lost; `effect` is that of the statement in progress.
-    fn lost(&self, effect: Option<StatementEffect>) -> SqlError {
+impl<U: StatementUpstream> HeldConnection<'_, U> {
+    /// Returns the error for a client whose engine connection was lost; `effect` is that of the statement in
+    /// flight.
+    fn connection_lost_error(&self, effect: Option<StatementEffect>) -> SqlError {
         let reason = loss_reason(self.channel.expired());
         session_lost(&reason, TransactionOutcome::of_lost_connection(effect))
     }
 }
 
-/// The result of a statement: an answer to send on, or an error of the frontend itself.
+/// The result of a statement: an answer to forward, or an error of the frontend itself.
 pub(super) type ExecutionResult = Result<Reply<Output>, SqlError>;
 
-/// How the wait for a sticky session's answer ended.
-enum Waited {
+/// How the wait for an answer in a sticky session ended.
+enum WaitOutcome {
     Answered(SessionAnswer),
-    /// The session is not sticky any more.
+    /// The session is no longer sticky; the result answers the statement.
     Ended(ExecutionResult),
 }
 
 impl<U: StatementUpstream> Session<'_, U> {
-    /// Executes a statement in the session's context: on the connection that it holds, on one that it holds from now on
-    /// if the statement needs that, else anywhere.
+    /// Executes a statement in the session's context: on the engine connection that the session holds, on a
+    /// newly held one if the statement makes the session sticky, or else on any engine.
     pub(super) async fn execute(
         &mut self,
         request: StatementRequest,
@@ -95,7 +97,7 @@
         Ok(result)
     }
 
-    /// An OK of the frontend itself.
+    /// Returns an OK that the frontend itself gives as the answer.
     fn ok_reply(&self) -> Reply<Output> {
         Reply::Served(Output::one_packet(&self.ok_packet()))
     }
@@ -124,12 +126,12 @@
         }
     }
 
-    /// What a statement does to the state on the connection.
+    /// Returns the effect of a statement on the state of the engine connection.
     fn effect_of(&self, request: &StatementRequest) -> StatementEffect {
         let StatementRequest { kind, sql, job, .. } = request;
         let is_prepare = matches!(job, Job::Prepare);
         let commits = match (job, kind) {
-            // A setting may be autocommit, which commits.
+            // Entering a context may turn autocommit on, which commits.
             (Job::EnterContext, _) => true,
             (Job::Prepare, _) | (_, StatementKind::WithinTransaction) => false,
             (_, StatementKind::EndsTransaction) => !statement::is_rollback(sql),
@@ -146,7 +148,8 @@
         }
     }
 
-    /// Opens the sticky session's request: one attempt, on an engine that the decision module chooses.
+    /// Opens the request of a sticky session, which has one attempt, on an engine that the decision module
+    /// selects.
     fn begin_sticky(&mut self) -> Result<(), SqlError> {
         let frontend = self.frontend;
         let config = frontend.config();
@@ -180,7 +183,7 @@
             memory_mb: None,
         };
         let (guard, reply) = frontend.open_request(request, work);
-        self.sticky = Some(StickyHold {
+        self.sticky = Some(HeldConnection {
             commands,
             channel,
             reply,
@@ -216,7 +219,8 @@
         }
     }
 
-    /// Sends a statement to the connection that the session holds, and waits for its answer.
+    /// Sends a statement to the engine connection that the session holds, or gets one first, and waits for
+    /// the answer.
     async fn execute_sticky(
         &mut self,
         request: StatementRequest,
@@ -239,7 +243,7 @@
         }
         let work = self.work(request, admission);
         let result = match self.send_sticky(work, effect).await? {
-            Waited::Answered(answer) => {
+            WaitOutcome::Answered(answer) => {
                 self.state.transaction_began();
                 if let Some(sticky) = &mut self.sticky {
                     sticky.in_transaction = answer.in_transaction;
@@ -249,11 +253,11 @@
                 }
                 return Ok(Ok(Reply::Served(answer.output)));
             }
-            Waited::Ended(result) => result,
+            WaitOutcome::Ended(result) => result,
         };
         self.sticky = None;
         Ok(match result {
-            // With its connection the transaction is rolled back, as it was asked for.
+            // The loss of the connection has rolled back the transaction, as the statement requested.
             Err(_) if rolls_back => Ok(self.ok_reply()),
             result => result,
         })
@@ -263,13 +267,13 @@
         &mut self,
         work: Work,
         effect: StatementEffect,
-    ) -> Result<Waited, SessionEnd> {
+    ) -> Result<WaitOutcome, SessionEnd> {
         let Some(sticky) = self.sticky.as_mut() else {
             let error = session_lost(
                 &loss_reason(None),
                 TransactionOutcome::of_lost_connection(None),
             );
-            return Ok(Waited::Ended(Err(error)));
+            return Ok(WaitOutcome::Ended(Err(error)));
         };
         let (reply, mut answer) = oneshot::channel();
         let command = SessionCommand {
@@ -278,37 +282,38 @@
             reply,
         };
         if sticky.commands.send(command).await.is_err() {
-            // It ended while nothing was asked of it.
-            return Ok(Waited::Ended(Err(sticky.lost(None))));
+            // The session ended while no statement was in flight.
+            return Ok(WaitOutcome::Ended(Err(sticky.connection_lost_error(None))));
         }
         let result = tokio::select! {
             biased;
             answer = &mut answer => match answer {
-                Ok(answer) => return Ok(Waited::Answered(answer)),
-                Err(_) => Err(sticky.lost(Some(effect))),
+                Ok(answer) => return Ok(WaitOutcome::Answered(answer)),
+                Err(_) => Err(sticky.connection_lost_error(Some(effect))),
             },
             reply = &mut sticky.reply => match reply {
-                // No engine has begun with it: that is the statement's answer.
+                // No engine has begun to execute the session, so this is the answer to the statement.
                 Ok(reply) if !sticky.channel.has_begun() => Ok(reply),
-                _ => Err(sticky.lost(Some(effect))),
+                _ => Err(sticky.connection_lost_error(Some(effect))),
             },
-            // The engine is told by its connection's end: what is open is rolled back.
+            // Closing the connection makes the engine roll back an open transaction.
             () = self.downstream.killed() => {
                 let outcome = TransactionOutcome::of_lost_connection(Some(effect));
-                Err(session_lost(KILLED, outcome))
+                Err(session_lost(KILLED_REASON, outcome))
             }
-            end = self.wire.read_ahead(MAX_READ_AHEAD_BYTES, contains_quit) => {
+            end = self.connection.read_ahead(MAX_READ_AHEAD_BYTES, contains_quit) => {
                 return Err(end_of_read_ahead(end));
             }
             () = tokio::time::sleep_until(sticky.begin_deadline), if !sticky.channel.has_begun() => {
                 Ok(Reply::TimedOut { retry_safe: true })
             }
         };
-        Ok(Waited::Ended(result))
+        Ok(WaitOutcome::Ended(result))
     }
 }
 
-/// Statements about state on the connection: without one that the session holds there is nothing to do.
+/// Whether a statement concerns only state of the held engine connection, and has no effect in a session
+/// without one.
 fn needs_held_connection(kind: &StatementKind) -> bool {
     matches!(
         kind,
@@ -318,7 +323,7 @@
     )
 }
 
-/// The insert id of an OK packet.
+/// Returns the insert id of an OK packet.
 fn last_insert_id(ok: &[u8]) -> Result<u64, PacketError> {
     let mut reader = PayloadReader(Bytes::copy_from_slice(ok).slice(1..));
     let _affected_rows = reader.length_encoded_integer()?;
--- a/src/frontend/mysql/stored_results.rs
+++ b/src/frontend/mysql/stored_results.rs
@@ -1,15 +1,16 @@
-//! Answers to administrative statements: the stored results of a user, and their pages. Nothing runs on any engine.
+//! Answers to administrative statements: the list of a user's stored results, and the pages of one. No engine
+//! is involved.
 
 use super::StatementUpstream;
 use super::administrative_statements::AdministrativeStatement;
 use super::replies::result_removed;
 use super::session::{Session, SessionEnd};
-use super::text_result::{RowFormat, joined, text_table};
+use super::text_result::{RowFormat, join_packets, text_table};
 use crate::protocol::mysql::error::{SqlError, code};
 use crate::spool::SpoolId;
 use crate::spool_io::{ResultListing, ResultReader, packets};
 
-/// The columns of a listing of stored results.
+/// Column names of the list of stored results.
 const LISTING_COLUMNS: [&str; 7] = [
     "handle",
     "statement",
@@ -19,10 +20,10 @@
     "age_s",
     "expires_in_s",
 ];
-/// The packets around the columns of a result without rows: their count, and two EOFs.
-const COUNT_AND_EOF: usize = 2;
+/// Packets of a result's header besides the column definitions: the column count and the EOF.
+const COUNT_AND_EOF_PACKETS: usize = 2;
 
-/// The protocol of the rows of a statement's result.
+/// Returns the row format of a plain or, with `binary`, a prepared statement.
 fn row_format(binary: bool) -> RowFormat {
     match binary {
         true => RowFormat::Binary,
@@ -31,7 +32,7 @@
 }
 
 impl<U: StatementUpstream> Session<'_, U> {
-    /// Answers an administrative statement. `binary`: it was prepared.
+    /// Answers an administrative statement; `binary` means that it was prepared.
     pub(super) async fn run_administrative(
         &mut self,
         statement: AdministrativeStatement,
@@ -40,8 +41,8 @@
         match statement {
             AdministrativeStatement::ListResults => {
                 let results = self.frontend.spools.list(&self.user).await;
-                let listing = listing(&results, row_format(binary));
-                self.send_result(joined(&listing)).await
+                let listing = listing_packets(&results, row_format(binary));
+                self.send_result(join_packets(&listing)).await
             }
             AdministrativeStatement::FetchResult { handle, from_page } => {
                 let reader = match self.resume_result(&handle).await {
@@ -56,7 +57,7 @@
         }
     }
 
-    /// The stored result of this user with this handle.
+    /// Returns the id of this user's stored result with this handle.
     async fn resume_result(&self, handle: &str) -> Result<SpoolId, SqlError> {
         self.frontend
             .spools
@@ -65,7 +66,7 @@
             .map_err(|error| SqlError::new(code::ER_NONEXISTING_GRANT, error.to_string()))
     }
 
-    /// A reader of a stored result from this page on, counted from 0.
+    /// Returns a reader of a stored result that starts at page `from_page`, counted from 0.
     fn result_reader(
         &self,
         id: SpoolId,
@@ -94,15 +95,16 @@
             .ok_or_else(|| result_removed(code::ER_NONEXISTING_GRANT))
     }
 
-    /// The answer to preparing an administrative statement: no parameters, and the columns of its result.
+    /// Returns the answer to preparing an administrative statement: no parameters, and the columns of the
+    /// result.
     pub(super) async fn describe_administrative(
         &self,
         statement: &AdministrativeStatement,
     ) -> Result<Vec<Vec<u8>>, SqlError> {
         let header: Vec<Vec<u8>> = match statement {
-            AdministrativeStatement::ListResults => listing(&[], RowFormat::Binary)
+            AdministrativeStatement::ListResults => listing_packets(&[], RowFormat::Binary)
                 .into_iter()
-                .take(LISTING_COLUMNS.len() + COUNT_AND_EOF)
+                .take(LISTING_COLUMNS.len() + COUNT_AND_EOF_PACKETS)
                 .collect(),
             AdministrativeStatement::FetchResult { handle, .. } => {
                 let id = self.resume_result(handle).await?;
@@ -114,7 +116,7 @@
                 packets(&header).map(<[u8]>::to_vec).collect()
             }
         };
-        let columns = header.len().saturating_sub(COUNT_AND_EOF) as u16;
+        let columns = header.len().saturating_sub(COUNT_AND_EOF_PACKETS) as u16;
         let definitions = header.into_iter().skip(1);
         Ok(std::iter::once(prepare_ok(columns))
             .chain(definitions)
@@ -122,7 +124,8 @@
     }
 }
 
-/// The first packet of an answer to COM_STMT_PREPARE: the id is filled in later, there are no parameters.
+/// Returns the first packet of an answer to COM_STMT_PREPARE, without parameters; the statement id is filled
+/// in later.
 fn prepare_ok(columns: u16) -> Vec<u8> {
     let header_and_id = [0; 5];
     let parameters_filler_and_warnings = [0; 5];
@@ -132,8 +135,8 @@
     packet
 }
 
-/// A listing of stored results.
-fn listing(results: &[ResultListing], format: RowFormat) -> Vec<Vec<u8>> {
+/// Returns the packets of a list of stored results.
+fn listing_packets(results: &[ResultListing], format: RowFormat) -> Vec<Vec<u8>> {
     let rows = results.iter().map(|result| {
         let expires = match result.expires_in_s {
             Some(seconds) => format!("{:.1}", seconds.max(0.0)),
--- a/src/frontend/mysql/text_result.rs
+++ b/src/frontend/mysql/text_result.rs
@@ -1,4 +1,4 @@
-//! Results of text columns that the frontend builds itself.
+//! Results with text columns that the frontend builds itself.
 
 use crate::protocol::mysql::packet::{
     SERVER_STATUS_AUTOCOMMIT, UTF8MB4_GENERAL_CI, eof_packet, put_length_encoded_integer,
@@ -6,22 +6,24 @@
 use crate::spool_io::put_packet;
 use bytes::{Bytes, BytesMut};
 
-/// What follows the names in a column definition: 12 bytes of fixed fields, utf8mb4, 512 bytes at most, a VAR_STRING
-/// without flags and decimals, filler.
-const TEXT_COLUMN: [u8; 13] = [0x0c, UTF8MB4_GENERAL_CI, 0, 0, 2, 0, 0, 0xfd, 0, 0, 0, 0, 0];
-/// A row of the binary protocol begins with a zero and the NULL bitmap of up to 14 columns, none of which is NULL.
+/// Fields after the names in a column definition: the length of the fixed fields (12 bytes), the collation
+/// utf8mb4_general_ci, a maximum length of 512 bytes, type VAR_STRING, no flags, no decimals, filler.
+const TEXT_COLUMN_FIXED_FIELDS: [u8; 13] =
+    [0x0c, UTF8MB4_GENERAL_CI, 0, 0, 2, 0, 0, 0xfd, 0, 0, 0, 0, 0];
+/// First bytes of a row of the binary protocol: a zero and the NULL bitmap of up to 14 columns, none of which
+/// is NULL.
 const BINARY_ROW_HEADER: [u8; 3] = [0, 0, 0];
 
-/// The protocol of a result's rows.
+/// The encoding of the rows of a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RowFormat {
-    /// Of a plain statement.
+    /// Text protocol, for plain statements.
     Text,
-    /// Of a prepared statement.
+    /// Binary protocol, for prepared statements.
     Binary,
 }
 
-/// The packets of a result of text columns.
+/// Returns the packets of a result with text columns.
 pub(super) fn text_table(
     columns: &[&str],
     rows: impl Iterator<Item = Vec<String>>,
@@ -38,11 +40,11 @@
 fn column_definition(name: &str) -> Vec<u8> {
     let catalog = "def";
     let mut packet = vec![];
-    // Schema, table and original table are empty.
+    // Schema, table and original table are empty; name and original name are the same.
     for text in [catalog, "", "", "", name, name] {
         put_text(&mut packet, text);
     }
-    packet.extend(TEXT_COLUMN);
+    packet.extend(TEXT_COLUMN_FIXED_FIELDS);
     packet
 }
 
@@ -62,8 +64,8 @@
     packet.extend(text.bytes());
 }
 
-/// Packets as one buffer, each behind its length.
-pub(super) fn joined(packets: &[Vec<u8>]) -> Bytes {
+/// Joins packets into one buffer, each preceded by its length.
+pub(super) fn join_packets(packets: &[Vec<u8>]) -> Bytes {
     let mut bytes = BytesMut::new();
     for packet in packets {
         put_packet(&mut bytes, packet);
