--- a/src/frontend/mysql/mod.rs
+++ b/src/frontend/mysql/mod.rs
@@ -131,12 +131,12 @@
     }
 
     /// Offers TLS to clients that connect from now on.
-    pub fn secure(&self, keys: Rc<TlsKeys>) {
+    pub fn enable_tls(&self, keys: Rc<TlsKeys>) {
         *self.tls_keys.borrow_mut() = Some(keys);
     }
 
     /// Sets the number of processes of this dispatcher that share the limit of clients.
-    pub fn share(&self, processes: u32) {
+    pub fn set_process_count(&self, processes: u32) {
         self.process_count.set(processes.max(1) as usize);
         self.apply_client_limit();
     }
@@ -153,7 +153,7 @@
 
     /// Sets the number of file descriptors that the processes of this dispatcher may hold together. Fewer
     /// clients than configured are admitted if the other uses of descriptors would otherwise run short.
-    pub fn within(&self, descriptors: usize) {
+    pub fn set_descriptor_limit(&self, descriptors: usize) {
         self.descriptor_limit.set(descriptors);
         let max_clients = self.config().max_clients;
         let clients = self.descriptor_budget().clients;
@@ -167,14 +167,14 @@
     }
 
     /// Begins the graceful shutdown: idle sessions end now, the others after their pending answer. With
-    /// `to_another`, another process holds the listening socket and accepts clients.
-    pub fn stop(&self, to_another: bool) {
-        self.handed_over.set(to_another);
+    /// `handed_over`, another process holds the listening socket and accepts clients.
+    pub fn announce_shutdown(&self, handed_over: bool) {
+        self.handed_over.set(handed_over);
         self.stopping.send_replace(true);
     }
 
     /// Returns the number of answers to clients that are not completely sent.
-    pub fn busy(&self) -> usize {
+    pub fn pending_answers(&self) -> usize {
         self.pending_answers.get()
     }
 }
--- a/src/server/graceful_shutdown.rs
+++ b/src/server/graceful_shutdown.rs
@@ -91,14 +91,14 @@
 
 impl<U: Upstream<Work = MysqlWork, Output = Output>> Drain for mysql::Frontend<U> {
     fn announce_shutdown(&self, handed_over: bool) {
-        self.stop(handed_over);
+        self.announce_shutdown(handed_over);
     }
 
     /// Sessions end between statements once they are told of the shutdown.
     fn close_when_idle(&self) {}
 
     fn unfinished(&self) -> usize {
-        self.busy()
+        self.pending_answers()
     }
 
     /// Each session counts its own.
--- a/src/server/mysql.rs
+++ b/src/server/mysql.rs
@@ -47,7 +47,7 @@
         spools.clone(),
     );
     let descriptor_limit = descriptors::effective_limit(usize::MAX, inherited_descriptors);
-    frontend.within(descriptor_limit);
+    frontend.set_descriptor_limit(descriptor_limit);
     let keys = load_keys(&config, &frontend)?;
     let limited_frontend = frontend.clone();
     let limited_spools = spools.clone();
@@ -55,7 +55,7 @@
         &router,
         config.state_directory.as_deref(),
         move |processes| {
-            limited_frontend.share(processes);
+            limited_frontend.set_process_count(processes);
             limited_spools.set_process_count(processes);
         },
     )?;
@@ -157,7 +157,7 @@
         return Ok(None);
     };
     let keys = TlsKeys::load(source)?;
-    frontend.secure(keys.clone());
+    frontend.enable_tls(keys.clone());
     spawn_local(TlsKeys::watch_files(Rc::downgrade(&keys)));
     Ok(Some(keys))
 }
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -643,7 +643,7 @@
         ]
         .concat();
         assert_eq!(asked.get_ref().try_write(&sql).unwrap(), sql.len());
-        frontend.stop(false);
+        frontend.announce_shutdown(false);
         seen.recv().await.unwrap().orders.send("rows").unwrap();
         asked.codec_mut().sequence = 1;
         assert!(result(&mut asked).await.is_ok());
--- a/tests/mysql_client_disconnect.rs
+++ b/tests/mysql_client_disconnect.rs
@@ -664,7 +664,11 @@
                     .unwrap(),
             }
             tokio::time::sleep(TERM).await;
-            assert_eq!(stand.frontend.busy(), 1, "it has not taken its answer");
+            assert_eq!(
+                stand.frontend.pending_answers(),
+                1,
+                "it has not taken its answer"
+            );
             SockRef::from(tcp).set_recv_buffer_size(1 << 20).unwrap();
             let mut all = vec![];
             drop(w.get_mut().read_to_end(&mut all).await);
@@ -845,7 +849,7 @@
     on_one_thread(async {
         for way in ["its end", "quit", "a ping and quit", "closed", "reset"] {
             let stand = stand(1).await;
-            stand.frontend.secure(TlsKeys::load(&source).unwrap());
+            stand.frontend.enable_tls(TlsKeys::load(&source).unwrap());
             let mut w = wire(connect(stand.address).await);
             let greeting = Greeting::read(packet(&mut w).await).unwrap();
             let mut wish = (BASE_CAPABILITIES | CLIENT_SSL).to_le_bytes().to_vec();
