--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Upstreams: connections to the engines and the attempts that run on them.
+//! Upstreams: the connections to engines and the attempts that run on them.
 
 pub mod mysql;
 pub mod resp;
--- a/src/upstream/mysql/attempt.rs
+++ b/src/upstream/mysql/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt: a connection is taken or opened, the work is executed on it, and the connection returned or closed.
+//! One attempt: takes a connection from the pool or opens one, executes the work on it, and then returns
+//! the connection to the pool or closes it.
 
 use super::connection::{Connection, WaitingClient};
 use super::errors::{is_engine_fault, is_engine_full, outcome_of};
@@ -18,42 +19,43 @@
 use std::time::Instant;
 use tokio::sync::Notify;
 
-/// A connection with its permit. The connection is closed before its permit is given back.
+/// A connection with its permit. The field order drops (closes) the connection before the permit is released.
 struct PooledConnection<'a> {
     connection: Connection,
     permit: ConnectionPermit<'a>,
 }
 
 impl PooledConnection<'_> {
-    fn give_back(self) {
-        self.permit.give_back(self.connection);
+    fn return_to_pool(self) {
+        self.permit.return_to_pool(self.connection);
     }
 
-    fn give_back_used(mut self) {
+    fn return_used_to_pool(mut self) {
         self.connection.last_used = Instant::now();
-        self.give_back();
+        self.return_to_pool();
     }
 }
 
-/// Whether any byte of an attempt's statement has been written.
+/// Whether any byte of the statement of an attempt has been written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Written {
-    /// Some byte: it may have run.
+    /// At least one byte may have been written: the statement may have run.
     Maybe,
-    /// None: it never ran.
+    /// No byte has been written: the statement never ran.
     Nothing,
 }
 
-/// What an attempt shares with whoever cancels it.
+/// State that an attempt shares with the code that cancels it.
 #[derive(Default)]
 pub(super) struct AttemptState {
     /// The connection on which the statement was written.
     pub(super) written_on: WrittenOn,
-    /// The engine was restarted, moved or removed: the connection leads nowhere.
+    /// Notified when the engine was restarted, moved to another address or removed, so that the
+    /// connection no longer reaches it.
     pub(super) abandoned: Notify,
 }
 
-/// Carries out one attempt.
+/// Runs one attempt.
 pub(super) struct Attempt<'a> {
     pub(super) pool: &'a Pool,
     pub(super) executor: &'a Executor,
@@ -65,8 +67,9 @@
 }
 
 impl<'a> Attempt<'a> {
-    /// The engine's answer, or the outcome of an attempt without one. Does not complete if the client disconnects: its
-    /// session learns of the same and drops this attempt.
+    /// Runs the attempt and returns the answer of the engine, or the outcome of an attempt without an
+    /// answer. Does not complete if the client disconnects: the session detects the disconnect too and
+    /// drops this attempt.
     pub(super) async fn run(&self) -> Result<Output, Outcome> {
         let mut pooled = self.acquire().await?;
         let result = match &self.work.job {
@@ -78,15 +81,15 @@
             }
             _ => self.execute(&mut pooled.connection).await,
         };
-        self.note_broken_connection(&mut pooled.connection, &result);
+        self.mark_if_broken(&mut pooled.connection, &result);
         if matches!(result, Err(PacketError::ClientDisconnected)) {
-            self.abandon(pooled);
+            self.release_after_disconnect(pooled);
             return std::future::pending().await;
         }
         let written = self.take_written();
         match result {
             Ok(output) => finish(pooled, output),
-            Err(error) => self.fail(pooled, error, written),
+            Err(error) => self.handle_failure(pooled, error, written),
         }
     }
 
@@ -94,7 +97,7 @@
         &self.start.engine
     }
 
-    /// A session's statement has begun to execute.
+    /// Returns whether the work is a sticky session whose first statement has begun to execute.
     fn session_has_begun(&self) -> bool {
         matches!(&self.work.job, Job::StickySession(channel) if channel.has_begun())
     }
@@ -107,7 +110,7 @@
         }
     }
 
-    /// An idle connection, or a new one.
+    /// Takes an idle connection from the pool, or opens a new one.
     async fn acquire(&self) -> Result<PooledConnection<'a>, Outcome> {
         let key = (self.work.context.clone(), self.work.sql.clone());
         let usage = match &self.work.job {
@@ -123,13 +126,13 @@
             Err(error) => return Err(self.connect_failed(&error)),
         };
         let pooled = PooledConnection { connection, permit };
-        // An engine that has just started has to warm up: what was meant for it as it was is given back, and the
-        // decision module chooses again.
+        // An engine that has just restarted has to warm up: an attempt that was placed on its previous
+        // process is returned unstarted, and the decision module chooses again.
         if self
             .pool
             .report_opened(self.engine(), pooled.connection.opened)
         {
-            pooled.give_back();
+            pooled.return_to_pool();
             return Err(Outcome::NeverStarted);
         }
         Ok(pooled)
@@ -139,13 +142,9 @@
         log_line!("engine {}: {error}", self.engine());
         match error {
             PacketError::Io(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
-                let left = self.pool.live_count(self.engine());
-                self.pool.report(
-                    self.engine(),
-                    Observation::Refused {
-                        open_connections: left,
-                    },
-                );
+                let open_connections = self.pool.live_count(self.engine());
+                self.pool
+                    .report(self.engine(), Observation::Refused { open_connections });
                 Outcome::Unreachable
             }
             PacketError::Server(error) if is_engine_full(error.code) => Outcome::Rejected,
@@ -153,7 +152,7 @@
         }
     }
 
-    /// Holds the connection for a sticky session.
+    /// Serves a sticky session on the connection until the session ends.
     async fn serve_session(
         &self,
         connection: &mut Connection,
@@ -201,12 +200,10 @@
         }
     }
 
-    /// An engine that has ended takes all its connections along: the idle ones are not waited for.
-    fn note_broken_connection(
-        &self,
-        connection: &mut Connection,
-        result: &Result<Output, PacketError>,
-    ) {
+    /// Marks the connection as broken if the attempt ended with an I/O error other than a timeout. An
+    /// engine whose process has ended loses all its connections, so its unusable idle connections are
+    /// closed at once.
+    fn mark_if_broken(&self, connection: &mut Connection, result: &Result<Output, PacketError>) {
         let Some(live) = &mut connection.live else {
             return;
         };
@@ -218,16 +215,18 @@
         }
     }
 
-    /// The client has disconnected: a connection with nothing of its statement serves others.
-    fn abandon(&self, pooled: PooledConnection<'_>) {
+    /// Releases the connection after its client has disconnected: it returns to the pool if nothing of
+    /// the statement was written, and is closed otherwise.
+    fn release_after_disconnect(&self, pooled: PooledConnection<'_>) {
         let is_clean = !pooled.connection.command_in_progress && !self.session_has_begun();
         if is_clean {
-            pooled.give_back();
+            pooled.return_to_pool();
         }
     }
 
-    /// The answer to an attempt that failed, where a retry would fail alike; else its outcome.
-    fn fail(
+    /// Returns the answer to a failed attempt where a retry would fail in the same way, and the outcome
+    /// otherwise.
+    fn handle_failure(
         &self,
         pooled: PooledConnection<'_>,
         error: PacketError,
@@ -235,23 +234,24 @@
     ) -> Result<Output, Outcome> {
         let engine = self.engine();
         match (written, error) {
-            // The statement ran and a second run would return as much: that is the answer.
+            // The statement ran, and another run would return a result just as large: the error is the
+            // answer.
             (Written::Maybe, PacketError::SpoolRejection(error)) => {
                 log_line!("engine {engine}: {error}");
                 Ok(result_error(&format!("the statement ran, but {error}")))
             }
             (Written::Maybe, PacketError::TooLarge(bytes)) => {
-                log_line!("engine {engine}: a packet of {bytes} bytes");
+                log_line!("engine {engine}: a packet or description of {bytes} bytes is too large");
                 Ok(result_error(&format!(
                     "the statement ran, but its result has a packet of {bytes} bytes, above max_packet"
                 )))
             }
-            // The schema or the statement is wrong: no other engine would answer otherwise.
+            // The schema or the statement is invalid: any other engine would return the same error.
             (Written::Nothing, PacketError::Server(error))
                 if !is_engine_full(error.code) && !is_engine_fault(error.code) =>
             {
                 let output = Output::error(&error);
-                pooled.give_back();
+                pooled.return_to_pool();
                 Ok(output)
             }
             (written, error) => {
@@ -262,6 +262,7 @@
     }
 }
 
+/// Returns the outcome of a failed attempt.
 fn failed_outcome(written: Written, error: &PacketError) -> Outcome {
     match (written, error) {
         (Written::Nothing, PacketError::Server(error)) if is_engine_full(error.code) => {
@@ -277,22 +278,24 @@
     Output::error(&SqlError::new(code::ER_TOO_BIG_SELECT, message))
 }
 
-/// The attempt of a sticky session has no answer of its own: the session's statements were answered.
+/// Ends the attempt of a sticky session. The attempt itself has no answer: each statement of the session
+/// was answered.
 fn end_session(pooled: PooledConnection<'_>, end: SessionEnd) -> Output {
     if let SessionEnd::Released(reply, answer) = end {
-        // The connection first: who gets the answer may ask for one at once.
-        pooled.give_back_used();
+        // The connection is returned before the reply is sent: the receiver may need a connection at once.
+        pooled.return_used_to_pool();
         let _ = reply.send(answer);
     }
     Output::Inline(Packets::default())
 }
 
-/// An engine's answer, which may be its own failure.
+/// Returns the answer of the engine, or the outcome if the answer reports a failure of the engine itself.
 fn finish(pooled: PooledConnection<'_>, output: Output) -> Result<Output, Outcome> {
     let outcome = outcome_of(&output);
-    // A transaction that a plain statement has left open belongs to no session: it ends with its connection.
+    // A transaction that a statement outside a sticky session has left open belongs to no session: its
+    // connection is closed, which rolls it back.
     if pooled.connection.status & SERVER_STATUS_IN_TRANS == 0 {
-        pooled.give_back_used();
+        pooled.return_used_to_pool();
     }
     match outcome {
         Some(outcome) => Err(outcome),
--- a/src/upstream/mysql/login.rs
+++ b/src/upstream/mysql/login.rs
@@ -1,4 +1,4 @@
-//! Connecting to an engine and logging in.
+//! Connects to an engine and logs in.
 
 use super::connection::{Connection, ConnectionId};
 use crate::clock::{duration_from_millis, process_time_millis};
@@ -17,20 +17,21 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// The first byte of a packet with more data for the authentication plugin.
+/// First byte of a packet with more data for the authentication plugin.
 const AUTH_MORE_DATA_HEADER: u8 = 0x01;
-/// `caching_sha2_password`: the response was found in the engine's cache; an OK follows.
+/// Status byte of `caching_sha2_password`: the engine found the credentials in its cache, and an OK
+/// packet follows.
 const FAST_AUTH_SUCCESS: u8 = 3;
 
-/// Opens connections with the dispatcher's own account.
+/// Opens connections with the engine account of the dispatcher.
 pub(super) struct Connector {
-    pub(super) access: EngineCredentials,
+    pub(super) credentials: EngineCredentials,
     pub(super) sockets: SocketSettings,
     pub(super) buffers: BufferPool,
 }
 
 impl Connector {
-    /// Connects and logs in, each within the time for a connection.
+    /// Connects and logs in; each step may take at most the configured connect timeout.
     pub(super) async fn open(&self, address: SocketAddr) -> Result<Connection, PacketError> {
         let limit = duration_from_millis(self.sockets.connect_timeout);
         let opened = process_time_millis();
@@ -39,7 +40,7 @@
             .map_err(io::Error::from)??;
         tcp.set_nodelay(true)?;
         let codec = PacketCodec {
-            max_packet: self.access.max_packet,
+            max_packet: self.credentials.max_packet,
             sequence: 0,
         };
         let mut wire = FramedConnection::new(&self.buffers, tcp.into(), codec);
@@ -53,16 +54,17 @@
         ))
     }
 
-    /// Time for a command without a result, such as a setting or a kill.
+    /// Returns the time limit for a command whose answer has no rows, such as SET or KILL.
     pub(super) fn control_timeout(&self) -> Duration {
         duration_from_millis(4.0 * self.sockets.connect_timeout)
     }
 
-    /// Answers the greeting; the connection's number at the engine.
+    /// Answers the greeting of the engine and completes the authentication. Returns the connection
+    /// number that the engine assigned.
     async fn log_in(&self, wire: &mut FramedConnection<PacketCodec>) -> Result<u32, PacketError> {
         let greeting = Greeting::read(read_packet(&mut **wire).await?)?;
         let login = self.login(&greeting);
-        wire.send(&login.write(self.access.max_packet as u32)[..])
+        wire.send(&login.write(self.credentials.max_packet as u32)[..])
             .await?;
         loop {
             let packet = read_packet(&mut **wire).await?;
@@ -76,16 +78,17 @@
                 Some(&AUTH_MORE_DATA_HEADER) if packet.get(1) == Some(&FAST_AUTH_SUCCESS) => {}
                 _ => {
                     return Err(PacketError::Protocol(
-                        "it asks for a password over an open line",
+                        "the engine requested the password over an unencrypted connection",
                     ));
                 }
             }
         }
     }
 
-    /// A response for the plugin that the engine suggests, or for the oldest one if that is unknown here.
+    /// Returns a login for the authentication plugin that the engine suggests, or for
+    /// `mysql_native_password` if that plugin is not supported.
     fn login(&self, greeting: &Greeting) -> Login {
-        let password = &self.access.password;
+        let password = &self.credentials.password;
         let suggested = auth::auth_response(&greeting.plugin, password, &greeting.nonce);
         let (plugin, response) = match suggested {
             Some(response) => (greeting.plugin.clone(), response),
@@ -96,7 +99,7 @@
             ),
         };
         Login {
-            user: self.access.user.clone(),
+            user: self.credentials.user.clone(),
             auth: response,
             schema: None,
             plugin,
@@ -104,13 +107,13 @@
         }
     }
 
-    /// The response to an engine that asks for another plugin.
+    /// Returns the response to an engine that requests another authentication plugin.
     fn switch_plugin(&self, packet: &Bytes) -> Result<Vec<u8>, PacketError> {
         let mut reader = PayloadReader(packet.slice(1..));
         let plugin = reader.text();
         let nonce = reader.0.strip_suffix(&[0]).unwrap_or(&reader.0);
-        auth::auth_response(&plugin, &self.access.password, nonce).ok_or(PacketError::Protocol(
-            "it asks for an unknown way of authentication",
-        ))
+        auth::auth_response(&plugin, &self.credentials.password, nonce).ok_or(
+            PacketError::Protocol("the engine requested an unsupported authentication plugin"),
+        )
     }
 }
--- a/src/upstream/mysql/mod.rs
+++ b/src/upstream/mysql/mod.rs
@@ -1,8 +1,9 @@
-//! The upstream of MySQL: pooled connections that carry one command at a time. Statements are prepared on each
-//! connection when it first needs them.
+//! The MySQL upstream: pooled connections, each with one command in progress at a time. A statement is
+//! prepared on a connection when that connection first executes it.
 //!
-//! Dependencies point one way: `connection` and `prepared_statements`, `login`, `pool` and `kill`, `executor` and
-//! `result`, `sticky`, `attempt`, and this module, which starts and cancels attempts.
+//! Modules in dependency order, each depending only on earlier ones: `connection` and
+//! `prepared_statements`, `login`, `pool` and `kill`, `executor` and `result`, `sticky`, `attempt`, and
+//! this module, which starts and cancels attempts.
 
 mod attempt;
 mod connection;
@@ -52,16 +53,16 @@
 struct RunningAttempt {
     task: AbortHandle,
     engine: String,
-    /// The engine's address when the attempt began.
+    /// Address of the engine when the attempt began.
     address: Option<SocketAddr>,
-    /// When the attempt began.
+    /// Time at which the attempt began, in milliseconds on the clock of the process.
     started: Millis,
     state: Rc<AttemptState>,
 }
 
 impl RunningAttempt {
-    /// Ends the attempt if its connection leads nowhere any more.
-    fn abandon_if(&self, invalidated: &Invalidated) {
+    /// Ends the attempt if the endpoint list change has invalidated its connection.
+    fn abandon_if_invalidated(&self, invalidated: &Invalidated) {
         if invalidated.includes(&self.engine, self.started, self.address) {
             self.state.abandoned.notify_one();
         }
@@ -69,15 +70,15 @@
 }
 
 impl MysqlUpstream {
-    /// An upstream that logs in with this account; results go to `spools`.
+    /// Creates an upstream that logs in to engines with `credentials` and writes results to `spools`.
     pub fn new(
-        access: EngineCredentials,
+        credentials: EngineCredentials,
         sockets: SocketSettings,
         pool: BufferPool,
         spools: Rc<Spools>,
     ) -> Self {
         let connector = Rc::new(Connector {
-            access,
+            credentials,
             sockets,
             buffers: pool,
         });
@@ -92,12 +93,12 @@
         }))
     }
 
-    /// From now on this witness is told what connections show; none is, if none is given.
-    pub fn watch(&self, witness: Option<Rc<dyn ConnectionObserver>>) {
-        self.0.pool.set_witness(witness);
+    /// Sets the observer that connection events are reported to; with `None`, they are not reported.
+    pub fn watch(&self, observer: Option<Rc<dyn ConnectionObserver>>) {
+        self.0.pool.set_observer(observer);
     }
 
-    /// Engines that the pool has an entry for.
+    /// Returns the number of engines that the pool has an entry for.
     pub fn engines(&self) -> usize {
         self.0.pool.engine_count()
     }
@@ -128,8 +129,8 @@
         self.0.running.borrow_mut().insert(attempt, running);
     }
 
-    /// Closes the attempt's connection. An engine goes on with a statement whose client has disconnected, so a written
-    /// one is also killed.
+    /// Closes the connection of the attempt. An engine continues a statement after its client has
+    /// disconnected, so a statement that has been written is also killed.
     fn cancel_attempt(&self, attempt: AttemptId) {
         let Some(running) = self.0.running.borrow_mut().remove(&attempt) else {
             return;
@@ -147,12 +148,12 @@
     fn update_endpoints(&self, change: &Change) {
         let invalidated = self.0.pool.apply(change);
         for attempt in self.0.running.borrow().values() {
-            attempt.abandon_if(&invalidated);
+            attempt.abandon_if_invalidated(&invalidated);
         }
     }
 }
 
-/// Carries out one attempt and reports its end to the router.
+/// Runs one attempt and reports its outcome to the router.
 async fn run_attempt(
     shared: Rc<Shared>,
     router: Weak<RequestRouter<MysqlUpstream>>,
@@ -185,7 +186,7 @@
     }
 }
 
-/// Reports an attempt's progress to its router, as long as that lives.
+/// Reports the progress of an attempt to its router, while the router exists.
 struct RouterEvents<U: Upstream> {
     router: Weak<RequestRouter<U>>,
     attempt: AttemptId,
--- a/src/upstream/mysql/pool.rs
+++ b/src/upstream/mysql/pool.rs
@@ -1,4 +1,5 @@
-//! The pool of connections to each engine: its limits, its idle connections, and what the endpoint list makes of them.
+//! The connection pool of each engine: its limits, its idle connections, and the effect of endpoint list
+//! changes on them.
 
 use super::connection::Connection;
 use super::login::Connector;
@@ -14,30 +15,27 @@
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 
-/// An idle connection is used within this part of the configured idle time, before its engine closes it.
+/// Fraction of the configured idle timeout within which an idle connection is reused, so that it is not
+/// used at the moment its engine closes it.
 const IDLE_SAFETY_FACTOR: f64 = 0.8;
 
-/// Counts an engine's connections that are logged in, and reports how each ended.
+/// Guard that counts a logged-in connection of an engine, and reports on drop how the connection ended.
 pub(super) struct LiveConnection {
     pool: Weak<Pool>,
     engine: String,
     count: Rc<Cell<usize>>,
-    /// It ended as it should not have.
+    /// Whether the connection ended unexpectedly.
     pub(super) broken: bool,
 }
 
 impl Drop for LiveConnection {
     fn drop(&mut self) {
-        let left = self.count.get().saturating_sub(1);
-        self.count.set(left);
+        let open_connections = self.count.get().saturating_sub(1);
+        self.count.set(open_connections);
         let observation = if self.broken {
-            Observation::Broken {
-                open_connections: left,
-            }
+            Observation::Broken { open_connections }
         } else {
-            Observation::Closed {
-                open_connections: left,
-            }
+            Observation::Closed { open_connections }
         };
         if let Some(pool) = self.pool.upgrade() {
             pool.report(&self.engine, observation);
@@ -45,23 +43,23 @@
     }
 }
 
-/// What is known of one engine, and its connections.
+/// The address of one engine and its connections.
 #[derive(Default)]
 struct EnginePool {
     address: Option<SocketAddr>,
     idle: Vec<Connection>,
-    /// Connections, idle or not.
+    /// Number of connections, idle or in use.
     open: usize,
-    /// Those of them that sticky sessions hold.
+    /// Number of connections held by sticky sessions.
     sticky: usize,
-    /// Those of them that are logged in.
+    /// Number of connections that are logged in.
     live: Rc<Cell<usize>>,
-    /// The engine is not listed any more: the entry is removed with its last connection.
+    /// The engine is no longer listed: this entry is removed together with its last connection.
     removed: bool,
 }
 
 impl EnginePool {
-    /// Closes the idle connections that are not to be kept.
+    /// Closes the idle connections for which `keep` returns false.
     fn retain_idle(&mut self, keep: impl FnMut(&mut Connection) -> bool) {
         let before = self.idle.len();
         self.idle.retain_mut(keep);
@@ -75,7 +73,8 @@
     /// Takes an idle connection that can enter the context, preferably one that has prepared the statement.
     fn take_idle(&mut self, key: &StatementKey) -> Option<Connection> {
         let (context, _) = key;
-        // A connection cannot leave all schemas again: a session without one needs a fresh connection.
+        // A connection cannot unset its schema: a session without a schema needs a connection that never
+        // set one.
         let fits = |connection: &Connection| connection.can_enter(context);
         let prepared = self
             .idle
@@ -86,21 +85,22 @@
     }
 }
 
-/// What a connection is taken for.
+/// The purpose for which a connection is checked out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionUse {
-    /// One statement.
+    /// A single statement.
     Statement,
-    /// A session that holds it for a while.
+    /// A sticky session, which holds the connection across statements.
     StickySession,
 }
 
-/// Counts one of an engine's connections until it is dropped, however its task ends.
+/// Permit for one connection to an engine. Dropping the permit, however its task ends, stops counting the
+/// connection, unless the connection was returned to the pool.
 pub(super) struct ConnectionPermit<'a> {
     pool: &'a Pool,
     engine: &'a str,
     usage: ConnectionUse,
-    /// The connection is idle in the pool again.
+    /// The connection has been returned to the pool as idle.
     returned: bool,
 }
 
@@ -123,8 +123,8 @@
 }
 
 impl ConnectionPermit<'_> {
-    /// Returns the connection to the pool, if its engine is still at its address.
-    pub(super) fn give_back(mut self, connection: Connection) {
+    /// Returns the connection to the pool, if the engine still has the address of the connection.
+    pub(super) fn return_to_pool(mut self, connection: Connection) {
         let mut engines = self.pool.engines.borrow_mut();
         if let Some(engine) = engines
             .get_mut(self.engine)
@@ -136,22 +136,24 @@
     }
 }
 
-/// A permit, and the idle connection that it is for; without one a connection is to be opened.
+/// A permit with the idle connection it applies to; if `idle` is `None`, the caller opens a connection.
 pub(super) struct Checkout<'a> {
     pub(super) permit: ConnectionPermit<'a>,
     pub(super) idle: Option<Connection>,
 }
 
-/// Engines whose connections a change of the endpoint list has invalidated.
+/// Describes the connections that a change of the endpoint list has invalidated.
 pub(super) struct Invalidated {
-    /// Engines that were restarted or have moved: connections begun before this time lead nowhere.
+    /// Engines that were restarted or have moved: connections whose opening began before this time no
+    /// longer reach the engine.
     replaced_at: HashMap<String, Millis>,
-    /// The engine at each address.
+    /// Engine at each address.
     owners: HashMap<SocketAddr, String>,
 }
 
 impl Invalidated {
-    /// Whether a connection of this engine, begun at `opened`, leads to the engine no more.
+    /// Returns whether a connection of `engine`, whose opening began at `opened`, no longer reaches the
+    /// engine.
     pub(super) fn includes(
         &self,
         engine: &str,
@@ -173,11 +175,11 @@
 pub(super) struct Pool {
     weak: Weak<Pool>,
     engines: RefCell<HashMap<String, EnginePool>>,
-    /// Processes that share the limit of connections.
+    /// Number of processes that share the connection limit.
     processes: Cell<usize>,
     connector: Rc<Connector>,
-    /// Who is told what connections show.
-    witness: RefCell<Option<Rc<dyn ConnectionObserver>>>,
+    /// Receives the observations made on connections.
+    observer: RefCell<Option<Rc<dyn ConnectionObserver>>>,
 }
 
 impl Pool {
@@ -187,7 +189,7 @@
             engines: RefCell::default(),
             processes: Cell::new(1),
             connector,
-            witness: RefCell::default(),
+            observer: RefCell::default(),
         })
     }
 
@@ -195,11 +197,11 @@
         self.processes.set(processes.max(1));
     }
 
-    pub(super) fn set_witness(&self, witness: Option<Rc<dyn ConnectionObserver>>) {
-        *self.witness.borrow_mut() = witness;
+    pub(super) fn set_observer(&self, observer: Option<Rc<dyn ConnectionObserver>>) {
+        *self.observer.borrow_mut() = observer;
     }
 
-    /// Engines that the pool has an entry for.
+    /// Returns the number of engines that the pool has an entry for.
     pub(super) fn engine_count(&self) -> usize {
         self.engines.borrow().len()
     }
@@ -208,7 +210,7 @@
         self.engines.borrow().get(engine)?.address
     }
 
-    /// An engine's connections that are logged in.
+    /// Returns the number of connections to the engine that are logged in.
     pub(super) fn live_count(&self, engine: &str) -> usize {
         self.engines
             .borrow()
@@ -217,21 +219,22 @@
     }
 
     pub(super) fn report(&self, engine: &str, observation: Observation) {
-        if let Some(witness) = self.witness.borrow().as_ref() {
-            witness.report(engine, observation);
+        if let Some(observer) = self.observer.borrow().as_ref() {
+            observer.report(engine, observation);
         }
     }
 
-    /// Reports a connection begun at `opened`; true if the engine has restarted since its last connections.
+    /// Reports a connection whose opening began at `opened`, and returns whether the engine has
+    /// restarted since its previous connections.
     pub(super) fn report_opened(&self, engine: &str, opened: Millis) -> bool {
-        let witness = self.witness.borrow().clone();
-        witness.is_some_and(|witness| witness.opened(engine, opened))
+        let observer = self.observer.borrow().clone();
+        observer.is_some_and(|observer| observer.opened(engine, opened))
     }
 
-    /// Takes an idle connection for a statement, or the permit to open one.
+    /// Checks out an idle connection for a statement, or a permit to open one.
     ///
     /// # Errors
-    /// The engine is unknown, or all its connections are in use.
+    /// Returns `Unreachable` if the engine is unknown, and `Rejected` if all its connections are in use.
     pub(super) fn checkout<'a>(
         &'a self,
         engine_id: &'a str,
@@ -242,8 +245,9 @@
         let engine = engines.get_mut(engine_id).ok_or(Outcome::Unreachable)?;
         let idle_limit =
             duration_from_millis(self.connector.sockets.idle_timeout * IDLE_SAFETY_FACTOR);
-        let limit = (self.connector.access.max_connections / self.processes.get()).max(1);
-        // Sticky sessions leave some connections to statements that need none for long.
+        let limit = (self.connector.credentials.max_connections / self.processes.get()).max(1);
+        // Sticky sessions may use three quarters of the connections: the rest is reserved for single
+        // statements, which hold a connection only briefly.
         let sticky_limit = (limit - limit / 4).max(1);
         if usage == ConnectionUse::StickySession && engine.sticky >= sticky_limit {
             return Err(Outcome::Rejected);
@@ -254,7 +258,7 @@
         let idle = engine.take_idle(key);
         if idle.is_none() {
             if engine.open >= limit {
-                // One that does not fit is closed for one that does.
+                // An idle connection that does not fit the context is closed to make room for a new one.
                 if engine.idle.pop().is_none() {
                     return Err(Outcome::Rejected);
                 }
@@ -277,11 +281,11 @@
     /// Opens a connection to the engine.
     ///
     /// # Errors
-    /// Those of connecting and logging in, or the engine has no address.
+    /// Returns the error of connecting or logging in, or a protocol error if the engine has no known address.
     pub(super) async fn connect(&self, engine: &str) -> Result<Connection, PacketError> {
         let address = self
             .address(engine)
-            .ok_or(PacketError::Protocol("it has no address"))?;
+            .ok_or(PacketError::Protocol("the engine has no known address"))?;
         let mut connection = self.connector.open(address).await?;
         let count = self
             .engines
@@ -299,23 +303,24 @@
         Ok(connection)
     }
 
-    /// Closes the idle connections of an engine that can't be used again: one that has ended takes all along.
+    /// Closes those idle connections of an engine that can't be reused: an engine whose process has
+    /// ended loses all of its connections at once.
     pub(super) fn close_unusable(&self, engine: &str) {
         if let Some(engine) = self.engines.borrow_mut().get_mut(engine) {
             engine.retain_idle(Connection::is_reusable);
         }
     }
 
-    /// Applies a change of the endpoint list.
+    /// Applies a change of the endpoint list, and returns which connections it invalidates.
     pub(super) fn apply(&self, change: &Change) -> Invalidated {
         let mut engines = self.engines.borrow_mut();
         if change.update != ListUpdate::Patch {
             remove_unlisted(&mut engines, change);
         }
         let owners = owners(change);
-        close_at_foreign_addresses(&mut engines, &owners);
+        close_at_reassigned_addresses(&mut engines, &owners);
         let replaced_at = update_listed(&mut engines, change);
-        // New ids keep coming: nothing is kept of engines that were removed.
+        // New engine ids keep arriving, so entries of removed engines are dropped to bound the map.
         engines.retain(|_, engine| !engine.removed || engine.open > 0);
         Invalidated {
             replaced_at,
@@ -324,6 +329,7 @@
     }
 }
 
+/// Marks the engines that a whole list does not name as removed, and closes their idle connections.
 fn remove_unlisted(engines: &mut HashMap<String, EnginePool>, change: &Change) {
     let listed: HashSet<&str> = change
         .engines
@@ -340,7 +346,7 @@
     }
 }
 
-/// The engine at each address, by the change.
+/// Returns the engine at each address, as the change lists it.
 fn owners(change: &Change) -> HashMap<SocketAddr, String> {
     change
         .engines
@@ -350,21 +356,22 @@
         .collect()
 }
 
-/// What is open at an address that now belongs to another engine leads nowhere, also if the list has removed the old
-/// engine before.
-fn close_at_foreign_addresses(
+/// Closes idle connections to addresses that now belong to another engine, also if an earlier change has
+/// already removed the previous engine.
+fn close_at_reassigned_addresses(
     engines: &mut HashMap<String, EnginePool>,
     owners: &HashMap<SocketAddr, String>,
 ) {
     for (id, engine) in engines.iter_mut() {
-        let is_foreign =
+        let is_reassigned =
             |address: &SocketAddr| owners.get(address).is_some_and(|owner| owner != id);
-        engine.retain_idle(|connection| !is_foreign(&connection.id.address));
-        engine.address = engine.address.filter(|address| !is_foreign(address));
+        engine.retain_idle(|connection| !is_reassigned(&connection.id.address));
+        engine.address = engine.address.filter(|address| !is_reassigned(address));
     }
 }
 
-/// Updates the listed engines; returns those that were restarted or have moved, with the time of it.
+/// Updates the listed engines. Returns the engines that were restarted, with their start time, and those
+/// that have moved to another address, with infinity.
 fn update_listed(
     engines: &mut HashMap<String, EnginePool>,
     change: &Change,
