--- a/src/upstream/mysql/connection.rs
+++ b/src/upstream/mysql/connection.rs
@@ -17,24 +17,25 @@
 use std::time::{Duration, Instant};
 use tokio_stream::StreamExt;
 
-/// An engine that does not take a whole command within this is broken.
+/// Time limit for writing a whole command; an engine that does not accept it in time is treated as broken.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// ER_CLIENT_INTERACTION_TIMEOUT: an engine closes a connection that was idle for too long.
+/// Error number ER_CLIENT_INTERACTION_TIMEOUT: the engine closes a connection that was idle for too long.
 const CLIENT_INTERACTION_TIMEOUT: u16 = 4031;
 
-/// Names a connection at its engine, by which it can be killed.
+/// Identifies a connection at its engine, so that it can be killed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ConnectionId {
     pub(super) address: SocketAddr,
-    /// Its number at the engine.
+    /// Connection number that the engine assigned.
     pub(super) number: u32,
 }
 
-/// The client of a request and the request's deadline: checked before each byte that is written on its behalf.
+/// The client of a request and the deadline of the request, which are checked before each write on the
+/// client's behalf.
 #[derive(Clone, Copy)]
 pub(super) struct WaitingClient<'a> {
     pub(super) downstream: &'a Downstream,
-    /// Milliseconds on the clock of the process.
+    /// Deadline of the request, in milliseconds on the clock of the process.
     pub(super) deadline: Millis,
 }
 
@@ -44,31 +45,33 @@
     }
 }
 
-/// A connection that is logged in.
+/// A logged-in connection to an engine.
 pub(super) struct Connection {
-    /// Counts it among its engine's connections; none for a connection outside the pool.
+    /// Counts the connection among the logged-in connections of its engine; `None` for a connection
+    /// outside the pool.
     pub(super) live: Option<LiveConnection>,
     pub(super) wire: FramedConnection<PacketCodec>,
     pub(super) id: ConnectionId,
-    /// The status flags of its last answer that was no error.
+    /// Status flags of the last answer that was not an error.
     pub(super) status: u16,
-    /// The number of warnings in that answer.
+    /// Number of warnings in that answer.
     pub(super) warnings: u16,
     pub(super) context: SessionContext,
     pub(super) statements: PreparedStatements,
-    /// When the connection was begun.
+    /// Time at which opening the connection began, in milliseconds on the clock of the process.
     pub(super) opened: Millis,
     pub(super) last_used: Instant,
-    /// A command is written, in part or whole, and its answer has not arrived completely.
+    /// A command has been written, partly or completely, and its answer has not arrived completely.
     pub(super) command_in_progress: bool,
 }
 
 impl Drop for Connection {
-    /// Discards what the socket holds unsent of a command: an engine that takes no bytes just then would get it
-    /// whole whenever it reads on, long after its client has disconnected.
+    /// Discards the unsent bytes of a command that the socket still holds: an engine that reads nothing
+    /// at that moment would otherwise receive the whole command when it resumes reading, long after the
+    /// client has disconnected.
     fn drop(&mut self) {
         if self.command_in_progress {
-            // Where linger can't be set, the close has to do.
+            // Where linger can't be set, the connection is only closed.
             let _ =
                 socket2::SockRef::from(self.wire.get_ref().tcp()).set_linger(Some(Duration::ZERO));
         }
@@ -95,8 +98,9 @@
         }
     }
 
-    /// Writes one command for a client, piece by piece as the engine takes it, and checks the client before each: what
-    /// is incomplete when the client disconnects is never completed. `before` is called right before the first byte.
+    /// Writes one command for a client, in pieces as the engine accepts them, and checks the client
+    /// before each piece: a command that is incomplete when the client disconnects is never completed.
+    /// `before` is called right before the first byte.
     pub(super) async fn write_command(
         &mut self,
         client: WaitingClient<'_>,
@@ -124,7 +128,7 @@
             .map_err(io::Error::from)?
     }
 
-    /// Writes one command that no client waits for.
+    /// Writes one command without checking for a waiting client.
     pub(super) async fn send_command(
         &mut self,
         command: u8,
@@ -137,10 +141,11 @@
             .map_err(io::Error::from)?
     }
 
-    /// Whether an idle connection can be used again. One that the engine has closed meanwhile, or has sent something
-    /// on, must not get a statement: what breaks after the write may have run.
+    /// Returns whether an idle connection can be reused. A connection that the engine has closed
+    /// meanwhile, or has sent data on, must not be given a statement: a statement whose connection
+    /// breaks after the write may have run.
     pub(super) fn is_reusable(&mut self) -> bool {
-        // The socket is asked as well: the runtime may not have learned yet of what arrived during this poll.
+        // The socket is checked too: the runtime may not yet have seen input that arrived during this poll.
         let pending = pending_input::peek(self.wire.get_ref().tcp());
         let Some(packet) = self.wire.next().now_or_never() else {
             if pending == PendingInput::Closed {
@@ -148,7 +153,8 @@
             }
             return pending == PendingInput::Empty;
         };
-        // An engine that closes an idle connection says so, and has not ended.
+        // An engine that closes an idle connection for its idle timeout reports so: its process has not
+        // ended.
         let idle_timeout = matches!(
             &packet,
             Some(Ok(packet))
@@ -160,14 +166,15 @@
         false
     }
 
-    /// The connection ended as it should not have.
+    /// Marks the connection as ended unexpectedly.
     fn mark_broken(&mut self) {
         if let Some(live) = &mut self.live {
             live.broken = true;
         }
     }
 
-    /// Whether it can be taken to this context: what it has set can be changed, but not unset.
+    /// Returns whether the connection can enter this context: a schema or character set can be changed,
+    /// but not unset.
     pub(super) fn can_enter(&self, context: &SessionContext) -> bool {
         let current = &self.context;
         (context.schema.is_some() || current.schema.is_none())
@@ -175,6 +182,7 @@
     }
 }
 
+/// Returns the payload of a command packet: the command byte followed by `parts`.
 fn command_packet(command: u8, parts: &[&[u8]]) -> Vec<u8> {
     let length = 1 + parts.iter().map(|part| part.len()).sum::<usize>();
     let mut packet = Vec::with_capacity(length);
--- a/src/upstream/mysql/downstream.rs
+++ b/src/upstream/mysql/downstream.rs
@@ -1,5 +1,6 @@
-//! A session's client, as whoever writes to an engine on its behalf sees it at that moment. The session's task learns
-//! of its client's disconnect when the runtime does, which may be a long poll later; the socket knows at once.
+//! The client of a session, checked directly on its socket before something is written to an engine on
+//! its behalf. The task of the session detects a disconnect only when the runtime polls the socket
+//! again, which may follow a long poll; the state of the socket itself is current.
 
 use crate::clock::process_time_millis;
 use crate::decision::model::Millis;
@@ -12,11 +13,11 @@
 /// The state of a client whose request is in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientState {
-    /// It waits for its answer.
+    /// The client waits for its answer.
     Waiting,
-    /// It has sent something that its session has not read: its disconnect may be behind it.
+    /// The client has sent data that its session has not read; a disconnect may follow that data.
     UnreadInput,
-    /// It has closed or reset its connection, or its request was killed.
+    /// The client has closed or reset its connection, or its request was killed.
     Disconnected,
 }
 
@@ -24,13 +25,13 @@
 #[derive(Debug)]
 pub struct Downstream {
     socket: SocketProbe,
-    /// Another session of its user has killed its request.
+    /// Another session of the same user has killed the request.
     killed: Cell<bool>,
     kill_notification: Notify,
 }
 
 impl Downstream {
-    /// The client on this socket.
+    /// Creates the state for the client on this socket.
     pub fn new(socket: SocketProbe) -> Self {
         Downstream {
             socket,
@@ -39,25 +40,25 @@
         }
     }
 
-    /// Its next command begins: an earlier kill was meant for another.
+    /// Begins the next command of the client, and clears a kill that was meant for an earlier command.
     pub fn begin_command(&self) {
         self.killed.set(false);
     }
 
-    /// Kills its request, with effect at once.
+    /// Kills the request of the client, effective immediately.
     pub fn kill(&self) {
         self.killed.set(true);
         self.kill_notification.notify_waiters();
     }
 
-    /// Completes once its request is killed.
+    /// Completes once the request of the client is killed.
     pub async fn killed(&self) {
         while !self.killed.get() {
             self.kill_notification.notified().await;
         }
     }
 
-    /// The client's state at this moment.
+    /// Returns the current state of the client.
     pub fn state(&self) -> ClientState {
         match self.socket.pending_input() {
             _ if self.killed.get() => ClientState::Disconnected,
@@ -67,11 +68,13 @@
         }
     }
 
-    /// Completes while the client waits for its answer; nothing awaits between the last check and the return. Its
-    /// session reads first what the client has sent meanwhile, and ends the request if a disconnect is among it.
+    /// Completes once the client is known to be waiting for its answer, without an await between the
+    /// last check and the return. Until then the session reads what the client has sent meanwhile, and
+    /// ends the request if it finds a disconnect.
     ///
     /// # Errors
-    /// It has disconnected, or goes on sending past the deadline of its request (milliseconds on the clock of the process).
+    /// Returns an error if the client has disconnected, or still has unread input at `deadline`, in
+    /// milliseconds on the clock of the process.
     pub async fn ensure_waiting(&self, deadline: Millis) -> Result<(), PacketError> {
         loop {
             match self.state() {
@@ -79,10 +82,11 @@
                 ClientState::Disconnected => return Err(PacketError::ClientDisconnected),
                 ClientState::UnreadInput if process_time_millis() >= deadline => {
                     return Err(PacketError::Protocol(
-                        "what its client has said was not read in time",
+                        "client input was not read before the request's deadline",
                     ));
                 }
-                // The runtime learns of the unread input, and the session's task is polled before this one again.
+                // Yielding lets the runtime see the unread input and poll the task of the session before
+                // this one.
                 ClientState::UnreadInput => tokio::task::yield_now().await,
             }
         }
--- a/src/upstream/mysql/errors.rs
+++ b/src/upstream/mysql/errors.rs
@@ -1,9 +1,9 @@
-//! What an engine's error number says about the engine.
+//! Classification of MySQL error numbers that engines return.
 
 use super::work::Output;
 use crate::decision::model::Outcome;
 
-/// Whether the engine had no capacity: nothing ran.
+/// Returns whether the error reports that the engine has no free capacity, so that nothing ran.
 pub(super) fn is_engine_full(code: u16) -> bool {
     const ER_CON_COUNT_ERROR: u16 = 1040;
     const ER_TOO_MANY_USER_CONNECTIONS: u16 = 1203;
@@ -14,8 +14,8 @@
     )
 }
 
-/// Whether it is a fault of the engine, which may have occurred while the statement ran: shutdown, a kill, its time
-/// limit, a deadlock.
+/// Returns whether the error reports a fault of the engine, which may have occurred while the statement
+/// ran: a shutdown, a kill, an exceeded time limit or a deadlock.
 pub(super) fn is_engine_fault(code: u16) -> bool {
     const ER_SERVER_SHUTDOWN: u16 = 1053;
     const ER_LOCK_WAIT_TIMEOUT: u16 = 1205;
@@ -34,7 +34,8 @@
     )
 }
 
-/// The outcome that an engine's answer makes of its attempt; `None` if it is the statement's own answer.
+/// Returns the outcome of an attempt whose answer reports a failure of the engine; `None` if the answer
+/// is the result or the error of the statement itself.
 pub(super) fn outcome_of(output: &Output) -> Option<Outcome> {
     let code = output.sql_error()?.code;
     if is_engine_full(code) {
--- a/src/upstream/mysql/kill.rs
+++ b/src/upstream/mysql/kill.rs
@@ -1,4 +1,4 @@
-//! Killing what runs on a connection that is given up: an engine goes on with a statement whose client has
+//! Kills statements on abandoned connections: an engine continues a statement after its client has
 //! disconnected.
 
 use super::connection::ConnectionId;
@@ -9,16 +9,16 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-/// Kills in progress at a time; beyond, closing the connection has to do.
+/// Maximum number of kills in progress at a time. Beyond it, a connection is only closed.
 const MAX_CONCURRENT_KILLS: usize = 16;
 
-/// Kills connections through connections of its own.
+/// Kills connections by sending KILL on separate connections.
 pub(super) struct Killer {
     connector: Rc<Connector>,
     in_progress: Cell<usize>,
 }
 
-/// Counts a kill while it is in progress.
+/// Guard that counts a kill while it is in progress.
 struct KillPermit(Rc<Killer>);
 
 impl Drop for KillPermit {
@@ -35,7 +35,7 @@
         })
     }
 
-    /// Kills a connection in a task of its own.
+    /// Kills a connection in a separate task.
     pub(super) fn kill(self: &Rc<Self>, target: ConnectionId) {
         if self.in_progress.get() >= MAX_CONCURRENT_KILLS {
             return;
@@ -55,6 +55,7 @@
     }
 }
 
+/// Opens a connection to the engine of `target` and sends KILL for `target` on it.
 async fn send_kill(connector: &Connector, target: ConnectionId) -> Result<(), PacketError> {
     let mut connection = connector.open(target.address).await?;
     let sql = format!("KILL {}", target.number);
--- a/src/upstream/mysql/prepared_statements.rs
+++ b/src/upstream/mysql/prepared_statements.rs
@@ -4,7 +4,8 @@
 use bytes::Bytes;
 use std::collections::{HashMap, VecDeque};
 
-/// Statements that one connection holds prepared, so that an engine's own limit is never reached.
+/// Maximum number of statements that one connection keeps prepared, so that the limit of the engine is
+/// never reached.
 const MAX_STATEMENTS: usize = 64;
 
 /// A statement and the context in which its names were resolved.
@@ -14,7 +15,7 @@
 #[derive(Default)]
 pub(super) struct PreparedStatements {
     ids: HashMap<StatementKey, u32>,
-    /// In the order of their preparation; may hold some that the engine has forgotten.
+    /// Statements in the order of their preparation; may include some that the engine no longer knows.
     oldest_first: VecDeque<StatementKey>,
 }
 
@@ -27,12 +28,13 @@
         self.ids.contains_key(key)
     }
 
-    /// The engine does not know the statement any more.
+    /// Removes a statement that the engine no longer knows.
     pub(super) fn remove(&mut self, key: &StatementKey) {
         self.ids.remove(key);
     }
 
-    /// Adds a statement; returns the ids that have to be closed for it, in order.
+    /// Adds a statement, and returns the ids of the statements it replaces, in the order in which to
+    /// close them.
     pub(super) fn insert(&mut self, key: StatementKey, id: u32) -> Vec<u32> {
         let mut replaced = vec![];
         while self.oldest_first.len() >= MAX_STATEMENTS {
