--- a/src/upstream/mysql/executor.rs
+++ b/src/upstream/mysql/executor.rs
@@ -1,4 +1,5 @@
-//! Executes work on a connection: the session's context, the command, its answer and its warnings.
+//! Executes work on a connection: applies the session context, writes the command, and reads its answer
+//! and its warnings.
 
 use super::connection::{Connection, ConnectionId, WaitingClient};
 use super::prepared_statements::StatementKey;
@@ -19,59 +20,65 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Limit of a prepared statement's parameters and columns in bytes: 4,096 columns need no more.
+/// Maximum size in bytes of the parameter and column definitions of a prepared statement: 4,096 columns
+/// need no more.
 const MAX_DESCRIPTION_BYTES: usize = 1 << 20;
-/// COM_STMT_EXECUTE: no cursor, one iteration.
+/// Flags and iteration count of COM_STMT_EXECUTE: no cursor, one iteration.
 const EXECUTE_FLAGS_AND_ITERATIONS: [u8; 5] = [0, 1, 0, 0, 0];
 
-/// What an attempt reports while it runs.
+/// Receives the events of an attempt while it runs.
 pub(super) trait AttemptEvents {
-    /// Whether the engine is in service.
+    /// Returns whether the engine is in service.
     fn in_service(&self) -> bool;
-    /// A statement has been written.
+    /// Records that a statement has been written.
     fn statement_written(&self);
-    /// A sticky session holds the connection: from now on it is not counted as a request of the engine.
+    /// Records that a sticky session holds the connection: from now on the attempt is not counted as a
+    /// request in flight on the engine.
     fn session_started(&self);
-    /// The engine has answered, and nothing is asked of it.
+    /// Records that the engine has answered and no statement of the session is in progress.
     fn session_idle(&self);
-    /// Something is asked of the engine.
+    /// Records that a statement of the session is in progress.
     fn session_active(&self);
 }
 
-/// When a statement may still be written.
+/// The condition under which a statement may still be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteGate {
     /// While the engine is in service.
     EngineInService,
-    /// Always: the session holds the connection already.
+    /// Regardless of the engine's state: the session already holds the connection.
     SessionHeld,
 }
 
-/// The connection on which an attempt has written a statement; empty while nothing of it can have run.
+/// The connection on which an attempt has written a statement; `None` while the statement cannot have run.
 pub(super) type WrittenOn = Cell<Option<ConnectionId>>;
 
-/// How one piece of work is executed.
+/// The parameters for executing one piece of work.
 #[derive(Clone, Copy)]
 pub(super) struct Execution<'a> {
     pub(super) client: WaitingClient<'a>,
-    /// Set right before the first byte that may make the statement run: whatever fails earlier proves that it never
-    /// did.
+    /// Set right before the first byte that may make the statement run: after an earlier failure, the
+    /// statement is known never to have run.
     pub(super) written_on: &'a WrittenOn,
     pub(super) events: &'a dyn AttemptEvents,
     pub(super) gate: WriteGate,
 }
 
 impl Execution<'_> {
-    /// Whether the statement may still be written: connecting took its time, the engine may be draining by now or the
-    /// deadline have passed.
+    /// Checks that the statement may still be written: while the connection was being opened, the engine
+    /// may have started to drain or the deadline may have passed.
     fn check(&self) -> Result<(), PacketError> {
         let in_service = self.gate == WriteGate::SessionHeld || self.events.in_service();
         if !in_service || process_time_millis() >= self.client.deadline {
-            return Err(PacketError::Protocol("no longer in service, or too late"));
+            return Err(PacketError::Protocol(
+                "the engine is no longer in service, or the deadline has passed",
+            ));
         }
         Ok(())
     }
 
+    /// Checks that the statement may still be written, and records the connection as the one it is
+    /// written on.
     fn check_and_mark(&self, connection: ConnectionId) -> Result<(), PacketError> {
         self.check()?;
         self.written_on.set(Some(connection));
@@ -82,12 +89,12 @@
 /// Executes work on connections.
 pub(super) struct Executor {
     pub(super) spools: Rc<Spools>,
-    /// Limit for a command whose answer is a plain OK.
+    /// Time limit for a command whose answer is a plain OK.
     pub(super) control_timeout: Duration,
 }
 
 impl Executor {
-    /// Executes the work on a connection.
+    /// Executes the work on a connection, and returns the answer of the engine.
     pub(super) async fn run(
         &self,
         connection: &mut Connection,
@@ -95,7 +102,7 @@
         execution: Execution<'_>,
     ) -> Result<Output, PacketError> {
         let result = self.run_job(connection, work, execution).await;
-        // Then the last answer has arrived completely.
+        // In both cases the last answer has arrived completely.
         if matches!(result, Ok(_) | Err(PacketError::Server(_))) {
             connection.command_in_progress = false;
         }
@@ -110,12 +117,12 @@
     ) -> Result<Output, PacketError> {
         if !connection.can_enter(&work.context) {
             return Err(PacketError::Protocol(
-                "the connection stands in another session's place",
+                "the connection has a schema or character set that this session needs unset",
             ));
         }
         self.enter_context(connection, work, execution.client)
             .await?;
-        // Statements change it: it is set again for the next session that reads it.
+        // Statements change this variable, so it is set again for the next session that reads it.
         if connection
             .context
             .variables
@@ -125,8 +132,10 @@
         }
         match &work.job {
             Job::EnterContext => Ok(Output::one_packet(&ok_packet())),
-            // A sticky session executes what others bring, and is brought by none.
-            Job::StickySession(_) => Err(PacketError::Protocol("a pin within a pin")),
+            // A sticky session executes other jobs and is never itself submitted as one.
+            Job::StickySession(_) => Err(PacketError::Protocol(
+                "a sticky session cannot run inside another sticky session",
+            )),
             Job::Query => self.query(connection, work, execution).await,
             Job::Prepare => {
                 let id = connection.id;
@@ -141,6 +150,7 @@
         }
     }
 
+    /// Executes a statement with COM_QUERY.
     async fn query(
         &self,
         connection: &mut Connection,
@@ -157,8 +167,8 @@
         self.read_answer(connection, work, execution.client).await
     }
 
-    /// Executes a prepared statement. An engine that does not know it any more has not run it: it is prepared and
-    /// executed once more.
+    /// Executes a prepared statement. If the engine no longer knows the statement, it has not run it:
+    /// the statement is then prepared and executed once more.
     async fn execute(
         &self,
         connection: &mut Connection,
@@ -177,11 +187,12 @@
         }
         execution.written_on.set(None);
         connection.statements.remove(&key);
-        // The attempt has been counted as written.
+        // The attempt has already been counted as written.
         self.execute_once(connection, work, execute, &key, execution, || ())
             .await
     }
 
+    /// Executes a prepared statement, preparing it first if necessary.
     async fn execute_once(
         &self,
         connection: &mut Connection,
@@ -195,7 +206,7 @@
             .prepared_id(connection, work, key, execution)
             .await?
             .to_le_bytes();
-        // By these alone nothing runs.
+        // These commands alone do not make anything run.
         for (parameter, data) in &execute.long_data {
             let head = [&statement[..], &parameter.to_le_bytes()].concat();
             connection
@@ -221,7 +232,8 @@
         self.read_answer(connection, work, execution.client).await
     }
 
-    /// The statement's id on this connection; prepares it if the connection has not yet.
+    /// Returns the id of the statement on this connection, and prepares the statement if the connection
+    /// has not yet.
     async fn prepared_id(
         &self,
         connection: &mut Connection,
@@ -240,13 +252,12 @@
             let error = parse_err_packet(&Bytes::copy_from_slice(packet));
             return Err(PacketError::Server(error));
         }
-        connection
-            .statements
-            .id(key)
-            .ok_or(PacketError::Protocol("not prepared"))
+        connection.statements.id(key).ok_or(PacketError::Protocol(
+            "the prepared statement has no id on this connection",
+        ))
     }
 
-    /// Prepares a statement: the answer, and behind it the definitions of parameters and columns.
+    /// Prepares a statement. Returns the answer, followed by the definitions of parameters and columns.
     async fn prepare(
         &self,
         connection: &mut Connection,
@@ -282,7 +293,7 @@
         Ok(packets)
     }
 
-    /// A command whose answer is a plain OK.
+    /// Executes a command whose answer is a plain OK.
     pub(super) async fn expect_ok(
         &self,
         connection: &mut Connection,
@@ -307,12 +318,14 @@
                 Ok(())
             }
             Some(&ERR_HEADER) => Err(PacketError::Server(parse_err_packet(&packet))),
-            _ => Err(PacketError::Protocol("it answers rows to a setting")),
+            _ => Err(PacketError::Protocol(
+                "the engine answered a command with neither OK nor an error",
+            )),
         }
     }
 
-    /// Takes the connection to the session's context, step by step, so that a step that fails leaves `context` as the
-    /// engine has it.
+    /// Applies the session context to the connection, step by step, so that `context` matches the state
+    /// at the engine even if a step fails.
     pub(super) async fn enter_context(
         &self,
         connection: &mut Connection,
@@ -344,7 +357,7 @@
     }
 }
 
-/// Reads definitions and the EOF behind them; none are sent without an EOF.
+/// Reads definitions and the EOF that follows them. If there are no definitions, no EOF is sent either.
 async fn read_definitions(
     connection: &mut Connection,
     count: u16,
@@ -362,7 +375,7 @@
     Ok(())
 }
 
-/// What is kept of a statement beside its rows stays small.
+/// Checks the size of what is kept of a statement apart from its rows.
 pub(super) fn check_description_size(packets: &Packets) -> Result<(), PacketError> {
     match packets.size() > MAX_DESCRIPTION_BYTES {
         true => Err(PacketError::TooLarge(packets.size())),
@@ -370,6 +383,7 @@
     }
 }
 
+/// Returns whether the engine answered that it does not know the prepared statement.
 fn is_unknown_statement(output: &Output) -> bool {
     output
         .sql_error()
--- a/src/upstream/mysql/result.rs
+++ b/src/upstream/mysql/result.rs
@@ -1,4 +1,4 @@
-//! Reads the answer to a statement: its result, and its warnings.
+//! Reads the answer to a statement: its result and its warnings.
 
 use super::connection::{Connection, WaitingClient};
 use super::executor::{Executor, check_description_size};
@@ -9,15 +9,15 @@
 };
 use crate::spool_io::{ResultWriter, StoredResult};
 
-/// Limit of the warnings that are kept of one statement.
+/// Maximum number of warnings that are kept of one statement.
 const MAX_WARNINGS: usize = 64;
-/// A server that asks for a local file (LOAD DATA LOCAL) begins with the byte that stands for NULL in rows.
+/// First byte of a server request for a local file (LOAD DATA LOCAL); the same byte represents NULL in rows.
 const LOCAL_INFILE_HEADER: u8 = NULL_VALUE;
-/// The columns of a result end with one EOF, its rows with another.
+/// Number of EOF packets in a result: one ends the columns, another ends the rows.
 const EOFS_OF_RESULT: usize = 2;
 
 impl Executor {
-    /// Reads the answer to a statement that has been written, and its warnings.
+    /// Reads the answer to a statement that has been written, and fetches its warnings.
     pub(super) async fn read_answer(
         &self,
         connection: &mut Connection,
@@ -29,8 +29,9 @@
         Ok(output)
     }
 
-    /// Reads a whole result: an OK, an ERR, or columns and rows up to their end. Rows go into the spool as they arrive,
-    /// and the connection is free at the last packet. A result that its engine interrupts with an error is that error.
+    /// Reads a whole result: an OK, an ERR, or all columns and rows. Rows are written to the spool as
+    /// they arrive, and the connection is free again after the last packet. If the engine interrupts a
+    /// result with an error, the answer is that error.
     async fn read_result(
         &self,
         connection: &mut Connection,
@@ -42,7 +43,9 @@
         match first.first() {
             None => Err(PacketError::Truncated),
             Some(&ERR_HEADER) => Ok(Output::one_packet(&first)),
-            Some(&LOCAL_INFILE_HEADER) => Err(PacketError::Protocol("it asks for a local file")),
+            Some(&LOCAL_INFILE_HEADER) => Err(PacketError::Protocol(
+                "the engine requested a local file, which is not supported",
+            )),
             Some(&OK_HEADER) => {
                 let ok = parse_ok_status(&first)?;
                 connection.status = ok.flags;
@@ -59,6 +62,7 @@
     }
 }
 
+/// Reads the column definitions of a result up to their EOF.
 async fn read_columns(
     connection: &mut Connection,
     writer: &mut ResultWriter,
@@ -74,6 +78,7 @@
     }
 }
 
+/// Reads the rows of a result up to their EOF, or up to the error that interrupts them.
 async fn read_rows(
     connection: &mut Connection,
     mut writer: ResultWriter,
@@ -96,17 +101,18 @@
     }
 }
 
+/// Returns an error if the status flags announce another result set.
 fn check_single_result(status: u16) -> Result<(), PacketError> {
     match status & SERVER_MORE_RESULTS_EXISTS {
         0 => Ok(()),
         _ => Err(PacketError::Protocol(
-            "several results at once are not carried",
+            "multiple result sets are not supported",
         )),
     }
 }
 
-/// Warnings stay on the connection that reported them, and the session may use another when it asks for them: they are
-/// fetched at once.
+/// Fetches the warnings of a statement. The engine keeps warnings per connection, and the session may be
+/// on another connection when it requests them, so they are fetched right after the statement.
 async fn fetch_warnings(
     connection: &mut Connection,
     work: &Work,
--- a/src/upstream/mysql/sticky.rs
+++ b/src/upstream/mysql/sticky.rs
@@ -1,6 +1,6 @@
-//! The engine's end of a sticky session: one attempt that holds a connection and executes what its session sends, until
-//! nothing keeps the session there, a limit ends it, or the connection breaks. When it ends is decided by
-//! [`crate::sticky_sessions`].
+//! The engine side of a sticky session: one attempt that holds a connection and executes the statements
+//! that its session sends, until no session state requires the connection, a limit ends the session, or
+//! the connection breaks. [`crate::sticky_sessions`] decides when the session ends.
 
 use super::connection::{Connection, WaitingClient};
 use super::executor::{AttemptEvents, Execution, Executor, WriteGate, WrittenOn};
@@ -21,39 +21,40 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// How often a sticky session checks its limits, and whether its engine is draining.
+/// Interval at which a sticky session checks its limits and whether its engine is draining.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// How often an idle connection is pinged, in milliseconds.
+/// Interval at which an idle connection is pinged, in milliseconds.
 const PING_INTERVAL_MS: Millis = 1000.0;
 
 /// One statement of a sticky session.
 pub struct SessionCommand {
-    /// The statement.
+    /// Statement to execute.
     pub work: Work,
-    /// What it does to the session's state on the connection.
+    /// Effect of the statement on the session state of the connection.
     pub effect: StatementEffect,
-    /// Where its answer goes; dropped if the connection is lost.
+    /// Receives the answer; dropped without one if the connection is lost.
     pub reply: oneshot::Sender<SessionAnswer>,
 }
 
 /// The answer to a statement of a sticky session.
 pub struct SessionAnswer {
-    /// What the engine returned.
+    /// Output of the engine.
     pub output: Output,
-    /// Whether the session goes on holding the connection.
+    /// Whether the session keeps the connection.
     pub disposition: ConnectionDisposition,
-    /// A transaction is open, as the engine reports.
+    /// Whether a transaction is open, as reported by the engine.
     pub in_transaction: bool,
 }
 
-/// What a session and the attempt that holds its connection share.
+/// State shared by a session and the attempt that holds its connection.
 pub struct StickyChannel {
-    /// Taken by the attempt that holds the connection: there is never a second.
+    /// Receiver of the statements of the session. The attempt that holds the connection takes it, so
+    /// that no second attempt ever serves the session.
     commands: RefCell<Option<mpsc::Receiver<SessionCommand>>>,
-    /// Why the attempt has ended the session.
+    /// Limit for which the attempt has ended the session.
     expired: Cell<Option<Expired>>,
     limits: StickySessionLimits,
-    /// Sent on the connection before the first statement.
+    /// Statement that is executed before the first statement of the session.
     first_statement: Option<String>,
 }
 
@@ -66,7 +67,8 @@
 }
 
 impl StickyChannel {
-    /// A channel, and the sender of the session's statements. `first_statement` is executed before them.
+    /// Creates a channel and the sender of the session's statements. `first_statement` is executed
+    /// before them.
     pub fn new(
         limits: StickySessionLimits,
         first_statement: Option<String>,
@@ -81,22 +83,24 @@
         (Rc::new(channel), sender)
     }
 
-    /// An attempt has begun to execute what is sent: from then on it may have run.
+    /// Returns whether an attempt has begun to execute the statements of the session: from then on they
+    /// may have run.
     pub fn has_begun(&self) -> bool {
         self.commands.borrow().is_none()
     }
 
-    /// Why the attempt has ended the session, if it has.
+    /// Returns the limit for which the attempt has ended the session, if it has.
     pub fn expired(&self) -> Option<Expired> {
         self.expired.get()
     }
 }
 
-/// How a sticky session ended with a sound connection.
+/// How a sticky session ended whose connection still works.
 pub(super) enum SessionEnd {
-    /// Nothing keeps the session on the connection: the last answer, to be sent once the connection is back.
+    /// No session state requires the connection any more. The last answer is sent once the connection is
+    /// back in the pool.
     Released(oneshot::Sender<SessionAnswer>, SessionAnswer),
-    /// The connection is to be closed, by which the engine rolls back what is open.
+    /// The connection is to be closed, so that the engine rolls back any open transaction.
     Closed,
 }
 
@@ -110,17 +114,17 @@
     pub(super) events: &'a dyn AttemptEvents,
 }
 
-/// The session on its connection.
+/// A sticky session with its connection.
 struct OpenSession<'a> {
     connection: &'a mut Connection,
     session: StickySession,
-    /// When the engine last answered, or was pinged.
+    /// Time at which the engine last answered or was pinged, in milliseconds on the clock of the process.
     last_contact: Millis,
 }
 
 impl SessionServer<'_> {
-    /// Executes what the session sends. An error is that of the connection, which is lost; whoever waits for an answer
-    /// learns it from the reply's end.
+    /// Executes the statements that the session sends. An error means that the connection is lost; a
+    /// session that waits for an answer detects this because its reply channel is dropped.
     pub(super) async fn serve(
         &self,
         connection: &mut Connection,
@@ -130,7 +134,7 @@
         }
         let Some(mut commands) = self.channel.commands.borrow_mut().take() else {
             return Err(PacketError::Protocol(
-                "what was open on another engine is not opened again",
+                "a sticky session that began on another engine is not started again",
             ));
         };
         self.events.session_started();
@@ -163,12 +167,12 @@
                 self.written_on.set(None);
                 return Ok(SessionEnd::Released(reply, answer));
             }
-            // A client that has disconnected closes the channel, which ends the session.
+            // If the client has disconnected, the channel is closed, which ends the session.
             let _ = reply.send(answer);
         }
     }
 
-    /// Waits for a statement; `None` once the session has ended or a limit ends it.
+    /// Waits for the next statement; returns `None` once the session has ended or a limit ends it.
     async fn next_command(
         &self,
         open: &mut OpenSession<'_>,
@@ -178,7 +182,7 @@
             tokio::select! {
                 biased;
                 command = commands.recv() => return Ok(command),
-                // Nothing is owed: whatever arrives ends the connection.
+                // No answer is pending, so any packet that arrives is unexpected and ends the connection.
                 packet = read_packet(&mut *open.connection.wire) => {
                     return Err(packet.err().unwrap_or(PacketError::OutOfOrder));
                 }
@@ -199,7 +203,7 @@
         }
     }
 
-    /// The limit that ends the session now, if one does.
+    /// Returns the limit that ends the session now, if one does.
     fn check_limits(&self, open: &mut OpenSession<'_>) -> Option<Expired> {
         let now = process_time_millis();
         if !self.events.in_service() {
@@ -208,7 +212,8 @@
         open.session.expired(now)
     }
 
-    /// Executes one statement; a limit that ends the session meanwhile kills it.
+    /// Executes one statement; kills it if a limit ends the session meanwhile. The outer error means
+    /// that the connection is abandoned.
     async fn execute(
         &self,
         open: &mut OpenSession<'_>,
@@ -239,14 +244,14 @@
             }
             self.channel.expired.set(session.expired(now));
             if self.channel.expired().is_some() {
-                // The engine would go on with what runs.
+                // Without the kill, the engine would continue the running statement.
                 self.killer.kill(id);
                 return Err(PacketError::ConnectionAbandoned);
             }
         }
     }
 
-    /// The answer to a statement from its result; an error is that of the connection.
+    /// Returns the answer to a statement from its result. An error means that the connection is lost.
     async fn answer(
         &self,
         open: &mut OpenSession<'_>,
@@ -255,9 +260,9 @@
         open.last_contact = process_time_millis();
         let output = match result {
             Ok(output) => output,
-            // The schema, a setting or the statement is wrong, and nothing ran: that is the answer.
+            // The schema, a setting or the statement is invalid and nothing ran: the error is the answer.
             Err(PacketError::Server(error)) => Output::error(&error),
-            // Its session learns of the same, ends and says why.
+            // The session detects the disconnect too, and ends with that reason.
             Err(PacketError::ClientDisconnected) => std::future::pending().await,
             Err(error) => return Err(error),
         };
@@ -277,14 +282,15 @@
     }
 }
 
-/// Why a sticky session was lost, as its client is told.
+/// Returns the reason for the loss of a sticky session, as reported to its client.
 pub fn loss_reason(expired: Option<Expired>) -> String {
     expired.map_or("its engine connection was lost".to_string(), |expired| {
         expired.to_string()
     })
 }
 
-/// What a client is told whose sticky session was lost: whether anything may have been committed is said plainly.
+/// Returns the error for a client whose sticky session was lost. It states whether anything may have
+/// been committed.
 pub fn session_lost(reason: &str, outcome: TransactionOutcome) -> SqlError {
     match outcome {
         TransactionOutcome::RolledBack => SqlError::new(
--- a/src/upstream/mysql/work.rs
+++ b/src/upstream/mysql/work.rs
@@ -1,4 +1,4 @@
-//! What a session hands to an engine connection, and what that returns.
+//! The work that a session submits to an engine connection, and the output that the connection returns.
 
 use crate::dispatch::Reply;
 use crate::protocol::mysql::error::{SqlError, code};
@@ -13,64 +13,65 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// A client's request, as an engine connection can execute it without anything else.
+/// A request of a client, with all that an engine connection needs to execute it.
 #[derive(Debug)]
 pub struct Work {
-    /// The state that the connection has to be in.
+    /// Session context that the connection has to be in.
     pub context: SessionContext,
-    /// The statement; empty if there is none.
+    /// Text of the statement; empty if there is none.
     pub sql: Bytes,
-    /// What to do with the statement.
+    /// Command to execute.
     pub job: Job,
-    /// Whose result it brings, for the limits of stored results.
+    /// Admission request to the spool, for the limits on stored results.
     pub admission: AdmissionRequest,
-    /// The owner of the result, and what it is listed by.
+    /// Owner of the result, and the properties that the result is listed by.
     pub owner: ResultOwner,
-    /// Where the statement's warnings go.
+    /// Receives the warnings of the statement.
     pub warnings: SharedWarnings,
-    /// The client: checked right before anything of it is written to an engine.
+    /// Client of the request: checked right before anything is written to an engine on its behalf.
     pub downstream: Rc<Downstream>,
 }
 
-/// The warnings of a session's last statement: the result of SHOW WARNINGS, each packet behind its length.
+/// Warnings of the last statement of a session: the result of SHOW WARNINGS, each packet preceded by its
+/// length.
 pub type SharedWarnings = Rc<RefCell<Option<Bytes>>>;
 
-/// What an engine connection is to do.
+/// A command for an engine connection.
 #[derive(Debug)]
 pub enum Job {
-    /// Only take a connection to the session's context: what the engine says to that is the answer.
+    /// Applies only the session context to a connection: the answer is OK, or the error of the engine.
     EnterContext,
-    /// Hold a connection and execute what the session sends.
+    /// Holds a connection and executes the statements that the sticky session sends.
     StickySession(Rc<StickyChannel>),
     /// COM_QUERY.
     Query,
-    /// COM_STMT_PREPARE: returns the statement's parameters and columns.
+    /// COM_STMT_PREPARE: returns the definitions of the parameters and columns.
     Prepare,
-    /// COM_STMT_EXECUTE, with all that an engine connection needs to execute it for the first time.
+    /// COM_STMT_EXECUTE, with all that a connection needs to execute the statement for the first time.
     Execute(Execute),
 }
 
-/// What an engine returned.
+/// The answer of an engine.
 #[derive(Debug)]
 pub enum Output {
-    /// The whole answer.
+    /// The whole answer, held in memory.
     Inline(Packets),
-    /// The answer is stored in the spool with this number.
+    /// The answer is stored in the spool with this id.
     Spooled(SpoolId),
 }
 
 impl Output {
-    /// An answer of one packet.
+    /// Creates an answer of one packet.
     pub fn one_packet(payload: &[u8]) -> Self {
         Output::Inline(Packets::one(payload))
     }
 
-    /// An answer that is an ERR packet.
+    /// Creates an answer that is an ERR packet.
     pub fn error(error: &SqlError) -> Self {
         Output::one_packet(&err_packet(error))
     }
 
-    /// The first packet of an answer that is not stored.
+    /// Returns the first packet of an inline answer; `None` if the answer is spooled.
     pub fn first_packet(&self) -> Option<&[u8]> {
         match self {
             Output::Inline(packets) => packets.iter().next(),
@@ -78,14 +79,14 @@
         }
     }
 
-    /// The error, if the answer is one.
+    /// Returns the error if the answer is an ERR packet.
     pub fn sql_error(&self) -> Option<SqlError> {
         let packet = self.first_packet().filter(|packet| is_err(packet))?;
         Some(parse_err_packet(&Bytes::copy_from_slice(packet)))
     }
 }
 
-/// The packets of an engine's answer, without their headers: each behind its length.
+/// The packets of an answer, without their packet headers; each payload is preceded by its length.
 #[derive(Debug, Default)]
 pub struct Packets {
     bytes: BytesMut,
@@ -98,7 +99,7 @@
 }
 
 impl Packets {
-    /// One packet alone.
+    /// Creates a sequence of one packet.
     pub fn one(payload: &[u8]) -> Self {
         let mut packets = Packets::default();
         packets.push(payload);
@@ -111,23 +112,24 @@
         self.bytes.put_slice(payload);
     }
 
-    /// Bytes of all packets with their lengths.
+    /// Returns the size in bytes of all packets, including their length prefixes.
     pub fn size(&self) -> usize {
         self.bytes.len()
     }
 
-    /// The payloads, in order.
+    /// Returns the payloads in order.
     pub fn iter(&self) -> impl Iterator<Item = &[u8]> {
         spool_io::packets(&self.bytes)
     }
 
-    /// The packets, each behind its length.
+    /// Returns the packets, each preceded by its length.
     pub fn into_bytes(self) -> Bytes {
         self.bytes.freeze()
     }
 }
 
-/// The error that a client gets for a final answer without a result; `None` if there is a result.
+/// Returns the error that the client receives for a final reply without a result; `None` if there is a
+/// result.
 pub fn error_of_reply(reply: &Reply<Output>) -> Option<SqlError> {
     let retry_safe_hint = "sending it again does no harm";
     Some(match reply {
