--- a/src/upstream/resp/commands.rs
+++ b/src/upstream/resp/commands.rs
@@ -1,4 +1,4 @@
-//! Writes attempts and their cancellations on a connection.
+//! Writes attempts and their cancellations to a connection.
 
 use crate::clock::process_time_millis;
 use crate::decision::model::Outcome;
@@ -8,11 +8,13 @@
 use crate::transport::framed_connection::Socket;
 use crate::transport::pending_input::{self, PendingInput};
 use crate::upstream::resp::connection::{BlockedOn, Command, Stage};
-use crate::upstream::resp::connection_task::{CANCELLED_WRITE_GRACE_MS, Session};
+use crate::upstream::resp::connection_task::{CANCELLED_WRITE_GRACE_MS, EstablishedConnection};
 
-impl Session<'_> {
-    /// Writes a command where nothing is left to be written. What the system takes no byte of is blocked, and checked
-    /// anew before it is written: by then its client may have left, its time be over or its engine drain.
+impl EstablishedConnection<'_> {
+    /// Writes a command; nothing else may be waiting to be written. A command of which the operating
+    /// system accepts no byte becomes the blocked command, and is checked again before it is written: by
+    /// then its client may have disconnected, its deadline may have passed or its engine may be
+    /// draining.
     pub(super) fn write_command(&mut self, command: Command) -> Result<(), RespError> {
         match command {
             Command::Cancel(txn) => self.wire.enqueue(&[b"DROP", txn.as_bytes()][..]),
@@ -20,6 +22,7 @@
         }
     }
 
+    /// Writes an attempt, unless it was cancelled, is too late or its engine is out of service.
     fn write_attempt(&mut self, txn: String) -> Result<(), RespError> {
         let task = self.task;
         let connection = &task.connection;
@@ -27,7 +30,7 @@
             return Ok(());
         };
         let mut pending = connection.pending.borrow_mut();
-        // Cancelled before a byte of it was written.
+        // The attempt was cancelled before any byte of it was written.
         let Some(attempt) = pending.get_mut(&txn) else {
             return Ok(());
         };
@@ -43,12 +46,13 @@
         let write_by = start.write_by;
         let time_left = start.deadline - now;
         let is_late = time_left < 1.0 || now >= write_by;
-        // The connection took its time: the engine may drain by now, or the time be over, its own or that of a retry. It
-        // never ran.
+        // While the connection was being established, the engine may have started to drain, or the
+        // deadline of the request or the time limit for its retry may have passed. The attempt never
+        // ran.
         if is_late || !router.is_in_service(&task.engine) {
             let id = start.attempt;
             drop(pending);
-            self.forget_attempt(&txn, id);
+            self.remove_attempt(&txn, id);
             let outcome = if is_late {
                 Outcome::NeverStarted
             } else {
@@ -57,8 +61,9 @@
             router.attempt_ended(id, outcome, vec![]);
             return Ok(());
         }
-        // The engine may have closed the connection by now, and its client may have gone or left since its task last
-        // ran: the system is asked, and what is unread is read first. Nothing begins for a client that has closed.
+        // The engine may have closed the connection, and the client may have disconnected, since their
+        // tasks last ran: the sockets are checked, and unread input is read first. No attempt begins for
+        // a client that has disconnected.
         let client_input = work.client_input();
         let is_first_check = !std::mem::replace(input_checked, true);
         let has_unread_input = || {
@@ -76,11 +81,11 @@
             self.blocked = Some((Command::Send(txn), BlockedOn::WriteCapacity));
             return Ok(());
         }
-        // From here on it counts as reached, even if the write breaks off.
+        // From here on the attempt counts as written, even if the write is interrupted.
         attempt.stage = Stage::Written;
         if !self.wire.is_flushed() {
             *connection.partially_written.borrow_mut() = Some(txn);
-            // A retry that is not complete by its time never is.
+            // A retry that is not completely written by its time limit is never completed.
             let unwanted_since = write_by - CANCELLED_WRITE_GRACE_MS;
             let unwanted_since = write_by.is_finite().then_some(unwanted_since);
             connection.unwanted_since.set(unwanted_since);
@@ -90,7 +95,7 @@
     }
 }
 
-/// The fields of an attempt, with its remaining time in milliseconds.
+/// Returns the fields of an attempt, with its remaining time in milliseconds.
 fn attempt_fields(start: &StartAttempt, work: &Work, time_left: f64) -> String {
     let mut fields = format!("cls={},limit={}", work.class, time_left as u64);
     if start.memory_mb >= 1.0 {
--- a/src/upstream/resp/connection.rs
+++ b/src/upstream/resp/connection.rs
@@ -13,59 +13,61 @@
 use std::rc::Rc;
 use tokio::sync::{Notify, mpsc};
 
-/// A result that has begun goes on within this, or its connection is closed.
+/// Time in milliseconds after which a connection is closed if the next page of a result that has begun
+/// does not arrive.
 const RESULT_STALL_TIMEOUT_MS: Millis = 600.0;
-/// A connection that owes replies gets no new attempts once so many progress notes are missed; where engines send none,
-/// silence is no sign.
+/// Number of missed progress notes after which a connection with pending attempts gets no new ones. If
+/// engines send no progress notes, silence has no meaning.
 const MISSED_PROGRESS_NOTES_AVOID: f64 = 2.0;
-/// Progress notes that are missed before a connection that owes replies counts as dead.
+/// Number of missed progress notes after which a connection with pending replies counts as dead.
 const MISSED_PROGRESS_NOTES_DEAD: f64 = 3.0;
-/// Abandoned ids that a connection remembers: a late reply comes soon or never.
-const MAX_ABANDONED_IDS: usize = 512;
+/// Maximum number of ids of ended attempts that a connection remembers: a late reply arrives soon or never.
+const MAX_ENDED_IDS: usize = 512;
 
-/// What is to be written on a connection.
+/// A command to write on a connection.
 pub(super) enum Command {
-    /// Send the attempt of this id.
+    /// Sends the attempt with this id.
     Send(String),
-    /// Cancel it.
+    /// Cancels the attempt with this id.
     Cancel(String),
 }
 
-/// What a command waits for.
+/// The condition that a command waits for.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum BlockedOn {
-    /// Unread input is read first.
+    /// Unread input has to be read first.
     UnreadInput,
-    /// The system takes no byte.
+    /// The operating system accepts no more bytes.
     WriteCapacity,
 }
 
-/// How far an attempt is on its connection.
+/// The progress of an attempt on its connection.
 pub(super) enum Stage {
-    /// Not a byte is written: if the connection ends, the attempt never ran.
+    /// No byte has been written: if the connection ends, the attempt never ran.
     Queued {
         start: StartAttempt,
         work: Rc<Work>,
-        /// The system was asked for unread input on its connection.
+        /// The sockets have been checked for unread input.
         input_checked: bool,
     },
-    /// Its first byte is written: it may have run.
+    /// The first byte has been written: the attempt may have run.
     Written,
-    /// Its first page has arrived.
+    /// The first page of the result has arrived.
     Paging {
         pages: Vec<Option<Bytes>>,
         missing_pages: usize,
         result_bytes: usize,
-        /// When the last page arrived.
+        /// Time at which the last page arrived, in milliseconds on the clock of the process.
         last_page_at: Millis,
         report: Vec<f64>,
     },
 }
 
-/// An attempt that the engine owes a reply to.
+/// An attempt that waits for a reply of the engine.
 pub(super) struct PendingAttempt {
     pub(super) attempt: AttemptId,
-    pub(super) alone: bool,
+    /// Whether the attempt must not share its connection.
+    pub(super) exclusive: bool,
     pub(super) stage: Stage,
 }
 
@@ -75,29 +77,31 @@
     pub(super) address: SocketAddr,
     pub(super) opened: Millis,
     pub(super) commands: mpsc::Sender<Command>,
-    /// The engine has accepted it.
+    /// The connection is established.
     pub(super) is_established: Cell<bool>,
     pub(super) pending: RefCell<HashMap<String, PendingAttempt>>,
-    /// Ids of attempts that ended here, and until when each is remembered: a late reply to one must not pass for that of
-    /// a new attempt.
-    abandoned: RefCell<VecDeque<(Id, Millis)>>,
-    /// The attempt of which some bytes are written and some are not.
+    /// Ids of attempts that ended on this connection, and the time until which each is remembered: a
+    /// late reply to such an attempt must not be taken for the reply to a new one.
+    ended_ids: RefCell<VecDeque<(Id, Millis)>>,
+    /// Id of the attempt that is partially written.
     pub(super) partially_written: RefCell<Option<String>>,
-    /// Since when that attempt is not wanted, or from when on it will not be.
+    /// Time from which the partially written attempt is no longer wanted; may be in the future.
     pub(super) unwanted_since: Cell<Option<Millis>>,
-    /// It takes no new attempts, and ends once it owes nothing.
+    /// The connection accepts no new attempts, and ends once no attempt is pending.
     pub(super) closing: Cell<bool>,
-    /// An incomplete reply has been unread for a while: replies behind it would wait for its rest, which may never come.
+    /// A reply has been incomplete for a while: replies behind it would wait for its remaining bytes,
+    /// which may never arrive.
     pub(super) has_partial_reply: Cell<bool>,
-    /// When the engine last replied here, or was given an attempt while it owed nothing.
+    /// Time at which the engine last replied on this connection, or was sent an attempt while none was
+    /// pending.
     pub(super) last_activity: Cell<Millis>,
-    /// Notified when it is to close at once.
+    /// Notified when the connection is to be closed at once.
     pub(super) close_requested: Notify,
-    /// Notified when its task has to look at its state.
+    /// Notified when the task of the connection has to check its state.
     pub(super) changed: Notify,
 }
 
-/// A request id, without an allocation.
+/// A request id in a fixed-size array, which needs no allocation.
 type Id = [u8; 16];
 
 fn id_of(txn: &str) -> Id {
@@ -107,7 +111,7 @@
 }
 
 impl Connection {
-    /// The state of a connection that is not established yet; its task takes the commands.
+    /// Creates the state of a connection that is not established yet; its task receives the commands.
     pub(super) fn new(number: u64, address: SocketAddr, commands: mpsc::Sender<Command>) -> Self {
         Connection {
             number,
@@ -116,7 +120,7 @@
             commands,
             is_established: Cell::new(false),
             pending: RefCell::default(),
-            abandoned: RefCell::default(),
+            ended_ids: RefCell::default(),
             partially_written: RefCell::default(),
             unwanted_since: Cell::default(),
             closing: Cell::new(false),
@@ -127,10 +131,10 @@
         }
     }
 
-    /// Whether an attempt with this id may be sent here now.
+    /// Returns whether an attempt with this id may be sent on this connection now.
     pub(super) fn accepts(&self, txn: &str, now: Millis, sockets: &SocketSettings) -> bool {
         let pending = self.pending.borrow();
-        // One that has stopped short stays open, and nothing on it comes to an end.
+        // The connection to an engine that has stopped responding stays open, and no attempt on it would end.
         let interval = sockets.progress_interval;
         let is_silent = interval > 0.0
             && !pending.is_empty()
@@ -140,65 +144,76 @@
             && !is_silent
             && pending.len() < sockets.max_streams_per_connection
             && !pending.contains_key(txn)
-            && !self.remembers(txn, now)
+            && !self.may_receive_late_reply(txn, now)
     }
 
-    /// Whether an attempt can be sent here without sharing where it, or another one here, must be alone.
-    pub(super) fn is_free(&self, alone: bool) -> bool {
+    /// Returns whether an attempt can be sent on this connection without breaking the exclusive use that
+    /// it, or a pending attempt, needs.
+    pub(super) fn is_available(&self, exclusive: bool) -> bool {
         let pending = self.pending.borrow();
-        let is_shared = alone || pending.values().any(|attempt| attempt.alone);
-        pending.is_empty() || !is_shared
+        let needs_exclusive = exclusive || pending.values().any(|attempt| attempt.exclusive);
+        pending.is_empty() || !needs_exclusive
     }
 
-    /// Whether it owes replies and has been silent for several intervals of progress notes. One with an attempt that must
-    /// be alone is spared: closing it would end what may not be retried.
-    pub(super) fn is_dead(&self, now: Millis, notes: Millis) -> bool {
+    /// Returns whether replies are pending and the connection has been silent for several intervals of
+    /// progress notes. `progress_interval` is in milliseconds; with 0, this is never the case. A
+    /// connection with an exclusive attempt never counts as dead: closing it would end an attempt that
+    /// may not be retried.
+    pub(super) fn is_dead(&self, now: Millis, progress_interval: Millis) -> bool {
         let pending = self.pending.borrow();
-        let owes = pending
+        let has_pending_replies = pending
             .values()
             .any(|attempt| !matches!(attempt.stage, Stage::Queued { .. }));
-        owes && notes > 0.0
-            && now > self.last_activity.get() + MISSED_PROGRESS_NOTES_DEAD * notes
-            && !pending.values().any(|attempt| attempt.alone)
+        has_pending_replies
+            && progress_interval > 0.0
+            && now > self.last_activity.get() + MISSED_PROGRESS_NOTES_DEAD * progress_interval
+            && !pending.values().any(|attempt| attempt.exclusive)
     }
 
-    /// Whether a result that has begun does not go on.
+    /// Returns whether a result that has begun makes no progress.
     pub(super) fn is_stalled(&self, now: Millis) -> bool {
-        let is_stalled = |attempt: &PendingAttempt| matches!(attempt.stage, Stage::Paging { last_page_at, .. } if now > last_page_at + RESULT_STALL_TIMEOUT_MS);
+        let is_stalled = |attempt: &PendingAttempt| {
+            matches!(
+                attempt.stage,
+                Stage::Paging { last_page_at, .. } if now > last_page_at + RESULT_STALL_TIMEOUT_MS
+            )
+        };
         self.pending.borrow().values().any(is_stalled)
     }
 
-    /// Whether a late reply to an attempt of this id may still come.
-    fn remembers(&self, txn: &str, now: Millis) -> bool {
+    /// Returns whether a late reply to an ended attempt with this id may still arrive.
+    fn may_receive_late_reply(&self, txn: &str, now: Millis) -> bool {
         let id = id_of(txn);
-        let abandoned = self.abandoned.borrow();
-        abandoned
+        let ended_ids = self.ended_ids.borrow();
+        ended_ids
             .iter()
             .any(|(other, until)| *other == id && now < *until)
     }
 
-    /// Remembers an id that a late reply may come for. The oldest are dropped, so that memory stays bounded.
-    pub(super) fn abandon(&self, txn: &str, until: Millis) {
-        let mut abandoned = self.abandoned.borrow_mut();
+    /// Remembers the id of an ended attempt, to which a late reply may arrive. The oldest ids are
+    /// dropped, so that memory stays bounded.
+    pub(super) fn remember_ended_id(&self, txn: &str, until: Millis) {
+        let mut ended_ids = self.ended_ids.borrow_mut();
         let now = process_time_millis();
-        abandoned.retain(|(_, until)| now < *until);
-        if abandoned.len() >= MAX_ABANDONED_IDS {
-            abandoned.pop_front();
+        ended_ids.retain(|(_, until)| now < *until);
+        if ended_ids.len() >= MAX_ENDED_IDS {
+            ended_ids.pop_front();
         }
-        abandoned.push_back((id_of(txn), until));
+        ended_ids.push_back((id_of(txn), until));
     }
 
-    /// Cancels an attempt: its engine is told if it may have started, and a late reply is ignored.
+    /// Cancels an attempt. The cancellation is sent to the engine if the attempt may have started, and a
+    /// late reply is ignored.
     pub(super) fn cancel(&self, txn: String) {
         let cancelled = self.pending.borrow_mut().remove(&txn);
-        // The connection may wait for a descriptor, which nobody needs any more.
+        // The connection may be waiting for a file descriptor that it no longer needs.
         self.changed.notify_one();
         let may_have_started =
             cancelled.is_some_and(|attempt| !matches!(attempt.stage, Stage::Queued { .. }));
         if !may_have_started {
             return;
         }
-        self.abandon(&txn, f64::INFINITY);
+        self.remember_ended_id(&txn, f64::INFINITY);
         if self.partially_written.borrow().as_ref() == Some(&txn) {
             let now = process_time_millis();
             let since = self.unwanted_since.get().map_or(now, |at| at.min(now));
@@ -206,12 +221,12 @@
             self.changed.notify_one();
         }
         if self.commands.try_send(Command::Cancel(txn)).is_err() {
-            // It takes no commands any more: closing it abandons all that is on it.
+            // The command queue is full or closed: closing the connection ends all attempts on it.
             self.close();
         }
     }
 
-    /// Takes no new attempts, and ends at once.
+    /// Stops accepting attempts and closes the connection at once.
     pub(super) fn close(&self) {
         self.closing.set(true);
         self.close_requested.notify_one();
--- a/src/upstream/resp/connection_task.rs
+++ b/src/upstream/resp/connection_task.rs
@@ -1,4 +1,5 @@
-//! Serves one connection to an engine, from its descriptor to its end.
+//! The task of one connection to an engine: acquires a file descriptor, connects, and serves the
+//! connection until it closes.
 
 use crate::clock::{duration_from_millis, process_time_millis};
 use crate::decision::model::{Millis, Outcome};
@@ -9,7 +10,7 @@
 use crate::transport::framed_connection::{ConnectionEvent, FramedConnection, ReadInterest};
 use crate::upstream::resp::RespUpstream;
 use crate::upstream::resp::connection::{BlockedOn, Command, Connection, Stage};
-use crate::upstream::resp::engine_pool::{DescriptorGuard, EnginePool};
+use crate::upstream::resp::engine_pool::{ConnectionPool, DescriptorGuard};
 use bytes::Bytes;
 use std::io;
 use std::ops::ControlFlow;
@@ -19,32 +20,34 @@
 use tokio::sync::mpsc;
 use tokio::time::{Interval, MissedTickBehavior};
 
-/// How often the times of a connection are checked.
+/// Interval at which the time limits of a connection are checked, in milliseconds.
 const CHECK_INTERVAL_MS: Millis = 150.0;
-/// An incomplete reply is unread for so many checks before those behind it count as blocked. One check may fall between
-/// two reads of it.
+/// Number of consecutive checks that may find an incomplete reply before replies behind it count as
+/// blocked. One check may fall between two reads of a reply.
 const PARTIAL_REPLY_CHECKS: u32 = 1;
-/// An incomplete reply is unread for so many checks before its connection is closed.
+/// Number of consecutive checks that may find an incomplete reply before the connection is closed.
 const STALLED_REPLY_CHECKS: u32 = 5;
-/// An engine that takes no bytes for this long is cut off.
+/// Time after which a connection is closed whose engine accepts no bytes.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// An idle connection is closed after this part of the engine's own idle timeout: a request must not cross its close.
+/// Fraction of the engine's own idle timeout after which an idle connection is closed, so that no
+/// request is sent while the engine closes it.
 const IDLE_TIMEOUT_FACTOR: f64 = 0.8;
-/// A cancelled attempt that is partially written may be completed for this long: nothing may begin 0.1 s after its
-/// client's leave, and half of that is for the leave's way here and the engine's look at its socket. Then the connection
-/// is closed, by which the attempt is never complete.
+/// Time in milliseconds for which a cancelled attempt that is partially written may still be completed.
+/// An attempt must not begin more than 0.1 s after its client's disconnect, and half of that is reserved
+/// for the time until the disconnect is noticed here and until the engine reads its socket. Afterwards
+/// the connection is closed, so that the attempt is never completed.
 pub(super) const CANCELLED_WRITE_GRACE_MS: Millis = 50.0;
 
 /// The task of one connection.
 pub(super) struct ConnectionTask {
-    pub(super) pool: Rc<EnginePool>,
+    pub(super) pool: Rc<ConnectionPool>,
     pub(super) router: Weak<RequestRouter<RespUpstream>>,
     pub(super) engine: String,
     pub(super) connection: Rc<Connection>,
 }
 
 impl ConnectionTask {
-    /// Runs to the connection's end.
+    /// Runs until the connection ends.
     pub(super) async fn run(self, inbox: mpsc::Receiver<Command>) {
         if let Err(error) = self.connect_and_serve(inbox).await {
             let address = self.connection.address;
@@ -61,24 +64,26 @@
             return Ok(());
         };
         tcp.set_nodelay(true)?;
-        // What the system holds unsent can't be cancelled, so it holds little, where the size can be set.
+        // Bytes in the socket's send buffer can't be cancelled, so the buffer is kept small where its
+        // size can be set.
         let _ = socket2::SockRef::from(&tcp).set_send_buffer_size(BUFFER_BYTES);
         self.connection.is_established.set(true);
         let mut checks = tokio::time::interval(duration_from_millis(CHECK_INTERVAL_MS));
         checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let session = Session {
+        let established = EstablishedConnection {
             task: self,
             inbox,
-            wire: FramedConnection::new(&self.pool.pool, tcp.into(), RespCodec),
+            wire: FramedConnection::new(&self.pool.buffers, tcp.into(), RespCodec),
             checks,
             partial_reply_checks: 0,
             unrecorded_dispatches: 0,
             blocked: None,
         };
-        session.run().await
+        established.run().await
     }
 
-    /// A descriptor for the connection; `None` if it is closed first, or has no attempt any more.
+    /// Acquires a file descriptor for the connection; returns `None` if the connection is closed first
+    /// or no longer has any attempt.
     async fn acquire_descriptor(&self) -> Option<DescriptorGuard<'_>> {
         let connection = &self.connection;
         loop {
@@ -95,7 +100,7 @@
         }
     }
 
-    /// Connects to the engine; `None` if the connection is closed first.
+    /// Connects to the engine; returns `None` if the connection is closed first.
     async fn connect(&self) -> Result<Option<TcpStream>, RespError> {
         let timeout = duration_from_millis(self.pool.sockets.connect_timeout);
         let connect = TcpStream::connect(self.connection.address);
@@ -107,9 +112,10 @@
         }
     }
 
-    /// Ends the attempts on the connection: what was written may have run, the rest never did. That says something of
-    /// the engine once, not for each attempt that shared the connection: one bad connection would make a healthy engine
-    /// look as if it failed all it is sent. The others only end, by their class's rule.
+    /// Ends the attempts on the connection: those that were written may have run, the others never did.
+    /// Only one attempt reports a reset, because otherwise one broken connection would make a healthy
+    /// engine look as if it failed every attempt. The others end as cancelled, by the rule of their
+    /// class.
     fn finish(&self) {
         let connection = &self.connection;
         connection.closing.set(true);
@@ -135,44 +141,44 @@
     }
 }
 
-/// What happens on a connection.
+/// An event on a connection.
 enum Event {
-    /// The connection is to close at once.
+    /// The connection is to be closed at once.
     CloseRequested,
     /// The socket was read or written.
     Wire(ConnectionEvent<Vec<Bytes>, RespError>),
-    /// A command is to be written; `None` if none will come any more.
+    /// A command is to be written; `None` if no more commands will arrive.
     Command(Option<Command>),
-    /// Unread input was read: the blocked command may be tried again.
+    /// Unread input has been read: the blocked command may be tried again.
     InputRead,
-    /// A cancelled attempt is still partially written.
+    /// A cancelled attempt is still partially written after its grace period.
     CancelledWriteExpired,
-    /// The connection's state has changed.
+    /// The state of the connection has changed.
     Changed,
-    /// The times are to be checked.
+    /// The time limits are to be checked.
     Check,
-    /// The connection has been idle for long.
+    /// The connection has been idle for its idle timeout.
     IdleTimeout,
 }
 
-/// An established connection, as its task serves it.
-pub(super) struct Session<'a> {
+/// An established connection, as served by its task.
+pub(super) struct EstablishedConnection<'a> {
     pub(super) task: &'a ConnectionTask,
     inbox: mpsc::Receiver<Command>,
     pub(super) wire: FramedConnection<RespCodec>,
     checks: Interval,
-    /// Checks in a row that found an incomplete reply.
+    /// Number of consecutive checks that found an incomplete reply.
     partial_reply_checks: u32,
-    /// Attempts that were written since the router was last told.
+    /// Number of attempts written since dispatches were last reported to the router.
     pub(super) unrecorded_dispatches: usize,
-    /// A command that cannot be written yet: it stays here, where it can be cancelled.
+    /// A command that cannot be written yet. It is held here, where it can still be cancelled.
     pub(super) blocked: Option<(Command, BlockedOn)>,
 }
 
-impl Session<'_> {
+impl EstablishedConnection<'_> {
     async fn run(mut self) -> Result<(), RespError> {
         loop {
-            if self.settle() {
+            if self.handle_flushed() {
                 return Ok(());
             }
             let event = self.next_event().await;
@@ -182,23 +188,24 @@
         }
     }
 
-    fn owes_nothing(&self) -> bool {
+    fn has_no_pending_attempts(&self) -> bool {
         self.task.connection.pending.borrow().is_empty()
     }
 
-    /// Puts a connection to rest where nothing is left to be written or owed; true if it ends.
-    fn settle(&mut self) -> bool {
+    /// Updates the connection once all output is flushed, and releases its buffers if it has no pending
+    /// attempt. Returns whether the connection ends.
+    fn handle_flushed(&mut self) -> bool {
         if !self.wire.is_flushed() {
             return false;
         }
         let connection = &self.task.connection;
         *connection.partially_written.borrow_mut() = None;
         connection.unwanted_since.set(None);
-        // Only now is the last byte of each attempt written.
+        // An attempt counts as dispatched only once its last byte is written.
         if let Some(router) = self.task.router.upgrade() {
             router.record_dispatches(std::mem::take(&mut self.unrecorded_dispatches));
         }
-        if !self.owes_nothing() {
+        if !self.has_no_pending_attempts() {
             return false;
         }
         if connection.closing.get() || self.task.pool.waiting_connections.get() > 0 {
@@ -208,12 +215,13 @@
         false
     }
 
-    /// Waits for what happens next. The socket goes before commands: a reset while the connection was idle must be seen
-    /// before an attempt is written into it, for that one would count as run.
+    /// Waits for the next event. The socket has priority over commands: a reset while the connection was
+    /// idle must be detected before an attempt is written, because a written attempt counts as one that
+    /// may have run.
     async fn next_event(&mut self) -> Event {
         let task = self.task;
         let connection = &task.connection;
-        let owes_nothing = self.owes_nothing();
+        let has_no_pending = self.has_no_pending_attempts();
         let is_flushed = self.wire.is_flushed();
         let has_unread = !self.wire.read_buffer().is_empty();
         let blocked_on = self.blocked.as_ref().map(|(_, blocked_on)| *blocked_on);
@@ -232,7 +240,8 @@
             command = self.inbox.recv(), if is_flushed && blocked_on.is_none() => {
                 Event::Command(command)
             }
-            // After that the runtime has seen all that the system holds unread, and the socket went first.
+            // After the yield the runtime has seen all unread input, and the socket branch has priority
+            // over this one.
             () = tokio::task::yield_now(), if blocked_on == Some(BlockedOn::UnreadInput) => {
                 Event::InputRead
             }
@@ -240,8 +249,8 @@
                 Event::CancelledWriteExpired
             }
             () = connection.changed.notified() => Event::Changed,
-            _ = self.checks.tick(), if !owes_nothing || !is_flushed || has_unread => Event::Check,
-            () = tokio::time::sleep(idle_timeout), if owes_nothing => Event::IdleTimeout,
+            _ = self.checks.tick(), if !has_no_pending || !is_flushed || has_unread => Event::Check,
+            () = tokio::time::sleep(idle_timeout), if has_no_pending => Event::IdleTimeout,
         }
     }
 
@@ -279,6 +288,7 @@
         Ok(ControlFlow::Continue(()))
     }
 
+    /// Tries again to write the blocked command, if there is one.
     fn retry_blocked(&mut self) -> Result<(), RespError> {
         match self.blocked.take() {
             Some((command, _)) => self.write_command(command),
@@ -286,7 +296,7 @@
         }
     }
 
-    /// Checks whether replies and writes go on.
+    /// Checks whether replies and writes still make progress.
     fn check(&mut self) -> Result<(), RespError> {
         if self.wire.read_buffer().is_empty() {
             self.partial_reply_checks = 0;
--- a/src/upstream/resp/engine_pool.rs
+++ b/src/upstream/resp/engine_pool.rs
@@ -1,4 +1,4 @@
-//! The connections to each engine, and their share of the process's descriptors.
+//! The connections to each engine, and their share of the file descriptors of the process.
 
 use crate::clock::process_time_millis;
 use crate::config::SocketSettings;
@@ -18,29 +18,30 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::task::spawn_local;
 
-/// Connections to one engine at most.
+/// Maximum number of connections to one engine.
 const MAX_CONNECTIONS_PER_ENGINE: usize = 8;
-/// The same where processes share the limit.
+/// Lower bound for that maximum when several processes share it.
 const MIN_CONNECTIONS_PER_ENGINE: usize = 2;
-/// Commands on their way to one connection.
+/// Maximum number of commands queued for one connection.
 const MAX_QUEUED_COMMANDS: usize = 1024;
 
-/// One engine: where it is, and the connections to it.
+/// One engine: its address and the connections to it.
 #[derive(Default)]
 pub(super) struct EngineSlot {
     pub(super) address: Option<SocketAddr>,
-    /// The address that it has, or had when it was gone.
+    /// Address that the engine has, or had before it was removed.
     last_address: Option<SocketAddr>,
     pub(super) connections: Vec<Rc<Connection>>,
 }
 
-/// The engine that was given each address last. It stays until its slot is removed: the list may name the owner of an
-/// address gone before it names the next, and connections to the former may be left.
+/// The engine that each address was last assigned to. An entry is kept until the slot of its engine is
+/// removed: the endpoint list may report the owner of an address as gone before it names the next one,
+/// and connections to the former owner may remain.
 #[derive(Default)]
 struct AddressOwners(HashMap<SocketAddr, String>);
 
 impl AddressOwners {
-    /// The address is this engine's from now on; returns the engine that had it before.
+    /// Assigns the address to the engine, and returns the engine that had it before.
     fn assign(&mut self, address: SocketAddr, engine: &str) -> Option<String> {
         if self.0.get(&address).is_some_and(|owner| owner == engine) {
             return None;
@@ -48,7 +49,7 @@
         self.0.insert(address, engine.to_string())
     }
 
-    /// The engine has no connection there any more, and may not be found there.
+    /// Removes the assignment of the address, if it is still this engine's.
     fn release(&mut self, address: Option<SocketAddr>, engine: &str) {
         let Some(address) = address else {
             return;
@@ -59,45 +60,45 @@
     }
 }
 
-/// The connections to all engines.
-pub(super) struct EnginePool {
+/// The connections to all engines, and the limits on their number.
+pub(super) struct ConnectionPool {
     pub(super) engines: RefCell<HashMap<String, EngineSlot>>,
     address_owners: RefCell<AddressOwners>,
-    /// Where each attempt is: its connection and its id there.
+    /// Connection of each attempt, and the id of the attempt on that connection.
     pub(super) attempts: RefCell<HashMap<AttemptId, (Rc<Connection>, String)>>,
     pub(super) sockets: SocketSettings,
     pub(super) report_fields: Vec<String>,
-    pub(super) pool: BufferPool,
+    pub(super) buffers: BufferPool,
     pub(super) next_number: Cell<u64>,
-    /// Connections to one engine at most.
+    /// Maximum number of connections to one engine.
     pub(super) max_connections_per_engine: Cell<usize>,
-    /// Connections to all engines at most.
+    /// Maximum number of connections to all engines.
     pub(super) max_connections: Cell<usize>,
-    /// The descriptor limit that this is a part of.
+    /// File descriptor limit that `max_connections` is derived from.
     pub(super) descriptors: Cell<usize>,
-    /// Processes of this dispatcher that share the limits.
+    /// Number of processes of this dispatcher that share the limits.
     pub(super) processes: Cell<usize>,
-    /// Connections that hold a descriptor.
+    /// Number of connections that hold a descriptor.
     pub(super) open_connections: Cell<usize>,
-    /// Connections that wait for one.
+    /// Number of connections that wait for a descriptor.
     pub(super) waiting_connections: Cell<usize>,
     /// Notified when a descriptor is freed.
-    pub(super) freed: Notify,
+    pub(super) descriptor_freed: Notify,
 }
 
-/// A descriptor for a connection to an engine.
-pub(super) struct DescriptorGuard<'a>(&'a EnginePool);
+/// Guard that holds a file descriptor for a connection to an engine.
+pub(super) struct DescriptorGuard<'a>(&'a ConnectionPool);
 
 impl Drop for DescriptorGuard<'_> {
     fn drop(&mut self) {
         self.0
             .open_connections
             .set(self.0.open_connections.get() - 1);
-        self.0.freed.notify_one();
+        self.0.descriptor_freed.notify_one();
     }
 }
 
-/// Counts a connection while it waits for a descriptor.
+/// Guard that counts a connection while it waits for a file descriptor.
 struct WaitingGuard<'a>(&'a Cell<usize>);
 
 impl Drop for WaitingGuard<'_> {
@@ -106,20 +107,20 @@
     }
 }
 
-impl EnginePool {
-    /// A pool without connections, bounded by nothing but the connections to one engine.
+impl ConnectionPool {
+    /// Creates a pool without connections, limited only in the number of connections to one engine.
     pub(super) fn new(
         sockets: SocketSettings,
         report_fields: Vec<String>,
-        pool: BufferPool,
+        buffers: BufferPool,
     ) -> Self {
-        EnginePool {
+        ConnectionPool {
             engines: RefCell::default(),
             address_owners: RefCell::default(),
             attempts: RefCell::default(),
             sockets,
             report_fields,
-            pool,
+            buffers,
             next_number: Cell::new(0),
             max_connections_per_engine: Cell::new(MAX_CONNECTIONS_PER_ENGINE),
             max_connections: Cell::new(usize::MAX),
@@ -127,20 +128,20 @@
             processes: Cell::new(1),
             open_connections: Cell::new(0),
             waiting_connections: Cell::new(0),
-            freed: Notify::new(),
+            descriptor_freed: Notify::new(),
         }
     }
 
-    /// Sets the descriptor limit of the process, of which connections to engines have their share.
+    /// Sets the file descriptor limit of the process, a share of which is for connections to engines.
     pub(super) fn set_descriptors(&self, descriptors: usize) {
         self.descriptors.set(descriptors);
         let budget = DescriptorBudget::per_process(descriptors, self.processes.get());
         self.max_connections.set(budget.engines);
-        // Connections beyond a lower limit are closed as far as they are idle.
+        // If the limit was lowered, idle connections beyond it are closed.
         for _ in budget.engines..self.open_connections.get() {
             self.close_idle_one();
         }
-        self.freed.notify_one();
+        self.descriptor_freed.notify_one();
     }
 
     /// Sets how many processes share the limits.
@@ -151,20 +152,22 @@
         self.set_descriptors(self.descriptors.get());
     }
 
-    /// A connection to the engine for an attempt of this id, or a new one. An attempt that must be alone gets a
-    /// connection to itself while there may be more.
-    pub(super) fn connection(
+    /// Returns a connection to the engine on which an attempt with this id can be sent, and opens one if
+    /// necessary. An attempt that needs an exclusive connection gets one as long as a further connection
+    /// may be opened. Returns `None` if the engine has no address, or if no connection accepts the
+    /// attempt and none may be opened.
+    pub(super) fn connection_for_attempt(
         self: &Rc<Self>,
         router: &Rc<RequestRouter<RespUpstream>>,
         engine: &str,
         txn: &str,
-        alone: bool,
+        exclusive: bool,
     ) -> Option<Rc<Connection>> {
         let mut engines = self.engines.borrow_mut();
         let slot = engines.get(engine)?;
         let address = slot.address?;
         let now = process_time_millis();
-        // Established ones go first: another may be established late, or never.
+        // Established connections are preferred: another one may be established late, or never.
         let accepting = [true, false].into_iter().flat_map(|established| {
             slot.connections.iter().filter(move |connection| {
                 connection.is_established.get() == established
@@ -173,11 +176,11 @@
         });
         let free = accepting
             .clone()
-            .find(|connection| connection.is_free(alone));
+            .find(|connection| connection.is_available(exclusive));
         if let Some(connection) = free {
             return Some(connection.clone());
         }
-        // A further one only if a descriptor is left for each engine that has none.
+        // A further connection is opened only if a descriptor remains for each engine without a connection.
         let open = slot.connections.len();
         if open >= self.max_connections_per_engine.get()
             || open > 0 && self.is_short_of_descriptors(&engines)
@@ -192,7 +195,7 @@
         Some(connection)
     }
 
-    /// Starts a connection's task.
+    /// Creates a connection and starts its task.
     fn open(
         self: &Rc<Self>,
         router: &Rc<RequestRouter<RespUpstream>>,
@@ -213,12 +216,14 @@
         connection
     }
 
-    /// Follows the endpoint list. An address may pass to another engine, or an engine restart under its id: connections
-    /// from before lead to nobody. A change costs no more than the engines that it names, for thousands may come one by one.
+    /// Applies a change of the endpoint list. An address may be reassigned to another engine, or an
+    /// engine may restart under the same id: earlier connections then no longer reach the engine. The
+    /// cost of a patch is proportional to the number of engines that it names, because thousands of
+    /// changes may arrive one by one.
     pub(super) fn update_endpoints(&self, change: &Change) {
         let mut engines = self.engines.borrow_mut();
         if change.update != ListUpdate::Patch {
-            self.unlist_missing(&mut engines, change);
+            self.remove_unlisted(&mut engines, change);
         }
         for endpoint in &change.engines {
             if let Some(address) = endpoint.address
@@ -234,8 +239,9 @@
         }
     }
 
-    /// Engines that a whole list does not name have no address any more.
-    fn unlist_missing(&self, engines: &mut HashMap<String, EngineSlot>, change: &Change) {
+    /// Clears the address of the engines that a whole list does not name, and removes the slots without
+    /// connections.
+    fn remove_unlisted(&self, engines: &mut HashMap<String, EngineSlot>, change: &Change) {
         let listed: HashSet<&str> = change.engines.iter().map(|e| e.id.as_str()).collect();
         let mut owners = self.address_owners.borrow_mut();
         engines.retain(|id, slot| {
@@ -250,7 +256,7 @@
         });
     }
 
-    /// The address is this engine's from now on: closes the connections of the engine that had it before.
+    /// Assigns the address to the engine, and closes the connections to it of the engine that had it before.
     fn assign_address(
         &self,
         engines: &mut HashMap<String, EngineSlot>,
@@ -275,7 +281,7 @@
         slot.address = slot.address.filter(|other| *other != address);
     }
 
-    /// Removes the slot of an engine that is gone once it has no connection.
+    /// Removes the slot of an engine that has neither an address nor a connection.
     fn remove_if_unused(&self, engines: &mut HashMap<String, EngineSlot>, engine: &str) {
         let is_used = |slot: &EngineSlot| slot.address.is_some() || !slot.connections.is_empty();
         if engines.get(engine).is_none_or(is_used) {
@@ -288,7 +294,7 @@
         }
     }
 
-    /// A connection has ended.
+    /// Removes a connection that has ended.
     pub(super) fn remove_connection(&self, engine: &str, connection: &Connection) {
         let mut engines = self.engines.borrow_mut();
         if let Some(slot) = engines.get_mut(engine) {
@@ -298,7 +304,7 @@
         self.remove_if_unused(&mut engines, engine);
     }
 
-    /// Whether all descriptors are in use, or reserved for engines without a connection.
+    /// Returns whether all descriptors are in use or reserved for engines without a connection.
     pub(super) fn is_short_of_descriptors(&self, engines: &HashMap<String, EngineSlot>) -> bool {
         let mut open = 0;
         let mut unconnected = 0;
@@ -309,7 +315,7 @@
         open + unconnected >= self.max_connections.get()
     }
 
-    /// Closes the connection that has been idle for longest, if any is.
+    /// Closes the connection that has been idle for longest, if any connection is idle.
     pub(super) fn close_idle_one(&self) {
         let engines = self.engines.borrow();
         let connections = engines.values().flat_map(|s| &s.connections);
@@ -320,7 +326,8 @@
             .inspect(|connection| connection.close());
     }
 
-    /// A descriptor, once there is one: an idle connection is closed for it, now or as soon as one is idle.
+    /// Waits for a free file descriptor and acquires it. If there is none, an idle connection is closed
+    /// to free one, now or as soon as a connection becomes idle.
     pub(super) async fn acquire_descriptor(&self) -> DescriptorGuard<'_> {
         self.waiting_connections
             .set(self.waiting_connections.get() + 1);
@@ -329,18 +336,18 @@
             self.close_idle_one();
         }
         while self.open_connections.get() >= self.max_connections.get() {
-            self.freed.notified().await;
+            self.descriptor_freed.notified().await;
         }
         self.open_connections.set(self.open_connections.get() + 1);
         if self.open_connections.get() < self.max_connections.get() {
-            self.freed.notify_one();
+            self.descriptor_freed.notify_one();
         }
         DescriptorGuard(self)
     }
 }
 
 impl EngineSlot {
-    /// Follows the endpoint list.
+    /// Applies the entry of the engine in the endpoint list.
     fn update(&mut self, endpoint: &Engine) {
         for connection in &self.connections {
             let moved = endpoint
@@ -352,7 +359,7 @@
             if moved || restarted {
                 connection.close();
             } else if endpoint.state == EngineState::Gone {
-                // What it still replies counts; a process that has ended resets its connections itself.
+                // Pending replies still count; if the process has ended, its connections are reset anyway.
                 connection.closing.set(true);
                 if connection.pending.borrow().is_empty() {
                     connection.close();
--- a/src/upstream/resp/mod.rs
+++ b/src/upstream/resp/mod.rs
@@ -1,8 +1,8 @@
-//! The upstream on the platform: RESP over pooled connections, results page by page, progress notes.
+//! The upstream on the platform: RESP over pooled connections, with paged results and progress notes.
 //!
-//! [`RespUpstream`] starts and cancels attempts; `engine_pool` holds the connections to each engine and bounds them,
-//! `connection` is one connection's state, `connection_task` serves it, `commands` writes attempts on it and `replies`
-//! reads what comes back.
+//! [`RespUpstream`] starts and cancels attempts; `engine_pool` holds the connections to each engine and
+//! limits their number; `connection` is the state of one connection, `connection_task` serves it,
+//! `commands` writes attempts on it and `replies` reads the replies.
 
 mod commands;
 mod connection;
@@ -19,19 +19,19 @@
 use crate::frontend::frames::Work;
 use crate::transport::buffer_pool::{Buffer, BufferPool};
 use connection::{Command, PendingAttempt, Stage};
-use engine_pool::EnginePool;
+use engine_pool::ConnectionPool;
 use std::rc::Rc;
 
 /// Sends attempts to the platform's engines.
-pub struct RespUpstream(Rc<EnginePool>);
+pub struct RespUpstream(Rc<ConnectionPool>);
 
 impl RespUpstream {
-    /// An upstream that reads these fields of load reports, in this order.
+    /// Creates an upstream that reads the fields `report_fields` of load reports, in this order.
     pub fn new(sockets: SocketSettings, report_fields: Vec<String>, pool: BufferPool) -> Self {
-        RespUpstream(Rc::new(EnginePool::new(sockets, report_fields, pool)))
+        RespUpstream(Rc::new(ConnectionPool::new(sockets, report_fields, pool)))
     }
 
-    /// Sets the descriptor limit of the process, of which connections to engines have their share.
+    /// Sets the file descriptor limit of the process, a share of which is for connections to engines.
     pub fn set_descriptors(&self, descriptors: usize) {
         self.0.set_descriptors(descriptors);
     }
@@ -43,14 +43,17 @@
 
     fn start(&self, router: &Rc<RequestRouter<Self>>, start: StartAttempt, work: Rc<Work>) {
         let attempt = start.attempt;
-        let alone = start.exclusive_connection;
-        let Some(connection) = self.0.connection(router, &start.engine, &work.txn, alone) else {
+        let exclusive = start.exclusive_connection;
+        let Some(connection) =
+            self.0
+                .connection_for_attempt(router, &start.engine, &work.txn, exclusive)
+        else {
             return router.attempt_ended(attempt, Outcome::Unreachable, vec![]);
         };
         let txn = work.txn.clone();
         let pending = PendingAttempt {
             attempt,
-            alone,
+            exclusive,
             stage: Stage::Queued {
                 start,
                 work,
--- a/src/upstream/resp/replies.rs
+++ b/src/upstream/resp/replies.rs
@@ -1,4 +1,4 @@
-//! Reads what an engine replies, and puts results together from their pages.
+//! Reads the replies of an engine and assembles results from their pages.
 
 use crate::clock::process_time_millis;
 use crate::core::AttemptId;
@@ -8,25 +8,26 @@
 use crate::protocol::resp::reply::{field, is_page, load_report, progress_note};
 use crate::upstream::resp::RespUpstream;
 use crate::upstream::resp::connection::{PendingAttempt, Stage};
-use crate::upstream::resp::connection_task::Session;
+use crate::upstream::resp::connection_task::EstablishedConnection;
 use bytes::Bytes;
 use std::rc::Rc;
 
-/// Bytes of a result at most.
+/// Maximum size of a result in bytes.
 const MAX_RESULT_BYTES: usize = 48_000;
-/// Pages of a result at most; rows are whole in a page, so pages may be small.
+/// Maximum number of pages of a result. A row is never split between pages, so pages may be small.
 const MAX_PAGES: usize = 1024;
-/// A finished id is remembered for this long: a second reply to it comes some milliseconds after the first.
+/// Time in milliseconds for which the id of a finished attempt is remembered: a duplicate reply to it
+/// arrives a few milliseconds after the first.
 const FINISHED_ID_TTL_MS: Millis = 2000.0;
 
-/// A number among a reply's fields.
-fn number(fields: &str, name: &str) -> Result<usize, RespError> {
+/// Parses a number from the fields of a reply.
+fn number_field(fields: &str, name: &str) -> Result<usize, RespError> {
     let value = field(fields, name).ok_or(RespError::Form)?;
     value.parse().map_err(|_| RespError::Form)
 }
 
-impl Session<'_> {
-    /// Takes an engine's reply: an id, a word, fields and a body.
+impl EstablishedConnection<'_> {
+    /// Handles a reply of the engine, which consists of an id, a word, fields and a body.
     pub(super) fn handle_reply(&mut self, strings: &[Bytes]) -> Result<(), RespError> {
         let Some(router) = self.task.router.upgrade() else {
             return Ok(());
@@ -43,7 +44,7 @@
             let pending = self.task.connection.pending.borrow();
             pending.get(txn).map(|pending| pending.attempt)
         };
-        // Late: nobody waits for it any more.
+        // A late reply: the attempt has already ended.
         let Some(attempt) = attempt else {
             return Ok(());
         };
@@ -55,28 +56,29 @@
                 return Ok(());
             }
             "ACK" => {
-                let page = self.take_first_page(txn, &fields, body);
-                return self.finish_page(&router, txn, attempt, page);
+                let page = self.receive_first_page(txn, &fields, body);
+                return self.handle_page_received(&router, txn, attempt, page);
             }
             "BLOCK" => {
-                let page = self.take_further_page(txn, &fields, body);
-                return self.finish_page(&router, txn, attempt, page);
+                let page = self.receive_further_page(txn, &fields, body);
+                return self.handle_page_received(&router, txn, attempt, page);
             }
             "AGAIN" => Outcome::Rejected,
             "STALE" => Outcome::NeverStarted,
             "EIO" => Outcome::Error,
             "READY" => return Ok(()),
-            // After what can't be read, nothing else on this connection can be trusted.
+            // After a reply of an unknown form, nothing else on this connection can be trusted.
             _ => return Err(RespError::Form),
         };
-        self.forget_attempt(txn, attempt);
+        self.remove_attempt(txn, attempt);
         let report = load_report(&fields, &self.task.pool.report_fields);
         router.attempt_ended(attempt, outcome, report);
         Ok(())
     }
 
-    /// Goes on after a page: with a result that is complete, or with a failure of the attempt.
-    fn finish_page(
+    /// Continues after a page: finishes the attempt if its result is complete, or fails it if the page
+    /// is invalid.
+    fn handle_page_received(
         &mut self,
         router: &Rc<RequestRouter<RespUpstream>>,
         txn: &str,
@@ -84,8 +86,8 @@
         page: Result<(), RespError>,
     ) -> Result<(), RespError> {
         if let Err(error) = page {
-            // It has run, and its result is damaged.
-            self.forget_attempt(txn, attempt);
+            // The attempt has run, and its result is damaged.
+            self.remove_attempt(txn, attempt);
             router.attempt_ended(attempt, Outcome::Error, vec![]);
             return Err(error);
         }
@@ -94,21 +96,26 @@
         Ok(())
     }
 
-    /// Takes the first page of a result, and asks for the others. A second copy changes nothing.
-    fn take_first_page(&mut self, txn: &str, fields: &str, body: Bytes) -> Result<(), RespError> {
+    /// Stores the first page of a result and requests the others. A duplicate is ignored.
+    fn receive_first_page(
+        &mut self,
+        txn: &str,
+        fields: &str,
+        body: Bytes,
+    ) -> Result<(), RespError> {
         let mut pending = self.task.connection.pending.borrow_mut();
         let stage = pending.get_mut(txn).map(|attempt| &mut attempt.stage);
         let stage = match stage {
             Some(stage @ Stage::Written) => stage,
-            // A reply to what was not written yet.
+            // A reply to an attempt that has not been written yet.
             Some(Stage::Queued { .. }) => return Err(RespError::Form),
             Some(Stage::Paging { .. }) | None => return Ok(()),
         };
-        let total = number(fields, "total")?;
+        let total = number_field(fields, "total")?;
         if !(1..=MAX_PAGES).contains(&total) {
             return Err(RespError::Length(total));
         }
-        // Only a result of no rows has an empty page.
+        // Only a result without rows has an empty page.
         if !is_page(&body) || body.is_empty() && total > 1 {
             return Err(RespError::Page);
         }
@@ -131,8 +138,13 @@
         Ok(())
     }
 
-    /// Takes a further page of a result. A second copy changes nothing.
-    fn take_further_page(&mut self, txn: &str, fields: &str, body: Bytes) -> Result<(), RespError> {
+    /// Stores a further page of a result. A duplicate is ignored.
+    fn receive_further_page(
+        &mut self,
+        txn: &str,
+        fields: &str,
+        body: Bytes,
+    ) -> Result<(), RespError> {
         let mut pending = self.task.connection.pending.borrow_mut();
         let stage = pending.get_mut(txn).map(|attempt| &mut attempt.stage);
         let (pages, missing_pages, result_bytes, last_page_at) = match stage {
@@ -143,11 +155,11 @@
                 last_page_at,
                 ..
             }) => (pages, missing_pages, result_bytes, last_page_at),
-            // A page before the first, or a reply to what was not written yet.
+            // A further page before the first one, or a reply to an attempt that has not been written yet.
             Some(Stage::Queued { .. } | Stage::Written) => return Err(RespError::Form),
             None => return Ok(()),
         };
-        let index = number(fields, "index")?;
+        let index = number_field(fields, "index")?;
         let page = pages.get_mut(index).ok_or(RespError::Length(index))?;
         if page.is_some() {
             return Ok(());
@@ -165,7 +177,7 @@
         Ok(())
     }
 
-    /// Hands a result on in one piece once all its pages have arrived.
+    /// Passes the assembled result to the router once all its pages have arrived.
     fn finish_if_complete(
         &self,
         router: &Rc<RequestRouter<RespUpstream>>,
@@ -191,14 +203,14 @@
             return;
         }
         let finished = connection.pending.borrow_mut().remove(txn);
-        connection.abandon(txn, process_time_millis() + FINISHED_ID_TTL_MS);
+        connection.remember_ended_id(txn, process_time_millis() + FINISHED_ID_TTL_MS);
         self.task.pool.attempts.borrow_mut().remove(&attempt);
         if let Some(PendingAttempt {
             stage: Stage::Paging { pages, report, .. },
             ..
         }) = finished
         {
-            let mut result = self.task.pool.pool.take();
+            let mut result = self.task.pool.buffers.take();
             for page in pages.iter().flatten() {
                 result.extend_from_slice(page);
             }
@@ -206,12 +218,12 @@
         }
     }
 
-    /// Takes a finished attempt off the connection.
-    pub(super) fn forget_attempt(&self, txn: &str, attempt: AttemptId) {
+    /// Removes a finished attempt from the connection.
+    pub(super) fn remove_attempt(&self, txn: &str, attempt: AttemptId) {
         let connection = &self.task.connection;
-        let forgotten = connection.pending.borrow_mut().remove(txn);
-        if forgotten.is_some_and(|attempt| !matches!(attempt.stage, Stage::Queued { .. })) {
-            connection.abandon(txn, process_time_millis() + FINISHED_ID_TTL_MS);
+        let removed = connection.pending.borrow_mut().remove(txn);
+        if removed.is_some_and(|attempt| !matches!(attempt.stage, Stage::Queued { .. })) {
+            connection.remember_ended_id(txn, process_time_millis() + FINISHED_ID_TTL_MS);
         }
         self.task.pool.attempts.borrow_mut().remove(&attempt);
     }
