--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -1,6 +1,7 @@
-//! Race conditions, each forced on real connections: a request in the poll of a close, a partial response at a close, late
-//! connects, unterminated responses, late retries, and clients that write in fragments. `docs/RACES.md` has
-//! the list; races with the exit of the process are in `program.rs`.
+//! Race conditions, each forced on real connections: a request that arrives in the poll of a close, a
+//! partial response at a close, connections that are established late, unterminated responses, late
+//! retries, and clients that write in fragments. `docs/RACES.md` lists them; races with the exit of the
+//! process are in `program.rs`.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -36,7 +37,7 @@
 
 type Answers = Rc<RefCell<Vec<(u64, &'static str)>>>;
 
-/// A dispatcher, and the answers to the requests that were submitted to its router.
+/// A dispatcher with the answers to the requests that were submitted to its router.
 struct RaceFixture {
     dispatcher: DispatcherFixture,
     answers: Answers,
@@ -50,7 +51,7 @@
     }
 }
 
-/// Starts a dispatcher whose class `keyed` has this deduplication scope and window in milliseconds.
+/// Starts a dispatcher whose class `keyed` has the given deduplication scope and window in milliseconds.
 async fn start(
     engine: TcpListener,
     keyed: (DeduplicationScope, f64),
@@ -79,7 +80,7 @@
         names,
         sockets,
         engine,
-        // Large enough for the kernel to take any response in full, whether or not its client reads.
+        // Large enough for the kernel to buffer any response in full, whether or not its client reads.
         client_send_buffer: 256 * 1024,
     };
     RaceFixture {
@@ -88,6 +89,7 @@
     }
 }
 
+/// Starts a dispatcher without a deduplication window.
 async fn start_default() -> RaceFixture {
     start(
         TcpListener::bind("127.0.0.1:0").await.unwrap(),
@@ -98,14 +100,15 @@
 }
 
 impl RaceFixture {
-    /// Submits a request to the router; its answer is recorded with its number.
+    /// Submits a request to the router and records its answer with its number.
     fn submit(&self, txn: u64, class: usize) {
         self.submit_with(txn, class, 5000.0, 1);
     }
 
-    /// Submits a request with this time to its deadline, in milliseconds, and this size of its statement.
-    fn submit_with(&self, txn: u64, class: usize, ms: f64, size: usize) {
-        let deadline = process_time_millis() + ms;
+    /// Submits a request with a deadline in `timeout_ms` milliseconds and a statement of about
+    /// `statement_bytes` bytes.
+    fn submit_with(&self, txn: u64, class: usize, timeout_ms: f64, statement_bytes: usize) {
+        let deadline = process_time_millis() + timeout_ms;
         let request = NewRequest {
             class,
             tenant: Some(0),
@@ -114,7 +117,7 @@
             work: None,
             memory_mb: None,
         };
-        let statement = Bytes::from(format!("select '{}'", "x".repeat(size)));
+        let statement = Bytes::from(format!("select '{}'", "x".repeat(statement_bytes)));
         let answers = self.answers.clone();
         let record = move |reply| {
             let answer = match reply {
@@ -133,17 +136,17 @@
         );
     }
 
-    /// Each request has exactly one answer, and it is this.
+    /// Asserts that each request has exactly one answer, the expected one.
     fn expect_answers(&self, expected: &[(u64, &'static str)]) {
         let mut answers = self.answers.borrow().clone();
         answers.sort_unstable();
         assert_eq!(answers, expected);
     }
 
-    /// The engine gets no further connection.
+    /// Asserts that the engine receives no further connection for `ms` milliseconds.
     async fn expect_no_connection(&self, ms: u64) {
         let accepted = tokio::time::timeout(Duration::from_millis(ms), self.engine.accept()).await;
-        assert!(accepted.is_err(), "no connection comes");
+        assert!(accepted.is_err(), "the engine received another connection");
     }
 }
 
@@ -155,24 +158,24 @@
     encode_request(stream, txn, class, "select a from t")
 }
 
-/// Sends the first half of a reply's bytes.
+/// Sends the first half of the bytes of a reply.
 async fn send_half_reply(engine: &mut TcpStream, fields: [&str; 4]) {
     let reply = encode_reply(fields);
     engine.write_all(&reply[..reply.len() / 2]).await.unwrap();
 }
 
-// ---- retries and the deduplication window of the engines
+// ---- retries and the deduplication window
 
-/// By scope: the answer to a request that may have run and can't be retried.
-const GROUPS: [(DeduplicationScope, &str); 3] = [
+/// The answer, for each scope, to a request that may have run and can't be retried.
+const SCOPES: [(DeduplicationScope, &str); 3] = [
     (DeduplicationScope::All, "refused"),
     (DeduplicationScope::Zone, "failed"),
     (DeduplicationScope::Cell, "failed"),
 ];
 
-/// The connection breaks, and the retry waits for another that is established a second later.
-async fn retry_before_a_late_connection(group: DeduplicationScope, expected: &'static str) {
-    let fixture = start(listener_without_backlog(), (group, 300.0), |sockets| {
+/// The connection breaks, and the retry waits for another connection that is established a second later.
+async fn retry_before_a_late_connection(scope: DeduplicationScope, expected: &'static str) {
+    let fixture = start(listener_without_backlog(), (scope, 300.0), |sockets| {
         sockets.connect_timeout = 4000.0
     })
     .await;
@@ -185,7 +188,7 @@
     assert_eq!(
         fixture.router.unanswered_requests(),
         1,
-        "its retry is pending, and the window has ended"
+        "the retry should still be pending after the window has ended"
     );
     drop((fixture.accept_upstream().await, filler));
     let mut late = fixture.accept_upstream().await;
@@ -193,7 +196,7 @@
     assert_eq!(
         read_request_id(&mut late).await,
         request_id(2),
-        "its first request is another one"
+        "the first request on the late connection should not be the retry"
     );
     serve_pages(&mut late, &request_id(2), 1).await;
     fixture.wait_for_open(0).await;
@@ -204,14 +207,14 @@
 fn retry_is_not_sent_past_its_window_on_a_late_connection() {
     on_one_thread(async {
         let [all, zone, cell] =
-            GROUPS.map(|(group, expected)| retry_before_a_late_connection(group, expected));
+            SCOPES.map(|(scope, expected)| retry_before_a_late_connection(scope, expected));
         tokio::join!(all, zone, cell);
     });
 }
 
-/// The engine fails the request, and its retry is queued behind a request that is half written.
-async fn retry_behind_a_stalled_write(group: DeduplicationScope, expected: &'static str) {
-    let fixture = start(small_buffer_listener(), (group, 250.0), |_| {}).await;
+/// The engine fails the request, and the retry is queued behind a request that is partially written.
+async fn retry_behind_a_stalled_write(scope: DeduplicationScope, expected: &'static str) {
+    let fixture = start(small_buffer_listener(), (scope, 250.0), |_| {}).await;
     fixture.submit(1, LOAD);
     let mut stalled = fixture.accept_upstream().await;
     read_request_id(&mut stalled).await;
@@ -220,7 +223,7 @@
     assert_eq!(
         read_request_id(&mut engine).await,
         request_id(2),
-        "not beside a load"
+        "the request should not share the connection of the load"
     );
     serve_pages(&mut stalled, &request_id(1), 1).await;
     fixture.wait_for_open(1).await;
@@ -231,19 +234,19 @@
     assert_eq!(
         fixture.router.unanswered_requests(),
         2,
-        "its retry is pending, and the window has ended"
+        "the retry should still be pending after the window has ended"
     );
     assert_eq!(
         read_request_id(&mut stalled).await,
         request_id(3),
-        "its write began before"
+        "the partially written request should be completed first"
     );
     serve_pages(&mut stalled, &request_id(3), 1).await;
     fixture.submit(4, LOOKUP);
     assert_eq!(
         read_request_id(&mut stalled).await,
         request_id(4),
-        "nothing else was queued behind it"
+        "the retry should not be sent after the stalled write"
     );
     serve_pages(&mut stalled, &request_id(4), 1).await;
     fixture.wait_for_open(0).await;
@@ -254,12 +257,12 @@
 fn retry_is_not_sent_past_its_window_behind_a_stalled_write() {
     on_one_thread(async {
         let [all, zone, cell] =
-            GROUPS.map(|(group, expected)| retry_behind_a_stalled_write(group, expected));
+            SCOPES.map(|(scope, expected)| retry_behind_a_stalled_write(scope, expected));
         tokio::join!(all, zone, cell);
     });
 }
 
-/// The window ends while the retry is half written: the rest is never written.
+/// The window ends while the retry is partially written: the remaining bytes are never written.
 #[test]
 fn partly_written_retry_is_not_completed_past_its_window() {
     on_one_thread(async {
@@ -284,22 +287,27 @@
             retry_connection.read_to_end(&mut all),
         )
         .await;
-        assert!(all.len() < 100_000, "{} bytes came ({end:?})", all.len());
+        assert!(
+            all.len() < 100_000,
+            "received {} bytes of the retry ({end:?})",
+            all.len()
+        );
         fixture.wait_for_open(0).await;
         fixture.expect_answers(&[(1, "failed")]);
         fixture.expect_no_connection(100).await;
     });
 }
 
-/// Windows down to zero: no second attempt is sent after its window, whichever step of the retry takes longer.
+/// Deduplication windows down to zero: no second attempt is sent after the window, whichever step of the
+/// retry takes longer.
 #[test]
 fn short_deduplication_windows_get_no_retry_past_them() {
     on_one_thread(async {
-        for (group, expected) in GROUPS {
+        for (scope, expected) in SCOPES {
             for window in [0.0, 5.0, 20.0] {
                 let fixture = start(
                     TcpListener::bind("127.0.0.1:0").await.unwrap(),
-                    (group, window),
+                    (scope, window),
                     |_| {},
                 )
                 .await;
@@ -315,18 +323,19 @@
     });
 }
 
-/// The deadline passes with the request in flight: no rejection where only some engines would detect a duplicate.
+/// The deadline passes while the request is in flight: it is rejected as safe to retry only if every
+/// engine would detect a duplicate.
 #[test]
 fn expired_keyed_request_is_rejected_only_with_fleet_wide_deduplication() {
     on_one_thread(async {
-        for (group, expected) in [
+        for (scope, expected) in [
             (DeduplicationScope::All, "refused as late"),
             (DeduplicationScope::Zone, "failed as late"),
             (DeduplicationScope::Cell, "failed as late"),
         ] {
             let fixture = start(
                 TcpListener::bind("127.0.0.1:0").await.unwrap(),
-                (group, 100.0),
+                (scope, 100.0),
                 |_| {},
             )
             .await;
@@ -341,8 +350,9 @@
 
 // ---- closes and data in transit
 
-/// The process is stalled while two connections exceed the idle limit and one client sends a request: it is served. The
-/// other connection is closed, and what its client sends there then is not read, so that the client may send it again.
+/// The process stalls while two connections exceed the idle limit and one client sends a request: that
+/// request is served. The other connection is closed, and a request that its client sends afterwards is
+/// not read, so that the client may send it again.
 #[test]
 fn request_in_the_poll_of_an_idle_close_is_served_and_a_later_one_is_not_read() {
     on_one_thread(async {
@@ -354,39 +364,46 @@
             assert_eq!(client.receive().await.unwrap().0, 32);
         }
         sleep_ms(4700).await;
-        // Both events before the runtime polls either.
+        // Both events occur before the runtime polls either connection.
         assert!(active_client.0.try_write(&request(2, 1, "lookup")).unwrap() > 0);
         std::thread::sleep(Duration::from_millis(900));
         let mut engine = fixture.accept_upstream().await;
         assert_eq!(read_request_id(&mut engine).await, request_id(1));
         serve_pages(&mut engine, &request_id(1), 1).await;
         active_client.expect_served(2).await;
-        assert!(idle_client.receive().await.is_none(), "idle for too long");
+        assert!(
+            idle_client.receive().await.is_none(),
+            "the idle connection should be closed"
+        );
         let _ = idle_client.0.write_all(&request(2, 2, "lookup")).await;
         assert!(
             idle_client.receive().await.is_none(),
-            "nothing is answered there"
+            "a request on the closed connection should get no answer"
         );
         let mut new_client = Client::connect(fixture.address).await;
         new_client.send(&request(1, 2, "lookup")).await;
         assert_eq!(
             read_request_id(&mut engine).await,
             request_id(2),
-            "for the first time"
+            "the second request should reach the engine only now"
         );
         serve_pages(&mut engine, &request_id(2), 1).await;
         new_client.expect_served(1).await;
     });
 }
 
-/// When all connections are closed: one client's request is in transit, another's arrives after its close.
+/// All connections are closed while the request of one client is in transit: it is served. The request
+/// of another client arrives after its connection is closed, and is not read.
 #[test]
 fn request_in_the_poll_of_the_final_close_is_served_and_a_later_one_is_not_read() {
     on_one_thread(async {
         let fixture = start_default().await;
         let mut active_client = Client::connect(fixture.address).await;
         let mut idle_client = Client::connect(fixture.address).await;
-        wait_until("both", || fixture.frontend.connection_count() == 2).await;
+        wait_until("second connection", || {
+            fixture.frontend.connection_count() == 2
+        })
+        .await;
         fixture.frontend.announce_shutdown(true);
         for client in [&mut active_client, &mut idle_client] {
             assert_eq!(client.receive().await.unwrap().0, 64);
@@ -402,18 +419,21 @@
         active_client.expect_served(1).await;
         assert!(active_client.receive().await.is_none());
         drop(idle_client);
-        wait_until("none", || fixture.frontend.connection_count() == 0).await;
+        wait_until("close of all connections", || {
+            fixture.frontend.connection_count() == 0
+        })
+        .await;
         assert!(
             tokio::time::timeout(Duration::from_millis(50), engine.read_u8())
                 .await
                 .is_err(),
-            "one reached it"
+            "a further request reached the engine"
         );
     });
 }
 
-/// The kernel has taken a response in full and its client has not when the connection is closed and the client sends
-/// another request: the client still gets the whole response.
+/// The connection is closed while a response is still in the kernel's send buffer, and the client then
+/// sends another request: the client still receives the whole response.
 #[test]
 fn response_in_transit_survives_client_data_after_close() {
     on_one_thread(async {
@@ -429,29 +449,36 @@
         sleep_ms(20).await;
         client.send(&request(2, 2, "lookup")).await;
         sleep_ms(20).await;
-        let (kind, stream, payload) = client.receive().await.expect("its answer");
+        let (kind, stream, payload) = client
+            .receive()
+            .await
+            .expect("the answer to the first request");
         assert_eq!((kind, stream, payload.len()), (4, 1, 2 + 9 * 5005));
         assert_eq!(client.receive().await.map(|f| f.0), Some(64));
         assert!(client.receive().await.is_none());
         assert_eq!(
             fixture.router.unanswered_requests(),
             0,
-            "the late request is not accepted"
+            "the late request should not be accepted"
         );
         drop(client);
-        wait_until("none", || fixture.frontend.connection_count() == 0).await;
+        wait_until("close of all connections", || {
+            fixture.frontend.connection_count() == 0
+        })
+        .await;
     });
 }
 
-/// So many operators connect that all earlier callers are evicted, and these send a request in that poll or one of the
-/// next few: a request written before its eviction is seen is answered, and no connection is reset.
+/// Enough new callers connect to the operators' address for all earlier callers to be evicted, and the
+/// earlier callers send a request in the same poll or one of the next few: a request written before the
+/// caller sees its eviction is answered, and no connection is reset.
 #[test]
 fn admin_request_in_the_poll_of_its_eviction_is_answered() {
     on_one_thread(async {
         let fixture = start_default().await;
-        for turns in 0..10 {
+        for polls in 0..10 {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-            let at = listener.local_addr().unwrap();
+            let address = listener.local_addr().unwrap();
             let shared = Rc::new(InstanceRegistry::open(None).unwrap());
             let admin = Admin::new(
                 fixture.router.clone(),
@@ -463,23 +490,23 @@
             spawn_local(admin.accept(listener));
             let mut callers = vec![];
             for _ in 0..24 {
-                callers.push(TcpStream::connect(at).await.unwrap());
+                callers.push(TcpStream::connect(address).await.unwrap());
             }
             sleep_ms(10).await;
             let newcomers: Vec<_> = callers
                 .iter()
-                .map(|_| std::net::TcpStream::connect(at).unwrap())
+                .map(|_| std::net::TcpStream::connect(address).unwrap())
                 .collect();
-            for _ in 0..turns {
+            for _ in 0..polls {
                 tokio::task::yield_now().await;
             }
-            // Connections that are closed by now were closed with nothing unread.
-            let open = |client: &TcpStream| {
+            // Connections that are already closed were closed without unread data.
+            let is_open = |client: &TcpStream| {
                 SockRef::from(client)
                     .peek(&mut [std::mem::MaybeUninit::uninit()])
                     .is_err()
             };
-            callers.retain(open);
+            callers.retain(is_open);
             for caller in &callers {
                 caller
                     .try_write(b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -490,7 +517,7 @@
                 let read = expect_soon("an answer", caller.read_to_string(&mut answer)).await;
                 assert!(
                     read.is_ok() && answer.starts_with("HTTP/1.1 200 "),
-                    "{turns}: {read:?} {answer}"
+                    "after {polls} polls: {read:?} {answer}"
                 );
             }
             drop(newcomers);
@@ -500,7 +527,8 @@
 
 // ---- partial responses and the close of their connection
 
-/// Half of a reply's bytes or of a result's pages, and the engine closes: nothing of it is served.
+/// The engine closes the connection after half of the bytes of a reply, or half of the pages of a
+/// result: no part of it is served.
 #[test]
 fn partial_response_before_engine_close_ends_by_its_class_rule() {
     on_one_thread(async {
@@ -542,8 +570,8 @@
     });
 }
 
-/// Half a reply to a finished request arrives in the poll in which its connection is closed as idle: a load that is
-/// submitted in the same poll runs all the same, and the half is discarded.
+/// Half of a reply to a finished request arrives in the poll in which the connection is closed as idle:
+/// a load that is submitted in the same poll still runs, and the partial reply is discarded.
 #[test]
 fn partial_response_in_the_poll_of_an_idle_close_is_discarded() {
     on_one_thread(async {
@@ -563,7 +591,7 @@
         std::thread::sleep(Duration::from_millis(200));
         assert!(
             read_command(&mut engine).await.is_none(),
-            "idle for too long"
+            "the idle connection should be closed"
         );
         fixture.submit(2, LOAD);
         let mut other = fixture.accept_upstream().await;
@@ -574,7 +602,8 @@
     });
 }
 
-/// Half a reply to a finished request, and never its rest: no later request is sent behind it, and it is not buffered.
+/// Half of a reply to a finished request arrives, and the rest never does: no later request is sent on
+/// that connection, and the partial reply is not kept.
 #[test]
 fn partial_response_to_a_finished_request_is_discarded_without_failing_a_load() {
     on_one_thread(async {
@@ -596,13 +625,13 @@
         let end = tokio::time::timeout(Duration::from_millis(1500), engine.read_u8()).await;
         assert!(
             matches!(end, Ok(Err(_))),
-            "and the connection with the partial reply is closed"
+            "the connection with the partial reply should be closed"
         );
     });
 }
 
-/// The process is stalled, half a reply arrives meanwhile, and its rest right after: the stall
-/// does not count against the engine.
+/// Half of a reply arrives while the process is stalled, and the rest right after: the stall does not
+/// count against the engine.
 #[test]
 fn partial_response_after_a_process_stall_is_awaited() {
     on_one_thread(async {
@@ -624,7 +653,8 @@
 
 // ---- connections that are established late, or never
 
-/// One upstream connection is idle, another is still being established: a new request uses the idle one at once.
+/// One upstream connection is idle and another is still being established: a new request uses the idle
+/// one at once.
 #[test]
 fn request_uses_the_established_connection_not_the_pending_one() {
     on_one_thread(async {
@@ -644,14 +674,18 @@
         assert_eq!(
             read_request_id(&mut up).await,
             request_id(2),
-            "alone on one of its own"
+            "the load should get a connection of its own"
         );
         serve_pages(&mut up, &request_id(2), 1).await;
         fixture.wait_for_open(1).await;
         fixture.submit(3, LOOKUP);
         let first =
             tokio::time::timeout(Duration::from_millis(400), read_request_id(&mut up)).await;
-        assert_eq!(first.as_deref(), Ok(&request_id(3)[..]), "at once");
+        assert_eq!(
+            first.as_deref(),
+            Ok(&request_id(3)[..]),
+            "the request should use the established connection at once"
+        );
         serve_pages(&mut up, &request_id(3), 1).await;
         fixture.wait_for_open(1).await;
         let mut late = fixture.accept_upstream().await;
@@ -662,7 +696,8 @@
     });
 }
 
-/// A connection is not established in time: its requests go to another engine, loads too, since none ever ran.
+/// A connection is not established in time: its requests, including loads, go to another engine, because
+/// none ever ran.
 #[test]
 fn connect_timeout_loses_no_request() {
     on_one_thread(async {
@@ -684,7 +719,8 @@
             let mut open = vec![];
             while served < 3 {
                 let mut tcp = healthy.accept().await.unwrap().0;
-                // On one connection or several: each is read until no further request comes.
+                // The requests may use one connection or several: each is read until no further request
+                // arrives.
                 while let Ok(id) =
                     tokio::time::timeout(Duration::from_millis(30), read_request_id(&mut tcp)).await
                 {
@@ -694,7 +730,7 @@
                 open.push(tcp);
             }
         };
-        expect_soon("three", serving).await;
+        expect_soon("three requests", serving).await;
         fixture.wait_for_open(0).await;
         fixture.expect_answers(&[(0, "served"), (1, "served"), (2, "served")]);
         drop((fixture.accept_upstream().await, filler));
@@ -702,9 +738,9 @@
     });
 }
 
-/// A connection is established a second late, and by then its request is finished, or its engine drains or was removed:
-/// it carries nothing, and each request has its answer.
-async fn late_connection_is_unused(how: &str, expected: &'static str) {
+/// A connection is established a second late, when its request has already ended or its engine is
+/// draining or was removed: nothing is sent on it, and each request gets its answer.
+async fn late_connection_is_unused(state: &str, expected: &'static str) {
     let engine = listener_without_backlog();
     let at = engine.local_addr().unwrap();
     let filler = TcpStream::connect(at).await.unwrap();
@@ -712,19 +748,22 @@
         sockets.connect_timeout = 4000.0
     })
     .await;
-    fixture.submit_with(1, LOAD, if how == "over" { 400.0 } else { 2000.0 }, 1);
+    fixture.submit_with(1, LOAD, if state == "expired" { 400.0 } else { 2000.0 }, 1);
     sleep_ms(50).await;
     drop((fixture.accept_upstream().await, filler));
-    match how {
-        "drains" => fixture
+    match state {
+        "draining" => fixture
             .router
             .update_endpoints(&change(&fixture.engines, Some((0, "drain")))),
-        "gone" => fixture.router.update_endpoints(&change(&[], None)),
+        "removed" => fixture.router.update_endpoints(&change(&[], None)),
         _ => fixture.wait_for_open(0).await,
     }
     let mut late = fixture.accept_upstream().await;
     let first = tokio::time::timeout(Duration::from_millis(200), late.read_u8()).await;
-    assert!(!matches!(first, Ok(Ok(_))), "{how}: it carries something");
+    assert!(
+        !matches!(first, Ok(Ok(_))),
+        "{state}: something was sent on the late connection"
+    );
     fixture.wait_for_open(0).await;
     fixture.expect_answers(&[(1, expected)]);
 }
@@ -733,25 +772,26 @@
 fn late_connection_sends_nothing_for_finished_requests_or_draining_or_removed_engines() {
     on_one_thread(async {
         tokio::join!(
-            late_connection_is_unused("over", "failed as late"),
-            late_connection_is_unused("drains", "refused"),
-            late_connection_is_unused("gone", "refused"),
+            late_connection_is_unused("expired", "failed as late"),
+            late_connection_is_unused("draining", "refused"),
+            late_connection_is_unused("removed", "refused"),
         );
     });
 }
 
 // ---- unterminated responses
 
-/// The first page arrives and the last never does; or a length announces more than arrives. A request with a near deadline
-/// is answered then, and nothing stays reserved; with time left, idempotent ones are retried and loads are failed.
+/// The last page of a result never arrives, or a length announces more bytes than arrive. A request with
+/// a near deadline is answered at that deadline, and nothing stays reserved; with time left, idempotent
+/// requests are retried and loads fail.
 async fn unterminated_response(
     class: usize,
-    ms: f64,
+    timeout_ms: f64,
     length_too_large: bool,
     expected: &'static str,
 ) {
     let fixture = start_default().await;
-    fixture.submit_with(1, class, ms, 1);
+    fixture.submit_with(1, class, timeout_ms, 1);
     let mut engine = fixture.accept_upstream().await;
     read_request_id(&mut engine).await;
     if length_too_large {
@@ -777,12 +817,16 @@
         serve_pages(&mut retry_connection, &request_id(1), 1).await;
     }
     fixture.wait_for_open(0).await;
-    assert!(started.elapsed().as_secs_f64() * 1000.0 < ms, "in time");
+    assert!(
+        started.elapsed().as_secs_f64() * 1000.0 < timeout_ms,
+        "the request was answered after its deadline"
+    );
     sleep_ms(1200).await;
     fixture.expect_answers(&[(1, expected)]);
     fixture.submit(2, LOAD);
     let next = async {
-        // A connection that broke off in the middle of a reply is closed by now; another one goes on.
+        // A connection whose reply stopped in the middle is closed by now; another connection continues
+        // to be used.
         match read_command(&mut engine).await.filter(|w| w[0] == "DROP") {
             Some(_) if !length_too_large => read_request_id(&mut engine).await,
             _ if expected == "served" => String::new(),
@@ -791,7 +835,10 @@
     };
     let next = tokio::time::timeout(Duration::from_secs(1), next).await;
     let next = next.unwrap_or_else(|_| {
-        panic!("something stays reserved after {expected} in {ms} ms, length too large: {length_too_large}")
+        panic!(
+            "no further request was sent after {expected:?} with a deadline of {timeout_ms} ms, \
+             length too large: {length_too_large}"
+        )
     });
     assert!([request_id(2), String::new()].contains(&next));
 }
@@ -814,7 +861,8 @@
 
 // ---- fragmented messages and every message form
 
-/// Everything that a client may send, in every form that the protocol allows; and how many requests are among it.
+/// Returns everything that a client may send, in every form that the protocol allows, and the number of
+/// requests among it.
 fn message_forms() -> (Vec<u8>, u32) {
     let (txn, team) = (|number| request_id(number), ("team", "acme"));
     let requests = [
@@ -858,7 +906,8 @@
         ]),
     ];
     let mut all = vec![];
-    // Readiness queries with no payload, no fields, and some fields; cancels of unknown streams, with a payload.
+    // Readiness queries without payload, without fields and with fields; cancellations of unknown
+    // streams with a payload.
     for (stream, payload) in [
         (900, &[][..]),
         (901, &[0]),
@@ -868,12 +917,12 @@
         all.extend(encode_frame(8, stream + 50, payload));
     }
     let count = requests.len() as u32;
-    // Streams in any order.
+    // Stream numbers in descending order.
     for (index, mut payload) in requests.into_iter().enumerate() {
         payload.extend(b"select a\n\tfrom \"t\"\r\n");
         all.extend(encode_frame(2, 100 - index as u32, &payload));
     }
-    // As large as a frame may be.
+    // A frame of the maximum size.
     let mut largest = encode_fields(&[
         ("verb", "lookup"),
         ("txn", &txn(5)),
@@ -888,13 +937,14 @@
 #[test]
 fn every_message_form_is_served_alike_in_any_fragmentation() {
     on_one_thread(async {
-        for piece in [usize::MAX, 1, 3, 4096] {
+        for fragment_bytes in [usize::MAX, 1, 3, 4096] {
             let fixture = start_default().await;
             let mut client = Client::connect(fixture.address).await;
             let (all, count) = message_forms();
-            // Byte by byte only the small ones: the large ones take long and test nothing else.
-            let slow = if piece < 4 { 1024 } else { all.len() };
-            let (first, rest) = all.split_at(slow.min(all.len()));
+            // Small fragments are used only for the first 1024 bytes: the large messages would take long
+            // and test nothing else.
+            let fragmented = if fragment_bytes < 4 { 1024 } else { all.len() };
+            let (first, rest) = all.split_at(fragmented.min(all.len()));
             let engine = async {
                 let mut engine = fixture.accept_upstream().await;
                 let mut seen = vec![];
@@ -907,9 +957,9 @@
                 (engine, seen)
             };
             let client_side = async {
-                for part in first.chunks(piece) {
+                for part in first.chunks(fragment_bytes) {
                     client.send(part).await;
-                    if piece < 4096 {
+                    if fragment_bytes < 4096 {
                         tokio::task::yield_now().await;
                     }
                 }
@@ -950,8 +1000,8 @@
     });
 }
 
-/// One byte at a time, over many polls, while another request of the connection runs; its last byte arrives in the poll
-/// in which shutdown begins.
+/// A request arrives one byte at a time, over many polls, while another request of the connection runs;
+/// its last byte arrives in the poll in which shutdown begins.
 #[test]
 fn slow_writer_is_served_while_writing_and_at_shutdown() {
     on_one_thread(async {
