--- a/src/server/endpoint_source.rs
+++ b/src/server/endpoint_source.rs
@@ -89,7 +89,7 @@
             spawn_local(cancel(registry.registration.lease));
         }
         *self.membership.borrow_mut() = None;
-        self.router.upstream().watch(None);
+        self.router.upstream().set_connection_observer(None);
     }
 
     fn start_registry(&mut self, source: &Rc<EurekaSettings>) {
@@ -101,7 +101,9 @@
             Box::new(move |change| change_target.update_endpoints(&change)),
             Box::new(move || drain_source.drained_engines()),
         );
-        self.router.upstream().watch(Some(membership.clone()));
+        self.router
+            .upstream()
+            .set_connection_observer(Some(membership.clone()));
         let (configuration, configured) = watch::channel(source.clone());
         let tasks = vec![
             spawn_local(eureka::follow(configured, membership.clone())).abort_handle(),
--- a/src/upstream/mysql/mod.rs
+++ b/src/upstream/mysql/mod.rs
@@ -94,12 +94,12 @@
     }
 
     /// Sets the observer that connection events are reported to; with `None`, they are not reported.
-    pub fn watch(&self, observer: Option<Rc<dyn ConnectionObserver>>) {
+    pub fn set_connection_observer(&self, observer: Option<Rc<dyn ConnectionObserver>>) {
         self.0.pool.set_observer(observer);
     }
 
     /// Returns the number of engines that the pool has an entry for.
-    pub fn engines(&self) -> usize {
+    pub fn engine_count(&self) -> usize {
         self.0.pool.engine_count()
     }
 }
