--- a/src/frontend/mysql/sticky.rs
+++ b/src/frontend/mysql/sticky.rs
@@ -15,7 +15,7 @@
 use crate::spool_io::ResultOwner;
 use crate::sticky_sessions::{ConnectionDisposition, StatementEffect, TransactionOutcome};
 use crate::upstream::mysql::sticky::{
-    SessionAnswer, SessionCommand, StickyChannel, loss_reason, session_lost,
+    SessionAnswer, SessionCommand, StickyChannel, loss_reason, session_lost_error,
 };
 use crate::upstream::mysql::work::{Job, Output, SharedWarnings, Work, error_of_reply};
 use bytes::Bytes;
@@ -58,7 +58,7 @@
     /// What the client is told if the connection is lost; `effect` is that of the statement in progress.
     fn lost(&self, effect: Option<StatementEffect>) -> SqlError {
         let reason = loss_reason(self.channel.expired());
-        session_lost(&reason, TransactionOutcome::of_lost_connection(effect))
+        session_lost_error(&reason, TransactionOutcome::of_lost_connection(effect))
     }
 }
 
@@ -265,7 +265,7 @@
         effect: StatementEffect,
     ) -> Result<Waited, SessionEnd> {
         let Some(sticky) = self.sticky.as_mut() else {
-            let error = session_lost(
+            let error = session_lost_error(
                 &loss_reason(None),
                 TransactionOutcome::of_lost_connection(None),
             );
@@ -295,7 +295,7 @@
             // The engine is told by its connection's end: what is open is rolled back.
             () = self.downstream.killed() => {
                 let outcome = TransactionOutcome::of_lost_connection(Some(effect));
-                Err(session_lost(KILLED, outcome))
+                Err(session_lost_error(KILLED, outcome))
             }
             end = self.wire.read_ahead(MAX_READ_AHEAD_BYTES, contains_quit) => {
                 return Err(end_of_read_ahead(end));
--- a/src/upstream/mysql/sticky.rs
+++ b/src/upstream/mysql/sticky.rs
@@ -291,7 +291,7 @@
 
 /// Returns the error for a client whose sticky session was lost. It states whether anything may have
 /// been committed.
-pub fn session_lost(reason: &str, outcome: TransactionOutcome) -> SqlError {
+pub fn session_lost_error(reason: &str, outcome: TransactionOutcome) -> SqlError {
     match outcome {
         TransactionOutcome::RolledBack => SqlError::new(
             code::ER_LOCK_DEADLOCK,
