--- a/src/server/platform.rs
+++ b/src/server/platform.rs
@@ -109,7 +109,7 @@
         config.names.report_fields.clone(),
         pool.clone(),
     );
-    upstream.set_descriptors(config.limits.max_sockets);
+    upstream.set_descriptor_limit(config.limits.max_sockets);
     Ok(RequestRouter::new(core, config.names.clone(), upstream))
 }
 
@@ -132,7 +132,7 @@
         self.frontend.apply_limits(&new.limits);
         self.router
             .upstream()
-            .set_descriptors(new.limits.max_sockets);
+            .set_descriptor_limit(new.limits.max_sockets);
         match self.in_force.needs_restart(new) {
             Some(key) => Reloaded::AppliedExcept(key),
             None => Reloaded::Applied,
--- a/src/upstream/resp/engine_pool.rs
+++ b/src/upstream/resp/engine_pool.rs
@@ -75,7 +75,7 @@
     /// Maximum number of connections to all engines.
     pub(super) max_connections: Cell<usize>,
     /// File descriptor limit that `max_connections` is derived from.
-    pub(super) descriptors: Cell<usize>,
+    pub(super) descriptor_limit: Cell<usize>,
     /// Number of processes of this dispatcher that share the limits.
     pub(super) processes: Cell<usize>,
     /// Number of connections that hold a descriptor.
@@ -124,7 +124,7 @@
             next_number: Cell::new(0),
             max_connections_per_engine: Cell::new(MAX_CONNECTIONS_PER_ENGINE),
             max_connections: Cell::new(usize::MAX),
-            descriptors: Cell::new(usize::MAX),
+            descriptor_limit: Cell::new(usize::MAX),
             processes: Cell::new(1),
             open_connections: Cell::new(0),
             waiting_connections: Cell::new(0),
@@ -133,8 +133,8 @@
     }
 
     /// Sets the file descriptor limit of the process, a share of which is for connections to engines.
-    pub(super) fn set_descriptors(&self, descriptors: usize) {
-        self.descriptors.set(descriptors);
+    pub(super) fn set_descriptor_limit(&self, descriptors: usize) {
+        self.descriptor_limit.set(descriptors);
         let budget = DescriptorBudget::per_process(descriptors, self.processes.get());
         self.max_connections.set(budget.engines);
         // If the limit was lowered, idle connections beyond it are closed.
@@ -149,7 +149,7 @@
         let per_engine = (MAX_CONNECTIONS_PER_ENGINE / processes).max(MIN_CONNECTIONS_PER_ENGINE);
         self.max_connections_per_engine.set(per_engine);
         self.processes.set(processes);
-        self.set_descriptors(self.descriptors.get());
+        self.set_descriptor_limit(self.descriptor_limit.get());
     }
 
     /// Returns a connection to the engine on which an attempt with this id can be sent, and opens one if
--- a/src/upstream/resp/mod.rs
+++ b/src/upstream/resp/mod.rs
@@ -32,8 +32,8 @@
     }
 
     /// Sets the file descriptor limit of the process, a share of which is for connections to engines.
-    pub fn set_descriptors(&self, descriptors: usize) {
-        self.0.set_descriptors(descriptors);
+    pub fn set_descriptor_limit(&self, descriptors: usize) {
+        self.0.set_descriptor_limit(descriptors);
     }
 }
 
