--- a/src/frontend/mysql/sticky.rs
+++ b/src/frontend/mysql/sticky.rs
@@ -15,7 +15,7 @@
 use crate::spool_io::ResultOwner;
 use crate::sticky_sessions::{ConnectionDisposition, StatementEffect, TransactionOutcome};
 use crate::upstream::mysql::sticky::{
-    SessionAnswer, SessionCommand, StickyChannel, loss_reason, session_lost,
+    SessionAnswer, SessionCommand, StickyChannel, loss_reason, session_lost_error,
 };
 use crate::upstream::mysql::work::{Job, Output, SharedWarnings, Work, error_of_reply};
 use bytes::Bytes;
@@ -60,7 +60,7 @@
     /// flight.
     fn connection_lost_error(&self, effect: Option<StatementEffect>) -> SqlError {
         let reason = loss_reason(self.channel.expired());
-        session_lost(&reason, TransactionOutcome::of_lost_connection(effect))
+        session_lost_error(&reason, TransactionOutcome::of_lost_connection(effect))
     }
 }
 
@@ -269,7 +269,7 @@
         effect: StatementEffect,
     ) -> Result<WaitOutcome, SessionEnd> {
         let Some(sticky) = self.sticky.as_mut() else {
-            let error = session_lost(
+            let error = session_lost_error(
                 &loss_reason(None),
                 TransactionOutcome::of_lost_connection(None),
             );
@@ -299,7 +299,7 @@
             // Closing the connection makes the engine roll back an open transaction.
             () = self.downstream.killed() => {
                 let outcome = TransactionOutcome::of_lost_connection(Some(effect));
-                Err(session_lost(KILLED_REASON, outcome))
+                Err(session_lost_error(KILLED_REASON, outcome))
             }
             end = self.connection.read_ahead(MAX_READ_AHEAD_BYTES, contains_quit) => {
                 return Err(end_of_read_ahead(end));
