--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,8 +1,8 @@
-//! The operators' HTTP/1.1 service, one request a connection, at an address of its own.
+//! HTTP/1.1 service for operators, with one request per connection, on a separate address.
 //!
-//! Its connections are limited apart from the clients', so that clients' load takes none of them and a caller that
-//! never completes its request delays nobody. `request` reads requests, `routes` carries them out and
-//! `response` writes the answers.
+//! Its connection limit is separate from that of the clients, so that client load cannot use up operators'
+//! connections and a caller that never completes its request delays no other. `request` parses requests,
+//! `routes` executes them and `response` encodes the responses.
 
 mod request;
 mod response;
@@ -30,12 +30,12 @@
 use tokio::task::spawn_local;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// A request arrives whole within this, and its response is taken within it.
+/// Maximum time to receive a complete request, and maximum time for its caller to accept the response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
-/// After an accept that failed.
+/// Delay before the next accept after a failed one.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// The service.
+/// The operators' HTTP service.
 pub struct Admin<U: Upstream> {
     router: Rc<RequestRouter<U>>,
     pool: BufferPool,
@@ -44,16 +44,16 @@
     connections: Rc<ConnectionLimiter>,
 }
 
-/// What operators can read beside the request router, where there is such.
+/// Sources of operators' reports other than the request router; each is optional.
 #[derive(Clone, Default)]
 pub struct ReportSources {
-    /// The membership of the registry that lists the engines, while one does.
+    /// Membership of the engines that a registry lists; `None` while no registry is in use.
     pub membership: Rc<RefCell<Option<Rc<MembershipDriver>>>>,
-    /// Spooled results that wait for their readers.
+    /// Spooled results that clients have yet to fetch; `None` if this process keeps none.
     pub spools: Option<Rc<Spools>>,
 }
 
-/// Requests in, responses out.
+/// Codec that decodes requests and encodes responses.
 struct HttpCodec;
 
 impl Decoder for HttpCodec {
@@ -79,7 +79,8 @@
 }
 
 impl<U: Upstream> Admin<U> {
-    /// A service for `max_callers` at a time; the oldest without a whole request is evicted for a new one.
+    /// Returns a service for at most `max_callers` concurrent connections. At the limit a new connection
+    /// evicts the oldest one that has not sent a complete request.
     pub fn new(
         router: Rc<RequestRouter<U>>,
         pool: BufferPool,
@@ -96,7 +97,7 @@
         })
     }
 
-    /// Accepts callers; runs for ever.
+    /// Accepts connections; never returns.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             match self.connections.accept(&listener).await {
@@ -117,14 +118,14 @@
         }
     }
 
-    /// Serves one connection to its end.
+    /// Serves one connection until it is closed.
     async fn serve(&self, tcp: TcpStream, permit: PermitGuard) -> Result<(), RequestError> {
         tcp.set_nodelay(true)?;
         let mut connection = FramedConnection::new(&self.pool, tcp.into(), HttpCodec);
         let Some(received) = receive(&mut connection, &permit).await else {
             return Ok(());
         };
-        // From here on it ends within the time for its response, and is not evicted.
+        // From here on the response timeout bounds the connection's lifetime, and it is not evicted.
         permit.set_activity(Activity::Busy, Instant::now());
         let response = match received {
             Received::Closed => return Ok(()),
@@ -141,7 +142,7 @@
     }
 }
 
-/// What came of the wait for a request.
+/// Result of waiting for a request.
 enum Received {
     Request(Result<Request, RequestError>),
     /// The caller closed the connection first.
@@ -149,7 +150,7 @@
     TimedOut,
 }
 
-/// The caller's request; `None` if its connection was evicted before one arrived.
+/// Receives the caller's request; returns `None` if the connection was evicted before one arrived.
 async fn receive(
     connection: &mut FramedConnection<HttpCodec>,
     permit: &PermitGuard,
@@ -167,7 +168,8 @@
                 });
             }
             () = permit.eviction.notified(), if !evicted => evicted = true,
-            // What the machine holds of its request is read first.
+            // Bytes that are already in the socket's receive buffer are read before the eviction takes
+            // effect.
             () = std::future::ready(()),
                 if evicted && pending_input::peek(connection.get_ref().tcp()) != PendingInput::Bytes =>
             {
--- a/src/admin/request.rs
+++ b/src/admin/request.rs
@@ -1,22 +1,22 @@
-//! Operators' HTTP requests, as far as they count: a body, if there is one, is ignored.
+//! Parsing of operators' HTTP requests: only the request line is used; header lines and a body are ignored.
 
 use bytes::BytesMut;
 use std::io;
 
-/// A request's head is no longer, in bytes.
+/// Maximum size of the request line and headers together, in bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Header lines of a request at most.
+/// Maximum number of header lines of a request.
 const MAX_HEADERS: usize = 64;
 
-/// A request's first line.
+/// Request line of an HTTP request.
 #[derive(Debug, PartialEq)]
 pub(super) struct Request {
     pub(super) method: String,
-    /// The path and, behind a question mark, the query.
+    /// Path and, after a question mark, the query string.
     pub(super) target: String,
 }
 
-/// Why a connection gives no request.
+/// Error while reading a request from a connection.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum RequestError {
     #[error("the call cannot be read: {0}")]
@@ -27,7 +27,7 @@
     Io(#[from] io::Error),
 }
 
-/// The request at the start of these bytes; `None` while its head is incomplete.
+/// Parses the request at the start of `bytes`; returns `None` while the headers are incomplete.
 pub(super) fn parse(bytes: &BytesMut) -> Result<Option<Request>, RequestError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
--- a/src/admin/response.rs
+++ b/src/admin/response.rs
@@ -2,7 +2,7 @@
 
 use bytes::{BufMut, BytesMut};
 
-/// The media type of a response's body.
+/// Media type of a response body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum MediaType {
     Text,
@@ -18,7 +18,7 @@
     }
 }
 
-/// What a caller gets.
+/// Response to an operator's request.
 #[derive(Debug, PartialEq)]
 pub(super) struct Response {
     status: u16,
@@ -27,7 +27,7 @@
 }
 
 impl Response {
-    /// A response in plain text.
+    /// Returns a plain-text response.
     pub(super) fn text(status: u16, body: impl Into<String>) -> Self {
         Response {
             status,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// A successful response in JSON.
+    /// Returns a successful response with a JSON body.
     pub(super) fn json(body: String) -> Self {
         Response {
             status: 200,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Appends head and body.
+    /// Appends the encoded response (status line, headers and body) to `dst`.
     pub(super) fn write(&self, dst: &mut BytesMut) {
         let head = format!(
             "HTTP/1.1 {} {}\r\nContent-Type: {}; charset=utf-8\r\nContent-Length: {}\r\n\
--- a/src/admin/routes.rs
+++ b/src/admin/routes.rs
@@ -1,4 +1,4 @@
-//! Which request does what: reports, and the administrative drain of engines.
+//! Routes of the operators' HTTP service: reports, and the administrative drain of engines.
 
 use crate::admin::Admin;
 use crate::admin::request::Request;
@@ -6,19 +6,19 @@
 use crate::dispatch::{AdministrativeDrain, Upstream};
 use crate::server::instance_registry::decode_engine_id;
 
-/// Calls on one engine: this, then what is to be done, then the engine's encoded id.
+/// Path prefix of actions on one engine; the action and the encoded engine id follow it.
 const ENGINES_PREFIX: &str = "/_engines/";
 
-/// What a path names.
+/// Operation that a path selects.
 enum Route<'a> {
     Ready,
     Metrics,
     Invariants,
     Spools,
     Members,
-    /// Takes the engine with this encoded id out of use.
+    /// Starts the administrative drain of the engine with this encoded id.
     Drain(&'a str),
-    /// Puts the engine with this encoded id back into use.
+    /// Ends the administrative drain of the engine with this encoded id.
     Undrain(&'a str),
 }
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The one method that the route is called with.
+    /// Returns the only HTTP method that the route accepts.
     fn method(&self) -> &'static str {
         match self {
             Route::Drain(_) | Route::Undrain(_) => "POST",
@@ -53,7 +53,7 @@
 }
 
 impl<U: Upstream> Admin<U> {
-    /// Carries a request out.
+    /// Executes a request and returns its response.
     pub(super) fn respond(&self, request: &Request) -> Response {
         let (path, query) = match request.target.split_once('?') {
             Some(parts) => parts,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The resolved state of the engines that a registry lists, and why it is that.
+    /// Returns the resolved state of the engines that a registry lists, with the reasons for it.
     fn members(&self, query: &str) -> Response {
         let membership = self.sources.membership.borrow();
         match membership.as_ref().map(|membership| membership.page(query)) {
@@ -112,7 +112,7 @@
         let Some(engine) = self.known_engine(encoded_engine) else {
             return unknown_engine();
         };
-        // Recorded first, so that a success holds whatever becomes of this process.
+        // The drain is recorded first, so that a reported success survives the end of this process.
         if let Err(error) = self.instances.drain_engine(&engine) {
             return not_recorded(&error);
         }
@@ -133,7 +133,7 @@
         Response::text(200, "in use\n")
     }
 
-    /// The engine id that is encoded so, if an engine has it.
+    /// Decodes an engine id; returns `None` if no known engine has it.
     fn known_engine(&self, encoded: &str) -> Option<String> {
         decode_engine_id(encoded).filter(|id| self.router.is_known(id))
     }
