--- a/src/log.rs
+++ b/src/log.rs
@@ -1,5 +1,5 @@
-//! The process's log: lines on standard error, so many a second at most. Reason: a storm of failures must not become
-//! a storm of writes to a pipe that nobody empties.
+//! The process's log: rate-limited lines on standard error. The limit keeps a burst of failures from becoming
+//! a burst of writes to a pipe that nobody reads, which would block the process.
 
 #[cfg(test)]
 mod tests;
@@ -7,7 +7,7 @@
 use crate::clock::process_time_millis;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Lines that are written in one second; further ones are only counted.
+/// Maximum number of lines written per second; further ones are only counted.
 const MAX_LINES_PER_SECOND: u64 = 50;
 
 static LIMITER: LineLimiter = LineLimiter::new();
@@ -15,15 +15,17 @@
 /// Permission to write one line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinePermit {
-    /// Lines that were suppressed since the last line that was written.
+    /// Number of lines suppressed since the last line that was written.
     pub suppressed: u64,
 }
 
-/// Limits lines a second. Concurrent callers may exceed the limit by a few lines where a second begins.
+/// Rate limiter for log lines. Concurrent callers may exceed the limit by a few lines at the start of a
+/// second.
 #[derive(Debug)]
 struct LineLimiter {
-    /// The second, on the clock of the process, that `lines` counts.
+    /// Second of the process clock to which `lines` applies.
     second: AtomicU64,
+    /// Number of lines requested during `second`, including suppressed ones.
     lines: AtomicU64,
 }
 
@@ -35,7 +37,7 @@
         }
     }
 
-    /// Admits a line in this second, or counts it as suppressed.
+    /// Returns a permit for a line in `second`, or counts the line as suppressed and returns `None`.
     fn acquire(&self, second: u64) -> Option<LinePermit> {
         if self.second.swap(second, Ordering::Relaxed) != second {
             let lines_before = self.lines.swap(1, Ordering::Relaxed);
@@ -48,12 +50,13 @@
     }
 }
 
-/// Permission to write one line now; `None`: this second's lines are used up, and the line counts as suppressed.
+/// Returns permission to write one line now. Returns `None` if the limit for the current second is reached;
+/// the line is then counted as suppressed.
 pub fn acquire_line() -> Option<LinePermit> {
     LIMITER.acquire((process_time_millis() / 1000.0) as u64)
 }
 
-/// Writes one line to the log; its arguments are those of [`eprintln!`].
+/// Writes one line to the log, within the rate limit; takes the arguments of [`eprintln!`].
 #[macro_export]
 macro_rules! log_line {
     ($($arg:tt)*) => {
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,5 @@
-//! The dispatcher's program. Without arguments it serves the platform's protocol, configured by its environment; with
-//! `--mysql FILE` it serves the MySQL protocol, configured by that file.
+//! Entry point of the dispatcher. Without arguments it serves the platform's protocol, configured by
+//! environment variables; with `--mysql FILE` it serves the MySQL protocol, configured by that file.
 
 use query_dispatcher::server::{ServerError, mysql, platform};
 use query_dispatcher::transport::descriptors;
@@ -9,7 +9,7 @@
 const USAGE: &str = "usage: hitchwinch [--mysql FILE]";
 
 fn main() -> ExitCode {
-    // Counted before anything is opened.
+    // Inherited descriptors are counted before the process opens any of its own.
     let inherited_descriptors = descriptors::inherited();
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     match run(&arguments, inherited_descriptors) {
@@ -21,7 +21,7 @@
     }
 }
 
-/// Serves on this thread until the process is told to stop.
+/// Serves clients on this thread until SIGTERM.
 fn run(arguments: &[String], inherited_descriptors: usize) -> Result<(), ServerError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
