--- a/src/server/endpoint_source.rs
+++ b/src/server/endpoint_source.rs
@@ -1,4 +1,5 @@
-//! Where a MySQL process takes its endpoint list from: a fixed list or a Eureka registry, exchanged on reload.
+//! Source of the endpoint list of a MySQL process: a fixed list or a Eureka registry, which a reload can
+//! replace.
 
 use crate::config::{self, EurekaSettings};
 use crate::discovery::eureka::lease::{Lease, Standing};
@@ -13,29 +14,29 @@
 use tokio::sync::watch;
 use tokio::task::{AbortHandle, spawn_local};
 
-/// Tells what this dispatcher's registration should show.
-pub(super) type StandingProbe = Rc<dyn Fn() -> Standing>;
-/// The membership of the registry that is followed, if one is; operators look at it.
+/// Returns the status that this dispatcher's registration should report.
+pub(super) type RegistrationStatusProbe = Rc<dyn Fn() -> Standing>;
+/// Membership of the engines in the registry that is followed, if there is one; operators can read it.
 pub(super) type SharedMembership = Rc<RefCell<Option<Rc<MembershipDriver>>>>;
 
-/// The endpoint source in force.
+/// Endpoint source that is currently in use.
 pub(super) struct EndpointSource {
     router: Rc<RequestRouter<MysqlUpstream>>,
-    /// Where the membership's snapshot is kept.
+    /// Directory of the membership snapshot.
     state_directory: Option<PathBuf>,
     membership: SharedMembership,
-    standing: StandingProbe,
+    registration_status: RegistrationStatusProbe,
     registry: Option<RegistrySource>,
 }
 
-/// A registry that is followed, and this dispatcher's own lease there.
+/// Registry that is followed, and this dispatcher's own lease there.
 struct RegistrySource {
     configuration: watch::Sender<Rc<EurekaSettings>>,
     tasks: Vec<AbortHandle>,
     registration: Registration,
 }
 
-/// This dispatcher's lease at a registry, if the configuration asks for one, and the task that renews it.
+/// This dispatcher's lease at a registry, if the configuration requests one, and the task that renews it.
 struct Registration {
     lease: Option<Rc<Lease>>,
     renewal: Option<AbortHandle>,
@@ -46,18 +47,18 @@
         router: Rc<RequestRouter<MysqlUpstream>>,
         state_directory: Option<PathBuf>,
         membership: SharedMembership,
-        standing: StandingProbe,
+        registration_status: RegistrationStatusProbe,
     ) -> Self {
         EndpointSource {
             router,
             state_directory,
             membership,
-            standing,
+            registration_status,
             registry: None,
         }
     }
 
-    /// Takes the endpoint list from this source from now on. A registry that takes another's place keeps the membership.
+    /// Switches to `source` for the endpoint list. A registry that replaces another one keeps the membership.
     pub(super) fn follow(&mut self, source: &config::EndpointSource) {
         match source {
             config::EndpointSource::Static(engines) => {
@@ -69,7 +70,7 @@
                 let membership = self.membership.borrow().clone();
                 match (&mut self.registry, membership) {
                     (Some(registry), Some(membership)) => {
-                        registry.reconfigure(&source, &membership, &self.standing);
+                        registry.reconfigure(&source, &membership, &self.registration_status);
                     }
                     _ => self.start_registry(&source),
                 }
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Cancels this dispatcher's lease, if it holds one.
+    /// Returns this dispatcher's lease, if it holds one.
     pub(super) fn lease(&self) -> Option<Rc<Lease>> {
         self.registry.as_ref()?.registration.lease.clone()
     }
@@ -111,7 +112,7 @@
         self.registry = Some(RegistrySource {
             configuration,
             tasks,
-            registration: Registration::start(source, &membership, &self.standing),
+            registration: Registration::start(source, &membership, &self.registration_status),
         });
         *self.membership.borrow_mut() = Some(membership);
     }
@@ -122,7 +123,7 @@
         &mut self,
         source: &Rc<EurekaSettings>,
         membership: &Rc<MembershipDriver>,
-        standing: &StandingProbe,
+        registration_status: &RegistrationStatusProbe,
     ) {
         membership.configure(source);
         let before = self.configuration.send_replace(source.clone());
@@ -130,7 +131,7 @@
             return;
         }
         self.registration.stop_renewal();
-        let replacement = Registration::start(source, membership, standing);
+        let replacement = Registration::start(source, membership, registration_status);
         let previous = std::mem::replace(&mut self.registration, replacement);
         if source.registration.is_none() {
             spawn_local(cancel(previous.lease));
@@ -139,20 +140,20 @@
 }
 
 impl Registration {
-    /// Registers this dispatcher and renews its lease, if the configuration says so.
+    /// Registers this dispatcher and starts to renew its lease, if the configuration requests a registration.
     fn start(
         source: &Rc<EurekaSettings>,
         membership: &Rc<MembershipDriver>,
-        standing: &StandingProbe,
+        registration_status: &RegistrationStatusProbe,
     ) -> Self {
         let lease = Lease::new(source.clone());
-        let shown = lease.clone();
+        let observed_lease = lease.clone();
         membership.lease(Rc::new(move || {
-            shown.as_ref().and_then(|lease| lease.differs())
+            observed_lease.as_ref().and_then(|lease| lease.differs())
         }));
         let renewal = lease.clone().map(|lease| {
-            let standing = standing.clone();
-            spawn_local(lease.keep(move || standing())).abort_handle()
+            let registration_status = registration_status.clone();
+            spawn_local(lease.keep(move || registration_status())).abort_handle()
         });
         Registration { lease, renewal }
     }
@@ -162,7 +163,7 @@
     }
 }
 
-/// Cancels a lease, so that proxies stop looking for this dispatcher.
+/// Cancels the lease, if there is one, so that proxies stop connecting to this dispatcher.
 pub(super) async fn cancel(lease: Option<Rc<Lease>>) {
     if let Some(lease) = lease {
         lease.cancel().await;
--- a/src/server/error.rs
+++ b/src/server/error.rs
@@ -1,4 +1,4 @@
-//! Why a process cannot start, or cannot take a new configuration.
+//! Errors of the start and of a configuration reload.
 
 use crate::config::ConfigError;
 use crate::decision::model::SettingsError;
@@ -8,25 +8,26 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why a process cannot start, or cannot take a new configuration. The message names the setting at fault.
+/// Error that prevents a process from starting or from applying a new configuration. The message names the
+/// setting at fault.
 #[derive(Debug, thiserror::Error)]
 pub enum ServerError {
-    /// The command line is not understood; holds the usage line.
+    /// The command line is invalid; holds the usage line.
     #[error("{0}")]
     Usage(&'static str),
     /// The configuration cannot be read.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The decision module refuses the settings.
+    /// The decision module rejects the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The clients' listening socket cannot be had.
+    /// The clients' listening socket cannot be opened or inherited.
     #[error(transparent)]
     Listen(#[from] ListenError),
-    /// The runtime, a signal handler or a socket failed.
+    /// The runtime, a signal handler or a socket operation failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The journal's events in the configuration cannot be read.
+    /// The journal events in the configuration (key `known`) cannot be parsed.
     #[error("known: {0}")]
     KnownEvents(#[source] serde_json::Error),
     /// The directory for spooled results cannot be used.
@@ -34,7 +35,7 @@
     SpoolDirectory {
         /// The configured directory, if any.
         directory: Option<PathBuf>,
-        /// What the system answered.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// A certificate or key cannot be used.
@@ -45,18 +46,18 @@
     AdminListen {
         /// The configured address.
         address: SocketAddr,
-        /// What the system answered.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The directory that the dispatcher's processes share cannot be used.
-    #[error("the folder for state ({directory:?}): {source}")]
+    /// The state directory, which the dispatcher's processes share, cannot be used.
+    #[error("state directory {directory:?} cannot be used: {source}")]
     StateDirectory {
         /// The configured directory, if any.
         directory: Option<PathBuf>,
-        /// What the system answered.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A running process cannot change this setting; holds its key.
-    #[error("{0}: a change of it needs a restart")]
+    /// A running process cannot change this setting; holds the setting's key.
+    #[error("{0}: a changed value requires a restart")]
     NeedsRestart(&'static str),
 }
--- a/src/server/graceful_shutdown.rs
+++ b/src/server/graceful_shutdown.rs
@@ -1,7 +1,8 @@
-//! Graceful shutdown: from SIGTERM to the last answer.
+//! Graceful shutdown: from SIGTERM until the last answer is written.
 //!
-//! Clients are still accepted for a moment and told that this process is not ready; then they are asked to go
-//! elsewhere, and every request that is open is answered before the platform's SIGKILL can come.
+//! For a short time connections are still accepted, and readiness requests are answered with "not ready".
+//! Then clients are notified to use another process, and every open request is answered before the platform
+//! can send SIGKILL.
 
 use crate::clock::{duration_from_millis, process_time_millis};
 use crate::core::Violation;
@@ -17,26 +18,28 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Connections are still accepted for this long after SIGTERM, unless another process accepts them.
+/// Time after SIGTERM for which connections are still accepted, unless another process accepts them.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(500);
-/// Between the goodbye and the close of idle connections: requests that crossed the goodbye still arrive.
+/// Time between the goodbye frame and the close of idle connections: requests that were sent before their
+/// client received the goodbye still arrive.
 const GOODBYE_PERIOD: Duration = Duration::from_millis(300);
-/// The same where clients have another process to connect to, and nothing presses.
+/// The same period where clients can connect to another process, so that a longer one costs nothing.
 const GOODBYE_PERIOD_HANDED_OVER: Duration = Duration::from_millis(1000);
-/// Clients may take their last answers for this long after the answers are due: SIGKILL comes 350 ms after that.
+/// Time after the answers are due in which clients may still read their last answers: SIGKILL comes 350 ms
+/// after the answers are due.
 const FINAL_WRITE_PERIOD: Duration = Duration::from_millis(250);
-/// How often it is checked whether anything is still owed.
+/// Interval between checks for pending answers.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The longest deadline that the platform waits for before SIGKILL.
+/// Longest deadline that the platform takes into account before SIGKILL, in milliseconds.
 const MAX_DEADLINE_MS: Millis = 3000.0;
-/// The same where another process has taken over.
+/// The same limit where another process has taken over, in milliseconds.
 const MAX_DEADLINE_HANDED_OVER_MS: Millis = 5000.0;
-/// SIGKILL comes this long after the longest deadline.
+/// Time from the longest deadline to SIGKILL, in milliseconds.
 const KILL_AFTER_DEADLINE_MS: Millis = 700.0;
-/// Every answer is given this long before SIGKILL.
+/// Time from the last answer to SIGKILL, in milliseconds.
 const ANSWER_BEFORE_KILL_MS: Millis = 350.0;
 
-/// What shutdown depends on.
+/// Parameters of the shutdown.
 pub(super) struct ShutdownPlan {
     /// The longest deadline of any request class, in milliseconds.
     pub(super) longest_deadline: Millis,
@@ -45,7 +48,7 @@
 }
 
 impl ShutdownPlan {
-    /// From SIGTERM until every answer must be given.
+    /// Returns the time from SIGTERM until every request must be answered.
     fn answer_period(&self) -> Duration {
         let max_deadline = if self.handed_over {
             MAX_DEADLINE_HANDED_OVER_MS
@@ -59,19 +62,20 @@
     }
 }
 
-/// A frontend, as shutdown sees it.
-pub(super) trait Drain {
-    /// No new request is wanted on any connection.
+/// Frontend operations that a graceful shutdown uses.
+pub(super) trait DrainableFrontend {
+    /// Notifies every client to send no more requests on its connection.
     fn announce_shutdown(&self, handed_over: bool);
-    /// Each connection ends as soon as nothing is owed on it.
+    /// Closes each connection as soon as it has no pending answers.
     fn close_when_idle(&self);
-    /// Connections that may still be owed something.
-    fn unfinished(&self) -> usize;
-    /// Requests that are read and unanswered, other than those that connections count themselves when they end.
+    /// Returns the number of connections that may still have pending answers.
+    fn unfinished_connections(&self) -> usize;
+    /// Returns the number of requests that are read but unanswered, without those that connections count
+    /// themselves when they end.
     fn uncounted_requests(&self) -> usize;
 }
 
-impl<U: Upstream<Work = Work, Output = Buffer>> Drain for frames::Frontend<U> {
+impl<U: Upstream<Work = Work, Output = Buffer>> DrainableFrontend for frames::Frontend<U> {
     fn announce_shutdown(&self, handed_over: bool) {
         self.announce_shutdown(handed_over);
     }
@@ -80,7 +84,7 @@
         self.close_when_idle();
     }
 
-    fn unfinished(&self) -> usize {
+    fn unfinished_connections(&self) -> usize {
         self.connection_count()
     }
 
@@ -89,35 +93,35 @@
     }
 }
 
-impl<U: Upstream<Work = MysqlWork, Output = Output>> Drain for mysql::Frontend<U> {
+impl<U: Upstream<Work = MysqlWork, Output = Output>> DrainableFrontend for mysql::Frontend<U> {
     fn announce_shutdown(&self, handed_over: bool) {
         self.stop(handed_over);
     }
 
-    /// Sessions end between statements once they are told of the shutdown.
+    /// Does nothing: once notified of the shutdown, sessions end between statements by themselves.
     fn close_when_idle(&self) {}
 
-    fn unfinished(&self) -> usize {
+    fn unfinished_connections(&self) -> usize {
         self.busy()
     }
 
-    /// Each session counts its own.
+    /// Returns 0: each session counts its own requests.
     fn uncounted_requests(&self) -> usize {
         0
     }
 }
 
-/// Waits for SIGTERM and shuts down. With a listening socket that another process holds as well no more clients are
-/// accepted, for they would meet an end here that the other process spares them: only those that were accepted are
-/// served on.
+/// Waits for SIGTERM, then shuts down. If another process also holds the listening socket, no more clients
+/// are accepted here, because their connections would soon be closed; the other process accepts them instead.
+/// Clients that were accepted before are still served.
 pub(super) async fn shut_down_on_sigterm<U: Upstream>(
     sigterm: &mut Signals,
     router: &Rc<RequestRouter<U>>,
-    frontend: &impl Drain,
+    frontend: &impl DrainableFrontend,
     plan: &ShutdownPlan,
 ) {
     sigterm.recv().await;
-    let began = Instant::now();
+    let started = Instant::now();
     let answer_period = plan.answer_period();
     router.begin_shutdown(process_time_millis() + answer_period.as_secs_f64() * 1000.0);
     if plan.handed_over {
@@ -135,14 +139,15 @@
         tokio::time::sleep(GOODBYE_PERIOD).await;
     }
     frontend.close_when_idle();
-    // What clients have not taken whole by then is cut off by the kill in any case.
+    // SIGKILL would truncate answers that clients have not read completely by then in any case.
     let limit = answer_period + FINAL_WRITE_PERIOD;
-    while (router.unanswered_requests() > 0 || frontend.unfinished() > 0) && began.elapsed() < limit
+    while (router.unanswered_requests() > 0 || frontend.unfinished_connections() > 0)
+        && started.elapsed() < limit
     {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
     for _ in 0..frontend.uncounted_requests() {
         router.record_violation(Violation::ClosedUnanswered);
     }
-    log_line!("stopped after {} ms", began.elapsed().as_millis());
+    log_line!("stopped after {} ms", started.elapsed().as_millis());
 }
--- a/src/server/instance_coordination.rs
+++ b/src/server/instance_coordination.rs
@@ -1,5 +1,5 @@
-//! Keeps this process in step with the dispatcher's other processes: how many share the limits, and which engines
-//! operators have drained.
+//! Synchronizes this process with the dispatcher's other processes: how many of them share the limits, and
+//! which engines are administratively drained.
 
 use crate::dispatch::{RequestRouter, Upstream};
 use crate::log_line;
@@ -11,18 +11,20 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// How often the shared directory is read: an operator's call is in force in all processes within 1 s.
+/// Interval between reads of the shared directory: an operator's request takes effect in all processes within
+/// 1 s.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Opens the registry of this dispatcher's processes and applies what it holds, before the first engine is known; then
-/// follows it in a task of its own. `on_processes` is called with the number of living processes whenever it changes.
+/// Opens the registry of this dispatcher's processes and applies its content before any engine is known, then
+/// polls it in a separate task. Calls `on_process_count` with the number of live processes now and after each
+/// change.
 ///
 /// # Errors
 /// The directory cannot be used.
 pub(super) fn coordinate<U: Upstream>(
     router: &Rc<RequestRouter<U>>,
     directory: Option<&Path>,
-    on_processes: impl Fn(u32) + 'static,
+    on_process_count: impl Fn(u32) + 'static,
 ) -> Result<Rc<InstanceRegistry>, ServerError> {
     let failed = |source: io::Error| ServerError::StateDirectory {
         directory: directory.map(Path::to_path_buf),
@@ -31,27 +33,27 @@
     let instances = Rc::new(InstanceRegistry::open(directory).map_err(failed)?);
     let drained = instances.drained_engines().map_err(failed)?;
     router.apply_administrative_drains(&drained.unwrap_or_default());
-    let follower = Follower {
+    let poller = SharedStatePoller {
         processes: instances.processes().map_err(failed)?,
         instances: instances.clone(),
         router: router.clone(),
-        on_processes,
+        on_process_count,
     };
-    follower.divide_limits();
-    spawn_local(follower.run());
+    poller.apply_process_count();
+    spawn_local(poller.run());
     Ok(instances)
 }
 
-/// Applies what other processes of this dispatcher write to the registry.
-struct Follower<U: Upstream, F: Fn(u32)> {
+/// Polls the registry and applies what other processes of this dispatcher write to it.
+struct SharedStatePoller<U: Upstream, F: Fn(u32)> {
     instances: Rc<InstanceRegistry>,
     router: Rc<RequestRouter<U>>,
-    on_processes: F,
-    /// Living processes, as last read.
+    on_process_count: F,
+    /// Number of live processes, as last read.
     processes: u32,
 }
 
-impl<U: Upstream, F: Fn(u32)> Follower<U, F> {
+impl<U: Upstream, F: Fn(u32)> SharedStatePoller<U, F> {
     async fn run(mut self) {
         loop {
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -65,10 +67,10 @@
             Ok(processes) if processes != self.processes => {
                 log_line!("{processes} processes of this dispatcher share its limits");
                 self.processes = processes;
-                self.divide_limits();
+                self.apply_process_count();
             }
             Ok(_) => {}
-            Err(error) => log_line!("the folder for state: {error}"),
+            Err(error) => log_line!("the state directory cannot be read: {error}"),
         }
     }
 
@@ -76,13 +78,13 @@
         match self.instances.drained_engines() {
             Ok(Some(drained)) => self.router.apply_administrative_drains(&drained),
             Ok(None) => {}
-            // What cannot be read changes nothing.
-            Err(error) => log_line!("the folder for state: {error}"),
+            // After a failed read the current drains stay in effect.
+            Err(error) => log_line!("the state directory cannot be read: {error}"),
         }
     }
 
-    fn divide_limits(&self) {
+    fn apply_process_count(&self) {
         self.router.set_process_count(self.processes);
-        (self.on_processes)(self.processes);
+        (self.on_process_count)(self.processes);
     }
 }
--- a/src/server/instance_registry.rs
+++ b/src/server/instance_registry.rs
@@ -1,6 +1,6 @@
-//! What the living processes of one dispatcher share, in a directory that all of them see while one takes over from
-//! another: a locked file for each process, and an empty file for each engine that operators have drained. One file an
-//! entry, so that no process overwrites another's.
+//! State that the live processes of one dispatcher share, in a directory that is common to them while one
+//! takes over from another: a locked file for each process, and an empty file for each administratively
+//! drained engine. Each entry is a separate file, so that no process overwrites an entry of another.
 
 use std::collections::BTreeSet;
 use std::ffi::OsString;
@@ -8,42 +8,43 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The dispatcher's own directory within the configured one.
+/// Name of the dispatcher's subdirectory of the configured directory.
 pub(super) const DIRECTORY: &str = "hitchwinch";
-/// Files of living processes start with this, followed by the process id.
+/// File name prefix of live processes; the process id follows it.
 const PROCESS_PREFIX: &str = "here-";
-/// A process's file before it is locked.
+/// File name prefix of a process's file before the file is locked; the process id follows it.
 const DRAFT_PREFIX: &str = "new-";
-/// Files of drained engines start with this, followed by the encoded engine id.
+/// File name prefix of drained engines; the encoded engine id follows it.
 const DRAINED_PREFIX: &str = "out-";
-/// Engines drained at a time.
+/// Maximum number of engines drained at the same time.
 const MAX_DRAINED: usize = 1024;
-/// The longest file name that most file systems take, in bytes.
+/// Maximum length of a file name on most file systems, in bytes.
 const MAX_FILE_NAME_BYTES: usize = 255;
 
-/// The processes of this dispatcher and the engines that operators have drained. Without a directory this process is
-/// alone, and nothing outlives it.
+/// Registry of this dispatcher's live processes and of the administratively drained engines. Without a
+/// directory it counts only this process, and records nothing that outlives it.
 pub struct InstanceRegistry(Option<Directory>);
 
 struct Directory {
     path: PathBuf,
-    /// Locked for as long as this process lives, which is how others know.
+    /// File whose lock this process holds until it ends; other processes detect it as live by that lock.
     _process_file: File,
     process_file_name: OsString,
 }
 
 impl InstanceRegistry {
-    /// Enters this process into the dispatcher's directory within `parent`.
+    /// Registers this process in the dispatcher's subdirectory of `parent`.
     ///
     /// # Errors
-    /// The directory or the process's file cannot be made.
+    /// The directory or the process's file cannot be created or locked.
     pub fn open(parent: Option<&Path>) -> io::Result<Self> {
         let Some(path) = parent.map(|parent| parent.join(DIRECTORY)) else {
             return Ok(InstanceRegistry(None));
         };
         std::fs::create_dir_all(&path)?;
         let process_id = std::process::id();
-        // Locked before it has the name that others look for: a file without a lock is of a process that ended.
+        // The file is locked before it gets its final name, because other processes take an unlocked file of
+        // that name for one of a process that has ended.
         let draft = path.join(format!("{DRAFT_PREFIX}{process_id}"));
         let process_file = File::create(&draft)?;
         process_file.try_lock()?;
@@ -56,7 +57,8 @@
         })))
     }
 
-    /// Living processes of this dispatcher, this one included. Files of processes that have ended are removed.
+    /// Counts the live processes of this dispatcher, including this one. Removes the files of processes that
+    /// have ended.
     ///
     /// # Errors
     /// The directory cannot be read.
@@ -64,7 +66,7 @@
         let Some(directory) = &self.0 else {
             return Ok(1);
         };
-        let mut living = 1;
+        let mut live = 1;
         for entry in std::fs::read_dir(&directory.path)? {
             let name = entry?.file_name();
             if name == directory.process_file_name
@@ -74,16 +76,16 @@
             }
             let path = directory.path.join(name);
             match File::open(&path).map(|file| file.try_lock_shared()) {
-                Ok(Err(TryLockError::WouldBlock)) => living += 1,
-                // Its process has ended.
+                Ok(Err(TryLockError::WouldBlock)) => live += 1,
+                // The lock is free: the process has ended.
                 Ok(_) => drop(std::fs::remove_file(path)),
                 Err(_) => {}
             }
         }
-        Ok(living)
+        Ok(live)
     }
 
-    /// Records an engine as drained; doing so twice changes nothing.
+    /// Records an engine as drained; the operation is idempotent.
     ///
     /// # Errors
     /// Too many engines are drained, the engine's id is too long, or the file cannot be written.
@@ -101,7 +103,7 @@
         std::fs::write(path, [])
     }
 
-    /// Removes an engine's record; doing so twice changes nothing.
+    /// Removes an engine's drain record; the operation is idempotent.
     ///
     /// # Errors
     /// The file cannot be removed.
@@ -115,7 +117,7 @@
         }
     }
 
-    /// The ids of all drained engines; `None` without a directory.
+    /// Returns the ids of all drained engines; `None` without a directory.
     ///
     /// # Errors
     /// The directory cannot be read.
@@ -144,7 +146,8 @@
     }
 }
 
-/// An engine's id as a part of a path: every byte that could be read as anything else becomes `%XX`.
+/// Percent-encodes an engine id for use as one path segment: every byte except ASCII letters, digits, `-`,
+/// `_` and `.` becomes `%XX`.
 pub fn encode_engine_id(id: &str) -> String {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
     let encode = |byte: u8| {
@@ -157,7 +160,7 @@
     id.bytes().map(encode).collect()
 }
 
-/// The engine id that a part of a path encodes; `None` if it encodes none.
+/// Decodes a percent-encoded engine id; returns `None` if `text` is not a valid encoding.
 pub fn decode_engine_id(text: &str) -> Option<String> {
     let mut bytes = Vec::with_capacity(text.len());
     let mut remaining = text.as_bytes();
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! Builds and runs one process: wires the configured frontend, upstream and discovery together, reloads the
+//! Builds and runs one process: connects the configured frontend, upstream and discovery, reloads the
 //! configuration on SIGHUP, and shuts down gracefully on SIGTERM.
 
 mod endpoint_source;
@@ -19,12 +19,12 @@
 use crate::core::CoreLimits;
 use std::time::Duration;
 
-/// An answer is due this long before its client gives up: it has to be written and read.
+/// Time by which an answer is due before its client's timeout, because it still has to be written and read.
 const ANSWER_MARGIN: Duration = Duration::from_millis(40);
-/// A result that has begun may stay without its next page for this long.
+/// Maximum time that a started result may wait for its next page.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// The limits of the request core, as both kinds of process set them.
+/// Returns the limits of the request core, which are the same for both kinds of process.
 fn core_limits(sockets: &SocketSettings) -> CoreLimits {
     CoreLimits {
         max_open_requests: sockets.max_open_requests,
--- a/src/server/mysql.rs
+++ b/src/server/mysql.rs
@@ -1,4 +1,4 @@
-//! A process that serves the MySQL protocol, to clients and to engines.
+//! Process that uses the MySQL protocol towards clients and engines.
 
 use crate::admin::ReportSources;
 use crate::clock::process_time_millis;
@@ -8,7 +8,9 @@
 use crate::dispatch::{RequestRouter, Upstream};
 use crate::frontend::mysql::Frontend;
 use crate::log_line;
-use crate::server::endpoint_source::{self, EndpointSource, SharedMembership, StandingProbe};
+use crate::server::endpoint_source::{
+    self, EndpointSource, RegistrationStatusProbe, SharedMembership,
+};
 use crate::server::graceful_shutdown::{ShutdownPlan, shut_down_on_sigterm};
 use crate::server::instance_coordination::coordinate;
 use crate::server::instance_registry::{self, InstanceRegistry};
@@ -26,11 +28,12 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-/// Serves MySQL clients, configured by the file at `path`, until SIGTERM and the last answer. `inherited_descriptors`
-/// were open when the process started, and count against its limit.
+/// Serves MySQL clients, configured by the file at `path`, until SIGTERM and the last answer.
+/// `inherited_descriptors` is the number of descriptors that were open when the process started; they count
+/// against its limit.
 ///
 /// # Errors
-/// The configuration cannot be used, or a socket, directory or certificate that it names.
+/// The configuration, or a socket, directory or certificate that it names, cannot be used.
 pub async fn serve(path: &str, inherited_descriptors: usize) -> Result<(), ServerError> {
     let mut sigterm = Signals::new(SIGTERM)?;
     let sighup = Signals::new(SIGHUP)?;
@@ -80,8 +83,8 @@
         longest_deadline: config.sockets.longest_deadline,
         handed_over: config.inherited_descriptor.is_some(),
     };
-    let mut reloading = Reloading {
-        in_force: config,
+    let mut reload_target = ReloadTarget {
+        active_config: config,
         keys,
         frontend: frontend.clone(),
         spools,
@@ -91,7 +94,7 @@
     spawn_local(reload_on_sighup(
         sighup,
         move || MysqlConfig::read(&path),
-        move |new| reloading.apply(new),
+        move |new| reload_target.apply(new),
     ));
     shut_down_on_sigterm(&mut sigterm, &router, &*frontend, &plan).await;
     drop(accepting);
@@ -108,7 +111,8 @@
     let limits = core_limits(&config.sockets);
     let seed = process_time_millis() as u64;
     let mut core = Core::new(config.settings.clone(), seed, limits)?;
-    // There is no gossip here that could confirm the number: unconfirmed, engines would stay half used for good.
+    // There is no gossip here that could confirm the number of dispatchers; without this call the number
+    // would stay unconfirmed and engines would stay half used permanently.
     core.trust_configured_fleet();
     let upstream = MysqlUpstream::new(
         config.engine_credentials.clone(),
@@ -119,7 +123,7 @@
     Ok(RequestRouter::new(core, config.names.clone(), upstream))
 }
 
-/// Follows the endpoints that the configuration names.
+/// Starts to follow the endpoint source that the configuration names.
 fn follow_endpoints(
     config: &MysqlConfig,
     router: &Rc<RequestRouter<MysqlUpstream>>,
@@ -131,7 +135,7 @@
         router.clone(),
         state_directory.map(|state| state.join(instance_registry::DIRECTORY)),
         membership,
-        standing_probe(router, instances),
+        registration_status_probe(router, instances),
     );
     endpoints.follow(&config.source);
     Rc::new(RefCell::new(endpoints))
@@ -148,7 +152,7 @@
     Ok(spools)
 }
 
-/// Loads the certificates and keys, if there are any, and offers TLS to clients with them.
+/// Loads the certificates and keys, if any are configured, and enables TLS for clients with them.
 fn load_keys(
     config: &MysqlConfig,
     frontend: &Frontend<MysqlUpstream>,
@@ -162,11 +166,11 @@
     Ok(Some(keys))
 }
 
-/// How this dispatcher stands, for its registration.
-fn standing_probe<U: Upstream>(
+/// Returns the probe of the status that this dispatcher's registration reports.
+fn registration_status_probe<U: Upstream>(
     router: &Rc<RequestRouter<U>>,
     instances: &Rc<InstanceRegistry>,
-) -> StandingProbe {
+) -> RegistrationStatusProbe {
     let router = router.clone();
     let instances = instances.clone();
     Rc::new(move || {
@@ -183,18 +187,18 @@
     })
 }
 
-/// What a new configuration changes in the running process.
-struct Reloading {
-    in_force: MysqlConfig,
+/// Parts of the running process that a new configuration changes.
+struct ReloadTarget {
+    active_config: MysqlConfig,
     keys: Option<Rc<TlsKeys>>,
     frontend: Rc<Frontend<MysqlUpstream>>,
     spools: Rc<Spools>,
     endpoints: Rc<RefCell<EndpointSource>>,
 }
 
-impl Reloading {
+impl ReloadTarget {
     fn apply(&mut self, new: MysqlConfig) -> Result<Reloaded, ServerError> {
-        if let Some(key) = self.in_force.needs_restart(&new) {
+        if let Some(key) = self.active_config.needs_restart(&new) {
             return Err(ServerError::NeedsRestart(key));
         }
         if let (Some(keys), Some(source)) = (&self.keys, &new.tls) {
@@ -202,10 +206,10 @@
         }
         self.frontend.configure(new.frontend.clone());
         self.spools.configure(&new.spool);
-        if new.source != self.in_force.source {
+        if new.source != self.active_config.source {
             self.endpoints.borrow_mut().follow(&new.source);
         }
-        self.in_force = new;
+        self.active_config = new;
         Ok(Reloaded::Applied)
     }
 }
--- a/src/server/operators.rs
+++ b/src/server/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' listener: binds their address and starts to serve it.
+//! Listener of the operators' HTTP service: binds the configured address and starts the service.
 
 use crate::admin::{Admin, ReportSources};
 use crate::dispatch::{RequestRouter, Upstream};
@@ -11,18 +11,18 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// What the operators' HTTP service is made of.
+/// Dependencies of the operators' HTTP service.
 pub(super) struct OperatorsListener<U: Upstream> {
     pub(super) router: Rc<RequestRouter<U>>,
     pub(super) pool: BufferPool,
     pub(super) instances: Rc<InstanceRegistry>,
     pub(super) sources: ReportSources,
-    /// Callers served at a time.
+    /// Maximum number of concurrent connections.
     pub(super) max_callers: usize,
 }
 
 impl<U: Upstream> OperatorsListener<U> {
-    /// Binds the address, if there is one, and serves operators there in a task of its own.
+    /// Binds `address`, if there is one, and serves operators there in a separate task.
     ///
     /// # Errors
     /// The address cannot be bound.
--- a/src/server/platform.rs
+++ b/src/server/platform.rs
@@ -1,5 +1,5 @@
-//! A process that serves the platform's protocol: frames from clients, RESP to engines, the journal for the endpoint
-//! list.
+//! Process that serves the platform's protocol: frames from clients, RESP to engines, and the endpoint list
+//! from the journal.
 
 use crate::admin::ReportSources;
 use crate::config::{ConfigError, PlatformConfig};
@@ -25,11 +25,11 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// Serves until SIGTERM and the last answer. `inherited_descriptors` were open when the process started, and count
-/// against its limit.
+/// Serves clients until SIGTERM and the last answer. `inherited_descriptors` is the number of descriptors
+/// that were open when the process started; they count against its limit.
 ///
 /// # Errors
-/// The configuration cannot be used, or a socket or directory that it names.
+/// The configuration, or a socket or directory that it names, cannot be used.
 pub async fn serve(inherited_descriptors: usize) -> Result<(), ServerError> {
     let mut sigterm = Signals::new(SIGTERM)?;
     let sighup = Signals::new(SIGHUP)?;
@@ -42,12 +42,12 @@
     let listener = listener::listen(config.listen, config.inherited_descriptor).await?;
     let listen_address = listener.local_addr()?;
     let frontend = Frontend::new(router.clone(), pool.clone(), &config.limits);
-    let limited = frontend.clone();
+    let limited_frontend = frontend.clone();
     let instances = coordinate(
         &router,
         config.state_directory.as_deref(),
         move |processes| {
-            limited.set_process_count(processes);
+            limited_frontend.set_process_count(processes);
         },
     )?;
     let operators = OperatorsListener {
@@ -74,8 +74,8 @@
         longest_deadline: config.sockets.longest_deadline,
         handed_over: config.inherited_descriptor.is_some(),
     };
-    let reloading = Reloading {
-        in_force: config,
+    let reload_target = ReloadTarget {
+        startup_config: config,
         journal_address,
         frontend: frontend.clone(),
         router: router.clone(),
@@ -83,14 +83,14 @@
     spawn_local(reload_on_sighup(
         sighup,
         move || read_configuration(inherited_descriptors),
-        move |new| Ok(reloading.apply(&new)),
+        move |new| Ok(reload_target.apply(&new)),
     ));
     shut_down_on_sigterm(&mut sigterm, &router, &*frontend, &plan).await;
     drop(accepting);
     Ok(())
 }
 
-/// The configuration, with its limit on descriptors as far as the machine allows it.
+/// Reads the configuration and lowers its descriptor limit to what the operating system allows.
 fn read_configuration(inherited_descriptors: usize) -> Result<PlatformConfig, ConfigError> {
     let mut config = PlatformConfig::from_env(|name| std::env::var(name).ok())?;
     config.limits.max_sockets =
@@ -113,27 +113,27 @@
     Ok(RequestRouter::new(core, config.names.clone(), upstream))
 }
 
-/// What a new configuration changes in the running process.
-struct Reloading {
-    /// The configuration that the process started with.
-    in_force: PlatformConfig,
+/// Parts of the running process that a new configuration changes.
+struct ReloadTarget {
+    /// Configuration that the process started with.
+    startup_config: PlatformConfig,
     journal_address: watch::Sender<SocketAddr>,
     frontend: Rc<Frontend<RespUpstream>>,
     router: Rc<RequestRouter<RespUpstream>>,
 }
 
-impl Reloading {
+impl ReloadTarget {
     fn apply(&self, new: &PlatformConfig) -> Reloaded {
         self.journal_address.send_if_modified(|address| {
-            let moved = *address != new.journal_address;
+            let changed = *address != new.journal_address;
             *address = new.journal_address;
-            moved
+            changed
         });
         self.frontend.apply_limits(&new.limits);
         self.router
             .upstream()
             .set_descriptors(new.limits.max_sockets);
-        match self.in_force.needs_restart(new) {
+        match self.startup_config.needs_restart(new) {
             Some(key) => Reloaded::AppliedExcept(key),
             None => Reloaded::Applied,
         }
--- a/src/server/reload.rs
+++ b/src/server/reload.rs
@@ -5,16 +5,16 @@
 use crate::server::ServerError;
 use crate::server::signals::Signals;
 
-/// What a valid new configuration came to.
+/// Result of applying a valid new configuration.
 pub(super) enum Reloaded {
-    /// All of it is in force.
+    /// All settings are in effect.
     Applied,
-    /// All but the setting of this key, which a running process cannot change.
+    /// All settings are in effect except the one with this key, which a running process cannot change.
     AppliedExcept(&'static str),
 }
 
-/// On every SIGHUP reads the configuration again and applies it. One that cannot be read or applied changes nothing.
-/// Runs until the signal pipe breaks.
+/// Rereads and applies the configuration on every SIGHUP. A configuration that cannot be read or applied
+/// changes nothing. Returns when the signal pipe is broken.
 pub(super) async fn reload_on_sighup<C>(
     mut sighup: Signals,
     read: impl Fn() -> Result<C, ConfigError>,
