--- a/src/server/process_metrics.rs
+++ b/src/server/process_metrics.rs
@@ -1,26 +1,27 @@
-//! The process's own memory, logged at a steady pace, so that a long run's curve can be read from the log alone, where
-//! no operators' address is given (`docs/FILTER.md`: the fleet bench gives none).
+//! Periodic log lines with the memory use of this process. They make the memory use of a long run readable
+//! from the log alone where no operators' address is configured (`docs/FILTER.md`: the fleet bench configures
+//! none).
 //!
-//! Source: Linux's `/proc/self/status`, fields `VmRSS` (resident now) and `VmHWM` (peak resident), both in kB. Where the
-//! file cannot be read or lacks the fields nothing is logged.
+//! Source: `/proc/self/status` on Linux, fields `VmRSS` (resident now) and `VmHWM` (peak resident), both in
+//! kB. Nothing is logged where the file cannot be read or lacks one of the fields.
 
 use crate::log_line;
 use std::time::Duration;
 use tokio::time::{Instant, MissedTickBehavior};
 
-/// How often the line is logged.
+/// Interval between log lines.
 pub const LOG_INTERVAL: Duration = Duration::from_secs(60);
 
-/// What the process holds, in kB.
+/// Resident memory of a process, in kB.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Memory {
-    /// Resident now.
+    /// Current resident memory, in kB.
     pub resident_kb: u64,
-    /// The most that was resident since the start.
+    /// Peak resident memory since the start of the process, in kB.
     pub peak_kb: u64,
 }
 
-/// Reads both fields of a `status` file's text; `None` if either is missing or no number.
+/// Parses both fields from the text of a `status` file; returns `None` if either is missing or invalid.
 pub fn parse_status(status: &str) -> Option<Memory> {
     Some(Memory {
         resident_kb: field_kb(status, "VmRSS:")?,
@@ -33,14 +34,14 @@
     value.trim().strip_suffix("kB")?.trim().parse().ok()
 }
 
-/// This process's memory now, if the system reports it.
+/// Returns the current memory use of this process, if the system reports it.
 pub fn current() -> Option<Memory> {
     parse_status(&std::fs::read_to_string("/proc/self/status").ok()?)
 }
 
-/// Logs `memory: R kB resident, P kB at most` every [`LOG_INTERVAL`]; runs for ever.
+/// Logs `memory: R kB resident, P kB at most` every [`LOG_INTERVAL`]; never returns.
 pub async fn log_periodically() {
-    // The first after an interval: a start logs its addresses first.
+    // The first line comes after one interval, because a starting process logs its addresses first.
     let mut ticks = tokio::time::interval_at(Instant::now() + LOG_INTERVAL, LOG_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
--- a/src/server/signals/tests.rs
+++ b/src/server/signals/tests.rs
@@ -11,11 +11,14 @@
 #[test]
 fn deliveries_are_awaited_and_coalesced() {
     runtime().block_on(async {
-        // SIGUSR2 is no signal that the program or the test harness uses otherwise.
+        // Neither the program nor the test harness uses SIGUSR2.
         let number = signal_hook::consts::SIGUSR2;
         let mut signals = Signals::new(number).unwrap();
         let none_delivered = tokio::time::timeout(Duration::from_millis(50), signals.recv()).await;
-        assert!(none_delivered.is_err(), "no delivery, no wake-up");
+        assert!(
+            none_delivered.is_err(),
+            "recv must not return before a delivery"
+        );
         for _ in 0..3 {
             signal_hook::low_level::raise(number).unwrap();
         }
@@ -24,10 +27,14 @@
         let coalesced = tokio::time::timeout(Duration::from_millis(50), signals.recv()).await;
         assert!(
             coalesced.is_err(),
-            "three deliveries before the wait are one"
+            "three deliveries before a wait must wake the receiver only once"
         );
         signal_hook::low_level::raise(number).unwrap();
         let later = tokio::time::timeout(Duration::from_secs(2), signals.recv()).await;
-        assert_eq!(later.unwrap(), Some(()), "a later delivery wakes again");
+        assert_eq!(
+            later.unwrap(),
+            Some(()),
+            "a later delivery must wake the receiver again"
+        );
     });
 }
