--- a/src/bin/hitchwinch-simhost/host.rs
+++ b/src/bin/hitchwinch-simhost/host.rs
@@ -1,4 +1,4 @@
-//! The host of all instances: takes the simulator's lines and answers each batch.
+//! Host of all dispatcher instances: handles the simulator's lines and replies to each batch.
 
 use crate::error::HostError;
 use crate::instance::Instance;
@@ -10,17 +10,17 @@
 use std::collections::{BTreeMap, HashMap};
 use std::io::Write;
 
-/// Hosts instances, and writes replies to `W`.
+/// Host of all instances; writes replies to `W`.
 pub(crate) struct Host<W> {
-    /// The time of the open batch.
-    batch: Option<Millis>,
+    /// Simulated time of the open batch, in milliseconds; `None` between batches.
+    batch_time: Option<Millis>,
     instances: HashMap<InstanceId, Instance>,
-    /// Engine lists by the simulator's number.
+    /// Engine lists by the number that the simulator assigned.
     lists: BTreeMap<u64, Vec<ListedEngine>>,
     replies: Replies<W>,
 }
 
-/// Replies, which are written when their batch is complete.
+/// Buffer of replies, which are written when their batch is complete.
 struct Replies<W> {
     buffer: Vec<u8>,
     writer: W,
@@ -45,29 +45,29 @@
     pub(crate) fn new(writer: W) -> Self {
         let buffer = vec![];
         Host {
-            batch: None,
+            batch_time: None,
             instances: HashMap::new(),
             lists: BTreeMap::new(),
             replies: Replies { buffer, writer },
         }
     }
 
-    /// True between the first line of a batch and its last.
+    /// Returns whether a batch has begun and not yet ended.
     pub(crate) fn is_inside_batch(&self) -> bool {
-        self.batch.is_some()
+        self.batch_time.is_some()
     }
 
     /// Handles one line from the simulator.
     pub(crate) fn handle_line(&mut self, line: &str) -> Result<(), HostError> {
-        match (serde_json::from_str(line)?, self.batch) {
+        match (serde_json::from_str(line)?, self.batch_time) {
             (Input::BeginBatch { time }, None) => {
-                self.batch = Some(time);
+                self.batch_time = Some(time);
                 Ok(())
             }
             (Input::BeginBatch { .. }, Some(_)) => Err(HostError::NestedBatch),
             (_, None) => Err(HostError::OutsideBatch),
             (Input::Commit, Some(_)) => {
-                self.batch = None;
+                self.batch_time = None;
                 self.replies.push(&Output::End)?;
                 self.replies.flush()
             }
@@ -141,7 +141,7 @@
         self.handle_event(now, &instance, event)
     }
 
-    /// An answer's load report goes to the other instances too.
+    /// Handles the end of an attempt, and sends the load report of its answer to the other instances.
     fn handle_attempt_ended(
         &mut self,
         now: Millis,
@@ -198,7 +198,7 @@
     }
 }
 
-/// Borrows the instances alone, so that replies can be written meanwhile.
+/// Returns the instance named `id`. Borrows only the map, so that replies can be written at the same time.
 fn instance_mut<'a>(
     instances: &'a mut HashMap<InstanceId, Instance>,
     id: &str,
--- a/src/bin/hitchwinch-simhost/instance.rs
+++ b/src/bin/hitchwinch-simhost/instance.rs
@@ -1,4 +1,4 @@
-//! One instance of the dispatcher: its [`Controller`], and what it exchanges with its peers.
+//! One dispatcher instance: its [`Controller`], and the load reports that it exchanges with its peers.
 
 use crate::error::HostError;
 use query_dispatcher::config::{FleetSettings, NameTable};
@@ -10,23 +10,23 @@
 use std::collections::BTreeSet;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// An instance of the dispatcher.
+/// Dispatcher instance.
 pub(crate) struct Instance {
     controller: Controller,
     names: NameTable,
     gossip: Option<Gossip>,
-    /// The actions of the last event; reused, so that an event needs no allocation.
+    /// Actions for the last event; the buffer is reused, so that an event needs no allocation.
     actions: Vec<Action>,
 }
 
-/// Load reports to and from the other instances.
+/// Exchange of load reports with the other instances.
 struct Gossip {
-    /// Instances of the tier by the settings, numbered from 0.
+    /// Configured number of instances; they are numbered from 0.
     dispatchers: u32,
-    /// The instances that are heard, by number.
+    /// Census of the instances whose messages arrive, by instance number.
     census: FleetCensus<u32>,
     broadcaster: Broadcaster,
-    /// The engines in the instance's list, which are those that reports may be of.
+    /// Engines in the instance's endpoint list; load reports of other engines are ignored.
     listed_engines: BTreeSet<String>,
 }
 
@@ -47,15 +47,15 @@
         })
     }
 
-    /// The names behind the numbers in events.
+    /// Returns the table of names that the indices in events refer to.
     pub(crate) fn names(&self) -> &NameTable {
         &self.names
     }
 
-    /// The actions that an event leads to.
+    /// Handles an event and returns the resulting actions.
     ///
     /// # Errors
-    /// The message of the controller's panic.
+    /// The controller panicked; holds the panic message.
     pub(crate) fn handle(&mut self, now: Millis, event: Event) -> Result<&[Action], String> {
         if let Some(gossip) = &mut self.gossip {
             gossip.observe(&event);
@@ -68,7 +68,7 @@
         Ok(&self.actions)
     }
 
-    /// The message to the peers that an answer's load report leads to, if there is one.
+    /// Returns the message to the peers for an answer's load report, if one is to be sent.
     pub(crate) fn peer_message(
         &mut self,
         now: Millis,
@@ -83,8 +83,8 @@
         String::from_utf8(message).ok()
     }
 
-    /// The event that a peer's message stands for; `None` if it cannot be read, which is not an error on the
-    /// dispatcher's sockets either.
+    /// Translates a peer's message into an event. Returns `None` if the message cannot be decoded, which is
+    /// not an error on the dispatcher's sockets either.
     pub(crate) fn peer_event(&mut self, now: Millis, sender: u32, message: &[u8]) -> Option<Event> {
         let gossip = self.gossip.as_mut()?;
         let received = gossip.broadcaster.receive(now, message).ok()?;
@@ -103,7 +103,7 @@
 }
 
 impl Gossip {
-    /// Counts queries, which the budget of messages depends on, and follows the engine list.
+    /// Counts queries, on which the message budget depends, and tracks the engine list.
     fn observe(&mut self, event: &Event) {
         match event {
             Event::Query(_) => self.broadcaster.credit_request(),
--- a/src/bin/hitchwinch-simhost/main.rs
+++ b/src/bin/hitchwinch-simhost/main.rs
@@ -1,6 +1,7 @@
-//! Hosts one [`Controller`](query_dispatcher::Controller) for each dispatcher of the simulator. It translates between
-//! the simulator's JSON lines on standard input and output and the controllers' events and actions; it makes no
-//! decision.
+//! Adapter between the simulator and the decision module: hosts one
+//! [`Controller`](query_dispatcher::Controller) for each simulated dispatcher. It translates the simulator's
+//! JSON lines on standard input into events, and the resulting actions into JSON lines on standard output; it
+//! makes no decisions.
 
 mod error;
 mod host;
@@ -13,7 +14,7 @@
 use std::ops::ControlFlow;
 
 fn main() {
-    // A controller's panic is reported as its instance's fault; standard error has one line at most.
+    // A controller's panic is reported as a fault of its instance; standard error gets at most one line.
     std::panic::set_hook(Box::new(|_| {}));
     if let Err(error) = run(std::io::stdin().lock(), std::io::stdout().lock()) {
         eprintln!("hitchwinch-simhost: {error}");
@@ -21,7 +22,7 @@
     }
 }
 
-/// Handles all lines of the input.
+/// Handles all lines of `input`.
 fn run(mut input: impl BufRead, output: impl Write) -> Result<(), LineError> {
     let mut host = Host::new(output);
     let mut line = String::new();
@@ -36,7 +37,7 @@
     }
 }
 
-/// Reads one line and handles it; breaks at the end of the input.
+/// Reads and handles one line; returns `Break` at the end of the input.
 fn handle_next_line<W: Write>(
     input: &mut impl BufRead,
     line: &mut String,
--- a/src/bin/hitchwinch-simhost/wire/attempt.rs
+++ b/src/bin/hitchwinch-simhost/wire/attempt.rs
@@ -1,11 +1,11 @@
-//! Reports on attempts and of engines.
+//! Messages about attempts and health checks.
 
 use super::InstanceId;
 use query_dispatcher::config::NameTable;
 use query_dispatcher::{Ended, Event, Millis, Outcome, ProgressNote, QueryId};
 use serde::Deserialize;
 
-/// How an attempt or a health check ended.
+/// Outcome of an attempt or a health check.
 #[derive(Clone, Copy, Deserialize)]
 enum WireOutcome {
     #[serde(rename = "pass")]
@@ -41,14 +41,14 @@
     }
 }
 
-/// An attempt has ended.
+/// Message that an attempt has ended.
 #[derive(Deserialize)]
 pub(crate) struct AttemptEndedMessage {
     #[serde(rename = "gateway_id")]
     pub(crate) instance: InstanceId,
     #[serde(rename = "corr")]
     query: u32,
-    /// The engine that answered, where one did.
+    /// Engine that answered, if any did.
     pub(crate) engine: Option<String>,
     #[serde(rename = "how")]
     outcome: WireOutcome,
@@ -65,7 +65,7 @@
 }
 
 impl AttemptEndedMessage {
-    /// The engine's load report; empty where the answer had none.
+    /// Returns the engine's load report; empty if the answer had none.
     pub(crate) fn report(&self) -> &[f64] {
         self.report.as_deref().unwrap_or_default()
     }
@@ -86,7 +86,7 @@
     }
 }
 
-/// The work, as time on one thread, and the memory that a query really took.
+/// Actual cost of a query: its work, as time on one thread, and its memory.
 #[derive(Clone, Copy)]
 struct QueryCost {
     work: Millis,
@@ -94,9 +94,9 @@
 }
 
 impl QueryCost {
-    /// Milliseconds are counted in this many, so that the rest of the division is the memory.
+    /// Multiplier of the work in the encoded cost, whose remainder modulo this value encodes the memory.
     const WORK_UNIT: u64 = 4096;
-    /// The rest counts megabytes in steps of this many.
+    /// Unit of the encoded memory, in megabytes.
     const MEMORY_STEP_MB: u64 = 4;
 
     fn decode(cost: u64) -> Self {
@@ -107,7 +107,7 @@
     }
 }
 
-/// A health check has ended.
+/// Message that a health check has ended.
 #[derive(Deserialize)]
 pub(crate) struct EngineReportMessage {
     #[serde(rename = "gateway_id")]
@@ -129,7 +129,7 @@
     }
 }
 
-/// A running attempt reports its progress.
+/// Progress note of a running attempt.
 #[derive(Deserialize)]
 pub(crate) struct ProgressMessage {
     #[serde(rename = "gateway_id")]
@@ -147,10 +147,10 @@
     const DONE: u32 = 1;
     const SPILLS: u32 = 2;
     const WAITS: u32 = 3;
-    /// The value of [`Self::WAITS`] where the attempt waits for a load; else it waits for memory.
+    /// Value with [`Self::WAITS`] if the attempt waits for a load; with any other value it waits for memory.
     const FOR_LOAD: f64 = 2.0;
 
-    /// `None` if the kind of report is not known, or has no value.
+    /// Returns the event, or `None` if the kind of note is unknown or its value is missing.
     pub(crate) fn event(&self) -> Option<Event> {
         Some(Event::Progress {
             id: QueryId::from(self.query),
--- a/src/bin/hitchwinch-simhost/wire/endpoint_list.rs
+++ b/src/bin/hitchwinch-simhost/wire/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Engine lists, and news of them.
+//! Engine lists and their updates.
 
 use super::InstanceId;
 use crate::error::HostError;
@@ -6,7 +6,7 @@
 use query_dispatcher::{EngineEntry, EngineState, Event, ListUpdate, Millis};
 use serde::Deserialize;
 
-/// One engine of a list.
+/// Engine in a list.
 #[derive(Clone, Deserialize)]
 pub(crate) struct ListedEngine {
     engine: String,
@@ -56,7 +56,7 @@
     }
 }
 
-/// News of the engine list.
+/// Update of an instance's engine list.
 #[derive(Deserialize)]
 pub(crate) struct EndpointListMessage {
     #[serde(rename = "gateway_id")]
@@ -68,11 +68,11 @@
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum ListChange {
-    /// The list holds only what changed.
+    /// The list holds only changed entries.
     Patch,
     /// The list is complete.
     Whole,
-    /// The list is a complete one of some time ago.
+    /// The list is complete but outdated.
     StaleCopy,
     /// The list could not be read.
     #[serde(rename = "broken")]
@@ -80,7 +80,7 @@
 }
 
 impl EndpointListMessage {
-    /// The number of the list that the message refers to; `None`: there is no list.
+    /// Returns the number of the list that the message refers to; `None` if the list could not be read.
     pub(crate) fn list(&self) -> Result<Option<u64>, HostError> {
         match self.how {
             ListChange::Failed => Ok(None),
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The event, with the engines of the list that [`EndpointListMessage::list`] names.
+    /// Returns the event for `engines`, the engines of the list that [`EndpointListMessage::list`] names.
     pub(crate) fn event(&self, names: &NameTable, engines: &[ListedEngine]) -> Event {
         let update = match self.how {
             ListChange::Patch => ListUpdate::Patch,
--- a/src/bin/hitchwinch-simhost/wire/input.rs
+++ b/src/bin/hitchwinch-simhost/wire/input.rs
@@ -8,21 +8,22 @@
 use query_dispatcher::{Event, Millis, Query};
 use serde::Deserialize;
 
-/// An instance of the dispatcher, by the simulator's name for it.
+/// Simulator's name for a dispatcher instance.
 pub(crate) type InstanceId = String;
 
-/// One line from the simulator. A batch is everything from `BeginBatch` to `Commit`; only then is it answered.
+/// One line from the simulator. A batch comprises everything from `BeginBatch` to `Commit`, which triggers
+/// the replies.
 #[derive(Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 #[serde(expecting = "internally tagged enum In")]
 pub(crate) enum Input {
-    /// Opens a batch; its messages happen at this time.
+    /// Opens a batch; all its messages take place at this time.
     #[serde(rename = "turn")]
     BeginBatch {
         #[serde(rename = "ts")]
         time: Millis,
     },
-    /// Closes the batch and asks for the replies to it.
+    /// Closes the batch and requests the replies to it.
     Commit,
     /// Defines an engine list, which later messages refer to by its number.
     #[serde(rename = "table")]
@@ -31,7 +32,7 @@
         #[serde(rename = "members")]
         engines: Vec<ListedEngine>,
     },
-    /// Starts an instance.
+    /// Starts a dispatcher instance.
     Provision {
         #[serde(rename = "gateway_id")]
         instance: InstanceId,
@@ -40,7 +41,7 @@
         #[serde(rename = "profile_data")]
         settings: Box<FleetSettings>,
     },
-    /// An instance receives news of the engine list.
+    /// An instance receives an update of the engine list.
     #[serde(rename = "membership")]
     EndpointList(EndpointListMessage),
     /// A query arrives.
@@ -90,7 +91,7 @@
     },
 }
 
-/// A query arrives.
+/// Message that a query has arrived.
 #[derive(Deserialize)]
 pub(crate) struct QueryMessage {
     #[serde(rename = "gateway_id")]
@@ -112,7 +113,7 @@
     tenant: Option<TenantName>,
 }
 
-/// A tenant's name, or the number 0 where there is none.
+/// Name of a tenant, or the number 0 for no tenant.
 #[derive(Deserialize)]
 #[serde(untagged)]
 #[serde(expecting = "data did not match any variant of untagged enum Name")]
@@ -143,14 +144,14 @@
     }
 }
 
-/// Another instance's load report arrives.
+/// Message with another instance's load report.
 #[derive(Deserialize)]
 pub(crate) struct PeerMessage {
     #[serde(rename = "gateway_id")]
     pub(crate) instance: InstanceId,
-    /// The number of the instance that sent it.
+    /// Number of the instance that sent the report.
     #[serde(rename = "who")]
     pub(crate) sender: u32,
-    /// The bytes of the UDP message, as text.
+    /// Payload of the UDP message, as text.
     pub(crate) content: String,
 }
--- a/src/bin/hitchwinch-simhost/wire/mod.rs
+++ b/src/bin/hitchwinch-simhost/wire/mod.rs
@@ -1,6 +1,7 @@
 //! The simulator's JSON lines: messages to the host ([`Input`]) and the host's replies ([`Output`]).
 //!
-//! The names in `serde` attributes are the wire's; fields and variants have the names of the decision module.
+//! The names in `serde` attributes are those of the simulator's protocol; fields and variants have the names
+//! of the decision module.
 
 mod attempt;
 mod endpoint_list;
--- a/src/bin/hitchwinch-simhost/wire/output.rs
+++ b/src/bin/hitchwinch-simhost/wire/output.rs
@@ -18,7 +18,7 @@
         #[serde(rename = "try_for", skip_serializing_if = "Option::is_none")]
         timeout: Option<Millis>,
     },
-    /// Set a query's priority, and the memory of its further attempts.
+    /// Set a query's priority and the memory of its further attempts.
     #[serde(rename = "provide")]
     Terms {
         #[serde(rename = "gateway_id")]
@@ -105,7 +105,7 @@
 }
 
 impl<'a> Output<'a> {
-    /// The reply that an instance's action stands for.
+    /// Returns the reply for an instance's action.
     pub(crate) fn from_action(instance: &'a str, action: &'a Action) -> Self {
         match action {
             Action::Send {
