--- a/tests/program.rs
+++ b/tests/program.rs
@@ -1,4 +1,5 @@
-//! The program itself on the platform's terms: started, asked whether it is ready, told to stop.
+//! Tests of the program as a child process: readiness, graceful shutdown, takeover by another process, reload
+//! of the configuration and gossip, mostly with the platform's protocol.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -19,7 +20,7 @@
 struct Program {
     child: Child,
     address: String,
-    /// Where operators call.
+    /// Address of the operators' HTTP service.
     admin: String,
     config: PathBuf,
     log: mpsc::Receiver<String>,
@@ -34,23 +35,28 @@
 }
 
 impl Program {
-    fn run(test: &str, config: &str, args: &[&str]) -> Self {
+    fn with_config(test: &str, config: &str, args: &[&str]) -> Self {
         let path =
             std::env::temp_dir().join(format!("hitchwinch-{}-{test}.conf", std::process::id()));
         std::fs::write(&path, config).unwrap();
-        Self::start(Command::new(env!("CARGO_BIN_EXE_hitchwinch")), path, args)
+        Self::spawn(Command::new(env!("CARGO_BIN_EXE_hitchwinch")), path, args)
     }
 
-    /// One of several processes that share a folder and inherit the clients' socket as descriptor 7.
-    fn beside(
+    /// Starts one of several processes that share a directory and inherit the clients' listening socket as
+    /// descriptor 7.
+    fn with_shared_socket(
         test: &str,
         config: &str,
         args: &[&str],
-        folder: &Path,
+        directory: &Path,
         socket: &TcpListener,
     ) -> Self {
-        let path = folder.join(format!("{test}.conf"));
-        std::fs::write(&path, config.replace("FOLDER", folder.to_str().unwrap())).unwrap();
+        let path = directory.join(format!("{test}.conf"));
+        std::fs::write(
+            &path,
+            config.replace("STATE_DIRECTORY", directory.to_str().unwrap()),
+        )
+        .unwrap();
         let mut command = Command::new("sh");
         command.args([
             "-c",
@@ -59,12 +65,12 @@
         ]);
         command
             .stdin(OwnedFd::from(socket.try_clone().unwrap()))
-            .env("TMPDIR", folder)
+            .env("TMPDIR", directory)
             .env("PROXY_INHERITED_FD", "7");
-        Self::start(command, path, args)
+        Self::spawn(command, path, args)
     }
 
-    fn start(mut command: Command, path: PathBuf, args: &[&str]) -> Self {
+    fn spawn(mut command: Command, path: PathBuf, args: &[&str]) -> Self {
         command
             .args(args)
             .env("PROXY_CONFIG", &path)
@@ -74,9 +80,9 @@
             command.arg(&path);
         }
         let mut child = command.spawn().unwrap();
-        let (say, log) = mpsc::channel();
+        let (log_sender, log) = mpsc::channel();
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
-        std::thread::spawn(move || lines.for_each(|l| drop(say.send(l.unwrap()))));
+        std::thread::spawn(move || lines.for_each(|line| drop(log_sender.send(line.unwrap()))));
         let (address, admin) = (String::new(), String::new());
         let mut program = Program {
             child,
@@ -86,43 +92,44 @@
             log,
         };
         while program.address.is_empty() {
-            let line = program.says(" ");
-            if let Some((_, at)) = line.split_once("operators call at ") {
-                program.admin = at.into();
-            } else if let Some((_, at)) = line.split_once("listens on ") {
-                program.address = at.into();
+            let line = program.wait_for_log(" ");
+            if let Some((_, address)) = line.split_once("operators call at ") {
+                program.admin = address.into();
+            } else if let Some((_, address)) = line.split_once("listens on ") {
+                program.address = address.into();
             }
         }
         program
     }
 
-    /// What an operator's call comes to.
-    fn call(&self, method: &str, path: &str) -> String {
+    /// Sends a request to the operators' HTTP service and returns the response.
+    fn admin_request(&self, method: &str, path: &str) -> String {
         let mut tcp = connect(&self.admin);
         tcp.write_all(format!("{method} {path} HTTP/1.1\r\n\r\n").as_bytes())
             .unwrap();
-        let mut answer = String::new();
-        tcp.read_to_string(&mut answer).unwrap();
-        answer
+        let mut response = String::new();
+        tcp.read_to_string(&mut response).unwrap();
+        response
     }
 
-    /// Engines that get nothing now, as this process tells.
-    fn disabled(&self) -> String {
-        let told = self.call("GET", "/_vars");
-        told.lines()
-            .find_map(|l| l.strip_prefix("targets_disabled="))
+    /// Returns the metric `targets_disabled` of this process: the number of engines that receive no requests.
+    fn disabled_engines(&self) -> String {
+        let metrics = self.admin_request("GET", "/_vars");
+        metrics
+            .lines()
+            .find_map(|line| line.strip_prefix("targets_disabled="))
             .unwrap()
             .to_string()
     }
 
-    /// The next line of its log that holds this.
-    fn says(&self, what: &str) -> String {
+    /// Returns the next line of the log that contains `text`; panics after 5 s without a line.
+    fn wait_for_log(&self, text: &str) -> String {
         loop {
             let line = self
                 .log
                 .recv_timeout(Duration::from_secs(5))
-                .unwrap_or_else(|_| panic!("no {what:?}"));
-            if line.contains(what) {
+                .unwrap_or_else(|_| panic!("no log line contains {text:?}"));
+            if line.contains(text) {
                 return line;
             }
         }
@@ -139,25 +146,26 @@
         );
     }
 
-    /// A new configuration is in its place, and it is told.
-    fn configure(&self, config: &str) {
+    /// Replaces the configuration file and sends SIGHUP.
+    fn reload(&self, config: &str) {
         std::fs::write(&self.config, config).unwrap();
         self.signal("-HUP");
     }
 
-    fn ends_well(mut self) {
+    /// Sends SIGTERM and asserts that the process exits with success.
+    fn assert_clean_exit(mut self) {
         self.signal("-TERM");
         assert!(self.child.wait().unwrap().success());
     }
 }
 
-/// A configuration with one engine in its list or with no list.
+/// Returns a configuration whose known endpoint list has one engine, or that has no known list.
 fn config(engine: Option<&TcpListener>, journal: &str) -> String {
-    let known = engine.map_or("null".to_string(), |e| {
+    let known = engine.map_or("null".to_string(), |engine| {
         format!(
             r#"{{"pos":1,"entries":[{{"pos":1,"hosts":{{"reset":true,"instances":[{{"instanceId":"e",
             "hostPort":"{}","machineType":"std","lifecycle":"in_service","startedAtMs":0}}]}}}}]}}"#,
-            e.local_addr().unwrap()
+            engine.local_addr().unwrap()
         )
     });
     format!(
@@ -165,9 +173,10 @@
     )
 }
 
-/// On the platform's terms; nobody listens at the journal's address: a list in hand is enough.
-fn start(test: &str, engine: Option<&TcpListener>) -> Program {
-    Program::run(test, &config(engine, "127.0.0.1:1"), &[])
+/// Starts the program with the platform's protocol. Nothing listens at the journal's address: a known
+/// endpoint list is enough.
+fn start_platform(test: &str, engine: Option<&TcpListener>) -> Program {
+    Program::with_config(test, &config(engine, "127.0.0.1:1"), &[])
 }
 
 fn connect(address: &str) -> TcpStream {
@@ -176,14 +185,14 @@
     tcp
 }
 
-fn send(tcp: &mut TcpStream, kind: u8, stream: u32, payload: &[u8]) {
+fn send_frame(tcp: &mut TcpStream, kind: u8, stream: u32, payload: &[u8]) {
     let length = (payload.len() as u32 + 5).to_be_bytes();
     tcp.write_all(&[&length[..], &[kind], &stream.to_be_bytes(), payload].concat())
         .unwrap();
 }
 
-/// Type, stream and payload.
-fn expect(tcp: &mut TcpStream) -> (u8, u32, Vec<u8>) {
+/// Reads a frame and returns its type, stream and payload.
+fn read_frame(tcp: &mut TcpStream) -> (u8, u32, Vec<u8>) {
     let mut length = [0; 4];
     tcp.read_exact(&mut length).unwrap();
     let mut frame = vec![0; u32::from_be_bytes(length) as usize];
@@ -195,15 +204,16 @@
     )
 }
 
-fn ready(tcp: &mut TcpStream) -> bool {
-    send(tcp, 16, 9, &[0]);
-    let (kind, stream, payload) = expect(tcp);
+/// Sends a readiness request and returns whether the program reports that it is ready.
+fn is_ready(tcp: &mut TcpStream) -> bool {
+    send_frame(tcp, 16, 9, &[0]);
+    let (kind, stream, payload) = read_frame(tcp);
     assert_eq!((kind, stream), (32, 9));
     payload[0] == 0
 }
 
-/// A look-up that its client waits for so many milliseconds.
-fn lookup(limit: &str) -> Vec<u8> {
+/// Returns the payload of a look-up whose client waits for `limit` milliseconds.
+fn lookup_request(limit: &str) -> Vec<u8> {
     let mut payload = vec![3u8];
     for (name, value) in [
         ("verb", "lookup"),
@@ -226,44 +236,48 @@
 
 #[test]
 fn graceful_shutdown_answers_accepted_requests() {
-    let engine = TcpListener::bind("127.0.0.1:0").unwrap(); // takes connections and says nothing
-    let program = start("stop", Some(&engine));
-    let mut a = connect(&program.address);
-    assert!(ready(&mut a));
-    send(&mut a, 2, 1, &lookup("60000"));
-    assert!(ready(&mut a), "and so the request before is taken");
+    // Accepts connections and never answers.
+    let engine = TcpListener::bind("127.0.0.1:0").unwrap();
+    let program = start_platform("stop", Some(&engine));
+    let mut client = connect(&program.address);
+    assert!(is_ready(&mut client));
+    send_frame(&mut client, 2, 1, &lookup_request("60000"));
+    assert!(
+        is_ready(&mut client),
+        "the previous request must be accepted as well"
+    );
     program.signal("-TERM");
-    while ready(&mut a) {}
+    while is_ready(&mut client) {}
     assert!(
-        !ready(&mut connect(&program.address)),
-        "new connections are still accepted"
+        !is_ready(&mut connect(&program.address)),
+        "new connections must still be accepted"
     );
-    let (kind, stream, payload) = expect(&mut a);
+    let (kind, stream, payload) = read_frame(&mut client);
     assert_eq!(
         (kind, stream, payload),
         (64, 0, vec![]),
-        "goodbye, without a payload"
+        "the goodbye must have no payload"
     );
-    let (kind, stream, payload) = expect(&mut a);
+    let (kind, stream, payload) = read_frame(&mut client);
     assert_eq!(
         (kind, stream, payload[0]),
         (4, 1, 14),
-        "the long request is refused before the end"
+        "the long request must be rejected before the process exits"
     );
-    program.ends_well();
+    program.assert_clean_exit();
 }
 
-/// A stand-in peer, an engine whose answers bring reports, and a client: what the engine tells goes on to the peer in
-/// six bytes, and what is no word of a peer is passed over, counted, and told in the log.
+/// An engine's load report must be forwarded to the peer in a message of six bytes. A malformed message, and
+/// one from an unlisted sender, must be ignored, counted and logged.
 #[test]
 fn load_reports_are_gossiped_and_malformed_messages_ignored() {
     let engine = TcpListener::bind("127.0.0.1:0").unwrap();
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
     peer.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
-    let at = peer.local_addr().unwrap();
-    let told = r#""feedback":{"fields":["rif","x0"]},"ceilings":{"peer_messages":true,"#;
+    let peer_address = peer.local_addr().unwrap();
+    let gossip_settings = r#""feedback":{"fields":["rif","x0"]},"ceilings":{"peer_messages":true,"#;
     let config = config(Some(&engine), "127.0.0.1:1")
-        .replace(r#""ceilings":{"#, told)
+        .replace(r#""ceilings":{"#, gossip_settings)
         .replace(
             r#""fleet_size":1"#,
             r#""fleet_size":2,"deductions":{"peer":0.01}"#,
@@ -271,17 +285,20 @@
         .replace(
             r#""seed":"7""#,
             &format!(
-                r#""seed":"7","peer_listen":"127.0.0.1:0","peers":["{at}"],"peers_all":"{at}""#
+                r#""seed":"7","peer_listen":"127.0.0.1:0","peers":["{peer_address}"],
+                "peers_all":"{peer_address}""#
             ),
         );
-    let program = Program::run("peers", &config, &[]);
+    let program = Program::with_config("peers", &config, &[]);
     let mut client = connect(&program.address);
-    assert!(ready(&mut client));
-    send(&mut client, 2, 1, &lookup("4000"));
-    let (mut on, _) = engine.accept().unwrap();
-    on.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
-    let mut asked = [0; 1024];
-    assert!(on.read(&mut asked).unwrap() > 0);
+    assert!(is_ready(&mut client));
+    send_frame(&mut client, 2, 1, &lookup_request("4000"));
+    let (mut engine_connection, _) = engine.accept().unwrap();
+    engine_connection
+        .set_read_timeout(Some(Duration::from_secs(5)))
+        .unwrap();
+    let mut request = [0; 1024];
+    assert!(engine_connection.read(&mut request).unwrap() > 0);
     let answer = [
         "0123456789abcdef",
         "ACK",
@@ -292,44 +309,51 @@
         .iter()
         .map(|w| format!("${}\r\n{w}\r\n", w.len()))
         .collect();
-    on.write_all(format!("*4\r\n{words}").as_bytes()).unwrap();
-    assert_eq!(expect(&mut client).2[0], 0, "served");
-    let mut word = [0; 300];
-    let (size, from) = peer.recv_from(&mut word).unwrap();
+    engine_connection
+        .write_all(format!("*4\r\n{words}").as_bytes())
+        .unwrap();
+    assert_eq!(
+        read_frame(&mut client).2[0],
+        0,
+        "the request must be served"
+    );
+    let mut message = [0; 300];
+    let (size, sender) = peer.recv_from(&mut message).unwrap();
     assert_eq!(
-        (size, word[0], &word[4..6]),
+        (size, message[0], &message[4..6]),
         (6, b'r', &[63 + 7, 25][..]),
-        "seven in hand, half of the memory"
+        "seven requests in flight, half of the memory"
     );
-    // Back to it: a word that it can read says nothing, one that it can't is told of, and so is a stranger's.
-    peer.send_to(&word[..size], from).unwrap();
-    peer.send_to(b"?", from).unwrap();
+    // A valid message leaves no log line; a malformed one, and one from an unlisted sender, leave one each.
+    peer.send_to(&message[..size], sender).unwrap();
+    peer.send_to(b"?", sender).unwrap();
     assert!(
-        program.says("is ignored").contains("of kind 63"),
-        "the first line is that of the second word"
+        program.wait_for_log("is ignored").contains("of kind 63"),
+        "the first line must concern the malformed message"
     );
-    let record_foreign_message = UdpSocket::bind("127.0.0.1:0").unwrap();
-    record_foreign_message.send_to(&word[..size], from).unwrap();
-    assert!(program.says("is ignored").contains("not listed"));
+    let unlisted_sender = UdpSocket::bind("127.0.0.1:0").unwrap();
+    unlisted_sender.send_to(&message[..size], sender).unwrap();
+    assert!(program.wait_for_log("is ignored").contains("not listed"));
     assert!(
         program
-            .call("GET", "/_vars")
+            .admin_request("GET", "/_vars")
             .contains("\npeer_messages_refused=2\n"),
-        "both are counted"
+        "both ignored messages must be counted"
     );
-    assert!(ready(&mut client), "and it goes on");
-    program.ends_well();
+    assert!(is_ready(&mut client), "the program must stay ready");
+    program.assert_clean_exit();
 }
 
-/// A dispatcher of two by its configuration hears a peer that is not listed: three run at least, and what all may send
-/// a warming engine is divided by no fewer. Noise from elsewhere shows no dispatcher.
+/// A dispatcher that is configured for two receives messages from an unlisted peer. Then at least three
+/// dispatchers run, and the total that all may send to a warming engine must be divided by at least three.
+/// Malformed datagrams must not count as a dispatcher.
 #[test]
 fn a_peer_that_is_not_listed_counts_as_a_dispatcher() {
     let listed = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let at = listed.local_addr().unwrap();
-    let free = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let own = free.local_addr().unwrap();
-    drop(free);
+    let listed_address = listed.local_addr().unwrap();
+    let reserved = UdpSocket::bind("127.0.0.1:0").unwrap();
+    let own_address = reserved.local_addr().unwrap();
+    drop(reserved);
     let config = config(None, "127.0.0.1:1")
         .replace(
             r#""ceilings":{"#,
@@ -342,12 +366,13 @@
         .replace(
             r#""seed":"7""#,
             &format!(
-                r#""seed":"7","peer_listen":"{own}","peers":["{own}","{at}"],"peers_all":"{at}""#
+                r#""seed":"7","peer_listen":"{own_address}","peers":["{own_address}","{listed_address}"],
+                "peers_all":"{listed_address}""#
             ),
         );
-    let program = Program::run("census", &config, &[]);
+    let program = Program::with_config("census", &config, &[]);
     let dispatchers = || {
-        let text = program.call("GET", "/_invariants");
+        let text = program.admin_request("GET", "/_invariants");
         let number = |name: &str| {
             let line = text.lines().find_map(|line| line.strip_prefix(name));
             line.unwrap_or_else(|| panic!("{name} in {text}"))
@@ -355,85 +380,99 @@
         };
         (number("dispatchers.expected="), number("dispatchers.max="))
     };
-    let soon = |expected: (&str, &str)| {
+    let assert_soon = |expected: (&str, &str)| {
         let expected = (expected.0.to_string(), expected.1.to_string());
-        let until = std::time::Instant::now() + Duration::from_secs(5);
-        while dispatchers() != expected && std::time::Instant::now() < until {
+        let deadline = std::time::Instant::now() + Duration::from_secs(5);
+        while dispatchers() != expected && std::time::Instant::now() < deadline {
             std::thread::sleep(Duration::from_millis(20));
         }
         assert_eq!(dispatchers(), expected);
     };
-    soon(("2", "4"));
-    // A report of an engine that is not listed here is a message of a dispatcher all the same.
+    assert_soon(("2", "4"));
+    // A load report of an engine that is not listed here still counts as a message of a dispatcher.
     let message = [b'r', 1, 2, 3, 10, 10];
     for _ in 0..20 {
-        listed.send_to(&message, own).unwrap();
+        listed.send_to(&message, own_address).unwrap();
     }
-    soon(("2", "2"));
-    let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
-    stranger.send_to(b"noise!", own).unwrap();
-    assert!(program.says("is ignored").contains("not listed"));
-    soon(("2", "2"));
-    stranger.send_to(&message, own).unwrap();
-    soon(("3", "4"));
-    program.ends_well();
+    assert_soon(("2", "2"));
+    let unlisted = UdpSocket::bind("127.0.0.1:0").unwrap();
+    unlisted.send_to(b"noise!", own_address).unwrap();
+    assert!(program.wait_for_log("is ignored").contains("not listed"));
+    assert_soon(("2", "2"));
+    unlisted.send_to(&message, own_address).unwrap();
+    assert_soon(("3", "4"));
+    program.assert_clean_exit();
 }
 
-/// A new process beside the old: both follow an operator's call to either, no client is refused, what the old
-/// one has is answered, and it takes no more.
-fn takes_over(
+/// Starts a new process beside an old one. Both must apply an administrative drain that either receives, no
+/// client may be rejected, the old process must answer its requests and accept no new ones, and the drain
+/// must outlive both.
+fn assert_takeover(
     test: &str,
     config: &str,
     args: &[&str],
     engine: &str,
-    greets: impl Fn(&str) -> bool,
+    is_served: impl Fn(&str) -> bool,
 ) {
-    let folder = std::env::temp_dir().join(format!("hitchwinch-{}-{test}", std::process::id()));
-    std::fs::create_dir_all(&folder).unwrap();
+    let directory = std::env::temp_dir().join(format!("hitchwinch-{}-{test}", std::process::id()));
+    std::fs::create_dir_all(&directory).unwrap();
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = socket.local_addr().unwrap().to_string();
-    let beside = |name| Program::beside(name, config, args, &folder, &socket);
-    let old = beside("old");
-    assert!(old.call("GET", "/_ready").starts_with("HTTP/1.1 200") && greets(&at));
-    let new = beside("new");
-    old.says("2 processes");
-    for (one, other, what, then) in [(&old, &new, "detach", "1"), (&new, &old, "attach", "0")] {
+    let address = socket.local_addr().unwrap().to_string();
+    let start = |name| Program::with_shared_socket(name, config, args, &directory, &socket);
+    let old = start("old");
+    assert!(
+        old.admin_request("GET", "/_ready")
+            .starts_with("HTTP/1.1 200")
+            && is_served(&address)
+    );
+    let new = start("new");
+    old.wait_for_log("2 processes");
+    for (receiver, other, action, disabled) in
+        [(&old, &new, "detach", "1"), (&new, &old, "attach", "0")]
+    {
         assert!(
-            one.call("POST", &format!("/_engines/{what}/{engine}"))
+            receiver
+                .admin_request("POST", &format!("/_engines/{action}/{engine}"))
                 .starts_with("HTTP/1.1 200")
         );
         std::thread::sleep(Duration::from_millis(900));
         assert_eq!(
-            (one.disabled().as_str(), other.disabled().as_str()),
-            (then, then),
-            "{what}"
+            (
+                receiver.disabled_engines().as_str(),
+                other.disabled_engines().as_str()
+            ),
+            (disabled, disabled),
+            "{action}"
         );
     }
-    old.call("POST", &format!("/_engines/detach/{engine}"));
+    old.admin_request("POST", &format!("/_engines/detach/{engine}"));
     old.signal("-TERM");
-    old.says("SIGTERM");
-    assert!((0..20).all(|_| greets(&at)), "by the new one");
-    old.ends_well();
-    new.says("1 processes");
-    assert_eq!(new.disabled(), "1", "still out");
-    new.ends_well();
+    old.wait_for_log("SIGTERM");
+    assert!(
+        (0..20).all(|_| is_served(&address)),
+        "the new process must serve clients"
+    );
+    old.assert_clean_exit();
+    new.wait_for_log("1 processes");
+    assert_eq!(new.disabled_engines(), "1", "the engine must stay drained");
+    new.assert_clean_exit();
     assert_eq!(
-        beside("third").disabled(),
+        start("third").disabled_engines(),
         "1",
-        "with no process in between"
+        "the drain must persist while no process runs"
     );
-    std::fs::remove_dir_all(folder).unwrap();
+    std::fs::remove_dir_all(directory).unwrap();
 }
 
 #[test]
 fn takeover_by_a_new_process() {
     let engine = TcpListener::bind("127.0.0.1:0").unwrap();
-    takes_over(
+    assert_takeover(
         "over",
         &config(Some(&engine), "127.0.0.1:1"),
         &[],
         "e",
-        |at| ready(&mut connect(at)),
+        |address| is_ready(&mut connect(address)),
     );
 }
 
@@ -441,18 +480,21 @@
 fn takeover_by_a_new_process_on_mysql() {
     let file = include_str!("../deploy/mysql.toml");
     let listen = file.lines().find(|l| l.starts_with("listen")).unwrap();
-    let file = file.replace(listen, "listen = \"127.0.0.1:0\"\nstate_dir = \"FOLDER\"");
-    takes_over("mysql-over", &file, &["--mysql"], "engine-1", |at| {
-        let mut head = [0; 5];
-        connect(at).read_exact(&mut head).is_ok() && head[4] == 10
+    let file = file.replace(
+        listen,
+        "listen = \"127.0.0.1:0\"\nstate_dir = \"STATE_DIRECTORY\"",
+    );
+    assert_takeover("mysql-over", &file, &["--mysql"], "engine-1", |address| {
+        let mut greeting = [0; 5];
+        connect(address).read_exact(&mut greeting).is_ok() && greeting[4] == 10
     });
 }
 
 #[test]
 fn not_ready_without_an_endpoint_list() {
-    let program = start("no-list", None);
-    assert!(!ready(&mut connect(&program.address)));
-    program.ends_well();
+    let program = start_platform("no-list", None);
+    assert!(!is_ready(&mut connect(&program.address)));
+    program.assert_clean_exit();
 }
 
 #[test]
@@ -461,25 +503,28 @@
         TcpListener::bind("127.0.0.1:0").unwrap(),
         TcpListener::bind("127.0.0.1:0").unwrap(),
     );
-    let program = start("reload", Some(&engine));
+    let program = start_platform("reload", Some(&engine));
     let mut client = connect(&program.address);
-    assert!(ready(&mut client));
-    let moved = config(None, &journal.local_addr().unwrap().to_string());
-    program.configure(&moved.replace("127.0.0.1:0", "nowhere"));
+    assert!(is_ready(&mut client));
+    let new_config = config(None, &journal.local_addr().unwrap().to_string());
+    program.reload(&new_config.replace("127.0.0.1:0", "nowhere"));
     assert!(
-        program.says("SIGHUP").contains("listen: "),
-        "the faulty key is named"
+        program.wait_for_log("SIGHUP").contains("listen: "),
+        "the message must name the key at fault"
     );
-    program.configure(&moved);
-    let (mut asked, _) = journal.accept().unwrap();
-    let mut head = [0; 512];
-    let n = asked.read(&mut head).unwrap();
+    program.reload(&new_config);
+    let (mut subscription, _) = journal.accept().unwrap();
+    let mut request = [0; 512];
+    let n = subscription.read(&mut request).unwrap();
     assert!(
-        String::from_utf8_lossy(&head[..n]).contains("Last-Event-ID: 1\r\n"),
-        "read on from the same number"
+        String::from_utf8_lossy(&request[..n]).contains("Last-Event-ID: 1\r\n"),
+        "the subscription must resume from the last known event"
     );
-    assert!(ready(&mut client), "connections and the list in hand stay");
-    program.ends_well();
+    assert!(
+        is_ready(&mut client),
+        "connections and the known endpoint list must be kept"
+    );
+    program.assert_clean_exit();
 }
 
 #[test]
@@ -487,170 +532,189 @@
     let file = include_str!("../deploy/mysql.toml");
     let listen = file.lines().find(|l| l.starts_with("listen")).unwrap();
     let file = file.replace(listen, "listen = \"127.0.0.1:0\"");
-    let program = Program::run("mysql", &file, &["--mysql"]);
-    let greets = |version: &str| {
-        let mut head = [0; 32];
-        let n = connect(&program.address).read(&mut head).unwrap();
-        String::from_utf8_lossy(&head[..n]).contains(version)
+    let program = Program::with_config("mysql", &file, &["--mysql"]);
+    let greeting_contains = |version: &str| {
+        let mut greeting = [0; 32];
+        let n = connect(&program.address).read(&mut greeting).unwrap();
+        String::from_utf8_lossy(&greeting[..n]).contains(version)
     };
-    assert!(!greets("9.9.9"));
-    program.configure(&file.replace("read_class = \"lookup\"", "read_class = \"look\""));
+    assert!(!greeting_contains("9.9.9"));
+    program.reload(&file.replace("read_class = \"lookup\"", "read_class = \"look\""));
     assert!(
-        program.says("SIGHUP").contains("read_class"),
-        "the faulty key is named"
+        program.wait_for_log("SIGHUP").contains("read_class"),
+        "the message must name the key at fault"
     );
-    program.configure(&file.replace("threads = 3", "threads = 2"));
+    program.reload(&file.replace("threads = 3", "threads = 2"));
     assert!(
-        program.says("SIGHUP").contains("restart"),
-        "what learned state rests on stays as it was"
+        program.wait_for_log("SIGHUP").contains("restart"),
+        "settings on which learned state depends must require a restart"
     );
-    program.configure(&format!(
+    program.reload(&format!(
         "server_version = \"9.9.9\"\n{}",
         file.replace("server_version", "# ")
     ));
-    program.says("in force");
-    assert!(greets("9.9.9"));
-    program.ends_well();
+    program.wait_for_log("in force");
+    assert!(greeting_contains("9.9.9"));
+    program.assert_clean_exit();
 }
 
-/// The same with another longest deadline.
-fn waits(config: &str, ms: u32) -> String {
+/// Returns `config` with another hard limit of the class, which is the longest deadline, in milliseconds.
+fn with_hard_limit(config: &str, ms: u32) -> String {
     config.replace("\"hard_limit\":400.0", &format!("\"hard_limit\":{ms}.0"))
 }
 
-/// The process stands still while the end of accepting passes: a connection that the machine accepts meanwhile, with a
-/// request written on it, is served for all that.
+/// The process is paused while its accept period ends. A connection that the kernel accepts in the meantime,
+/// and on which a request was written, must still be served.
 #[test]
 fn connection_in_the_accept_queue_at_shutdown_is_answered() {
-    let engine = TcpListener::bind("127.0.0.1:0").unwrap(); // takes connections and says nothing
-    let program = Program::run(
+    // Accepts connections and never answers.
+    let engine = TcpListener::bind("127.0.0.1:0").unwrap();
+    let program = Program::with_config(
         "queue",
-        &waits(&config(Some(&engine), "127.0.0.1:1"), 1000),
+        &with_hard_limit(&config(Some(&engine), "127.0.0.1:1"), 1000),
         &[],
     );
-    assert!(ready(&mut connect(&program.address)));
+    assert!(is_ready(&mut connect(&program.address)));
     program.signal("-TERM");
-    program.says("SIGTERM");
+    program.wait_for_log("SIGTERM");
     program.signal("-STOP");
     let mut client = connect(&program.address);
-    send(&mut client, 2, 1, &lookup("60000"));
+    send_frame(&mut client, 2, 1, &lookup_request("60000"));
     std::thread::sleep(Duration::from_millis(700));
     program.signal("-CONT");
-    assert_eq!(expect(&mut client).0, 64, "goodbye");
-    let (kind, stream, payload) = expect(&mut client);
-    assert_eq!((kind, stream, payload[0]), (4, 1, 14), "refused in time");
-    program.ends_well();
+    assert_eq!(
+        read_frame(&mut client).0,
+        64,
+        "the client must receive a goodbye"
+    );
+    let (kind, stream, payload) = read_frame(&mut client);
+    assert_eq!(
+        (kind, stream, payload[0]),
+        (4, 1, 14),
+        "the request must be rejected in time"
+    );
+    program.assert_clean_exit();
 }
 
-/// Nothing is owed when the last wait passes, and a request stands unread.
+/// No answer is pending when the last waiting period ends, but a request is still unread.
 #[test]
 fn unread_request_of_an_idle_connection_is_answered_before_shutdown() {
     let engine = TcpListener::bind("127.0.0.1:0").unwrap();
-    let program = Program::run(
+    let program = Program::with_config(
         "unread",
-        &waits(&config(Some(&engine), "127.0.0.1:1"), 1000),
+        &with_hard_limit(&config(Some(&engine), "127.0.0.1:1"), 1000),
         &[],
     );
     let mut client = connect(&program.address);
-    assert!(ready(&mut client));
+    assert!(is_ready(&mut client));
     program.signal("-TERM");
-    assert_eq!(expect(&mut client).0, 64, "goodbye");
+    assert_eq!(
+        read_frame(&mut client).0,
+        64,
+        "the client must receive a goodbye"
+    );
     program.signal("-STOP");
-    send(&mut client, 2, 1, &lookup("60000"));
+    send_frame(&mut client, 2, 1, &lookup_request("60000"));
     std::thread::sleep(Duration::from_millis(400));
     program.signal("-CONT");
-    let (kind, stream, payload) = expect(&mut client);
-    assert_eq!((kind, stream, payload[0]), (4, 1, 14), "refused in time");
-    program.ends_well();
+    let (kind, stream, payload) = read_frame(&mut client);
+    assert_eq!(
+        (kind, stream, payload[0]),
+        (4, 1, 14),
+        "the request must be rejected in time"
+    );
+    program.assert_clean_exit();
 }
 
-/// Twice, with a new configuration between, and again while answers are owed.
+/// SIGTERM comes twice, with a reload in between, while an answer is pending.
 #[test]
 fn sigterm_with_sighup_and_second_sigterm_still_answers_requests() {
     let engine = TcpListener::bind("127.0.0.1:0").unwrap();
-    let program = start("signals", Some(&engine));
+    let program = start_platform("signals", Some(&engine));
     let mut client = connect(&program.address);
-    assert!(ready(&mut client));
-    send(&mut client, 2, 1, &lookup("60000"));
-    assert!(ready(&mut client));
+    assert!(is_ready(&mut client));
+    send_frame(&mut client, 2, 1, &lookup_request("60000"));
+    assert!(is_ready(&mut client));
     program.signal("-TERM");
-    program.configure(&config(None, "127.0.0.1:2"));
+    program.reload(&config(None, "127.0.0.1:2"));
     program.signal("-TERM");
-    program.says("SIGHUP");
+    program.wait_for_log("SIGHUP");
     let mut answers = vec![];
     while answers.len() < 2 {
-        answers.push(expect(&mut client));
+        answers.push(read_frame(&mut client));
     }
     assert_eq!((answers[0].0, answers[1].0, answers[1].2[0]), (64, 4, 14));
-    program.ends_well();
+    program.assert_clean_exit();
 }
 
-/// Before it has a list, it ends at once and well.
+/// Without an endpoint list the process must exit at once and with success.
 #[test]
 fn sigterm_before_readiness_exits_cleanly() {
-    let program = start("early", None);
+    let program = start_platform("early", None);
     program.signal("-TERM");
-    program.ends_well();
+    program.assert_clean_exit();
 }
 
-/// A client takes its last answer late: the process ends only once it has it whole.
+/// A client reads its last answer late: the process must not exit before the client has the complete answer.
 #[test]
 fn slow_reader_gets_its_complete_response_before_exit() {
-    let folder = std::env::temp_dir().join(format!("hitchwinch-{}-slow", std::process::id()));
-    std::fs::create_dir_all(&folder).unwrap();
+    let directory = std::env::temp_dir().join(format!("hitchwinch-{}-slow", std::process::id()));
+    std::fs::create_dir_all(&directory).unwrap();
     let engine = TcpListener::bind("127.0.0.1:0").unwrap();
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
-    // Accepted connections take this on: the machine holds next to nothing of an answer.
+    // Accepted connections inherit the buffer size, so the kernel buffers only a small part of an answer.
     SockRef::from(&socket).set_send_buffer_size(4096).unwrap();
-    let config = waits(&config(Some(&engine), "127.0.0.1:1"), 2000);
-    let program = Program::beside("slow", &config, &[], &folder, &socket);
+    let config = with_hard_limit(&config(Some(&engine), "127.0.0.1:1"), 2000);
+    let program = Program::with_shared_socket("slow", &config, &[], &directory, &socket);
     let client = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     client.set_recv_buffer_size(4096).unwrap();
     client
         .connect(&socket.local_addr().unwrap().into())
         .unwrap();
     let mut client = TcpStream::from(client);
-    send(&mut client, 2, 1, &lookup("2000"));
-    let (mut on, _) = engine.accept().unwrap();
-    let mut asked = [0; 4096];
-    assert!(on.read(&mut asked).unwrap() > 0);
+    send_frame(&mut client, 2, 1, &lookup_request("2000"));
+    let (mut engine_connection, _) = engine.accept().unwrap();
+    let mut request = [0; 4096];
+    assert!(engine_connection.read(&mut request).unwrap() > 0);
     let row = format!("{}\tb\tc\n", "a".repeat(5000));
-    let mut answer = |word: &str, fields: &str| {
-        let words: String = ["0123456789abcdef", word, fields, &row]
+    let mut send_page = |kind: &str, fields: &str| {
+        let words: String = ["0123456789abcdef", kind, fields, &row]
             .iter()
             .map(|w| format!("${}\r\n{w}\r\n", w.len()))
             .collect();
-        on.write_all(format!("*4\r\n{words}").as_bytes()).unwrap();
+        engine_connection
+            .write_all(format!("*4\r\n{words}").as_bytes())
+            .unwrap();
     };
-    answer("ACK", "total=9");
-    (1..9).for_each(|n| answer("BLOCK", &format!("index={n}")));
+    send_page("ACK", "total=9");
+    (1..9).for_each(|n| send_page("BLOCK", &format!("index={n}")));
     program.signal("-TERM");
-    program.says("SIGTERM");
+    program.wait_for_log("SIGTERM");
     std::thread::sleep(Duration::from_millis(1400));
     client
         .set_read_timeout(Some(Duration::from_secs(5)))
         .unwrap();
-    let mut whole = vec![];
-    while whole.len() < 2 {
-        whole.push(expect(&mut client));
+    let mut frames = vec![];
+    while frames.len() < 2 {
+        frames.push(read_frame(&mut client));
     }
-    let answer = whole.iter().find(|f| f.0 == 4).unwrap();
+    let answer = frames.iter().find(|frame| frame.0 == 4).unwrap();
     assert_eq!(
         (answer.1, answer.2[0], answer.2.len()),
         (1, 0, 2 + 9 * 5005)
     );
-    program.ends_well();
-    std::fs::remove_dir_all(folder).unwrap();
+    program.assert_clean_exit();
+    std::fs::remove_dir_all(directory).unwrap();
 }
 
-/// Classes of each effect, whose deadlines are longer than the kill waits.
+/// Returns `config` with a class of each idempotency, whose deadlines are longer than the time until SIGKILL.
 fn long_deadlines(config: &str) -> String {
     let class = |name: &str, idempotency: &str| {
         format!(
             r#",{{"name":"{name}","aim":16000.0,"hard_limit":16000.0,{idempotency},"worth":1.0}}"#
         )
     };
-    let more = [
+    let further_classes = [
         class("load", r#""effect":"fragile""#),
         class(
             "cell",
@@ -662,15 +726,16 @@
         ),
     ];
     let lookup = r#""effect":"retryable","worth":1.0}"#;
-    // An engine with room for all of them.
+    // The engine has enough cores for all requests.
     let cores = r#""extra":{"cores_by_kind":[8.0]},"fleet_size":1"#;
     let config = config.replace("\"fleet_size\":1", cores);
-    waits(&config, 16_000)
+    with_hard_limit(&config, 16_000)
         .replace("\"aim\":800.0", "\"aim\":16000.0")
-        .replace(lookup, &(lookup.to_string() + &more.concat()))
+        .replace(lookup, &(lookup.to_string() + &further_classes.concat()))
 }
 
-fn asks(class: &str, txn: u64) -> Vec<u8> {
+/// Returns the payload of a request of `class` whose client waits for 16 s.
+fn long_request(class: &str, txn: u64) -> Vec<u8> {
     let mut payload = vec![3u8];
     for (name, value) in [
         ("verb", class),
@@ -691,91 +756,107 @@
     payload
 }
 
-/// An engine that hangs for longer than the kill waits, and comes out with half a line shortly before: every request that
-/// was taken, also after SIGTERM, has one whole answer by then, by its class's rule. A client that rests is closed with
-/// nothing of its next request read.
+/// The engine hangs beyond the time of SIGKILL and sends a truncated line shortly before. Every request that
+/// was accepted, also after SIGTERM, must have exactly one complete answer by then, as its class requires.
+/// The connection of an idle client must be closed without reading its next request.
 #[test]
 fn hung_requests_with_long_deadlines_are_answered_before_sigkill() {
     let engine = TcpListener::bind("127.0.0.1:0").unwrap();
-    let program = Program::run(
+    let program = Program::with_config(
         "hang",
         &long_deadlines(&config(Some(&engine), "127.0.0.1:1")),
         &[],
     );
-    let (mut client, mut rests) = (connect(&program.address), connect(&program.address));
-    assert!(ready(&mut client) && ready(&mut rests));
+    let (mut client, mut idle_client) = (connect(&program.address), connect(&program.address));
+    assert!(is_ready(&mut client) && is_ready(&mut idle_client));
     let classes = [("lookup", 14), ("load", 2), ("cell", 2), ("all", 14)];
     for (n, (class, _)) in classes.into_iter().enumerate() {
-        send(&mut client, 2, n as u32 + 1, &asks(class, n as u64 + 1));
+        send_frame(
+            &mut client,
+            2,
+            n as u32 + 1,
+            &long_request(class, n as u64 + 1),
+        );
     }
-    // All are written, to as many connections as that takes.
-    let (mut open, mut written) = (vec![], String::new());
-    let asked = std::time::Instant::now();
+    // Waits until the engine has received all requests, on as many connections as they use.
+    let (mut connections, mut received) = (vec![], String::new());
+    let wait_started = std::time::Instant::now();
     engine.set_nonblocking(true).unwrap();
-    while written.matches("GET").count() < classes.len() {
-        assert!(asked.elapsed() < Duration::from_secs(5), "only {written}");
+    while received.matches("GET").count() < classes.len() {
+        assert!(
+            wait_started.elapsed() < Duration::from_secs(5),
+            "received only {received}"
+        );
         if let Ok((tcp, _)) = engine.accept() {
             tcp.set_nonblocking(true).unwrap();
-            open.push(tcp);
+            connections.push(tcp);
         }
-        for tcp in &mut open {
+        for tcp in &mut connections {
             let mut bytes = [0; 4096];
             let n = tcp.read(&mut bytes).unwrap_or(0);
-            written.push_str(&String::from_utf8_lossy(&bytes[..n]));
+            received.push_str(&String::from_utf8_lossy(&bytes[..n]));
         }
         std::thread::sleep(Duration::from_millis(5));
     }
-    let began = std::time::Instant::now();
+    let shutdown_started = std::time::Instant::now();
     program.signal("-TERM");
     std::thread::sleep(Duration::from_millis(300));
-    send(&mut client, 2, 9, &asks("lookup", 9));
+    send_frame(&mut client, 2, 9, &long_request("lookup", 9));
     let answers = std::thread::spawn(move || {
         let mut answers = vec![];
         while answers.len() < 5 {
-            let (kind, stream, payload) = expect(&mut client);
+            let (kind, stream, payload) = read_frame(&mut client);
             if kind == 4 {
                 answers.push((stream, payload[0]));
             }
         }
-        let took = began.elapsed();
+        let elapsed = shutdown_started.elapsed();
         assert!(
             client.read(&mut [0]).is_ok_and(|n| n == 0),
-            "and nothing more"
+            "nothing may follow the answers"
         );
-        (answers, took)
+        (answers, elapsed)
     });
-    assert_eq!(expect(&mut rests).0, 64, "goodbye");
-    assert_eq!(rests.read(&mut [0]).unwrap(), 0, "it is ended");
-    let _ = rests.write_all(&asks("lookup", 10));
+    assert_eq!(
+        read_frame(&mut idle_client).0,
+        64,
+        "the client must receive a goodbye"
+    );
+    assert_eq!(
+        idle_client.read(&mut [0]).unwrap(),
+        0,
+        "the idle connection must be closed"
+    );
+    let _ = idle_client.write_all(&long_request("lookup", 10));
     assert!(
-        !rests.read(&mut [0]).is_ok_and(|n| n > 0),
-        "nobody answers there"
+        !idle_client.read(&mut [0]).is_ok_and(|n| n > 0),
+        "a request on the closed connection must not be answered"
     );
-    std::thread::sleep(Duration::from_millis(2900).saturating_sub(began.elapsed()));
-    for tcp in &mut open {
+    std::thread::sleep(Duration::from_millis(2900).saturating_sub(shutdown_started.elapsed()));
+    for tcp in &mut connections {
         tcp.write_all(b"*4\r\n$16\r\n0000000000").unwrap();
     }
-    let (mut answers, took) = answers.join().unwrap();
+    let (mut answers, elapsed) = answers.join().unwrap();
     answers.sort_unstable();
-    let mut wanted: Vec<(u32, u8)> = (1..).zip(classes.map(|c| c.1)).collect();
-    wanted.push((9, 14));
-    assert_eq!(answers, wanted);
-    assert!(took < Duration::from_millis(3700), "{took:?}");
-    program.ends_well();
+    let mut expected: Vec<(u32, u8)> = (1..).zip(classes.map(|class| class.1)).collect();
+    expected.push((9, 14));
+    assert_eq!(answers, expected);
+    assert!(elapsed < Duration::from_millis(3700), "{elapsed:?}");
+    program.assert_clean_exit();
     assert!(
-        began.elapsed() < Duration::from_millis(3700),
+        shutdown_started.elapsed() < Duration::from_millis(3700),
         "{:?}",
-        began.elapsed()
+        shutdown_started.elapsed()
     );
-    for tcp in &mut open {
-        let (mut bytes, mut all) = ([0; 4096], vec![]);
+    for tcp in &mut connections {
+        let (mut bytes, mut rest) = ([0; 4096], vec![]);
         tcp.set_nonblocking(false).unwrap();
         while let Ok(n @ 1..) = tcp.read(&mut bytes) {
-            all.extend_from_slice(&bytes[..n]);
+            rest.extend_from_slice(&bytes[..n]);
         }
         assert!(
-            !String::from_utf8_lossy(&all).contains("00000000000a"),
-            "what came too late is not sent on"
+            !String::from_utf8_lossy(&rest).contains("00000000000a"),
+            "a request that came too late must not be sent to the engine"
         );
     }
 }
