--- a/tests/process/mod.rs
+++ b/tests/process/mod.rs
@@ -1,4 +1,4 @@
-//! The program as a child with few descriptors, its stand-in engines and its journal service.
+//! The program as a child process with a low descriptor limit, fake engines and a fake journal service.
 #![allow(dead_code)]
 
 use socket2::{Domain, Socket, Type};
@@ -18,10 +18,12 @@
 pub(crate) struct Program {
     pub(crate) child: Child,
     pub(crate) address: SocketAddr,
+    /// Address of the operators' HTTP service.
     pub(crate) admin: SocketAddr,
     pub(crate) config: PathBuf,
-    /// Its exec, as near as its parent can tell.
+    /// Time of the child's exec, as precisely as the parent can observe it.
     pub(crate) began: Instant,
+    /// Lines of standard error.
     pub(crate) log: mpsc::Receiver<String>,
 }
 
@@ -34,40 +36,42 @@
 }
 
 impl Program {
-    /// Starts it on a configuration; `real` is the machine's own limit of descriptors, by the shell that becomes it.
-    pub(crate) fn run(config: &str, args: &[&str], real: Option<usize>) -> Self {
-        let mut program = Self::exec(config, args, real);
+    /// Starts the program with a configuration and waits until it listens. `descriptor_limit` is the
+    /// operating system's limit, which a shell sets with `ulimit` before it executes the program.
+    pub(crate) fn run(config: &str, args: &[&str], descriptor_limit: Option<usize>) -> Self {
+        let mut program = Self::exec(config, args, descriptor_limit);
         program.listens();
         program
     }
 
-    /// The same, without a wait for it to listen.
-    pub(crate) fn exec(config: &str, args: &[&str], real: Option<usize>) -> Self {
-        Self::become_it(
+    /// Starts the program like [`Program::run`], without waiting until it listens.
+    pub(crate) fn exec(config: &str, args: &[&str], descriptor_limit: Option<usize>) -> Self {
+        Self::spawn_from_shell(
             config,
             args,
-            &real.map_or(String::new(), |n| format!("ulimit -n {n}; ")),
+            &descriptor_limit.map_or(String::new(), |limit| format!("ulimit -n {limit}; ")),
         )
     }
 
-    /// The same at a limit of 64, on the first core that this process may use; on any where there is no `taskset`.
+    /// Starts the program with a descriptor limit of 64, on the first core that this process may use; on any
+    /// core if `taskset` is not installed. Does not wait until the program listens.
     pub(crate) fn exec_on_one_core(config: &str) -> Self {
         let status = std::fs::read_to_string("/proc/self/status").unwrap();
         let cores = status
             .lines()
-            .find_map(|l| l.strip_prefix("Cpus_allowed_list:"))
+            .find_map(|line| line.strip_prefix("Cpus_allowed_list:"))
             .unwrap()
             .trim();
-        let first = cores.split([',', '-']).next().unwrap();
-        Self::become_it(
+        let first_core = cores.split([',', '-']).next().unwrap();
+        Self::spawn_from_shell(
             config,
             &[],
-            &format!("taskset -p -c {first} $$ >/dev/null 2>&1; ulimit -n 64; "),
+            &format!("taskset -p -c {first_core} $$ >/dev/null 2>&1; ulimit -n 64; "),
         )
     }
 
-    /// A shell does this and becomes the program.
-    fn become_it(config: &str, args: &[&str], first: &str) -> Self {
+    /// Starts a shell that runs `setup` and then replaces itself with the program.
+    fn spawn_from_shell(config: &str, args: &[&str], setup: &str) -> Self {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let (id, n) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
         let path = std::env::temp_dir().join(format!("hitchwinch-child-{id}-{n}.conf"));
@@ -75,7 +79,7 @@
         let mut command = Command::new("sh");
         command.args([
             "-c",
-            &format!("{first}exec \"$0\" \"$@\""),
+            &format!("{setup}exec \"$0\" \"$@\""),
             env!("CARGO_BIN_EXE_hitchwinch"),
         ]);
         command
@@ -91,50 +95,55 @@
         }
         let began = Instant::now();
         let mut child = command.spawn().unwrap();
-        let (say, log) = mpsc::channel();
+        let (log_sender, log) = mpsc::channel();
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
-        std::thread::spawn(move || lines.map_while(Result::ok).for_each(|l| drop(say.send(l))));
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
+        std::thread::spawn(move || {
+            lines
+                .map_while(Result::ok)
+                .for_each(|line| drop(log_sender.send(line)))
+        });
+        let unknown = SocketAddr::from(([127, 0, 0, 1], 0));
         Program {
             child,
-            address: nowhere,
-            admin: nowhere,
+            address: unknown,
+            admin: unknown,
             config: path,
             began,
             log,
         }
     }
 
-    /// Waits until it listens.
+    /// Waits until the program listens, and takes its addresses from the log.
     pub(crate) fn listens(&mut self) {
         while self.address.port() == 0 {
             let line = self
                 .log
                 .recv_timeout(Duration::from_secs(10))
-                .expect("it listens");
-            if let Some((_, at)) = line.split_once("operators call at ") {
-                self.admin = at.parse().unwrap();
-            } else if let Some((_, at)) = line.split_once("listens on ") {
-                self.address = at.parse().unwrap();
+                .expect("the program must listen within 10 s");
+            if let Some((_, address)) = line.split_once("operators call at ") {
+                self.admin = address.parse().unwrap();
+            } else if let Some((_, address)) = line.split_once("listens on ") {
+                self.address = address.parse().unwrap();
             }
         }
     }
 
-    /// The next line of its log that holds this, which comes within 5 s.
-    pub(crate) fn says(&self, what: &str) -> String {
-        let until = Instant::now() + Duration::from_secs(5);
+    /// Returns the next line of the log that contains `text`; panics if none comes within 5 s.
+    pub(crate) fn says(&self, text: &str) -> String {
+        let deadline = Instant::now() + Duration::from_secs(5);
         loop {
-            let left = until.saturating_duration_since(Instant::now());
+            let remaining = deadline.saturating_duration_since(Instant::now());
             let line = self
                 .log
-                .recv_timeout(left)
-                .unwrap_or_else(|_| panic!("no {what:?}"));
-            if line.contains(what) {
+                .recv_timeout(remaining)
+                .unwrap_or_else(|_| panic!("no log line contains {text:?}"));
+            if line.contains(text) {
                 return line;
             }
         }
     }
 
+    /// Sends a signal, named as an option of `kill` such as `-TERM`.
     pub(crate) fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         assert!(
@@ -146,24 +155,24 @@
         );
     }
 
-    /// What an operator's call comes to.
+    /// Sends a GET request to the operators' HTTP service and returns the response.
     pub(crate) fn call(&self, path: &str) -> String {
         let mut tcp = connect(self.admin);
         tcp.write_all(format!("GET {path} HTTP/1.1\r\n\r\n").as_bytes())
             .unwrap();
-        let mut answer = String::new();
-        tcp.read_to_string(&mut answer).unwrap();
-        answer
+        let mut response = String::new();
+        tcp.read_to_string(&mut response).unwrap();
+        response
     }
 
-    /// Descriptors that it holds now.
+    /// Returns the number of descriptors that the program has open.
     pub(crate) fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
             .unwrap()
             .count()
     }
 
-    /// Its processor time so far, in seconds: the kernel's clock ticks a hundred times a second.
+    /// Returns the processor time of the program so far, in seconds: the kernel reports it in ticks of 10 ms.
     pub(crate) fn cpu(&self) -> f64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let fields: Vec<&str> = stat.rsplit(") ").next().unwrap().split(' ').collect();
@@ -174,7 +183,7 @@
             / 100.0
     }
 
-    /// A share of its core over the next second.
+    /// Returns the program's share of one core over the next second, which it waits for.
     pub(crate) fn share_of_a_second(&self) -> f64 {
         let before = self.cpu();
         std::thread::sleep(Duration::from_secs(1));
@@ -182,7 +191,7 @@
     }
 }
 
-/// The journal service while it is down: its address is held and refuses.
+/// Fake journal service. At first it is down: its address is bound, but refuses connections.
 pub(crate) struct Service {
     socket: Socket,
     pub(crate) at: SocketAddr,
@@ -198,20 +207,21 @@
         Service { socket, at }
     }
 
-    /// It comes back: its first caller gets these events. Gives how long it took until that called, and the stream.
+    /// Starts to listen and sends `events` to the first client. Returns the time until that client connected
+    /// and its connection, or `None` if no client connects within `wait`.
     pub(crate) fn returns(&self, wait: Duration, events: &str) -> Option<(Duration, TcpStream)> {
         self.socket.listen(16).unwrap();
         self.socket.set_nonblocking(true).unwrap();
         let began = Instant::now();
         while began.elapsed() < wait {
             if let Ok((tcp, _)) = self.socket.accept() {
-                let took = began.elapsed();
+                let elapsed = began.elapsed();
                 let mut tcp = TcpStream::from(tcp);
                 tcp.set_nonblocking(false).unwrap();
                 let _ = tcp.read(&mut [0; 1024]).unwrap();
                 tcp.write_all(format!("HTTP/1.1 200 OK\r\n\r\n: hello\n{events}").as_bytes())
                     .unwrap();
-                return Some((took, tcp));
+                return Some((elapsed, tcp));
             }
             std::thread::sleep(Duration::from_millis(1));
         }
@@ -219,29 +229,30 @@
     }
 }
 
-/// One engine as the journal tells it.
+/// Returns the JSON of one instance as the journal lists it.
 pub(crate) fn told(engine: usize, at: SocketAddr, state: &str) -> String {
     format!(
         r#"{{"instanceId":"e{engine}","hostPort":"{at}","machineType":"std","lifecycle":"{state}","startedAtMs":0}}"#
     )
 }
 
-/// A configuration with these engines in its list, or with no list where there are none.
+/// Returns a configuration whose known endpoint list has these engines, or that has no known list if there
+/// are none.
 pub(crate) fn config(
     engines: &[SocketAddr],
     journal: SocketAddr,
     sockets: Option<usize>,
 ) -> String {
-    let all: Vec<String> = engines
+    let instances: Vec<String> = engines
         .iter()
         .enumerate()
-        .map(|(i, at)| told(i, *at, "in_service"))
+        .map(|(i, address)| told(i, *address, "in_service"))
         .collect();
-    let known = match all.is_empty() {
+    let known = match instances.is_empty() {
         true => "null".into(),
         false => format!(
             r#"{{"pos":1,"entries":[{{"pos":1,"hosts":{{"reset":true,"instances":[{}]}}}}]}}"#,
-            all.join(",")
+            instances.join(",")
         ),
     };
     let limits = sockets.map_or(String::new(), |n| format!(r#""limits":{{"sockets":{n}}},"#));
@@ -250,16 +261,17 @@
     )
 }
 
-/// One event of a stream.
+/// Returns one event of the journal's event stream.
 pub(crate) fn event(pos: u64, instances: &str) -> String {
     format!(
         "id: {pos}\ndata: {{\"pos\":{pos},\"hosts\":{{\"reset\":false,\"instances\":[{instances}]}}}}\n\n"
     )
 }
 
-/// An engine that answers every request at once, or after a while; and how many it got when.
+/// Fake engine that answers every request at once or after a delay.
 pub(crate) struct Engine {
     pub(crate) at: SocketAddr,
+    /// Times at which requests arrived.
     pub(crate) got: Arc<Mutex<Vec<Instant>>>,
 }
 
@@ -268,14 +280,14 @@
         Self::slow(Duration::ZERO)
     }
 
-    pub(crate) fn slow(after: Duration) -> Self {
+    pub(crate) fn slow(delay: Duration) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let (at, got) = (listener.local_addr().unwrap(), Arc::new(Mutex::new(vec![])));
-        let all = got.clone();
+        let shared = got.clone();
         std::thread::spawn(move || {
             for tcp in listener.incoming().map_while(Result::ok) {
-                let got = all.clone();
-                std::thread::spawn(move || drop(Self::serve(tcp, &got, after)));
+                let got = shared.clone();
+                std::thread::spawn(move || drop(Self::serve(tcp, &got, delay)));
             }
         });
         Engine { at, got }
@@ -284,10 +296,10 @@
     fn serve(
         mut tcp: TcpStream,
         got: &Mutex<Vec<Instant>>,
-        after: Duration,
+        delay: Duration,
     ) -> std::io::Result<()> {
         let mut lines = BufReader::new(tcp.try_clone()?);
-        let mut word = || -> std::io::Result<String> {
+        let mut read_line = || -> std::io::Result<String> {
             let mut line = String::new();
             if lines.read_line(&mut line)? == 0 {
                 return Err(std::io::ErrorKind::UnexpectedEof.into());
@@ -295,15 +307,15 @@
             Ok(line.trim_end().to_string())
         };
         loop {
-            let count: usize = word()?[1..].parse().unwrap();
+            let count: usize = read_line()?[1..].parse().unwrap();
             let mut words = vec![];
             for _ in 0..count {
-                word()?;
-                words.push(word()?);
+                read_line()?;
+                words.push(read_line()?);
             }
             if words[0] == "GET" {
                 got.lock().unwrap().push(Instant::now());
-                std::thread::sleep(after);
+                std::thread::sleep(delay);
                 let answer: String = [words[1].as_str(), "ACK", "total=1", "a\tb\tc\n"]
                     .iter()
                     .map(|w| format!("${}\r\n{w}\r\n", w.len()))
@@ -321,6 +333,7 @@
     tcp
 }
 
+/// Writes a frame.
 pub(crate) fn send(
     tcp: &mut TcpStream,
     kind: u8,
@@ -331,7 +344,7 @@
     tcp.write_all(&[&length[..], &[kind], &stream.to_be_bytes(), payload].concat())
 }
 
-/// Type, stream and payload.
+/// Reads a frame and returns its type, stream and payload.
 pub(crate) fn expect(tcp: &mut TcpStream) -> std::io::Result<(u8, u32, Vec<u8>)> {
     let mut length = [0; 4];
     tcp.read_exact(&mut length)?;
@@ -344,7 +357,7 @@
     ))
 }
 
-/// The answer to type 16 is a yes.
+/// Sends a readiness request (type 16) and returns whether the program reports that it is ready.
 pub(crate) fn ready(tcp: &mut TcpStream) -> std::io::Result<bool> {
     send(tcp, 16, 9, &[0])?;
     let (kind, stream, payload) = expect(tcp)?;
@@ -352,7 +365,7 @@
     Ok(payload[0] == 0)
 }
 
-/// A look-up under this number, and the code of its answer.
+/// Sends a look-up on stream `number` and returns the code of its answer.
 pub(crate) fn lookup(tcp: &mut TcpStream, number: u32) -> std::io::Result<u8> {
     ask(tcp, number)?;
     let (kind, stream, payload) = expect(tcp)?;
@@ -360,7 +373,7 @@
     Ok(payload[0])
 }
 
-/// Sends a look-up.
+/// Sends a look-up on stream `number`, without reading the answer.
 pub(crate) fn ask(tcp: &mut TcpStream, number: u32) -> std::io::Result<()> {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
     let txn = format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed));
