--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -1,4 +1,5 @@
-//! From its exec to its answer to type 16 with code 0: what the platform waits for when it starts a dispatcher again.
+//! Time from the exec of the program until it answers a readiness request (type 16) with code 0, which is
+//! what the platform waits for when it restarts a dispatcher.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -11,8 +12,8 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Asks anew until it is ready; how long that took from its exec.
-fn until_ready(program: &mut Program) -> Duration {
+/// Sends readiness requests until the program is ready; returns the time since its exec.
+fn time_until_ready(program: &mut Program) -> Duration {
     program.listens();
     let mut tcp = connect(program.address);
     while !ready(&mut tcp).unwrap_or(false) {
@@ -21,93 +22,96 @@
     program.began.elapsed()
 }
 
-/// Half and nine in ten are ready by these; the second is bound.
-fn told_within(what: &str, mut all: Vec<Duration>, bound: Duration) {
-    all.sort();
-    let at = |share: f64| all[((all.len() as f64 * share).ceil() as usize).max(1) - 1];
+/// Prints the 50th and 90th percentile of `times` and asserts that the 90th is below `bound`.
+fn assert_p90_below(case: &str, mut times: Vec<Duration>, bound: Duration) {
+    times.sort();
+    let percentile = |share: f64| times[((times.len() as f64 * share).ceil() as usize).max(1) - 1];
     println!(
-        "{what}: p50 {:?}, p90 {:?} of {}",
-        at(0.5),
-        at(0.9),
-        all.len()
+        "{case}: p50 {:?}, p90 {:?} of {}",
+        percentile(0.5),
+        percentile(0.9),
+        times.len()
     );
-    assert!(at(0.9) < bound, "{what}: {all:?}");
+    assert!(percentile(0.9) < bound, "{case}: {times:?}");
 }
 
 #[test]
 fn ready_with_a_known_list_while_discovery_is_down() {
     let engine = Engine::new();
-    let one = || {
-        until_ready(&mut Program::exec(
+    let measure = || {
+        time_until_ready(&mut Program::exec(
             &config(&[engine.at], Service::down().at, Some(64)),
             &[],
             Some(64),
         ))
     };
-    told_within(
-        "discovery down, a list known",
-        (0..10).map(|_| one()).collect(),
+    assert_p90_below(
+        "discovery down, endpoint list known",
+        (0..10).map(|_| measure()).collect(),
         Duration::from_secs(1),
     );
 }
 
-/// Nothing is known, and discovery comes up 300 ms after the exec.
+/// No endpoint list is known, and discovery comes up 300 ms after the exec.
 #[test]
 fn ready_once_discovery_returns_during_startup() {
     let engine = Engine::new();
-    let whole = event(1, &told(0, engine.at, "in_service")).replace("false", "true");
-    let one = || {
+    let snapshot = event(1, &told(0, engine.at, "in_service")).replace("false", "true");
+    let measure = || {
         let service = Service::down();
         let mut program = Program::exec(&config(&[], service.at, Some(64)), &[], Some(64));
-        let whole = &whole;
+        let snapshot = &snapshot;
         std::thread::scope(|s| {
-            let up = s.spawn(|| {
+            let journal = s.spawn(|| {
                 std::thread::sleep(Duration::from_millis(300));
                 service
-                    .returns(Duration::from_secs(4), whole)
-                    .expect("it calls")
+                    .returns(Duration::from_secs(4), snapshot)
+                    .expect("the program must connect to the journal")
             });
-            let took = until_ready(&mut program);
-            drop(up.join().unwrap());
-            took
+            let elapsed = time_until_ready(&mut program);
+            drop(journal.join().unwrap());
+            elapsed
         })
     };
-    let all = std::thread::scope(|s| {
-        let all: Vec<_> = (0..10).map(|_| s.spawn(one)).collect();
-        all.into_iter().map(|t| t.join().unwrap()).collect()
+    let times = std::thread::scope(|s| {
+        let threads: Vec<_> = (0..10).map(|_| s.spawn(measure)).collect();
+        threads
+            .into_iter()
+            .map(|thread| thread.join().unwrap())
+            .collect()
     });
-    told_within(
-        "nothing known, discovery up after 300 ms",
-        all,
+    assert_p90_below(
+        "no endpoint list known, discovery up after 300 ms",
+        times,
         Duration::from_millis(1500),
     );
 }
 
-/// Three hundred clients are in the queue of the socket that it inherits before it starts: some rest in the middle of a
-/// frame, some say nothing. Behind them comes the question.
+/// Before the program starts, 300 clients are in the accept queue of the socket that it inherits: half of
+/// them have sent part of a frame, the others nothing. The readiness request comes after them.
 #[test]
 fn readiness_is_answered_behind_a_full_accept_queue() {
     let engine = Engine::new();
-    let one = || {
+    let measure = || {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
             .unwrap();
         socket.listen(1024).unwrap();
         let socket = TcpListener::from(socket);
-        let at = socket.local_addr().unwrap();
-        let _crowd: Vec<TcpStream> = (0..300)
+        let address = socket.local_addr().unwrap();
+        let _queued_clients: Vec<TcpStream> = (0..300)
             .map(|n| {
-                let mut tcp = connect(at);
+                let mut tcp = connect(address);
                 if n % 2 == 0 {
                     std::io::Write::write_all(&mut tcp, &[0, 0, 0]).unwrap();
                 }
                 tcp
             })
             .collect();
-        let mut asks = connect(at);
-        send(&mut asks, 16, 9, &[0]).unwrap();
-        let path = std::env::temp_dir().join(format!("hitchwinch-queue-{}.conf", at.port()));
+        let mut client = connect(address);
+        send(&mut client, 16, 9, &[0]).unwrap();
+        let path = std::env::temp_dir().join(format!("hitchwinch-queue-{}.conf", address.port()));
         let service = Service::down();
         std::fs::write(&path, config(&[engine.at], service.at, Some(64))).unwrap();
         let began = Instant::now();
@@ -124,34 +128,41 @@
             .env_remove("TMPDIR")
             .spawn()
             .unwrap();
-        let answer = expect(&mut asks);
-        let took = began.elapsed();
+        let answer = expect(&mut client);
+        let elapsed = began.elapsed();
         child.kill().unwrap();
         child.wait().unwrap();
         std::fs::remove_file(path).unwrap();
-        let (kind, _, payload) = answer.expect("it is answered");
+        let (kind, _, payload) = answer.expect("the readiness request must be answered");
         assert_eq!((kind, payload[0]), (32, 0));
-        took
+        elapsed
     };
-    told_within(
-        "three hundred in the queue",
-        (0..5).map(|_| one()).collect(),
+    assert_p90_below(
+        "300 clients in the accept queue",
+        (0..5).map(|_| measure()).collect(),
         Duration::from_secs(1),
     );
 }
 
-/// All start in the same moment, without a list, and call the one service, which comes up with them.
+/// All processes start at the same time and connect to the same journal service, which stays down. The known
+/// endpoint list makes them ready.
 #[test]
 fn twenty_processes_starting_together_become_ready() {
     let engine = Engine::new();
     let service = Service::down();
     let config = config(&[engine.at], service.at, Some(64));
-    let mut all: Vec<_> = (0..20)
+    let mut programs: Vec<_> = (0..20)
         .map(|_| Program::exec_on_one_core(&config))
         .collect();
-    let all: Vec<_> = std::thread::scope(|s| {
-        let all: Vec<_> = all.iter_mut().map(|p| s.spawn(|| until_ready(p))).collect();
-        all.into_iter().map(|t| t.join().unwrap()).collect()
+    let times: Vec<_> = std::thread::scope(|s| {
+        let threads: Vec<_> = programs
+            .iter_mut()
+            .map(|program| s.spawn(|| time_until_ready(program)))
+            .collect();
+        threads
+            .into_iter()
+            .map(|thread| thread.join().unwrap())
+            .collect()
     });
-    told_within("twenty together", all, Duration::from_secs(6));
+    assert_p90_below("20 processes together", times, Duration::from_secs(6));
 }
