--- a/tests/process/mod.rs
+++ b/tests/process/mod.rs
@@ -93,7 +93,7 @@
         if !args.is_empty() {
             command.arg(&path);
         }
-        let began = Instant::now();
+        let spawned_at = Instant::now();
         let mut child = command.spawn().unwrap();
         let (log_sender, log) = mpsc::channel();
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
@@ -108,7 +108,7 @@
             address: unknown,
             admin: unknown,
             config: path,
-            began,
+            began: spawned_at,
             log,
         }
     }
@@ -203,8 +203,11 @@
         socket
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
             .unwrap();
-        let at = socket.local_addr().unwrap().as_socket().unwrap();
-        Service { socket, at }
+        let address = socket.local_addr().unwrap().as_socket().unwrap();
+        Service {
+            socket,
+            at: address,
+        }
     }
 
     /// Starts to listen and sends `events` to the first client. Returns the time until that client connected
@@ -230,9 +233,9 @@
 }
 
 /// Returns the JSON of one instance as the journal lists it.
-pub(crate) fn told(engine: usize, at: SocketAddr, state: &str) -> String {
+pub(crate) fn told(engine: usize, address: SocketAddr, state: &str) -> String {
     format!(
-        r#"{{"instanceId":"e{engine}","hostPort":"{at}","machineType":"std","lifecycle":"{state}","startedAtMs":0}}"#
+        r#"{{"instanceId":"e{engine}","hostPort":"{address}","machineType":"std","lifecycle":"{state}","startedAtMs":0}}"#
     )
 }
 
@@ -282,20 +285,24 @@
 
     pub(crate) fn slow(delay: Duration) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (at, got) = (listener.local_addr().unwrap(), Arc::new(Mutex::new(vec![])));
-        let shared = got.clone();
+        let address = listener.local_addr().unwrap();
+        let request_times = Arc::new(Mutex::new(vec![]));
+        let shared = request_times.clone();
         std::thread::spawn(move || {
             for tcp in listener.incoming().map_while(Result::ok) {
-                let got = shared.clone();
-                std::thread::spawn(move || drop(Self::serve(tcp, &got, delay)));
+                let request_times = shared.clone();
+                std::thread::spawn(move || drop(Self::serve(tcp, &request_times, delay)));
             }
         });
-        Engine { at, got }
+        Engine {
+            at: address,
+            got: request_times,
+        }
     }
 
     fn serve(
         mut tcp: TcpStream,
-        got: &Mutex<Vec<Instant>>,
+        request_times: &Mutex<Vec<Instant>>,
         delay: Duration,
     ) -> std::io::Result<()> {
         let mut lines = BufReader::new(tcp.try_clone()?);
@@ -314,7 +321,7 @@
                 words.push(read_line()?);
             }
             if words[0] == "GET" {
-                got.lock().unwrap().push(Instant::now());
+                request_times.lock().unwrap().push(Instant::now());
                 std::thread::sleep(delay);
                 let answer: String = [words[1].as_str(), "ACK", "total=1", "a\tb\tc\n"]
                     .iter()
