--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -224,7 +224,9 @@
         let text = text.replace(&crowd.service.at.to_string(), &moved.at.to_string());
         std::fs::write(&crowd.program.config, text).unwrap();
         crowd.program.signal("-HUP");
-        crowd.program.says("SIGHUP: the configuration is in force");
+        crowd
+            .program
+            .wait_for_log("SIGHUP: the configuration is in force");
         crowd.service = moved;
         crowd.returns("");
     });
@@ -273,7 +275,7 @@
     let engine = Engine::new();
     crowds(&[engine.at], |crowd, name| {
         std::thread::sleep(Duration::from_millis(300));
-        let share = crowd.program.share_of_a_second();
+        let share = crowd.program.cpu_share_over_next_second();
         assert!(share < 0.1, "{name}: {share} of a core");
         crowd.is_within();
     });
@@ -323,7 +325,7 @@
     assert!(program.call("/_vars").starts_with("HTTP/1.1 200"));
     std::fs::write(&program.config, &file).unwrap();
     program.signal("-HUP");
-    program.says("SIGHUP: the configuration is in force");
+    program.wait_for_log("SIGHUP: the configuration is in force");
     assert!(
         began.elapsed() < Duration::from_secs(2),
         "{:?}",
@@ -334,6 +336,6 @@
         "{} descriptors",
         program.descriptors()
     );
-    let share = program.share_of_a_second();
+    let share = program.cpu_share_over_next_second();
     assert!(share < 0.1, "{share} of a core");
 }
--- a/tests/process/mod.rs
+++ b/tests/process/mod.rs
@@ -22,7 +22,7 @@
     pub(crate) admin: SocketAddr,
     pub(crate) config: PathBuf,
     /// Time of the child's exec, as precisely as the parent can observe it.
-    pub(crate) began: Instant,
+    pub(crate) spawned_at: Instant,
     /// Lines of standard error.
     pub(crate) log: mpsc::Receiver<String>,
 }
@@ -39,13 +39,13 @@
     /// Starts the program with a configuration and waits until it listens. `descriptor_limit` is the
     /// operating system's limit, which a shell sets with `ulimit` before it executes the program.
     pub(crate) fn run(config: &str, args: &[&str], descriptor_limit: Option<usize>) -> Self {
-        let mut program = Self::exec(config, args, descriptor_limit);
-        program.listens();
+        let mut program = Self::spawn(config, args, descriptor_limit);
+        program.wait_until_listening();
         program
     }
 
     /// Starts the program like [`Program::run`], without waiting until it listens.
-    pub(crate) fn exec(config: &str, args: &[&str], descriptor_limit: Option<usize>) -> Self {
+    pub(crate) fn spawn(config: &str, args: &[&str], descriptor_limit: Option<usize>) -> Self {
         Self::spawn_from_shell(
             config,
             args,
@@ -55,7 +55,7 @@
 
     /// Starts the program with a descriptor limit of 64, on the first core that this process may use; on any
     /// core if `taskset` is not installed. Does not wait until the program listens.
-    pub(crate) fn exec_on_one_core(config: &str) -> Self {
+    pub(crate) fn spawn_on_one_core(config: &str) -> Self {
         let status = std::fs::read_to_string("/proc/self/status").unwrap();
         let cores = status
             .lines()
@@ -108,13 +108,13 @@
             address: unknown,
             admin: unknown,
             config: path,
-            began: spawned_at,
+            spawned_at,
             log,
         }
     }
 
     /// Waits until the program listens, and takes its addresses from the log.
-    pub(crate) fn listens(&mut self) {
+    pub(crate) fn wait_until_listening(&mut self) {
         while self.address.port() == 0 {
             let line = self
                 .log
@@ -129,7 +129,7 @@
     }
 
     /// Returns the next line of the log that contains `text`; panics if none comes within 5 s.
-    pub(crate) fn says(&self, text: &str) -> String {
+    pub(crate) fn wait_for_log(&self, text: &str) -> String {
         let deadline = Instant::now() + Duration::from_secs(5);
         loop {
             let remaining = deadline.saturating_duration_since(Instant::now());
@@ -184,7 +184,7 @@
     }
 
     /// Returns the program's share of one core over the next second, which it waits for.
-    pub(crate) fn share_of_a_second(&self) -> f64 {
+    pub(crate) fn cpu_share_over_next_second(&self) -> f64 {
         let before = self.cpu();
         std::thread::sleep(Duration::from_secs(1));
         self.cpu() - before
--- a/tests/recorded/program.rs
+++ b/tests/recorded/program.rs
@@ -10,7 +10,7 @@
 
 /// Starts the program on this file and waits until it listens: the program, and all that it logged before.
 pub(crate) fn start_mysql(file: &str) -> (Program, Vec<String>) {
-    let mut program = Program::exec(file, &["--mysql"], None);
+    let mut program = Program::spawn(file, &["--mysql"], None);
     let mut lines = vec![];
     while program.address.port() == 0 {
         let line = program
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -14,12 +14,12 @@
 
 /// Sends readiness requests until the program is ready; returns the time since its exec.
 fn time_until_ready(program: &mut Program) -> Duration {
-    program.listens();
+    program.wait_until_listening();
     let mut tcp = connect(program.address);
     while !ready(&mut tcp).unwrap_or(false) {
         std::thread::sleep(Duration::from_millis(2));
     }
-    program.began.elapsed()
+    program.spawned_at.elapsed()
 }
 
 /// Prints the 50th and 90th percentile of `times` and asserts that the 90th is below `bound`.
@@ -39,7 +39,7 @@
 fn ready_with_a_known_list_while_discovery_is_down() {
     let engine = Engine::new();
     let measure = || {
-        time_until_ready(&mut Program::exec(
+        time_until_ready(&mut Program::spawn(
             &config(&[engine.at], Service::down().at, Some(64)),
             &[],
             Some(64),
@@ -59,7 +59,7 @@
     let snapshot = event(1, &told(0, engine.at, "in_service")).replace("false", "true");
     let measure = || {
         let service = Service::down();
-        let mut program = Program::exec(&config(&[], service.at, Some(64)), &[], Some(64));
+        let mut program = Program::spawn(&config(&[], service.at, Some(64)), &[], Some(64));
         let snapshot = &snapshot;
         std::thread::scope(|s| {
             let journal = s.spawn(|| {
@@ -152,7 +152,7 @@
     let service = Service::down();
     let config = config(&[engine.at], service.at, Some(64));
     let mut programs: Vec<_> = (0..20)
-        .map(|_| Program::exec_on_one_core(&config))
+        .map(|_| Program::spawn_on_one_core(&config))
         .collect();
     let times: Vec<_> = std::thread::scope(|s| {
         let threads: Vec<_> = programs
