--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -32,7 +32,7 @@
 
 struct Crowd {
     program: Program,
-    service: Service,
+    service: FakeService,
     /// They stay to the end.
     _clients: Vec<TcpStream>,
 }
@@ -54,8 +54,8 @@
         real: Option<usize>,
         rest: Rest,
     ) -> Self {
-        let service = Service::down();
-        let program = Program::run(&config(engines, service.at, sockets), &[], real);
+        let service = FakeService::down();
+        let program = Program::run(&config(engines, service.address, sockets), &[], real);
         let mut clients: Vec<_> = (0..PLACES).map(|_| client(program.address, rest)).collect();
         std::thread::sleep(Duration::from_millis(20));
         program.signal("-STOP");
@@ -78,7 +78,7 @@
     fn returns(&self, events: &str) -> TcpStream {
         let (took, tcp) = self
             .service
-            .returns(Duration::from_secs(4), events)
+            .accept_and_send(Duration::from_secs(4), events)
             .expect("it calls");
         assert!(took < CALLED, "called after {took:?}");
         tcp
@@ -117,10 +117,10 @@
         .args(["-c", "exec sleep 9"])
         .spawn()
         .unwrap();
-    let service = Service::down();
-    let program = Program::run(&config(&[], service.at, Some(LIMIT)), &[], Some(LIMIT));
+    let service = FakeService::down();
+    let program = Program::run(&config(&[], service.address, Some(LIMIT)), &[], Some(LIMIT));
     let (_, _stream) = service
-        .returns(Duration::from_secs(4), "")
+        .accept_and_send(Duration::from_secs(4), "")
         .expect("it calls");
     let given = std::fs::read_dir(format!("/proc/{}/fd", other.id()))
         .unwrap()
@@ -136,7 +136,7 @@
 #[test]
 fn discovery_reconnects_at_once() {
     let engine = Engine::new();
-    crowds(&[engine.at], |crowd, _| {
+    crowds(&[engine.address], |crowd, _| {
         crowd.returns("");
         crowd.is_within();
     });
@@ -145,10 +145,10 @@
 #[test]
 fn drain_received_on_reconnect_is_applied() {
     let (drains, stays) = (Engine::new(), Engine::new());
-    crowds(&[drains.at, stays.at], |crowd, name| {
+    crowds(&[drains.address, stays.address], |crowd, name| {
         let mut client = connect(crowd.program.address);
         assert!(ready(&mut client).unwrap(), "{name}");
-        let _stream = crowd.returns(&event(2, &told(0, drains.at, "terminating")));
+        let _stream = crowd.returns(&event(2, &told(0, drains.address, "terminating")));
         // The grace of 250 ms, and 50 ms more.
         std::thread::sleep(Duration::from_millis(300));
         let from = Instant::now();
@@ -158,7 +158,7 @@
         crowd.is_within();
         // Other crowds' requests to the same engine may come before their own drain.
         let all = stays
-            .got
+            .request_times
             .lock()
             .unwrap()
             .iter()
@@ -175,7 +175,7 @@
     let engines: Vec<_> = (0..40)
         .map(|_| Engine::slow(Duration::from_millis(100)))
         .collect();
-    let at: Vec<_> = engines.iter().map(|e| e.at).collect();
+    let at: Vec<_> = engines.iter().map(|e| e.address).collect();
     let rounds = |crowd: &Crowd, few: bool, name: &str| {
         let mut client = connect(crowd.program.address);
         let mut served = 0;
@@ -210,7 +210,7 @@
     });
     let reached = engines
         .iter()
-        .filter(|e| !e.got.lock().unwrap().is_empty())
+        .filter(|e| !e.request_times.lock().unwrap().is_empty())
         .count();
     println!("{reached} of 40 engines were reached");
 }
@@ -218,10 +218,13 @@
 #[test]
 fn reload_is_read_and_moves_discovery() {
     let engine = Engine::new();
-    crowds(&[engine.at], |mut crowd, _| {
+    crowds(&[engine.address], |mut crowd, _| {
         let text = std::fs::read_to_string(&crowd.program.config).unwrap();
-        let moved = Service::down();
-        let text = text.replace(&crowd.service.at.to_string(), &moved.at.to_string());
+        let moved = FakeService::down();
+        let text = text.replace(
+            &crowd.service.address.to_string(),
+            &moved.address.to_string(),
+        );
         std::fs::write(&crowd.program.config, text).unwrap();
         crowd.program.signal("-HUP");
         crowd
@@ -236,7 +239,7 @@
 #[test]
 fn admin_requests_are_answered() {
     let engine = Engine::new();
-    crowds(&[engine.at], |crowd, name| {
+    crowds(&[engine.address], |crowd, name| {
         let _callers: Vec<_> = (0..30).map(|_| connect(crowd.program.admin)).collect();
         let began = Instant::now();
         assert!(
@@ -256,7 +259,7 @@
 #[test]
 fn active_client_is_admitted() {
     let engine = Engine::new();
-    crowds(&[engine.at], |crowd, name| {
+    crowds(&[engine.address], |crowd, name| {
         let began = Instant::now();
         let mut client = connect(crowd.program.address);
         assert!(ready(&mut client).unwrap(), "{name}");
@@ -273,7 +276,7 @@
 #[test]
 fn no_busy_loop_without_descriptors() {
     let engine = Engine::new();
-    crowds(&[engine.at], |crowd, name| {
+    crowds(&[engine.address], |crowd, name| {
         std::thread::sleep(Duration::from_millis(300));
         let share = crowd.program.cpu_share_over_next_second();
         assert!(share < 0.1, "{name}: {share} of a core");
@@ -290,14 +293,18 @@
         (Some(LIMIT), Some(LIMIT)),
         (None, Some(LIMIT)),
     ] {
-        let service = Service::down();
-        let program = Program::run(&config(&[engine.at], service.at, sockets), &[], real);
+        let service = FakeService::down();
+        let program = Program::run(
+            &config(&[engine.address], service.address, sockets),
+            &[],
+            real,
+        );
         program.signal("-STOP");
         let mut clients: Vec<_> = (0..MORE).map(|_| connect(program.address)).collect();
         clients.iter_mut().for_each(|tcp| ask(tcp, 1).unwrap());
         program.signal("-CONT");
         let (took, _stream) = service
-            .returns(Duration::from_secs(4), "")
+            .accept_and_send(Duration::from_secs(4), "")
             .expect("it calls");
         assert!(took < CALLED, "called after {took:?}");
         assert!(program.descriptors() <= LIMIT);
--- a/tests/external_interface.rs
+++ b/tests/external_interface.rs
@@ -16,7 +16,7 @@
 use external::platform_wire::{FarEnd, read_frame, request};
 use external::statements::{COMMANDS, STATEMENTS};
 use mysql_client::{MysqlClient, text};
-use process::{Program, Service, connect, event, told};
+use process::{FakeService, Program, connect, event, told};
 use program::{call, start_mysql};
 use query_dispatcher::gossip;
 use recorded::{assert_recorded, printable};
@@ -149,9 +149,13 @@
 
 #[test]
 fn the_operators_address_on_the_platform() {
-    let journal = Service::down();
+    let journal = FakeService::down();
     let engine = process::Engine::new();
-    let program = Program::run(&process::config(&[engine.at], journal.at, None), &[], None);
+    let program = Program::run(
+        &process::config(&[engine.address], journal.address, None),
+        &[],
+        None,
+    );
     assert_recorded("external/operators-platform.txt", &responses(program.admin));
 }
 
@@ -366,9 +370,9 @@
 #[test]
 fn frames_of_clients_and_commands_to_engines() {
     let engine = FarEnd::start(b"select 1\r\n", engine_answer());
-    let journal = Service::down();
+    let journal = FakeService::down();
     let program = Program::run(
-        &process::config(&[engine.address], journal.at, None),
+        &process::config(&[engine.address], journal.address, None),
         &[],
         None,
     );
@@ -446,11 +450,11 @@
 #[test]
 fn the_call_to_the_journal() {
     let engine = process::Engine::new();
-    let news = event(2, &told(1, engine.at, "in_service"));
+    let news = event(2, &told(1, engine.address, "in_service"));
     let stream = format!("HTTP/1.1 200 OK\r\n\r\n: hello\n{news}");
     let journal = FarEnd::start(b"\r\n\r\n", stream.into_bytes());
     let program = Program::run(
-        &process::config(&[engine.at], journal.address, None),
+        &process::config(&[engine.address], journal.address, None),
         &[],
         None,
     );
--- a/tests/process/mod.rs
+++ b/tests/process/mod.rs
@@ -192,27 +192,28 @@
 }
 
 /// Fake journal service. At first it is down: its address is bound, but refuses connections.
-pub(crate) struct Service {
+pub(crate) struct FakeService {
     socket: Socket,
-    pub(crate) at: SocketAddr,
+    pub(crate) address: SocketAddr,
 }
 
-impl Service {
+impl FakeService {
     pub(crate) fn down() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
             .unwrap();
         let address = socket.local_addr().unwrap().as_socket().unwrap();
-        Service {
-            socket,
-            at: address,
-        }
+        FakeService { socket, address }
     }
 
     /// Starts to listen and sends `events` to the first client. Returns the time until that client connected
     /// and its connection, or `None` if no client connects within `wait`.
-    pub(crate) fn returns(&self, wait: Duration, events: &str) -> Option<(Duration, TcpStream)> {
+    pub(crate) fn accept_and_send(
+        &self,
+        wait: Duration,
+        events: &str,
+    ) -> Option<(Duration, TcpStream)> {
         self.socket.listen(16).unwrap();
         self.socket.set_nonblocking(true).unwrap();
         let began = Instant::now();
@@ -273,9 +274,9 @@
 
 /// Fake engine that answers every request at once or after a delay.
 pub(crate) struct Engine {
-    pub(crate) at: SocketAddr,
+    pub(crate) address: SocketAddr,
     /// Times at which requests arrived.
-    pub(crate) got: Arc<Mutex<Vec<Instant>>>,
+    pub(crate) request_times: Arc<Mutex<Vec<Instant>>>,
 }
 
 impl Engine {
@@ -295,8 +296,8 @@
             }
         });
         Engine {
-            at: address,
-            got: request_times,
+            address,
+            request_times,
         }
     }
 
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -40,7 +40,7 @@
     let engine = Engine::new();
     let measure = || {
         time_until_ready(&mut Program::spawn(
-            &config(&[engine.at], Service::down().at, Some(64)),
+            &config(&[engine.address], FakeService::down().address, Some(64)),
             &[],
             Some(64),
         ))
@@ -56,16 +56,16 @@
 #[test]
 fn ready_once_discovery_returns_during_startup() {
     let engine = Engine::new();
-    let snapshot = event(1, &told(0, engine.at, "in_service")).replace("false", "true");
+    let snapshot = event(1, &told(0, engine.address, "in_service")).replace("false", "true");
     let measure = || {
-        let service = Service::down();
-        let mut program = Program::spawn(&config(&[], service.at, Some(64)), &[], Some(64));
+        let service = FakeService::down();
+        let mut program = Program::spawn(&config(&[], service.address, Some(64)), &[], Some(64));
         let snapshot = &snapshot;
         std::thread::scope(|s| {
             let journal = s.spawn(|| {
                 std::thread::sleep(Duration::from_millis(300));
                 service
-                    .returns(Duration::from_secs(4), snapshot)
+                    .accept_and_send(Duration::from_secs(4), snapshot)
                     .expect("the program must connect to the journal")
             });
             let elapsed = time_until_ready(&mut program);
@@ -112,8 +112,8 @@
         let mut client = connect(address);
         send(&mut client, 16, 9, &[0]).unwrap();
         let path = std::env::temp_dir().join(format!("hitchwinch-queue-{}.conf", address.port()));
-        let service = Service::down();
-        std::fs::write(&path, config(&[engine.at], service.at, Some(64))).unwrap();
+        let service = FakeService::down();
+        std::fs::write(&path, config(&[engine.address], service.address, Some(64))).unwrap();
         let began = Instant::now();
         let mut child = Command::new("sh")
             .args([
@@ -149,8 +149,8 @@
 #[test]
 fn twenty_processes_starting_together_become_ready() {
     let engine = Engine::new();
-    let service = Service::down();
-    let config = config(&[engine.at], service.at, Some(64));
+    let service = FakeService::down();
+    let config = config(&[engine.address], service.address, Some(64));
     let mut programs: Vec<_> = (0..20)
         .map(|_| Program::spawn_on_one_core(&config))
         .collect();
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -12,7 +12,7 @@
 mod stored;
 
 use mysql_client::{MysqlClient, Packet, text};
-use process::Service;
+use process::FakeService;
 use program::{call, start_mysql};
 use recorded::{TemporaryFolder, assert_recorded, data, file_names, mask_numbers};
 use std::path::Path;
@@ -90,10 +90,10 @@
 }
 
 /// The operators' file of a program whose registry never answers.
-fn registry_file(registry: &Service, state: &Path) -> String {
+fn registry_file(registry: &FakeService, state: &Path) -> String {
     let eureka = format!(
         "[eureka]\nservers = [\"http://{}/eureka\"]\napp = \"ENGINES\"\nperiod_s = 0.2\ntimeout_ms = 1000\n",
-        registry.at
+        registry.address
     );
     testbed::fixture::dispatcher_file(&format!("state_dir = {state:?}"), &eureka)
 }
@@ -115,7 +115,7 @@
         "since_age_ms",
         "turns",
     ];
-    let (registry, folder) = (Service::down(), state_folder("state"));
+    let (registry, folder) = (FakeService::down(), state_folder("state"));
     let (program, log) = start_mysql(&registry_file(&registry, folder.path()));
     let until = Instant::now() + Duration::from_secs(5);
     let page = loop {
@@ -127,7 +127,7 @@
         std::thread::sleep(Duration::from_millis(5));
     };
     let body = page.split_once("\r\n\r\n").unwrap().1;
-    let body = body.replace(&registry.at.to_string(), "(registry)");
+    let body = body.replace(&registry.address.to_string(), "(registry)");
     assert_recorded("stored/state-members.txt", &mask_numbers(&body, &MOMENTARY));
     assert!(
         log.iter()
@@ -138,7 +138,7 @@
 
 #[test]
 fn the_program_sets_a_snapshot_that_is_cut_short_aside() {
-    let (registry, folder) = (Service::down(), state_folder("state-cut"));
+    let (registry, folder) = (FakeService::down(), state_folder("state-cut"));
     let file = folder.path().join(STATE).join(MEMBERS);
     std::fs::copy(data("stored/cut").join(MEMBERS), &file).unwrap();
     let (_program, log) = start_mysql(&registry_file(&registry, folder.path()));
