--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -41,7 +41,7 @@
     let mut tcp = connect(at);
     match rest {
         // One that came before and has to give way by now does so.
-        Rest::Asked => drop(ready(&mut tcp)),
+        Rest::Asked => drop(is_ready(&mut tcp)),
         Rest::Half => tcp.write_all(&[0, 0, 0]).unwrap(),
     }
     tcp
@@ -147,8 +147,11 @@
     let (drains, stays) = (Engine::new(), Engine::new());
     crowds(&[drains.address, stays.address], |crowd, name| {
         let mut client = connect(crowd.program.address);
-        assert!(ready(&mut client).unwrap(), "{name}");
-        let _stream = crowd.returns(&event(2, &told(0, drains.address, "terminating")));
+        assert!(is_ready(&mut client).unwrap(), "{name}");
+        let _stream = crowd.returns(&journal_event(
+            2,
+            &instance_json(0, drains.address, "terminating"),
+        ));
         // The grace of 250 ms, and 50 ms more.
         std::thread::sleep(Duration::from_millis(300));
         let from = Instant::now();
@@ -180,7 +183,7 @@
         let mut client = connect(crowd.program.address);
         let mut served = 0;
         for round in 0..4 {
-            (1..=32).for_each(|n| ask(&mut client, round * 32 + n).unwrap());
+            (1..=32).for_each(|n| send_lookup(&mut client, round * 32 + n).unwrap());
             if few {
                 crowd.is_within();
             }
@@ -188,7 +191,7 @@
                 crowd.returns("");
             }
             for _ in 1..=32 {
-                let (kind, _, payload) = expect(&mut client).unwrap();
+                let (kind, _, payload) = read_frame(&mut client).unwrap();
                 assert!(kind == 4 && payload[0] != 2, "{name}: {kind}, {payload:?}");
                 served += u32::from(payload[0] == 0);
             }
@@ -262,7 +265,7 @@
     crowds(&[engine.address], |crowd, name| {
         let began = Instant::now();
         let mut client = connect(crowd.program.address);
-        assert!(ready(&mut client).unwrap(), "{name}");
+        assert!(is_ready(&mut client).unwrap(), "{name}");
         assert_eq!(lookup(&mut client, 1).unwrap(), 0, "{name}");
         assert!(
             began.elapsed() < Duration::from_millis(700),
@@ -301,7 +304,9 @@
         );
         program.signal("-STOP");
         let mut clients: Vec<_> = (0..MORE).map(|_| connect(program.address)).collect();
-        clients.iter_mut().for_each(|tcp| ask(tcp, 1).unwrap());
+        clients
+            .iter_mut()
+            .for_each(|tcp| send_lookup(tcp, 1).unwrap());
         program.signal("-CONT");
         let (took, _stream) = service
             .accept_and_send(Duration::from_secs(4), "")
--- a/tests/external_interface.rs
+++ b/tests/external_interface.rs
@@ -16,7 +16,7 @@
 use external::platform_wire::{FarEnd, read_frame, request};
 use external::statements::{COMMANDS, STATEMENTS};
 use mysql_client::{MysqlClient, text};
-use process::{FakeService, Program, connect, event, told};
+use process::{FakeService, Program, connect, instance_json, journal_event};
 use program::{call, start_mysql};
 use query_dispatcher::gossip;
 use recorded::{assert_recorded, printable};
@@ -418,7 +418,7 @@
     let mut connection = connect(program.address);
     let mut told = String::new();
     for (name, stream, kind, payload) in requests {
-        process::send(&mut connection, kind, stream, &payload).unwrap();
+        process::send_frame(&mut connection, kind, stream, &payload).unwrap();
         let answer = read_frame(&mut connection).expect("an answer");
         told += &format!("{name}: {}\n", printable(&answer));
     }
@@ -431,8 +431,8 @@
         ("a stream that is not new", REQUEST, 0),
     ] {
         let mut connection = connect(program.address);
-        process::send(&mut connection, LEAVE, 1, &[]).unwrap();
-        process::send(&mut connection, kind, stream, &[0]).unwrap();
+        process::send_frame(&mut connection, LEAVE, 1, &[]).unwrap();
+        process::send_frame(&mut connection, kind, stream, &[0]).unwrap();
         told += &format!(
             "{name}: {}\n",
             printable(&read_frame(&mut connection).expect("an answer"))
@@ -450,7 +450,7 @@
 #[test]
 fn the_call_to_the_journal() {
     let engine = process::Engine::new();
-    let news = event(2, &told(1, engine.address, "in_service"));
+    let news = journal_event(2, &instance_json(1, engine.address, "in_service"));
     let stream = format!("HTTP/1.1 200 OK\r\n\r\n: hello\n{news}");
     let journal = FarEnd::start(b"\r\n\r\n", stream.into_bytes());
     let program = Program::run(
--- a/tests/process/mod.rs
+++ b/tests/process/mod.rs
@@ -234,7 +234,7 @@
 }
 
 /// Returns the JSON of one instance as the journal lists it.
-pub(crate) fn told(engine: usize, address: SocketAddr, state: &str) -> String {
+pub(crate) fn instance_json(engine: usize, address: SocketAddr, state: &str) -> String {
     format!(
         r#"{{"instanceId":"e{engine}","hostPort":"{address}","machineType":"std","lifecycle":"{state}","startedAtMs":0}}"#
     )
@@ -250,7 +250,7 @@
     let instances: Vec<String> = engines
         .iter()
         .enumerate()
-        .map(|(i, address)| told(i, *address, "in_service"))
+        .map(|(i, address)| instance_json(i, *address, "in_service"))
         .collect();
     let known = match instances.is_empty() {
         true => "null".into(),
@@ -266,7 +266,7 @@
 }
 
 /// Returns one event of the journal's event stream.
-pub(crate) fn event(pos: u64, instances: &str) -> String {
+pub(crate) fn journal_event(pos: u64, instances: &str) -> String {
     format!(
         "id: {pos}\ndata: {{\"pos\":{pos},\"hosts\":{{\"reset\":false,\"instances\":[{instances}]}}}}\n\n"
     )
@@ -342,7 +342,7 @@
 }
 
 /// Writes a frame.
-pub(crate) fn send(
+pub(crate) fn send_frame(
     tcp: &mut TcpStream,
     kind: u8,
     stream: u32,
@@ -353,7 +353,7 @@
 }
 
 /// Reads a frame and returns its type, stream and payload.
-pub(crate) fn expect(tcp: &mut TcpStream) -> std::io::Result<(u8, u32, Vec<u8>)> {
+pub(crate) fn read_frame(tcp: &mut TcpStream) -> std::io::Result<(u8, u32, Vec<u8>)> {
     let mut length = [0; 4];
     tcp.read_exact(&mut length)?;
     let mut frame = vec![0; u32::from_be_bytes(length) as usize];
@@ -366,23 +366,23 @@
 }
 
 /// Sends a readiness request (type 16) and returns whether the program reports that it is ready.
-pub(crate) fn ready(tcp: &mut TcpStream) -> std::io::Result<bool> {
-    send(tcp, 16, 9, &[0])?;
-    let (kind, stream, payload) = expect(tcp)?;
+pub(crate) fn is_ready(tcp: &mut TcpStream) -> std::io::Result<bool> {
+    send_frame(tcp, 16, 9, &[0])?;
+    let (kind, stream, payload) = read_frame(tcp)?;
     assert_eq!((kind, stream), (32, 9));
     Ok(payload[0] == 0)
 }
 
 /// Sends a look-up on stream `number` and returns the code of its answer.
 pub(crate) fn lookup(tcp: &mut TcpStream, number: u32) -> std::io::Result<u8> {
-    ask(tcp, number)?;
-    let (kind, stream, payload) = expect(tcp)?;
+    send_lookup(tcp, number)?;
+    let (kind, stream, payload) = read_frame(tcp)?;
     assert_eq!((kind, stream), (4, number));
     Ok(payload[0])
 }
 
 /// Sends a look-up on stream `number`, without reading the answer.
-pub(crate) fn ask(tcp: &mut TcpStream, number: u32) -> std::io::Result<()> {
+pub(crate) fn send_lookup(tcp: &mut TcpStream, number: u32) -> std::io::Result<()> {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
     let txn = format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed));
     let mut payload = vec![3u8];
@@ -398,5 +398,5 @@
         payload.extend(value.bytes());
     }
     payload.extend(b"select 1");
-    send(tcp, 2, number, &payload)
+    send_frame(tcp, 2, number, &payload)
 }
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -16,7 +16,7 @@
 fn time_until_ready(program: &mut Program) -> Duration {
     program.wait_until_listening();
     let mut tcp = connect(program.address);
-    while !ready(&mut tcp).unwrap_or(false) {
+    while !is_ready(&mut tcp).unwrap_or(false) {
         std::thread::sleep(Duration::from_millis(2));
     }
     program.spawned_at.elapsed()
@@ -56,7 +56,8 @@
 #[test]
 fn ready_once_discovery_returns_during_startup() {
     let engine = Engine::new();
-    let snapshot = event(1, &told(0, engine.address, "in_service")).replace("false", "true");
+    let snapshot =
+        journal_event(1, &instance_json(0, engine.address, "in_service")).replace("false", "true");
     let measure = || {
         let service = FakeService::down();
         let mut program = Program::spawn(&config(&[], service.address, Some(64)), &[], Some(64));
@@ -110,7 +111,7 @@
             })
             .collect();
         let mut client = connect(address);
-        send(&mut client, 16, 9, &[0]).unwrap();
+        send_frame(&mut client, 16, 9, &[0]).unwrap();
         let path = std::env::temp_dir().join(format!("hitchwinch-queue-{}.conf", address.port()));
         let service = FakeService::down();
         std::fs::write(&path, config(&[engine.address], service.address, Some(64))).unwrap();
@@ -128,7 +129,7 @@
             .env_remove("TMPDIR")
             .spawn()
             .unwrap();
-        let answer = expect(&mut client);
+        let answer = read_frame(&mut client);
         let elapsed = began.elapsed();
         child.kill().unwrap();
         child.wait().unwrap();
