--- a/src/server/instance_coordination.rs
+++ b/src/server/instance_coordination.rs
@@ -34,7 +34,7 @@
     let drained = instances.drained_engines().map_err(failed)?;
     router.apply_administrative_drains(&drained.unwrap_or_default());
     let poller = SharedStatePoller {
-        processes: instances.processes().map_err(failed)?,
+        processes: instances.live_process_count().map_err(failed)?,
         instances: instances.clone(),
         router: router.clone(),
         on_process_count,
@@ -63,7 +63,7 @@
     }
 
     fn poll_processes(&mut self) {
-        match self.instances.processes() {
+        match self.instances.live_process_count() {
             Ok(processes) if processes != self.processes => {
                 log_line!("{processes} processes of this dispatcher share its limits");
                 self.processes = processes;
--- a/src/server/instance_registry.rs
+++ b/src/server/instance_registry.rs
@@ -62,7 +62,7 @@
     ///
     /// # Errors
     /// The directory cannot be read.
-    pub fn processes(&self) -> io::Result<u32> {
+    pub fn live_process_count(&self) -> io::Result<u32> {
         let Some(directory) = &self.0 else {
             return Ok(1);
         };
--- a/src/server/mysql.rs
+++ b/src/server/mysql.rs
@@ -175,7 +175,7 @@
     let instances = instances.clone();
     Rc::new(move || {
         if router.is_shutting_down() {
-            match instances.processes() {
+            match instances.live_process_count() {
                 Ok(2..) => Standing::HandedOver,
                 _ => Standing::Ending,
             }
