--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -32,7 +32,7 @@
 
 struct Crowd {
     program: Program,
-    service: Service,
+    service: FakeService,
     /// They stay to the end.
     _clients: Vec<TcpStream>,
 }
@@ -41,7 +41,7 @@
     let mut tcp = connect(at);
     match rest {
         // One that came before and has to give way by now does so.
-        Rest::Asked => drop(ready(&mut tcp)),
+        Rest::Asked => drop(is_ready(&mut tcp)),
         Rest::Half => tcp.write_all(&[0, 0, 0]).unwrap(),
     }
     tcp
@@ -54,8 +54,8 @@
         real: Option<usize>,
         rest: Rest,
     ) -> Self {
-        let service = Service::down();
-        let program = Program::run(&config(engines, service.at, sockets), &[], real);
+        let service = FakeService::down();
+        let program = Program::run(&config(engines, service.address, sockets), &[], real);
         let mut clients: Vec<_> = (0..PLACES).map(|_| client(program.address, rest)).collect();
         std::thread::sleep(Duration::from_millis(20));
         program.signal("-STOP");
@@ -78,7 +78,7 @@
     fn returns(&self, events: &str) -> TcpStream {
         let (took, tcp) = self
             .service
-            .returns(Duration::from_secs(4), events)
+            .accept_and_send(Duration::from_secs(4), events)
             .expect("it calls");
         assert!(took < CALLED, "called after {took:?}");
         tcp
@@ -117,10 +117,10 @@
         .args(["-c", "exec sleep 9"])
         .spawn()
         .unwrap();
-    let service = Service::down();
-    let program = Program::run(&config(&[], service.at, Some(LIMIT)), &[], Some(LIMIT));
+    let service = FakeService::down();
+    let program = Program::run(&config(&[], service.address, Some(LIMIT)), &[], Some(LIMIT));
     let (_, _stream) = service
-        .returns(Duration::from_secs(4), "")
+        .accept_and_send(Duration::from_secs(4), "")
         .expect("it calls");
     let given = std::fs::read_dir(format!("/proc/{}/fd", other.id()))
         .unwrap()
@@ -136,7 +136,7 @@
 #[test]
 fn discovery_reconnects_at_once() {
     let engine = Engine::new();
-    crowds(&[engine.at], |crowd, _| {
+    crowds(&[engine.address], |crowd, _| {
         crowd.returns("");
         crowd.is_within();
     });
@@ -145,10 +145,13 @@
 #[test]
 fn drain_received_on_reconnect_is_applied() {
     let (drains, stays) = (Engine::new(), Engine::new());
-    crowds(&[drains.at, stays.at], |crowd, name| {
+    crowds(&[drains.address, stays.address], |crowd, name| {
         let mut client = connect(crowd.program.address);
-        assert!(ready(&mut client).unwrap(), "{name}");
-        let _stream = crowd.returns(&event(2, &told(0, drains.at, "terminating")));
+        assert!(is_ready(&mut client).unwrap(), "{name}");
+        let _stream = crowd.returns(&journal_event(
+            2,
+            &instance_json(0, drains.address, "terminating"),
+        ));
         // The grace of 250 ms, and 50 ms more.
         std::thread::sleep(Duration::from_millis(300));
         let from = Instant::now();
@@ -158,7 +161,7 @@
         crowd.is_within();
         // Other crowds' requests to the same engine may come before their own drain.
         let all = stays
-            .got
+            .request_times
             .lock()
             .unwrap()
             .iter()
@@ -175,12 +178,12 @@
     let engines: Vec<_> = (0..40)
         .map(|_| Engine::slow(Duration::from_millis(100)))
         .collect();
-    let at: Vec<_> = engines.iter().map(|e| e.at).collect();
+    let at: Vec<_> = engines.iter().map(|e| e.address).collect();
     let rounds = |crowd: &Crowd, few: bool, name: &str| {
         let mut client = connect(crowd.program.address);
         let mut served = 0;
         for round in 0..4 {
-            (1..=32).for_each(|n| ask(&mut client, round * 32 + n).unwrap());
+            (1..=32).for_each(|n| send_lookup(&mut client, round * 32 + n).unwrap());
             if few {
                 crowd.is_within();
             }
@@ -188,7 +191,7 @@
                 crowd.returns("");
             }
             for _ in 1..=32 {
-                let (kind, _, payload) = expect(&mut client).unwrap();
+                let (kind, _, payload) = read_frame(&mut client).unwrap();
                 assert!(kind == 4 && payload[0] != 2, "{name}: {kind}, {payload:?}");
                 served += u32::from(payload[0] == 0);
             }
@@ -210,7 +213,7 @@
     });
     let reached = engines
         .iter()
-        .filter(|e| !e.got.lock().unwrap().is_empty())
+        .filter(|e| !e.request_times.lock().unwrap().is_empty())
         .count();
     println!("{reached} of 40 engines were reached");
 }
@@ -218,13 +221,18 @@
 #[test]
 fn reload_is_read_and_moves_discovery() {
     let engine = Engine::new();
-    crowds(&[engine.at], |mut crowd, _| {
+    crowds(&[engine.address], |mut crowd, _| {
         let text = std::fs::read_to_string(&crowd.program.config).unwrap();
-        let moved = Service::down();
-        let text = text.replace(&crowd.service.at.to_string(), &moved.at.to_string());
+        let moved = FakeService::down();
+        let text = text.replace(
+            &crowd.service.address.to_string(),
+            &moved.address.to_string(),
+        );
         std::fs::write(&crowd.program.config, text).unwrap();
         crowd.program.signal("-HUP");
-        crowd.program.says("SIGHUP: the configuration is in force");
+        crowd
+            .program
+            .wait_for_log("SIGHUP: the configuration is in force");
         crowd.service = moved;
         crowd.returns("");
     });
@@ -234,7 +242,7 @@
 #[test]
 fn admin_requests_are_answered() {
     let engine = Engine::new();
-    crowds(&[engine.at], |crowd, name| {
+    crowds(&[engine.address], |crowd, name| {
         let _callers: Vec<_> = (0..30).map(|_| connect(crowd.program.admin)).collect();
         let began = Instant::now();
         assert!(
@@ -254,10 +262,10 @@
 #[test]
 fn active_client_is_admitted() {
     let engine = Engine::new();
-    crowds(&[engine.at], |crowd, name| {
+    crowds(&[engine.address], |crowd, name| {
         let began = Instant::now();
         let mut client = connect(crowd.program.address);
-        assert!(ready(&mut client).unwrap(), "{name}");
+        assert!(is_ready(&mut client).unwrap(), "{name}");
         assert_eq!(lookup(&mut client, 1).unwrap(), 0, "{name}");
         assert!(
             began.elapsed() < Duration::from_millis(700),
@@ -271,9 +279,9 @@
 #[test]
 fn no_busy_loop_without_descriptors() {
     let engine = Engine::new();
-    crowds(&[engine.at], |crowd, name| {
+    crowds(&[engine.address], |crowd, name| {
         std::thread::sleep(Duration::from_millis(300));
-        let share = crowd.program.share_of_a_second();
+        let share = crowd.program.cpu_share_over_next_second();
         assert!(share < 0.1, "{name}: {share} of a core");
         crowd.is_within();
     });
@@ -288,14 +296,20 @@
         (Some(LIMIT), Some(LIMIT)),
         (None, Some(LIMIT)),
     ] {
-        let service = Service::down();
-        let program = Program::run(&config(&[engine.at], service.at, sockets), &[], real);
+        let service = FakeService::down();
+        let program = Program::run(
+            &config(&[engine.address], service.address, sockets),
+            &[],
+            real,
+        );
         program.signal("-STOP");
         let mut clients: Vec<_> = (0..MORE).map(|_| connect(program.address)).collect();
-        clients.iter_mut().for_each(|tcp| ask(tcp, 1).unwrap());
+        clients
+            .iter_mut()
+            .for_each(|tcp| send_lookup(tcp, 1).unwrap());
         program.signal("-CONT");
         let (took, _stream) = service
-            .returns(Duration::from_secs(4), "")
+            .accept_and_send(Duration::from_secs(4), "")
             .expect("it calls");
         assert!(took < CALLED, "called after {took:?}");
         assert!(program.descriptors() <= LIMIT);
@@ -323,7 +337,7 @@
     assert!(program.call("/_vars").starts_with("HTTP/1.1 200"));
     std::fs::write(&program.config, &file).unwrap();
     program.signal("-HUP");
-    program.says("SIGHUP: the configuration is in force");
+    program.wait_for_log("SIGHUP: the configuration is in force");
     assert!(
         began.elapsed() < Duration::from_secs(2),
         "{:?}",
@@ -334,6 +348,6 @@
         "{} descriptors",
         program.descriptors()
     );
-    let share = program.share_of_a_second();
+    let share = program.cpu_share_over_next_second();
     assert!(share < 0.1, "{share} of a core");
 }
