--- a/src/transport/buffer_pool.rs
+++ b/src/transport/buffer_pool.rs
@@ -1,25 +1,25 @@
-//! A pool of byte buffers of one size, for connections and results.
+//! Pool of byte buffers of one capacity, for connections and results.
 
 use bytes::BytesMut;
 use std::cell::RefCell;
 use std::ops::{Deref, DerefMut};
 use std::rc::Rc;
 
-/// Capacity of a pooled buffer, in bytes. It holds two pages of a result with their frames; a larger result grows its
-/// buffer, which does not return to the pool. At the size of the largest result (48,000 bytes) the buffers in use filled
-/// memory over a long run.
+/// Capacity of a pooled buffer, in bytes. Two pages of a result fit with their frames; a larger
+/// result grows its buffer, which is then not returned to the pool. With a capacity for the largest
+/// result (48,000 bytes), the buffers in use exhausted memory in a long run.
 pub const BUFFER_BYTES: usize = 16 * 1024;
-/// A returned buffer may have grown by this much.
+/// Maximum growth, in bytes, of a buffer that is still returned to the pool.
 const GROWTH_TOLERANCE_BYTES: usize = BUFFER_BYTES / 8;
-/// Idle buffers in the pool; more are freed.
+/// Maximum number of idle buffers in the pool; further ones are freed.
 const MAX_IDLE_BUFFERS: usize = 64;
 
-/// The pool. Clones share it.
+/// A handle to the pool. Clones share the same buffers.
 #[derive(Clone, Default)]
 pub struct BufferPool(Rc<RefCell<Vec<BytesMut>>>);
 
 impl BufferPool {
-    /// An empty buffer, which returns to the pool when it is dropped.
+    /// Takes an empty buffer from the pool, or allocates one. Dropping the buffer returns it to the pool.
     pub fn take(&self) -> Buffer {
         let pooled = self.0.borrow_mut().pop();
         Buffer {
@@ -28,14 +28,14 @@
         }
     }
 
-    /// Buffers in the pool.
+    /// Returns the number of idle buffers in the pool.
     #[cfg(test)]
     pub(super) fn idle_buffers(&self) -> usize {
         self.0.borrow().len()
     }
 
-    /// Returns a buffer's bytes to the pool, unless they have grown or the pool is full.
-    pub(super) fn give_back(&self, mut bytes: BytesMut) {
+    /// Returns the storage of a buffer to the pool, or frees it if it has grown or the pool is full.
+    pub(super) fn recycle(&self, mut bytes: BytesMut) {
         bytes.clear();
         let mut idle = self.0.borrow_mut();
         let pooled_capacity = BUFFER_BYTES..=BUFFER_BYTES + GROWTH_TOLERANCE_BYTES;
@@ -45,14 +45,14 @@
     }
 }
 
-/// A buffer on loan from the pool.
+/// A buffer taken from the pool, which is returned to the pool on drop.
 pub struct Buffer {
     bytes: BytesMut,
     pool: BufferPool,
 }
 
 impl Buffer {
-    /// The bytes themselves, which then no longer return to the pool by themselves.
+    /// Returns the bytes, which are then no longer returned to the pool on drop.
     pub(super) fn into_bytes(mut self) -> BytesMut {
         std::mem::take(&mut self.bytes)
     }
@@ -74,7 +74,7 @@
 
 impl Drop for Buffer {
     fn drop(&mut self) {
-        self.pool.give_back(std::mem::take(&mut self.bytes));
+        self.pool.recycle(std::mem::take(&mut self.bytes));
     }
 }
 
--- a/src/transport/framed_connection.rs
+++ b/src/transport/framed_connection.rs
@@ -1,4 +1,4 @@
-//! A connection with a codec, whose buffers come from the pool while it has something to read or write.
+//! A connection with a codec that takes buffers from the pool while there is data to read or write.
 
 use crate::transport::buffer_pool::BufferPool;
 use crate::transport::plain_socket::{PlainSocket, is_interrupted};
@@ -13,20 +13,20 @@
 use tokio::net::TcpStream;
 use tokio_util::codec::{Decoder, Encoder, Framed};
 
-/// A peer may read the last bytes, and close, for this long after they were written.
+/// Time for a peer to read the last bytes and close the connection after they were written.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Bytes that are discarded, or read ahead, at a time.
+/// Maximum number of bytes that one call discards or reads ahead.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// Bytes that are discarded at most while a connection closes.
+/// Maximum number of bytes that are discarded while a connection closes.
 const CLOSE_DISCARD_BYTES: u64 = 16 << 20;
 
 /// A stream over a TCP connection.
 pub trait Socket: AsyncRead + AsyncWrite + Unpin {
-    /// The TCP connection itself.
+    /// Returns the underlying TCP connection.
     fn tcp(&self) -> &TcpStream;
 }
 
-/// A connection whose read and write buffers are on loan from the pool while there is something in them.
+/// A connection whose read and write buffers are taken from the pool only while they hold data.
 pub struct FramedConnection<C, S = PlainSocket> {
     framed: Option<Framed<S, C>>,
     pool: BufferPool,
@@ -34,20 +34,20 @@
     write_progress: WriteProgress,
 }
 
-/// How the peer takes what is to be written: the queue of one moment, until all of it is written.
+/// Progress of writing the bytes that were queued at one point in time, until all of them are written.
 struct WriteProgress {
-    /// Bytes of that queue that are not written yet.
+    /// Number of those bytes that are not written yet.
     remaining: usize,
-    /// When that moment was.
+    /// When they were queued, or when the bytes before them were written.
     since: Instant,
 }
 
 /// What [`FramedConnection::next_event`] reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadInterest {
-    /// Items, as the codec decodes them.
+    /// Items decoded by the codec.
     Items,
-    /// Bytes that are discarded: only the end of the connection is of interest.
+    /// Bytes, which are discarded to detect the end of the connection.
     Discard,
     /// Nothing.
     Paused,
@@ -55,22 +55,22 @@
 
 /// What happened on a connection.
 pub enum ConnectionEvent<I, E> {
-    /// All that was enqueued is written.
+    /// All enqueued items are written.
     Written,
     /// An item was read.
     Item(I),
-    /// So many bytes were discarded.
+    /// This number of bytes was discarded.
     Discarded(usize),
-    /// The system takes bytes again, or the next write fails.
+    /// The socket is writable again, or the next write fails.
     Writable,
     /// The peer has closed the connection.
     Closed,
-    /// The connection is broken, or what was read cannot be decoded.
+    /// The connection failed, or the bytes that were read cannot be decoded.
     Failed(E),
 }
 
 impl<C, S> FramedConnection<C, S> {
-    /// A connection over this stream, with buffers from the pool.
+    /// Creates a connection over `stream` with buffers from `pool`.
     pub fn new(pool: &BufferPool, stream: S, codec: C) -> Self
     where
         C: Decoder,
@@ -90,22 +90,20 @@
         }
     }
 
-    /// Returns the buffers to the pool if they are empty: otherwise each idle connection would hold what its largest
-    /// answer once needed.
+    /// Returns the buffers to the pool if they are empty: otherwise each idle connection would keep
+    /// the memory of its largest answer.
     pub fn release_buffers(&mut self) {
         let Some(framed) = self.framed.as_mut().filter(|_| !self.buffers_released) else {
             return;
         };
         if framed.read_buffer().is_empty() && framed.write_buffer().is_empty() {
-            self.pool
-                .give_back(std::mem::take(framed.read_buffer_mut()));
-            self.pool
-                .give_back(std::mem::take(framed.write_buffer_mut()));
+            self.pool.recycle(std::mem::take(framed.read_buffer_mut()));
+            self.pool.recycle(std::mem::take(framed.write_buffer_mut()));
             self.buffers_released = true;
         }
     }
 
-    /// Takes buffers from the pool again, before something is read or written.
+    /// Takes buffers from the pool again before a read or write, if they were released.
     fn acquire_buffers(&mut self) {
         if let Some(framed) = self.framed.as_mut().filter(|_| self.buffers_released) {
             *framed.read_buffer_mut() = self.pool.take().into_bytes();
@@ -114,7 +112,7 @@
         }
     }
 
-    /// Appends an item to what is to be written; it never waits.
+    /// Appends an item to the write buffer without waiting.
     ///
     /// # Errors
     /// The item cannot be encoded.
@@ -132,19 +130,20 @@
         encoded
     }
 
-    /// Whether nothing is left to be written.
+    /// Returns whether the write buffer is empty.
     pub fn is_flushed(&self) -> bool {
         self.write_buffer().is_empty()
     }
 
-    /// Whether the peer has not taken within `limit` what was to be written that long ago.
+    /// Returns whether bytes that were queued longer than `limit` ago are still unwritten.
     pub fn is_write_stalled(&self, limit: Duration) -> bool {
         !self.is_flushed()
             && self.write_progress.remaining > 0
             && self.write_progress.since.elapsed() > limit
     }
 
-    /// Counts bytes that were written. Once the observed queue is written, what is queued then is observed next.
+    /// Records that `bytes` bytes were written. Once the observed bytes are written, those queued
+    /// by then are observed.
     fn record_written(&mut self, bytes: usize) {
         let remaining = self.write_progress.remaining.saturating_sub(bytes);
         self.write_progress.remaining = remaining;
@@ -177,11 +176,11 @@
 }
 
 impl<C, S: Socket> FramedConnection<C, S> {
-    /// Encodes an item while nothing is left to be written, and writes what the system takes of it at once. False if that
-    /// is not a byte: then nothing of the item stays here.
+    /// Encodes an item into an empty write buffer and writes as much of it as the socket takes at
+    /// once. If it takes no byte, the item is removed from the write buffer and false is returned.
     ///
     /// # Errors
-    /// The item cannot be encoded, or the connection is broken.
+    /// The item cannot be encoded, or the connection failed.
     pub fn start_write<I>(&mut self, item: I) -> Result<bool, <C as Encoder<I>>::Error>
     where
         C: Encoder<I>,
@@ -215,7 +214,7 @@
         C: Decoder,
     {
         if self.buffers_released {
-            // An error here is met again by the read.
+            // An error here is returned again by the read.
             drop(ready!(self.get_ref().tcp().poll_read_ready(cx)));
             self.acquire_buffers();
         }
@@ -230,7 +229,8 @@
         Poll::Ready(Ok(bytes.filled().len()))
     }
 
-    /// The next item, with buffers from the pool only once there is something to read; `None` at the end.
+    /// Returns the next item, or `None` at the end of the stream. Buffers are taken from the pool
+    /// only once there is data to read.
     pub async fn next_item(&mut self) -> Option<Result<C::Item, C::Error>>
     where
         C: Decoder,
@@ -261,8 +261,9 @@
         }
     }
 
-    /// The next event: all is written, something was read, or (if asked for) the system takes bytes again. Reads and
-    /// writes do not wait for each other, and dropping the future loses nothing.
+    /// Waits for the next event: everything is written, data was read, or (with `until_writable`)
+    /// the socket is writable again. Reads and writes do not block each other, and dropping the
+    /// future loses no data.
     pub async fn next_event(
         &mut self,
         reads: ReadInterest,
@@ -293,11 +294,12 @@
 }
 
 impl<C, S: AsyncRead + AsyncWrite + Unpin> FramedConnection<C, S> {
-    /// Reads on while the peer is owed an answer, so that its close is seen behind what it has sent. Completes when the
-    /// peer closes, or once `is_final` holds for what is unread. What was read stays to be decoded.
+    /// Reads ahead while an answer to the peer is pending, so that its close is detected behind
+    /// data that it has sent. Completes when the peer closes, or once `is_final` returns true for
+    /// the undecoded bytes. These stay in the read buffer to be decoded.
     ///
     /// # Errors
-    /// The peer sends `limit` bytes or more, or the connection is broken.
+    /// The peer sends `limit` bytes or more, or the connection failed.
     pub async fn read_ahead(
         &mut self,
         limit: usize,
@@ -323,7 +325,7 @@
             if read.await? == 0 {
                 return Ok(());
             }
-            // Rebuilt, it decodes what is in its buffer before it reads on.
+            // A rebuilt `Framed` decodes the bytes in its buffer before it reads again.
             self.framed = self
                 .framed
                 .take()
@@ -331,13 +333,14 @@
         }
     }
 
-    /// Closes a connection whose peer may still be sending: what it sends is discarded for a moment, since a close over
-    /// unread bytes would reset the connection and lose the last bytes written.
+    /// Closes a connection whose peer may still be sending. Its data is discarded for up to
+    /// `CLOSE_TIMEOUT`, because closing a socket with unread bytes would reset the connection and
+    /// lose the last bytes written.
     pub async fn close_gracefully(&mut self) {
         self.close_gracefully_within(CLOSE_TIMEOUT).await;
     }
 
-    /// The same, within `limit`.
+    /// Closes the connection as [`close_gracefully`](Self::close_gracefully) does, within `limit`.
     pub async fn close_gracefully_within(&mut self, limit: Duration) {
         let Some(framed) = &mut self.framed else {
             return;
@@ -354,13 +357,17 @@
 impl<C, S> Deref for FramedConnection<C, S> {
     type Target = Framed<S, C>;
     fn deref(&self) -> &Self::Target {
-        self.framed.as_ref().expect("taken only when it is dropped")
+        self.framed
+            .as_ref()
+            .expect("the framed stream is only taken on drop")
     }
 }
 
 impl<C, S> DerefMut for FramedConnection<C, S> {
     fn deref_mut(&mut self) -> &mut Self::Target {
-        self.framed.as_mut().expect("taken only when it is dropped")
+        self.framed
+            .as_mut()
+            .expect("the framed stream is only taken on drop")
     }
 }
 
@@ -368,8 +375,8 @@
     fn drop(&mut self) {
         if let Some(framed) = self.framed.take() {
             let parts = framed.into_parts();
-            self.pool.give_back(parts.read_buf);
-            self.pool.give_back(parts.write_buf);
+            self.pool.recycle(parts.read_buf);
+            self.pool.recycle(parts.write_buf);
         }
     }
 }
--- a/src/transport/framed_connection/tests.rs
+++ b/src/transport/framed_connection/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_connection_at_rest_holds_no_buffer_and_wakes_for_what_comes() {
+fn idle_connection_holds_no_buffer_and_reads_what_arrives() {
     use tokio_util::codec::LinesCodec;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -13,13 +13,13 @@
             .await
             .unwrap();
         let pool = BufferPool::default();
-        let mut wire = FramedConnection::new(&pool, PlainSocket::from(listener.accept().await.unwrap().0), LinesCodec::new());
-        wire.release_buffers();
-        assert_eq!(pool.idle_buffers(), 2, "both are back");
+        let mut connection = FramedConnection::new(&pool, PlainSocket::from(listener.accept().await.unwrap().0), LinesCodec::new());
+        connection.release_buffers();
+        assert_eq!(pool.idle_buffers(), 2, "both buffers are in the pool");
         peer.write_all(b"one\ntwo\n").await.unwrap();
-        assert!(matches!(wire.next_event(ReadInterest::Items, false).await, ConnectionEvent::Item(line) if line == "one"));
-        wire.release_buffers();
-        assert_eq!(pool.idle_buffers(), 0, "not while something is in them");
-        assert!(matches!(wire.next_event(ReadInterest::Items, false).await, ConnectionEvent::Item(line) if line == "two"));
+        assert!(matches!(connection.next_event(ReadInterest::Items, false).await, ConnectionEvent::Item(line) if line == "one"));
+        connection.release_buffers();
+        assert_eq!(pool.idle_buffers(), 0, "buffers are kept while they hold data");
+        assert!(matches!(connection.next_event(ReadInterest::Items, false).await, ConnectionEvent::Item(line) if line == "two"));
     });
 }
