--- a/src/transport/client_socket.rs
+++ b/src/transport/client_socket.rs
@@ -1,6 +1,6 @@
-//! A client's socket that others may look at: before anything is begun for a client, the machine is asked whether that one
-//! has closed its connection, or has said something that is not read yet. The task that reads the socket may not have
-//! had its turn since.
+//! A client's socket that other tasks can probe. Before work is started for a client, the operating
+//! system is queried for whether the client has closed the connection or sent bytes that are not
+//! read yet: the task that reads the socket may not have been scheduled since they arrived.
 
 use crate::transport::framed_connection::Socket;
 use crate::transport::pending_input::{self, PendingInput};
@@ -12,10 +12,10 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// The socket, owned by the task that converses with the client.
+/// The socket, owned by the task that serves the client.
 pub struct ClientSocket(Rc<TcpStream>);
 
-/// A look at a client's socket. It does not keep it open.
+/// Queries the state of a client's socket without keeping the socket open.
 #[derive(Clone, Debug, Default)]
 pub struct SocketProbe(Weak<TcpStream>);
 
@@ -26,14 +26,15 @@
 }
 
 impl ClientSocket {
-    /// A probe of this socket.
+    /// Returns a probe of this socket.
     pub fn probe(&self) -> SocketProbe {
         SocketProbe(Rc::downgrade(&self.0))
     }
 }
 
 impl SocketProbe {
-    /// What the machine holds of the client, unread; a socket that is closed here has none either.
+    /// Returns the state of the socket's receive queue; [`PendingInput::Closed`] if the socket was
+    /// closed on this side.
     pub fn pending_input(&self) -> PendingInput {
         self.0
             .upgrade()
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets below any protocol: listener, connection limits, framed connections, TLS, descriptors.
+//! Sockets without protocol: listener, connection limits, framed connections, TLS and file descriptors.
 
 pub mod buffer_pool;
 pub mod client_socket;
--- a/src/transport/pending_input.rs
+++ b/src/transport/pending_input.rs
@@ -1,22 +1,22 @@
-//! What the system holds unread for a connection, past what the runtime knows of it.
+//! State of a connection's receive queue in the operating system, independent of the runtime's readiness.
 
 use std::io::ErrorKind;
 use std::mem::MaybeUninit;
 use tokio::net::TcpStream;
 
-/// What a connection has to read.
+/// State of a connection's receive queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PendingInput {
-    /// Nothing yet.
+    /// No unread bytes.
     Empty,
     /// Unread bytes.
     Bytes,
-    /// Its peer has closed or reset it.
+    /// The peer has closed or reset the connection.
     Closed,
 }
 
-/// Asks the system what it holds unread for this connection. The runtime's readiness is as old as its last poll: what
-/// has come since would be overlooked.
+/// Queries the operating system for the receive queue of this connection. The runtime's readiness
+/// dates from its last poll and would miss what has arrived since.
 pub fn peek(tcp: &TcpStream) -> PendingInput {
     let mut byte = [MaybeUninit::uninit()];
     loop {
--- a/src/transport/plain_socket.rs
+++ b/src/transport/plain_socket.rs
@@ -1,8 +1,8 @@
-//! Reads and writes of TCP sockets that system calls may interrupt or cut short.
+//! Reads and writes on TCP sockets whose system calls may be interrupted or return early.
 //!
-//! The runtime's own stream fails on an interrupted call, and takes a short read for the end of what is there: the rest
-//! would wait until more arrives. Here a call that is interrupted is made again, and only the system's own word that
-//! nothing is left ends a read.
+//! The runtime's own stream fails on an interrupted call, and treats a short read as the end of the
+//! available data: the rest would wait until more arrives. Here an interrupted call is repeated,
+//! and only `WouldBlock` counts as the end of the available data.
 
 use crate::transport::framed_connection::Socket;
 use std::io;
@@ -11,12 +11,12 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Whether a call that failed so is to be made again at once.
+/// Returns whether the call was interrupted, and is to be repeated at once.
 pub(super) fn is_interrupted(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::Interrupted
 }
 
-/// Reads what there is, at most as much as the buffer holds.
+/// Reads the available bytes, at most as many as the buffer holds.
 pub(super) fn poll_read(
     tcp: &TcpStream,
     cx: &mut Context<'_>,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Writes what the system takes.
+/// Writes as many bytes as the socket takes.
 pub(super) fn poll_write(
     tcp: &TcpStream,
     cx: &mut Context<'_>,
@@ -47,12 +47,12 @@
     }
 }
 
-/// Ends what is sent on the socket.
+/// Shuts down the sending side of the socket.
 pub(super) fn shut_down(tcp: &TcpStream) -> io::Result<()> {
     socket2::SockRef::from(tcp).shutdown(std::net::Shutdown::Write)
 }
 
-/// The socket of a connection to an engine, or of an operators' caller.
+/// The socket of a connection to an engine or from an operator.
 pub struct PlainSocket(TcpStream);
 
 impl From<TcpStream> for PlainSocket {
--- a/src/transport/stream.rs
+++ b/src/transport/stream.rs
@@ -1,4 +1,4 @@
-//! A client's connection, in the clear or in TLS.
+//! A client's connection, in plaintext or TLS.
 
 use crate::transport::client_socket::{ClientSocket, SocketProbe};
 use crate::transport::pending_input::PendingInput;
@@ -12,14 +12,15 @@
 use tokio_rustls::rustls::ServerConfig;
 use tokio_rustls::{TlsAcceptor, TlsStream};
 
-/// A connection with what was read of it too early: a client sends its first words of TLS right behind its wish for it.
+/// A connection with bytes that were read ahead: a client sends its TLS hello right behind its
+/// request for TLS.
 pub struct PrereadStream {
     bytes: BytesMut,
     tcp: ClientSocket,
 }
 
 impl PrereadStream {
-    /// A connection whose first bytes, read already, are these.
+    /// Creates a connection whose first bytes were already read.
     pub fn new(bytes: BytesMut, tcp: ClientSocket) -> Self {
         PrereadStream { bytes, tcp }
     }
@@ -27,11 +28,11 @@
 
 /// A client's connection.
 pub enum Stream {
-    /// In the clear.
+    /// Plaintext.
     Plain(ClientSocket),
-    /// In TLS.
+    /// TLS.
     Tls(Box<TlsStream<PrereadStream>>),
-    /// Its handshake failed, and nothing is left of it.
+    /// The TLS handshake failed, and the connection is closed.
     Closed,
 }
 
@@ -42,11 +43,11 @@
 }
 
 impl Stream {
-    /// Goes on in TLS, as its server; `bytes` are those that were read already: whatever stands in them is taken for
-    /// TLS, so that nothing is slipped in in the clear.
+    /// Switches to TLS as the server. `bytes` were already read, and are treated as TLS whatever
+    /// they contain, so that no plaintext can be injected before the handshake.
     ///
     /// # Errors
-    /// The handshake fails; the connection is done.
+    /// The handshake fails, and the connection is closed.
     pub async fn upgrade_to_tls(
         &mut self,
         bytes: BytesMut,
@@ -62,12 +63,12 @@
             }
             other => {
                 *self = other;
-                Err(io::Error::other("it is in TLS already"))
+                Err(io::Error::other("the connection is not in plaintext"))
             }
         }
     }
 
-    /// The certificate that the client has shown, and that was checked.
+    /// Returns the verified certificate of the client in DER form, if it presented one.
     pub fn certificate(&self) -> Option<&[u8]> {
         let Stream::Tls(tls) = self else { return None };
         tls.get_ref()
@@ -77,7 +78,7 @@
             .map(|c| c.as_ref())
     }
 
-    /// A look at its socket, in the clear or not, for whoever acts for its peer.
+    /// Returns a probe of the underlying socket, in plaintext or TLS, for tasks that work for the client.
     pub fn probe(&self) -> SocketProbe {
         match self {
             Stream::Plain(tcp) => tcp.probe(),
@@ -86,7 +87,7 @@
         }
     }
 
-    /// What the machine holds unread of the peer, in the clear or not.
+    /// Returns the state of the socket's receive queue, in plaintext or TLS.
     pub fn pending_input(&self) -> PendingInput {
         self.probe().pending_input()
     }
