--- a/src/transport/connection_limiter.rs
+++ b/src/transport/connection_limiter.rs
@@ -1,7 +1,9 @@
-//! Limits clients' connections: how many there may be, and which one is evicted for a new one at the limit.
+//! Limits the number of client connections, and selects the connection to evict for a new one at
+//! the limit.
 //!
-//! A [`ConnectionLimiter`] gives each connection a [`ConnectionPermit`], held through a [`PermitGuard`]. An evicted
-//! connection keeps its permit until it has ended, since it holds a descriptor until then.
+//! A [`ConnectionLimiter`] issues a [`ConnectionPermit`] for each connection, held through a
+//! [`PermitGuard`]. An evicted connection keeps its permit until it has closed, because it holds a
+//! descriptor until then.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -12,51 +14,53 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// An evicted connection ends within this, or another is evicted as well. A request that crosses the close by no more
-/// is retried by its client.
+/// Time for an evicted connection to close before another one is evicted as well. A client whose
+/// request crosses the close within this time retries it.
 pub const EVICTION_GRACE: Duration = Duration::from_millis(50);
 
-/// What a connection is used for. The least are evicted first.
+/// What a connection is used for. Connections with the lowest activity are evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Activity {
-    /// Its client has never sent a complete request.
+    /// The client has never sent a complete request.
     NoRequest,
-    /// Its client has asked whether the dispatcher is ready, or sent requests that could not be used, and no more.
+    /// The client has only sent readiness probes or invalid requests.
     Probed,
-    /// No request is open on it.
+    /// No request is open on the connection.
     Idle,
-    /// A request is open on it.
+    /// A request is open on the connection.
     Busy,
 }
 
-/// One connection's permit.
+/// The permit of one connection.
 pub struct ConnectionPermit {
     activity: Cell<Activity>,
-    /// Since when it has had this activity.
+    /// When the connection entered its current activity.
     active_since: Cell<Instant>,
-    /// Notified once the connection is evicted, for the task that serves it.
+    /// Notified when the connection is evicted, for the task that serves it.
     pub eviction: Notify,
-    /// The same, for [`ConnectionPermit::evicted_before_request`].
+    /// Notified when the connection is evicted, for [`ConnectionPermit::evicted_before_request`].
     eviction_notice: Notify,
     evicted_at: Cell<Option<Instant>>,
     limiter: Rc<ConnectionLimiter>,
 }
 
-/// Limits the connections of one listening address.
+/// Limits the number of connections of one listening address.
 pub struct ConnectionLimiter {
     limit: Cell<usize>,
-    /// Connections of this activity, and of all below it, may be evicted.
+    /// The highest activity of a connection that may be evicted.
     evictable: Activity,
-    /// All connections, evicted ones included until they have ended.
+    /// Permits of all connections, including evicted ones that have not closed yet.
     permits: RefCell<Vec<Rc<ConnectionPermit>>>,
-    /// Accepted, and waiting for another to end: the listen queue has no other way to tell that a client is there.
+    /// A connection that was accepted and waits for another to close: accepting it is the only way
+    /// to detect a waiting client in the listen queue.
     pending_accept: RefCell<Option<TcpStream>>,
-    /// Notified when a permit is free, a connection is idle or the limit has changed.
+    /// Notified when a permit is freed, a connection becomes idle or the limit changes.
     freed: Notify,
 }
 
 impl ConnectionLimiter {
-    /// A limiter for `limit` connections that evicts those with at most the activity `evictable`.
+    /// Creates a limiter for `limit` connections that evicts only connections with at most the
+    /// activity `evictable`.
     pub fn new(limit: usize, evictable: Activity) -> Rc<Self> {
         Rc::new(ConnectionLimiter {
             limit: Cell::new(limit),
@@ -67,20 +71,21 @@
         })
     }
 
-    /// Sets the limit. Connections beyond a lower one are evicted at once, as far as they may be.
+    /// Sets the limit. If it is lower than before, excess connections that may be evicted are
+    /// evicted at once.
     pub fn set_limit(&self, limit: usize) {
         self.limit.set(limit);
         while self.not_evicted() > limit && self.evict_one() {}
         self.freed.notify_one();
     }
 
-    /// Connections that have not been evicted.
+    /// Returns the number of connections that have not been evicted.
     fn not_evicted(&self) -> usize {
         let permits = self.permits.borrow();
         permits.iter().filter(|permit| !permit.is_evicted()).count()
     }
 
-    /// Whether a new connection would get a permit, if need be by the eviction of another.
+    /// Returns whether a new connection would get a permit, possibly by evicting another connection.
     pub fn has_capacity(&self) -> bool {
         let permits = self.permits.borrow();
         permits.len() < self.limit.get()
@@ -89,12 +94,13 @@
                 .any(|permit| permit.activity() <= self.evictable)
     }
 
-    /// Accepts a connection once there is a permit for it. It stays in the listen queue until one could be evicted for
-    /// it: there another process that holds the same listening socket may accept it. It is served once the evicted one
-    /// has ended; until then one descriptor more than the limit is held.
+    /// Accepts a connection once a permit is available for it. Until a connection can be evicted
+    /// for it, the new one stays in the listen queue, where another process with the same listening
+    /// socket can accept it. The new connection is served once the evicted one has closed; until
+    /// then, one descriptor more than the limit is held.
     ///
     /// # Errors
-    /// The system cannot accept, for want of descriptors or memory.
+    /// The operating system cannot accept a connection, for lack of descriptors or memory.
     pub async fn accept(
         self: &Rc<Self>,
         listener: &TcpListener,
@@ -123,7 +129,7 @@
         }
     }
 
-    /// The next connection, not looked for while there is no capacity.
+    /// Accepts the next connection; the listening socket is not polled while there is no capacity.
     async fn accept_with_capacity(&self, listener: &TcpListener) -> io::Result<TcpStream> {
         poll_fn(|context| {
             if self.has_capacity() {
@@ -136,7 +142,7 @@
         .map(|(tcp, _)| tcp)
     }
 
-    /// Whether an evicted connection still has time to end.
+    /// Returns whether an evicted connection is still within [`EVICTION_GRACE`].
     fn is_eviction_underway(&self) -> bool {
         let permits = self.permits.borrow();
         permits
@@ -145,12 +151,13 @@
             .any(|at| at.elapsed() < EVICTION_GRACE)
     }
 
-    /// The connection that was accepted and waits for a permit, if any: what has been accepted is served.
+    /// Takes the connection that was accepted and waits for a permit, if any: an accepted
+    /// connection is always served.
     pub fn take_pending_accept(&self) -> Option<TcpStream> {
         self.pending_accept.take()
     }
 
-    /// A permit for a new connection; `None` if at the limit no other may be evicted for it.
+    /// Issues a permit for a new connection; `None` if the limit is reached and no connection may be evicted.
     pub fn try_acquire(self: &Rc<Self>, now: Instant) -> Option<PermitGuard> {
         if self.not_evicted() >= self.limit.get() && !self.evict_one() {
             return None;
@@ -158,7 +165,8 @@
         Some(self.acquire_beyond_limit(now))
     }
 
-    /// A permit whatever the limit: for connections that the system has accepted when the process shuts down.
+    /// Issues a permit regardless of the limit, for connections that the operating system has
+    /// accepted when the process shuts down.
     pub fn acquire_beyond_limit(self: &Rc<Self>, now: Instant) -> PermitGuard {
         let permit = Rc::new(ConnectionPermit {
             activity: Cell::new(Activity::NoRequest),
@@ -172,13 +180,13 @@
         PermitGuard(permit)
     }
 
-    /// Evicts the connection that has been without a request for longest, else the one that has been idle for longest:
-    /// clients that connect and send nothing, or keep what they used once, must not shut others out. False if none may
-    /// be evicted.
+    /// Evicts the connection that has been without a request for longest, or else the one that has
+    /// been idle for longest: clients that connect and send nothing, or keep an idle connection,
+    /// must not lock out others. Returns false if no connection may be evicted.
     pub fn evict_one(&self) -> bool {
         let permits = self.permits.borrow();
-        // By age among those without a request, probed or not: in a burst of clients that ask and stay, the youngest
-        // is likely to be a client on its way to ask.
+        // Connections without a request are ranked by age, probed or not: in a burst of clients
+        // that probe and stay connected, the youngest is probably about to send its first request.
         let rank = |permit: &ConnectionPermit| {
             (
                 permit.activity().max(Activity::Probed),
@@ -200,7 +208,7 @@
 }
 
 impl ConnectionPermit {
-    /// Sets what the connection is used for from now on.
+    /// Sets the activity of the connection from `now` on.
     pub fn set_activity(&self, activity: Activity, now: Instant) {
         self.activity.set(activity);
         self.active_since.set(now);
@@ -209,34 +217,34 @@
         }
     }
 
-    /// Completes when the connection is evicted and its client has never sent a complete request: nothing is owed then,
-    /// and the rest of a request that has begun is not waited for.
+    /// Completes when the connection is evicted and its client has never sent a complete request.
+    /// Such a client has no pending answer, and the rest of a partial request is not awaited.
     pub async fn evicted_before_request(&self) {
         self.eviction_notice.notified().await;
-        // After that the runtime has seen all that the machine holds unread.
+        // After the yield, the runtime has polled all input that the operating system held at the eviction.
         tokio::task::yield_now().await;
         if self.activity() != Activity::NoRequest {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Whether the connection has been evicted.
+    /// Returns whether the connection has been evicted.
     pub fn is_evicted(&self) -> bool {
         self.evicted_at.get().is_some()
     }
 
-    /// What the connection is used for.
+    /// Returns the current activity of the connection.
     pub fn activity(&self) -> Activity {
         self.activity.get()
     }
 
-    /// Since when it has been used for that.
+    /// Returns when the connection entered its current activity.
     pub fn active_since(&self) -> Instant {
         self.active_since.get()
     }
 }
 
-/// Holds a permit; dropping it frees the permit.
+/// Holds a permit and frees it on drop.
 pub struct PermitGuard(Rc<ConnectionPermit>);
 
 impl std::ops::Deref for PermitGuard {
--- a/src/transport/connection_limiter/tests.rs
+++ b/src/transport/connection_limiter/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn at_the_bound_the_silent_give_way_then_the_longest_idle_and_never_the_busy() {
+fn eviction_prefers_clients_without_requests_then_the_longest_idle_and_never_busy_ones() {
     let (limiter, now) = (ConnectionLimiter::new(3, Activity::Idle), Instant::now());
     let at = |s| now + Duration::from_secs(s);
     let three: Vec<PermitGuard> = (0..3)
@@ -9,30 +9,39 @@
         .collect();
     three[0].set_activity(Activity::Idle, at(5));
     three[1].set_activity(Activity::Idle, at(4));
-    let cut = |p: &PermitGuard| {
+    let notified = |p: &PermitGuard| {
         use futures_util::FutureExt;
         p.eviction.notified().now_or_never().is_some()
     };
     let fourth = limiter.try_acquire(at(6)).unwrap();
-    assert!(cut(&three[2]), "never asked anything");
+    assert!(notified(&three[2]), "the client has sent no request");
     fourth.set_activity(Activity::Busy, at(6));
     let fifth = limiter.try_acquire(at(7)).unwrap();
-    assert!(cut(&three[1]) && !cut(&three[0]), "idle for longest");
+    assert!(
+        notified(&three[1]) && !notified(&three[0]),
+        "the connection has been idle for longest"
+    );
     fifth.set_activity(Activity::Busy, at(7));
     three[0].set_activity(Activity::Busy, at(8));
-    assert!(limiter.try_acquire(at(9)).is_none(), "all are busy");
+    assert!(
+        limiter.try_acquire(at(9)).is_none(),
+        "all connections are busy"
+    );
     drop(fourth);
     let sixth = limiter.try_acquire(at(9)).unwrap();
     sixth.set_activity(Activity::Probed, at(10));
     drop(fifth);
-    let young = limiter.try_acquire(at(11)).unwrap();
+    let younger = limiter.try_acquire(at(11)).unwrap();
     let _seventh = limiter.try_acquire(at(12)).unwrap();
-    assert!(cut(&sixth) && !cut(&young), "older, and no more than asked");
+    assert!(
+        notified(&sixth) && !notified(&younger),
+        "the older of two clients without a request is evicted, although it has probed"
+    );
 }
 
-/// Guards against a connection that is taken off the queue, has no permit, and is lost when accepting ends.
+/// Guards against a connection that is accepted without a permit and lost when the listener closes.
 #[test]
-fn without_a_place_a_connection_stays_in_the_queue_for_others() {
+fn connection_without_a_permit_stays_in_the_listen_queue_for_other_processes() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -49,21 +58,22 @@
         busy.set_activity(Activity::Busy, Instant::now());
         let _b = TcpStream::connect(at).await.unwrap();
         tokio::select! {
-            _ = limiter.accept(&here) => panic!("there is no permit"),
+            _ = limiter.accept(&here) => panic!("accepted without a permit"),
             taken = other.accept() => assert!(taken.is_ok()),
         }
         let _c = TcpStream::connect(at).await.unwrap();
         let (free, accepted) = (async { drop(busy) }, limiter.accept(&here));
         assert!(
             tokio::join!(free, accepted).1.is_ok(),
-            "once a place is free"
+            "accepted once a permit is free"
         );
     });
 }
 
-/// Guards against clients that hold more descriptors than their share: what has to go counts until it has gone.
+/// Guards against clients that hold more descriptors than their budget: an evicted connection
+/// counts until it closes.
 #[test]
-fn one_that_goes_holds_its_place_until_it_has_gone_and_another_is_told_beside_it() {
+fn evicted_connection_holds_its_permit_until_it_closes_and_a_second_one_is_evicted_meanwhile() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -90,16 +100,16 @@
             tokio::time::timeout(soon, limiter.accept(&listener))
                 .await
                 .is_err(),
-            "it has not gone"
+            "the evicted connection has not closed"
         );
-        let told = taken
+        let evicted = taken
             .iter()
             .filter(|t| t.1.evicted_at.get().is_some())
             .count();
         assert_eq!(
-            (told, limiter.permits.borrow().len()),
+            (evicted, limiter.permits.borrow().len()),
             (1, 2),
-            "one is told, and holds its permit"
+            "one connection is evicted and still holds its permit"
         );
         assert!(
             tokio::time::timeout(2 * EVICTION_GRACE, limiter.accept(&listener))
@@ -108,14 +118,14 @@
         );
         assert!(
             taken.iter().all(|t| t.1.evicted_at.get().is_some()),
-            "the other is told as well"
+            "the other connection is evicted as well"
         );
         drop(taken.pop());
         let (tcp, permit) = limiter.accept(&listener).await.unwrap();
         assert_eq!(
             tcp.peer_addr().unwrap(),
             clients[2].local_addr().unwrap(),
-            "it kept its turn"
+            "clients are served in the order of their arrival"
         );
         permit.set_activity(Activity::Busy, Instant::now());
         assert!(
@@ -125,14 +135,15 @@
         );
         assert!(
             limiter.take_pending_accept().is_some(),
-            "the last was accepted, and is served at the end"
+            "the last connection was accepted and is available at shutdown"
         );
     });
 }
 
-/// A lower bound, and the place of one that has asked nothing whole: it ends though its client has begun a frame.
+/// A lowered limit evicts at once, and a connection without a complete request closes even if a
+/// frame has begun.
 #[test]
-fn a_lower_bound_is_kept_at_once_and_only_the_silent_are_not_waited_for() {
+fn lowered_limit_evicts_at_once_and_only_clients_without_requests_close_immediately() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -143,20 +154,20 @@
         four[0].set_activity(Activity::Busy, now);
         four[1].set_activity(Activity::Idle, now);
         limiter.set_limit(1);
-        let told: Vec<_> = four.iter().map(|p| p.evicted_at.get().is_some()).collect();
-        assert_eq!(told, [false, true, true, true]);
+        let evicted: Vec<_> = four.iter().map(|p| p.evicted_at.get().is_some()).collect();
+        assert_eq!(evicted, [false, true, true, true]);
         let soon = Duration::from_millis(20);
         assert!(
             tokio::time::timeout(soon, four[2].evicted_before_request())
                 .await
                 .is_ok(),
-            "silent"
+            "a client without a request is not awaited"
         );
         assert!(
             tokio::time::timeout(soon, four[1].evicted_before_request())
                 .await
                 .is_err(),
-            "it may owe something"
+            "an idle client may have a pending answer"
         );
     });
 }
