--- a/src/transport/descriptors/tests.rs
+++ b/src/transport/descriptors/tests.rs
@@ -1,27 +1,33 @@
 use super::*;
 
 #[test]
-fn all_shares_together_are_within_the_limit() {
+fn sum_of_all_budgets_is_within_the_limit() {
     for limit in 64..5000 {
-        let s = DescriptorBudget::per_process(limit, 1);
+        let budget = DescriptorBudget::per_process(limit, 1);
         assert!(
-            RESERVED + s.clients + s.final_clients + s.operators + s.engines <= limit,
-            "{limit}: {s:?}"
+            RESERVED + budget.clients + budget.final_clients + budget.operators + budget.engines
+                <= limit,
+            "{limit}: {budget:?}"
         );
         assert!(
-            s.clients > limit / 3,
-            "the protocol's third: {limit}: {s:?}"
+            budget.clients > limit / 3,
+            "the protocol allows clients a third of the limit: {limit}: {budget:?}"
         );
         assert!(
-            s.operators > 1 && s.final_clients > 0 && s.engines >= MIN_ENGINES,
-            "{limit}: {s:?}"
+            budget.operators > 1 && budget.final_clients > 0 && budget.engines >= MIN_ENGINES,
+            "{limit}: {budget:?}"
         );
     }
     for limit in 128..5000 {
-        let s = DescriptorBudget::per_process(limit, 2);
+        let budget = DescriptorBudget::per_process(limit, 2);
         assert!(
-            2 * (RESERVED + s.clients + s.final_clients + s.operators + s.engines) <= limit,
-            "{limit}: {s:?}"
+            2 * (RESERVED
+                + budget.clients
+                + budget.final_clients
+                + budget.operators
+                + budget.engines)
+                <= limit,
+            "{limit}: {budget:?}"
         );
     }
     assert_eq!(
@@ -45,16 +51,18 @@
 }
 
 #[test]
-fn the_machines_limit_is_read_and_what_tells_none_binds_nothing() {
+fn system_limit_is_parsed_and_a_missing_one_does_not_constrain() {
     let text = "Limit                     Soft Limit           Hard Limit           Units\n\
                 Max processes             1024                 1024                 processes\n\
                 Max open files            64                   524288               files\n";
-    assert_eq!(parse(text), Some(64));
+    assert_eq!(parse_open_files_limit(text), Some(64));
     assert_eq!(
-        parse("Max open files            unlimited            unlimited            files\n"),
+        parse_open_files_limit(
+            "Max open files            unlimited            unlimited            files\n"
+        ),
         None
     );
-    assert_eq!(parse(""), None);
+    assert_eq!(parse_open_files_limit(""), None);
     assert!(
         effective_limit(usize::MAX, 0) >= 64
             && effective_limit(64, 0) == 64
