--- a/src/transport/listener.rs
+++ b/src/transport/listener.rs
@@ -1,5 +1,6 @@
-//! The clients' listening socket: bound here, or inherited from a platform that holds it for all processes of
-//! this dispatcher, so that no connection is refused while one takes over from the other.
+//! The listening socket for clients: bound by this process, or inherited from a platform that holds
+//! it for all processes of this dispatcher, so that no connection is refused while one
+//! process replaces another.
 
 use rustix::net::sockopt::socket_acceptconn;
 use rustix::process::{PidfdFlags, PidfdGetfdFlags, getpid, pidfd_getfd, pidfd_open};
@@ -8,45 +9,48 @@
 use std::os::fd::{OwnedFd, RawFd};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Connections that the machine accepts before the program does: as many as the platform's descriptors.
-const QUEUE: u32 = 1024;
+/// Length of the listen queue: as many connections as the platform has descriptors.
+const LISTEN_BACKLOG: u32 = 1024;
 
-/// Why the clients' listening socket cannot be had.
+/// Why the listening socket for clients could not be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum ListenError {
     /// The address cannot be bound.
-    #[error("listen {0}: {1}")]
+    #[error("listen {0}: the address cannot be bound: {1}")]
     Bind(SocketAddr, io::Error),
     /// The inherited descriptor cannot be duplicated.
-    #[error("descriptor {0} cannot be taken: {1}")]
+    #[error("inherited descriptor {0} cannot be duplicated: {1}")]
     Descriptor(RawFd, io::Error),
-    /// The inherited descriptor is something else.
-    #[error("descriptor {0} is no listening socket")]
+    /// The inherited descriptor is not a listening socket.
+    #[error("inherited descriptor {0} is not a listening socket")]
     NoListener(RawFd),
     /// The inherited socket listens on another address than configured.
-    #[error("descriptor {0} listens on {1}, not on {2}")]
+    #[error("inherited descriptor {0} listens on {1}, but {2} is configured")]
     Address(RawFd, SocketAddr, SocketAddr),
-    /// Duplicating descriptors is refused, and the address cannot be bound either.
-    #[error("descriptor {0} cannot be taken ({1}), and listen {2} cannot be bound instead: {3}")]
+    /// The system call that duplicates descriptors is rejected, and the address cannot be bound either.
+    #[error(
+        "inherited descriptor {0} cannot be duplicated ({1}), and listen {2} cannot be bound instead: {3}"
+    )]
     Fallback(RawFd, io::Error, SocketAddr, io::Error),
 }
 
-/// A safe duplicate of this process's own descriptor `number`.
+/// Duplicates this process's descriptor `number` without unsafe code.
 fn duplicate(number: RawFd) -> io::Result<OwnedFd> {
     let own = pidfd_open(getpid(), PidfdFlags::empty())?;
     Ok(pidfd_getfd(own, number, PidfdGetfdFlags::empty())?)
 }
 
-/// Whether the system call was refused as such rather than failing on this descriptor: not there (ENOSYS, as a
-/// filter answers), or not permitted (EPERM, as a stricter filter or a security module answers).
-fn refused(e: &io::Error) -> bool {
+/// Returns whether the system call itself was rejected, rather than failing for this descriptor: it
+/// is unavailable (ENOSYS, as a system-call filter returns) or not permitted (EPERM, as a stricter
+/// filter or a security module returns).
+fn is_call_rejected(e: &io::Error) -> bool {
     use rustix::io::Errno;
     let code = e.raw_os_error();
     code == Some(Errno::NOSYS.raw_os_error()) || code == Some(Errno::PERM.raw_os_error())
 }
 
-/// Listens at this address with a queue for a whole crowd: a client that finds it full is only taken by the machine at
-/// its next try, a second later.
+/// Listens on this address with a queue for a burst of clients: the operating system accepts a
+/// client that finds the queue full only at its next attempt, a second later.
 fn bind(at: SocketAddr) -> io::Result<TcpListener> {
     let socket = if at.is_ipv4() {
         TcpSocket::new_v4()
@@ -55,36 +59,38 @@
     }?;
     socket.set_reuseaddr(true)?;
     socket.bind(at)?;
-    socket.listen(QUEUE)
+    socket.listen(LISTEN_BACKLOG)
 }
 
-/// Listens at this address, on the inherited descriptor if there is one. That one is never shut down: it is the
-/// other process's and the platform's as well.
+/// Listens on this address, on the inherited descriptor if there is one. An inherited socket is
+/// never shut down, because it is shared with the other process and the platform.
 ///
 /// # Errors
 /// The address cannot be bound, or the descriptor is not a listening socket on it.
 pub async fn listen(at: SocketAddr, inherited: Option<RawFd>) -> Result<TcpListener, ListenError> {
-    listen_taking(at, inherited, duplicate).await
+    listen_with(at, inherited, duplicate).await
 }
 
-/// [`listen`], with the way a descriptor is taken passed in.
-async fn listen_taking(
+/// Implements [`listen`] with a replaceable function that duplicates a descriptor.
+async fn listen_with(
     at: SocketAddr,
     inherited: Option<RawFd>,
-    take: impl Fn(RawFd) -> io::Result<OwnedFd>,
+    duplicate: impl Fn(RawFd) -> io::Result<OwnedFd>,
 ) -> Result<TcpListener, ListenError> {
     let Some(number) = inherited else {
         return bind(at).map_err(|e| ListenError::Bind(at, e));
     };
     let failed = |e: io::Error| ListenError::Descriptor(number, e);
-    // By its number alone it could only be owned unsafely; asked for from ourselves it is a safe duplicate.
-    let socket = match take(number) {
+    // Taking ownership of a descriptor by its number is unsafe; `pidfd_getfd` on this process
+    // returns a duplicate safely.
+    let socket = match duplicate(number) {
         Ok(socket) => socket,
-        Err(e) if refused(&e) => {
-            // A system-call filter (such as the fleet bench's) or a kernel before 5.6: the address is bound
-            // here instead, which works wherever the holder lets others bind it too.
+        Err(e) if is_call_rejected(&e) => {
+            // A system-call filter (such as the fleet bench's) rejects the call, or the kernel is
+            // older than 5.6. The address is bound instead, which works if the owner of the socket
+            // lets others bind it too.
             crate::log_line!(
-                "descriptor {number}: pidfd_getfd is refused ({e}); listening on {at} without it"
+                "descriptor {number}: pidfd_getfd is rejected ({e}); binding {at} instead"
             );
             return bind(at).map_err(|b| ListenError::Fallback(number, e, at, b));
         }
@@ -102,10 +108,12 @@
     TcpListener::from_std(listener).map_err(failed)
 }
 
-/// Accepts in a row that may fail before the rest of the queue is left: a failure passes, or takes one connection with it.
-const MAX_FAILED_ACCEPTS: usize = 16;
+/// Maximum number of consecutive failures before the rest of the queue is abandoned: a failure is
+/// transient or affects a single connection.
+const MAX_CONSECUTIVE_FAILURES: usize = 16;
 
-/// Whether an accept failed for that one connection or call alone, so that the next may succeed at once.
+/// Returns whether the error affects only one connection or call, so that the next accept may
+/// succeed at once.
 pub fn is_momentary(error: &io::Error) -> bool {
     matches!(
         error.kind(),
@@ -113,20 +121,22 @@
     )
 }
 
-/// Whether an accept failed since this process holds as many descriptors as it may.
+/// Returns whether an accept failed because the process has reached its limit of descriptors.
 pub fn is_out_of_descriptors(error: &io::Error) -> bool {
     error.raw_os_error() == Some(rustix::io::Errno::MFILE.raw_os_error())
 }
 
-/// Closes the listening socket and gives what the machine has accepted on it by now, `most` at most: a client counts
-/// those as accepted, and asks on them. The socket itself is asked, for the runtime may not have heard of the last yet.
-pub fn accepted(listener: TcpListener, most: usize) -> Vec<TcpStream> {
+/// Closes the listening socket and returns the connections that the operating system has accepted
+/// on it, `limit` at most: for their clients they are established, and may carry requests already.
+/// The socket itself is polled, because the runtime may not have been notified of the latest
+/// connections.
+pub fn accepted(listener: TcpListener, limit: usize) -> Vec<TcpStream> {
     let Ok(listener) = listener.into_std() else {
         return vec![];
     };
     let mut all = vec![];
     let mut failures = 0;
-    while all.len() < most && failures < MAX_FAILED_ACCEPTS {
+    while all.len() < limit && failures < MAX_CONSECUTIVE_FAILURES {
         match listener.accept() {
             Ok((tcp, _)) => {
                 failures = 0;
@@ -136,7 +146,8 @@
                 );
             }
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
-            // One that has gone again meanwhile costs those behind it nothing, nor does a shortage that passes.
+            // An aborted connection or a transient shortage of resources must not lose the
+            // connections queued behind.
             Err(_) => failures += 1,
         }
     }
--- a/src/transport/listener/tests.rs
+++ b/src/transport/listener/tests.rs
@@ -2,7 +2,7 @@
 use std::os::fd::AsRawFd;
 
 #[test]
-fn an_inherited_socket_is_taken_only_if_it_is_the_one() {
+fn inherited_descriptor_is_used_only_if_it_listens_on_the_address() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -10,13 +10,13 @@
     runtime.block_on(async {
         let held = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let (at, number) = (held.local_addr().unwrap(), held.as_raw_fd());
-        let taken = listen(at, Some(number)).await.unwrap();
+        let inherited = listen(at, Some(number)).await.unwrap();
         let client = tokio::net::TcpStream::connect(at);
-        assert!(tokio::join!(client, taken.accept()).1.is_ok());
-        drop(taken);
+        assert!(tokio::join!(client, inherited.accept()).1.is_ok());
+        drop(inherited);
         assert!(
             std::net::TcpStream::connect(at).is_ok(),
-            "it still listens for the others"
+            "the socket still listens for the other processes"
         );
         let other = "127.0.0.1:1".parse().unwrap();
         assert!(matches!(
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_refused_pidfd_getfd_binds_the_address_and_a_held_one_names_both_errors() {
+fn rejected_pidfd_getfd_binds_the_address_and_an_address_in_use_reports_both_errors() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -43,7 +43,7 @@
         let errno =
             |e: rustix::io::Errno| move |_| Err(io::Error::from_raw_os_error(e.raw_os_error()));
         let free = "127.0.0.1:0".parse().unwrap();
-        let bound = listen_taking(free, Some(7), errno(rustix::io::Errno::NOSYS))
+        let bound = listen_with(free, Some(7), errno(rustix::io::Errno::NOSYS))
             .await
             .unwrap();
         let at = bound.local_addr().unwrap();
@@ -51,45 +51,46 @@
             tokio::join!(tokio::net::TcpStream::connect(at), bound.accept())
                 .1
                 .is_ok(),
-            "it serves"
+            "the bound socket accepts connections"
         );
-        let held = listen_taking(at, Some(7), errno(rustix::io::Errno::PERM)).await;
+        let held = listen_with(at, Some(7), errno(rustix::io::Errno::PERM)).await;
         match held {
-            Err(ListenError::Fallback(7, first, told, second)) => {
+            Err(ListenError::Fallback(7, first, address, second)) => {
                 assert_eq!(
-                    (first.raw_os_error(), told),
+                    (first.raw_os_error(), address),
                     (Some(rustix::io::Errno::PERM.raw_os_error()), at)
                 );
                 assert_eq!(second.kind(), io::ErrorKind::AddrInUse);
             }
             other => panic!("{other:?}"),
         }
-        let wrong = listen_taking(free, Some(7), errno(rustix::io::Errno::BADF)).await;
+        let wrong = listen_with(free, Some(7), errno(rustix::io::Errno::BADF)).await;
         assert!(
             matches!(wrong, Err(ListenError::Descriptor(7, _))),
-            "a wrong number is no reason to bind"
+            "an invalid descriptor must not lead to binding the address"
         );
     });
 }
 
 #[test]
-fn only_a_refused_call_falls_back() {
+fn only_a_rejected_system_call_leads_to_the_fallback() {
     let code = |errno: rustix::io::Errno| io::Error::from_raw_os_error(errno.raw_os_error());
     assert!(
-        refused(&code(rustix::io::Errno::NOSYS)),
-        "what the fleet bench's filter answers"
+        is_call_rejected(&code(rustix::io::Errno::NOSYS)),
+        "the error that the fleet bench's filter returns"
     );
-    assert!(refused(&code(rustix::io::Errno::PERM)));
+    assert!(is_call_rejected(&code(rustix::io::Errno::PERM)));
     assert!(
-        !refused(&code(rustix::io::Errno::BADF)),
-        "a wrong number is the operator's to mend"
+        !is_call_rejected(&code(rustix::io::Errno::BADF)),
+        "an invalid descriptor is an error of the operator"
     );
-    assert!(!refused(&io::Error::other("no number")));
+    assert!(!is_call_rejected(&io::Error::other("no number")));
 }
 
-/// Each would otherwise be let in a second later, by its second try.
+/// Guards against a short listen queue: clients that find it full connect a second later, at their
+/// second attempt.
 #[test]
-fn a_crowd_finds_room_in_the_queue_before_any_is_accepted() {
+fn burst_of_clients_fits_into_the_listen_queue() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -97,12 +98,16 @@
     runtime.block_on(async {
         let listener = listen("127.0.0.1:0".parse().unwrap(), None).await.unwrap();
         let at = listener.local_addr().unwrap();
-        let most = std::fs::read_to_string("/proc/sys/net/core/somaxconn").unwrap();
-        let crowd = most.trim().parse().unwrap_or(QUEUE as usize).min(300);
+        let limit = std::fs::read_to_string("/proc/sys/net/core/somaxconn").unwrap();
+        let burst = limit
+            .trim()
+            .parse()
+            .unwrap_or(LISTEN_BACKLOG as usize)
+            .min(300);
         let wait = std::time::Duration::from_millis(500);
-        let all: Vec<_> = (0..crowd)
+        let all: Vec<_> = (0..burst)
             .map(|_| std::net::TcpStream::connect_timeout(&at, wait))
             .collect();
-        assert!(all.iter().all(Result::is_ok), "{crowd} at once");
+        assert!(all.iter().all(Result::is_ok), "{burst} connections at once");
     });
 }
