--- a/src/certificates/expiry/tests.rs
+++ b/src/certificates/expiry/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_certificate_is_accepted_within_its_validity_period() {
+fn certificate_is_accepted_within_its_validity_period() {
     let validity = Validity {
         not_before: 10.0 * DAY_MS,
         not_after: 20.0 * DAY_MS,
@@ -10,7 +10,7 @@
     assert_eq!(
         check_validity(10.0 * DAY_MS - HOUR_MS / 2.0, validity),
         Ok(()),
-        "a clock half an hour behind"
+        "a clock half an hour behind is tolerated"
     );
     assert_eq!(
         check_validity(9.0 * DAY_MS, validity),
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_expiry_is_warned_of_once_for_each_milestone() {
+fn expiry_warning_is_due_once_per_milestone() {
     const HOURS: u32 = 2424;
     let mut warning = ExpiryWarning::default();
     let not_after = 100.0 * DAY_MS;
--- a/src/certificates/host_names.rs
+++ b/src/certificates/host_names.rs
@@ -3,7 +3,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Whether a DNS name of a certificate matches this host. The comparison ignores case; `*.` matches exactly one label.
+/// Returns whether a DNS name of a certificate matches this host, ignoring case. `*.` matches
+/// exactly one label.
 pub fn name_matches_host(name: &str, host: &str) -> bool {
     let wildcard_parent = name.strip_prefix("*.");
     match (wildcard_parent, host.split_once('.')) {
@@ -14,9 +15,10 @@
     }
 }
 
-/// The index of the certificate for a client that asks for this host: the first one with a matching name, else 0.
+/// Returns the index of the certificate for a client that requests this host: the first one with a
+/// matching name, or else 0.
 ///
-/// `certificate_names` has the DNS names of each certificate.
+/// `certificate_names` are the DNS names of each certificate.
 pub fn select_for_host<'a>(
     certificate_names: impl IntoIterator<Item = &'a [String]>,
     host: Option<&str>,
--- a/src/certificates/host_names/tests.rs
+++ b/src/certificates/host_names/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_name_matches_its_host_and_a_wildcard_matches_one_label() {
+fn name_matches_its_host_and_a_wildcard_matches_one_label() {
     for (name, host, expected) in [
         ("db.example", "DB.example", true),
         ("*.example", "db.example", true),
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn the_first_certificate_with_a_matching_name_is_selected() {
+fn first_certificate_with_a_matching_name_is_selected() {
     let certificates = [
         vec!["a.example".to_string()],
         vec!["b.example".into(), "*.c.example".into()],
--- a/src/certificates/mod.rs
+++ b/src/certificates/mod.rs
@@ -1,7 +1,8 @@
-//! TLS certificates: which may be put into service, which one a client gets, and when to warn of their expiry.
+//! Rules for TLS certificates: which are accepted, which one a client receives, and when their
+//! expiry is reported.
 //!
-//! Everything here is pure: the time and the fields of a certificate are parameters. Times are [`Millis`] on the Unix
-//! clock.
+//! All functions are pure: the time and the fields of a certificate are parameters. Times are
+//! [`Millis`] since the Unix epoch.
 
 mod expiry;
 mod host_names;
--- a/src/transport/tls.rs
+++ b/src/transport/tls.rs
@@ -1,5 +1,6 @@
-//! Certificates and private keys of the MySQL listener: loaded together from their files, and replaced while serving
-//! without affecting open sessions. [`crate::certificates`] decides which are accepted and when expiry is reported.
+//! Certificates and private keys of the MySQL listener: loaded together from their files, and
+//! replaced while serving without affecting open sessions. [`crate::certificates`] decides which
+//! are accepted and when expiry is reported.
 
 use crate::certificates::{self, CertificateError, ExpiryWarning, Validity};
 use crate::clock::wall_clock_millis;
@@ -32,19 +33,19 @@
     File(PathBuf, std::io::Error),
     /// The file is larger than 1 MiB.
     #[error("{0}: larger than 1 MiB")]
-    Large(PathBuf),
+    TooLarge(PathBuf),
     /// The file is not valid PEM, or has no private key where one is expected.
     #[error("{0}: {1}")]
     Pem(PathBuf, pem::Error),
     /// The file has no certificate.
-    #[error("{0}: no certificate stands in it")]
-    Empty(PathBuf),
+    #[error("{0}: contains no certificate")]
+    NoCertificate(PathBuf),
     /// The certificate is not accepted, for instance because it has expired.
     #[error("{0}: {1}")]
-    CertificateError(PathBuf, CertificateError),
+    Rejected(PathBuf, CertificateError),
     /// The certificate is not valid X.509.
-    #[error("{0}: the certificate cannot be read")]
-    Certificate(PathBuf),
+    #[error("{0}: the first certificate is not valid X.509")]
+    InvalidCertificate(PathBuf),
     /// The private key cannot be used or does not belong to the certificate, or a CA certificate is invalid.
     #[error("{0}: {1}")]
     Key(PathBuf, rustls::Error),
@@ -56,9 +57,9 @@
     Rustls(#[from] rustls::Error),
 }
 
-/// Selects the certificate by the server name (SNI) that the client asks for.
+/// Selects the certificate by the server name (SNI) in the client hello.
 #[derive(Debug)]
-struct Resolver(Vec<NamedKey>);
+struct SniResolver(Vec<NamedKey>);
 
 /// A certificate with its key, and the DNS names that it is valid for.
 #[derive(Debug)]
@@ -67,7 +68,7 @@
     key: Arc<CertifiedKey>,
 }
 
-impl ResolvesServerCert for Resolver {
+impl ResolvesServerCert for SniResolver {
     fn resolve(&self, hello: ClientHello<'_>) -> Option<Arc<CertifiedKey>> {
         let index = certificates::select_for_host(
             self.0.iter().map(|k| k.names.as_slice()),
@@ -77,22 +78,23 @@
     }
 }
 
-/// Certificates and keys that were loaded together.
+/// Certificates and keys loaded together.
 struct Loaded {
     config: Arc<ServerConfig>,
-    /// Each certificate's file and the end of its validity, in milliseconds since the Unix epoch.
-    ends: Vec<(PathBuf, f64)>,
+    /// Path and expiry time of each certificate, in milliseconds since the Unix epoch.
+    expiries: Vec<(PathBuf, f64)>,
 }
 
-/// Modification time and length in bytes of each file, to detect changes; `None` for a file that cannot be read.
-type Stamp = Vec<Option<(SystemTime, u64)>>;
+/// Modification time and length in bytes of each file, to detect changes; `None` for a file that
+/// cannot be read.
+type FileStamps = Vec<Option<(SystemTime, u64)>>;
 
 /// The certificates and keys in use.
 pub struct TlsKeys {
     source: RefCell<TlsSettings>,
     loaded: RefCell<Loaded>,
-    stamp: RefCell<Stamp>,
-    notices: RefCell<Vec<ExpiryWarning>>,
+    stamps: RefCell<FileStamps>,
+    warnings: RefCell<Vec<ExpiryWarning>>,
 }
 
 impl TlsKeys {
@@ -101,47 +103,48 @@
     /// # Errors
     /// A file cannot be read or used, or the protocol versions are not supported.
     pub fn load(source: &TlsSettings) -> Result<Rc<Self>, TlsError> {
-        let stamp = stamp(source);
-        let loaded = read_all(source, wall_clock_millis())?;
-        let notices = RefCell::new(vec![ExpiryWarning::default(); loaded.ends.len()]);
-        let (loaded, stamp, source) = (
+        let stamps = file_stamps(source);
+        let loaded = load_all(source, wall_clock_millis())?;
+        let warnings = RefCell::new(vec![ExpiryWarning::default(); loaded.expiries.len()]);
+        let (loaded, stamps, source) = (
             RefCell::new(loaded),
-            RefCell::new(stamp),
+            RefCell::new(stamps),
             RefCell::new(source.clone()),
         );
         Ok(Rc::new(TlsKeys {
             source,
             loaded,
-            stamp,
-            notices,
+            stamps,
+            warnings,
         }))
     }
 
-    /// The configuration for the next handshake.
+    /// Returns the configuration for the next handshake.
     pub fn server_config(&self) -> Arc<ServerConfig> {
         self.loaded.borrow().config.clone()
     }
 
-    /// Whether clients without TLS are rejected.
+    /// Returns whether clients without TLS are rejected.
     pub fn required(&self) -> bool {
         self.source.borrow().required
     }
 
-    /// Loads other files, or the same ones again. Open sessions keep the keys they began with.
+    /// Loads other files, or reloads the same ones. Open sessions keep the keys of their handshake.
     ///
     /// # Errors
     /// As [`load`](Self::load); the previous certificates and keys stay in use.
     pub fn replace(&self, source: &TlsSettings) -> Result<(), TlsError> {
-        let stamp = stamp(source);
-        let loaded = read_all(source, wall_clock_millis())?;
-        *self.notices.borrow_mut() = vec![ExpiryWarning::default(); loaded.ends.len()];
+        let stamps = file_stamps(source);
+        let loaded = load_all(source, wall_clock_millis())?;
+        *self.warnings.borrow_mut() = vec![ExpiryWarning::default(); loaded.expiries.len()];
         *self.loaded.borrow_mut() = loaded;
-        *self.stamp.borrow_mut() = stamp;
+        *self.stamps.borrow_mut() = stamps;
         *self.source.borrow_mut() = source.clone();
         Ok(())
     }
 
-    /// Checks every 2 s whether the files have changed or a certificate is about to expire, until `keys` is dropped.
+    /// Checks every 2 s whether the files have changed or a certificate is about to expire, until
+    /// `keys` is dropped.
     pub async fn watch_files(keys: Weak<Self>) {
         loop {
             tokio::time::sleep(WATCH_INTERVAL).await;
@@ -150,34 +153,42 @@
         }
     }
 
-    /// Reloads the files if they have changed, and logs certificates that are about to expire or have expired.
+    /// Reloads the files if they have changed, and logs certificates that are about to expire or
+    /// have expired.
     fn check_files(&self) {
         let source = self.source.borrow().clone();
-        let now = stamp(&source);
-        if now != *self.stamp.borrow() {
-            // Each state of the files is tried and logged once, whether or not it can be used.
-            *self.stamp.borrow_mut() = now;
+        let current = file_stamps(&source);
+        if current != *self.stamps.borrow() {
+            // Each state of the files is loaded and logged once, whether or not it is valid.
+            *self.stamps.borrow_mut() = current;
             match self.replace(&source) {
                 Ok(()) => log_line!("tls: the keys have changed and are in force"),
-                Err(e) => log_line!("tls: {e}; the keys before stay in force"),
+                Err(e) => log_line!("tls: {e}; the previous keys stay in force"),
             }
         }
         let loaded = self.loaded.borrow();
-        for ((file, not_after), notice) in
-            loaded.ends.iter().zip(self.notices.borrow_mut().iter_mut())
+        for ((file, not_after), warning) in loaded
+            .expiries
+            .iter()
+            .zip(self.warnings.borrow_mut().iter_mut())
         {
-            match notice.due(wall_clock_millis(), *not_after) {
-                Some(left) if left < 0.0 => log_line!("tls: {}: it has expired", file.display()),
-                Some(left) => log_line!("tls: {}: it expires in {left:.1} days", file.display()),
+            match warning.due(wall_clock_millis(), *not_after) {
+                Some(left) if left < 0.0 => {
+                    log_line!("tls: {}: the certificate has expired", file.display())
+                }
+                Some(left) => log_line!(
+                    "tls: {}: the certificate expires in {left:.1} days",
+                    file.display()
+                ),
                 None => {}
             }
         }
     }
 }
 
-/// The present state of all files of `source`.
-fn stamp(source: &TlsSettings) -> Stamp {
-    let file_stamp = |path: &Path| {
+/// Returns the current stamps of all files that `source` names.
+fn file_stamps(source: &TlsSettings) -> FileStamps {
+    let stamp = |path: &Path| {
         std::fs::metadata(path)
             .ok()
             .and_then(|m| Some((m.modified().ok()?, m.len())))
@@ -187,29 +198,29 @@
         .iter()
         .flat_map(|files| [&files.chain, &files.private_key]);
     keys.chain(&source.client_ca)
-        .map(|path| file_stamp(path))
+        .map(|path| stamp(path))
         .collect()
 }
 
-/// Reads a file of limited size.
+/// Reads a file of at most [`MAX_FILE_BYTES`].
 fn read(path: &Path) -> Result<Vec<u8>, TlsError> {
     let failed = |e| TlsError::File(path.into(), e);
     if std::fs::metadata(path).map_err(failed)?.len() > MAX_FILE_BYTES {
-        return Err(TlsError::Large(path.into()));
+        return Err(TlsError::TooLarge(path.into()));
     }
     std::fs::read(path).map_err(failed)
 }
 
-/// The certificates in a PEM file, at least one.
+/// Reads the certificates of a PEM file that has at least one.
 fn certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, TlsError> {
     let all: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(&read(path)?).collect();
     match all.map_err(|e| TlsError::Pem(path.into(), e))? {
-        none if none.is_empty() => Err(TlsError::Empty(path.into())),
+        list if list.is_empty() => Err(TlsError::NoCertificate(path.into())),
         all => Ok(all),
     }
 }
 
-/// DNS names (subject alternative names) and validity of a certificate.
+/// Returns the DNS names (subject alternative names) and the validity period of a DER certificate.
 fn names_and_validity(der: &[u8]) -> Option<(Vec<String>, Validity)> {
     let (_, certificate) = X509Certificate::from_der(der).ok()?;
     let mut names: Vec<String> = vec![];
@@ -236,7 +247,8 @@
     ))
 }
 
-/// The first common name of the subject of a DER certificate; `None` if there is none or the certificate is invalid.
+/// Returns the first common name of the subject of a DER certificate; `None` if there is none or
+/// the certificate is invalid.
 pub fn common_name(der: &[u8]) -> Option<String> {
     let (_, certificate) = X509Certificate::from_der(der).ok()?;
     let name = certificate
@@ -250,13 +262,13 @@
 }
 
 /// Loads all files of `source` and builds the configuration; `now` is in milliseconds since the Unix epoch.
-fn read_all(source: &TlsSettings, now: f64) -> Result<Loaded, TlsError> {
+fn load_all(source: &TlsSettings, now: f64) -> Result<Loaded, TlsError> {
     let provider = Arc::new(ring::default_provider());
-    let (mut all, mut ends) = (vec![], vec![]);
+    let (mut keys, mut expiries) = (vec![], vec![]);
     for files in &source.certificates {
-        let (named, not_after) = read_certificate(files, &provider, now)?;
-        all.push(named);
-        ends.push((files.chain.clone(), not_after));
+        let (named, not_after) = load_certificate(files, &provider, now)?;
+        keys.push(named);
+        expiries.push((files.chain.clone(), not_after));
     }
     let versions: &[&rustls::SupportedProtocolVersion] = if source.min_version == TlsVersion::Tls13
     {
@@ -271,13 +283,14 @@
         None => builder.with_no_client_auth(),
     };
     Ok(Loaded {
-        config: Arc::new(builder.with_cert_resolver(Arc::new(Resolver(all)))),
-        ends,
+        config: Arc::new(builder.with_cert_resolver(Arc::new(SniResolver(keys)))),
+        expiries,
     })
 }
 
-/// Loads a certificate chain with its private key, and the end of its validity in milliseconds since the Unix epoch.
-fn read_certificate(
+/// Loads a certificate chain with its private key. Also returns the expiry time in milliseconds
+/// since the Unix epoch.
+fn load_certificate(
     CertificateFiles { chain, private_key }: &CertificateFiles,
     provider: &CryptoProvider,
     now: f64,
@@ -285,11 +298,11 @@
     let certificates = certificates(chain)?;
     let first = certificates
         .first()
-        .ok_or_else(|| TlsError::Empty(chain.clone()))?;
+        .ok_or_else(|| TlsError::NoCertificate(chain.clone()))?;
     let (names, validity) =
-        names_and_validity(first).ok_or_else(|| TlsError::Certificate(chain.clone()))?;
+        names_and_validity(first).ok_or_else(|| TlsError::InvalidCertificate(chain.clone()))?;
     certificates::check_validity(now, validity)
-        .map_err(|e| TlsError::CertificateError(chain.clone(), e))?;
+        .map_err(|e| TlsError::Rejected(chain.clone(), e))?;
     let key = PrivateKeyDer::from_pem_slice(&read(private_key)?)
         .map_err(|e| TlsError::Pem(private_key.clone(), e))?;
     // Fails if the key does not belong to the certificate.
@@ -299,7 +312,8 @@
     Ok((NamedKey { names, key }, validity.not_after))
 }
 
-/// The verifier of client certificates by the CA certificates in a file; clients without a certificate are allowed.
+/// Builds a verifier of client certificates from the CA certificates in a file. Clients without a
+/// certificate are allowed.
 fn client_verifier(
     path: &Path,
     provider: Arc<CryptoProvider>,
