--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -1,6 +1,7 @@
-//! Idle clients fill the descriptors while discovery is down: what the program itself needs is there for all that. On the
-//! program, with its own limit of 64, the machine's, or both; every place is held, and a hundred more come at once
-//! out of the listening socket's queue.
+//! Idle clients use up the client descriptors while discovery is down; the program must still have
+//! those it needs itself. The tests run the program with a limit of 64 from the configuration, from
+//! the operating system, or both. All client permits are held, and a hundred more connections
+//! arrive at once from the listen queue.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -14,84 +15,87 @@
 use std::time::{Duration, Instant};
 
 const LIMIT: usize = 64;
-/// Places at that limit.
-const PLACES: usize = 25;
-/// In the queue.
-const MORE: usize = 100;
-/// Discovery is called anew after 0.4 s at most; the rest is for a machine with much to do.
-const CALLED: Duration = Duration::from_millis(700);
+/// Number of client connections that the dispatcher admits at that limit.
+const ADMITTED_CLIENTS: usize = 25;
+/// Number of connections in the listen queue.
+const QUEUED_CLIENTS: usize = 100;
+/// Maximum time until the dispatcher reconnects to discovery. The dispatcher retries after 0.4 s at
+/// most; the rest allows for a busy machine.
+const RECONNECT_LIMIT: Duration = Duration::from_millis(700);
 
-/// How clients rest.
+/// State in which clients stay idle.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Rest {
-    /// They have asked whether it is ready, and those in the queue say nothing.
-    Asked,
-    /// Each has written the first bytes of a frame.
-    Half,
+enum ClientState {
+    /// The clients have sent a readiness probe; those in the queue send nothing.
+    Probed,
+    /// Each client has written the first bytes of a frame.
+    PartialFrame,
 }
 
-struct Crowd {
+struct Scenario {
     program: Program,
     service: Service,
-    /// They stay to the end.
+    /// Open until the end of the test.
     _clients: Vec<TcpStream>,
 }
 
-fn client(at: SocketAddr, rest: Rest) -> TcpStream {
+fn client(at: SocketAddr, state: ClientState) -> TcpStream {
     let mut tcp = connect(at);
-    match rest {
-        // One that came before and has to give way by now does so.
-        Rest::Asked => drop(ready(&mut tcp)),
-        Rest::Half => tcp.write_all(&[0, 0, 0]).unwrap(),
+    match state {
+        // The probe fails if the client was evicted for a later one.
+        ClientState::Probed => drop(ready(&mut tcp)),
+        ClientState::PartialFrame => tcp.write_all(&[0, 0, 0]).unwrap(),
     }
     tcp
 }
 
-impl Crowd {
+impl Scenario {
     fn new(
         engines: &[SocketAddr],
         sockets: Option<usize>,
         real: Option<usize>,
-        rest: Rest,
+        state: ClientState,
     ) -> Self {
         let service = Service::down();
         let program = Program::run(&config(engines, service.at, sockets), &[], real);
-        let mut clients: Vec<_> = (0..PLACES).map(|_| client(program.address, rest)).collect();
+        let mut clients: Vec<_> = (0..ADMITTED_CLIENTS)
+            .map(|_| client(program.address, state))
+            .collect();
         std::thread::sleep(Duration::from_millis(20));
         program.signal("-STOP");
-        for _ in 0..MORE {
+        for _ in 0..QUEUED_CLIENTS {
             let mut tcp = connect(program.address);
-            if rest == Rest::Half {
+            if state == ClientState::PartialFrame {
                 tcp.write_all(&[0, 0, 0]).unwrap();
             }
             clients.push(tcp);
         }
         program.signal("-CONT");
-        Crowd {
+        Scenario {
             program,
             service,
             _clients: clients,
         }
     }
 
-    /// Discovery returns; how long it took until it was called, and its stream.
-    fn returns(&self, events: &str) -> TcpStream {
+    /// Brings discovery back, checks that the dispatcher reconnects in time, and returns the event stream.
+    fn restore_discovery(&self, events: &str) -> TcpStream {
         let (took, tcp) = self
             .service
             .returns(Duration::from_secs(4), events)
-            .expect("it calls");
-        assert!(took < CALLED, "called after {took:?}");
+            .expect("the dispatcher reconnects to discovery");
+        assert!(took < RECONNECT_LIMIT, "reconnected after {took:?}");
         tcp
     }
 
-    fn is_within(&self) {
+    fn assert_within_limit(&self) {
         let held = self.program.descriptors();
         assert!(held <= LIMIT, "{held} descriptors");
     }
 }
 
-/// On every limit, and with each way to rest, beside each other.
-fn crowds(engines: &[SocketAddr], test: impl Fn(Crowd, String) + Sync) {
+/// Runs the test for every source of the limit and every state of idle clients, in parallel.
+fn for_each_scenario(engines: &[SocketAddr], test: impl Fn(Scenario, String) + Sync) {
     let limits = [
         (Some(LIMIT), None),
         (Some(LIMIT), Some(LIMIT)),
@@ -99,18 +103,18 @@
     ];
     std::thread::scope(|s| {
         for (sockets, real) in limits {
-            for rest in [Rest::Asked, Rest::Half] {
+            for state in [ClientState::Probed, ClientState::PartialFrame] {
                 let test = &test;
                 s.spawn(move || {
-                    let name = format!("sockets {sockets:?}, real {real:?}, {rest:?}");
-                    test(Crowd::new(engines, sockets, real, rest), name)
+                    let name = format!("sockets {sockets:?}, real {real:?}, {state:?}");
+                    test(Scenario::new(engines, sockets, real, state), name)
                 });
             }
         }
     });
 }
 
-/// Beyond what any program is given here.
+/// Descriptors that any child process inherits in this environment are subtracted.
 #[test]
 fn descriptor_use_of_the_program_matches_its_budget() {
     let mut other = Command::new("sh")
@@ -121,14 +125,14 @@
     let program = Program::run(&config(&[], service.at, Some(LIMIT)), &[], Some(LIMIT));
     let (_, _stream) = service
         .returns(Duration::from_secs(4), "")
-        .expect("it calls");
-    let given = std::fs::read_dir(format!("/proc/{}/fd", other.id()))
+        .expect("the dispatcher reconnects to discovery");
+    let inherited = std::fs::read_dir(format!("/proc/{}/fd", other.id()))
         .unwrap()
         .count()
         - 3;
     other.kill().unwrap();
     other.wait().unwrap();
-    let held = program.descriptors() - given;
+    let held = program.descriptors() - inherited;
     println!("{held} descriptors");
     assert!(held <= RESERVED, "{held} descriptors");
 }
@@ -136,56 +140,56 @@
 #[test]
 fn discovery_reconnects_at_once() {
     let engine = Engine::new();
-    crowds(&[engine.at], |crowd, _| {
-        crowd.returns("");
-        crowd.is_within();
+    for_each_scenario(&[engine.at], |scenario, _| {
+        scenario.restore_discovery("");
+        scenario.assert_within_limit();
     });
 }
 
 #[test]
 fn drain_received_on_reconnect_is_applied() {
-    let (drains, stays) = (Engine::new(), Engine::new());
-    crowds(&[drains.at, stays.at], |crowd, name| {
-        let mut client = connect(crowd.program.address);
+    let (draining, remaining) = (Engine::new(), Engine::new());
+    for_each_scenario(&[draining.at, remaining.at], |scenario, name| {
+        let mut client = connect(scenario.program.address);
         assert!(ready(&mut client).unwrap(), "{name}");
-        let _stream = crowd.returns(&event(2, &told(0, drains.at, "terminating")));
-        // The grace of 250 ms, and 50 ms more.
+        let _stream = scenario.restore_discovery(&event(2, &told(0, draining.at, "terminating")));
+        // The drain grace of 250 ms, and a margin of 50 ms.
         std::thread::sleep(Duration::from_millis(300));
         let from = Instant::now();
         for n in 1..=40 {
             assert_eq!(lookup(&mut client, n).unwrap(), 0, "{name}");
         }
-        crowd.is_within();
-        // Other crowds' requests to the same engine may come before their own drain.
-        let all = stays
+        scenario.assert_within_limit();
+        // Other scenarios may send requests to the same engine before their own drain.
+        let served = remaining
             .got
             .lock()
             .unwrap()
             .iter()
             .filter(|t| **t >= from)
             .count();
-        assert!(all >= 40, "{name}: {all} of 40");
+        assert!(served >= 40, "{name}: {served} of 40");
     });
 }
 
-/// Thirty-two requests at once, again and again, to forty engines that take a while: there are not as many descriptors, and
-/// as many are served as with plenty.
+/// Sends four rounds of 32 concurrent requests to 40 slow engines. There are fewer descriptors than
+/// engines, but as many requests are served as with a high limit.
 #[test]
 fn engines_and_discovery_are_both_reachable() {
     let engines: Vec<_> = (0..40)
         .map(|_| Engine::slow(Duration::from_millis(100)))
         .collect();
     let at: Vec<_> = engines.iter().map(|e| e.at).collect();
-    let rounds = |crowd: &Crowd, few: bool, name: &str| {
-        let mut client = connect(crowd.program.address);
+    let rounds = |scenario: &Scenario, limited: bool, name: &str| {
+        let mut client = connect(scenario.program.address);
         let mut served = 0;
         for round in 0..4 {
             (1..=32).for_each(|n| ask(&mut client, round * 32 + n).unwrap());
-            if few {
-                crowd.is_within();
+            if limited {
+                scenario.assert_within_limit();
             }
             if round == 1 {
-                crowd.returns("");
+                scenario.restore_discovery("");
             }
             for _ in 1..=32 {
                 let (kind, _, payload) = expect(&mut client).unwrap();
@@ -195,17 +199,17 @@
         }
         served
     };
-    let plenty = rounds(
-        &Crowd::new(&at, Some(1024), None, Rest::Asked),
+    let unlimited = rounds(
+        &Scenario::new(&at, Some(1024), None, ClientState::Probed),
         false,
-        "plenty",
+        "high limit",
     );
-    crowds(&at, |crowd, name| {
-        let served = rounds(&crowd, true, &name);
-        println!("{name}: {served} of 128 served, {plenty} with plenty");
+    for_each_scenario(&at, |scenario, name| {
+        let served = rounds(&scenario, true, &name);
+        println!("{name}: {served} of 128 served, {unlimited} with a high limit");
         assert!(
-            served + 4 >= plenty,
-            "{name}: {served} of 128 served, {plenty} with plenty"
+            served + 4 >= unlimited,
+            "{name}: {served} of 128 served, {unlimited} with a high limit"
         );
     });
     let reached = engines
@@ -218,45 +222,47 @@
 #[test]
 fn reload_is_read_and_moves_discovery() {
     let engine = Engine::new();
-    crowds(&[engine.at], |mut crowd, _| {
-        let text = std::fs::read_to_string(&crowd.program.config).unwrap();
+    for_each_scenario(&[engine.at], |mut scenario, _| {
+        let text = std::fs::read_to_string(&scenario.program.config).unwrap();
         let moved = Service::down();
-        let text = text.replace(&crowd.service.at.to_string(), &moved.at.to_string());
-        std::fs::write(&crowd.program.config, text).unwrap();
-        crowd.program.signal("-HUP");
-        crowd.program.says("SIGHUP: the configuration is in force");
-        crowd.service = moved;
-        crowd.returns("");
+        let text = text.replace(&scenario.service.at.to_string(), &moved.at.to_string());
+        std::fs::write(&scenario.program.config, text).unwrap();
+        scenario.program.signal("-HUP");
+        scenario
+            .program
+            .says("SIGHUP: the configuration is in force");
+        scenario.service = moved;
+        scenario.restore_discovery("");
     });
 }
 
-/// Also when thirty callers hold the operators' own places.
+/// Thirty idle connections hold the operators' descriptors.
 #[test]
 fn admin_requests_are_answered() {
     let engine = Engine::new();
-    crowds(&[engine.at], |crowd, name| {
-        let _callers: Vec<_> = (0..30).map(|_| connect(crowd.program.admin)).collect();
+    for_each_scenario(&[engine.at], |scenario, name| {
+        let _callers: Vec<_> = (0..30).map(|_| connect(scenario.program.admin)).collect();
         let began = Instant::now();
         assert!(
-            crowd.program.call("/_ready").starts_with("HTTP/1.1 200"),
+            scenario.program.call("/_ready").starts_with("HTTP/1.1 200"),
             "{name}"
         );
-        // After its answer a call is waited out.
+        // The call ends only when the dispatcher closes the connection after its answer.
         assert!(
             began.elapsed() < Duration::from_millis(700),
             "{name}: {:?}",
             began.elapsed()
         );
-        crowd.is_within();
+        scenario.assert_within_limit();
     });
 }
 
 #[test]
 fn active_client_is_admitted() {
     let engine = Engine::new();
-    crowds(&[engine.at], |crowd, name| {
+    for_each_scenario(&[engine.at], |scenario, name| {
         let began = Instant::now();
-        let mut client = connect(crowd.program.address);
+        let mut client = connect(scenario.program.address);
         assert!(ready(&mut client).unwrap(), "{name}");
         assert_eq!(lookup(&mut client, 1).unwrap(), 0, "{name}");
         assert!(
@@ -264,22 +270,22 @@
             "{name}: {:?}",
             began.elapsed()
         );
-        crowd.is_within();
+        scenario.assert_within_limit();
     });
 }
 
 #[test]
 fn no_busy_loop_without_descriptors() {
     let engine = Engine::new();
-    crowds(&[engine.at], |crowd, name| {
+    for_each_scenario(&[engine.at], |scenario, name| {
         std::thread::sleep(Duration::from_millis(300));
-        let share = crowd.program.share_of_a_second();
+        let share = scenario.program.share_of_a_second();
         assert!(share < 0.1, "{name}: {share} of a core");
-        crowd.is_within();
+        scenario.assert_within_limit();
     });
 }
 
-/// Every place has a request, so that nobody gives way, and the queue is full.
+/// Every admitted client has an open request, so that none can be evicted, and the listen queue is full.
 #[test]
 fn no_busy_loop_when_all_clients_are_active_and_discovery_reconnects() {
     let engine = Engine::slow(Duration::from_millis(1800));
@@ -291,13 +297,15 @@
         let service = Service::down();
         let program = Program::run(&config(&[engine.at], service.at, sockets), &[], real);
         program.signal("-STOP");
-        let mut clients: Vec<_> = (0..MORE).map(|_| connect(program.address)).collect();
+        let mut clients: Vec<_> = (0..QUEUED_CLIENTS)
+            .map(|_| connect(program.address))
+            .collect();
         clients.iter_mut().for_each(|tcp| ask(tcp, 1).unwrap());
         program.signal("-CONT");
         let (took, _stream) = service
             .returns(Duration::from_secs(4), "")
-            .expect("it calls");
-        assert!(took < CALLED, "called after {took:?}");
+            .expect("the dispatcher reconnects to discovery");
+        assert!(took < RECONNECT_LIMIT, "reconnected after {took:?}");
         assert!(program.descriptors() <= LIMIT);
         let before = program.cpu();
         std::thread::sleep(Duration::from_millis(500));
@@ -306,7 +314,7 @@
     }
 }
 
-/// The MySQL front, with places for more clients than the machine has descriptors.
+/// The MySQL frontend is configured for more clients than there are descriptors.
 #[test]
 fn mysql_clients_leave_descriptors_for_admin_files_and_upstreams() {
     let file = include_str!("../deploy/mysql.toml");
@@ -319,7 +327,7 @@
     let began = Instant::now();
     let mut head = [0; 5];
     connect(program.address).read_exact(&mut head).unwrap();
-    assert_eq!(head[4], 10, "greeted");
+    assert_eq!(head[4], 10, "the client receives a greeting");
     assert!(program.call("/_vars").starts_with("HTTP/1.1 200"));
     std::fs::write(&program.config, &file).unwrap();
     program.signal("-HUP");
