--- a/tests/failing_calls.rs
+++ b/tests/failing_calls.rs
@@ -1,4 +1,4 @@
-//! The program while a part of its system calls is interrupted, cut short or fails for a moment.
+//! The program while some of its system calls are interrupted, return early or fail transiently.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -16,7 +16,7 @@
 const REQUESTS: u64 = 400;
 const CONNECTIONS: usize = 8;
 const LIMIT: Duration = Duration::from_millis(1500);
-/// A twentieth of all calls.
+/// Rate of injected failures: a twentieth of all calls.
 const CALL_FAILURES_PER_MILLION: u32 = 50_000;
 
 fn settings() -> Settings {
@@ -32,7 +32,7 @@
     }
 }
 
-async fn play() -> Records {
+async fn run_requests() -> Records {
     let folder = Folder::new("failing-calls").unwrap();
     let fleet = Fleet::start(4, Duration::from_millis(20), 100)
         .await
@@ -52,8 +52,8 @@
     let config = settings().file(0, listen, journal.address(), &journal.known());
     let shim = Shim::build(&folder).unwrap();
     let binary = Path::new(env!("CARGO_BIN_EXE_hitchwinch"));
-    let calm = Some((&shim, Faults::default()));
-    let dispatcher = Dispatcher::start(binary, &folder, "n0", &config, calm)
+    let no_faults = Some((&shim, Faults::default()));
+    let dispatcher = Dispatcher::start(binary, &folder, "n0", &config, no_faults)
         .await
         .unwrap();
     let faults = Faults {
@@ -74,7 +74,8 @@
     for number in 0..REQUESTS {
         let connection = &connections[number as usize % CONNECTIONS];
         let id = format!("{number:016x}");
-        // A connection that the dispatcher has ended is seen by the requests on it.
+        // If the dispatcher has closed a connection, its requests stay without an answer, which the
+        // test checks.
         let _ = connection.send(&id, "lookup", LIMIT).await;
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
@@ -86,12 +87,12 @@
     }
 }
 
-/// A call that is interrupted is made again, a short read is followed by another, and what fails before a byte is written
-/// is sent elsewhere.
+/// The dispatcher repeats interrupted calls, continues after short reads, and sends a request to
+/// another engine if it fails before a byte is written.
 #[tokio::test(flavor = "current_thread")]
 async fn every_request_is_answered_while_system_calls_fail_for_a_moment() {
     let began = Instant::now();
-    let records = LocalSet::new().run_until(play()).await;
+    let records = LocalSet::new().run_until(run_requests()).await;
     assert_eq!(judge(&records, &settings(), began), []);
     let answered = records.requests.iter().filter(|r| !r.answers.is_empty());
     assert_eq!(answered.count(), REQUESTS as usize);
--- a/tests/platform_calls.rs
+++ b/tests/platform_calls.rs
@@ -1,13 +1,14 @@
-//! What the fleet bench's system-call filter refuses stays out of the program's sources (`docs/FILTER.md`): no other
-//! program started, no fork, no Unix socket (tokio's signal driver made one), no `io_uring`, and no copy that the
-//! standard library may turn into `splice`, `sendfile` or `copy_file_range`.
+//! The program's sources must not use system calls that the fleet bench's filter rejects
+//! (`docs/FILTER.md`): starting another program, fork, Unix sockets (tokio's signal driver creates
+//! a pair), `io_uring`, and copies that the standard library may implement with `splice`,
+//! `sendfile` or `copy_file_range`.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::path::{Path, PathBuf};
 
-/// What may not stand in the program's code, and why.
-const REFUSED: &[(&str, &str)] = &[
+/// Patterns that must not occur in the program's code, each with the reason.
+const FORBIDDEN: &[(&str, &str)] = &[
     ("process::Command", "starts another program"),
     ("Command::new", "starts another program"),
     ("fork(", "forks"),
@@ -26,8 +27,8 @@
 ];
 
 fn sources(dir: &Path, all: &mut Vec<PathBuf>) {
-    for entry in std::fs::read_dir(dir).expect("the program's sources") {
-        let path = entry.expect("a folder entry").path();
+    for entry in std::fs::read_dir(dir).expect("the source directory is readable") {
+        let path = entry.expect("the directory entry is readable").path();
         if path.is_dir() {
             sources(&path, all);
         } else if path.extension().is_some_and(|e| e == "rs") {
@@ -36,7 +37,8 @@
     }
 }
 
-/// The lines of code in a file, without comments and without its inline tests, which may start the program.
+/// Returns the numbered lines of code of a file, without comments and without inline tests, which
+/// may start the program.
 fn code(text: &str) -> impl Iterator<Item = (usize, &str)> {
     let end = text.find("#[cfg(test)]\nmod tests {").unwrap_or(text.len());
     text[..end]
@@ -46,24 +48,28 @@
         .filter(|(_, line)| !line.trim().is_empty())
 }
 
-/// Files of tests alone (`tests.rs`, `*_tests.rs`), declared under `#[cfg(test)]` by their module.
-fn only_tests(file: &Path) -> bool {
+/// Returns whether a file has only tests (`tests.rs`, `*_tests.rs`), which its module declares
+/// under `#[cfg(test)]`.
+fn is_test_file(file: &Path) -> bool {
     file.file_stem()
         .and_then(|s| s.to_str())
         .is_some_and(|s| s == "tests" || s.ends_with("_tests"))
 }
 
-fn offences(root: &Path) -> Vec<String> {
+fn find_forbidden_calls(root: &Path) -> Vec<String> {
     let mut files = vec![];
     sources(root, &mut files);
     files.sort();
     let mut found = vec![];
-    for file in files.into_iter().filter(|f| !only_tests(f)) {
-        let text = std::fs::read_to_string(&file).expect("a source file");
+    for file in files.into_iter().filter(|f| !is_test_file(f)) {
+        let text = std::fs::read_to_string(&file).expect("the source file is readable");
         for (number, line) in code(&text) {
-            for (what, reason) in REFUSED {
-                if line.contains(what) {
-                    found.push(format!("{}:{number}: `{what}`: {reason}", file.display()));
+            for (pattern, reason) in FORBIDDEN {
+                if line.contains(pattern) {
+                    found.push(format!(
+                        "{}:{number}: `{pattern}`: {reason}",
+                        file.display()
+                    ));
                 }
             }
         }
@@ -74,10 +80,10 @@
 #[test]
 fn sources_use_no_call_that_the_filter_rejects() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
-    let found = offences(&root);
+    let found = find_forbidden_calls(&root);
     assert!(
         found.is_empty(),
-        "refused on the fleet bench:\n{}",
+        "calls that the fleet bench's filter rejects:\n{}",
         found.join("\n")
     );
 }
@@ -96,10 +102,10 @@
         "fn t() { std::process::Command::new(\"x\"); }\n",
     )
     .unwrap();
-    // A module whose tests are in a file of their own is read to its end.
+    // A module with its tests in a separate file is checked to its end.
     let declared = "#[cfg(test)]\nmod tests;\nfn spawn() { std::process::Command::new(\"x\"); }\n";
     std::fs::write(folder.join("declared.rs"), declared).unwrap();
-    let found = offences(&folder);
+    let found = find_forbidden_calls(&folder);
     std::fs::remove_dir_all(&folder).unwrap();
     assert_eq!(found.len(), 3, "{found:?}");
     assert!(
