--- a/tests/protocol/fixture.rs
+++ b/tests/protocol/fixture.rs
@@ -1,4 +1,4 @@
-//! A dispatcher on loopback before one engine that the test plays itself.
+//! A dispatcher on loopback with one engine that the test implements.
 
 use super::{expect_soon, wait_until};
 use crate::scenario::change;
@@ -14,22 +14,22 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// What a dispatcher of these tests is built from.
+/// The parts from which the fixture starts a dispatcher.
 pub(crate) struct Parts {
     pub(crate) core: Core,
     pub(crate) names: NameTable,
     pub(crate) sockets: SocketSettings,
-    /// The listener of its one engine.
+    /// The listener of the only engine.
     pub(crate) engine: TcpListener,
-    /// The send buffer of its client connections, in bytes.
+    /// The send buffer of client connections, in bytes.
     pub(crate) client_send_buffer: usize,
 }
 
-/// A running dispatcher with a frames frontend and one engine.
+/// A running dispatcher with a frontend for the frame protocol and one engine.
 pub(crate) struct DispatcherFixture {
     pub(crate) router: Rc<RequestRouter<RespUpstream>>,
     pub(crate) frontend: Rc<Frontend<RespUpstream>>,
-    /// Where clients connect.
+    /// The address to which clients connect.
     pub(crate) address: SocketAddr,
     pub(crate) engine: TcpListener,
     /// The addresses in the endpoint list.
@@ -37,7 +37,7 @@
 }
 
 impl DispatcherFixture {
-    /// Starts a dispatcher of these parts on the current thread.
+    /// Starts a dispatcher from `parts` on the current thread.
     pub(crate) async fn start(parts: Parts) -> Self {
         let pool = BufferPool::default();
         let upstream = RespUpstream::new(parts.sockets, vec![], pool.clone());
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Waits until this many requests are unanswered.
+    /// Waits until exactly `count` requests are unanswered.
     pub(crate) async fn wait_for_open(&self, count: usize) {
         wait_until("open requests", || {
             self.router.unanswered_requests() == count
@@ -73,7 +73,7 @@
         .await;
     }
 
-    /// The engine's next connection.
+    /// Accepts the next connection to the engine.
     pub(crate) async fn accept_upstream(&self) -> TcpStream {
         expect_soon("a connection", self.engine.accept())
             .await
--- a/tests/protocol/mod.rs
+++ b/tests/protocol/mod.rs
@@ -1,5 +1,5 @@
-//! The peers of a dispatcher on the frame protocol and the RESP protocol, as tests play them: a client's frames, and an
-//! engine's commands and replies.
+//! Peers of a dispatcher, implemented by tests: clients on the frame protocol, and engines on the
+//! RESP protocol.
 #![allow(dead_code)]
 
 pub(crate) mod fixture;
@@ -10,17 +10,17 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// A socket buffer so small that a large message blocks half written.
+/// Size of a socket buffer, in bytes, that is so small that a large message blocks partially written.
 pub(crate) const SMALL_BUFFER_BYTES: usize = 4096;
 
-/// The future's output, which has to come within six seconds.
+/// Returns the output of a future, which must complete within six seconds.
 pub(crate) async fn expect_soon<T>(what: &str, future: impl Future<Output = T>) -> T {
     tokio::time::timeout(Duration::from_secs(6), future)
         .await
         .unwrap_or_else(|_| panic!("no {what}"))
 }
 
-/// Waits until the condition holds, for six seconds at most.
+/// Waits up to six seconds until the condition holds.
 pub(crate) async fn wait_until(what: &str, condition: impl Fn() -> bool) {
     expect_soon(what, async {
         while !condition() {
@@ -30,12 +30,12 @@
     .await;
 }
 
-/// The id of a request in the form that the protocols carry.
+/// Formats the id of a request as it is sent in both protocols.
 pub(crate) fn request_id(txn: u64) -> String {
     format!("{txn:016x}")
 }
 
-/// One frame: length, type, stream and payload.
+/// Encodes a frame: length, type, stream and payload.
 pub(crate) fn encode_frame(kind: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
     let length = (payload.len() as u32 + 5).to_be_bytes();
     [&length[..], &[kind], &stream.to_be_bytes(), payload].concat()
@@ -51,7 +51,7 @@
         Client(tcp)
     }
 
-    /// A client whose socket buffers little of what it does not read.
+    /// Connects a client whose socket buffers only a few unread bytes.
     pub(crate) async fn with_small_buffer(at: SocketAddr) -> Self {
         let socket = TcpSocket::new_v4().unwrap();
         socket
@@ -64,7 +64,7 @@
         self.0.write_all(bytes).await.unwrap();
     }
 
-    /// Type, stream and payload of the next frame; none once the connection is closed.
+    /// Returns type, stream and payload of the next frame; `None` once the connection is closed.
     pub(crate) async fn receive(&mut self) -> Option<(u8, u32, Vec<u8>)> {
         let read = async {
             let length = self.0.read_u32().await.ok()?;
@@ -79,9 +79,9 @@
         expect_soon("frame", read).await
     }
 
-    /// Expects that the next frame serves the request of this stream.
+    /// Asserts that the next frame reports the request of this stream as served.
     pub(crate) async fn expect_served(&mut self, stream: u32) {
-        let (kind, on, payload) = self.receive().await.expect("its answer");
+        let (kind, on, payload) = self.receive().await.expect("an answer");
         assert_eq!((kind, on, payload[0]), (4, stream, 0));
     }
 
@@ -93,7 +93,7 @@
     }
 }
 
-/// The arguments of the next command; none once the connection is closed.
+/// Returns the arguments of the next command; `None` once the connection is closed.
 pub(crate) async fn read_command(engine: &mut TcpStream) -> Option<Vec<String>> {
     async fn number(engine: &mut TcpStream) -> Option<usize> {
         let mut line = String::new();
@@ -114,14 +114,14 @@
     expect_soon("command", read).await
 }
 
-/// Reads the next command, which must be a request, and gives the request's id.
+/// Reads the next command, which must be a request, and returns the id of the request.
 pub(crate) async fn read_request_id(engine: &mut TcpStream) -> String {
     let command = read_command(engine).await.expect("a command");
     assert_eq!(command[0], "GET", "{command:?}");
     command[1].clone()
 }
 
-/// A reply of four fields as a RESP array of bulk strings.
+/// Encodes a reply of four fields as a RESP array of bulk strings.
 pub(crate) fn encode_reply(fields: [&str; 4]) -> Vec<u8> {
     let bulk: String = fields
         .iter()
@@ -135,12 +135,12 @@
     engine.write_all(&encode_reply(fields)).await.unwrap();
 }
 
-/// Answers with a result of this many full pages, each as it is requested.
+/// Answers with a result of `pages` full pages, sending each further page when it is requested.
 pub(crate) async fn serve_pages(engine: &mut TcpStream, txn: &str, pages: usize) {
     let page = format!("{}\tb\tc\n", "a".repeat(5000));
     send_reply(engine, [txn, "ACK", &format!("total={pages}"), &page]).await;
     for _ in 1..pages {
-        let request = read_command(engine).await.expect("a page is asked for");
+        let request = read_command(engine).await.expect("a request for a page");
         assert_eq!(request[0], "PAGE");
         send_reply(
             engine,
@@ -150,7 +150,7 @@
     }
 }
 
-/// The fields of a request's header: their count, then each name and value with its length.
+/// Encodes the fields of a request's header: their count, then each name and value behind its length.
 pub(crate) fn encode_fields(fields: &[(&str, &str)]) -> Vec<u8> {
     let mut encoded = vec![fields.len() as u8];
     for (name, value) in fields {
@@ -162,7 +162,7 @@
     encoded
 }
 
-/// A request frame of the tenant `acme` with five seconds to its deadline.
+/// Encodes a request frame of the tenant `acme` with a deadline in five seconds.
 pub(crate) fn encode_request(stream: u32, txn: u64, class: &str, statement: &str) -> Vec<u8> {
     let mut payload = encode_fields(&[
         ("verb", class),
@@ -174,7 +174,7 @@
     encode_frame(2, stream, &payload)
 }
 
-/// An engine's listener whose connections buffer little of what the engine does not read.
+/// Returns an engine's listener whose connections buffer only a few unread bytes.
 pub(crate) fn small_buffer_listener() -> TcpListener {
     let socket = TcpSocket::new_v4().unwrap();
     socket
@@ -184,7 +184,8 @@
     socket.listen(16).unwrap()
 }
 
-/// An engine's listener with one slot in its accept queue: a further connection is established a second late.
+/// Returns an engine's listener with one slot in its listen queue: a further connection is
+/// established a second later.
 pub(crate) fn listener_without_backlog() -> TcpListener {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
