--- a/src/protocol/frames.rs
+++ b/src/protocol/frames.rs
@@ -1,7 +1,8 @@
-//! The platform's frames: a length, a kind, a stream number and a payload, all in network byte order.
+//! Frames of the platform's protocol: length, kind, stream number and payload, in network byte order.
 //!
-//! A payload begins, in frames of the dispatcher, with a code; then come a count of fields, the fields (a name behind
-//! one byte of length, a value behind two) and a body.
+//! A payload consists of a code (only in frames of the dispatcher), the number of fields, the
+//! fields and a body. A field is a name with a length of one byte and a value with a length of two
+//! bytes.
 
 use crate::transport::buffer_pool::BUFFER_BYTES;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
@@ -12,15 +13,15 @@
 pub mod kind {
     /// A client's request.
     pub const REQUEST: u8 = 2;
-    /// The final answer to a request; on stream 0, to what cannot be read.
+    /// The final answer to a request; on stream 0, the answer to bytes that cannot be decoded.
     pub const ANSWER: u8 = 4;
     /// The client no longer waits for a stream's answer.
     pub const LEAVE: u8 = 8;
-    /// A client asks whether the dispatcher is ready.
+    /// A client's readiness probe.
     pub const ASK: u8 = 16;
-    /// The answer to that.
+    /// The answer to a readiness probe.
     pub const STATE: u8 = 32;
-    /// The dispatcher wants no new requests.
+    /// The dispatcher accepts no new requests on the connection.
     pub const GOODBYE: u8 = 64;
 }
 
@@ -34,48 +35,48 @@
     pub const REFUSED: u8 = 14;
 }
 
-/// The bytes of the length itself.
+/// Size of the length, in bytes.
 const LENGTH_BYTES: usize = 4;
-/// Kind and stream number: the least length.
+/// Size of the kind and the stream number, in bytes; the minimum length.
 const HEADER_BYTES: usize = 5;
-/// The greatest length.
+/// Maximum length, in bytes, of a frame without the length itself.
 const MAX_LENGTH: usize = 262_144;
 
-/// A frame as it was read.
+/// A received frame.
 #[derive(Debug, PartialEq)]
 pub struct Frame {
     /// One of [`kind`].
     pub kind: u8,
-    /// The stream that it belongs to.
+    /// The stream of the frame.
     pub stream: u32,
-    /// All that follows.
+    /// The bytes after the stream number.
     pub payload: Bytes,
 }
 
-/// What is wrong with a client's bytes.
+/// Why a client's bytes are rejected, or its connection failed.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The length is out of bounds.
+    /// The length of a frame is out of range.
     #[error("a frame's length of {0} is outside 5 to 262144")]
     Length(usize),
-    /// The payload is shorter than its fields.
+    /// The payload ends within its fields.
     #[error("a frame ends inside its fields")]
     Truncated,
-    /// Clients send no frames of this kind.
+    /// Clients must not send frames of this kind.
     #[error("type {0} is no frame of a client")]
     Kind(u8),
-    /// A request's stream number was used before.
+    /// The stream number of a request was already used on the connection.
     #[error("stream {0} is not new on its connection")]
     Stream(u32),
-    /// The rest of a frame does not come.
+    /// The rest of a frame did not arrive in time.
     #[error("a frame does not come whole")]
     Stalled,
-    /// The connection is broken.
+    /// The connection failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// Reads and writes frames.
+/// Decodes and encodes frames.
 pub struct FrameCodec;
 
 impl Decoder for FrameCodec {
@@ -87,7 +88,7 @@
             return Ok(None);
         };
         let length = u32::from_be_bytes(*head) as usize;
-        // Checked before any memory is reserved for it.
+        // The length is checked before memory is reserved for the frame.
         if !(HEADER_BYTES..=MAX_LENGTH).contains(&length) {
             return Err(FrameError::Length(length));
         }
@@ -98,10 +99,11 @@
         src.advance(LENGTH_BYTES);
         let kind = src.get_u8();
         let stream = src.get_u32();
-        // Copied, so that the connection's own buffer is free again for use.
+        // The payload is copied, so that the connection can reuse its buffer.
         let payload = Bytes::copy_from_slice(&src[..length - HEADER_BYTES]);
         src.advance(length - HEADER_BYTES);
-        // A buffer that a large frame has grown is released: retained by every connection, they would fill the memory.
+        // A buffer that grew for a large frame is released: if every connection kept one, they
+        // would exhaust memory.
         if src.is_empty() && src.capacity() > 2 * BUFFER_BYTES {
             *src = BytesMut::with_capacity(BUFFER_BYTES);
         }
@@ -113,17 +115,17 @@
     }
 }
 
-/// A frame to be sent: its body is copied once, into the connection's buffer.
+/// A frame to be sent. Its body is copied once, into the connection's buffer.
 pub struct OutgoingFrame<'a> {
     /// One of [`kind`].
     pub kind: u8,
-    /// The stream that it belongs to.
+    /// The stream of the frame.
     pub stream: u32,
-    /// One of [`code`]; without one the frame has no payload at all.
+    /// One of [`code`]; without a code the frame has no payload.
     pub code: Option<u8>,
-    /// Names and values.
+    /// Names and values of the fields.
     pub fields: &'a [(&'a str, &'a str)],
-    /// What follows the fields.
+    /// The bytes after the fields.
     pub body: &'a [u8],
 }
 
@@ -157,10 +159,10 @@
     }
 }
 
-/// The fields of a client's payload, and the body that follows them.
+/// Parses the fields of a client's payload; returns them and the body that follows.
 ///
 /// # Errors
-/// The payload ends inside its fields.
+/// The payload ends within its fields.
 pub fn parse_fields(mut payload: Bytes) -> Result<(Vec<(String, String)>, Bytes), FrameError> {
     let text = |payload: &mut Bytes, size: usize| {
         (payload.len() >= size)
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! Bytes to typed messages and back: no sockets and no policy.
+//! Parsing and encoding of protocol messages, without sockets or policy.
 
 pub mod frames;
 pub mod mysql;
--- a/src/protocol/resp/mod.rs
+++ b/src/protocol/resp/mod.rs
@@ -1,6 +1,6 @@
-//! The engines' protocol: RESP arrays of bulk strings, both ways.
+//! The protocol of engines: RESP arrays of bulk strings in both directions.
 //!
-//! [`RespCodec`] reads and writes the arrays; [`reply`] reads what an engine's replies say.
+//! [`RespCodec`] decodes and encodes the arrays; [`reply`] parses the replies of an engine.
 
 pub mod reply;
 
@@ -8,42 +8,47 @@
 use std::io;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// Strings of an array that an engine may send.
+/// Maximum number of strings in an array from an engine.
 const MAX_STRINGS: usize = 16;
-/// Bytes of one string that an engine may send.
+/// Maximum size of a string from an engine, in bytes.
 const MAX_STRING_BYTES: usize = 64 * 1024;
-/// A length has fewer digits than this.
+/// Number of bytes in which the digits of a length must end; a length has fewer digits than this.
 const MAX_LENGTH_DIGITS: usize = 12;
 
-/// What is wrong with an engine's bytes.
+/// Why an engine's bytes are rejected, or its connection failed.
 #[derive(Debug, thiserror::Error)]
 pub enum RespError {
-    /// The bytes or the array have another form than the protocol's.
+    /// The bytes are not an array of bulk strings, or the array is not a valid reply.
     #[error("not a RESP array of bulk strings")]
     Form,
-    /// A length is out of bounds.
+    /// A length exceeds its maximum.
     #[error("a length of {0} is too large")]
     Length(usize),
-    /// A page of a result has another form than rows of three columns.
-    #[error("a page is no rows of three columns")]
+    /// A page of a result does not consist of rows of three columns.
+    #[error("a page does not consist of rows of three columns")]
     Page,
-    /// A reply or a write does not come to its end.
-    #[error("an answer does not come to its end")]
+    /// A reply or a write did not complete in time.
+    #[error("a reply or a write did not complete in time")]
     Stalled,
-    /// The connection is broken.
+    /// The connection failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// Reads and writes arrays of bulk strings.
+/// Decodes and encodes arrays of bulk strings.
 pub struct RespCodec;
 
-/// A length between its mark and the line's end, and the bytes that all of this takes; `None` while it is incomplete.
-fn parse_length(src: &[u8], mark: u8, max: usize) -> Result<Option<(usize, usize)>, RespError> {
+/// Parses a length between its type byte and the end of the line. Returns it with the number of
+/// bytes consumed; `None` while it is incomplete.
+fn parse_length(
+    src: &[u8],
+    type_byte: u8,
+    max: usize,
+) -> Result<Option<(usize, usize)>, RespError> {
     let Some((first, rest)) = src.split_first() else {
         return Ok(None);
     };
-    if *first != mark {
+    if *first != type_byte {
         return Err(RespError::Form);
     }
     let digits = rest.iter().take(MAX_LENGTH_DIGITS);
--- a/src/protocol/resp/reply.rs
+++ b/src/protocol/resp/reply.rs
@@ -1,14 +1,14 @@
-//! What an engine's replies say: their fields, load reports, progress notes and pages of a result.
+//! Parsing of an engine's replies: fields, load reports, progress notes and pages of a result.
 
 use crate::decision::model::ProgressNote;
 use std::collections::HashMap;
 
-/// Columns of a row.
+/// Number of columns of a row.
 const COLUMNS: usize = 3;
-/// Bytes of a page at most; rows are whole in a page.
+/// Maximum size of a page, in bytes. A page has only complete rows.
 const MAX_PAGE_BYTES: usize = 6000;
 
-/// One of a reply's fields, which are `name=value,name=value` or `-`.
+/// Returns the value of a field of a reply. The fields are `name=value,name=value`, or `-` if there are none.
 pub fn field<'a>(fields: &'a str, name: &str) -> Option<&'a str> {
     fields
         .split(',')
@@ -17,8 +17,9 @@
         .map(|(_, value)| value)
 }
 
-/// A load report (`meter=inflight:7;util:0.61`) in the order of the configured names; empty if there is none, or if it
-/// lacks a value: then nothing of it could be trusted.
+/// Parses a load report (`meter=inflight:7;util:0.61`) into the order of the configured names. The
+/// result is empty if there is no report, or if a value is missing: an incomplete report is not
+/// trusted.
 pub fn load_report(fields: &str, names: &[String]) -> Vec<f64> {
     let Some(meter) = field(fields, "meter") else {
         return vec![];
@@ -31,15 +32,16 @@
     let value = |name: &String| {
         values
             .get(name.as_str())
-            .or_else(|| values.get(engine_name(name)))
+            .or_else(|| values.get(reported_name(name)))
             .copied()
     };
     let report: Option<Vec<f64>> = names.iter().map(value).collect();
     report.unwrap_or_default()
 }
 
-/// The settings name the values as the simulator's wire does, the engines as the operators do.
-fn engine_name(name: &str) -> &'static str {
+/// Returns the name of a value in an engine's load report. The settings use the names of the
+/// simulator's protocol, which differ.
+fn reported_name(name: &str) -> &'static str {
     match name {
         "rif" => "inflight",
         "q" => "queue",
@@ -51,7 +53,8 @@
     }
 }
 
-/// Whether a body is whole rows of three text columns: a damaged one must not be forwarded as served.
+/// Returns whether a body consists of complete rows of three text columns: a damaged page must not
+/// be forwarded as served.
 pub fn is_page(body: &[u8]) -> bool {
     let Ok(text) = std::str::from_utf8(body) else {
         return false;
@@ -65,7 +68,7 @@
         && (text.is_empty() || text.ends_with('\n'))
 }
 
-/// A note on an attempt's progress; `None` if it is of no known kind.
+/// Parses a progress note of an attempt; `None` if its kind is unknown.
 pub fn progress_note(fields: &str) -> Option<ProgressNote> {
     let value: f64 = field(fields, "datum")?.parse().ok()?;
     match field(fields, "tell")? {
