--- a/src/protocol/statement.rs
+++ b/src/protocol/statement.rs
@@ -1,5 +1,5 @@
-//! What can be learned about a statement without a full parser: what kind it is, the group of tables that it names, and
-//! the hints in its leading comment. Words inside strings and comments never count.
+//! Analysis of SQL statements without a full parser: the kind of a statement, the table group that
+//! it names, and the hints in its leading comment. Words in strings and other comments are ignored.
 
 mod classify;
 mod hints;
--- a/src/protocol/statement/classify.rs
+++ b/src/protocol/statement/classify.rs
@@ -1,4 +1,4 @@
-//! What kind a statement is, so far as the dispatcher has to know.
+//! Classification of statements, as far as dispatching depends on it.
 
 use super::scanner::{Token, tokens};
 use super::words::{
@@ -6,30 +6,31 @@
 };
 use crate::sticky_sessions::StickyReason;
 
-/// What a MySQL statement is to a dispatcher.
+/// The kind of a MySQL statement.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StatementKind {
-    /// Plainly reads, and needs nothing that an earlier statement left behind.
+    /// Only reads, and does not depend on state of earlier statements.
     Read,
-    /// May write, so far as can be seen.
+    /// Writes, or is not recognized as a read.
     Write,
-    /// `USE schema`
+    /// USE with the name of a schema.
     Use(String),
     /// Changes the session's state; parsed by [`crate::protocol::mysql::session::set`].
     Set,
     /// COMMIT or ROLLBACK.
     EndsTransaction,
-    /// SAVEPOINT and the like: useful in a transaction, and harmless outside.
+    /// SAVEPOINT and similar statements, which are useful in a transaction and harmless outside of one.
     WithinTransaction,
     /// UNLOCK TABLES.
     UnlockTables,
-    /// SHOW WARNINGS or SHOW ERRORS: about the statement before.
+    /// SHOW WARNINGS or SHOW ERRORS, which refer to the previous statement.
     ShowWarnings,
-    /// KILL QUERY, of a session by its number here.
+    /// KILL QUERY with the number of a session of this dispatcher.
     KillQuery(u32),
-    /// Leaves state on its connection that no other connection has.
+    /// Leaves state on its engine connection, so that the session becomes sticky.
     MakesSticky(StickyReason),
-    /// Not supported, and why: sessions migrate between engines, and each statement stands alone.
+    /// Not supported, with the reason for the client: sessions migrate between engines, and
+    /// statements run independently.
     Unsupported(&'static str),
 }
 
@@ -41,7 +42,8 @@
 const USER_LOCK_FUNCTIONS: [&str; 3] = ["get_lock", "release_lock", "release_all_locks"];
 const COUNT_FUNCTIONS: [&str; 2] = ["found_rows", "row_count"];
 
-/// What kind a MySQL statement is. Doubt counts as a write.
+/// Returns the kind of a MySQL statement. A statement that is not recognized as a read counts as a
+/// write.
 pub fn classify(sql: &[u8]) -> StatementKind {
     let statement = Statement::scan(sql);
     if let Some(kind) = unsupported_form(&statement) {
@@ -55,14 +57,14 @@
         .unwrap_or_else(|| read_or_write(&statement))
 }
 
-/// A statement's tokens, with what the classification asks of them.
+/// The tokens of a statement, with the queries that the classification needs.
 struct Statement {
     tokens: Vec<Token>,
-    /// The bare names in lower case, by the index of their token; empty for any other token.
+    /// The unquoted names in lower case, by the index of their token; empty for any other token.
     words: Vec<String>,
-    /// Index of the first token that is no opening parenthesis.
+    /// Index of the first token that is not an opening parenthesis.
     start: usize,
-    /// Index behind the last token that is no semicolon.
+    /// Index after the last token that is not a semicolon.
     end: usize,
 }
 
@@ -84,7 +86,7 @@
         }
     }
 
-    /// The word at this index; empty if there is none.
+    /// Returns the word at this index; empty if there is none.
     fn word(&self, index: usize) -> &str {
         self.words.get(index).map_or("", String::as_str)
     }
@@ -97,7 +99,7 @@
         self.word(self.start + 1)
     }
 
-    /// The words up to the end.
+    /// Returns the words without trailing semicolons.
     fn body(&self) -> &[String] {
         &self.words[..self.end]
     }
@@ -110,7 +112,7 @@
         self.tokens.get(index) == Some(&Token::Punctuation(byte))
     }
 
-    /// Whether the statement has exactly so many tokens from its first word on.
+    /// Returns whether the statement has exactly this number of tokens from its first word on.
     fn has_length(&self, tokens: usize) -> bool {
         self.end == self.start + tokens
     }
@@ -127,7 +129,8 @@
             .any(|pair| pair == ASSIGNMENT)
     }
 
-    /// One `@` begins a user variable, two begin one of the engine's own.
+    /// Returns whether a user variable begins here: one `@` begins a user variable, two begin a
+    /// system variable.
     fn is_user_variable(&self, index: usize) -> bool {
         self.is_punctuation(index, b'@')
             && !self.is_punctuation(index + 1, b'@')
@@ -145,7 +148,7 @@
     }
 }
 
-/// Forms that are not supported whatever else they hold.
+/// Detects forms that are not supported, whatever else the statement contains.
 fn unsupported_form(statement: &Statement) -> Option<StatementKind> {
     let first = statement.first_word();
     if first == "xa" {
@@ -160,8 +163,9 @@
             "RELEASE is not carried: close the connection",
         ));
     }
-    let is_several = (0..statement.end).any(|index| statement.is_punctuation(index, b';'));
-    is_several.then_some(StatementKind::Unsupported(
+    let has_several_statements =
+        (0..statement.end).any(|index| statement.is_punctuation(index, b';'));
+    has_several_statements.then_some(StatementKind::Unsupported(
         "several statements at once are not carried",
     ))
 }
@@ -181,15 +185,16 @@
 }
 
 fn table_lock(statement: &Statement) -> Option<StatementKind> {
-    let of_tables = matches!(statement.second_word(), "table" | "tables");
+    let is_for_tables = matches!(statement.second_word(), "table" | "tables");
     match statement.first_word() {
-        "lock" if of_tables => Some(StatementKind::MakesSticky(StickyReason::TableLocks)),
-        "unlock" if of_tables => Some(StatementKind::UnlockTables),
+        "lock" if is_for_tables => Some(StatementKind::MakesSticky(StickyReason::TableLocks)),
+        "unlock" if is_for_tables => Some(StatementKind::UnlockTables),
         _ => None,
     }
 }
 
-/// Statements about the session itself, which are answered without an engine or change what engines are set to.
+/// Classifies statements about the session, which are answered without an engine or change the
+/// session's context.
 fn session_statement(statement: &Statement, sql: &[u8]) -> Option<StatementKind> {
     match statement.first_word() {
         "kill" if statement.second_word() == "query" => Some(kill_query(statement, sql)),
@@ -239,7 +244,7 @@
     }
 }
 
-/// Statements that leave state on their connection, or read what an earlier one left there.
+/// Detects statements that leave state on their connection or read such state of an earlier statement.
 fn sticky_statement(statement: &Statement) -> Option<StatementKind> {
     if statement.has("temporary") && matches!(statement.first_word(), "create" | "drop") {
         return Some(StatementKind::MakesSticky(StickyReason::TemporaryTable));
@@ -252,7 +257,8 @@
             "what the statement before has counted is not carried",
         ));
     }
-    // A user variable that is read is set wherever the statement runs; one that is assigned stays on its connection.
+    // A user variable that is only read is set on any connection that runs the statement; an
+    // assignment takes effect only on its own connection.
     let uses_variable = (0..statement.end).any(|index| statement.is_user_variable(index));
     let assigns = statement.has_assignment() || statement.has("into");
     (uses_variable && assigns).then_some(StatementKind::MakesSticky(StickyReason::SessionVariable))
@@ -278,7 +284,8 @@
     )
 }
 
-/// FOR UPDATE or FOR SHARE. Its locks end with the statement, unless a transaction is open.
+/// Returns whether the statement has FOR UPDATE or FOR SHARE. These locks end with the statement,
+/// unless a transaction is open.
 fn locks_rows(statement: &Statement) -> bool {
     let for_update = |pair: &[String]| pair[0] == "for" && pair[1] == "update";
     statement.has("for") && (statement.has("share") || statement.body().windows(2).any(for_update))
@@ -297,7 +304,8 @@
     (1..statement.end).any(|index| {
         let is_call = matches!(statement.tokens[index], Token::Name { .. })
             && statement.is_punctuation(index + 1, b'(');
-        // A name after WITH or a comma, with its columns, is a table of the statement itself.
+        // A name before the first SELECT of a WITH statement, followed by columns, is a common
+        // table expression.
         let is_common_table = || {
             statement.first_word() == "with"
                 && statement.words[1..index]
@@ -314,10 +322,10 @@
     })
 }
 
-/// Whether the statement calls LAST_INSERT_ID().
+/// Returns whether the statement calls LAST_INSERT_ID().
 pub fn reads_last_insert_id(statement: &[u8]) -> bool {
     const NAME: &str = "last_insert_id";
-    // Nearly none does: only those that hold the word are scanned.
+    // Few statements contain the word; only those are scanned.
     if !statement
         .windows(NAME.len())
         .any(|window| window.eq_ignore_ascii_case(NAME.as_bytes()))
@@ -334,12 +342,13 @@
     false
 }
 
-/// Whether a statement that ends a transaction is a ROLLBACK, not a COMMIT.
+/// Returns whether a statement that ends a transaction is a ROLLBACK rather than a COMMIT.
 pub fn is_rollback(statement: &[u8]) -> bool {
     matches!(tokens(statement).next(), Some(Token::Name { text, .. }) if text.eq_ignore_ascii_case("rollback"))
 }
 
-/// Whether the statement commits an open transaction implicitly: what defines tables, users or locks does.
+/// Returns whether the statement implicitly commits an open transaction, as the definition of
+/// tables or users and table locks do.
 pub fn commits_implicitly(statement: &[u8]) -> bool {
     let first = tokens(statement)
         .map(|token| bare_word(&token))
--- a/src/protocol/statement/hints.rs
+++ b/src/protocol/statement/hints.rs
@@ -1,11 +1,12 @@
-//! Hints of a client in a statement's leading comment.
+//! Hints of clients in the leading comment of a statement.
 
-/// The `name=value` words of a leading comment: `/* class=report limit=1500 */ select ...`.
+/// The `name=value` pairs of a leading comment: `/* class=report limit=1500 */ select ...`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Hints(pub(super) Vec<(String, String)>);
 
 impl Hints {
-    /// The hints of a statement; comments that MySQL executes (`/*!`) or reads itself (`/*+`) hold none.
+    /// Parses the hints of a statement. Comments that MySQL executes (`/*!`) or interprets (`/*+`)
+    /// are not hints.
     pub fn parse(statement: &[u8]) -> Self {
         let text = statement.trim_ascii_start();
         let Some(comment) = text
@@ -29,7 +30,7 @@
         Hints(pairs)
     }
 
-    /// The value of the first hint with this name (lower case).
+    /// Returns the value of the first hint with this name, which must be in lower case.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0
             .iter()
--- a/src/protocol/statement/scanner.rs
+++ b/src/protocol/statement/scanner.rs
@@ -1,27 +1,27 @@
-//! Splits a statement into tokens.
+//! Lexical scanner of SQL statements.
 
 /// A token of a statement.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Token {
-    /// A bare or quoted name; bare ones may be keywords.
+    /// A name; an unquoted one may be a keyword.
     Name {
         text: String,
         quoted: bool,
     },
     Number,
-    /// A string.
+    /// A string literal.
     Text,
-    /// A single character of punctuation.
+    /// A punctuation character.
     Punctuation(u8),
-    /// `/*! ... */` and `/*+ ... */`: MySQL acts on what they hold.
+    /// `/*! ... */` and `/*+ ... */`, whose content MySQL executes or interprets.
     ExecutableComment,
 }
 
-/// The tokens of a statement, from the left.
+/// An iterator over the tokens of a statement.
 pub(super) struct Tokens<'a> {
     sql: &'a [u8],
     position: usize,
-    /// The last token was a dot.
+    /// Whether the last token was a dot.
     after_dot: bool,
 }
 
@@ -45,7 +45,8 @@
 }
 
 impl Tokens<'_> {
-    /// The content of what a quote opens; a doubled quote stands for itself, and so does an escaped one.
+    /// Reads a quoted string or name and returns its content. A doubled or escaped quote is part of
+    /// the content.
     fn quoted(&mut self, quote: u8, escapes: Escapes) -> String {
         let mut text = vec![];
         self.position += 1;
@@ -67,7 +68,8 @@
         String::from_utf8_lossy(&text).into_owned()
     }
 
-    /// A string to MySQL, a name elsewhere; only a name has a dot beside it.
+    /// Reads a double-quoted token: a string in MySQL, a name in other dialects. Only a name has a
+    /// dot next to it.
     fn double_quoted(&mut self, after_dot: bool) -> Token {
         let text = self.quoted(b'"', Escapes::Backslash);
         let before_dot = self.sql.get(self.position) == Some(&b'.');
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Skips a comment; one that MySQL executes is a token.
+    /// Skips a comment; returns a token if MySQL executes or interprets it.
     fn block_comment(&mut self, rest: &[u8]) -> Option<Token> {
         let executable = matches!(rest.get(2), Some(b'!' | b'+'));
         self.position += 2;
--- a/src/protocol/statement/table_group.rs
+++ b/src/protocol/statement/table_group.rs
@@ -1,4 +1,4 @@
-//! The group of tables that a statement uses.
+//! The table group that a statement uses.
 
 use super::scanner::{Token, tokens};
 
@@ -15,11 +15,11 @@
     "ignore",
 ];
 
-/// A schema that belongs to no group.
+/// A schema that does not belong to any table group.
 const STAGING_SCHEMA: &str = "staging";
 
-/// The group of tables: the number in the name of the first schema that stands where a table is named, or else anywhere
-/// before a dot (`sales_17.orders`).
+/// Returns the table group of a statement: the number in the name of the first schema at the
+/// position of a table, or else of the first schema before any dot (`sales_17.orders`).
 pub fn table_group(statement: &[u8]) -> Option<u64> {
     let mut elsewhere = None;
     let mut name = QualifiedName::default();
@@ -71,12 +71,12 @@
     }
 }
 
-/// Names joined by dots, of which the last two matter.
+/// A name qualified by dots, of which the last two parts are kept.
 #[derive(Default)]
 struct QualifiedName {
     schema: Option<String>,
     last: Option<String>,
-    /// It stands where a table is named.
+    /// Whether the name is at the position of a table.
     of_table: bool,
 }
 
@@ -94,7 +94,7 @@
     }
 }
 
-/// The number after the last underscore of a schema's name.
+/// Returns the number after the last underscore in the name of a schema.
 fn group_number(schema: &str) -> Option<u64> {
     if schema.eq_ignore_ascii_case(STAGING_SCHEMA) {
         return None;
--- a/src/protocol/statement/tests.rs
+++ b/src/protocol/statement/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn only_what_plainly_reads_is_a_read() {
+fn only_statements_that_cannot_write_are_reads() {
     let cases = [
         (
             "select a, count(*) from x where b in (1, 2) group by a;",
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn the_table_group_is_found_in_awkward_statements() {
+fn table_group_is_found_despite_quotes_comments_and_aliases() {
     let cases: [(&str, Option<u64>); 17] = [
         ("select * from sales_17.orders", Some(17)),
         ("SELECT a.x FROM `kit_sales_3`.`o r` AS a", Some(3)),
--- a/src/protocol/statement/words.rs
+++ b/src/protocol/statement/words.rs
@@ -1,6 +1,6 @@
-//! Lists of SQL words by which a statement is classified.
+//! Lists of SQL words for the classification of statements.
 
-/// Words in lower case, each between two spaces.
+/// Words in lower case, each surrounded by spaces.
 pub(super) struct WordList(&'static str);
 
 impl WordList {
@@ -10,7 +10,7 @@
     }
 }
 
-/// Functions that plainly read. Any other may be a stored function on the engine and write.
+/// Functions that only read. Any other function may be a stored function of the engine, which may write.
 pub(super) const READ_ONLY_FUNCTIONS: WordList = WordList(
     " abs acos adddate addtime ascii asin atan avg bin bit_and bit_count bit_or bit_xor \
     cast ceil ceiling char char_length character_length coalesce concat concat_ws conv convert convert_tz cos \
@@ -30,7 +30,7 @@
     values var_pop var_samp variance version week weekday weekofyear year yearweek ",
 );
 
-/// Keywords that may precede a parenthesis without calling anything.
+/// Keywords that may precede a parenthesis without being a function call.
 pub(super) const KEYWORDS_BEFORE_PARENTHESIS: WordList = WordList(
     " all and any as between by case distinct div else end except exists from group having \
     in intersect interval is join like limit not offset on only or order over partition regexp rlike select \
@@ -38,13 +38,13 @@
     index key force use ignore decimal char varchar binary signed unsigned table ",
 );
 
-/// Words of which one makes a statement more than a read.
+/// Words that make a statement a write.
 pub(super) const WRITE_KEYWORDS: WordList = WordList(
     " alter analyze call create delete drop execute grant handler insert into load lock \
     merge optimize prepare procedure rename repair replace revoke truncate update ",
 );
 
-/// First keywords of statements that leave an open transaction open.
+/// First keywords of statements that do not commit an open transaction.
 pub(super) const KEEP_TRANSACTION_OPEN: WordList = WordList(
     " select insert update delete replace with values table show describe desc explain do ",
 );
