--- a/src/protocol/mysql/session/mod.rs
+++ b/src/protocol/mysql/session/mod.rs
@@ -1,5 +1,6 @@
-//! A client's session as data: its schema and what it has set. All of it can be set on any engine connection, so that
-//! sessions can migrate; what cannot be is the business of [`crate::sticky_sessions`]. Pure.
+//! State of a client's session: its schema and the variables it has set. All of it can be applied
+//! to any engine connection, so that sessions can migrate; [`crate::sticky_sessions`] handles state
+//! that cannot. All functions are pure.
 
 pub mod set;
 mod variables;
@@ -13,14 +14,14 @@
 use std::rc::Rc;
 use variables::{is_unicode, unsupported_reason};
 
-/// Limit of the variables that one session sets.
+/// Maximum number of variables of one session.
 const MAX_VARIABLES: usize = 64;
-/// Limit of the names and values of all its variables together, in bytes.
+/// Maximum size of the names and values of all variables of one session, in bytes.
 const MAX_VARIABLE_BYTES: usize = 16 * 1024;
-/// The answer to a character set that is not a form of Unicode.
+/// The error message for a character set that is not an encoding of Unicode.
 const ONLY_UNICODE: &str = "only Unicode is carried";
 
-/// The part of a session that an engine connection has to be in before it can execute a statement.
+/// The part of a session that is applied to an engine connection before it executes a statement.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct SessionContext {
     /// The default schema.
@@ -31,12 +32,12 @@
     pub variables: Rc<SessionVariables>,
 }
 
-/// Whether an engine has to agree before a change takes effect.
+/// Whether an engine has to validate a change before it takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Validation {
-    /// The change was checked here.
+    /// The dispatcher has validated the change.
     Done,
-    /// Only an engine can tell whether the change is valid.
+    /// Only an engine can validate the change.
     NeedsEngine,
 }
 
@@ -52,28 +53,29 @@
 /// The outcome of a SET.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SetOutcome {
-    /// The session after the SET.
+    /// The SET changes the session.
     Changed {
         /// The new state.
         state: SessionState,
-        /// Whether an engine has to agree first.
+        /// Whether an engine has to validate the change first.
         validation: Validation,
     },
-    /// These expressions have to be evaluated first, and the SET applied with their values.
+    /// An engine has to evaluate these expressions first; then the SET is applied with their values.
     NeedsValues(Vec<String>),
 }
 
-/// Who ends a transaction.
+/// How transactions are committed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum CommitMode {
-    /// Each statement commits by itself.
+    /// Each statement is committed automatically.
     #[default]
     Automatic,
-    /// The client commits.
+    /// The client commits explicitly.
     Manual,
 }
 
-/// A session's state. Changes make a new one, so that what an engine rejects is never half applied.
+/// The state of a session. A SET creates a new state, so that a change that an engine rejects is
+/// never partially applied.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SessionState {
     context: SessionContext,
@@ -85,7 +87,7 @@
 }
 
 impl SessionState {
-    /// A new session with this default schema.
+    /// Creates the state of a new session with this default schema.
     pub fn new(schema: Option<String>) -> Self {
         SessionState {
             context: SessionContext {
@@ -96,12 +98,12 @@
         }
     }
 
-    /// The context in which statements run from now on.
+    /// Returns the context in which statements are executed.
     pub fn context(&self) -> &SessionContext {
         &self.context
     }
 
-    /// The same with LAST_INSERT_ID, for a statement that reads it.
+    /// Returns the context with the value of LAST_INSERT_ID(), for a statement that reads it.
     pub fn context_with_insert_id(&self) -> SessionContext {
         let mut context = self.context.clone();
         Rc::make_mut(&mut context.variables).insert(
@@ -111,7 +113,7 @@
         context
     }
 
-    /// Whether each statement commits by itself.
+    /// Returns whether each statement is committed automatically.
     pub fn autocommit(&self) -> bool {
         self.commit_mode == CommitMode::Automatic
     }
@@ -121,35 +123,36 @@
         self.context.schema = Some(schema);
     }
 
-    /// Records the insert id of a statement's answer; 0 is none.
+    /// Records the insert id from the answer to a statement; 0 means that there is none.
     pub fn record_insert_id(&mut self, id: u64) {
         if id != 0 {
             self.last_insert_id = id;
         }
     }
 
-    /// The statement that gives the next transaction its characteristics.
+    /// Returns the statement that sets the characteristics of the next transaction, if any.
     pub fn next_transaction_statement(&self) -> Option<String> {
         self.next_transaction
             .as_ref()
             .map(|characteristics| format!("SET TRANSACTION {characteristics}"))
     }
 
-    /// A transaction has begun and used up the characteristics set for it. One that was rejected has not begun.
+    /// Clears the characteristics of the next transaction once it has begun. A rejected transaction
+    /// has not begun.
     pub fn transaction_began(&mut self) {
         self.next_transaction = None;
     }
 
-    /// COM_RESET_CONNECTION: all but the schema as at the start.
+    /// Resets everything but the schema to the initial state, for `COM_RESET_CONNECTION`.
     pub fn reset(&mut self) {
         *self = SessionState::new(self.context.schema.take());
     }
 
-    /// The session after these changes. `values` are those of the expressions, as literals, in the order in which
-    /// [`SetOutcome::NeedsValues`] listed them.
+    /// Returns the outcome of these changes. `values` are the values of the expressions as
+    /// literals, in the order of [`SetOutcome::NeedsValues`].
     ///
     /// # Errors
-    /// Some change is not supported, or the session would grow beyond its limits.
+    /// A change is not supported, or the session would exceed its limits.
     pub fn set(&self, changes: &[Change], values: &[String]) -> Result<SetOutcome, SetError> {
         let mut expressions: Vec<String> = vec![];
         let mut state = self.clone();
@@ -226,7 +229,7 @@
     }
 
     fn assign(&mut self, name: &str, value: Option<String>) -> Result<Validation, SetError> {
-        // Old names of the same variables.
+        // Deprecated names of the same variables.
         let name = match name {
             "tx_isolation" => "transaction_isolation",
             "tx_read_only" => "transaction_read_only",
@@ -242,7 +245,7 @@
             return self.set_autocommit(unquoted.as_deref());
         }
         let is_user_variable = name.starts_with('@');
-        // NULL is the value of a user variable that was never set.
+        // A user variable that was never set is NULL.
         let is_null = is_user_variable && unquoted.as_deref() == Some("null");
         let variables = Rc::make_mut(&mut self.context.variables);
         match value {
--- a/src/protocol/mysql/session/set.rs
+++ b/src/protocol/mysql/session/set.rs
@@ -1,5 +1,5 @@
-//! SET in its forms, parsed with combinators: what a session sets, as data. Nothing is guessed: a value that is no
-//! literal is an expression, which an engine has to evaluate.
+//! Parser of SET statements, built from combinators. The parser does not evaluate anything: a value
+//! that is not a literal is an expression, which an engine has to evaluate.
 
 mod parser;
 
@@ -11,23 +11,23 @@
 pub enum Change {
     /// The operand of SET NAMES.
     Names(String),
-    /// A variable of the session is set.
+    /// An assignment to a session or user variable.
     Assign {
-        /// In lower case; a user variable begins with `@`.
+        /// The name in lower case; the name of a user variable begins with `@`.
         name: String,
-        /// What it is set to.
+        /// The value to assign.
         value: Value,
     },
-    /// SET TRANSACTION without a scope: holds for the next transaction only.
+    /// SET TRANSACTION without a scope, which applies to the next transaction only.
     NextTransaction(String),
 }
 
-/// What a variable is set to.
+/// The value of an assignment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Value {
-    /// As it may be sent to any engine.
+    /// A literal that is valid on any engine.
     Literal(String),
-    /// An engine has to evaluate it.
+    /// An expression that an engine has to evaluate.
     Expression(String),
     /// The keyword DEFAULT.
     Default,
@@ -36,29 +36,29 @@
 /// Why a SET is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SetError {
-    /// It cannot be parsed.
+    /// The statement cannot be parsed.
     #[error("SET, at character {at}: {message}")]
     Syntax {
-        /// The place, counted from 1.
+        /// The position of the error, counted from 1.
         at: usize,
-        /// What was expected there.
+        /// What was expected at this position.
         message: String,
     },
-    /// It reaches beyond the session, or sets something that is not supported.
+    /// The statement affects more than the session, or sets something that is not supported.
     #[error("{0}")]
     Unsupported(&'static str),
 }
 
-/// Limit of a SET in bytes; a longer one is rejected.
+/// Maximum size of a SET, in bytes; a longer one is rejected.
 const MAX_SET_BYTES: usize = 16 * 1024;
 
-/// What may follow SET and is no variable.
+/// Keywords after SET that do not name a variable.
 const ACCOUNT_KEYWORDS: [&str; 4] = ["password", "role", "default role", "resource group"];
 
-/// The changes of a SET, in its order.
+/// Parses a SET and returns its changes in their order.
 ///
 /// # Errors
-/// It cannot be parsed, or reaches beyond the session: [`SetError`].
+/// The statement cannot be parsed, or affects more than the session: [`SetError`].
 pub fn parse(sql: &[u8]) -> Result<Vec<Change>, SetError> {
     if sql.len() > MAX_SET_BYTES {
         return Err(SetError::Unsupported(
@@ -89,7 +89,7 @@
     Ok(changes.into_iter().map(|(_, change)| change).collect())
 }
 
-/// The content of a dump's `/*!40101 SET ... */`, which MySQL executes.
+/// Returns the content of an executable comment (`/*!40101 SET ... */`), as database dumps contain them.
 fn executable_comment(text: &str) -> Option<&str> {
     let inner = text
         .trim()
--- a/src/protocol/mysql/session/set/parser.rs
+++ b/src/protocol/mysql/session/set/parser.rs
@@ -12,15 +12,15 @@
 /// Where a SET takes effect.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Scope {
-    /// The session.
+    /// The current session.
     Session,
-    /// Not given: for a transaction this is the next one.
+    /// Not given. SET TRANSACTION then applies to the next transaction.
     Unspecified,
     /// The whole engine.
     Global,
 }
 
-/// A SET with all its changes, up to the end of the text.
+/// Parses a SET with all its changes, up to the end of the input.
 pub(super) fn statement(input: &mut &str) -> Result<Vec<(Scope, Change)>> {
     (space, keyword("set")).parse_next(input)?;
     let mut all: Vec<(Scope, Change)> = vec![];
@@ -61,7 +61,7 @@
     Ok(vec![(scope, Change::Assign { name, value })])
 }
 
-/// What follows SET TRANSACTION.
+/// Parses what follows SET TRANSACTION.
 fn transaction(scope: Scope, input: &mut &str) -> Result<Vec<(Scope, Change)>> {
     let all: Vec<Characteristic> =
         separated(1.., characteristic, (',', space)).parse_next(input)?;
@@ -83,7 +83,7 @@
     variable: &'static str,
     /// The variable's value.
     value: &'static str,
-    /// As it is written in SET TRANSACTION.
+    /// The characteristic as SET TRANSACTION spells it.
     sql: &'static str,
 }
 
@@ -154,7 +154,7 @@
     .parse_next(input)
 }
 
-/// The operand of SET NAMES.
+/// Parses the operand of SET NAMES.
 fn names(input: &mut &str) -> Result<Change> {
     let text = |input: &mut &str| -> Result<String> {
         let quoted = string.map(|string: &str| string[1..string.len() - 1].to_string());
@@ -175,10 +175,10 @@
         .parse_next(input)
 }
 
-/// Keywords that stand for a value.
+/// Keywords that are literals.
 const VALUE_KEYWORDS: [&str; 5] = ["on", "off", "true", "false", "null"];
 
-/// A value, up to the comma behind it or the end. Words without quotes (`utf8mb4`) are text to MySQL.
+/// Parses a value up to the next comma or the end. MySQL treats words without quotes (`utf8mb4`) as strings.
 fn value(input: &mut &str) -> Result<Value> {
     let text = repeat::<_, _, (), _, _>(1.., value_part)
         .take()
@@ -212,7 +212,7 @@
         .parse_next(input)
 }
 
-/// A string as it is written, quotes included.
+/// Parses a string and returns it as written, including the quotes.
 fn string<'s>(input: &mut &'s str) -> Result<&'s str> {
     let quoted_by = |quote: char| {
         let escaped = ('\\', any).void();
@@ -250,7 +250,7 @@
         .parse_next(input)
 }
 
-/// A keyword with what is blank behind it.
+/// Parses a keyword and the white space and comments after it.
 fn keyword<'s>(text: &'static str) -> impl FnMut(&mut &'s str) -> Result<()> {
     move |input: &mut &'s str| {
         let end = alt((
@@ -261,7 +261,7 @@
     }
 }
 
-/// Blanks and comments.
+/// Skips white space and comments.
 fn space(input: &mut &str) -> Result<()> {
     let comment = ("/*", winnow::token::take_until(0.., "*/"), "*/").void();
     repeat::<_, _, (), _, _>(0.., alt((multispace1.void(), comment))).parse_next(input)
--- a/src/protocol/mysql/session/tests.rs
+++ b/src/protocol/mysql/session/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn what_connectors_set_at_their_start_is_applied() {
+fn settings_of_connectors_at_login_are_applied() {
     let all = [
         ("SET AUTOCOMMIT = 0", "SET SESSION autocommit = 0"),
         (
@@ -87,12 +87,12 @@
 }
 
 #[test]
-fn an_expression_is_evaluated_and_its_value_applied() {
+fn expression_is_evaluated_and_its_value_applied() {
     let sql = "SET sql_mode=(SELECT CONCAT(@@sql_mode, ',PIPES_AS_CONCAT')),time_zone='+00:00',NAMES utf8mb4 COLLATE utf8mb4_unicode_ci;";
     let changes = parse(sql.as_bytes()).unwrap();
     let Ok(SetOutcome::NeedsValues(expressions)) = SessionState::default().set(&changes, &[])
     else {
-        panic!("no value is needed")
+        panic!("the SET does not request a value")
     };
     assert_eq!(
         expressions,
@@ -107,7 +107,7 @@
     assert_eq!(
         validation,
         Validation::NeedsEngine,
-        "an engine has to agree"
+        "an engine has to validate the change"
     );
     assert_eq!(
         state.context().variables["sql_mode"],
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn what_reaches_beyond_the_session_or_cannot_be_parsed_is_rejected_and_changes_nothing() {
+fn set_that_cannot_be_parsed_or_affects_more_than_the_session_is_rejected() {
     for (sql, syntax) in [
         ("SET GLOBAL max_connections = 1", false),
         ("SET @@global.x = 1, y = 2", false),
@@ -149,9 +149,9 @@
     }
 }
 
-/// A connection is taken from one session's settings to another's, and nothing of the first stays behind.
+/// Guards against variables of one session that stay set on a connection when another session uses it.
 #[test]
-fn a_connection_is_set_from_one_session_to_another_and_keeps_nothing_of_the_first() {
+fn connection_keeps_no_variables_of_the_previous_session() {
     let first = state_after("SET sql_mode = 'ANSI', @x = 1, time_zone = '+02:00'");
     let second = state_after("SET time_zone = '+00:00', autocommit = 0");
     let first = &first.context().variables;
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn characteristics_of_the_next_transaction_are_set_until_one_has_begun() {
+fn characteristics_of_the_next_transaction_are_kept_until_it_has_begun() {
     let mut state = state_after("SET TRANSACTION ISOLATION LEVEL REPEATABLE READ, READ ONLY");
     assert!(state.context().variables.is_empty());
     for _ in 0..2 {
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_reset_keeps_the_schema_and_an_insert_id_is_set_for_a_statement_that_reads_it() {
+fn reset_keeps_the_schema_and_the_insert_id_is_set_for_statements_that_read_it() {
     let mut state = state_after("SET sql_mode = 'ANSI', autocommit = 0");
     state.use_schema("sales_17".into());
     state.record_insert_id(9);
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_session_holds_a_limited_number_of_variables() {
+fn number_and_size_of_session_variables_are_limited() {
     let many: Vec<String> = (0..=MAX_VARIABLES)
         .map(|i| format!("@v{i} = {i}"))
         .collect();
--- a/src/protocol/mysql/session/variables.rs
+++ b/src/protocol/mysql/session/variables.rs
@@ -3,16 +3,16 @@
 use super::ONLY_UNICODE;
 use std::collections::BTreeMap;
 
-/// Variables by name, `@name` for a user variable, each with a literal that any engine takes.
+/// Variables by name, `@name` for a user variable. The values are SQL literals that are valid on any engine.
 pub type SessionVariables = BTreeMap<String, String>;
 
-/// LAST_INSERT_ID(), as a variable that can be set.
+/// The system variable that sets LAST_INSERT_ID().
 pub const LAST_INSERT_ID_VARIABLE: &str = "last_insert_id";
 
 const REPLICATION: &str = "replication is the engines' operators' own";
 
-/// Variables that change the protocol in a way that is not supported here, or that belong to replication; with the
-/// answer to a client that sets one.
+/// Variables that change the protocol in an unsupported way or belong to replication, each with the
+/// reason for a client that sets one.
 const UNSUPPORTED: [(&str, &str); 9] = [
     (
         "resultset_metadata",
@@ -28,7 +28,8 @@
     ("session_track_gtids", "session tracking is the front's own"),
 ];
 
-/// Why a variable may not be set to this value (lower case, without quotes; `None` is the default).
+/// Returns why a variable may not be set to this value (in lower case, without quotes; `None` is
+/// the default), or `None` if it may.
 pub(super) fn unsupported_reason(name: &str, value: Option<&str>) -> Option<&'static str> {
     let (_, reason) = UNSUPPORTED
         .iter()
@@ -43,10 +44,11 @@
     matches!(character_set, "utf8" | "utf8mb3" | "utf8mb4")
 }
 
-/// The one SET that takes a connection from these variables to those; `None` if they are equal.
+/// Returns a single SET that changes the variables of a connection from `from` to `to`; `None` if
+/// they are equal.
 pub fn set_statement(from: &SessionVariables, to: &SessionVariables) -> Option<String> {
     let removed = from.keys().filter(|name| !to.contains_key(*name));
-    let unset = removed.map(|name| match name.starts_with('@') {
+    let resets = removed.map(|name| match name.starts_with('@') {
         true => assignment(name, "NULL"),
         false => assignment(name, "DEFAULT"),
     });
@@ -54,7 +56,7 @@
         .iter()
         .filter(|(name, value)| from.get(*name) != Some(value))
         .map(|(name, value)| assignment(name, value));
-    let assignments: Vec<String> = unset.chain(set).collect();
+    let assignments: Vec<String> = resets.chain(set).collect();
     (!assignments.is_empty()).then(|| format!("SET {}", assignments.join(", ")))
 }
 
@@ -65,7 +67,7 @@
     }
 }
 
-/// A user variable, quoted where its name needs that.
+/// Returns a user variable, quoted if its name requires it.
 fn quoted_user_variable(name: &str) -> String {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'_' || byte == b'$';
     match name[1..].bytes().all(is_plain) {
@@ -74,7 +76,8 @@
     }
 }
 
-/// A value that an engine evaluated, as a literal. `numeric` is its column's type; no value is NULL.
+/// Formats a value that an engine evaluated as an SQL literal; `None` is NULL. `numeric` states
+/// whether its column is numeric.
 pub fn sql_literal(value: Option<&[u8]>, numeric: bool) -> String {
     let Some(value) = value else {
         return "NULL".into();
