--- a/src/protocol/mysql/auth.rs
+++ b/src/protocol/mysql/auth.rs
@@ -1,5 +1,5 @@
-//! Password authentication without sending the password: `mysql_native_password` and the fast path of
-//! `caching_sha2_password`.
+//! Challenge-response authentication, which does not send the password: `mysql_native_password` and
+//! the fast path of `caching_sha2_password`.
 
 #[cfg(test)]
 mod tests;
@@ -7,7 +7,7 @@
 use sha1::Sha1;
 use sha2::{Digest, Sha256};
 
-/// The plugin of MySQL before 8.0, which every client knows.
+/// The default plugin before MySQL 8.0, which every client supports.
 pub const MYSQL_NATIVE_PASSWORD: &str = "mysql_native_password";
 /// The default plugin since MySQL 8.0.
 pub const CACHING_SHA2_PASSWORD: &str = "caching_sha2_password";
@@ -20,9 +20,9 @@
         .collect()
 }
 
-/// What a client sends to prove that it knows the password; `None` for an unknown plugin.
+/// Returns a client's response, which proves knowledge of the password; `None` for an unknown plugin.
 ///
-/// An empty password has an empty response.
+/// The response for an empty password is empty.
 pub fn auth_response(plugin: &str, password: &str, nonce: &[u8]) -> Option<Vec<u8>> {
     if password.is_empty() {
         return Some(vec![]);
@@ -34,7 +34,7 @@
     }
 }
 
-/// `SHA1(password) XOR SHA1(nonce, SHA1(SHA1(password)))`.
+/// Computes `SHA1(password) XOR SHA1(nonce, SHA1(SHA1(password)))`.
 fn native_password_response(password: &str, nonce: &[u8]) -> Vec<u8> {
     let password_hash = Sha1::digest(password);
     let mask = Sha1::new()
@@ -44,7 +44,7 @@
     xor(password_hash, mask)
 }
 
-/// `SHA256(password) XOR SHA256(SHA256(SHA256(password)), nonce)`.
+/// Computes `SHA256(password) XOR SHA256(SHA256(SHA256(password)), nonce)`.
 fn caching_sha2_response(password: &str, nonce: &[u8]) -> Vec<u8> {
     let password_hash = Sha256::digest(password);
     let mask = Sha256::new()
@@ -54,9 +54,10 @@
     xor(password_hash, mask)
 }
 
-/// Whether `response` proves knowledge of the password.
+/// Returns whether `response` proves knowledge of the password.
 ///
-/// Responses of the right length are compared in constant time, so that timing reveals nothing about the password.
+/// Responses of the expected length are compared in constant time, so that the timing reveals
+/// nothing about the password.
 pub fn verify_auth_response(plugin: &str, password: &str, nonce: &[u8], response: &[u8]) -> bool {
     let Some(expected) = auth_response(plugin, password, nonce) else {
         return false;
--- a/src/protocol/mysql/auth/tests.rs
+++ b/src/protocol/mysql/auth/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// The server's side of the public specification: from the stored hash of the hash alone, the hash is
-/// recovered from the response and hashed again.
+/// Verifies responses as the public specification of the server does: it stores only the hash of
+/// the password's hash, recovers the hash from the response with it, and hashes the hash again.
 #[test]
-fn a_response_opens_with_the_stored_hash_and_only_with_it() {
+fn response_is_verified_by_the_stored_hash_only() {
     let nonce = [7u8; 20];
     let response = auth_response(MYSQL_NATIVE_PASSWORD, "secret", &nonce).unwrap();
     let stored = Sha1::digest(Sha1::digest("secret"));
--- a/src/protocol/mysql/error.rs
+++ b/src/protocol/mysql/error.rs
@@ -1,16 +1,16 @@
-//! Errors as a MySQL client receives them, and the codes that the frontend sends.
+//! Errors for MySQL clients, and the error codes that the frontend sends.
 
 /// An error number with its SQLSTATE.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ErrorCode {
     /// MySQL's error number.
     pub number: u16,
-    /// Five characters of the SQL standard.
+    /// SQLSTATE, five characters.
     pub sql_state: &'static str,
 }
 
 impl ErrorCode {
-    /// A code from its number and SQLSTATE.
+    /// Creates a code from a number and its SQLSTATE.
     pub const fn new(number: u16, sql_state: &'static str) -> Self {
         ErrorCode { number, sql_state }
     }
@@ -23,12 +23,12 @@
     pub code: u16,
     /// SQLSTATE, five characters.
     pub state: &'static str,
-    /// The text for a human.
+    /// The message for the user.
     pub message: String,
 }
 
 impl SqlError {
-    /// An error with this code and text.
+    /// Creates an error with this code and message.
     pub fn new(code: ErrorCode, message: impl Into<String>) -> Self {
         SqlError {
             code: code.number,
@@ -42,7 +42,8 @@
 pub mod code {
     use super::ErrorCode;
 
-    /// The request was rejected: nothing ran, or running it again does no harm. The message holds the retry delay.
+    /// The request was rejected: nothing ran, or the request is safe to retry. The message contains
+    /// the retry delay.
     pub const ER_SERVER_ISNT_AVAILABLE: ErrorCode = ErrorCode::new(3168, "HY000");
     /// The request's deadline has passed.
     pub const ER_QUERY_TIMEOUT: ErrorCode = ErrorCode::new(3024, "HY000");
@@ -58,13 +59,13 @@
     pub const ER_NOT_SUPPORTED_YET: ErrorCode = ErrorCode::new(1235, "42000");
     /// A transaction, or other state of a sticky session, was rolled back and can be begun again.
     pub const ER_LOCK_DEADLOCK: ErrorCode = ErrorCode::new(1213, "40001");
-    /// Only clients in TLS are served.
+    /// Only clients with TLS are served.
     pub const ER_SECURE_TRANSPORT_REQUIRED: ErrorCode = ErrorCode::new(3159, "HY000");
     /// Too many sessions hold an engine connection.
     pub const ER_TOO_MANY_USER_CONNECTIONS: ErrorCode = ErrorCode::new(1203, "42000");
     /// No such prepared statement.
     pub const ER_UNKNOWN_STMT_HANDLER: ErrorCode = ErrorCode::new(1243, "HY000");
-    /// Parameters that cannot be read.
+    /// Parameters that cannot be parsed.
     pub const ER_WRONG_ARGUMENTS: ErrorCode = ErrorCode::new(1210, "HY000");
     /// Too many prepared statements in the session.
     pub const ER_MAX_PREPARED_STMT_COUNT_REACHED: ErrorCode = ErrorCode::new(1461, "42000");
--- a/src/protocol/mysql/packet.rs
+++ b/src/protocol/mysql/packet.rs
@@ -1,4 +1,5 @@
-//! Packets of the MySQL protocol: the framing codec, the constants, and the packets that both sides build or parse.
+//! Packets of the MySQL protocol: the codec for packet framing, the constants, and the packets that
+//! clients and servers build or parse.
 
 mod capability;
 mod codec;
@@ -24,5 +25,6 @@
 pub use result_format::{RESULT_HANDLE_VARIABLE, ResultFormat};
 pub use status::*;
 
-/// The character set `utf8mb4` with its collation `utf8mb4_general_ci`, in the handshake and in column definitions.
+/// The character set `utf8mb4` with its collation `utf8mb4_general_ci`, in the handshake and in
+/// column definitions.
 pub const UTF8MB4_GENERAL_CI: u8 = 45;
--- a/src/protocol/mysql/packet/codec.rs
+++ b/src/protocol/mysql/packet/codec.rs
@@ -1,4 +1,4 @@
-//! Framing: a three-byte length, a sequence number and the payload.
+//! Packet framing: a length of three bytes, a sequence number and the payload.
 
 use super::error::PacketError;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
@@ -6,14 +6,14 @@
 use std::io;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// Length (3 bytes, little-endian) and sequence number (1 byte).
+/// Size of the header: length (3 bytes, little-endian) and sequence number (1 byte).
 const HEADER_BYTES: usize = 4;
-/// A payload of this length or more would be split into several packets, which is not supported.
+/// Size, in bytes, from which on a payload would be split into several packets, which is not supported.
 const SPLIT_PAYLOAD_BYTES: usize = 0xff_ffff;
 
-/// Packets of up to `max_packet` bytes, numbered within a command.
+/// Codec for packets, which are numbered within a command.
 pub struct PacketCodec {
-    /// Limit of a received payload in bytes; below 16 MiB, so that none comes in parts.
+    /// Maximum size of a received payload, in bytes; below 16 MiB, so that no payload is split.
     pub max_packet: usize,
     /// The sequence number of the next packet, in either direction.
     pub sequence: u8,
@@ -64,10 +64,10 @@
     }
 }
 
-/// The next packet's payload; the end of the stream is a reset connection.
+/// Reads the next packet and returns its payload. The end of the stream is reported as a reset connection.
 ///
 /// # Errors
-/// Those of the codec and of the connection.
+/// Errors of the codec or of the connection.
 pub async fn read_packet(
     packets: &mut (impl Stream<Item = Result<Bytes, PacketError>> + Unpin),
 ) -> Result<Bytes, PacketError> {
--- a/src/protocol/mysql/packet/error.rs
+++ b/src/protocol/mysql/packet/error.rs
@@ -1,13 +1,13 @@
-//! What goes wrong on a MySQL connection.
+//! Errors of MySQL connections.
 
 use crate::protocol::mysql::error::SqlError;
 use crate::spool::SpoolRejection;
 use std::io;
 
-/// Why a packet could not be read or written, or why a command was given up.
+/// Why a packet could not be read or written, or why a command was aborted.
 #[derive(Debug, thiserror::Error)]
 pub enum PacketError {
-    /// A packet above the codec's limit; its length in bytes.
+    /// A packet is larger than the limit of the codec; contains its length in bytes.
     #[error("a packet of {0} bytes is above the bound")]
     TooLarge(usize),
     /// The payload ends before a field is complete.
@@ -19,13 +19,14 @@
     /// The engine answered with an ERR packet.
     #[error("the engine returned error {}: {}", .0.code, .0.message)]
     Server(SqlError),
-    /// The peer breaks the protocol, or asks for something that is not supported.
+    /// The peer violates the protocol, or requests something that is not supported.
     #[error("{0}")]
     Protocol(&'static str),
-    /// The connection was given up: its engine was restarted, moved or removed, or a limit ended the session on it.
+    /// The connection was abandoned: its engine was restarted, moved or removed, or a limit ended
+    /// the session on it.
     #[error("the connection was given up")]
     ConnectionAbandoned,
-    /// The client of the session has disconnected.
+    /// The client of the session disconnected.
     #[error("its client has disconnected")]
     ClientDisconnected,
     /// The result could not be stored.
--- a/src/protocol/mysql/packet/handshake.rs
+++ b/src/protocol/mysql/packet/handshake.rs
@@ -13,36 +13,38 @@
 use super::status::SERVER_STATUS_AUTOCOMMIT;
 use bytes::{BufMut, Bytes};
 
-/// The only version of the handshake that is in use.
+/// The version of the handshake; no other is in use.
 const PROTOCOL_VERSION: u8 = 10;
-/// The nonce is sent in two parts; the length of the first.
+/// Size of the first part of the nonce, in bytes; the nonce is sent in two parts.
 const NONCE_FIRST_PART_BYTES: usize = 8;
-/// The shortest second part of the nonce, with its closing zero.
+/// Minimum size of the second part of the nonce with its terminating zero, in bytes.
 const NONCE_SECOND_PART_MIN_BYTES: usize = 13;
-/// The length of a whole nonce with its closing zero.
+/// Size of the complete nonce with its terminating zero, in bytes.
 const NONCE_AND_ZERO_BYTES: u8 = 21;
-/// Reserved zero bytes of the greeting.
+/// Number of reserved zero bytes in the greeting.
 const GREETING_FILLER_BYTES: usize = 10;
-/// Reserved zero bytes of the login.
+/// Number of reserved zero bytes in the login.
 const LOGIN_FILLER_BYTES: usize = 23;
-/// Capabilities, packet limit, character set and filler; a client that switches to TLS sends these alone first.
+/// Size of the capabilities, the packet limit, the character set and the filler, in bytes. A client
+/// that switches to TLS first sends only these.
 const LOGIN_HEAD_BYTES: usize = 32;
+/// Size of the capabilities in the login, in bytes.
 const CAPABILITY_BYTES: usize = 4;
 
-/// A server's first packet.
+/// The first packet of a server.
 pub struct Greeting {
-    /// The connection's number, by which it can be killed.
+    /// The id of the connection, which KILL takes.
     pub connection: u32,
     /// 20 random bytes without zeros.
     pub nonce: Vec<u8>,
     /// The authentication plugin that the server suggests.
     pub plugin: String,
-    /// What the server supports (`CLIENT_*`).
+    /// The capabilities of the server (`CLIENT_*`).
     pub capabilities: u32,
 }
 
 impl Greeting {
-    /// The packet, with the server's version as clients show it.
+    /// Encodes the packet with `version`, which clients display as the server's version.
     pub fn write(&self, version: &str) -> Vec<u8> {
         let (first_part, second_part) = self.nonce.split_at(NONCE_FIRST_PART_BYTES);
         let mut packet = vec![PROTOCOL_VERSION];
@@ -67,7 +69,7 @@
     /// Parses the packet.
     ///
     /// # Errors
-    /// The server refuses the connection, the packet is truncated or of another version.
+    /// The server rejects the connection, or the packet is truncated or of another version.
     pub fn read(payload: Bytes) -> Result<Self, PacketError> {
         if is_err(&payload) {
             return Err(PacketError::Server(parse_err_packet(&payload)));
@@ -109,25 +111,25 @@
     pub auth: Vec<u8>,
     /// The default schema.
     pub schema: Option<String>,
-    /// The authentication plugin that the response was made for; empty if the client names none.
+    /// The authentication plugin of the response; empty if the client names none.
     pub plugin: String,
-    /// How the client wants results to end.
+    /// How results to this client end.
     pub result_format: ResultFormat,
 }
 
 impl Login {
-    /// Whether a payload asks to switch to TLS before the login proper.
+    /// Returns whether a payload is a request to switch to TLS before the login.
     pub fn asks_tls(payload: &[u8]) -> bool {
         payload.len() == LOGIN_HEAD_BYTES
             && u32::from_le_bytes([payload[0], payload[1], payload[2], payload[3]]) & CLIENT_SSL
                 != 0
     }
 
-    /// The packet as a client of an engine sends it: without schema, attributes and result format.
+    /// Encodes the packet for an engine, without schema, attributes and result format.
     pub fn write(&self, max_packet: u32) -> Vec<u8> {
-        let left_out = CLIENT_CONNECT_ATTRS | CLIENT_CONNECT_WITH_DB | CLIENT_FOUND_ROWS;
+        let omitted = CLIENT_CONNECT_ATTRS | CLIENT_CONNECT_WITH_DB | CLIENT_FOUND_ROWS;
         let mut packet = vec![];
-        packet.put_u32_le(BASE_CAPABILITIES & !left_out);
+        packet.put_u32_le(BASE_CAPABILITIES & !omitted);
         packet.put_u32_le(max_packet);
         packet.put_u8(UTF8MB4_GENERAL_CI);
         packet.put_bytes(0, LOGIN_FILLER_BYTES);
@@ -143,7 +145,7 @@
     /// Parses the packet.
     ///
     /// # Errors
-    /// The packet is truncated, or the client is too old.
+    /// The packet is truncated, or the client does not support the protocol of version 4.1.
     pub fn read(payload: Bytes) -> Result<Self, PacketError> {
         let mut reader = PayloadReader(payload);
         let capabilities = reader.u32()?;
--- a/src/protocol/mysql/packet/payload.rs
+++ b/src/protocol/mysql/packet/payload.rs
@@ -1,13 +1,14 @@
-//! Reading and writing a payload's fields.
+//! Reading and writing of the fields of a payload.
 
 use super::error::PacketError;
 use bytes::{Buf, BufMut, Bytes};
 
-/// Reads a payload field by field; every step checks that the bytes are there. The rest is in `.0`.
+/// Reads a payload field by field and checks at each step that the bytes are available. The unread
+/// rest is in `.0`.
 pub struct PayloadReader(pub Bytes);
 
 impl PayloadReader {
-    /// One byte.
+    /// Reads one byte.
     ///
     /// # Errors
     /// [`PacketError::Truncated`].
@@ -15,7 +16,7 @@
         self.0.try_get_u8().map_err(|_| PacketError::Truncated)
     }
 
-    /// Two bytes, little-endian.
+    /// Reads two bytes, little-endian.
     ///
     /// # Errors
     /// [`PacketError::Truncated`].
@@ -23,7 +24,7 @@
         self.0.try_get_u16_le().map_err(|_| PacketError::Truncated)
     }
 
-    /// Four bytes, little-endian.
+    /// Reads four bytes, little-endian.
     ///
     /// # Errors
     /// [`PacketError::Truncated`].
@@ -40,7 +41,7 @@
         self.0.try_get_u64_le().map_err(|_| PacketError::Truncated)
     }
 
-    /// So many bytes.
+    /// Reads `count` bytes.
     ///
     /// # Errors
     /// [`PacketError::Truncated`].
@@ -51,7 +52,7 @@
         Ok(self.0.split_to(count))
     }
 
-    /// Text up to a zero byte, or to the end.
+    /// Reads text up to a zero byte or the end of the payload.
     pub fn text(&mut self) -> String {
         let end = self.0.iter().position(|&byte| byte == 0);
         let text = self.0.split_to(end.unwrap_or(self.0.len()));
@@ -61,10 +62,10 @@
         String::from_utf8_lossy(&text).into_owned()
     }
 
-    /// A length-encoded integer.
+    /// Reads a length-encoded integer.
     ///
     /// # Errors
-    /// [`PacketError::Truncated`], or the first byte begins no integer.
+    /// [`PacketError::Truncated`], or the first byte does not begin an integer.
     pub fn length_encoded_integer(&mut self) -> Result<u64, PacketError> {
         Ok(match self.u8()? {
             0xfc => self.u16()?.into(),
@@ -75,10 +76,10 @@
         })
     }
 
-    /// Bytes behind their length-encoded count.
+    /// Reads bytes that are preceded by their length-encoded count.
     ///
     /// # Errors
-    /// [`PacketError::Truncated`], or the first byte begins no integer.
+    /// [`PacketError::Truncated`], or the first byte does not begin an integer.
     pub fn length_encoded_bytes(&mut self) -> Result<Bytes, PacketError> {
         let length = self.length_encoded_integer()?;
         let length = usize::try_from(length).map_err(|_| PacketError::Truncated)?;
--- a/src/protocol/mysql/packet/response.rs
+++ b/src/protocol/mysql/packet/response.rs
@@ -12,25 +12,25 @@
 pub const ERR_HEADER: u8 = 0xff;
 /// The first byte of an EOF packet, and of an OK packet that ends rows.
 pub const EOF_HEADER: u8 = 0xfe;
-/// The byte that stands for NULL in a row of the text protocol.
+/// The byte that represents NULL in a row of the text protocol.
 pub const NULL_VALUE: u8 = 0xfb;
-/// An EOF packet is shorter than this; a longer payload that begins alike is a row.
+/// Size, in bytes, that an EOF packet does not reach; a longer payload with the same first byte is a row.
 const MAX_EOF_BYTES: usize = 9;
-/// `#` and SQLSTATE, before the message of an ERR packet.
+/// Size of `#` and SQLSTATE before the message of an ERR packet, in bytes.
 const SQL_STATE_BYTES: usize = 6;
 
-/// An OK packet with autocommit on and nothing else to report.
+/// Returns an OK packet with the autocommit flag and no other information.
 pub fn ok_packet() -> Vec<u8> {
     ok_packet_with_status(SERVER_STATUS_AUTOCOMMIT)
 }
 
-/// An OK packet with these status flags: no affected rows, no insert id, no warnings.
+/// Returns an OK packet with these status flags, without affected rows, insert id or warnings.
 pub fn ok_packet_with_status(status: u16) -> Vec<u8> {
     let [low, high] = status.to_le_bytes();
     vec![OK_HEADER, 0, 0, low, high, 0, 0]
 }
 
-/// An ERR packet.
+/// Encodes an ERR packet.
 pub fn err_packet(error: &SqlError) -> Vec<u8> {
     let mut packet = vec![ERR_HEADER];
     packet.put_u16_le(error.code);
@@ -40,12 +40,12 @@
     packet
 }
 
-/// Whether a payload is an ERR packet.
+/// Returns whether a payload is an ERR packet.
 pub fn is_err(payload: &[u8]) -> bool {
     payload.first() == Some(&ERR_HEADER)
 }
 
-/// Parses an ERR packet. SQLSTATE is not kept; missing parts are empty.
+/// Parses an ERR packet. SQLSTATE is dropped; missing parts are empty.
 pub fn parse_err_packet(payload: &Bytes) -> SqlError {
     let code = payload
         .get(1..3)
@@ -63,7 +63,7 @@
     }
 }
 
-/// The status flags, if the payload is an EOF packet.
+/// Returns the status flags if the payload is an EOF packet.
 pub fn eof_status(payload: &[u8]) -> Option<u16> {
     match payload {
         [EOF_HEADER, _, _, low, high, ..] if payload.len() < MAX_EOF_BYTES => {
@@ -73,20 +73,20 @@
     }
 }
 
-/// An EOF packet with these status flags.
+/// Returns an EOF packet with these status flags.
 pub fn eof_packet(status: u16) -> [u8; 5] {
     let [low, high] = status.to_le_bytes();
     [EOF_HEADER, 0, 0, low, high]
 }
 
-/// The number of warnings in an EOF packet.
+/// Returns the number of warnings in an EOF packet.
 pub fn eof_warning_count(payload: &[u8]) -> u16 {
     payload
         .get(1..3)
         .map_or(0, |count| u16::from_le_bytes([count[0], count[1]]))
 }
 
-/// What an OK packet reports of the session.
+/// The status that an OK packet reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OkStatus {
     /// Status flags (`SERVER_*`).
--- a/src/protocol/mysql/packet/result_format.rs
+++ b/src/protocol/mysql/packet/result_format.rs
@@ -1,4 +1,4 @@
-//! How one client wants results to end: with EOF packets, or with OK packets that report session changes.
+//! The format of the end of results: EOF packets, or OK packets that can report session changes.
 
 use super::error::PacketError;
 use super::payload::{PayloadReader, put_length_encoded_integer};
@@ -6,24 +6,24 @@
 use super::status::SERVER_SESSION_STATE_CHANGED;
 use bytes::{BufMut, Bytes};
 
-/// The session variable that reports a stored result's handle to a client that tracks its session.
+/// The session variable that reports the handle of a stored result to a client with session tracking.
 pub const RESULT_HANDLE_VARIABLE: &str = "hitchwinch_result";
 
-/// `SESSION_TRACK_SYSTEM_VARIABLES`: the type of a change that names a system variable and its value.
+/// The type of a session change that contains the name and value of a system variable.
 const SESSION_TRACK_SYSTEM_VARIABLES: u8 = 0;
 
 /// The capabilities of a client that decide how results end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResultFormat {
-    /// `CLIENT_DEPRECATE_EOF`: no EOF after columns, and an OK after rows.
+    /// `CLIENT_DEPRECATE_EOF`: no EOF packet after the columns, and an OK packet after the rows.
     pub deprecate_eof: bool,
-    /// `CLIENT_SESSION_TRACK`: an OK reports what has changed in the session.
+    /// `CLIENT_SESSION_TRACK`: OK packets report changes of the session.
     pub session_track: bool,
 }
 
 impl ResultFormat {
-    /// The packet after the last row: an OK that reports the result's handle to a client that can read it, else an
-    /// EOF, which cannot report anything.
+    /// Returns the packet after the last row: an OK packet, which reports the result's handle to a
+    /// client with session tracking, or an EOF packet, which cannot report changes.
     pub fn last(self, status: u16, handle: Option<&str>) -> Vec<u8> {
         if !self.deprecate_eof {
             return eof_packet(status).to_vec();
@@ -31,7 +31,7 @@
         match handle.filter(|_| self.session_track) {
             Some(handle) => {
                 let mut packet = ok_after_rows(status | SERVER_SESSION_STATE_CHANGED);
-                // No text.
+                // The length of the empty message.
                 put_length_encoded_integer(&mut packet, 0);
                 put_bytes(&mut packet, &variable_change(handle));
                 packet
@@ -40,13 +40,14 @@
         }
     }
 
-    /// An engine's OK as this client reads it. Engines are not asked for session tracking, so that what follows the
-    /// warnings is a bare text there; a client that tracks its session expects a length before it.
+    /// Converts an engine's OK packet for this client. Engines are not requested to track the
+    /// session, so that their message follows the warnings without a length; a client with session
+    /// tracking expects a length before it.
     pub fn ok(self, payload: &[u8]) -> Vec<u8> {
         if !self.session_track {
             return payload.to_vec();
         }
-        match ok_text(payload) {
+        match ok_message(payload) {
             Ok(text) if !text.is_empty() => {
                 let mut packet = payload[..payload.len() - text.len()].to_vec();
                 put_bytes(&mut packet, &text);
@@ -57,7 +58,7 @@
     }
 }
 
-/// An OK packet with the header of an EOF, as it ends rows.
+/// Returns an OK packet with the header of an EOF packet, which ends the rows.
 fn ok_after_rows(status: u16) -> Vec<u8> {
     let mut packet = vec![EOF_HEADER, 0, 0];
     packet.put_u16_le(status);
@@ -66,7 +67,7 @@
     packet
 }
 
-/// One change of a session: the variable of a result's handle.
+/// Encodes a session change with the variable of a result's handle.
 fn variable_change(handle: &str) -> Vec<u8> {
     let mut name_and_value = vec![];
     for text in [RESULT_HANDLE_VARIABLE, handle] {
@@ -82,8 +83,8 @@
     buffer.put_slice(bytes);
 }
 
-/// What follows the warnings of an OK packet.
-fn ok_text(payload: &[u8]) -> Result<Bytes, PacketError> {
+/// Returns the message after the warnings of an OK packet.
+fn ok_message(payload: &[u8]) -> Result<Bytes, PacketError> {
     let mut reader = PayloadReader(Bytes::copy_from_slice(payload));
     let _header = reader.u8()?;
     let _affected_rows = reader.length_encoded_integer()?;
--- a/src/protocol/mysql/packet/status.rs
+++ b/src/protocol/mysql/packet/status.rs
@@ -2,7 +2,7 @@
 
 /// A transaction is open.
 pub const SERVER_STATUS_IN_TRANS: u16 = 1;
-/// Each statement commits by itself.
+/// Each statement is committed automatically.
 pub const SERVER_STATUS_AUTOCOMMIT: u16 = 2;
 /// Another result follows.
 pub const SERVER_MORE_RESULTS_EXISTS: u16 = 8;
--- a/src/protocol/mysql/values.rs
+++ b/src/protocol/mysql/values.rs
@@ -1,5 +1,5 @@
-//! The binary parameters of `COM_STMT_EXECUTE`: checked, and completed so that any engine connection can execute
-//! them without having seen earlier ones.
+//! Validation of the binary parameters of `COM_STMT_EXECUTE`. The parameters are completed, so that
+//! any engine connection can execute the statement without having received earlier parameters.
 
 #[cfg(test)]
 mod tests;
@@ -14,17 +14,17 @@
 pub struct Execute {
     /// Null bitmap, the `new types` flag, types and values.
     pub body: Bytes,
-    /// Parameters that were sent ahead in pieces, by their index.
+    /// Parameters that were sent in advance with `COM_STMT_SEND_LONG_DATA`, with their index.
     pub long_data: Vec<(u16, Bytes)>,
 }
 
-/// The two bytes of a parameter's type: its code, and whether it is unsigned.
+/// The type of a parameter: its type code, and a byte that marks unsigned integers.
 pub type ParameterType = [u8; 2];
 
-/// The `new types` flag: types follow.
+/// Value of the `new types` flag if types follow.
 const TYPES_FOLLOW: u8 = 1;
-/// The `new types` flag: the types of the execution before are used.
-const TYPES_AS_BEFORE: u8 = 0;
+/// Value of the `new types` flag if the types of the previous execution apply.
+const TYPES_UNCHANGED: u8 = 0;
 
 /// Type codes of the binary protocol (`MYSQL_TYPE_*`).
 mod type_code {
@@ -43,11 +43,11 @@
     pub(super) const YEAR: u8 = 0x0d;
     pub(super) const VARCHAR: u8 = 0x0f;
     pub(super) const BIT: u8 = 0x10;
-    /// JSON; the codes from here on are decimals, strings and blobs.
+    /// JSON. The codes from this one on are JSON, decimals, strings and blobs.
     pub(super) const JSON: u8 = 0xf5;
 }
 
-/// Reads over one value of this type.
+/// Skips one value of this type.
 fn skip_value(reader: &mut PayloadReader, kind: u8) -> Result<(), PacketError> {
     match kind {
         type_code::NULL => {}
@@ -56,7 +56,7 @@
         type_code::LONG | type_code::FLOAT | type_code::INT24 => drop(reader.bytes(4)?),
         type_code::DOUBLE | type_code::LONGLONG => drop(reader.bytes(8)?),
         type_code::TIMESTAMP | type_code::DATE..=type_code::DATETIME => match reader.u8()? {
-            // The lengths of a DATE, TIME or DATETIME, with parts that are zero left out.
+            // The lengths of a DATE, TIME or DATETIME; trailing parts that are zero are omitted.
             length @ (0 | 4 | 7 | 8 | 11 | 12) => drop(reader.bytes(length.into())?),
             _ => return Err(PacketError::Protocol("a date has no such length")),
         },
@@ -68,27 +68,29 @@
     Ok(())
 }
 
-fn unreadable(error: PacketError) -> SqlError {
+fn wrong_arguments(error: PacketError) -> SqlError {
     SqlError::new(
         code::ER_WRONG_ARGUMENTS,
         format!("the parameters cannot be read: {error}"),
     )
 }
 
-/// Completes what a client sent: types from its earlier execution where it names none, and long data in place.
+/// Completes the parameters of a client: adds the types of an earlier execution if they are
+/// omitted, and the long data.
 ///
-/// Clients may leave the types out after the first execution, but an engine connection that sees the statement for
-/// the first time needs them. `count` is the statement's number of parameters, `bound_types` those named last.
+/// Clients may omit the types after the first execution, but an engine connection that executes the
+/// statement for the first time needs them. `count` is the number of parameters of the statement;
+/// `bound_types` holds the types that the client sent last.
 ///
 /// # Errors
-/// `ER_WRONG_ARGUMENTS`: the parameters cannot be read.
+/// `ER_WRONG_ARGUMENTS`: the parameters cannot be parsed.
 pub fn complete_parameters(
     count: usize,
     body: Bytes,
     bound_types: &mut Option<Vec<ParameterType>>,
     long_data: &BTreeMap<u16, BytesMut>,
 ) -> Result<Execute, SqlError> {
-    complete(count, body, bound_types, long_data).map_err(unreadable)
+    complete(count, body, bound_types, long_data).map_err(wrong_arguments)
 }
 
 fn complete(
@@ -134,7 +136,7 @@
     })
 }
 
-/// Reads the `new types` flag and the types behind it, if there are any.
+/// Reads the `new types` flag and the types that follow it, if any.
 fn read_types(
     reader: &mut PayloadReader,
     count: usize,
@@ -147,7 +149,7 @@
             *bound_types = Some(types.collect());
             Ok(())
         }
-        TYPES_AS_BEFORE => Ok(()),
+        TYPES_UNCHANGED => Ok(()),
         _ => Err(PacketError::Protocol("the types' flag is neither 0 nor 1")),
     }
 }
--- a/src/protocol/mysql/values/tests.rs
+++ b/src/protocol/mysql/values/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn run(body: &[u8], bound_types: &mut Option<Vec<ParameterType>>) -> Result<Vec<u8>, u16> {
+fn complete_two(body: &[u8], bound_types: &mut Option<Vec<ParameterType>>) -> Result<Vec<u8>, u16> {
     complete_parameters(
         2,
         Bytes::copy_from_slice(body),
@@ -12,45 +12,45 @@
 }
 
 #[test]
-fn types_are_remembered_for_engines_that_never_saw_them() {
+fn types_are_kept_for_engine_connections_without_an_earlier_execution() {
     let mut bound_types = None;
     assert_eq!(
-        run(&[0, 0, 5, 1, b'a'], &mut bound_types),
+        complete_two(&[0, 0, 5, 1, b'a'], &mut bound_types),
         Err(1210),
-        "no types were ever named"
+        "no execution has sent types"
     );
     let first = [0, 1, 1, 0, 0xfd, 0, 5, 1, b'a'];
-    assert_eq!(run(&first, &mut bound_types), Ok(first.to_vec()));
+    assert_eq!(complete_two(&first, &mut bound_types), Ok(first.to_vec()));
     assert_eq!(
-        run(&[2, 0, 7], &mut bound_types),
+        complete_two(&[2, 0, 7], &mut bound_types),
         Ok(vec![2, 1, 1, 0, 0xfd, 0, 7]),
-        "the second is NULL"
+        "the second parameter is NULL"
     );
 }
 
 #[test]
-fn values_that_end_early_or_late_are_rejected() {
+fn truncated_values_and_trailing_bytes_are_rejected() {
     for body in [
         &[0u8, 1, 1, 0, 0xfd, 0, 5][..],
         &[0, 1, 1, 0, 0xfd, 0, 5, 9, b'a'],
         &[0, 1, 1],
         &[],
     ] {
-        assert_eq!(run(body, &mut None), Err(1210), "{body:?}");
+        assert_eq!(complete_two(body, &mut None), Err(1210), "{body:?}");
     }
     assert_eq!(
-        run(&[0, 1, 1, 0, 0xfd, 0, 5, 1, b'a', 0], &mut None),
+        complete_two(&[0, 1, 1, 0, 0xfd, 0, 5, 1, b'a', 0], &mut None),
         Err(1210)
     );
     assert_eq!(
-        run(&[0, 1, 1, 0, 0x0c, 0, 5, 3, 1, 1, 1], &mut None),
+        complete_two(&[0, 1, 1, 0, 0x0c, 0, 5, 3, 1, 1, 1], &mut None),
         Err(1210),
         "a date of 3 bytes"
     );
 }
 
 #[test]
-fn long_data_stands_for_its_value() {
+fn long_data_replaces_the_value() {
     let long_data = BTreeMap::from([(1u16, BytesMut::from(&b"long"[..]))]);
     let execute = complete_parameters(
         2,
