--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -108,7 +108,7 @@
                         }
                     });
                 }
-                Err(error) if listener::is_momentary(&error) => {}
+                Err(error) if listener::is_transient(&error) => {}
                 Err(error) => {
                     log_line!("admin accept: {error}");
                     tokio::time::sleep(ACCEPT_BACKOFF).await;
--- a/src/frontend/frames/mod.rs
+++ b/src/frontend/frames/mod.rs
@@ -146,7 +146,7 @@
             };
             match accepted {
                 Ok((tcp, permit)) => self.clone().serve(tcp, permit),
-                Err(error) if listener::is_momentary(&error) => {}
+                Err(error) if listener::is_transient(&error) => {}
                 Err(error) => {
                     log_line!("accept: {error}");
                     // What the whole machine lacks for a moment is not freed by a client that gives way.
@@ -172,7 +172,7 @@
         }
         let budget =
             DescriptorBudget::per_process(self.limits.borrow().max_sockets, self.processes.get());
-        listener::accepted(listener, budget.final_clients)
+        listener::drain_accept_queue(listener, budget.final_clients)
     }
 
     fn serve(self: Rc<Self>, tcp: TcpStream, permit: PermitGuard) {
--- a/src/frontend/mysql/accept.rs
+++ b/src/frontend/mysql/accept.rs
@@ -55,7 +55,7 @@
             };
             match accepted {
                 Ok((tcp, peer)) => self.admit(tcp, peer),
-                Err(error) if listener::is_momentary(&error) => {}
+                Err(error) if listener::is_transient(&error) => {}
                 Err(error) => {
                     log_line!("mysql accept: {error}");
                     tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
@@ -92,7 +92,7 @@
 
     /// Tells the clients that the machine has accepted by now that the dispatcher shuts down.
     fn reject_accepted(self: &Rc<Self>, listener: TcpListener) {
-        for tcp in listener::accepted(listener, self.rejection_limit()) {
+        for tcp in listener::drain_accept_queue(listener, self.rejection_limit()) {
             let frontend = self.clone();
             spawn_local(async move {
                 let mut wire = frontend.client_connection(tcp);
--- a/src/transport/listener.rs
+++ b/src/transport/listener.rs
@@ -114,7 +114,7 @@
 
 /// Returns whether the error affects only one connection or call, so that the next accept may
 /// succeed at once.
-pub fn is_momentary(error: &io::Error) -> bool {
+pub fn is_transient(error: &io::Error) -> bool {
     matches!(
         error.kind(),
         io::ErrorKind::ConnectionAborted | io::ErrorKind::Interrupted
@@ -130,7 +130,7 @@
 /// on it, `limit` at most: for their clients they are established, and may carry requests already.
 /// The socket itself is polled, because the runtime may not have been notified of the latest
 /// connections.
-pub fn accepted(listener: TcpListener, limit: usize) -> Vec<TcpStream> {
+pub fn drain_accept_queue(listener: TcpListener, limit: usize) -> Vec<TcpStream> {
     let Ok(listener) = listener.into_std() else {
         return vec![];
     };
