--- a/src/frontend/frames/mod.rs
+++ b/src/frontend/frames/mod.rs
@@ -172,7 +172,7 @@
         }
         let budget =
             DescriptorBudget::per_process(self.limits.borrow().max_sockets, self.processes.get());
-        listener::drain_accept_queue(listener, budget.final_clients)
+        listener::drain_accept_queue(listener, budget.shutdown_clients)
     }
 
     fn serve(self: Rc<Self>, tcp: TcpStream, permit: PermitGuard) {
--- a/src/frontend/mysql/accept.rs
+++ b/src/frontend/mysql/accept.rs
@@ -68,7 +68,7 @@
     }
 
     fn rejection_limit(&self) -> usize {
-        MAX_CONCURRENT_REJECTIONS.min(self.descriptor_shares().final_clients)
+        MAX_CONCURRENT_REJECTIONS.min(self.descriptor_shares().shutdown_clients)
     }
 
     /// Serves a client in a task of its own, or rejects it there.
--- a/src/main.rs
+++ b/src/main.rs
@@ -10,7 +10,7 @@
 
 fn main() -> ExitCode {
     // Counted before anything is opened.
-    let inherited_descriptors = descriptors::inherited();
+    let inherited_descriptors = descriptors::inherited_count();
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     match run(&arguments, inherited_descriptors) {
         Ok(()) => ExitCode::SUCCESS,
--- a/src/transport/descriptors/mod.rs
+++ b/src/transport/descriptors/mod.rs
@@ -1,7 +1,7 @@
 //! Budget of the process's file descriptors. Each kind of user has a maximum of its own, derived
 //! from the configured limit and that of the operating system, and the sum of all maxima stays
 //! within that limit: clients cannot take descriptors that the journal, the engines, the operators
-//! or a file need. All functions are pure, except [`effective_limit`] and [`inherited`].
+//! or a file need. All functions are pure, except [`effective_limit`] and [`inherited_count`].
 
 #[cfg(test)]
 mod tests;
@@ -11,7 +11,7 @@
 /// the number of an inherited one (four), the file by which other processes detect that this one is
 /// alive, the connection of the journal, a directory and a file in it that are being read (two),
 /// and a client and an operator's connection that were accepted and wait for a permit (two).
-pub const RESERVED: usize = 20;
+pub const RESERVED_DESCRIPTORS: usize = 20;
 /// Maximum number of concurrent connections of operators.
 const MAX_OPERATORS: usize = 24;
 /// Upper bound of the limit; no operating system allows a process more descriptors.
@@ -25,7 +25,7 @@
     /// Connections of clients, including evicted ones that have not closed yet.
     pub clients: usize,
     /// Additional clients that the operating system has accepted when the shutdown begins.
-    pub final_clients: usize,
+    pub shutdown_clients: usize,
     /// Connections of operators.
     pub operators: usize,
     /// Connections to engines.
@@ -37,14 +37,14 @@
     pub fn per_process(limit: usize, processes: usize) -> Self {
         let limit = limit.min(MAX_DESCRIPTORS) / processes.max(1);
         // Clients hold up to a third of the limit, so two fifths of it are admitted.
-        let (clients, final_clients) = ((limit * 2 / 5).max(2), limit / 10);
+        let (clients, shutdown_clients) = ((limit * 2 / 5).max(2), limit / 10);
         let operators = (limit / 16).clamp(2, MAX_OPERATORS);
         let engines = limit
-            .saturating_sub(RESERVED + clients + final_clients + operators)
+            .saturating_sub(RESERVED_DESCRIPTORS + clients + shutdown_clients + operators)
             .max(MIN_ENGINES);
         DescriptorBudget {
             clients,
-            final_clients,
+            shutdown_clients,
             operators,
             engines,
         }
@@ -64,7 +64,7 @@
 
 /// Returns the number of open descriptors beyond the standard streams; at the start of the process,
 /// these are inherited.
-pub fn inherited() -> usize {
+pub fn inherited_count() -> usize {
     // Three standard streams, and the descriptor of the directory that is being read.
     std::fs::read_dir("/proc/self/fd")
         .map_or(0, |descriptors| descriptors.count().saturating_sub(4))
--- a/src/transport/descriptors/tests.rs
+++ b/src/transport/descriptors/tests.rs
@@ -5,7 +5,11 @@
     for limit in 64..5000 {
         let budget = DescriptorBudget::per_process(limit, 1);
         assert!(
-            RESERVED + budget.clients + budget.final_clients + budget.operators + budget.engines
+            RESERVED_DESCRIPTORS
+                + budget.clients
+                + budget.shutdown_clients
+                + budget.operators
+                + budget.engines
                 <= limit,
             "{limit}: {budget:?}"
         );
@@ -14,16 +18,16 @@
             "the protocol allows clients a third of the limit: {limit}: {budget:?}"
         );
         assert!(
-            budget.operators > 1 && budget.final_clients > 0 && budget.engines >= MIN_ENGINES,
+            budget.operators > 1 && budget.shutdown_clients > 0 && budget.engines >= MIN_ENGINES,
             "{limit}: {budget:?}"
         );
     }
     for limit in 128..5000 {
         let budget = DescriptorBudget::per_process(limit, 2);
         assert!(
-            2 * (RESERVED
+            2 * (RESERVED_DESCRIPTORS
                 + budget.clients
-                + budget.final_clients
+                + budget.shutdown_clients
                 + budget.operators
                 + budget.engines)
                 <= limit,
@@ -34,7 +38,7 @@
         DescriptorBudget::per_process(64, 1),
         DescriptorBudget {
             clients: 25,
-            final_clients: 6,
+            shutdown_clients: 6,
             operators: 4,
             engines: 9
         }
@@ -43,7 +47,7 @@
         DescriptorBudget::per_process(1024, 1),
         DescriptorBudget {
             clients: 409,
-            final_clients: 102,
+            shutdown_clients: 102,
             operators: 24,
             engines: 469
         }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -8,7 +8,7 @@
 mod process;
 
 use process::*;
-use query_dispatcher::transport::descriptors::RESERVED;
+use query_dispatcher::transport::descriptors::RESERVED_DESCRIPTORS;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::Command;
@@ -134,7 +134,7 @@
     other.wait().unwrap();
     let held = program.descriptors() - inherited;
     println!("{held} descriptors");
-    assert!(held <= RESERVED, "{held} descriptors");
+    assert!(held <= RESERVED_DESCRIPTORS, "{held} descriptors");
 }
 
 #[test]
