--- a/src/frontend/mysql/login.rs
+++ b/src/frontend/mysql/login.rs
@@ -113,7 +113,7 @@
     let Some(keys) = tls_keys else {
         return Ok(Some(first));
     };
-    if Login::asks_tls(&first) {
+    if Login::requests_tls(&first) {
         let read_ahead = BytesMut::from(&wire.read_buffer()[..]);
         wire.read_buffer_mut().clear();
         wire.get_mut()
--- a/src/protocol/mysql/packet/handshake.rs
+++ b/src/protocol/mysql/packet/handshake.rs
@@ -119,7 +119,7 @@
 
 impl Login {
     /// Returns whether a payload is a request to switch to TLS before the login.
-    pub fn asks_tls(payload: &[u8]) -> bool {
+    pub fn requests_tls(payload: &[u8]) -> bool {
         payload.len() == LOGIN_HEAD_BYTES
             && u32::from_le_bytes([payload[0], payload[1], payload[2], payload[3]]) & CLIENT_SSL
                 != 0
