--- a/src/protocol/resp/mod.rs
+++ b/src/protocol/resp/mod.rs
@@ -20,7 +20,7 @@
 pub enum RespError {
     /// The bytes are not an array of bulk strings, or the array is not a valid reply.
     #[error("not a RESP array of bulk strings")]
-    Form,
+    Malformed,
     /// A length exceeds its maximum.
     #[error("a length of {0} is too large")]
     Length(usize),
@@ -49,25 +49,25 @@
         return Ok(None);
     };
     if *first != type_byte {
-        return Err(RespError::Form);
+        return Err(RespError::Malformed);
     }
     let digits = rest.iter().take(MAX_LENGTH_DIGITS);
     let Some(end) = digits.into_iter().position(|&byte| byte == b'\r') else {
         return if rest.len() >= MAX_LENGTH_DIGITS {
-            Err(RespError::Form)
+            Err(RespError::Malformed)
         } else {
             Ok(None)
         };
     };
-    let text = std::str::from_utf8(&rest[..end]).map_err(|_| RespError::Form)?;
-    let length: usize = text.parse().map_err(|_| RespError::Form)?;
+    let text = std::str::from_utf8(&rest[..end]).map_err(|_| RespError::Malformed)?;
+    let length: usize = text.parse().map_err(|_| RespError::Malformed)?;
     if length > max {
         return Err(RespError::Length(length));
     }
     match rest.get(end + 1) {
         None => Ok(None),
         Some(b'\n') => Ok(Some((length, end + 3))),
-        Some(_) => Err(RespError::Form),
+        Some(_) => Err(RespError::Malformed),
     }
 }
 
@@ -90,7 +90,7 @@
                 return Ok(None);
             }
             if &src[end..end + 2] != b"\r\n" {
-                return Err(RespError::Form);
+                return Err(RespError::Malformed);
             }
             *range = (offset, end);
             offset = end + 2;
--- a/src/upstream/resp/replies.rs
+++ b/src/upstream/resp/replies.rs
@@ -21,8 +21,8 @@
 
 /// A number among a reply's fields.
 fn number(fields: &str, name: &str) -> Result<usize, RespError> {
-    let value = field(fields, name).ok_or(RespError::Form)?;
-    value.parse().map_err(|_| RespError::Form)
+    let value = field(fields, name).ok_or(RespError::Malformed)?;
+    value.parse().map_err(|_| RespError::Malformed)
 }
 
 impl Session<'_> {
@@ -32,10 +32,10 @@
             return Ok(());
         };
         let [id, word, rest @ ..] = strings else {
-            return Err(RespError::Form);
+            return Err(RespError::Malformed);
         };
-        let txn = std::str::from_utf8(id).map_err(|_| RespError::Form)?;
-        let word = std::str::from_utf8(word).map_err(|_| RespError::Form)?;
+        let txn = std::str::from_utf8(id).map_err(|_| RespError::Malformed)?;
+        let word = std::str::from_utf8(word).map_err(|_| RespError::Malformed)?;
         let fields = rest.first().map(|fields| String::from_utf8_lossy(fields));
         let fields = fields.unwrap_or_default();
         let body = rest.get(1).cloned().unwrap_or_default();
@@ -67,7 +67,7 @@
             "EIO" => Outcome::Error,
             "READY" => return Ok(()),
             // After what can't be read, nothing else on this connection can be trusted.
-            _ => return Err(RespError::Form),
+            _ => return Err(RespError::Malformed),
         };
         self.forget_attempt(txn, attempt);
         let report = load_report(&fields, &self.task.pool.report_fields);
@@ -101,7 +101,7 @@
         let stage = match stage {
             Some(stage @ Stage::Written) => stage,
             // A reply to what was not written yet.
-            Some(Stage::Queued { .. }) => return Err(RespError::Form),
+            Some(Stage::Queued { .. }) => return Err(RespError::Malformed),
             Some(Stage::Paging { .. }) | None => return Ok(()),
         };
         let total = number(fields, "total")?;
@@ -144,7 +144,7 @@
                 ..
             }) => (pages, missing_pages, result_bytes, last_page_at),
             // A page before the first, or a reply to what was not written yet.
-            Some(Stage::Queued { .. } | Stage::Written) => return Err(RespError::Form),
+            Some(Stage::Queued { .. } | Stage::Written) => return Err(RespError::Malformed),
             None => return Ok(()),
         };
         let index = number(fields, "index")?;
