--- a/src/frontend/mysql/accept.rs
+++ b/src/frontend/mysql/accept.rs
@@ -56,7 +56,7 @@
             };
             match accepted {
                 Ok((tcp, peer)) => self.admit(tcp, peer),
-                Err(error) if listener::is_momentary(&error) => {}
+                Err(error) if listener::is_transient(&error) => {}
                 Err(error) => {
                     log_line!("mysql accept: {error}");
                     tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
@@ -69,7 +69,7 @@
     }
 
     fn rejection_limit(&self) -> usize {
-        MAX_CONCURRENT_REJECTIONS.min(self.descriptor_budget().final_clients)
+        MAX_CONCURRENT_REJECTIONS.min(self.descriptor_budget().shutdown_clients)
     }
 
     /// Serves a client, or rejects it, in a new task.
@@ -93,7 +93,7 @@
 
     /// Sends a shutdown error to the clients in the listen queue.
     fn reject_accepted(self: &Rc<Self>, listener: TcpListener) {
-        for tcp in listener::accepted(listener, self.rejection_limit()) {
+        for tcp in listener::drain_accept_queue(listener, self.rejection_limit()) {
             let frontend = self.clone();
             spawn_local(async move {
                 let mut connection = frontend.client_connection(tcp);
--- a/src/frontend/mysql/login.rs
+++ b/src/frontend/mysql/login.rs
@@ -121,7 +121,7 @@
     let Some(keys) = tls_keys else {
         return Ok(Some(first));
     };
-    if Login::asks_tls(&first) {
+    if Login::requests_tls(&first) {
         let read_ahead = BytesMut::from(&connection.read_buffer()[..]);
         connection.read_buffer_mut().clear();
         connection
--- a/src/upstream/resp/replies.rs
+++ b/src/upstream/resp/replies.rs
@@ -22,8 +22,8 @@
 
 /// Parses a number from the fields of a reply.
 fn number_field(fields: &str, name: &str) -> Result<usize, RespError> {
-    let value = field(fields, name).ok_or(RespError::Form)?;
-    value.parse().map_err(|_| RespError::Form)
+    let value = field(fields, name).ok_or(RespError::Malformed)?;
+    value.parse().map_err(|_| RespError::Malformed)
 }
 
 impl EstablishedConnection<'_> {
@@ -33,10 +33,10 @@
             return Ok(());
         };
         let [id, word, rest @ ..] = strings else {
-            return Err(RespError::Form);
+            return Err(RespError::Malformed);
         };
-        let txn = std::str::from_utf8(id).map_err(|_| RespError::Form)?;
-        let word = std::str::from_utf8(word).map_err(|_| RespError::Form)?;
+        let txn = std::str::from_utf8(id).map_err(|_| RespError::Malformed)?;
+        let word = std::str::from_utf8(word).map_err(|_| RespError::Malformed)?;
         let fields = rest.first().map(|fields| String::from_utf8_lossy(fields));
         let fields = fields.unwrap_or_default();
         let body = rest.get(1).cloned().unwrap_or_default();
@@ -68,7 +68,7 @@
             "EIO" => Outcome::Error,
             "READY" => return Ok(()),
             // After a reply of an unknown form, nothing else on this connection can be trusted.
-            _ => return Err(RespError::Form),
+            _ => return Err(RespError::Malformed),
         };
         self.remove_attempt(txn, attempt);
         let report = load_report(&fields, &self.task.pool.report_fields);
@@ -108,7 +108,7 @@
         let stage = match stage {
             Some(stage @ Stage::Written) => stage,
             // A reply to an attempt that has not been written yet.
-            Some(Stage::Queued { .. }) => return Err(RespError::Form),
+            Some(Stage::Queued { .. }) => return Err(RespError::Malformed),
             Some(Stage::Paging { .. }) | None => return Ok(()),
         };
         let total = number_field(fields, "total")?;
@@ -156,7 +156,7 @@
                 ..
             }) => (pages, missing_pages, result_bytes, last_page_at),
             // A further page before the first one, or a reply to an attempt that has not been written yet.
-            Some(Stage::Queued { .. } | Stage::Written) => return Err(RespError::Form),
+            Some(Stage::Queued { .. } | Stage::Written) => return Err(RespError::Malformed),
             None => return Ok(()),
         };
         let index = number_field(fields, "index")?;
