--- a/src/gossip/engine_ages.rs
+++ b/src/gossip/engine_ages.rs
@@ -1,15 +1,16 @@
-//! Requests of a dispatcher to a peer for how long it has known the starts of engines, and the responses.
+//! Messages in which a dispatcher asks a peer for how long it has known the starts of engines, and the
+//! responses.
 //!
-//! A dispatcher that has just started cannot tell an engine's age from wall clocks: they may be wrong. A peer that has
-//! heard of the start earlier knows a span of real time since, and the engine is at least as old; the way of the message
-//! only adds to it.
+//! A dispatcher that has just started cannot derive an engine's age from wall clocks, because they may be
+//! wrong. A peer that learned of the start earlier has measured the time since then, and the engine is at
+//! least that old. The time that the message takes only makes the engine older.
 //!
 //! | message | bytes |
 //! | --- | --- |
-//! | request | `q`, then 6 bytes for each start: the engine's hash and that of the start as it was told, 21 bits each |
-//! | response | `s`, then 8 bytes for each start: the same 6, and its age in tenths of a second, 14 bits |
+//! | request | `q`, then 6 bytes for each start: 21-bit hashes of the engine and of the reported start time |
+//! | response | `s`, then 8 bytes for each start: the same 6 bytes, and its age in units of 0.1 s, 14 bits |
 //!
-//! Every byte is below 128, the highest bits first, as in the other messages.
+//! Every byte is below 128, most significant bits first, as in the other messages.
 
 use super::message::{MAX_MESSAGE_BYTES, engine_hash};
 use super::seven_bit::{self, HASH_BYTES, decode_number, encode_number};
@@ -19,15 +20,16 @@
 const RESPONSE_KIND: u8 = b's';
 const START_BYTES: usize = 2 * HASH_BYTES;
 const AGE_BYTES: usize = 2;
-/// The unit of an age in a message, in ms.
+/// Unit of an age in a message, in ms.
 const AGE_UNIT_MS: Millis = 100.0;
-/// The largest age of a message, in units; older engines are told with it.
+/// Maximum age in a message, in units of [`AGE_UNIT_MS`]; it is sent for older engines too.
 const MAX_AGE_UNITS: f64 = 16_383.0;
 
-/// Starts that a message names at most: a response to a whole request is one message.
+/// Maximum number of starts in a message, chosen so that the response to a full request fits into one
+/// message.
 pub const MAX_STARTS: usize = (MAX_MESSAGE_BYTES - 1) / (START_BYTES + AGE_BYTES);
 
-/// Identifies one start of one engine among dispatchers.
+/// Identifies one start of one engine in messages between dispatchers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct StartId {
     engine_hash: u32,
@@ -35,35 +37,35 @@
 }
 
 impl StartId {
-    /// The start that discovery tells of this engine with this time.
-    pub fn new(engine: &str, told: Millis) -> Self {
+    /// Identifies the start of an engine by the start time that discovery reports.
+    pub fn new(engine: &str, reported_start: Millis) -> Self {
         StartId {
             engine_hash: engine_hash(engine),
-            start_hash: seven_bit::hash(told.to_bits().to_be_bytes()),
+            start_hash: seven_bit::hash(reported_start.to_bits().to_be_bytes()),
         }
     }
 }
 
-/// An engine is at least this old.
+/// Minimum age of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineAge {
-    /// Which of its starts is meant.
+    /// The engine's start from which the age counts.
     pub start: StartId,
-    /// Time since its start, in ms.
+    /// Minimum time since that start, in ms.
     pub min_age: Millis,
 }
 
-/// A message about starts.
+/// A message about starts of engines.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AgeMessage {
-    /// How long ago were these?
+    /// Asks how long ago these starts were.
     Request(Vec<StartId>),
-    /// So long ago at least.
+    /// States the minimum time since each start.
     Response(Vec<EngineAge>),
 }
 
 impl AgeMessage {
-    /// The message's bytes, with the first [`MAX_STARTS`] of its starts.
+    /// Encodes the message with the first [`MAX_STARTS`] of its starts.
     pub fn encode(&self) -> Vec<u8> {
         match self {
             AgeMessage::Request(starts) => {
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Reads a message; `None` if it is none about starts, or not whole.
+    /// Decodes a message. Returns `None` if it is of another kind or malformed.
     pub fn decode(message: &[u8]) -> Option<Self> {
         let (&kind, body) = message.split_first()?;
         if !body.is_ascii() {
@@ -109,11 +111,12 @@
     }
 }
 
-/// The entries of a body that holds whole ones, one to [`MAX_STARTS`].
+/// Splits a body into entries of `size` bytes. Returns `None` unless it consists of 1 to [`MAX_STARTS`]
+/// complete entries.
 fn entries(body: &[u8], size: usize) -> Option<std::slice::ChunksExact<'_, u8>> {
     let count = body.len() / size;
-    let is_whole = body.len().is_multiple_of(size) && (1..=MAX_STARTS).contains(&count);
-    is_whole.then(|| body.chunks_exact(size))
+    let is_complete = body.len().is_multiple_of(size) && (1..=MAX_STARTS).contains(&count);
+    is_complete.then(|| body.chunks_exact(size))
 }
 
 fn encode_start(start: StartId) -> Vec<u8> {
--- a/src/gossip/fleet_census.rs
+++ b/src/gossip/fleet_census.rs
@@ -1,39 +1,42 @@
-//! Which dispatchers of the tier are heard, and whether that bears out how many are configured.
+//! Census of the dispatchers in the tier: checks the configured number of dispatchers against received
+//! messages.
 //!
-//! Every dispatcher with traffic broadcasts. If more ran than the configuration lists, messages of the others
-//! would arrive among those of the listed ones: a sample of messages from enough different listed peers with none
-//! from elsewhere confirms the configured number for a while, one message from elsewhere refutes it.
+//! Every dispatcher with traffic broadcasts. If more dispatchers ran than the configuration lists, messages
+//! from the unlisted ones would arrive too. A sample of messages from enough different listed peers, and from
+//! no unlisted peer, therefore confirms the configured number for a limited time; one message from an
+//! unlisted peer refutes it.
 
 use crate::decision::model::{FleetEvidence, Millis};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Messages of a sample. If twice as many dispatchers ran as are listed, one sample in a million would miss the others.
+/// Number of messages in a sample. If twice as many dispatchers ran as are listed, one sample in a million
+/// would contain no message from an unlisted one.
 const SAMPLE_MESSAGES: usize = 20;
-/// Different peers that a sample needs at most.
+/// Maximum number of different peers that a sample requires.
 const MAX_SAMPLE_PEERS: usize = 20;
-/// The part of the listed peers that a sample needs in a small tier.
+/// Fraction of the listed peers that a sample requires in a small tier.
 const MIN_SAMPLED_FRACTION: f64 = 0.75;
-/// A sample that is not complete within this time begins anew, in ms.
+/// Maximum time that a sample takes, in ms; after it, a new sample is started.
 const MAX_SAMPLE_AGE: Millis = 10_000.0;
-/// How long a sample confirms the configured number, in ms.
+/// Time for which a sample confirms the configured number, in ms.
 const CONFIRMATION_PERIOD: Millis = 10_000.0;
-/// How long a peer that is not listed counts after its last message, in ms.
+/// Time for which an unlisted peer is counted after its last message, in ms.
 const UNLISTED_PERIOD: Millis = 60_000.0;
-/// Peers that are not listed which are remembered.
+/// Maximum number of unlisted peers that are tracked.
 const MAX_UNLISTED_PEERS: usize = 1024;
 
-/// Counts the dispatchers that are heard. `Peer` identifies the sender of a message.
+/// Counts the dispatchers that messages are received from. `Peer` identifies the sender of a message.
 #[derive(Debug)]
 pub struct FleetCensus<Peer> {
-    /// Dispatchers of the tier by the configuration, this one included.
+    /// Configured number of dispatchers in the tier, including this one.
     configured: u32,
     sample: Sample<Peer>,
-    /// Peers that are not listed, and when each was last heard.
+    /// Unlisted peers, with the time of the last message from each.
     unlisted: BTreeMap<Peer, Millis>,
     confirmed_until: Option<Millis>,
 }
 
-/// The messages of listed peers that are being counted.
+/// The current sample of messages from listed peers.
 #[derive(Debug)]
 struct Sample<Peer> {
     began_at: Millis,
@@ -52,7 +55,8 @@
 }
 
 impl<Peer: Ord> FleetCensus<Peer> {
-    /// A census that has heard nobody. `configured` dispatchers are in the tier, this one included.
+    /// Creates a census without messages. `configured` is the number of dispatchers in the tier, including
+    /// this one.
     pub fn new(configured: u32) -> Self {
         FleetCensus {
             configured,
@@ -62,9 +66,9 @@
         }
     }
 
-    /// A message has come from a peer that the configuration lists.
+    /// Records a message from a peer that the configuration lists.
     pub fn record_listed(&mut self, now: Millis, peer: Peer) -> FleetEvidence {
-        self.forget_unlisted(now);
+        self.expire_unlisted(now);
         if !self.unlisted.is_empty() {
             return self.evidence();
         }
@@ -82,9 +86,10 @@
         self.evidence()
     }
 
-    /// A message has come from a peer that the configuration does not list: more dispatchers run than it says.
+    /// Records a message from a peer that the configuration does not list: more dispatchers run than
+    /// configured.
     pub fn record_unlisted(&mut self, now: Millis, peer: Peer) -> FleetEvidence {
-        self.forget_unlisted(now);
+        self.expire_unlisted(now);
         if self.unlisted.len() < MAX_UNLISTED_PEERS || self.unlisted.contains_key(&peer) {
             self.unlisted.insert(peer, now);
         }
@@ -93,7 +98,7 @@
         self.evidence()
     }
 
-    /// What has been heard so far.
+    /// Returns the evidence from the messages received so far.
     fn evidence(&self) -> FleetEvidence {
         let min_dispatchers = match u32::try_from(self.unlisted.len()) {
             Ok(0) | Err(_) => 0,
@@ -112,9 +117,9 @@
         self.sample.messages >= SAMPLE_MESSAGES && self.sample.peers.len() >= required
     }
 
-    fn forget_unlisted(&mut self, now: Millis) {
+    fn expire_unlisted(&mut self, now: Millis) {
         self.unlisted
-            .retain(|_, heard_at| now - *heard_at < UNLISTED_PERIOD);
+            .retain(|_, received_at| now - *received_at < UNLISTED_PERIOD);
     }
 }
 
--- a/src/gossip/fleet_census/tests.rs
+++ b/src/gossip/fleet_census/tests.rs
@@ -4,8 +4,8 @@
 };
 use crate::decision::model::{FleetEvidence, Millis};
 
-/// Every listed peer is heard in turn, a message each 10 ms.
-fn hear_all(
+/// Records messages from the listed peers in turn, one every 10 ms.
+fn record_in_turn(
     census: &mut FleetCensus<u32>,
     from: Millis,
     peers: u32,
@@ -26,7 +26,7 @@
     for configured in [2, 5, 300] {
         let mut census = FleetCensus::new(configured);
         let messages = SAMPLE_MESSAGES as u32;
-        let early = hear_all(&mut census, 0.0, configured - 1, messages - 1);
+        let early = record_in_turn(&mut census, 0.0, configured - 1, messages - 1);
         assert_eq!(early.confirmed_until, None, "{configured} dispatchers");
         let last = 10.0 * f64::from(messages - 1);
         let evidence = census.record_listed(last, configured - 2);
@@ -41,13 +41,16 @@
 }
 
 #[test]
-fn one_talkative_peer_of_many_confirms_nothing() {
+fn messages_from_one_peer_of_many_confirm_nothing() {
     let mut census = FleetCensus::new(30);
-    assert_eq!(hear_all(&mut census, 0.0, 1, 500).confirmed_until, None);
+    assert_eq!(
+        record_in_turn(&mut census, 0.0, 1, 500).confirmed_until,
+        None
+    );
 }
 
 #[test]
-fn a_sample_that_takes_too_long_begins_anew() {
+fn a_sample_that_takes_too_long_is_discarded() {
     let mut census = FleetCensus::new(5);
     for message in 0..100u32 {
         let now = f64::from(message) * MAX_SAMPLE_AGE / 10.0;
@@ -59,15 +62,19 @@
 #[test]
 fn an_unlisted_peer_refutes_the_configured_number_while_it_is_remembered() {
     let mut census = FleetCensus::new(5);
-    assert!(hear_all(&mut census, 0.0, 4, 40).confirmed_until.is_some());
+    assert!(
+        record_in_turn(&mut census, 0.0, 4, 40)
+            .confirmed_until
+            .is_some()
+    );
     let refuted = census.record_unlisted(1000.0, 77);
     assert_eq!(
         (refuted.min_dispatchers, refuted.confirmed_until),
         (6, None)
     );
-    let later = hear_all(&mut census, 1001.0, 4, 1000);
+    let later = record_in_turn(&mut census, 1001.0, 4, 1000);
     assert_eq!((later.min_dispatchers, later.confirmed_until), (6, None));
-    let forgotten = hear_all(&mut census, 1000.0 + UNLISTED_PERIOD, 4, 40);
+    let forgotten = record_in_turn(&mut census, 1000.0 + UNLISTED_PERIOD, 4, 40);
     assert_eq!(forgotten.min_dispatchers, 0);
     assert!(forgotten.confirmed_until.is_some());
 }
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -1,75 +1,76 @@
-//! The wire format of a message: one load report of one engine.
+//! Wire format of a message that carries one load report of one engine.
 //!
 //! | offset | bytes | field |
 //! | --- | --- | --- |
-//! | 0 | 1 | kind: `r`, a load report |
-//! | 1 | 3 | the engine's hash ([`engine_hash`]), 21 bits, 7 in each byte, the highest first |
-//! | 4 | 1 each | the report's values, in the order of the settings' report fields |
+//! | 0 | 1 | kind: `r` for a load report |
+//! | 1 | 3 | hash of the engine's name ([`engine_hash`]), 21 bits, 7 per byte, most significant first |
+//! | 4 | 1 each | values of the report, in the order of the settings' report fields |
 //!
-//! Every byte is below 128, so that a message is text as well and the simulator's protocol can carry it. A value is a
-//! step of a scale:
+//! Every byte is below 128, so that a message is also ASCII text, which the simulator's protocol can carry. A
+//! value is encoded as a step of a scale:
 //!
 //! | steps | values |
 //! | --- | --- |
-//! | 0 to 63 | 0 to 1.26, by 0.02: shares |
-//! | 64 to 103 | 1 to 40, by 1: counts |
-//! | 104 to 127 | each a tenth more than the one before, from 44 to 394 |
+//! | 0 to 63 | shares from 0 to 1.26 in steps of 0.02 |
+//! | 64 to 103 | counts from 1 to 40 in steps of 1 |
+//! | 104 to 127 | values from 44 to 394, each 10 % above the previous one |
 
 use super::seven_bit::{self, HASH_BYTES, decode_number, encode_number};
 
-/// The longest message of the protocol, in bytes; the peers' messages are charged by it.
+/// Maximum size of a message, in bytes. The price in the settings is that of a message of this size.
 pub const MAX_MESSAGE_BYTES: usize = 256;
-/// The kind of a load report.
+/// Kind byte of a load report.
 const LOAD_REPORT_KIND: u8 = b'r';
-/// The kind and the engine's hash, in bytes.
+/// Size of the kind and the engine's hash, in bytes.
 const HEADER_BYTES: usize = 1 + HASH_BYTES;
-/// Values that a message can hold.
+/// Maximum number of values in a message.
 const MAX_REPORT_FIELDS: usize = 16;
-/// The highest step of the linear scale of shares, its value and the distance of two steps.
+/// Highest step of the linear scale of shares, its value, and the difference between two steps.
 const LAST_SHARE_STEP: f64 = 63.0;
 const MAX_SHARE: f64 = 1.26;
 const SHARE_STEP: f64 = 0.02;
-/// The highest step of the linear scale of counts, and its value.
+/// Highest step of the linear scale of counts, and its value.
 const LAST_COUNT_STEP: f64 = 103.0;
 const MAX_COUNT: f64 = 40.0;
-/// The highest step, and the ratio of two values beyond [`MAX_COUNT`].
+/// Highest step of all, and the ratio of two successive values above [`MAX_COUNT`].
 const LAST_STEP: f64 = 127.0;
 const GROWTH_PER_STEP: f64 = 1.1;
 
-/// The content of a message.
+/// Content of a message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadReportMessage {
-    /// Stands for the engine's name: `engine_hash`.
+    /// Hash of the engine's name.
     pub engine_hash: u32,
-    /// The report's values.
+    /// Values of the report.
     pub report: Vec<f64>,
 }
 
-/// Why a message cannot be read.
+/// Reason why a message cannot be decoded.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// The settings' report fields need another length.
+    /// The length does not fit the number of report fields in the settings.
     #[error("a message of {actual} bytes where {expected} are due")]
     Length {
-        /// Bytes of the message.
+        /// Length of the message, in bytes.
         actual: usize,
-        /// Bytes that the settings' report fields need.
+        /// Length that the settings' report fields require, in bytes.
         expected: usize,
     },
-    /// The first byte is no kind that is known.
+    /// The first byte is an unknown kind.
     #[error("a message of kind {0}, which is not known")]
     UnknownKind(u8),
-    /// Some byte is 128 or more.
+    /// A byte is 128 or more.
     #[error("a byte of 128 or more")]
     ByteOutOfRange,
 }
 
-/// 21 bits that stand for an engine's name.
+/// Returns the 21-bit hash of an engine's name.
 pub(crate) fn engine_hash(engine: &str) -> u32 {
     seven_bit::hash(engine.bytes())
 }
 
-/// The message; none if the report has other than `report_fields` values, or one that no engine has.
+/// Encodes a load report. Returns `None` if the number of values differs from `report_fields` or is out of
+/// bounds, or if a value is negative or not finite.
 pub(crate) fn encode(engine_hash: u32, report: &[f64], report_fields: usize) -> Option<Vec<u8>> {
     if report.len() != report_fields || !(1..=MAX_REPORT_FIELDS).contains(&report_fields) {
         return None;
@@ -82,10 +83,10 @@
     Some(message)
 }
 
-/// Reads a message of `report_fields` values.
+/// Decodes a load report of `report_fields` values.
 ///
 /// # Errors
-/// The message is of another kind or length, or holds a byte of 128 or more.
+/// The message is of another kind or length, or contains a byte of 128 or more.
 pub(crate) fn decode(
     message: &[u8],
     report_fields: usize,
@@ -114,7 +115,7 @@
     })
 }
 
-/// The step of the scale next to a value; none for what is no value of a report.
+/// Returns the step of the scale closest to a value, or `None` if the value is negative or not finite.
 fn encode_value(value: f64) -> Option<u8> {
     if !value.is_finite() || value < 0.0 {
         return None;
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -1,10 +1,12 @@
-//! Gossip between the dispatchers of a tier: the load reports that engines' answers bring. A dispatcher among a hundred
-//! meets an engine seldom and would learn of its load seconds late; together they meet it all the time.
+//! Gossip between the dispatchers of a tier: broadcasts of the load reports that engines' answers carry. One
+//! dispatcher of a hundred rarely sends a request to a given engine and would learn its load seconds late;
+//! together the dispatchers reach every engine all the time.
 //!
-//! No I/O: time is passed in, and messages go in and out as bytes. Nothing is decided about requests here, only which
-//! reports are broadcast: a report goes to all peers unless one of the same engine was broadcast a moment ago, by this
-//! dispatcher or by another, so that the whole tier sends no more than a few messages a second for each engine, however
-//! many dispatchers there are. Messages are paid from a credit that each request adds a little to.
+//! The module performs no I/O: time is passed in, and messages go in and out as bytes. It decides nothing
+//! about requests, only which reports are broadcast: a report goes to all peers unless a report of the same
+//! engine was broadcast shortly before, by this dispatcher or by another. The whole tier therefore sends only
+//! a few messages per second for each engine, however many dispatchers there are. Messages are charged to a
+//! credit that every admitted request increases.
 
 mod engine_ages;
 mod fleet_census;
@@ -20,51 +22,51 @@
 use crate::decision::model::Millis;
 use std::collections::BTreeMap;
 
-/// An engine's report is not broadcast again within this, in ms. Engines refresh their reports every 0.2 to 0.8 s, and
-/// the decisions trust one for 0.5 s.
+/// Minimum time between two broadcasts of the same engine's report, in ms. Engines refresh their reports
+/// every 0.2 to 0.8 s, and the decision module uses a report for 0.5 s.
 const MIN_BROADCAST_INTERVAL_MS: Millis = 300.0;
-/// Points of a request's value, in 100, that messages may cost for each admitted request.
+/// Credit for messages that each admitted request adds, in points (hundredths of a request's value).
 const CREDIT_PER_REQUEST: f64 = 0.2;
-/// Points that may be owed for messages to single peers.
+/// Maximum debt that messages to single peers may cause, in points.
 const MAX_DEBT: f64 = 10.0;
-/// Requests whose credit may be saved up.
+/// Maximum number of requests whose credit accumulates.
 const MAX_SAVED_REQUESTS: f64 = 50.0;
 
-/// What the operators allow and charge.
+/// Size of the tier, price of a message and length of a report, from the settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GossipBudget {
-    /// Dispatchers of the tier, this one included.
+    /// Number of dispatchers in the tier, including this one.
     pub dispatchers: u32,
-    /// Points of a request's value, in 100, for one message of [`MAX_MESSAGE_BYTES`] that reaches one peer.
+    /// Price of a message of [`MAX_MESSAGE_BYTES`] to one peer, in points (hundredths of a request's value).
     pub message_price: f64,
-    /// Values in a load report: as many as the settings' `feedback.fields` names.
+    /// Number of values in a load report: as many as the settings' `feedback.fields` names.
     pub report_fields: usize,
 }
 
-/// A peer's load report of an engine that is listed here.
+/// A peer's load report of an engine that is in this dispatcher's endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerReport {
-    /// The engine's name.
+    /// Name of the engine.
     pub engine: String,
-    /// The report's values.
+    /// Values of the report.
     pub report: Vec<f64>,
 }
 
-/// Decides which load reports are broadcast to the peers, and reads theirs.
+/// Decides which load reports are broadcast to the peers, and decodes those that peers send.
 #[derive(Debug)]
 pub struct Broadcaster {
     budget: GossipBudget,
-    /// Listed engines by their hash. Those that share one take no part in gossip: the report of one would pass for that of
-    /// the other.
+    /// Listed engines by the hash of their name. Engines with the same hash are excluded from gossip, because
+    /// the report of one would be attributed to the other.
     engines: BTreeMap<u32, Vec<String>>,
-    /// When an engine's report was last broadcast, by any dispatcher.
+    /// Time of the last broadcast of each engine's report by any dispatcher, by the engine's hash.
     last_broadcast: BTreeMap<u32, Millis>,
-    /// Points that may be spent.
+    /// Points available for messages; negative while there is a debt.
     credit: f64,
 }
 
 impl Broadcaster {
-    /// A broadcaster that knows no engines and has no credit.
+    /// Creates a broadcaster without engines and without credit.
     pub fn new(budget: GossipBudget) -> Self {
         Broadcaster {
             budget,
@@ -74,7 +76,7 @@
         }
     }
 
-    /// The engines that are listed now.
+    /// Replaces the endpoint list.
     pub fn set_engines<'name>(&mut self, engines: impl Iterator<Item = &'name str>) {
         self.engines.clear();
         for name in engines {
@@ -85,7 +87,7 @@
             .retain(|hash, _| engines.contains_key(hash));
     }
 
-    /// This engine is listed from now on.
+    /// Adds an engine to the endpoint list.
     pub fn add_engine(&mut self, name: &str) {
         let names = self.engines.entry(message::engine_hash(name)).or_default();
         if !names.iter().any(|other| other == name) {
@@ -93,7 +95,7 @@
         }
     }
 
-    /// This engine is not listed any more.
+    /// Removes an engine from the endpoint list.
     pub fn remove_engine(&mut self, name: &str) {
         let hash = message::engine_hash(name);
         let Some(names) = self.engines.get_mut(&hash) else {
@@ -106,13 +108,14 @@
         }
     }
 
-    /// A request was admitted: it pays for a part of the messages.
+    /// Adds the credit of one admitted request.
     pub fn credit_request(&mut self) {
         let max_credit = CREDIT_PER_REQUEST * MAX_SAVED_REQUESTS;
         self.credit = (self.credit + CREDIT_PER_REQUEST).min(max_credit);
     }
 
-    /// An answer brought this report of its engine: the message for all peers, if it is to be broadcast.
+    /// Takes the report that an engine's answer carried. Returns the message for all peers if it is to be
+    /// broadcast.
     pub fn offer_report(&mut self, now: Millis, engine: &str, report: &[f64]) -> Option<Vec<u8>> {
         let hash = message::engine_hash(engine);
         let has_peers = self.budget.dispatchers > 1;
@@ -129,10 +132,11 @@
         Some(message)
     }
 
-    /// Reads a peer's message. `Ok(None)`: its engine is not listed here.
+    /// Decodes a peer's message. Returns `Ok(None)` if its engine is not listed here, or if several listed
+    /// engines have its hash.
     ///
     /// # Errors
-    /// The message cannot be read.
+    /// The message is malformed.
     pub fn receive(
         &mut self,
         now: Millis,
@@ -150,7 +154,8 @@
         Ok(Some(PeerReport { engine, report }))
     }
 
-    /// Pays for a message of this length to one peer, if there is credit for it: a dispatcher without traffic has some too.
+    /// Charges a message of this length to one peer and returns true, unless the debt would exceed its
+    /// maximum. The permitted debt lets a dispatcher without traffic send a few such messages too.
     pub fn pay_for_one_peer(&mut self, message_bytes: usize) -> bool {
         let cost = self.cost_for_one_peer(message_bytes);
         let is_affordable = cost <= self.credit + MAX_DEBT;
@@ -160,31 +165,32 @@
         is_affordable
     }
 
-    /// Whether a dispatcher of these settings may have sent this.
+    /// Returns true if the bytes are a valid load report under the current settings.
     pub fn is_readable(&self, message: &[u8]) -> bool {
         message::decode(message, self.budget.report_fields).is_ok()
     }
 
-    /// Whether exactly one listed engine has the hash.
+    /// Returns true if exactly one listed engine has the hash.
     fn is_unambiguous(&self, hash: u32) -> bool {
         self.engines
             .get(&hash)
             .is_some_and(|names| names.len() == 1)
     }
 
-    /// Whether no dispatcher broadcast a report of the engine a moment ago.
+    /// Returns true if no dispatcher broadcast a report of the engine within the minimum interval.
     fn is_due(&self, now: Millis, hash: u32) -> bool {
         self.last_broadcast
             .get(&hash)
             .is_none_or(|at| now >= at + MIN_BROADCAST_INTERVAL_MS)
     }
 
-    /// Points that the message costs at all peers.
+    /// Price of sending the message to all peers, in points.
     fn cost(&self, message: &[u8]) -> f64 {
         let peers = f64::from(self.budget.dispatchers - 1);
         self.cost_for_one_peer(message.len()) * peers
     }
 
+    /// Price of sending a message of this length to one peer, in points.
     fn cost_for_one_peer(&self, message_bytes: usize) -> f64 {
         self.budget.message_price * message_bytes as f64 / MAX_MESSAGE_BYTES as f64
     }
--- a/src/gossip/tests.rs
+++ b/src/gossip/tests.rs
@@ -1,4 +1,4 @@
-//! Which reports are broadcast, which are not, and what of a message is understood.
+//! Which load reports are broadcast, and which received messages are accepted.
 
 use super::{
     Broadcaster, CREDIT_PER_REQUEST, DecodeError, GossipBudget, MIN_BROADCAST_INTERVAL_MS,
@@ -14,8 +14,8 @@
     }
 }
 
-/// A broadcaster that knows these engines and has full credit.
-fn credited(engines: &[&str]) -> Broadcaster {
+/// Returns a broadcaster with these engines and full credit.
+fn broadcaster_with_credit(engines: &[&str]) -> Broadcaster {
     let mut broadcaster = Broadcaster::new(budget());
     broadcaster.set_engines(engines.iter().copied());
     (0..1000).for_each(|_| broadcaster.credit_request());
@@ -31,8 +31,8 @@
 
 #[test]
 fn a_report_reaches_a_peer_unchanged() {
-    let mut sender = credited(&["s-1", "s-2"]);
-    let mut receiver = credited(&["s-2", "s-3"]);
+    let mut sender = broadcaster_with_credit(&["s-1", "s-2"]);
+    let mut receiver = broadcaster_with_credit(&["s-2", "s-3"]);
     let reports = [
         (0.0, [7.0, 0.5]),
         (1000.0, [0.0, 0.0]),
@@ -40,7 +40,7 @@
     ];
     for (now, report) in reports {
         let message = sender.offer_report(now, "s-2", &report).expect("broadcast");
-        assert!(message.is_ascii(), "text as well: {message:?}");
+        assert!(message.is_ascii(), "not ASCII: {message:?}");
         assert_eq!(message.len(), 6, "{message:?}");
         assert_eq!(
             receiver.receive(now + 10.0, &message),
@@ -51,8 +51,8 @@
 
 #[test]
 fn values_lose_less_than_the_engines_own_noise() {
-    let mut sender = credited(&["s"]);
-    let mut receiver = credited(&["s"]);
+    let mut sender = broadcaster_with_credit(&["s"]);
+    let mut receiver = broadcaster_with_credit(&["s"]);
     for number in 0..2000 {
         let count = f64::from(number) / 7.0;
         let share = f64::from(number) / 2000.0;
@@ -76,37 +76,38 @@
 /// A hundred dispatchers would otherwise broadcast the same engine's report a hundred times.
 #[test]
 fn an_engine_that_any_dispatcher_reported_a_moment_ago_is_not_reported_again() {
-    let mut one = credited(&["s-1", "s-2"]);
-    let mut other = credited(&["s-1", "s-2"]);
+    let mut one = broadcaster_with_credit(&["s-1", "s-2"]);
+    let mut other = broadcaster_with_credit(&["s-1", "s-2"]);
     let message = one
         .offer_report(0.0, "s-1", &[1.0, 0.1])
         .expect("the first");
     assert_eq!(
         one.offer_report(MIN_BROADCAST_INTERVAL_MS - 1.0, "s-1", &[9.0, 0.9]),
         None,
-        "its own broadcast counts"
+        "a dispatcher does not repeat its own broadcast"
     );
     other.receive(10.0, &message).unwrap();
     assert_eq!(
         other.offer_report(MIN_BROADCAST_INTERVAL_MS, "s-1", &[9.0, 0.9]),
         None,
-        "and so does a peer's"
+        "nor that of a peer"
     );
     assert!(
         other
             .offer_report(MIN_BROADCAST_INTERVAL_MS, "s-2", &[9.0, 0.9])
             .is_some(),
-        "for that engine alone"
+        "the interval applies to that engine alone"
     );
     assert!(
         other
             .offer_report(MIN_BROADCAST_INTERVAL_MS + 10.0, "s-1", &[9.0, 0.9])
             .is_some(),
-        "until the interval is over"
+        "a report is broadcast again after the interval"
     );
 }
 
-/// The price of a message grows with the tier, and small tiers would pay it as well as large ones.
+/// The cost of a broadcast grows with the number of peers; it must stay within the credit in small and large
+/// tiers.
 #[test]
 fn messages_cost_no_more_than_the_credit_of_the_requests() {
     for (dispatchers, message_price) in [(3, 1.0), (100, 1.0), (300, 1.0), (100, 20.0)] {
@@ -129,16 +130,16 @@
         let cost = message_price * bytes as f64 * peers / 256.0 / requests as f64;
         assert!(
             cost <= CREDIT_PER_REQUEST,
-            "{dispatchers} dispatchers at {message_price}: {cost} points a request"
+            "{dispatchers} dispatchers at a price of {message_price}: {cost} points per request"
         );
         assert!(
             bytes > 0 || message_price > 9.0,
-            "but the usual price is paid"
+            "nothing is broadcast at a usual price of {message_price}"
         );
     }
 }
 
-/// Two names that share one hash of 21 bits, found by trying.
+/// Returns two names with the same 21-bit hash, found by trial.
 fn colliding_names() -> (String, String) {
     let name = |number: u32| format!("s-{number:08x}");
     let mut numbers_by_hash = HashMap::new();
@@ -147,52 +148,52 @@
             let earlier = numbers_by_hash.insert(message::engine_hash(&name(number)), number);
             earlier.map(|earlier| (name(earlier), name(number)))
         })
-        .expect("some two share it")
+        .expect("two names with the same hash")
 }
 
 #[test]
 fn engines_that_share_a_hash_are_not_reported_and_reports_of_unlisted_engines_are_ignored() {
     let (one, other) = colliding_names();
-    let mut unambiguous = credited(&[&one]);
+    let mut unambiguous = broadcaster_with_credit(&[&one]);
     let message = unambiguous
         .offer_report(0.0, &one, &[1.0, 0.1])
-        .expect("alone it is reported");
-    let mut ambiguous = credited(&[&one, &other]);
+        .expect("an engine with a unique hash is reported");
+    let mut ambiguous = broadcaster_with_credit(&[&one, &other]);
     assert_eq!(ambiguous.offer_report(0.0, &one, &[1.0, 0.1]), None);
     assert_eq!(
         ambiguous.receive(0.0, &message),
         Ok(None),
-        "it could be the other"
+        "the hash is ambiguous"
     );
     assert_eq!(
-        credited(&["s-else"]).receive(0.0, &message),
+        broadcaster_with_credit(&["s-else"]).receive(0.0, &message),
         Ok(None),
-        "not in this list"
+        "the engine is not listed"
     );
     unambiguous.set_engines(["s-else"].into_iter());
     assert_eq!(
         unambiguous.offer_report(1000.0, &one, &[1.0, 0.1]),
         None,
-        "no longer listed"
+        "the engine is no longer listed"
     );
 }
 
 #[test]
 fn a_malformed_message_is_an_error_and_changes_nothing() {
-    let mut broadcaster = credited(&["s"]);
-    let good = credited(&["s"])
+    let mut broadcaster = broadcaster_with_credit(&["s"]);
+    let valid = broadcaster_with_credit(&["s"])
         .offer_report(0.0, "s", &[1.0, 0.1])
         .unwrap();
-    let mut out_of_range = good.clone();
+    let mut out_of_range = valid.clone();
     out_of_range[4] = 200;
-    let too_long = [&good[..], b"x"].concat();
+    let too_long = [&valid[..], b"x"].concat();
     let wrong_length = |actual| DecodeError::Length {
         actual,
         expected: 6,
     };
     let cases: [(&[u8], DecodeError); 6] = [
         (b"", wrong_length(0)),
-        (&good[..5], wrong_length(5)),
+        (&valid[..5], wrong_length(5)),
         (&too_long, wrong_length(7)),
         (b"x12345", DecodeError::UnknownKind(b'x')),
         (&out_of_range, DecodeError::ByteOutOfRange),
@@ -203,13 +204,13 @@
     }
     assert!(
         broadcaster.offer_report(0.0, "s", &[1.0, 0.1]).is_some(),
-        "it suppressed no broadcast"
+        "a malformed message must not suppress a broadcast"
     );
 }
 
 #[test]
 fn a_report_with_other_fields_or_impossible_values_is_not_broadcast() {
-    let mut broadcaster = credited(&["s"]);
+    let mut broadcaster = broadcaster_with_credit(&["s"]);
     let malformed: [&[f64]; 5] = [
         &[1.0],
         &[],
@@ -221,7 +222,7 @@
         assert_eq!(
             broadcaster.offer_report(9000.0, "s", report),
             None,
-            "{report:?} is no report"
+            "{report:?} is not a valid report"
         );
     }
 }
@@ -239,7 +240,7 @@
 
 #[test]
 fn engines_that_share_a_hash_gossip_again_once_one_is_left() {
-    let mut broadcaster = credited(&[]);
+    let mut broadcaster = broadcaster_with_credit(&[]);
     let mut by_hash: HashMap<u32, String> = HashMap::new();
     let (first, second) = (0..)
         .find_map(|number| {
