--- a/tests/engine_ages.rs
+++ b/tests/engine_ages.rs
@@ -1,9 +1,10 @@
-//! What a dispatcher that starts in the middle of a day knows of the ages of engines: its peers tell it, whatever its
-//! machine's wall clock says.
+//! A restarted dispatcher learns the ages of engines from its peers, whatever its machine's wall clock
+//! reports.
 //!
-//! What happened: after every restart of a dispatcher all engines that had started within two hours counted as cold, and
-//! stood half idle for the whole warm-up. Why: no wall clock may be trusted with an age, and a new process had nothing
-//! else. What showed it: with the time of discovery taken at its word the same day (roll+mass) is served as before.
+//! Guards against this failure: after every restart of a dispatcher, all engines that had started within the
+//! last two hours counted as cold and stayed half idle for the whole warm-up. Wall clocks must not be trusted
+//! with ages, and a new process had no other source. When the start time from discovery was trusted instead,
+//! the same scenario (roll+mass) was served as before.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -21,7 +22,7 @@
 const WORK: Duration = Duration::from_millis(20);
 const REQUESTS: u64 = 100;
 const REQUEST_INTERVAL: Duration = Duration::from_millis(10);
-/// What is left of the warm-up and the window after it when the second dispatcher starts.
+/// Warm-up period and the overload window after it; the second dispatcher starts later than this.
 const WARM_UP: Duration = Duration::from_millis(2500);
 
 fn settings() -> Settings {
@@ -51,9 +52,10 @@
     }
 }
 
-/// How many of the requests to a dispatcher that starts when the only engine is warm are served; `peer_lives`: the other
-/// dispatcher, which saw the engine start, is there to be asked.
-async fn served_after_a_late_start(name: &str, clock_offset_ms: i64, peer_lives: bool) -> usize {
+/// Starts a dispatcher when the only engine is already warm, and returns how many of its requests are served.
+/// With `has_peer`, the other dispatcher, which observed the engine's start, still runs and answers requests
+/// for ages.
+async fn served_after_late_start(name: &str, clock_offset_ms: i64, has_peer: bool) -> usize {
     let folder = Folder::new(name).unwrap();
     let settings = settings();
     let fleet = Fleet::start(1, WORK, 1000).await.unwrap();
@@ -77,7 +79,7 @@
     fleet.engines[0].restart().await.unwrap();
     journal.announce(&[instance(&fleet, Lifecycle::InService, testbed::now())]);
     tokio::time::sleep(WARM_UP + Duration::from_millis(200)).await;
-    if !peer_lives {
+    if !has_peer {
         peer.kill().await;
     }
     let late = start(1, clock_offset_ms).await;
@@ -89,12 +91,12 @@
         process: 0,
     };
     let connection = Connection::open(target, &log).await.unwrap();
-    let began = Instant::now();
+    let started_at = Instant::now();
     for number in 0..REQUESTS {
         let id = format!("{number:016x}");
         let limit = Duration::from_millis(150);
         connection.send(&id, "lookup", limit).await.unwrap();
-        tokio::time::sleep_until((began + REQUEST_INTERVAL * number as u32).into()).await;
+        tokio::time::sleep_until((started_at + REQUEST_INTERVAL * number as u32).into()).await;
     }
     connection.until_idle(Duration::from_secs(3)).await;
     let answers = log.requests();
@@ -108,10 +110,10 @@
     LocalSet::new()
         .run_until(async {
             let (right, ahead, behind, alone) = tokio::join!(
-                served_after_a_late_start("ages-right", 0, true),
-                served_after_a_late_start("ages-ahead", HOUR_MS, true),
-                served_after_a_late_start("ages-behind", -HOUR_MS, true),
-                served_after_a_late_start("ages-alone", HOUR_MS, false),
+                served_after_late_start("ages-right", 0, true),
+                served_after_late_start("ages-ahead", HOUR_MS, true),
+                served_after_late_start("ages-behind", -HOUR_MS, true),
+                served_after_late_start("ages-alone", HOUR_MS, false),
             );
             let all = REQUESTS as usize;
             for (clock, served) in [("right", right), ("ahead", ahead), ("behind", behind)] {
@@ -122,7 +124,7 @@
             }
             assert!(
                 alone < all * 9 / 10,
-                "with nobody to ask it takes the engine for cold: {alone} of {all}"
+                "without a peer the engine counts as cold: {alone} of {all} served"
             );
         })
         .await;
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -1,5 +1,5 @@
-//! Twenty processes of the program and one cold engine on loopback: their clients want more than it bears, and the
-//! requests that reach it whole are counted in every window of the settings.
+//! Twenty processes of the program share one cold engine on loopback. Their clients send more than the engine
+//! can sustain; the requests that reach it are counted in every overload window of the settings.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -14,20 +14,23 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const DISPATCHERS: usize = 20;
-/// What the settings say of the engine, times in milliseconds: the work of a request by its class's aim.
-const WORK: f64 = 200.0;
+/// Time that the engine needs for a request, in ms. The latency objective in the settings is derived from it.
+const WORK_MS: f64 = 200.0;
 const CORES: f64 = 8.0;
-const COLD_FROM: f64 = 0.3;
-const MULTIPLE: f64 = 4.0;
-const WINDOW: f64 = 400.0;
-const WARM_WITHIN: f64 = 3000.0;
-/// Each client's requests come so often: twenty send four times what the warm engine stands.
-const EVERY: Duration = Duration::from_millis(25);
-/// All processes listen by then.
-const AHEAD: f64 = 700.0;
-/// Held while a fleet runs: two at once delay each other's requests by a part of the window.
-static ONE_FLEET: Mutex<()> = Mutex::new(());
+/// Share of its capacity that an engine has when it starts.
+const INITIAL_CAPACITY: f64 = 0.3;
+const OVERLOAD_MULTIPLE: f64 = 4.0;
+const OVERLOAD_WINDOW_MS: f64 = 400.0;
+const WARM_UP_MS: f64 = 3000.0;
+/// Interval between two requests of a client: twenty clients send four times what the warm engine can
+/// sustain.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
+/// Time between the launch of the processes and the engine's start, in ms: all processes listen by then.
+const LAUNCH_MS: f64 = 700.0;
+/// Held while a fleet runs: two fleets at once delay each other's requests by a part of the window.
+static FLEET_LOCK: Mutex<()> = Mutex::new(());
 
+/// Returns the Unix time in ms.
 fn now() -> f64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -36,35 +39,36 @@
         * 1000.0
 }
 
-/// Takes whole requests down with their time and answers each once its work is done.
+/// A fake engine that records the arrival time of every complete request, and answers it after [`WORK_MS`].
 struct Engine {
     address: String,
-    got: Arc<Mutex<Vec<f64>>>,
+    /// Arrival times of the requests, as Unix times in ms.
+    arrivals: Arc<Mutex<Vec<f64>>>,
 }
 
 impl Engine {
     fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap().to_string();
-        let got = Arc::new(Mutex::new(vec![]));
-        let log = got.clone();
+        let arrivals = Arc::new(Mutex::new(vec![]));
+        let log = arrivals.clone();
         thread::spawn(move || {
             for tcp in listener.incoming().flatten() {
                 let log = log.clone();
                 thread::spawn(move || serve(tcp, &log));
             }
         });
-        Engine { address, got }
+        Engine { address, arrivals }
     }
 }
 
 fn serve(tcp: TcpStream, log: &Mutex<Vec<f64>>) {
     tcp.set_nodelay(true).unwrap();
     let mut write = tcp.try_clone().unwrap();
-    let (done, due) = channel::<(Instant, String)>();
+    let (pending, due) = channel::<(Instant, String)>();
     thread::spawn(move || {
-        for (at, id) in due {
-            thread::sleep(at.saturating_duration_since(Instant::now()));
+        for (answer_at, id) in due {
+            thread::sleep(answer_at.saturating_duration_since(Instant::now()));
             let words = [&id[..], "ACK", "total=1", "a\tb\tc\n"];
             let bulk: String = words
                 .iter()
@@ -76,19 +80,19 @@
         }
     });
     let mut read = BufReader::new(tcp);
-    while let Some(words) = command(&mut read) {
+    while let Some(words) = read_command(&mut read) {
         if words[0] == "GET" {
             log.lock().unwrap().push(now());
-            let _ = done.send((
-                Instant::now() + Duration::from_secs_f64(WORK / 1000.0),
+            let _ = pending.send((
+                Instant::now() + Duration::from_secs_f64(WORK_MS / 1000.0),
                 words[1].clone(),
             ));
         }
     }
 }
 
-/// One command whole; none if the connection ended.
-fn command(read: &mut BufReader<TcpStream>) -> Option<Vec<String>> {
+/// Reads one command. Returns `None` if the connection ended.
+fn read_command(read: &mut BufReader<TcpStream>) -> Option<Vec<String>> {
     let number = |read: &mut BufReader<TcpStream>| {
         let mut line = String::new();
         read.read_line(&mut line).ok()?;
@@ -117,8 +121,8 @@
 }
 
 impl Program {
-    /// Starts it and tells its address once it listens.
-    fn start(name: &str, config: &str, listens: &Sender<String>) -> Self {
+    /// Starts the program; its address is sent to `addresses` once it listens.
+    fn start(name: &str, config: &str, addresses: &Sender<String>) -> Self {
         let path =
             std::env::temp_dir().join(format!("hitchwinch-{}-{name}.conf", std::process::id()));
         std::fs::write(&path, config).unwrap();
@@ -131,11 +135,11 @@
             .spawn()
             .unwrap();
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
-        let listens = listens.clone();
+        let addresses = addresses.clone();
         thread::spawn(move || {
             for line in lines.map_while(Result::ok) {
-                if let Some((_, at)) = line.split_once("listens on ") {
-                    let _ = listens.send(at.to_string());
+                if let Some((_, address)) = line.split_once("listens on ") {
+                    let _ = addresses.send(address.to_string());
                 }
             }
         });
@@ -146,8 +150,9 @@
     }
 }
 
-/// Sends a look-up whenever it is time, until it is over or its dispatcher has gone; answers are read and dropped.
-fn ask(address: &str, over: &AtomicBool) {
+/// Sends a look-up at every interval until `stop` is set or the dispatcher closes the connection. Answers are
+/// read and discarded.
+fn send_requests(address: &str, stop: &AtomicBool) {
     let Ok(mut tcp) = TcpStream::connect(address) else {
         return;
     };
@@ -178,180 +183,200 @@
     let mut next = Instant::now();
     for stream in 1u32.. {
         let frame = [&length[..], &[2], &stream.to_be_bytes(), &payload].concat();
-        if over.load(Ordering::Relaxed) || tcp.write_all(&frame).is_err() {
+        if stop.load(Ordering::Relaxed) || tcp.write_all(&frame).is_err() {
             return;
         }
-        next += EVERY;
+        next += REQUEST_INTERVAL;
         thread::sleep(next.saturating_duration_since(Instant::now()));
     }
 }
 
-fn config(engine: &str, started: f64, seed: usize, fleet_size: usize) -> String {
+fn config(engine: &str, engine_started: f64, seed: usize, fleet_size: usize) -> String {
     format!(
-        r#"{{"listen":"127.0.0.1:0","seed":"{seed:x}","journal":"127.0.0.1:1","known":{{"pos":1,"entries":[{{"pos":1,
-        "hosts":{{"reset":true,"instances":[{{"instanceId":"cold","hostPort":"{engine}","machineType":"std",
-        "lifecycle":"in_service","startedAtMs":{started}}}]}}}}]}},"settings":{{
+        r#"{{"listen":"127.0.0.1:0","seed":"{seed:x}","journal":"127.0.0.1:1","known":{{
+        "pos":1,"entries":[{{"pos":1,"hosts":{{"reset":true,"instances":[{{
+        "instanceId":"cold","hostPort":"{engine}","machineType":"std",
+        "lifecycle":"in_service","startedAtMs":{engine_started}}}]}}}}]}},"settings":{{
         "ceilings":{{"connect_timeout":250.0,"cancel":true,"most_tries":3}},"fleet_size":{fleet_size},
         "extra":{{"cores_by_kind":[{CORES}],"ram_of_kind_mb":[16384]}},
-        "grades":[{{"name":"lookup","aim":{latency_objective},"aim_stretch":2.0,"hard_limit":1000.0,"effect":"retryable",
-        "worth":1.0}}],"machine_types":["std"],"rules":{{"cold_from":{COLD_FROM},"drain_grace":250.0,
-        "fall_multiple":{MULTIPLE},"grace_to_answer":20.0,"overload_for":{WINDOW},"warm_within":{WARM_WITHIN}}},
-        "step":5.0}}}}"#,
-        latency_objective = 3.0 * WORK
+        "grades":[{{"name":"lookup","aim":{latency_objective},"aim_stretch":2.0,"hard_limit":1000.0,
+        "effect":"retryable","worth":1.0}}],"machine_types":["std"],
+        "rules":{{"cold_from":{INITIAL_CAPACITY},"drain_grace":250.0,
+        "fall_multiple":{OVERLOAD_MULTIPLE},"grace_to_answer":20.0,"overload_for":{OVERLOAD_WINDOW_MS},
+        "warm_within":{WARM_UP_MS}}},"step":5.0}}}}"#,
+        latency_objective = 3.0 * WORK_MS
     )
 }
 
-/// The largest window over the line's value, and all requests that came while the engine was cold.
-fn largest(got: &[f64], started: f64) -> (f64, usize) {
-    let cold: Vec<f64> = got
+/// Returns the largest ratio of the requests in one window to the limit, and the number of requests that
+/// arrived during the warm-up.
+fn largest_window(arrivals: &[f64], engine_started: f64) -> (f64, usize) {
+    let during_warm_up: Vec<f64> = arrivals
         .iter()
         .copied()
-        .filter(|t| *t < started + WARM_WITHIN)
+        .filter(|at| *at < engine_started + WARM_UP_MS)
         .collect();
-    let of = |(i, end): (usize, &f64)| {
-        let count = cold[..=i].iter().filter(|t| **t > end - WINDOW).count();
-        let age = ((end - WINDOW - started) / WARM_WITHIN).clamp(0.0, 1.0);
-        let n = MULTIPLE * CORES * (COLD_FROM + (1.0 - COLD_FROM) * age) * WINDOW / WORK;
+    let ratio = |(index, end): (usize, &f64)| {
+        let window_start = end - OVERLOAD_WINDOW_MS;
+        let count = during_warm_up[..=index]
+            .iter()
+            .filter(|at| **at > window_start)
+            .count();
+        let age = ((window_start - engine_started) / WARM_UP_MS).clamp(0.0, 1.0);
+        let capacity = INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * age;
+        let n = OVERLOAD_MULTIPLE * CORES * capacity * OVERLOAD_WINDOW_MS / WORK_MS;
         count as f64 / (n + 2.0 * n.sqrt() + 2.0)
     };
     (
-        cold.iter().enumerate().map(of).fold(0.0, f64::max),
-        cold.len(),
+        during_warm_up
+            .iter()
+            .enumerate()
+            .map(ratio)
+            .fold(0.0, f64::max),
+        during_warm_up.len(),
     )
 }
 
-/// Requests that it could serve while it warms up, at its capacity and not a multiple of it.
-fn could() -> f64 {
-    CORES * (1.0 + COLD_FROM) / 2.0 * WARM_WITHIN / WORK
+/// Number of requests that the engine can serve while it warms up, at its capacity and not a multiple of it.
+fn warm_up_capacity() -> f64 {
+    CORES * (1.0 + INITIAL_CAPACITY) / 2.0 * WARM_UP_MS / WORK_MS
 }
 
-/// Plays the whole warm-up; so many dispatchers are killed in its middle and started again at once.
-fn play(name: &str, restarted: usize) -> (f64, usize) {
-    let _alone = ONE_FLEET.lock().unwrap_or_else(PoisonError::into_inner);
+/// Runs a fleet through the whole warm-up of the engine; `restarted` dispatchers are killed halfway and
+/// started again at once. Returns the result of [`largest_window`].
+fn run_fleet(name: &str, restarted: usize) -> (f64, usize) {
+    let _guard = FLEET_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let engine = Engine::start();
-    let started = (now() + AHEAD).round();
-    let (listens, addresses) = channel();
-    let over = Arc::new(AtomicBool::new(false));
+    let engine_started = (now() + LAUNCH_MS).round();
+    let (address_sender, addresses) = channel();
+    let stop = Arc::new(AtomicBool::new(false));
     let start = |i: usize| {
         Program::start(
             &format!("{name}-{i}"),
-            &config(&engine.address, started, i + 1, DISPATCHERS),
-            &listens,
+            &config(&engine.address, engine_started, i + 1, DISPATCHERS),
+            &address_sender,
         )
     };
     let mut programs: Vec<Program> = (0..DISPATCHERS).map(start).collect();
     let mut clients = vec![];
-    let mut follow = |count: usize, from: f64| {
-        let all: Vec<String> = (0..count)
+    let mut start_clients = |count: usize, from: f64| {
+        let started: Vec<String> = (0..count)
             .map(|_| addresses.recv_timeout(Duration::from_secs(10)).unwrap())
             .collect();
         thread::sleep(Duration::from_secs_f64((from - now()).max(0.0) / 1000.0));
-        for address in all {
-            let over = over.clone();
-            clients.push(thread::spawn(move || ask(&address, &over)));
+        for address in started {
+            let stop = stop.clone();
+            clients.push(thread::spawn(move || send_requests(&address, &stop)));
         }
     };
-    follow(DISPATCHERS, started);
+    start_clients(DISPATCHERS, engine_started);
     thread::sleep(Duration::from_secs_f64(
-        (started + WARM_WITHIN / 2.0 - now()).max(0.0) / 1000.0,
+        (engine_started + WARM_UP_MS / 2.0 - now()).max(0.0) / 1000.0,
     ));
-    // The old process is gone before the new one begins.
+    // The old process has ended before the new one starts.
     for i in 0..restarted {
         let old = programs.remove(0);
         drop(old);
         programs.push(start(DISPATCHERS + i));
     }
-    follow(restarted, 0.0);
+    start_clients(restarted, 0.0);
     thread::sleep(Duration::from_secs_f64(
-        (started + WARM_WITHIN - now()).max(0.0) / 1000.0,
+        (engine_started + WARM_UP_MS - now()).max(0.0) / 1000.0,
     ));
-    over.store(true, Ordering::Relaxed);
-    clients.into_iter().for_each(|c| c.join().unwrap());
+    stop.store(true, Ordering::Relaxed);
+    clients
+        .into_iter()
+        .for_each(|client| client.join().unwrap());
     drop(programs);
-    let got = engine.got.lock().unwrap().clone();
-    let (most, count) = largest(&got, started);
+    let arrivals = engine.arrivals.lock().unwrap().clone();
+    let (largest, count) = largest_window(&arrivals, engine_started);
     println!(
-        "{name}: the largest window is {most:.3} of the line, {count} requests while it was cold"
+        "{name}: the largest window is {largest:.3} of the limit, {count} requests during the warm-up"
     );
-    (most, count)
+    (largest, count)
 }
 
 #[test]
 fn twenty_processes_stay_under_the_limit_of_a_warming_engine() {
-    let (most, count) = play("fleet", 0);
-    assert!(most <= 1.0, "{most} of the line");
+    let (largest, count) = run_fleet("fleet", 0);
+    assert!(largest <= 1.0, "{largest} of the limit");
     assert!(
-        count as f64 > could(),
-        "{count} requests are fewer than it could serve: it is left idle"
+        count as f64 > warm_up_capacity(),
+        "{count} requests are fewer than the engine can serve: it is left idle"
     );
 }
 
 #[test]
 fn twenty_processes_stay_under_the_limit_with_five_restarted() {
-    let (most, count) = play("restarts", 5);
-    assert!(most <= 1.0, "{most} of the line");
+    let (largest, count) = run_fleet("restarts", 5);
+    assert!(largest <= 1.0, "{largest} of the limit");
     assert!(
-        count as f64 > could(),
-        "{count} requests are fewer than it could serve: it is left idle"
+        count as f64 > warm_up_capacity(),
+        "{count} requests are fewer than the engine can serve: it is left idle"
     );
 }
 
-/// A window in which delays of a busy machine count for little, in milliseconds.
-const LONG_WINDOW: f64 = 1200.0;
+/// An overload window long enough that delays of a busy machine matter little, in ms.
+const LONG_WINDOW_MS: f64 = 1200.0;
 
-/// The fault of `slow_start_budget::twice_as_many_dispatchers_as_configured...` on real processes. They hear of the engine's
-/// start after it has started, as from discovery: one that is heard of earlier is taken for older than it is.
+/// Runs the scenario of `slow_start_budget::twice_as_many_dispatchers_as_configured...` with real processes.
+/// They learn of the engine's start after it has started, as they do from discovery: an engine whose start is
+/// reported early is taken to be older than it is.
 #[test]
 fn twenty_processes_of_which_the_settings_name_ten_stay_under_the_limit() {
-    let _alone = ONE_FLEET.lock().unwrap_or_else(PoisonError::into_inner);
+    let _guard = FLEET_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let engine = Engine::start();
-    let started = now().floor();
-    let (listens, addresses) = channel();
-    let over = Arc::new(AtomicBool::new(false));
+    let engine_started = now().floor();
+    let (address_sender, addresses) = channel();
+    let stop = Arc::new(AtomicBool::new(false));
     let start = |number: usize| {
-        let config = config(&engine.address, started, number + 1, DISPATCHERS / 2).replace(
-            &format!(r#""overload_for":{WINDOW}"#),
-            &format!(r#""overload_for":{LONG_WINDOW}"#),
+        let fleet_size = DISPATCHERS / 2;
+        let config = config(&engine.address, engine_started, number + 1, fleet_size).replace(
+            &format!(r#""overload_for":{OVERLOAD_WINDOW_MS}"#),
+            &format!(r#""overload_for":{LONG_WINDOW_MS}"#),
         );
-        Program::start(&format!("half-named-{number}"), &config, &listens)
+        Program::start(&format!("half-named-{number}"), &config, &address_sender)
     };
     let programs: Vec<Program> = (0..DISPATCHERS).map(start).collect();
     let clients: Vec<_> = (0..DISPATCHERS)
         .map(|_| {
             let address = addresses.recv_timeout(Duration::from_secs(10)).unwrap();
-            let over = over.clone();
-            thread::spawn(move || ask(&address, &over))
+            let stop = stop.clone();
+            thread::spawn(move || send_requests(&address, &stop))
         })
         .collect();
-    let until = started + WARM_WITHIN;
-    thread::sleep(Duration::from_secs_f64((until - now()).max(0.0) / 1000.0));
-    over.store(true, Ordering::Relaxed);
+    let warm_at = engine_started + WARM_UP_MS;
+    thread::sleep(Duration::from_secs_f64((warm_at - now()).max(0.0) / 1000.0));
+    stop.store(true, Ordering::Relaxed);
     clients
         .into_iter()
         .for_each(|client| client.join().unwrap());
     drop(programs);
-    let requests = engine.got.lock().unwrap().clone();
-    let most = largest_of_term(&requests, started);
-    let count = requests.len();
-    println!("half-named: the largest window is {most:.3} of the limit, {count} requests");
-    assert!(most <= 1.0, "{most} of the limit");
-    assert!(count > 30, "{count} requests: it is used nevertheless");
+    let arrivals = engine.arrivals.lock().unwrap().clone();
+    let largest = largest_long_window(&arrivals, engine_started);
+    let count = arrivals.len();
+    println!("half-named: the largest window is {largest:.3} of the limit, {count} requests");
+    assert!(largest <= 1.0, "{largest} of the limit");
+    assert!(count > 30, "the engine received only {count} requests");
 }
 
-/// The largest window as a part of what the operators' page allows: N + 2 x root of N + 2, under 30 N + 3 x root of N + 3.
-fn largest_of_term(requests: &[f64], started: f64) -> f64 {
-    let part = |end: &f64| {
-        let window_start = end - LONG_WINDOW;
-        let count = requests
+/// Returns the largest ratio of the requests in one window to the limit that the operators' page states: with
+/// N for the expected number, N + 2 * sqrt(N) + 2, and N + 3 * sqrt(N) + 3 for N below 30.
+fn largest_long_window(arrivals: &[f64], engine_started: f64) -> f64 {
+    let ratio = |end: &f64| {
+        let window_start = end - LONG_WINDOW_MS;
+        let count = arrivals
             .iter()
             .filter(|at| **at > window_start && *at <= end)
             .count();
-        let age = ((window_start - started) / WARM_WITHIN).clamp(0.0, 1.0);
-        let capacity = COLD_FROM + (1.0 - COLD_FROM) * age;
-        let n = MULTIPLE * CORES * capacity * LONG_WINDOW / WORK;
+        let age = ((window_start - engine_started) / WARM_UP_MS).clamp(0.0, 1.0);
+        let capacity = INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * age;
+        let n = OVERLOAD_MULTIPLE * CORES * capacity * LONG_WINDOW_MS / WORK_MS;
         let allowance = if n < 30.0 { 3.0 } else { 2.0 };
         count as f64 / (n + allowance * n.sqrt() + allowance)
     };
-    let while_cold = requests.iter().filter(|at| **at < started + WARM_WITHIN);
-    while_cold.map(part).fold(0.0, f64::max)
+    let during_warm_up = arrivals
+        .iter()
+        .filter(|at| **at < engine_started + WARM_UP_MS);
+    during_warm_up.map(ratio).fold(0.0, f64::max)
 }
