--- a/src/config/checks.rs
+++ b/src/config/checks.rs
@@ -1,4 +1,4 @@
-//! Checks that several sections share. Each names the key in its error.
+//! Checks that several sections share. Their errors name the key.
 
 use crate::config::{ConfigError, Problem};
 use serde::de::DeserializeOwned;
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// The value, if it is within the bounds; NaN never is.
+/// Returns the value if it is within the bounds; NaN never is.
 pub(super) fn in_range<T: PartialOrd + Display>(
     key: &str,
     value: T,
@@ -19,7 +19,7 @@
     }
 }
 
-/// The value, if it is finite and above 0.
+/// Returns the value if it is finite and above 0.
 pub(super) fn positive(key: &str, value: f64) -> Result<f64, ConfigError> {
     if value.is_finite() && value > 0.0 {
         Ok(value)
@@ -28,7 +28,7 @@
     }
 }
 
-/// The IP address and port that the text stands for.
+/// Parses an IP address with a port.
 pub(super) fn socket_address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|source| {
         let text = text.to_string();
@@ -36,7 +36,7 @@
     })
 }
 
-/// Reads a TOML file's text; the key of an error is the path of the value at fault.
+/// Parses the text of a TOML file. The key in an error is the path of the invalid value.
 pub(super) fn from_toml<T: DeserializeOwned>(text: &str) -> Result<T, ConfigError> {
     let deserializer = toml::Deserializer::parse(text)
         .map_err(|e| ConfigError::invalid("toml", Problem::Toml(e)))?;
@@ -46,7 +46,7 @@
     })
 }
 
-/// Reads a JSON file's text; the key of an error is the path of the value at fault.
+/// Parses the text of a JSON file. The key in an error is the path of the invalid value.
 pub(super) fn from_json<T: DeserializeOwned>(text: &str) -> Result<T, ConfigError> {
     let mut deserializer = serde_json::Deserializer::from_str(text);
     serde_path_to_error::deserialize(&mut deserializer).map_err(|e| {
--- a/src/config/environment.rs
+++ b/src/config/environment.rs
@@ -1,4 +1,4 @@
-//! Environment variables that override keys of the file. An empty variable counts as absent.
+//! Environment variables that override keys of the file. An empty variable is treated as absent.
 
 use crate::config::checks::socket_address;
 use crate::config::{ConfigError, Problem};
@@ -6,15 +6,15 @@
 
 /// Overrides `admin_addr`.
 const ADMIN_ADDRESS: &str = "PROXY_ADMIN_ADDR";
-/// The descriptor of an inherited listening socket; overrides `inherited_fd`.
+/// Descriptor of an inherited listening socket; overrides `inherited_fd`.
 const INHERITED_DESCRIPTOR: &str = "PROXY_INHERITED_FD";
 
-/// The variable's value, unless it is absent or empty.
+/// Returns the variable's value unless it is absent or empty.
 pub(super) fn non_empty(variable: &impl Fn(&str) -> Option<String>, name: &str) -> Option<String> {
     variable(name).filter(|value| !value.is_empty())
 }
 
-/// The address of the administrative HTTP server, if there is one.
+/// Returns the address of the administrative HTTP server, if one is configured.
 pub(super) fn admin_address(
     variable: &impl Fn(&str) -> Option<String>,
     configured: Option<String>,
@@ -26,7 +26,7 @@
         .transpose()
 }
 
-/// The descriptor of the inherited listening socket, if there is one.
+/// Returns the descriptor of the inherited listening socket, if one is configured.
 pub(super) fn inherited_descriptor(
     variable: &impl Fn(&str) -> Option<String>,
     configured: Option<i32>,
--- a/src/config/eureka/mod.rs
+++ b/src/config/eureka/mod.rs
@@ -1,4 +1,4 @@
-//! `[eureka]`: the registry's servers, what is requested of them, and which of their answers are trusted.
+//! `[eureka]`: servers of the registry, the instances that are requested, and the limits on what they report.
 
 mod networks;
 mod query;
@@ -13,7 +13,7 @@
 use crate::config::{ConfigError, Problem};
 use crate::decision::model::Millis;
 use crate::membership::{MembershipConfig, SelfPreservationConfig};
-use networks::{Form, check_networks};
+use networks::{ServerSyntax, check_networks};
 use query::RawQuery;
 use registration::RawRegister;
 use serde::Deserialize;
@@ -26,11 +26,11 @@
 const POLL_INTERVAL_S: RangeInclusive<f64> = 0.05..=300.0;
 const DEFAULT_REQUEST_TIMEOUT_MS: f64 = 5000.0;
 const REQUEST_TIMEOUT_MS: RangeInclusive<f64> = 50.0..=60_000.0;
-/// A registry whose polls fail this often in a row is unreachable.
+/// Number of successive failed polls after which the registry counts as unreachable.
 const FAILED_POLLS_UNREACHABLE: f64 = 3.0;
-/// Servers that one poll asks, if the file lists as many.
+/// Number of servers that one poll requests, if the file lists as many.
 const DEFAULT_SERVERS_PER_ROUND: usize = 2;
-/// 10,000 instances need about 12 MB.
+/// Maximum size of a body, in bytes. A list of 10,000 instances needs about 12 MB.
 const DEFAULT_MAX_BODY_BYTES: usize = 32 << 20;
 const MAX_BODY_BYTES: RangeInclusive<usize> = 1 << 10..=1 << 28;
 const DEFAULT_MISSING_GRACE_S: f64 = 60.0;
@@ -41,44 +41,44 @@
 const DEFAULT_SELF_PRESERVATION_ENGINES: usize = 2;
 const DEFAULT_SELF_PRESERVATION_S: f64 = 120.0;
 const SELF_PRESERVATION_S: RangeInclusive<f64> = 0.0..=86_400.0;
-/// The longest name that becomes a segment of a registry's path.
+/// Maximum length of a name that is used as a path segment in registry URLs, in bytes.
 const MAX_NAME_BYTES: usize = 255;
 
-/// The registry's servers, and how they are polled.
+/// Servers of the registry, and how they are polled.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EurekaSettings {
-    /// In the order of the file.
+    /// Servers of the registry, in the order of the file.
     pub servers: Vec<RegistryServer>,
-    /// Which instances are requested.
+    /// Instances that are requested.
     pub query: RegistryQuery,
     /// Further regions whose instances are requested.
     pub remote_regions: Vec<String>,
-    /// This dispatcher's zone: servers in it come first.
+    /// Zone of this dispatcher: servers in it are preferred.
     pub zone: Option<String>,
-    /// Between two polls.
+    /// Time between two polls.
     pub poll_interval: Duration,
-    /// For a whole exchange with a server.
+    /// Timeout of a complete exchange with a server.
     pub request_timeout: Duration,
-    /// Servers that one poll asks.
+    /// Number of servers that one poll requests.
     pub servers_per_round: usize,
-    /// The form of the answers.
+    /// Format of the responses.
     pub format: PayloadFormat,
-    /// The longest body, as sent and as unpacked, in bytes.
+    /// Maximum size of a body, both compressed and decompressed, in bytes.
     pub max_body_bytes: usize,
-    /// Which instances are admitted, and when they are dropped.
+    /// Rules that admit instances and remove them.
     pub rules: MembershipConfig,
-    /// Registers this dispatcher, so that clients find it; `None`: it is not registered.
+    /// Registration of this dispatcher, by which clients find it; `None` if it is not registered.
     pub registration: Option<InstanceRegistration>,
 }
 
 impl EurekaSettings {
-    /// The names of the servers, as operators see them.
+    /// Returns the names of the servers as operators see them, without credentials.
     pub fn names(&self) -> Vec<String> {
         self.servers.iter().map(|s| s.name.clone()).collect()
     }
 }
 
-/// The form of a registry's answers.
+/// Format of a registry's responses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PayloadFormat {
@@ -92,7 +92,7 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RawEureka {
-    /// The earlier form: one server by address and path.
+    /// Older syntax for a single server, with `path`.
     address: Option<String>,
     path: Option<String>,
     servers: Option<Vec<RawServer>>,
@@ -125,15 +125,16 @@
 }
 
 impl RawEureka {
-    /// `listen` is where clients connect, which is what is registered; `zone` is this dispatcher's.
+    /// Validates the section. `listen` is the address that clients connect to, which is registered by
+    /// default; `zone` is the zone of this dispatcher.
     pub(super) fn check(
         self,
         listen: SocketAddr,
         zone: Option<String>,
     ) -> Result<EurekaSettings, ConfigError> {
-        let form = match self.address {
-            Some(_) => Form::Address,
-            None => Form::Servers,
+        let syntax = match self.address {
+            Some(_) => ServerSyntax::Address,
+            None => ServerSyntax::Servers,
         };
         let servers = RawServers {
             address: self.address,
@@ -149,7 +150,7 @@
         };
         let query = query.check()?;
         let remote_regions = check_regions(self.regions)?;
-        let networks = check_networks(self.networks, form)?;
+        let networks = check_networks(self.networks, syntax)?;
         let poll_interval_s = check_poll_interval(self.period_s)?;
         let request_timeout_ms = check_request_timeout(self.timeout_ms)?;
         let rules = MembershipConfig {
@@ -188,7 +189,8 @@
     }
 }
 
-/// Polls that fail, the last of which takes its whole time.
+/// Time without a response after which the registry counts as unreachable, in ms: the failed polls, the last
+/// of which runs into its timeout.
 fn unreachable_after(poll_interval_s: f64, request_timeout_ms: f64) -> Millis {
     FAILED_POLLS_UNREACHABLE * 1000.0 * poll_interval_s + request_timeout_ms
 }
@@ -201,19 +203,19 @@
     Ok(regions)
 }
 
-/// In seconds.
+/// Returns the interval in seconds.
 fn check_poll_interval(configured: Option<f64>) -> Result<f64, ConfigError> {
     let seconds = configured.unwrap_or(DEFAULT_POLL_INTERVAL_S);
     in_range("eureka.period_s", seconds, POLL_INTERVAL_S)
 }
 
-/// In milliseconds.
+/// Returns the timeout in milliseconds.
 fn check_request_timeout(configured: Option<f64>) -> Result<Millis, ConfigError> {
     let millis = configured.unwrap_or(DEFAULT_REQUEST_TIMEOUT_MS);
     in_range("eureka.timeout_ms", millis, REQUEST_TIMEOUT_MS)
 }
 
-/// How long an instance that no server lists any more stays.
+/// Returns how long an instance is kept after no server lists it any more, in ms.
 fn check_missing_grace(configured: Option<f64>) -> Result<Millis, ConfigError> {
     let seconds = configured.unwrap_or(DEFAULT_MISSING_GRACE_S);
     Ok(1000.0 * in_range("eureka.patience_s", seconds, MISSING_GRACE_S)?)
@@ -228,8 +230,8 @@
     configured: Option<usize>,
     servers: usize,
 ) -> Result<usize, ConfigError> {
-    let asked = configured.unwrap_or(DEFAULT_SERVERS_PER_ROUND.min(servers));
-    in_range("eureka.ask", asked, 1..=servers)
+    let per_round = configured.unwrap_or(DEFAULT_SERVERS_PER_ROUND.min(servers));
+    in_range("eureka.ask", per_round, 1..=servers)
 }
 
 fn check_max_body(configured: Option<usize>) -> Result<usize, ConfigError> {
@@ -237,7 +239,7 @@
     in_range("eureka.max_body", bytes, MAX_BODY_BYTES)
 }
 
-/// A name that becomes a segment of a registry's path.
+/// Returns a name that can be used as a path segment in registry URLs.
 fn check_name(key: &str, text: &str) -> Result<String, ConfigError> {
     let is_plain = |c: char| c.is_ascii_alphanumeric() || "-_.:@".contains(c);
     let text = text.to_string();
--- a/src/config/eureka/networks.rs
+++ b/src/config/eureka/networks.rs
@@ -1,4 +1,4 @@
-//! `eureka.networks`: the networks that engines may be in.
+//! `eureka.networks`: networks that engines may be in.
 
 use crate::config::{ConfigError, Problem};
 use crate::membership::{MAX_NETWORKS, Networks};
@@ -7,23 +7,23 @@
 
 const KEY: &str = "eureka.networks";
 
-/// Which form of `[eureka]` a file has.
+/// Syntax in which `[eureka]` names its servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Form {
-    /// One server by `address`: without `networks` every address is admitted.
+pub(super) enum ServerSyntax {
+    /// One server in `address`: without `networks`, every address is admitted.
     Address,
-    /// A list of `servers`: without `networks` private addresses are admitted.
+    /// A list in `servers`: without `networks`, only private addresses are admitted.
     Servers,
 }
 
 pub(super) fn check_networks(
     configured: Option<Vec<String>>,
-    form: Form,
+    syntax: ServerSyntax,
 ) -> Result<Networks, ConfigError> {
     let Some(texts) = configured else {
-        return Ok(match form {
-            Form::Address => Networks::any(),
-            Form::Servers => Networks::private(),
+        return Ok(match syntax {
+            ServerSyntax::Address => Networks::any(),
+            ServerSyntax::Servers => Networks::private(),
         });
     };
     if texts.len() > MAX_NETWORKS {
@@ -32,7 +32,7 @@
     }
     let mut admitted = Vec::with_capacity(texts.len());
     for (index, text) in texts.into_iter().enumerate() {
-        let network = network(&text).map_err(|source| {
+        let network = parse_network(&text).map_err(|source| {
             let key = format!("{KEY}[{index}]");
             ConfigError::invalid(key, Problem::Network { text, source })
         })?;
@@ -41,8 +41,8 @@
     Ok(Networks::only(&admitted))
 }
 
-/// A network, or the network of one address.
-fn network(text: &str) -> Result<IpNet, AddrParseError> {
+/// Parses a network in CIDR form, or a single address.
+fn parse_network(text: &str) -> Result<IpNet, AddrParseError> {
     match text.parse() {
         Ok(network) => Ok(network),
         Err(_) => text.parse::<IpAddr>().map(IpNet::from),
--- a/src/config/eureka/query.rs
+++ b/src/config/eureka/query.rs
@@ -1,22 +1,23 @@
-//! `eureka.app`, `eureka.vip`, `eureka.secure_vip` and `eureka.fetch`: which instances are requested of a registry.
+//! `eureka.app`, `eureka.vip`, `eureka.secure_vip` and `eureka.fetch`: instances that are requested from a
+//! registry.
 
 use crate::config::eureka::check_name;
 use crate::config::{ConfigError, Problem};
 
-/// Which instances are requested of a registry.
+/// Instances that are requested from a registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegistryQuery {
-    /// `/apps` and its deltas; the engines are the instances of this application.
+    /// Requests `/apps` and its deltas; the engines are the instances of this application.
     AllApplications(String),
-    /// `/apps/{app}` alone, which is less to send where a registry holds many applications.
+    /// Requests `/apps/{app}` alone, which transfers less if the registry holds many applications.
     Application(String),
-    /// `/vips/{vip}`.
+    /// Requests `/vips/{vip}`.
     VipAddress(String),
-    /// `/svips/{vip}`: the engines' ports are the secure ones.
+    /// Requests `/svips/{vip}`; the secure ports of the instances are used.
     SecureVipAddress(String),
 }
 
-/// The keys that choose instances.
+/// Keys that select instances.
 pub(super) struct RawQuery {
     pub(super) app: Option<String>,
     pub(super) vip: Option<String>,
--- a/src/config/eureka/registration.rs
+++ b/src/config/eureka/registration.rs
@@ -1,4 +1,4 @@
-//! `eureka.register`: this dispatcher's own instance in the registry.
+//! `eureka.register`: registration of this dispatcher as an instance in the registry.
 
 use crate::config::checks::in_range;
 use crate::config::eureka::check_name;
@@ -10,35 +10,35 @@
 
 const DEFAULT_APPLICATION: &str = "HITCHWINCH";
 const MAX_METADATA_ENTRIES: usize = 64;
-/// All keys and values together.
+/// Maximum size of all keys and values together, in bytes.
 const MAX_METADATA_BYTES: usize = 8192;
 const DEFAULT_RENEWAL_INTERVAL_S: f64 = 30.0;
 const MIN_RENEWAL_INTERVAL_S: f64 = 0.05;
 const MAX_RENEWAL_INTERVAL_S: f64 = 3600.0;
-/// A lease outlives two failed renewals, unless `lease_s` is given.
+/// Duration of a lease in renewal intervals, unless `lease_s` is given: a lease survives two failed renewals.
 const DEFAULT_RENEWALS_PER_LEASE: f64 = 3.0;
 const MAX_LEASE_S: f64 = 86_400.0;
 
-/// This dispatcher's own instance, as it is registered.
+/// The instance that this dispatcher registers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InstanceRegistration {
-    /// The application, in upper case.
+    /// Name of the application, in upper case.
     pub app: String,
-    /// The instance's name, unique within the application.
+    /// Name of the instance, unique within the application.
     pub instance_id: String,
-    /// The host that clients connect to.
+    /// Host that clients connect to.
     pub host: String,
-    /// The IP address that clients connect to.
+    /// IP address that clients connect to.
     pub ip: IpAddr,
-    /// The port that clients connect to.
+    /// Port that clients connect to.
     pub port: u16,
-    /// The virtual IP address, a name that clients look it up by.
+    /// Virtual IP address: a name by which clients look up the instance.
     pub vip_address: String,
     /// Further entries for clients.
     pub metadata: BTreeMap<String, String>,
-    /// Between two renewals of the lease.
+    /// Time between two renewals of the lease.
     pub renewal_interval: Duration,
-    /// The registry drops an instance whose lease was not renewed for this long.
+    /// Time after which the registry evicts an instance whose lease was not renewed.
     pub lease_duration: Duration,
 }
 
@@ -58,7 +58,8 @@
 }
 
 impl RawRegister {
-    /// `listen` is where clients connect, which is registered unless the keys name another address.
+    /// Validates the section. `listen` is the address that clients connect to; it is registered unless the
+    /// keys name another address.
     pub(super) fn check(self, listen: SocketAddr) -> Result<InstanceRegistration, ConfigError> {
         let ip = self.ip.unwrap_or(listen.ip());
         if ip.is_unspecified() {
@@ -107,7 +108,7 @@
     Ok(())
 }
 
-/// The interval of renewals, and the lease's duration.
+/// Returns the interval of renewals and the duration of the lease.
 fn check_lease(
     renew_s: Option<f64>,
     lease_s: Option<f64>,
--- a/src/config/eureka/servers.rs
+++ b/src/config/eureka/servers.rs
@@ -1,4 +1,4 @@
-//! `eureka.servers`, or the earlier `eureka.address` and `eureka.path`: the registry's servers.
+//! `eureka.servers`, or the older `eureka.address` and `eureka.path`: servers of the registry.
 
 use crate::config::checks::socket_address;
 use crate::config::{ConfigError, Problem};
@@ -6,26 +6,26 @@
 use serde::Deserialize;
 use url::Url;
 
-/// Servers that one file lists at most.
+/// Maximum number of servers in a file.
 const MAX_SERVERS: usize = 8;
 const DEFAULT_PORT: u16 = 80;
-/// The path that goes with `address` unless `path` is given.
+/// Path used with `address` unless `path` is given.
 const DEFAULT_PATH: &str = "/eureka";
 
 /// One server of the registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegistryServer {
-    /// Its address, without user and password.
+    /// URL of the server without user and password.
     pub name: String,
-    /// Its host: a name, or an IP address without brackets.
+    /// Host of the server: a name, or an IP address without brackets.
     pub host: String,
-    /// Its port.
+    /// Port of the server.
     pub port: u16,
-    /// What precedes `/apps`, without a slash at its end.
+    /// Path before `/apps`, without a trailing slash.
     pub path: String,
-    /// The value of `Authorization`, if the URL contains a user.
+    /// Value of the `Authorization` header, if the URL contains a user or a password.
     pub authorization: Option<String>,
-    /// The zone it is in.
+    /// Zone of the server.
     pub zone: Option<String>,
 }
 
@@ -36,9 +36,9 @@
     Zoned { url: String, zone: String },
 }
 
-/// The keys that name servers.
+/// Keys that name servers.
 pub(super) struct RawServers {
-    /// The earlier form: one server by address and path.
+    /// Older syntax for a single server, with `path`.
     pub(super) address: Option<String>,
     pub(super) path: Option<String>,
     pub(super) servers: Option<Vec<RawServer>>,
@@ -114,7 +114,7 @@
             return Err(invalid(Problem::Url { text, source }));
         }
     };
-    let host = check_form(&url, text).map_err(invalid)?;
+    let host = check_url(&url, text).map_err(invalid)?;
     let authorization = authorization(&url).map_err(|source| invalid(Problem::Escaping(source)))?;
     let port = url.port().unwrap_or(DEFAULT_PORT);
     let path = url.path().trim_end_matches('/').to_string();
@@ -129,8 +129,8 @@
     })
 }
 
-/// The URL's host, if the URL can be that of a server; `text` is the URL as it is written.
-fn check_form<'a>(url: &'a Url, text: &str) -> Result<&'a str, Problem> {
+/// Returns the URL's host if the URL is valid for a server. `text` is the URL as written in the file.
+fn check_url<'a>(url: &'a Url, text: &str) -> Result<&'a str, Problem> {
     let text = text.to_string();
     if url.scheme() != "http" {
         return Err(Problem::UrlScheme { text });
@@ -144,7 +144,7 @@
     Ok(host)
 }
 
-/// The host as a URL has it: an IPv6 address stands in brackets.
+/// Returns the host as it is written in a URL: an IPv6 address is put in brackets.
 fn bracketed(host: &str) -> String {
     if host.contains(':') {
         format!("[{host}]")
@@ -153,7 +153,7 @@
     }
 }
 
-/// The value of `Authorization` for the URL's user and password.
+/// Returns the value of the `Authorization` header for the URL's user and password.
 fn authorization(url: &Url) -> Result<Option<String>, std::str::Utf8Error> {
     let user = url.username();
     let password = url.password();
@@ -166,7 +166,7 @@
     Ok(Some(format!("Basic {credentials}")))
 }
 
-/// Replaces `%XX`, which URLs escape characters of user and password with.
+/// Decodes percent-encoded characters of a URL's user or password.
 fn percent_decoded(text: &str) -> Result<String, std::str::Utf8Error> {
     let decoded = percent_encoding::percent_decode_str(text).decode_utf8()?;
     Ok(decoded.into_owned())
--- a/src/config/limits.rs
+++ b/src/config/limits.rs
@@ -3,35 +3,35 @@
 use crate::decision::model::Millis;
 use serde::Deserialize;
 
-/// Memory that the process may use unless `memory_mb` is given, in megabytes.
+/// Maximum memory of the process unless `memory_mb` is given, in megabytes.
 const DEFAULT_MEMORY_MB: usize = 192;
-/// Sockets that the process may open unless `sockets` is given.
+/// Maximum number of open sockets of the process unless `sockets` is given.
 const DEFAULT_MAX_SOCKETS: usize = 1024;
 
 /// Limits and timeouts of the sockets, derived from the settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SocketSettings {
-    /// A connection to an engine must be established within this.
+    /// Maximum time to establish a connection to an engine, in ms.
     pub connect_timeout: Millis,
-    /// A connection to an engine without traffic is closed after this.
+    /// Time without traffic after which a connection to an engine is closed, in ms.
     pub idle_timeout: Millis,
-    /// Attempts that one connection carries at the same time.
+    /// Maximum number of concurrent attempts on one connection.
     pub max_streams_per_connection: usize,
-    /// Engines report the progress of every running attempt this often; 0: never.
+    /// Interval at which engines report the progress of every running attempt, in ms; 0 for never.
     pub progress_interval: Millis,
-    /// Requests that are open at the same time.
+    /// Maximum number of requests that are open at the same time.
     pub max_open_requests: usize,
-    /// The longest deadline of any class; infinite if a class has none.
+    /// Longest deadline of any class, in ms; infinite if a class has none.
     pub longest_deadline: Millis,
 }
 
-/// What the machine allows the process.
+/// Limits of the process on its machine.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(from = "Machine")]
 pub struct MachineLimits {
-    /// Memory, in megabytes.
+    /// Maximum memory, in megabytes.
     pub memory_mb: usize,
-    /// Open sockets.
+    /// Maximum number of open sockets.
     pub max_sockets: usize,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// `limits` of the platform's file. The deserializer's messages show this type's name.
+/// `limits` in the platform's file. The deserializer's messages contain the name of this type.
 #[derive(Deserialize)]
 struct Machine {
     #[serde(default = "default_memory_mb")]
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,12 +1,12 @@
-//! Configuration: the files of both programs are read, checked and given their defaults here, and nowhere else.
+//! Configuration: reads and validates the files of both programs, and applies all defaults.
 //!
-//! Each section has a module of its own, and goes through three forms: `RawX` is what `serde` reads, with the file's
-//! keys as field names; its `check` validates the values; the result is a typed settings struct without options that
-//! mean "default". Every error names the key at fault.
+//! Each section has its own module and is processed in three steps: `serde` reads a `RawX`, whose field names
+//! are the file's keys; its `check` validates the values; the result is a typed settings struct in which no
+//! option means "default". Every error names the invalid key.
 //!
-//! - [`MysqlConfig`]: the TOML file of the MySQL frontend.
-//! - [`PlatformConfig`]: the platform's JSON file and its environment variables.
-//! - [`FleetSettings`]: the settings inside the platform's file, which the simulator sends in the same form.
+//! - [`MysqlConfig`]: TOML file of the MySQL frontend.
+//! - [`PlatformConfig`]: JSON file and environment variables of the platform.
+//! - [`FleetSettings`]: settings inside the platform's file, which the simulator sends in the same form.
 
 mod checks;
 mod environment;
--- a/src/config/mysql/classes.rs
+++ b/src/config/mysql/classes.rs
@@ -1,4 +1,4 @@
-//! `[[class]]`, `[[rule]]` and the keys that name classes: which class a statement belongs to.
+//! `[[class]]`, `[[rule]]` and the keys that name classes: classification of statements.
 
 use crate::config::checks::positive;
 use crate::config::mysql::raw::RawMysql;
@@ -23,7 +23,7 @@
     late_answer_weight: f64,
     #[serde(default = "one")]
     threads: u32,
-    /// Running a statement of the class twice would do harm.
+    /// True if statements of the class must not run twice.
     #[serde(rename = "unsafe", default)]
     non_idempotent: bool,
     #[serde(default)]
@@ -43,28 +43,28 @@
     class: String,
 }
 
-/// Which class a MySQL statement belongs to.
+/// Rules that assign MySQL statements to classes.
 #[derive(Clone, Debug)]
 pub struct ClassRules {
-    /// The class of statements that are not certain to only read; a non-idempotent one.
+    /// Class of statements that may write; it is non-idempotent.
     pub write_class: ClassId,
-    /// The class of a read that neither a comment nor a rule assigns to another.
+    /// Class of reads that neither a comment nor a rule assigns to another class.
     pub read_class: ClassId,
     class_names: Vec<String>,
     rules: Vec<ClassRule>,
 }
 
-/// Assigns reads to a class by a text that they contain.
+/// Assigns reads that contain a text to a class.
 #[derive(Clone, Debug)]
 struct ClassRule {
-    /// In lower case.
+    /// The text, in lower case.
     text: String,
     class: ClassId,
 }
 
 impl ClassRules {
-    /// Rules among the named classes. `contains` assigns reads that contain a text, in lower case, to a class; the
-    /// first match counts.
+    /// Creates the rules. `contains` assigns reads that contain a text, given in lower case, to a class; the
+    /// first match applies.
     pub fn new(
         write_class: ClassId,
         read_class: ClassId,
@@ -82,8 +82,8 @@
         }
     }
 
-    /// The class of a statement. A comment (`requested`) or a rule assigns a read to a class; a write stays in the
-    /// write class, whatever its comment requests.
+    /// Returns the class of a statement. A comment (`requested`) or a rule can assign a read to a class; a
+    /// write is always in the write class.
     pub fn class_of(&self, is_read: bool, requested: Option<&str>, sql: &[u8]) -> ClassId {
         if !is_read {
             return self.write_class;
@@ -103,13 +103,13 @@
     }
 }
 
-/// The classes that the file's keys name.
+/// Classes that keys of the file name.
 pub(super) struct StatementClasses {
     pub(super) rules: ClassRules,
     pub(super) transaction_class: ClassId,
 }
 
-/// `write_class`, `read_class`, `transaction_class` and the rules, resolved.
+/// Resolves `write_class`, `read_class`, `transaction_class` and the rules.
 pub(super) fn check_statement_classes(raw: &RawMysql) -> Result<StatementClasses, ConfigError> {
     let class_names: Vec<String> = raw.class.iter().map(|c| c.name.clone()).collect();
     let write_class = class_id("write_class", &raw.write_class, &class_names)?;
@@ -149,7 +149,7 @@
     Err(ConfigError::invalid(key, Problem::RetriedClass { class }))
 }
 
-/// How long a statement of each class may take.
+/// Returns the deadline of each class, in ms.
 pub(super) fn check_deadlines(classes: &[RawClass]) -> Result<Vec<Millis>, ConfigError> {
     let mut deadlines = Vec::with_capacity(classes.len());
     for (index, class) in classes.iter().enumerate() {
@@ -159,7 +159,7 @@
     Ok(deadlines)
 }
 
-/// The class as the decision module takes it.
+/// Converts a class to that of the decision module.
 pub(super) fn decision_class(raw: &RawClass) -> Class {
     Class {
         priority_weight: raw.priority_weight,
--- a/src/config/mysql/decision.rs
+++ b/src/config/mysql/decision.rs
@@ -1,4 +1,4 @@
-//! The decision module's settings for engines that speak MySQL.
+//! Settings of the decision module for engines that use the MySQL protocol.
 
 use crate::config::mysql::classes::{RawClass, decision_class};
 use crate::config::mysql::engines::Kinds;
@@ -6,9 +6,9 @@
 use crate::config::{ConfigError, NameTable, position_of};
 use crate::decision::model::{EngineCapabilities, Limits, Millis, Rules, Settings};
 
-/// Shortest time between two calls of the decision module with a later clock.
+/// Minimum time between two calls of the decision module with a later clock, in ms.
 const STEP: Millis = 5.0;
-/// Weight of a statement beyond its tenant's quota, as a part of its class's weight.
+/// Weight of a statement that exceeds its tenant's quota, as a fraction of its class's weight.
 const OVER_QUOTA_WEIGHT: f64 = 0.05;
 
 const LIMITS: Limits = Limits {
@@ -20,7 +20,7 @@
     max_retry_after: 500.0,
 };
 
-/// MySQL takes no memory grants, and its answers report neither load nor cost.
+/// MySQL accepts no memory grants, and its answers report neither load nor cost.
 const ENGINES: EngineCapabilities = EngineCapabilities {
     accepts_memory_grants: false,
     accepts_priority: false,
@@ -41,10 +41,10 @@
     retry_budget: None,
 };
 
-/// What the file says of the fleet.
+/// Sections of the file that describe the fleet.
 pub(super) struct Fleet {
     pub(super) dispatchers: u32,
-    /// This dispatcher's zone, by name.
+    /// Name of this dispatcher's zone.
     pub(super) zone: Option<String>,
     /// Names of all zones.
     pub(super) zones: Vec<String>,
@@ -54,7 +54,7 @@
 }
 
 impl Fleet {
-    /// The settings, and the names behind their numbers.
+    /// Returns the settings, and the names for their numbers.
     pub(super) fn check(self) -> Result<(Settings, NameTable), ConfigError> {
         let zone = self.zone.as_ref();
         let settings = Settings {
--- a/src/config/mysql/engines.rs
+++ b/src/config/mysql/engines.rs
@@ -1,4 +1,4 @@
-//! `[engines]`, `[[kind]]` and `[[engine]]`: where the engines come from and how they are reached.
+//! `[engines]`, `[[kind]]` and `[[engine]]`: source of the endpoint list, and connections to engines.
 
 use crate::config::checks::{in_range, socket_address};
 use crate::config::eureka::RawEureka;
@@ -10,7 +10,7 @@
 const DEFAULT_CONNECTIONS: usize = 32;
 const MAX_CONNECTIONS: usize = 256;
 
-/// The kind of all engines where the file lists none.
+/// Kind of all engines if the file lists no kinds.
 const DEFAULT_KIND_NAME: &str = "std";
 const DEFAULT_KIND: Kind = Kind {
     cores: 8.0,
@@ -42,42 +42,42 @@
     kind: Option<String>,
 }
 
-/// How to log in to engines, and how much is sent to one of them.
+/// Account at the engines, and limits of the connections to them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineCredentials {
-    /// The account at every engine.
+    /// User name, the same at every engine.
     pub user: String,
-    /// The account's password.
+    /// Password of the user.
     pub password: String,
-    /// Connections to one engine at the same time.
+    /// Maximum number of concurrent connections to one engine.
     pub max_connections: usize,
-    /// The largest packet, in bytes.
+    /// Maximum size of a packet, in bytes.
     pub max_packet: usize,
 }
 
 /// An engine that the file lists.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StaticEngine {
-    /// The engine's name.
+    /// Name of the engine.
     pub id: String,
-    /// Where it listens.
+    /// Address that the engine listens on.
     pub address: SocketAddr,
-    /// The zone it is in, by name.
+    /// Name of the engine's zone.
     pub zone: Option<String>,
-    /// The kind it is of, by name.
+    /// Name of the engine's kind.
     pub kind: Option<String>,
 }
 
-/// Where the MySQL frontend's list of engines comes from.
+/// Source of the MySQL frontend's endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointSource {
-    /// The file lists them.
+    /// Engines that the file lists.
     Static(Vec<StaticEngine>),
-    /// Eureka registries list them.
+    /// Engines that Eureka registries list.
     Eureka(Box<EurekaSettings>),
 }
 
-/// The kinds' names, and what they stand for.
+/// Kinds of engine and their names, in the same order.
 pub(super) struct Kinds {
     pub(super) names: Vec<String>,
     pub(super) kinds: Vec<Kind>,
@@ -95,8 +95,8 @@
     }
 }
 
-/// The engines' source: either `[eureka]` or at least one `[[engine]]`. `listen` is where clients connect, `zone` is
-/// this dispatcher's.
+/// Returns the source of the endpoint list: either `[eureka]` or at least one `[[engine]]`. `listen` is the
+/// address that clients connect to, `zone` is the zone of this dispatcher.
 pub(super) fn check_endpoint_source(
     eureka: Option<RawEureka>,
     engines: Vec<RawEngine>,
@@ -134,7 +134,7 @@
     Ok(checked)
 }
 
-/// Names of the zones: this dispatcher's own and those of listed engines, in order of appearance.
+/// Returns the names of the zones of this dispatcher and of the listed engines, in order of appearance.
 pub(super) fn zone_names(own: Option<String>, source: &EndpointSource) -> Vec<String> {
     let engines: &[StaticEngine] = match source {
         EndpointSource::Static(engines) => engines,
@@ -149,7 +149,7 @@
     names
 }
 
-/// The listed kinds of engine, or the default one.
+/// Returns the listed kinds of engine, or the default kind if none is listed.
 pub(super) fn kinds(raw: Vec<RawKind>) -> Kinds {
     if raw.is_empty() {
         return Kinds {
--- a/src/config/mysql/mod.rs
+++ b/src/config/mysql/mod.rs
@@ -1,4 +1,4 @@
-//! The TOML file of the MySQL frontend.
+//! TOML file of the MySQL frontend.
 
 mod classes;
 mod decision;
@@ -27,41 +27,41 @@
 use users::{ClientCertificates, check_users, tenant_names};
 
 const DEFAULT_CONNECT_TIMEOUT: Millis = 250.0;
-/// A connection to an engine without traffic is closed after this.
+/// Time without traffic after which a connection to an engine is closed, in ms.
 const ENGINE_IDLE_TIMEOUT: Millis = 30_000.0;
 const MAX_OPEN_REQUESTS: usize = 1024;
 
-/// Everything that the MySQL frontend is configured with.
+/// Complete configuration of the MySQL frontend.
 pub struct MysqlConfig {
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub listen: SocketAddr,
-    /// Where the administrative HTTP server listens; `None`: there is none.
+    /// Address of the administrative HTTP server; `None` if there is none.
     pub admin_address: Option<SocketAddr>,
-    /// The descriptor of the clients' listening socket, if whatever starts this program holds that.
+    /// Descriptor of the clients' listening socket, if the parent process keeps it open.
     pub inherited_descriptor: Option<i32>,
-    /// A directory that all processes of this dispatcher share, and no others.
+    /// Directory that all processes of this dispatcher share, and no other process uses.
     pub state_directory: Option<PathBuf>,
-    /// What clients' sessions need.
+    /// Configuration of client sessions.
     pub frontend: MysqlFrontendConfig,
-    /// How to log in to engines.
+    /// Account at the engines, and limits of the connections to them.
     pub engine_credentials: EngineCredentials,
-    /// The decision module's settings.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// The names behind the settings' numbers.
+    /// Names for the numbers in the settings.
     pub names: NameTable,
     /// Limits and timeouts of the sockets.
     pub sockets: SocketSettings,
-    /// Where the list of engines comes from.
+    /// Source of the endpoint list.
     pub source: EndpointSource,
-    /// How results are stored until their clients read them.
+    /// Storage of results until their clients read them.
     pub spool: SpoolSettings,
-    /// The certificates of the listening socket; `None`: connections are not encrypted.
+    /// Certificates of the listening socket; `None` if connections are not encrypted.
     pub tls: Option<TlsSettings>,
 }
 
 impl MysqlConfig {
-    /// The first key whose change a running process cannot apply: learned state, users and open requests depend on
-    /// it.
+    /// Returns the first changed key that requires a restart, because learned state, users and open requests
+    /// depend on it.
     pub fn needs_restart(&self, new: &MysqlConfig) -> Option<&'static str> {
         if self.listen != new.listen {
             Some("listen")
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Reads a file; the process's environment variables override its keys.
+    /// Reads a file. The environment variables of the process override its keys.
     ///
     /// # Errors
     /// The file cannot be read, or [`MysqlConfig::parse`] rejects it.
@@ -96,10 +96,10 @@
         Self::parse(&text, |name| std::env::var(name).ok())
     }
 
-    /// Reads a file's text; `variable` looks up an environment variable.
+    /// Parses the text of a file. `variable` looks up an environment variable.
     ///
     /// # Errors
-    /// The first key or variable that holds what cannot be used.
+    /// Names the first key or variable whose value is invalid.
     pub fn parse(
         text: &str,
         variable: impl Fn(&str) -> Option<String>,
@@ -164,7 +164,8 @@
     }
 }
 
-/// `connect_timeout_ms`, and what MySQL sets: a connection carries one statement at a time and reports no progress.
+/// Validates `connect_timeout_ms`. The other limits follow from the MySQL protocol: a connection carries one
+/// statement at a time and reports no progress.
 fn check_sockets(
     connect_timeout_ms: Option<f64>,
     deadlines: &[Millis],
--- a/src/config/mysql/raw.rs
+++ b/src/config/mysql/raw.rs
@@ -1,4 +1,4 @@
-//! The MySQL frontend's file as it is written: field names are the file's keys.
+//! The MySQL frontend's file as `serde` reads it: field names are the file's keys.
 
 use crate::config::eureka::RawEureka;
 use crate::config::mysql::classes::{RawClass, RawRule};
--- a/src/config/mysql/users.rs
+++ b/src/config/mysql/users.rs
@@ -1,4 +1,4 @@
-//! `[[user]]` and `[[tenant]]`: who may connect, and on whose quota.
+//! `[[user]]` and `[[tenant]]`: users that may connect, and the tenants whose quotas their statements use.
 
 use crate::config::{ConfigError, Problem, position_of};
 use crate::decision::model::Tenant;
@@ -24,22 +24,22 @@
 /// A user of the MySQL frontend.
 #[derive(Clone, Debug)]
 pub struct User {
-    /// The password that the client proves to know.
+    /// Password of the user.
     pub password: String,
-    /// The common name that the client's certificate must have; `None`: no certificate is needed.
+    /// Common name that the client's certificate must have; `None` if no certificate is required.
     pub certificate_common_name: Option<String>,
-    /// The tenant whose quota the user's statements count for.
+    /// Tenant whose quota the user's statements use.
     pub tenant: Option<usize>,
 }
 
-/// Whether `tls.client_ca` names who is trusted to sign clients' certificates.
+/// Whether `tls.client_ca` names authorities that may sign clients' certificates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ClientCertificates {
     Trusted,
     Untrusted,
 }
 
-/// The users by name.
+/// Validates the users and returns them by name.
 pub(super) fn check_users(
     raw: Vec<RawUser>,
     tenants: &[String],
@@ -77,12 +77,12 @@
     })
 }
 
-/// The tenants' names, in the order of the file.
+/// Returns the names of the tenants, in the order of the file.
 pub(super) fn tenant_names(tenants: &[RawTenant]) -> Vec<String> {
     tenants.iter().map(|tenant| tenant.name.clone()).collect()
 }
 
-/// The tenant as the decision module takes it; without a quota nothing bounds it.
+/// Converts a tenant to that of the decision module. A tenant without a quota is unlimited.
 pub(super) fn decision_tenant(raw: &RawTenant) -> Tenant {
     Tenant {
         quota_per_s: raw.quota_per_s.unwrap_or(f64::MAX),
--- a/src/config/names.rs
+++ b/src/config/names.rs
@@ -1,7 +1,7 @@
-//! The names behind the numbers that the decision module works with.
+//! Names of the classes, kinds, zones and tenants that the decision module identifies by numbers.
 
-/// Names by number, as one instance's settings list them: a class's name stands at its
-/// [`ClassId`](crate::decision::model::ClassId), and likewise for the other lists.
+/// Names by number, in the order of an instance's settings: the index of a class's name is its
+/// [`ClassId`](crate::decision::model::ClassId), and likewise in the other lists.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NameTable {
     /// Names of the classes.
@@ -12,13 +12,13 @@
     pub zones: Vec<String>,
     /// Names of the tenants.
     pub tenants: Vec<String>,
-    /// True if answers report the work and memory that a query really took.
+    /// True if answers report the work and memory that a query actually used.
     pub reports_cost: bool,
-    /// The names of a load report's values, in their order.
+    /// Names of the values in a load report, in their order.
     pub report_fields: Vec<String>,
 }
 
-/// Position of a name in a list.
+/// Returns the position of a name in a list.
 pub fn position_of(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|listed| listed == name)
 }
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,4 +1,4 @@
-//! What the platform tells one dispatcher: its environment variables and its JSON file.
+//! Configuration of one dispatcher by the platform: environment variables and a JSON file.
 
 use crate::config::checks::{from_json, positive, socket_address};
 use crate::config::environment::{admin_address, inherited_descriptor, non_empty};
@@ -12,18 +12,18 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Names the platform's file.
+/// Path of the platform's file.
 const CONFIG_FILE: &str = "PROXY_CONFIG";
 /// Overrides `listen`.
 const LISTEN_ADDRESS: &str = "PROXY_LISTEN";
 /// Overrides `name`.
 const NAME: &str = "PROXY_NAME";
-/// The directory that all processes of this dispatcher share.
+/// Directory that all processes of this dispatcher share.
 const STATE_DIRECTORY: &str = "TMPDIR";
 
-/// The dispatcher's name in its log, if none is given.
+/// Default name of the dispatcher in its log.
 const DEFAULT_NAME: &str = "hitchwinch";
-/// The process cannot serve clients and engines with fewer sockets.
+/// Minimum number of sockets that the process needs to serve clients and engines.
 const MIN_SOCKETS: usize = 64;
 
 #[derive(Deserialize)]
@@ -43,51 +43,52 @@
     settings: FleetSettings,
 }
 
-/// How this dispatcher exchanges load reports with the others of its tier, over UDP.
+/// Addresses and budget for the exchange of load reports with the other dispatchers of the tier, over UDP.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GossipSettings {
-    /// Where messages to this dispatcher arrive.
+    /// Address at which messages to this dispatcher arrive.
     pub listen: SocketAddr,
-    /// The addresses that the other dispatchers send from.
+    /// Addresses from which the other dispatchers send.
     pub members: Vec<SocketAddr>,
-    /// A message sent here reaches every other dispatcher.
+    /// Address at which a message reaches every other dispatcher.
     pub broadcast: SocketAddr,
-    /// How much may be sent.
+    /// Budget for sent messages.
     pub budget: GossipBudget,
 }
 
-/// Everything that the platform tells one dispatcher.
+/// Complete configuration of one dispatcher on the platform.
 pub struct PlatformConfig {
-    /// The dispatcher's name, for its log.
+    /// Name of the dispatcher in its log.
     pub name: String,
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub listen: SocketAddr,
     /// Seed of the decision module's random numbers.
     pub seed: u64,
-    /// What the machine allows the process.
+    /// Limits of the process on its machine.
     pub limits: MachineLimits,
-    /// The journal, the source of the endpoint list.
+    /// Address of the journal, the source of the endpoint list.
     pub journal_address: SocketAddr,
-    /// How the tier's dispatchers reach each other, if the settings allow it.
+    /// Gossip with the other dispatchers of the tier, if the settings permit it.
     pub gossip: Option<GossipSettings>,
-    /// Where the administrative HTTP server listens; `None`: there is none.
+    /// Address of the administrative HTTP server; `None` if there is none.
     pub admin_address: Option<SocketAddr>,
-    /// The descriptor of the clients' listening socket, if the platform holds that.
+    /// Descriptor of the clients' listening socket, if the platform keeps it open.
     pub inherited_descriptor: Option<i32>,
-    /// A directory that all processes of this dispatcher share.
+    /// Directory that all processes of this dispatcher share.
     pub state_directory: Option<PathBuf>,
-    /// The journal's events up to now, not yet decoded.
+    /// Events of the journal up to now, not yet decoded.
     pub recorded_events: serde_json::Value,
-    /// The decision module's settings.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// The names behind the settings' numbers.
+    /// Names for the numbers in the settings.
     pub names: NameTable,
     /// Limits and timeouts of the sockets.
     pub sockets: SocketSettings,
 }
 
 impl PlatformConfig {
-    /// The first key whose change a running process cannot apply: learned state and open requests depend on it.
+    /// Returns the first changed key that requires a restart, because learned state and open requests depend
+    /// on it.
     pub fn needs_restart(&self, new: &PlatformConfig) -> Option<&'static str> {
         if self.listen != new.listen {
             Some("listen")
@@ -105,8 +106,8 @@
         }
     }
 
-    /// Reads the file that `PROXY_CONFIG` names. `PROXY_LISTEN`, `PROXY_NAME` and the variables of
-    /// [`PlatformConfig::parse`] override its keys.
+    /// Reads the file that `PROXY_CONFIG` names. Other environment variables override its keys, see
+    /// [`PlatformConfig::parse`].
     ///
     /// # Errors
     /// The variable is not set, the file cannot be read, or [`PlatformConfig::parse`] rejects it.
@@ -120,10 +121,11 @@
         Self::parse(&text, variable)
     }
 
-    /// Reads the file's text; `variable` looks up an environment variable.
+    /// Parses the text of the file. `variable` looks up an environment variable; `PROXY_LISTEN`,
+    /// `PROXY_NAME`, `PROXY_ADMIN_ADDR` and `PROXY_INHERITED_FD` override keys of the file.
     ///
     /// # Errors
-    /// The first key or variable that holds what cannot be used.
+    /// Names the first key or variable whose value is invalid.
     pub fn parse(
         text: &str,
         variable: impl Fn(&str) -> Option<String>,
@@ -172,13 +174,15 @@
         })
     }
 
-    /// The dispatchers that `peers` names, this one included: `settings.fleet_size` may name fewer.
+    /// Returns the number of dispatchers in `peers`, including this one; `settings.fleet_size` may be
+    /// smaller.
     fn listed_dispatchers(&self) -> u32 {
         let distinct: BTreeSet<&String> = self.peers.iter().collect();
         u32::try_from(distinct.len()).unwrap_or(u32::MAX)
     }
 
-    /// `peer_listen`, `peers` and `peers_all`; without effect unless the settings allow messages between dispatchers.
+    /// Validates `peer_listen`, `peers` and `peers_all`, which have no effect unless the settings permit
+    /// messages between dispatchers.
     fn gossip(&self) -> Result<Option<GossipSettings>, ConfigError> {
         let (Some(budget), Some(listen), Some(broadcast)) = (
             self.settings.gossip_budget(self.listed_dispatchers()),
@@ -217,7 +221,7 @@
     }
 }
 
-/// Hexadecimal digits; other texts are read as a decimal number.
+/// Parses a hexadecimal number, or a decimal one if the text is not a 64-bit hexadecimal number.
 fn seed(text: String) -> Result<u64, ConfigError> {
     u64::from_str_radix(&text, 16)
         .or_else(|_| text.parse())
--- a/src/config/spool.rs
+++ b/src/config/spool.rs
@@ -1,4 +1,4 @@
-//! `[spool]`: how much of results is stored until their clients read them, where and for how long.
+//! `[spool]`: storage of results until their clients read them, with its place, size and retention time.
 
 use crate::config::checks::in_range;
 use crate::config::{ConfigError, Problem};
@@ -28,21 +28,23 @@
 const RESULT_BYTES: RangeInclusive<usize> = 1024..=1 << 24;
 const DEFAULT_RESULT_BYTES: usize = 1 << 20;
 
-/// How results are stored until their clients read them.
+/// Storage of results until their clients read them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SpoolSettings {
-    /// Sizes, numbers and times.
+    /// Limits of sizes, numbers and times.
     pub rules: SpoolLimits,
-    /// Results are written below it when memory is full, and outlive the process; `None`: in memory only.
+    /// Directory to which results are written when memory is full, so that they survive the process; `None`
+    /// keeps results in memory only.
     pub directory: Option<PathBuf>,
-    /// The most rows of a page.
+    /// Maximum number of rows in a page.
     pub page_rows: u32,
-    /// A client that reads nothing for this long is disconnected.
+    /// Time without a read after which a client is disconnected.
     pub stall_timeout: Duration,
 }
 
 impl SpoolSettings {
-    /// The settings where there is no `[spool]`: in memory only, `max_result` bytes for one result.
+    /// Returns the settings for a file without `[spool]`: in memory only, with `max_result` bytes for one
+    /// result.
     pub fn in_memory(max_result: usize) -> Self {
         SpoolSettings {
             rules: SpoolLimits {
@@ -70,7 +72,7 @@
     most: Option<usize>,
 }
 
-/// `[spool]`, or `max_result` where there is none.
+/// Validates `[spool]`, or `max_result` if there is no `[spool]`.
 pub(super) fn check_spool(
     spool: Option<RawSpool>,
     max_result: Option<usize>,
@@ -132,7 +134,8 @@
     in_range("spool.stall_s", seconds, SECONDS).map(Duration::from_secs_f64)
 }
 
-/// A size in bytes within bounds, written with its unit: a bare number could be of any unit.
+/// Parses a size in bytes and checks its bounds. The unit is required, because a bare number would be
+/// ambiguous.
 fn size(
     key: &str,
     configured: Option<String>,
--- a/src/config/sticky_sessions.rs
+++ b/src/config/sticky_sessions.rs
@@ -1,4 +1,4 @@
-//! `[pins]`: how long sessions may hold an engine's connection, and how many may.
+//! `[pins]`: limits of the number and duration of sticky sessions, which hold an engine's connection.
 
 use crate::config::checks::in_range;
 use crate::config::{ConfigError, Problem};
--- a/src/config/tests/platform.rs
+++ b/src/config/tests/platform.rs
@@ -68,8 +68,8 @@
     assert!(message.contains("PROXY_INHERITED_FD"), "{message}");
 }
 
-/// `fleet_size` and `peers` both tell how many dispatchers share the engines; a stale one of them must not make each
-/// dispatcher's share too large.
+/// `fleet_size` and `peers` both tell how many dispatchers share the engines; a stale one of them must not
+/// make each dispatcher's share too large.
 #[test]
 fn the_larger_of_fleet_size_and_listed_peers_is_the_number_of_dispatchers() {
     let peers = r#"{"peers":["10.0.0.1:1","10.0.0.2:1","10.0.0.3:1","10.0.0.3:1"],"#;
--- a/src/config/tls.rs
+++ b/src/config/tls.rs
@@ -1,4 +1,4 @@
-//! `[tls]`: the certificates of the MySQL frontend.
+//! `[tls]`: TLS certificates of the MySQL frontend, and the requirements on clients.
 
 use crate::config::{ConfigError, Problem};
 use serde::Deserialize;
@@ -6,20 +6,20 @@
 
 const MAX_CERTIFICATES: usize = 32;
 
-/// Certificates, and what is required of clients.
+/// Certificates of the server, and requirements on clients.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TlsSettings {
-    /// The oldest version that is accepted.
+    /// Oldest version that is accepted.
     pub min_version: TlsVersion,
-    /// Clients that do not encrypt their connection are rejected.
+    /// True if clients that do not use TLS are rejected.
     pub required: bool,
-    /// The certificate authorities that clients' certificates are trusted by.
+    /// File with the certificate authorities that may sign clients' certificates.
     pub client_ca: Option<PathBuf>,
-    /// The server's certificates.
+    /// Certificates of the server.
     pub certificates: Vec<CertificateFiles>,
 }
 
-/// A version of TLS.
+/// Version of TLS.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TlsVersion {
     /// TLS 1.2.
@@ -28,12 +28,12 @@
     Tls13,
 }
 
-/// The files of one certificate, in PEM.
+/// Files of one certificate, in PEM format.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CertificateFiles {
-    /// The certificate with its chain.
+    /// File with the certificate and its chain.
     pub chain: PathBuf,
-    /// Its private key.
+    /// File with the private key of the certificate.
     pub private_key: PathBuf,
 }
 
@@ -56,7 +56,7 @@
 }
 
 impl RawTls {
-    /// True if clients can prove who they are by certificates.
+    /// Returns true if clients can authenticate with certificates.
     pub(super) fn trusts_client_certificates(&self) -> bool {
         self.client_ca.is_some()
     }
