--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Configuration errors: the key at fault and what is wrong with its value.
+//! Configuration errors: the invalid key, and the problem with its value.
 
 use crate::config::fleet_settings::FleetSettingsError;
 use crate::decision::model::SettingsError;
@@ -14,36 +14,36 @@
     /// The file cannot be read.
     #[error("{file}: {source}")]
     Unreadable {
-        /// The file, as the operator named it.
+        /// Path of the file, as the operator wrote it.
         file: String,
-        /// What the operating system reported.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A key or an environment variable holds a value that cannot be used.
+    /// A key or an environment variable has an invalid value.
     #[error("{key}: {problem}")]
     Invalid {
-        /// The key's path in the file, or the variable's name.
+        /// Path of the key in the file, or name of the variable.
         key: String,
-        /// What is wrong with the value.
+        /// Problem with the value.
         #[source]
         problem: Problem,
     },
 }
 
-/// What is wrong with the value of a key.
+/// Problem with the value of a key.
 #[derive(Debug, thiserror::Error)]
 pub enum Problem {
     /// A required variable is absent.
     #[error("is not set")]
     NotSet,
-    /// The text is not TOML, or not of the expected shape.
+    /// The text is not TOML, or has an unexpected structure.
     #[error("{}", .0.message())]
     Toml(#[source] toml::de::Error),
-    /// The text is not JSON, or not of the expected shape.
+    /// The text is not JSON, or has an unexpected structure.
     #[error("{0}")]
     Json(#[source] serde_json::Error),
     /// Not a socket address.
-    #[error("{text:?} is no address and port ({source})")]
+    #[error("{text:?} is not an IP address with a port ({source})")]
     Address {
         /// The value.
         text: String,
@@ -51,64 +51,64 @@
         source: AddrParseError,
     },
     /// Not a URL.
-    #[error("{text:?} is no URL ({source})")]
+    #[error("{text:?} is not a valid URL ({source})")]
     Url {
         /// The value.
         text: String,
         /// The parser's reason.
         source: url::ParseError,
     },
-    /// A URL of another scheme than `http`.
-    #[error("{text:?}: only http is spoken, and the URL starts with it")]
+    /// A URL with another scheme than `http`.
+    #[error("{text:?} is not an http:// URL; no other scheme is supported")]
     UrlScheme {
         /// The value.
         text: String,
     },
     /// A URL without a host.
-    #[error("{text:?} names no host")]
+    #[error("{text:?} has no host")]
     UrlHost {
         /// The value.
         text: String,
     },
     /// A URL with a query or a fragment.
-    #[error("{text:?}: a server has no query and no fragment")]
+    #[error("{text:?} has a query or a fragment; the URL of a server must have neither")]
     UrlQuery {
         /// The value.
         text: String,
     },
-    /// User or password of a URL is not percent-encoded UTF-8.
-    #[error("the user or password is wrongly escaped")]
-    Escaping(#[source] std::str::Utf8Error),
+    /// The user or password in a URL is not percent-encoded UTF-8.
+    #[error("the user or password in the URL is not percent-encoded UTF-8")]
+    PercentEncoding(#[source] std::str::Utf8Error),
     /// Neither an IP network nor an IP address.
-    #[error("{text:?} is no network")]
+    #[error("{text:?} is not a network in CIDR form or an IP address")]
     Network {
         /// The value.
         text: String,
-        /// Why it is no address either.
+        /// Reason why it is not an address either.
         source: AddrParseError,
     },
-    /// Not a file descriptor's number.
-    #[error("{text:?} is no descriptor")]
+    /// Not the number of a file descriptor.
+    #[error("{text:?} is not a file descriptor, a number of at least 0")]
     Descriptor {
         /// The value.
         text: String,
     },
-    /// Neither a hexadecimal nor a decimal number.
-    #[error("{text:?} is no hexadecimal number")]
+    /// Neither a hexadecimal nor a decimal 64-bit number.
+    #[error("{text:?} is neither a hexadecimal nor a decimal 64-bit number")]
     Seed {
         /// The value.
         text: String,
-        /// Why it is no decimal number either.
+        /// Reason why it is not a decimal number either.
         source: ParseIntError,
     },
-    /// Not a size in bytes with its unit.
-    #[error("{text:?} is no size with a unit, as \"16 MB\" or \"2 GiB\"")]
+    /// Not a size with a unit of bytes.
+    #[error("{text:?} is not a size with a unit, such as \"16 MB\" or \"2 GiB\"")]
     Size {
         /// The value.
         text: String,
     },
-    /// Not a name that can be a segment of a registry's path.
-    #[error("{text:?}: letters, digits and any of -_.:@ make a name")]
+    /// Not a name that can be used as a path segment in registry URLs.
+    #[error("{text:?} is not a valid name; expected ASCII letters, digits and any of -_.:@")]
     RegistryName {
         /// The value.
         text: String,
@@ -116,11 +116,11 @@
     /// Outside the bounds.
     #[error("{value} is not in {min} to {max}")]
     OutOfRange {
-        /// The value, as it is shown.
+        /// The value, as the message shows it.
         value: String,
-        /// The least valid value.
+        /// Minimum valid value.
         min: String,
-        /// The greatest valid value.
+        /// Maximum valid value.
         max: String,
     },
     /// Not in the half-open range from 0 (excluded) to `max`.
@@ -128,81 +128,81 @@
     NotPositiveUpTo {
         /// The value.
         value: f64,
-        /// The greatest valid value.
+        /// Maximum valid value.
         max: f64,
     },
     /// Not a finite number above 0.
     #[error("must be above 0")]
     NotPositive,
-    /// Less than the least number that the process can work with.
-    #[error("at least {min} are needed")]
+    /// Less than the minimum that the process needs.
+    #[error("must be at least {min}")]
     TooFew {
-        /// The least valid value.
+        /// Minimum valid value.
         min: usize,
     },
-    /// More entries than a list may have.
-    #[error("more than {max}")]
+    /// A list has too many entries.
+    #[error("has more than {max} entries")]
     TooMany {
-        /// The greatest valid number of entries.
+        /// Maximum number of entries.
         max: usize,
     },
     /// The number of registry servers is out of bounds.
-    #[error("{count} servers: 1 to {max} can be")]
+    #[error("{count} servers are listed; expected 1 to {max}")]
     ServerCount {
-        /// How many are listed.
+        /// Number of listed servers.
         count: usize,
-        /// The greatest valid number.
+        /// Maximum number of servers.
         max: usize,
     },
     /// The number of TLS certificates is out of bounds.
-    #[error("1 to {max} keys are to be named")]
+    #[error("expected 1 to {max} certificates with their keys")]
     CertificateCount {
-        /// The greatest valid number.
+        /// Maximum number of certificates.
         max: usize,
     },
-    /// The registered instance's metadata exceed their bounds.
-    #[error("{max_entries} entries and {max_bytes} bytes at most")]
+    /// The metadata of the registered instance exceed their limits.
+    #[error("exceeds the maximum of {max_entries} entries or {max_bytes} bytes")]
     MetadataSize {
-        /// The greatest valid number of entries.
+        /// Maximum number of entries.
         max_entries: usize,
-        /// The greatest valid size of all keys and values.
+        /// Maximum size of all keys and values together, in bytes.
         max_bytes: usize,
     },
-    /// None of the words that the key takes.
-    #[error("{text:?} is {alternatives}")]
-    UnknownWord {
+    /// The value is not one that the key accepts.
+    #[error("unknown value {text:?}; expected {expected}")]
+    UnknownValue {
         /// The value.
         text: String,
-        /// The words it is not, as the message shows them.
-        alternatives: &'static str,
+        /// Accepted values, as the message shows them.
+        expected: &'static str,
     },
-    /// Refers to a class or tenant that the file does not define.
-    #[error("no {section} is named {name:?}")]
+    /// The value refers to a class or tenant that the file does not define.
+    #[error("unknown {section} {name:?}")]
     UnknownName {
-        /// What it would be, by the name of its section.
+        /// Section that would define the name.
         section: &'static str,
         /// The name.
         name: String,
     },
-    /// The class must not run a statement twice, but is not marked `unsafe`.
-    #[error("class {class:?} is not unsafe")]
-    RetriedClass {
-        /// The class's name.
+    /// Statements of the class must not run twice, but the class is not marked `unsafe`.
+    #[error("class {class:?} must be marked unsafe = true")]
+    IdempotentClass {
+        /// Name of the class.
         class: String,
     },
     /// Two entries have this name.
-    #[error("stands there twice")]
+    #[error("another entry has the same name")]
     Duplicate,
-    /// Two servers have the same address.
-    #[error("{server} stands there twice")]
+    /// Two servers have the same URL.
+    #[error("{server} is listed twice")]
     DuplicateServer {
-        /// The server's address.
+        /// URL of the server.
         server: String,
     },
-    /// The key contradicts other keys, or needs one that is absent.
+    /// The key conflicts with other keys, or requires one that is absent.
     #[error("{0}")]
     Combination(&'static str),
-    /// The decision module's settings are impossible.
+    /// The settings of the decision module are invalid.
     #[error("{}", .0.problem)]
     Settings(#[source] SettingsError),
     /// The platform's `settings` cannot be translated.
@@ -211,7 +211,7 @@
 }
 
 impl ConfigError {
-    /// `key` holds a value that cannot be used.
+    /// Reports that `key` has an invalid value.
     pub(super) fn invalid(key: impl Into<String>, problem: Problem) -> Self {
         ConfigError::Invalid {
             key: key.into(),
@@ -219,7 +219,7 @@
         }
     }
 
-    /// The value under `key` is outside the bounds.
+    /// Reports that the value of `key` is outside the bounds.
     pub(super) fn out_of_range<T: Display>(
         key: impl Into<String>,
         value: impl Display,
@@ -233,12 +233,13 @@
         ConfigError::invalid(key, problem)
     }
 
-    /// `key` contradicts other keys, or needs one that is absent; `reason` says which.
+    /// Reports that `key` conflicts with other keys, or requires one that is absent; `reason` names them.
     pub(super) fn combination(key: impl Into<String>, reason: &'static str) -> Self {
         ConfigError::invalid(key, Problem::Combination(reason))
     }
 
-    /// The decision module's settings are impossible; its fields are keys below `prefix`.
+    /// Reports that the settings of the decision module are invalid. The fields of the settings are keys
+    /// below `prefix`.
     pub(super) fn settings(prefix: &str, error: SettingsError) -> Self {
         let key = format!("{prefix}{}", error.field);
         ConfigError::invalid(key, Problem::Settings(error))
--- a/src/config/eureka/query.rs
+++ b/src/config/eureka/query.rs
@@ -41,16 +41,19 @@
                 check_name("eureka.secure_vip", &vip).map(RegistryQuery::SecureVipAddress)
             }
             (_, _, _, Some(fetch)) if !["apps", "app"].contains(&fetch) => {
-                let problem = Problem::UnknownWord {
+                let problem = Problem::UnknownValue {
                     text: fetch.into(),
-                    alternatives: "neither \"apps\" nor \"app\"",
+                    expected: "\"apps\" or \"app\"",
                 };
                 Err(ConfigError::invalid("eureka.fetch", problem))
             }
-            (None, _, _, Some(_)) => Err(ConfigError::combination("eureka.fetch", "goes with app")),
+            (None, _, _, Some(_)) => Err(ConfigError::combination(
+                "eureka.fetch",
+                "requires eureka.app",
+            )),
             _ => Err(ConfigError::combination(
                 "eureka.app",
-                "one of app, vip and secure_vip is needed, and only one",
+                "exactly one of app, vip and secure_vip is required",
             )),
         }
     }
--- a/src/config/eureka/registration.rs
+++ b/src/config/eureka/registration.rs
@@ -65,7 +65,7 @@
         if ip.is_unspecified() {
             return Err(ConfigError::combination(
                 "eureka.register.ip",
-                "is needed, for listen names no address to come to",
+                "is required, because listen has an unspecified address",
             ));
         }
         let app = self.app.as_deref().unwrap_or(DEFAULT_APPLICATION);
--- a/src/config/eureka/servers.rs
+++ b/src/config/eureka/servers.rs
@@ -50,7 +50,7 @@
             (Some(_), Some(_)) => {
                 return Err(ConfigError::combination(
                     "eureka.address",
-                    "servers are listed too: only one of both can be",
+                    "conflicts with eureka.servers; only one of them can be given",
                 ));
             }
             (None, None) => {
@@ -63,7 +63,7 @@
             (None, Some(_)) if self.path.is_some() => {
                 return Err(ConfigError::combination(
                     "eureka.path",
-                    "goes with address; with servers it is a part of each URL",
+                    "requires eureka.address; in eureka.servers the path is part of each URL",
                 ));
             }
             (None, Some(servers)) => check_list(servers)?,
@@ -115,7 +115,8 @@
         }
     };
     let host = check_url(&url, text).map_err(invalid)?;
-    let authorization = authorization(&url).map_err(|source| invalid(Problem::Escaping(source)))?;
+    let authorization =
+        authorization(&url).map_err(|source| invalid(Problem::PercentEncoding(source)))?;
     let port = url.port().unwrap_or(DEFAULT_PORT);
     let path = url.path().trim_end_matches('/').to_string();
     let host = host.trim_start_matches('[').trim_end_matches(']');
--- a/src/config/fleet_settings/decision.rs
+++ b/src/config/fleet_settings/decision.rs
@@ -1,4 +1,5 @@
-//! Translates the settings into those of the decision module: names become numbers, absent keys their defaults.
+//! Translates the settings into those of the decision module: replaces names by numbers, and absent keys by
+//! their defaults.
 
 use super::FleetSettingsError;
 use super::raw::{Ceilings, Deductions, Extra, Feedback, Grade, Profile, RulesIn, TenantIn};
@@ -73,11 +74,11 @@
             allowed_zones: raw
                 .allowed_zones
                 .as_deref()
-                .map(|names| listed(names, zones)),
+                .map(|names| positions(names, zones)),
             allowed_kinds: raw
                 .allowed_kinds
                 .as_deref()
-                .map(|names| listed(names, kinds)),
+                .map(|names| positions(names, kinds)),
             threads: threads.unwrap_or(1.0),
             holds_tables: holds_tables.unwrap_or(false),
             waits_for_loads: waits_for_loads.unwrap_or(false),
@@ -94,38 +95,38 @@
             group: deduplication_scope(index, raw.deduplication_scope.as_deref())?,
             window: raw.dedup_window.unwrap_or(0.0),
         }),
-        word => Err(FleetSettingsError::UnknownWord {
+        value => Err(FleetSettingsError::UnknownValue {
             key: format!("grades[{index}].effect"),
-            word: word.into(),
+            value: value.into(),
         }),
     }
 }
 
 fn deduplication_scope(
     index: usize,
-    word: Option<&str>,
+    configured: Option<&str>,
 ) -> Result<DeduplicationScope, FleetSettingsError> {
-    match word {
+    match configured {
         Some("all") => Ok(DeduplicationScope::All),
         Some("zone") => Ok(DeduplicationScope::Zone),
         Some("cell") | None => Ok(DeduplicationScope::Cell),
-        Some(word) => Err(FleetSettingsError::UnknownWord {
+        Some(value) => Err(FleetSettingsError::UnknownValue {
             key: format!("grades[{index}].group"),
-            word: word.into(),
+            value: value.into(),
         }),
     }
 }
 
-/// The numbers of the names. A name that is not listed can match no engine: it is left out, which is the stricter
-/// reading.
-fn listed(names: &[String], list: &[String]) -> Vec<usize> {
+/// Returns the positions of the names in the list. A name that is not in the list matches no engine; it is
+/// left out, which is the stricter interpretation.
+fn positions(names: &[String], list: &[String]) -> Vec<usize> {
     names
         .iter()
         .filter_map(|name| position_of(list, name))
         .collect()
 }
 
-/// One entry of a list that has either `expected` entries or none.
+/// Returns one entry of a list, which must have either `expected` entries or none.
 fn entry<T: Copy>(
     key: &'static str,
     list: &[T],
@@ -199,7 +200,7 @@
     }
 }
 
-/// `None` if none of its keys is given; else absent keys are 0.
+/// Returns `None` if none of the budget's keys is given; otherwise absent keys are 0.
 fn retry_budget(raw: &RulesIn) -> Option<RetryBudget> {
     let is_given = raw.budget_span.is_some()
         || raw.spare_attempts.is_some()
--- a/src/config/fleet_settings/mod.rs
+++ b/src/config/fleet_settings/mod.rs
@@ -1,4 +1,5 @@
-//! The settings' own JSON form: `settings` of the platform's file, and the simulator's first message to an instance.
+//! JSON form of the settings: `settings` in the platform's file, and the simulator's first message to an
+//! instance.
 
 mod decision;
 mod raw;
@@ -13,12 +14,13 @@
 const DEFAULT_IDLE_TIMEOUT: Millis = 30_000.0;
 const DEFAULT_MAX_OPEN_REQUESTS: usize = 20_000;
 const DEFAULT_STREAMS_PER_CONNECTION: usize = 100;
-/// More streams than this on one connection are not used, whatever the settings say.
+/// Maximum number of streams on one connection, even if the settings permit more.
 const MAX_STREAMS_PER_CONNECTION: usize = 1024;
-/// The settings state a message's price as a part of a request's weight, the budget in hundredths of it.
-const HUNDREDTHS: f64 = 100.0;
+/// The settings state a message's price as a fraction of a request's weight; the budget counts points, which
+/// are hundredths of it.
+const POINTS: f64 = 100.0;
 
-/// The settings of a fleet, as the platform or the simulator states them.
+/// Settings of a fleet, as the platform or the simulator states them.
 #[derive(Deserialize)]
 #[serde(transparent)]
 pub struct FleetSettings {
@@ -28,28 +30,28 @@
 /// Settings that cannot be translated.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetSettingsError {
-    /// None of the words that the key takes.
-    #[error("{key}: unknown word {word:?}")]
-    UnknownWord {
-        /// The key's path.
+    /// The value is not one that the key accepts.
+    #[error("{key}: unknown value {value:?}")]
+    UnknownValue {
+        /// Path of the key.
         key: String,
         /// The value.
-        word: String,
+        value: String,
     },
-    /// A list by class or by kind has another length than the list of classes or kinds.
-    #[error("{key}: {entries} entries where {expected} belong")]
+    /// The length of a list by class or by kind differs from the number of classes or kinds.
+    #[error("{key}: has {entries} entries; expected {expected}")]
     WrongLength {
-        /// The key's path.
+        /// Path of the key.
         key: &'static str,
-        /// How many entries the list has.
+        /// Number of entries in the list.
         entries: usize,
-        /// How many classes or kinds there are.
+        /// Number of classes or kinds.
         expected: usize,
     },
 }
 
 impl FleetSettings {
-    /// What the sockets need to know of the settings.
+    /// Returns the limits and timeouts of the sockets.
     pub fn socket_settings(&self) -> SocketSettings {
         let ceilings = &self.raw.ceilings;
         let extra = self.raw.extra.as_ref();
@@ -66,7 +68,8 @@
         }
     }
 
-    /// Infinite if a class has no deadline: its queries wait for as long as their clients say.
+    /// Returns the longest deadline of a class, in ms; infinite if a class has none, because its queries wait
+    /// as long as their clients request.
     fn longest_deadline(&self) -> Millis {
         self.raw
             .grades
@@ -75,8 +78,8 @@
             .fold(0.0, f64::max)
     }
 
-    /// How much the dispatchers of the tier may send each other; `None`: nothing. `listed_dispatchers` are those that
-    /// the configuration names one by one.
+    /// Returns the budget for messages between the dispatchers of the tier, or `None` if they send none.
+    /// `listed_dispatchers` is the number of dispatchers that the configuration lists by address.
     pub fn gossip_budget(&self, listed_dispatchers: u32) -> Option<GossipBudget> {
         let raw = &self.raw;
         let dispatchers = raw.fleet_size.max(listed_dispatchers);
@@ -88,15 +91,15 @@
         let has_purpose = dispatchers > 1 && fields > 0;
         (permitted && has_purpose && is_price_valid).then_some(GossipBudget {
             dispatchers,
-            message_price: price * HUNDREDTHS,
+            message_price: price * POINTS,
             report_fields: fields,
         })
     }
 
-    /// The decision module's settings, and the names behind its numbers.
+    /// Returns the settings of the decision module, and the names for its numbers.
     ///
     /// # Errors
-    /// The key of a word that is not known, or of a list that does not fit the classes or kinds.
+    /// A key has an unknown value, or a list does not have as many entries as there are classes or kinds.
     pub fn decision_settings(self) -> Result<(Settings, NameTable), FleetSettingsError> {
         decision::translate(self.raw)
     }
--- a/src/config/fleet_settings/raw.rs
+++ b/src/config/fleet_settings/raw.rs
@@ -1,9 +1,9 @@
-//! The settings as they are written in JSON. The deserializer's messages show the names of these types, which are
-//! those of the format's sections.
+//! The settings as written in JSON. Types have the names of the format's sections, because the deserializer's
+//! messages contain them.
 
 use serde::Deserialize;
 
-/// The whole of the settings.
+/// The complete settings.
 #[derive(Deserialize)]
 pub(super) struct Profile {
     pub(super) ceilings: Ceilings,
@@ -23,7 +23,7 @@
     pub(super) zones: Option<Vec<String>>,
 }
 
-/// Limits and what is permitted. Times are in milliseconds.
+/// Limits and permissions. Times are in milliseconds.
 #[derive(Deserialize)]
 pub(super) struct Ceilings {
     pub(super) cancel: Option<bool>,
@@ -41,14 +41,14 @@
     pub(super) streams_per_conn: Option<usize>,
 }
 
-/// What a cross-zone attempt and a message to the peers cost, in points.
+/// Costs of an attempt in another zone and of a message to the peers, as fractions of a request's weight.
 #[derive(Deserialize)]
 pub(super) struct Deductions {
     pub(super) cross_zone: Option<f64>,
     pub(super) peer: Option<f64>,
 }
 
-/// What engines can do, and lists by class and by kind of engine.
+/// Capabilities of the engines, and lists by class and by kind of engine.
 #[derive(Default, Deserialize)]
 pub(super) struct Extra {
     #[serde(default)]
@@ -73,7 +73,7 @@
     pub(super) width_by_class: Vec<f64>,
 }
 
-/// What load reports hold.
+/// Content of load reports.
 #[derive(Deserialize)]
 pub(super) struct Feedback {
     pub(super) fields: Option<Vec<String>>,
@@ -106,7 +106,7 @@
     pub(super) priority_weight: f64,
 }
 
-/// The engines' behaviour, and the retry budget.
+/// Behaviour of the engines, and the retry budget.
 #[derive(Deserialize)]
 pub(super) struct RulesIn {
     pub(super) budget_span: Option<f64>,
--- a/src/config/mysql/classes.rs
+++ b/src/config/mysql/classes.rs
@@ -146,7 +146,10 @@
         return Ok(());
     }
     let class = class.name.clone();
-    Err(ConfigError::invalid(key, Problem::RetriedClass { class }))
+    Err(ConfigError::invalid(
+        key,
+        Problem::IdempotentClass { class },
+    ))
 }
 
 /// Returns the deadline of each class, in ms.
--- a/src/config/mysql/engines.rs
+++ b/src/config/mysql/engines.rs
@@ -114,7 +114,7 @@
         }
         None if engines.is_empty() => Err(ConfigError::combination(
             "engine",
-            "no engine is listed, and no eureka",
+            "no engine is listed, and there is no [eureka] section",
         )),
         None => check_static_engines(engines).map(EndpointSource::Static),
     }
--- a/src/config/mysql/users.rs
+++ b/src/config/mysql/users.rs
@@ -50,7 +50,7 @@
         if raw.certificate.is_some() && client_certificates == ClientCertificates::Untrusted {
             return Err(ConfigError::combination(
                 format!("user[{index}].certificate"),
-                "there is no tls.client_ca to trust it by",
+                "requires tls.client_ca",
             ));
         }
         let tenant = raw.tenant.map(|name| tenant_id(index, name, tenants));
--- a/src/config/spool.rs
+++ b/src/config/spool.rs
@@ -93,7 +93,7 @@
 impl RawSpool {
     pub(super) fn check(self) -> Result<SpoolSettings, ConfigError> {
         if self.dir.is_none() && self.disk.is_some() {
-            return Err(ConfigError::combination("spool.disk", "goes with dir"));
+            return Err(ConfigError::combination("spool.disk", "requires spool.dir"));
         }
         let memory = size("spool.memory", self.memory, 64 * MIB, 256 * KIB..=64 * GIB)?;
         let disk = size("spool.disk", self.disk, 4 * GIB, MIB..=16 * TIB)?;
--- a/src/config/tls.rs
+++ b/src/config/tls.rs
@@ -87,9 +87,9 @@
         None | Some("1.2") => Ok(TlsVersion::Tls12),
         Some("1.3") => Ok(TlsVersion::Tls13),
         Some(other) => {
-            let problem = Problem::UnknownWord {
+            let problem = Problem::UnknownValue {
                 text: other.into(),
-                alternatives: "not 1.2 or 1.3",
+                expected: "\"1.2\" or \"1.3\"",
             };
             Err(ConfigError::invalid("tls.min_version", problem))
         }
