--- a/src/config/tests/mod.rs
+++ b/src/config/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the sections, by file of the section.
+//! Unit tests of the configuration, one module for each file or section.
 
 mod eureka;
 mod mysql;
@@ -9,7 +9,7 @@
 use crate::config::{ConfigError, Problem};
 use serde::de::DeserializeOwned;
 
-/// Reads the text of one section, which the whole file has under `name`.
+/// Parses the text of one section, whose name in the complete file is `name`.
 fn section<T: DeserializeOwned>(name: &str, text: &str) -> Result<T, ConfigError> {
     let deserializer = toml::Deserializer::parse(text).unwrap();
     serde_path_to_error::deserialize(deserializer).map_err(|e| {
@@ -18,10 +18,10 @@
     })
 }
 
-/// The message of a configuration that has to be rejected.
+/// Returns the error message of a configuration that must be rejected.
 fn rejection<T>(result: Result<T, ConfigError>) -> String {
     match result {
-        Ok(_) => panic!("the configuration is accepted"),
+        Ok(_) => panic!("the configuration was accepted"),
         Err(e) => e.to_string(),
     }
 }
--- a/src/config/tests/mysql.rs
+++ b/src/config/tests/mysql.rs
@@ -1,4 +1,4 @@
-//! The file under `deploy/`, whole and with single faults.
+//! The file under `deploy/`, unchanged and with one invalid key at a time.
 
 use super::rejection;
 use crate::config::MysqlConfig;
--- a/src/config/tests/platform.rs
+++ b/src/config/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's file and its environment variables.
+//! The platform's file and environment variables.
 
 use super::rejection;
 use crate::config::{ConfigError, PlatformConfig};
@@ -38,13 +38,13 @@
     }
 }
 
-/// The port of the administrative address, and the inherited descriptor.
+/// Returns the port of the administrative address, and the inherited descriptor.
 fn port_and_descriptor(
     file: &str,
     variables: &[(&str, &str)],
 ) -> Result<(Option<u16>, Option<i32>), ConfigError> {
     let variable = |name: &str| {
-        let found = variables.iter().find(|(given, _)| *given == name);
+        let found = variables.iter().find(|(listed, _)| *listed == name);
         found.map(|(_, value)| value.to_string())
     };
     let config = PlatformConfig::parse(file, variable)?;
@@ -68,8 +68,8 @@
     assert!(message.contains("PROXY_INHERITED_FD"), "{message}");
 }
 
-/// `fleet_size` and `peers` both tell how many dispatchers share the engines; a stale one of them must not
-/// make each dispatcher's share too large.
+/// Both `fleet_size` and `peers` state how many dispatchers share the engines. If one of them is outdated, it
+/// must not make each dispatcher's share too large.
 #[test]
 fn the_larger_of_fleet_size_and_listed_peers_is_the_number_of_dispatchers() {
     let peers = r#"{"peers":["10.0.0.1:1","10.0.0.2:1","10.0.0.3:1","10.0.0.3:1"],"#;
@@ -80,8 +80,8 @@
         let config = PlatformConfig::parse(&file, |_| None).unwrap();
         assert_eq!(config.settings.dispatchers, expected, "{fleet_size}");
     }
-    let none = PLATFORM
+    let zero = PLATFORM
         .replacen('{', peers, 1)
         .replace("\"fleet_size\":1", "\"fleet_size\":0");
-    assert!(rejection(PlatformConfig::parse(&none, |_| None)).contains("gateways"));
+    assert!(rejection(PlatformConfig::parse(&zero, |_| None)).contains("gateways"));
 }
--- a/src/config/tests/spool.rs
+++ b/src/config/tests/spool.rs
@@ -1,4 +1,4 @@
-//! `[spool]` alone.
+//! Tests of `[spool]`.
 
 use super::{rejection, section};
 use crate::config::spool::RawSpool;
@@ -12,8 +12,8 @@
 #[test]
 fn sizes_have_units_and_a_result_may_exceed_the_memory() {
     let settings = read(
-        "dir = \"/var/spool/x\"\nmemory = \"16 MB\"\ndisk = \"2 GiB\"\nresult = \"1GB\"\nper_tenant = \"500 MiB\"
-         keep_s = 30\npage_rows = 50\nstall_s = 5",
+        "dir = \"/var/spool/x\"\nmemory = \"16 MB\"\ndisk = \"2 GiB\"\nresult = \"1GB\"
+         per_tenant = \"500 MiB\"\nkeep_s = 30\npage_rows = 50\nstall_s = 5",
     )
     .unwrap();
     assert_eq!(
--- a/src/config/tests/tls.rs
+++ b/src/config/tests/tls.rs
@@ -1,4 +1,4 @@
-//! `[tls]` alone.
+//! Tests of `[tls]`.
 
 use super::rejection;
 use crate::config::tls::{CertificateFiles, RawTls, TlsVersion};
--- a/tests/external/configuration.rs
+++ b/tests/external/configuration.rs
@@ -1,4 +1,4 @@
-//! Every key of both configurations, broken in every way that its type allows, and the message that each gives.
+//! Invalid values for every key of both configurations, and the messages that they cause.
 
 use crate::recorded::data;
 use query_dispatcher::config::{MysqlConfig, PlatformConfig};
@@ -7,7 +7,7 @@
 const UNKNOWN_KEY: &str = "unknown_key";
 const HUGE: u64 = 1_000_000_000_000;
 
-/// Reads a configuration: nothing, or the message.
+/// Reads a configuration, and returns the error message if it is rejected.
 pub(crate) type Read = fn(&Value) -> Result<(), String>;
 
 pub(crate) fn read_platform(document: &Value) -> Result<(), String> {
@@ -31,7 +31,7 @@
     serde_json::from_str(&std::fs::read_to_string(data("external/platform.json")).unwrap()).unwrap()
 }
 
-/// The file under `deploy` with every key that stands there as a comment.
+/// Returns the file under `deploy` with every key that is commented out there.
 pub(crate) fn deployed_file() -> String {
     let file = include_str!("../../deploy/mysql.toml");
     file.lines()
@@ -39,7 +39,7 @@
         .collect()
 }
 
-/// The line without its comment mark if a key or a table stands behind that.
+/// Removes the comment mark of a line if a key or a table follows it.
 fn uncommented(line: &str) -> &str {
     let Some(rest) = line.strip_prefix("# ") else {
         return line;
@@ -58,8 +58,8 @@
     }
 }
 
-/// The same as a document, without some keys: engines are listed in it or found in a registry, never both, and
-/// `max_result` does not go with `[spool]`.
+/// Returns the same file as a document without some keys: engines are either listed in it or found in a
+/// registry, and `max_result` conflicts with `[spool]`.
 pub(crate) fn mysql_document(without: &[&str]) -> Value {
     let mut document: Value = toml::from_str(&deployed_file()).unwrap();
     document
@@ -69,37 +69,39 @@
     document
 }
 
-/// A message for each way to break each key of the document, one a line.
-pub(crate) fn broken_keys(document: &Value, read: Read) -> String {
+/// Replaces each value of the document by invalid ones, removes each key, and returns the results, one per
+/// line.
+pub(crate) fn invalid_values(document: &Value, read: Read) -> String {
     let mut pointers = vec![];
     collect_pointers(document, "", &mut pointers);
     let mut lines = String::new();
     for pointer in pointers {
-        for (what, replacement) in replacements(document.pointer(&pointer).unwrap()) {
-            let mut broken = document.clone();
-            *broken.pointer_mut(&pointer).unwrap() = replacement;
-            lines += &line(&pointer, &what, read(&broken));
+        for (name, replacement) in replacements(document.pointer(&pointer).unwrap()) {
+            let mut changed = document.clone();
+            *changed.pointer_mut(&pointer).unwrap() = replacement;
+            lines += &line(&pointer, &name, read(&changed));
         }
         lines += &line(&pointer, "removed", read(&removed(document, &pointer)));
     }
     lines
 }
 
-/// Single faults that depend on more than the type of a value: JSON pointer, value.
+/// Sets one value at a time, given by its JSON pointer, and returns the results, one per line. The values are
+/// invalid for other reasons than their type.
 pub(crate) fn faults(document: &Value, read: Read, faults: &[(&str, Value)]) -> String {
-    let told = faults.iter().map(|(pointer, value)| {
+    let lines = faults.iter().map(|(pointer, value)| {
         let (parent, key) = pointer.rsplit_once('/').unwrap();
-        let mut broken = document.clone();
-        match broken.pointer_mut(parent).unwrap() {
+        let mut changed = document.clone();
+        match changed.pointer_mut(parent).unwrap() {
             Value::Array(list) => list[key.parse::<usize>().unwrap()] = value.clone(),
             table => table[key] = value.clone(),
         }
-        line(pointer, &shortened(&value.to_string()), read(&broken))
+        line(pointer, &shortened(&value.to_string()), read(&changed))
     });
-    told.collect()
+    lines.collect()
 }
 
-/// A value as its line shows it: the beginning and the length of a long one.
+/// Returns a value as its line shows it: of a long value, only the beginning and the length.
 fn shortened(text: &str) -> String {
     const SHOWN: usize = 80;
     match text.len() {
@@ -108,18 +110,18 @@
     }
 }
 
-fn line(pointer: &str, what: &str, told: Result<(), String>) -> String {
-    let told = told.map_or_else(
+fn line(pointer: &str, change: &str, result: Result<(), String>) -> String {
+    let result = result.map_or_else(
         |message| message.replace('\n', "\\n"),
         |()| "(accepted)".into(),
     );
-    format!("{pointer} {what} => {told}\n")
+    format!("{pointer} {change} => {result}\n")
 }
 
-/// JSON pointers to all values, in the order of the document.
-fn collect_pointers(value: &Value, at: &str, pointers: &mut Vec<String>) {
+/// Collects JSON pointers to all values below `prefix`, in the order of the document.
+fn collect_pointers(value: &Value, prefix: &str, pointers: &mut Vec<String>) {
     let mut descend = |key: &str, inner: &Value| {
-        let pointer = format!("{at}/{key}");
+        let pointer = format!("{prefix}/{key}");
         pointers.push(pointer.clone());
         collect_pointers(inner, &pointer, pointers);
     };
@@ -134,14 +136,14 @@
     }
 }
 
-/// What stands in the place of a good value, each with its name.
-fn replacements(good: &Value) -> Vec<(String, Value)> {
-    let wrong_type = match good {
+/// Returns the replacements for a valid value, each with its name.
+fn replacements(valid: &Value) -> Vec<(String, Value)> {
+    let wrong_type = match valid {
         Value::Object(_) | Value::Array(_) => json!(true),
         _ => json!({ "wrong": true }),
     };
     let mut all = vec![("wrong type".to_string(), wrong_type)];
-    let more = match good {
+    let more = match valid {
         Value::Object(table) => {
             let mut table = table.clone();
             table.insert(UNKNOWN_KEY.into(), json!(1));
@@ -165,12 +167,12 @@
     match document.pointer_mut(parent).unwrap() {
         Value::Array(list) => drop(list.remove(key.parse().unwrap())),
         Value::Object(table) => drop(table.remove(key)),
-        _ => unreachable!("a pointer's parent holds it"),
+        _ => unreachable!("the parent of a pointer is an array or an object"),
     }
     document
 }
 
-/// Faults of the operators' file beside those of single types: a document with an `[eureka]` is meant.
+/// Faults of an operators' file with an `[eureka]` section, for [`faults`].
 pub(crate) fn eureka_faults() -> Vec<(&'static str, Value)> {
     vec![
         ("/eureka/address", json!("127.0.0.1:1")),
@@ -205,7 +207,7 @@
     ]
 }
 
-/// The same for a document that lists its engines.
+/// Faults of an operators' file that lists its engines, for [`faults`].
 pub(crate) fn mysql_faults() -> Vec<(&'static str, Value)> {
     vec![
         ("/write_class", json!("lookup")),
@@ -231,7 +233,7 @@
     ]
 }
 
-/// The same for the platform's document.
+/// Faults of the platform's file, for [`faults`].
 pub(crate) fn platform_faults() -> Vec<(&'static str, Value)> {
     vec![
         ("/limits/sockets", json!(63)),
--- a/tests/external/mod.rs
+++ b/tests/external/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the external interface are made of.
+//! Helpers and input data for the tests of the external interface.
 #![allow(dead_code)]
 
 pub(crate) mod configuration;
--- a/tests/external/platform_wire.rs
+++ b/tests/external/platform_wire.rs
@@ -1,53 +1,61 @@
-//! The far ends of the platform's wires, which keep the bytes that the program sent them.
+//! Fake servers that the program connects to on the platform, which record the bytes that they receive.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc;
 use std::time::Duration;
 
-/// The longest that bytes are waited for.
-const WAIT: Duration = Duration::from_secs(5);
+/// Maximum time to wait for bytes.
+const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A listener that reads up to a mark, tells what it read, and answers.
-pub(crate) struct FarEnd {
+/// A server that reads up to an end mark, records what it read, and answers.
+pub(crate) struct FakeServer {
     pub(crate) address: SocketAddr,
     received: mpsc::Receiver<Vec<u8>>,
 }
 
-impl FarEnd {
-    /// Each time that `mark` ends what one connection sent, `answer` is written to it.
-    pub(crate) fn start(mark: &'static [u8], answer: Vec<u8>) -> Self {
+impl FakeServer {
+    /// Starts a server that writes `answer` each time that the bytes received on a connection end with
+    /// `end_mark`.
+    pub(crate) fn start(end_mark: &'static [u8], answer: Vec<u8>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (tell, received) = mpsc::channel();
+        let (sender, received) = mpsc::channel();
         std::thread::spawn(move || {
             for connection in listener.incoming().map_while(Result::ok) {
-                let (tell, answer) = (tell.clone(), answer.clone());
-                std::thread::spawn(move || serve(connection, mark, &answer, &tell));
+                let (sender, answer) = (sender.clone(), answer.clone());
+                std::thread::spawn(move || serve(connection, end_mark, &answer, &sender));
             }
         });
-        FarEnd { address, received }
+        FakeServer { address, received }
     }
 
-    /// What came up to the next mark.
+    /// Waits for the bytes up to the next end mark, and returns them.
     pub(crate) fn received(&self) -> Vec<u8> {
-        self.received.recv_timeout(WAIT).expect("the program sends")
+        self.received
+            .recv_timeout(TIMEOUT)
+            .expect("bytes up to an end mark within the timeout")
     }
 }
 
-fn serve(mut connection: TcpStream, mark: &[u8], answer: &[u8], tell: &mpsc::Sender<Vec<u8>>) {
+fn serve(
+    mut connection: TcpStream,
+    end_mark: &[u8],
+    answer: &[u8],
+    received: &mpsc::Sender<Vec<u8>>,
+) {
     let mut bytes = vec![];
     let mut byte = [0];
     while connection.read(&mut byte).is_ok_and(|count| count > 0) {
         bytes.push(byte[0]);
-        if bytes.ends_with(mark) {
-            let _ = tell.send(std::mem::take(&mut bytes));
+        if bytes.ends_with(end_mark) {
+            let _ = received.send(std::mem::take(&mut bytes));
             let _ = connection.write_all(answer);
         }
     }
 }
 
-/// A frame of a client: its fields, then its statement.
+/// Encodes the payload of a client's request frame: the fields, then the statement.
 pub(crate) fn request(fields: &[(&str, &str)], statement: &str) -> Vec<u8> {
     let mut payload = vec![fields.len() as u8];
     for (name, value) in fields {
@@ -60,7 +68,7 @@
     payload
 }
 
-/// The next frame as it stands on the wire; none at the end of the connection.
+/// Reads the next frame, including its length field. Returns `None` at the end of the connection.
 pub(crate) fn read_frame(connection: &mut TcpStream) -> Option<Vec<u8>> {
     let mut frame = vec![0; 4];
     connection.read_exact(&mut frame).ok()?;
--- a/tests/external/statements.rs
+++ b/tests/external/statements.rs
@@ -1,6 +1,7 @@
-//! Statements and commands of the MySQL front whose answers are recorded.
+//! Statements and commands for the MySQL frontend whose answers are recorded.
 
-/// What the front answers or refuses itself, and what its engine answers, in this order in one session.
+/// Statements that the frontend answers or rejects itself, and statements that its engine answers. They run
+/// in this order in one session.
 pub(crate) const STATEMENTS: [&str; 61] = [
     "SHOW HITCHWINCH RESULTS",
     "show hitchwinch results ;",
@@ -65,7 +66,7 @@
     "",
 ];
 
-/// Commands by their names: the command's byte, and its body.
+/// Name, command byte and body of each command.
 pub(crate) const COMMANDS: [(&str, u8, &[u8]); 21] = [
     ("init db", 0x02, b"depot"),
     ("list of fields", 0x04, b"crates\0"),
--- a/tests/external_interface.rs
+++ b/tests/external_interface.rs
@@ -1,6 +1,7 @@
-//! All that is visible from outside, byte for byte as it is recorded under `tests/data/external`: messages about
-//! configurations, the operators' address, the MySQL protocol, the peers' datagrams and the platform's wires. A change
-//! of names or of structure inside the program changes none of it.
+//! Compares everything that is visible from outside byte for byte with the files under `tests/data/external`:
+//! error messages of configurations, the operators' HTTP address, the MySQL protocol, the datagrams between
+//! peers and the protocols of the platform. Changes of names or of structure inside the program must not
+//! change any of it.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -13,7 +14,7 @@
 mod recorded;
 
 use external::configuration::*;
-use external::platform_wire::{FarEnd, read_frame, request};
+use external::platform_wire::{FakeServer, read_frame, request};
 use external::statements::{COMMANDS, STATEMENTS};
 use mysql_client::{MysqlClient, text};
 use process::{Program, Service, connect, event, told};
@@ -55,7 +56,7 @@
     let document = mysql_document(&["eureka", "max_result"]);
     assert_recorded(
         "external/mysql-keys.txt",
-        &broken_keys(&document, read_mysql),
+        &invalid_values(&document, read_mysql),
     );
     assert_recorded(
         "external/mysql-faults.txt",
@@ -63,28 +64,28 @@
     );
 }
 
-/// The lines of a table that begin so.
-fn lines_of(table: &str, start: &str) -> String {
-    table
+/// Returns the lines that start with `prefix`.
+fn lines_with_prefix(lines: &str, prefix: &str) -> String {
+    lines
         .lines()
-        .filter(|line| line.starts_with(start))
+        .filter(|line| line.starts_with(prefix))
         .map(|line| format!("{line}\n"))
         .collect()
 }
 
 #[test]
 fn messages_about_the_bound_of_results_without_spools() {
-    let table = broken_keys(&mysql_document(&["eureka", "spool"]), read_mysql);
+    let lines = invalid_values(&mysql_document(&["eureka", "spool"]), read_mysql);
     assert_recorded(
         "external/mysql-max-result.txt",
-        &lines_of(&table, "/max_result"),
+        &lines_with_prefix(&lines, "/max_result"),
     );
 }
 
 #[test]
 fn messages_about_registries() {
     let document = mysql_document(&["engine", "max_result"]);
-    let keys = lines_of(&broken_keys(&document, read_mysql), "/eureka");
+    let keys = lines_with_prefix(&invalid_values(&document, read_mysql), "/eureka");
     assert_recorded("external/eureka-keys.txt", &keys);
     assert_recorded(
         "external/eureka-faults.txt",
@@ -97,7 +98,7 @@
     let document = platform_document();
     assert_recorded(
         "external/platform-keys.txt",
-        &broken_keys(&document, read_platform),
+        &invalid_values(&document, read_platform),
     );
     assert_recorded(
         "external/platform-faults.txt",
@@ -107,7 +108,7 @@
 
 // ---- the operators' address ------------------------------------------------------------------------
 
-/// Calls whose responses are recorded, in this order.
+/// HTTP calls whose responses are recorded, in this order.
 const CALLS: [(&str, &str); 20] = [
     ("GET", "/_ready"),
     ("POST", "/_ready"),
@@ -157,7 +158,8 @@
 
 // ---- MySQL -----------------------------------------------------------------------------------------
 
-/// The operators' file: one engine, a user whose password is empty and one with a password.
+/// Returns an operators' file with one engine, two users without a password and one with a password. `more`
+/// is appended.
 fn mysql_file(engine: SocketAddr, more: &str) -> String {
     format!(
         r#"listen = "127.0.0.1:0"
@@ -197,9 +199,9 @@
     )
 }
 
-/// An engine that speaks MySQL, on a thread of its own for as long as the test runs.
+/// Starts a MySQL engine on its own thread, which runs as long as the test.
 fn background_engine() -> SocketAddr {
-    let (tell, told) = mpsc::channel();
+    let (address_sender, address) = mpsc::channel();
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -213,23 +215,24 @@
             )
             .await
             .unwrap();
-            tell.send(engine.address()).unwrap();
+            address_sender.send(engine.address()).unwrap();
             std::future::pending::<()>().await;
         });
     });
-    told.recv().unwrap()
+    address.recv().unwrap()
 }
 
-/// A greeting with its connection's number and its random scramble replaced by `#`.
+/// Replaces the connection id and the random scramble in a greeting by `#`.
 fn masked_greeting(greeting: &[u8]) -> Vec<u8> {
     const SCRAMBLE_LENGTHS: [usize; 2] = [8, 12];
-    /// Between both parts: a zero, capabilities, character set, status, capabilities, a length and ten zeros.
+    /// Size of the fields between both parts of the scramble: a zero byte, capabilities, character set,
+    /// status, capabilities, a length and ten zero bytes.
     const BETWEEN: usize = 1 + 2 + 1 + 2 + 2 + 1 + 10;
-    let number = 1 + greeting[1..].iter().position(|byte| *byte == 0).unwrap() + 1;
-    let first = number + 4;
+    let connection_id = 1 + greeting[1..].iter().position(|byte| *byte == 0).unwrap() + 1;
+    let first = connection_id + 4;
     let second = first + SCRAMBLE_LENGTHS[0] + BETWEEN;
     let mut masked = greeting.to_vec();
-    masked[number..first + SCRAMBLE_LENGTHS[0]].fill(b'#');
+    masked[connection_id..first + SCRAMBLE_LENGTHS[0]].fill(b'#');
     masked[second..second + SCRAMBLE_LENGTHS[1]].fill(b'#');
     masked
 }
@@ -240,7 +243,7 @@
     const SECURE_CONNECTION: u32 = 1 << 15;
     let (program, _) = start_mysql(&mysql_file(testbed::fixture::ephemeral_address(), ""));
     let greeting = MysqlClient::connect(program.address).greeting;
-    let mut told = format!("greeting: {}\n", printable(&masked_greeting(&greeting)));
+    let mut recorded = format!("greeting: {}\n", printable(&masked_greeting(&greeting)));
     let capabilities = PROTOCOL_41 | SECURE_CONNECTION;
     for (user, proof) in [
         ("nobody", &[][..]),
@@ -249,34 +252,34 @@
         (USER, &[7; 20]),
     ] {
         let answer = MysqlClient::connect(program.address).authenticate(capabilities, user, proof);
-        told += &format!(
+        recorded += &format!(
             "log-in of {user}, {} bytes of proof:\n{}",
             proof.len(),
             answer.text()
         );
     }
     let accepted = MysqlClient::connect(program.address).authenticate(capabilities, USER, &[]);
-    told += &format!("log-in of {USER}:\n{}", accepted.text());
-    assert_recorded("external/mysql-log-in.txt", &told);
+    recorded += &format!("log-in of {USER}:\n{}", accepted.text());
+    assert_recorded("external/mysql-log-in.txt", &recorded);
 }
 
 #[test]
 fn answers_to_statements_and_commands() {
     let (program, _) = start_mysql(&mysql_file(background_engine(), ""));
     let mut client = MysqlClient::log_in(program.address, USER);
-    let mut told = String::new();
+    let mut recorded = String::new();
     for statement in STATEMENTS {
-        told += &format!("> {statement}\n{}", text(&client.query(statement)));
+        recorded += &format!("> {statement}\n{}", text(&client.query(statement)));
     }
     for (name, kind, body) in COMMANDS {
-        told += &format!("command {name}\n{}", text(&client.command(kind, body)));
+        recorded += &format!("command {name}\n{}", text(&client.command(kind, body)));
     }
-    told += &format!("an empty packet\n{}", text(&client.raw(&[])));
-    told += &format!(
+    recorded += &format!("an empty packet\n{}", text(&client.raw(&[])));
+    recorded += &format!(
         "a packet above the bound\n{}",
         text(&client.raw(&[b'x'; 5000]))
     );
-    assert_recorded("external/mysql-answers.txt", &told);
+    assert_recorded("external/mysql-answers.txt", &recorded);
 }
 
 #[test]
@@ -284,16 +287,16 @@
     let (program, _) = start_mysql(&mysql_file(background_engine(), ""));
     let mut client = MysqlClient::log_in(program.address, USER);
     assert!(call(program.admin, "POST", "/_engines/detach/e0").starts_with("HTTP/1.1 200 "));
-    let mut told = String::new();
+    let mut recorded = String::new();
     for statement in ["select 1", "insert into crates values (1)", "KILL QUERY 1"] {
-        told += &format!("> {statement}\n{}", text(&client.query(statement)));
+        recorded += &format!("> {statement}\n{}", text(&client.query(statement)));
     }
     let mut other = MysqlClient::log_in(program.address, "other");
-    told += &format!(
+    recorded += &format!(
         "> KILL QUERY 1, by another user\n{}",
         text(&other.query("KILL QUERY 1"))
     );
-    assert_recorded("external/mysql-no-engine.txt", &told);
+    assert_recorded("external/mysql-no-engine.txt", &recorded);
 }
 
 // ---- the peers' datagrams --------------------------------------------------------------------------
@@ -302,7 +305,7 @@
 fn a_load_report_as_peers_send_it() {
     const ENGINE: &str = "engine-1";
     const REPORT: [f64; 5] = [7.0, 0.0, 0.61, 41.0, 1000.0];
-    /// Requests that pay for one message.
+    /// Number of requests whose credit suffices for one message.
     const REQUESTS: usize = 50;
     let budget = gossip::GossipBudget {
         dispatchers: 2,
@@ -313,21 +316,21 @@
     broadcaster.set_engines([ENGINE].into_iter());
     (0..REQUESTS).for_each(|_| broadcaster.credit_request());
     let message = broadcaster.offer_report(0.0, ENGINE, &REPORT).unwrap();
-    let mut told = format!("message: {}\n", printable(&message));
-    for (what, message) in [
+    let mut recorded = format!("message: {}\n", printable(&message));
+    for (name, message) in [
         ("itself", message.clone()),
         ("cut short", message[..message.len() - 1].to_vec()),
         ("another kind", [b"x", &message[1..]].concat()),
         ("no text", [&message[..message.len() - 1], &[0x80]].concat()),
         ("nothing", vec![]),
     ] {
-        let heard = broadcaster
+        let received = broadcaster
             .receive(0.0, &message)
             .map(|report| report.map(|peer| (peer.engine, peer.report)))
             .map_err(|error| error.to_string());
-        told += &format!("{what}: {heard:?}\n");
+        recorded += &format!("{name}: {received:?}\n");
     }
-    assert_recorded("external/peers.txt", &told);
+    assert_recorded("external/peers.txt", &recorded);
 }
 
 // ---- the platform's wires --------------------------------------------------------------------------
@@ -337,12 +340,13 @@
 const ASK: u8 = 16;
 const TRANSACTION: &str = "00000000000000a1";
 const STATEMENT: &str = "select 1";
-/// A command with the time that its request has left, which depends on the moment, replaced by `#`.
+/// Replaces the remaining time of the request in a command by `#`, because it varies from run to run.
 fn masked_limit(command: &str) -> String {
     const KEY: &str = "limit=";
     let digits = command.find(KEY).unwrap() + KEY.len();
     let rest = command[digits..].trim_start_matches(|letter: char| letter.is_ascii_digit());
-    // The length of the word before depends on the number of digits: a time of three or four digits is meant.
+    // The length field of the word depends on the number of digits; only times of three or four digits are
+    // handled.
     let length = command.len() - digits - rest.len();
     assert!((3..=4).contains(&length), "{command}");
     format!("{}#{rest}", &command[..digits])
@@ -350,10 +354,10 @@
         .replace("$21\\r", "$#\\r")
 }
 
-/// Streams of a connection count from here.
+/// Number of the first stream on a connection.
 const FIRST_STREAM: u32 = 1;
 
-/// The answer of an engine, as an array of strings.
+/// Returns the answer of an engine, as an array of strings.
 fn engine_answer() -> Vec<u8> {
     let words = [TRANSACTION, "ACK", "total=1", "a\tb\tc\n"];
     let words: String = words
@@ -365,14 +369,14 @@
 
 #[test]
 fn frames_of_clients_and_commands_to_engines() {
-    let engine = FarEnd::start(b"select 1\r\n", engine_answer());
+    let engine = FakeServer::start(b"select 1\r\n", engine_answer());
     let journal = Service::down();
     let program = Program::run(
         &process::config(&[engine.address], journal.at, None),
         &[],
         None,
     );
-    let good = [
+    let valid = [
         ("verb", "lookup"),
         ("txn", TRANSACTION),
         ("limit", "2000"),
@@ -384,7 +388,7 @@
             "a look-up",
             FIRST_STREAM,
             REQUEST,
-            request(&good, STATEMENT),
+            request(&valid, STATEMENT),
         ),
         (
             "no class",
@@ -392,33 +396,38 @@
             REQUEST,
             request(&[("verb", "none"), ("txn", TRANSACTION)], STATEMENT),
         ),
-        ("no verb", 3, REQUEST, request(&good[1..], STATEMENT)),
-        ("no id", 4, REQUEST, request(&[good[0], good[2]], STATEMENT)),
+        ("no verb", 3, REQUEST, request(&valid[1..], STATEMENT)),
+        (
+            "no id",
+            4,
+            REQUEST,
+            request(&[valid[0], valid[2]], STATEMENT),
+        ),
         (
             "an id that is none",
             5,
             REQUEST,
-            request(&[good[0], ("txn", "a1"), good[2]], STATEMENT),
+            request(&[valid[0], ("txn", "a1"), valid[2]], STATEMENT),
         ),
-        ("no limit", 6, REQUEST, request(&good[..2], STATEMENT)),
+        ("no limit", 6, REQUEST, request(&valid[..2], STATEMENT)),
         (
             "a limit that is none",
             7,
             REQUEST,
-            request(&[good[0], good[1], ("limit", "x")], STATEMENT),
+            request(&[valid[0], valid[1], ("limit", "x")], STATEMENT),
         ),
-        ("no statement", 8, REQUEST, request(&good, "")),
+        ("no statement", 8, REQUEST, request(&valid, "")),
         ("a question of its state", 9, ASK, vec![0]),
         ("fields that end early", 10, REQUEST, vec![3, 4, b'v']),
     ];
     let mut connection = connect(program.address);
-    let mut told = String::new();
+    let mut recorded = String::new();
     for (name, stream, kind, payload) in requests {
         process::send(&mut connection, kind, stream, &payload).unwrap();
         let answer = read_frame(&mut connection).expect("an answer");
-        told += &format!("{name}: {}\n", printable(&answer));
+        recorded += &format!("{name}: {}\n", printable(&answer));
     }
-    told += &format!(
+    recorded += &format!(
         "to the engine: {}\n",
         masked_limit(&printable(&engine.received()))
     );
@@ -429,18 +438,18 @@
         let mut connection = connect(program.address);
         process::send(&mut connection, LEAVE, 1, &[]).unwrap();
         process::send(&mut connection, kind, stream, &[0]).unwrap();
-        told += &format!(
+        recorded += &format!(
             "{name}: {}\n",
             printable(&read_frame(&mut connection).expect("an answer"))
         );
     }
     let mut connection = connect(program.address);
     connection.write_all(&[0, 0, 0, 1]).unwrap();
-    told += &format!(
+    recorded += &format!(
         "a length that is none: {}\n",
         printable(&read_frame(&mut connection).unwrap())
     );
-    assert_recorded("external/platform-frames.txt", &told);
+    assert_recorded("external/platform-frames.txt", &recorded);
 }
 
 #[test]
@@ -448,7 +457,7 @@
     let engine = process::Engine::new();
     let news = event(2, &told(1, engine.at, "in_service"));
     let stream = format!("HTTP/1.1 200 OK\r\n\r\n: hello\n{news}");
-    let journal = FarEnd::start(b"\r\n\r\n", stream.into_bytes());
+    let journal = FakeServer::start(b"\r\n\r\n", stream.into_bytes());
     let program = Program::run(
         &process::config(&[engine.at], journal.address, None),
         &[],
