--- a/src/core/endpoints.rs
+++ b/src/core/endpoints.rs
@@ -102,9 +102,9 @@
     }
 
     /// Pays for a gossip message of this length to one peer, if there is credit for it.
-    pub fn pay_for_one_peer(&mut self, message_bytes: usize) -> bool {
+    pub fn try_charge_for_one_peer(&mut self, message_bytes: usize) -> bool {
         let gossip = self.gossip.as_mut();
-        gossip.is_some_and(|gossip| gossip.pay_for_one_peer(message_bytes))
+        gossip.is_some_and(|gossip| gossip.try_charge_for_one_peer(message_bytes))
     }
 
     /// The present process of an engine has started at this time at the latest, earlier than was known.
--- a/src/dispatch/endpoints.rs
+++ b/src/dispatch/endpoints.rs
@@ -74,7 +74,7 @@
             return None;
         }
         let answer = AgeMessage::Response(ages).encode();
-        let is_paid = self.core.borrow_mut().pay_for_one_peer(answer.len());
+        let is_paid = self.core.borrow_mut().try_charge_for_one_peer(answer.len());
         is_paid.then_some(answer)
     }
 
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -156,7 +156,7 @@
 
     /// Charges a message of this length to one peer and returns true, unless the debt would exceed its
     /// maximum. The permitted debt lets a dispatcher without traffic send a few such messages too.
-    pub fn pay_for_one_peer(&mut self, message_bytes: usize) -> bool {
+    pub fn try_charge_for_one_peer(&mut self, message_bytes: usize) -> bool {
         let cost = self.cost_for_one_peer(message_bytes);
         let is_affordable = cost <= self.credit + MAX_DEBT;
         if is_affordable {
