--- a/src/dispatch/start_times.rs
+++ b/src/dispatch/start_times.rs
@@ -7,7 +7,7 @@
 //! for each start: their ages are spans of real time.
 
 use crate::decision::model::{EngineState, ListUpdate, Millis};
-use crate::gossip::{EngineAge, MAX_STARTS, StartId};
+use crate::gossip::{EngineAge, MAX_STARTS_PER_MESSAGE, StartId};
 use crate::membership::Change;
 use std::collections::{HashMap, HashSet};
 
@@ -116,7 +116,7 @@
         let starts = self.by_engine.values_mut();
         let due = starts.filter(|start| start.is_request_due(now));
         let mut requested = vec![];
-        for start in due.take(MAX_STARTS) {
+        for start in due.take(MAX_STARTS_PER_MESSAGE) {
             start.record_request(now);
             requested.push(start.id);
         }
--- a/src/dispatch/start_times/tests.rs
+++ b/src/dispatch/start_times/tests.rs
@@ -2,7 +2,7 @@
 
 use super::{MAX_CLOCK_ERROR_MS, Now, REQUEST_DELAYS_MS, StartTimes};
 use crate::decision::model::{EngineState, ListUpdate};
-use crate::gossip::{EngineAge, MAX_STARTS, StartId};
+use crate::gossip::{EngineAge, MAX_STARTS_PER_MESSAGE, StartId};
 use crate::membership::{Change, Engine};
 
 const HOUR_MS: f64 = 3_600_000.0;
@@ -139,11 +139,11 @@
 #[test]
 fn each_start_is_asked_about_a_few_times_a_message_at_a_time() {
     let mut starts = StartTimes::default();
-    let count = MAX_STARTS + 5;
+    let count = MAX_STARTS_PER_MESSAGE + 5;
     for engine in 0..count {
         starts.locate(at(1e12, 0.0), &format!("e{engine}"), 1e12);
     }
-    assert_eq!(starts.due_requests(1e12).len(), MAX_STARTS);
+    assert_eq!(starts.due_requests(1e12).len(), MAX_STARTS_PER_MESSAGE);
     assert_eq!(starts.due_requests(1e12).len(), 5);
     assert_eq!(starts.due_requests(1e12).len(), 0);
     let mut requested = count;
--- a/src/gossip/engine_ages.rs
+++ b/src/gossip/engine_ages.rs
@@ -27,7 +27,7 @@
 
 /// Maximum number of starts in a message, chosen so that the response to a full request fits into one
 /// message.
-pub const MAX_STARTS: usize = (MAX_MESSAGE_BYTES - 1) / (START_BYTES + AGE_BYTES);
+pub const MAX_STARTS_PER_MESSAGE: usize = (MAX_MESSAGE_BYTES - 1) / (START_BYTES + AGE_BYTES);
 
 /// Identifies one start of one engine in messages between dispatchers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -65,16 +65,16 @@
 }
 
 impl AgeMessage {
-    /// Encodes the message with the first [`MAX_STARTS`] of its starts.
+    /// Encodes the message with the first [`MAX_STARTS_PER_MESSAGE`] of its starts.
     pub fn encode(&self) -> Vec<u8> {
         match self {
             AgeMessage::Request(starts) => {
-                let starts = starts.iter().take(MAX_STARTS);
+                let starts = starts.iter().take(MAX_STARTS_PER_MESSAGE);
                 let bytes = starts.flat_map(|start| encode_start(*start));
                 std::iter::once(REQUEST_KIND).chain(bytes).collect()
             }
             AgeMessage::Response(ages) => {
-                let ages = ages.iter().take(MAX_STARTS);
+                let ages = ages.iter().take(MAX_STARTS_PER_MESSAGE);
                 let bytes = ages.flat_map(|age| {
                     let units = (age.min_age.max(0.0) / AGE_UNIT_MS).floor();
                     let units = units.min(MAX_AGE_UNITS) as u32;
@@ -111,11 +111,12 @@
     }
 }
 
-/// Splits a body into entries of `size` bytes. Returns `None` unless it consists of 1 to [`MAX_STARTS`]
-/// complete entries.
+/// Splits a body into entries of `size` bytes. Returns `None` unless it consists of 1 to
+/// [`MAX_STARTS_PER_MESSAGE`] complete entries.
 fn entries(body: &[u8], size: usize) -> Option<std::slice::ChunksExact<'_, u8>> {
     let count = body.len() / size;
-    let is_complete = body.len().is_multiple_of(size) && (1..=MAX_STARTS).contains(&count);
+    let is_complete =
+        body.len().is_multiple_of(size) && (1..=MAX_STARTS_PER_MESSAGE).contains(&count);
     is_complete.then(|| body.chunks_exact(size))
 }
 
--- a/src/gossip/engine_ages/tests.rs
+++ b/src/gossip/engine_ages/tests.rs
@@ -1,4 +1,4 @@
-use super::{AgeMessage, EngineAge, MAX_STARTS, StartId};
+use super::{AgeMessage, EngineAge, MAX_STARTS_PER_MESSAGE, StartId};
 use crate::gossip::MAX_MESSAGE_BYTES;
 
 fn starts(count: usize) -> Vec<StartId> {
@@ -8,7 +8,7 @@
 
 #[test]
 fn a_request_and_its_response_arrive_unchanged_in_one_message_each() {
-    for count in [1, 7, MAX_STARTS] {
+    for count in [1, 7, MAX_STARTS_PER_MESSAGE] {
         let request = AgeMessage::Request(starts(count));
         let bytes = request.encode();
         assert!(bytes.len() <= MAX_MESSAGE_BYTES && bytes.is_ascii());
@@ -61,7 +61,7 @@
     assert_eq!(AgeMessage::decode(&out_of_range), None);
     assert_eq!(AgeMessage::decode(b"r123ab"), None);
     let too_long: Vec<u8> = std::iter::once(b'q')
-        .chain([1; 6 * (MAX_STARTS + 1)])
+        .chain([1; 6 * (MAX_STARTS_PER_MESSAGE + 1)])
         .collect();
     assert_eq!(AgeMessage::decode(&too_long), None);
 }
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -15,7 +15,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use engine_ages::{AgeMessage, EngineAge, MAX_STARTS, StartId};
+pub use engine_ages::{AgeMessage, EngineAge, MAX_STARTS_PER_MESSAGE, StartId};
 pub use fleet_census::FleetCensus;
 pub use message::{DecodeError, LoadReportMessage, MAX_MESSAGE_BYTES};
 
