--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -77,7 +77,7 @@
     /// Directory that all processes of this dispatcher share.
     pub state_directory: Option<PathBuf>,
     /// Events of the journal up to now, not yet decoded.
-    pub recorded_events: serde_json::Value,
+    pub journal_events: serde_json::Value,
     /// Settings of the decision module.
     pub settings: Settings,
     /// Names for the numbers in the settings.
@@ -167,7 +167,7 @@
             gossip,
             admin_address: admin_address(variable, self.admin_addr)?,
             journal_address: socket_address("journal", &self.journal)?,
-            recorded_events: self.known.unwrap_or(serde_json::Value::Null),
+            journal_events: self.known.unwrap_or(serde_json::Value::Null),
             settings,
             names,
             sockets,
--- a/src/server/platform.rs
+++ b/src/server/platform.rs
@@ -37,7 +37,7 @@
     let pool = BufferPool::default();
     let router = request_router(&config, &pool)?;
     let (journal_address, address) = watch::channel(config.journal_address);
-    let journal = Journal::new(address, config.recorded_events.take(), config.seed)
+    let journal = Journal::new(address, config.journal_events.take(), config.seed)
         .map_err(ServerError::KnownEvents)?;
     let listener = listener::listen(config.listen, config.inherited_descriptor).await?;
     let listen_address = listener.local_addr()?;
