--- a/src/gossip/engine_ages.rs
+++ b/src/gossip/engine_ages.rs
@@ -1,5 +1,4 @@
-//! Messages in which a dispatcher asks a peer for how long it has known the starts of engines, and the
-//! responses.
+//! Messages in which a dispatcher requests the minimum ages of engines from a peer, and the responses.
 //!
 //! A dispatcher that has just started cannot derive an engine's age from wall clocks, because they may be
 //! wrong. A peer that learned of the start earlier has measured the time since then, and the engine is at
@@ -58,7 +57,7 @@
 /// A message about starts of engines.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AgeMessage {
-    /// Asks how long ago these starts were.
+    /// Requests the minimum time since each start.
     Request(Vec<StartId>),
     /// States the minimum time since each start.
     Response(Vec<EngineAge>),
