--- a/src/config/eureka/query.rs
+++ b/src/config/eureka/query.rs
@@ -1,22 +1,23 @@
-//! `eureka.app`, `eureka.vip`, `eureka.secure_vip` and `eureka.fetch`: which instances are requested of a registry.
+//! `eureka.app`, `eureka.vip`, `eureka.secure_vip` and `eureka.fetch`: instances that are requested from a
+//! registry.
 
 use crate::config::eureka::check_name;
 use crate::config::{ConfigError, Problem};
 
-/// Which instances are requested of a registry.
+/// Instances that are requested from a registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegistryQuery {
-    /// `/apps` and its deltas; the engines are the instances of this application.
+    /// Requests `/apps` and its deltas; the engines are the instances of this application.
     AllApplications(String),
-    /// `/apps/{app}` alone, which is less to send where a registry holds many applications.
+    /// Requests `/apps/{app}` alone, which transfers less if the registry holds many applications.
     Application(String),
-    /// `/vips/{vip}`.
+    /// Requests `/vips/{vip}`.
     VipAddress(String),
-    /// `/svips/{vip}`: the engines' ports are the secure ones.
+    /// Requests `/svips/{vip}`; the secure ports of the instances are used.
     SecureVipAddress(String),
 }
 
-/// The keys that choose instances.
+/// Keys that select instances.
 pub(super) struct RawQuery {
     pub(super) app: Option<String>,
     pub(super) vip: Option<String>,
@@ -40,16 +41,19 @@
                 check_name("eureka.secure_vip", &vip).map(RegistryQuery::SecureVipAddress)
             }
             (_, _, _, Some(fetch)) if !["apps", "app"].contains(&fetch) => {
-                let problem = Problem::UnknownWord {
+                let problem = Problem::UnknownValue {
                     text: fetch.into(),
-                    alternatives: "neither \"apps\" nor \"app\"",
+                    expected: "\"apps\" or \"app\"",
                 };
                 Err(ConfigError::invalid("eureka.fetch", problem))
             }
-            (None, _, _, Some(_)) => Err(ConfigError::combination("eureka.fetch", "goes with app")),
+            (None, _, _, Some(_)) => Err(ConfigError::combination(
+                "eureka.fetch",
+                "requires eureka.app",
+            )),
             _ => Err(ConfigError::combination(
                 "eureka.app",
-                "one of app, vip and secure_vip is needed, and only one",
+                "exactly one of app, vip and secure_vip is required",
             )),
         }
     }
--- a/src/core/endpoints.rs
+++ b/src/core/endpoints.rs
@@ -104,9 +104,9 @@
 
     /// Spends gossip credit on a message of this length to one peer. Returns false if there is too little
     /// credit.
-    pub fn pay_for_one_peer(&mut self, message_bytes: usize) -> bool {
+    pub fn try_charge_for_one_peer(&mut self, message_bytes: usize) -> bool {
         let gossip = self.gossip.as_mut();
-        gossip.is_some_and(|gossip| gossip.pay_for_one_peer(message_bytes))
+        gossip.is_some_and(|gossip| gossip.try_charge_for_one_peer(message_bytes))
     }
 
     /// Applies newly received evidence that the present process of an engine started earlier than assumed: at
--- a/src/dispatch/endpoints.rs
+++ b/src/dispatch/endpoints.rs
@@ -81,7 +81,10 @@
             return None;
         }
         let response = AgeMessage::Response(ages).encode();
-        let is_paid = self.core.borrow_mut().pay_for_one_peer(response.len());
+        let is_paid = self
+            .core
+            .borrow_mut()
+            .try_charge_for_one_peer(response.len());
         is_paid.then_some(response)
     }
 
--- a/src/dispatch/start_times/tests.rs
+++ b/src/dispatch/start_times/tests.rs
@@ -2,7 +2,7 @@
 
 use super::{ClockReading, MAX_CLOCK_ERROR_MS, REQUEST_DELAYS_MS, StartTimes};
 use crate::decision::model::{EngineState, ListUpdate};
-use crate::gossip::{EngineAge, MAX_STARTS, StartId};
+use crate::gossip::{EngineAge, MAX_STARTS_PER_MESSAGE, StartId};
 use crate::membership::{DiscoveredEngine, EndpointListChange};
 
 const HOUR_MS: f64 = 3_600_000.0;
@@ -155,11 +155,11 @@
 #[test]
 fn the_age_of_each_start_is_requested_a_few_times_in_messages_of_limited_size() {
     let mut starts = StartTimes::default();
-    let count = MAX_STARTS + 5;
+    let count = MAX_STARTS_PER_MESSAGE + 5;
     for engine in 0..count {
         starts.record_start(at(1e12, 0.0), &format!("e{engine}"), 1e12);
     }
-    assert_eq!(starts.due_requests(1e12).len(), MAX_STARTS);
+    assert_eq!(starts.due_requests(1e12).len(), MAX_STARTS_PER_MESSAGE);
     assert_eq!(starts.due_requests(1e12).len(), 5);
     assert_eq!(starts.due_requests(1e12).len(), 0);
     let mut requested = count;
