--- a/src/spool/accounting.rs
+++ b/src/spool/accounting.rs
@@ -1,4 +1,4 @@
-//! Bytes in use: by spool, by tenant and in total.
+//! Accounting of the bytes in use by spool, by tenant and in total.
 
 use super::commands::Placement;
 use super::index::{SpoolEntry, SpoolId, SpoolIndex};
@@ -14,7 +14,7 @@
 }
 
 impl SpoolUsage {
-    /// Bytes in memory and on disk together.
+    /// Returns the bytes in memory and on disk together.
     pub fn total_bytes(&self) -> u64 {
         self.memory_bytes + self.disk_bytes
     }
@@ -42,11 +42,11 @@
     }
 }
 
-/// The sums over all spools.
+/// Sums over all spools.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UsageTotals {
     pub(super) usage: SpoolUsage,
-    /// Bytes in memory and on disk. A tenant without any has no entry.
+    /// Bytes in memory and on disk by tenant. A tenant without stored bytes has no entry.
     pub(super) by_tenant: BTreeMap<Option<usize>, u64>,
 }
 
@@ -72,18 +72,18 @@
 }
 
 impl SpoolIndex {
-    /// Bytes of all spools in memory and on disk.
+    /// Returns the bytes of all spools in memory and on disk.
     pub fn usage(&self) -> SpoolUsage {
         self.totals.usage
     }
 
-    /// Bytes by tenant, in memory and on disk together.
+    /// Returns the bytes by tenant, in memory and on disk together.
     pub fn bytes_by_tenant(&self) -> &BTreeMap<Option<usize>, u64> {
         &self.totals.by_tenant
     }
 
-    /// Returns bytes that could not be written to disk to the account of memory, above its limit if need be, until
-    /// the spool ends.
+    /// Moves bytes that could not be written to disk back to the memory account, even above its limit. They
+    /// count there until the spool is spilled again or removed.
     pub fn return_to_memory(&mut self, id: SpoolId, bytes: u64) {
         if let Some(entry) = self.entries.get_mut(&id) {
             let bytes = bytes.min(entry.usage.disk_bytes);
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Whether the sums match the spools. For tests: it visits every spool.
+    /// Returns whether the sums match the spools. For tests, since it visits every spool.
     pub fn is_consistent(&self) -> bool {
         let memory_bytes: u64 = self.entries.values().map(|e| e.usage.memory_bytes).sum();
         let disk_bytes: u64 = self.entries.values().map(|e| e.usage.disk_bytes).sum();
--- a/src/spool/admission.rs
+++ b/src/spool/admission.rs
@@ -1,44 +1,44 @@
-//! Whether a result will have capacity, decided before its statement is sent.
+//! Admission: whether the result of a statement will have capacity, decided before the statement is sent.
 
 use super::index::{SpoolEntry, SpoolIndex};
 use crate::decision::model::Millis;
 
-/// Results up to this size, in bytes, are handed to the client at once and are not spooled.
+/// Maximum size of a result, in bytes, that is sent to the client directly and not spooled.
 pub const MAX_INLINE_RESULT_BYTES: usize = 64 << 10;
 
-/// The request whose result may have to be spooled.
+/// A request whose result may have to be spooled.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionRequest {
-    /// The index of the tenant.
+    /// Index of the tenant.
     pub tenant: Option<usize>,
-    /// The index of the request class.
+    /// Index of the request class.
     pub class: usize,
-    /// The statement must not run twice, so its result cannot be produced again: it is never evicted for a result
-    /// that is not protected.
+    /// Whether the statement must not run twice. Its result cannot be produced again, so it is never evicted
+    /// for a result that is not protected.
     pub protected: bool,
 }
 
-/// Whether a statement may be sent.
+/// Decision whether a statement may be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Admission {
-    /// Its result is expected to have capacity.
+    /// The result is expected to have capacity.
     Admitted,
-    /// Its result would have no capacity, so the statement is not sent.
+    /// The result would have no capacity, so the statement is not sent.
     Rejected {
-        /// A message for the client.
+        /// Message for the client.
         reason: &'static str,
-        /// Milliseconds until the next result expires, if that is known.
+        /// Milliseconds until the next result expires, if known.
         retry_after: Option<Millis>,
     },
 }
 
-/// Why a page, and the whole result with it, is rejected.
+/// Reason why a page, and with it the whole result, is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SpoolRejection {
     /// The result is larger than [`super::SpoolLimits::result_bytes`].
     #[error("the result is above the bound of {0} bytes")]
     ResultTooLarge(u64),
-    /// The tenant's results are larger than [`super::SpoolLimits::tenant_bytes`].
+    /// The results of the tenant are together larger than [`super::SpoolLimits::tenant_bytes`].
     #[error("its tenant's results are above their bound of {0} bytes")]
     TenantQuota(u64),
     /// Neither memory nor disk has capacity.
@@ -47,7 +47,7 @@
     /// [`super::SpoolLimits::max_spools`] is reached.
     #[error("too many results wait for their readers")]
     TooManySpools,
-    /// The spool does not exist, or no more.
+    /// The spool does not exist or has been removed.
     #[error("there is no such spool")]
     UnknownSpool,
 }
@@ -71,7 +71,7 @@
     fn rejection_reason(&self, now: Millis, request: AdmissionRequest) -> Option<&'static str> {
         let expected = self.expected_bytes(request.class);
         if expected <= MAX_INLINE_RESULT_BYTES as u64 {
-            // It is not going to be spooled.
+            // The result is expected to be sent directly, without a spool.
             None
         } else if self.entries.len() >= self.limits.max_spools
             && self.evictable_for(request.protected).next().is_none()
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The expected result size of a class, in bytes; 0 while too few results are known.
+    /// Returns the expected result size of a class, in bytes; 0 while too few results are known.
     pub fn expected_bytes(&self, class: usize) -> u64 {
         self.class_sizes
             .get(class)
@@ -101,8 +101,8 @@
         }
     }
 
-    /// The largest result that could be stored, in bytes: what is free and what may be evicted, either in memory or on
-    /// disk, since a result that outgrows memory moves to disk as a whole.
+    /// Returns the size of the largest result that could be stored, in bytes: the free and evictable bytes
+    /// either of memory or of disk, since a result that outgrows memory moves to disk as a whole.
     pub(super) fn capacity(&self, now: Millis, protected: bool) -> u64 {
         let usage = self.totals.usage;
         let disk_accepts_writes = self.disk_health.accepts_writes(now);
@@ -118,7 +118,8 @@
         memory.max(disk)
     }
 
-    /// The bytes that a tenant may still spool: what its quota leaves and what of its own may be evicted.
+    /// Returns the number of bytes that a tenant may still spool: the unused part of its quota and the size
+    /// of its evictable results.
     pub(super) fn tenant_capacity(&self, tenant: Option<usize>, protected: bool) -> u64 {
         let used = self.totals.of_tenant(tenant);
         let evictable: u64 = self
--- a/src/spool/class_sizes.rs
+++ b/src/spool/class_sizes.rs
@@ -1,11 +1,11 @@
-//! An estimate of the result size of each request class.
+//! Estimate of the result size of each request class.
 
-/// The weight that the estimate keeps at each further result.
+/// Weight of the previous estimate when a further result is recorded.
 const DECAY: f64 = 0.95;
-/// Results that are needed before the estimate is used.
+/// Minimum number of results before the estimate is used.
 const MIN_SAMPLES: f64 = 5.0;
 
-/// The decaying mean and mean deviation of a class's result sizes, in bytes.
+/// Decaying mean and mean deviation of the result sizes of a class, in bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct ClassSizes {
     mean: f64,
@@ -28,7 +28,8 @@
         self.samples += 1.0;
     }
 
-    /// The size of the next result: one deviation above the mean, in bytes. `None` before enough samples.
+    /// Returns the estimated size of the next result, in bytes: one deviation above the mean. Returns `None`
+    /// before [`MIN_SAMPLES`] results.
     pub(super) fn expected_bytes(&self) -> Option<u64> {
         (self.samples >= MIN_SAMPLES).then_some((self.mean + self.deviation) as u64)
     }
--- a/src/spool/commands.rs
+++ b/src/spool/commands.rs
@@ -1,9 +1,9 @@
-//! What the index asks the owner of the pages to do.
+//! Commands from the index to the owner of the pages.
 
 use super::admission::SpoolRejection;
 use super::index::SpoolId;
 
-/// Where a page is stored.
+/// Storage location of a page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement {
     /// In memory.
@@ -12,29 +12,29 @@
     Disk,
 }
 
-/// A command to the owner of the pages, to be carried out in order.
+/// Command to the owner of the pages. Commands are executed in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SpoolCommand {
     /// Drop all pages of the spool and expire its handle.
     Evict(SpoolId),
-    /// Move the pages of the spool from memory to disk, and write the following ones there.
+    /// Move the pages of the spool from memory to disk, and write its later pages there.
     Spill(SpoolId),
 }
 
-/// A new spool, from [`super::SpoolIndex::open`].
+/// New spool, returned by [`super::SpoolIndex::open`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct OpenedSpool {
-    /// The id of the new spool.
+    /// Id of the new spool.
     pub id: SpoolId,
-    /// What is to be carried out first.
+    /// Commands to execute first.
     pub commands: Vec<SpoolCommand>,
 }
 
-/// The outcome of [`super::SpoolIndex::add_page`].
+/// Outcome of [`super::SpoolIndex::add_page`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct AddPageOutcome {
-    /// Where the page goes, or why the whole result has to be given up.
+    /// Where the page is stored, or why the whole result has to be abandoned.
     pub placement: Result<Placement, SpoolRejection>,
-    /// What is to be carried out first, also when the page is rejected.
+    /// Commands to execute first, also when the page is rejected.
     pub commands: Vec<SpoolCommand>,
 }
--- a/src/spool/disk_health.rs
+++ b/src/spool/disk_health.rs
@@ -1,42 +1,42 @@
-//! The health of the spool disk, judged by the outcome of its writes. A disk that is full, slow, read-only or broken is
-//! a state to recover from, not the end of the process.
+//! Health of the spool disk, derived from the outcome of its writes. A full, slow, read-only or broken disk
+//! is a state to recover from; it does not end the process.
 
 use crate::decision::model::Millis;
 
-/// After a failed write the disk is tried again in this time, in milliseconds.
+/// Time after a failed write until the disk is written to again, in milliseconds.
 pub const RETRY_INTERVAL_MS: Millis = 5_000.0;
-/// A write that takes longer than this, in milliseconds, is slow.
+/// Duration above which a write counts as slow, in milliseconds.
 pub const SLOW_WRITE_MS: Millis = 1_000.0;
-/// The disk counts as slow for this long after its last slow write, in milliseconds.
+/// Time for which the disk counts as slow after its last slow write, in milliseconds.
 pub const SLOW_STATE_MS: Millis = 10_000.0;
 
-/// The state of the disk. Each `since` is a time on the Unix clock, in milliseconds.
+/// State of the disk. Each `since` is a time on the Unix clock, in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiskState {
     /// No spool directory is configured.
     Absent,
     /// Writes succeed in time.
     Healthy,
-    /// The disk has no space left. Stored pages can be read.
+    /// The disk has no space left. Stored pages can still be read.
     Full {
-        /// When writes began to fail.
+        /// Time when writes began to fail.
         since: Millis,
     },
     /// Writes fail with another error, as on a read-only or broken disk.
     Failing {
-        /// When writes began to fail.
+        /// Time when writes began to fail.
         since: Millis,
-        /// The message of the last error.
+        /// Message of the last error.
         reason: String,
     },
     /// Writes succeed, but take too long.
     Slow {
-        /// When the disk became slow.
+        /// Time when the disk became slow.
         since: Millis,
     },
 }
 
-/// The outcome of a write to the disk.
+/// Outcome of a write to the disk.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WriteOutcome {
     /// The write succeeded.
@@ -51,14 +51,14 @@
 #[derive(Clone, Debug)]
 pub struct DiskHealth {
     state: DiskState,
-    /// After a failure nothing is written before this time.
+    /// Time before which nothing is written after a failure.
     retry_at: Millis,
     last_slow_write_at: Option<Millis>,
     failures: u64,
 }
 
 impl DiskHealth {
-    /// A healthy disk, or an absent one if no spool directory is configured.
+    /// Creates the state of a healthy disk, or of an absent one if no spool directory is configured.
     pub fn new(configured: bool) -> Self {
         let state = if configured {
             DiskState::Healthy
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Records the outcome of a write and its duration in milliseconds. Returns whether the state is another one now;
-    /// a change of its details does not count.
+    /// Records the outcome of a write and its duration in milliseconds. Returns whether the disk has entered
+    /// another state; changed details of the same state do not count.
     pub fn record_write(&mut self, now: Millis, duration: Millis, outcome: WriteOutcome) -> bool {
         let previous = std::mem::discriminant(&self.state);
         if duration > SLOW_WRITE_MS {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Counts a failure and returns since when writes fail.
+    /// Counts a failure and returns the time since which writes have been failing.
     fn record_failure(&mut self, now: Millis) -> Millis {
         self.failures += 1;
         self.retry_at = now + RETRY_INTERVAL_MS;
@@ -116,15 +116,15 @@
         }
     }
 
-    /// Space was freed: a full disk may be tried again at once.
+    /// Allows writes to a full disk again at once, since space was freed.
     pub fn on_space_freed(&mut self) {
         if matches!(self.state, DiskState::Full { .. }) {
             self.retry_at = f64::MIN;
         }
     }
 
-    /// Whether pages may be written now. After a failure this is so from the retry time on: the next write shows the
-    /// state of the disk.
+    /// Returns whether pages may be written now. After a failure, writes are accepted again from the retry
+    /// time on, since only a write reveals whether the disk has recovered.
     pub fn accepts_writes(&self, now: Millis) -> bool {
         match self.state {
             DiskState::Absent => false,
@@ -133,12 +133,12 @@
         }
     }
 
-    /// The current state.
+    /// Returns the current state.
     pub fn state(&self) -> &DiskState {
         &self.state
     }
 
-    /// Failed writes since the start.
+    /// Returns the number of failed writes since the start.
     pub fn failures(&self) -> u64 {
         self.failures
     }
--- a/src/spool/eviction.rs
+++ b/src/spool/eviction.rs
@@ -1,10 +1,11 @@
-//! Which spools may be evicted to make capacity, and in which order.
+//! Eviction: which spools may be evicted to free capacity, and in which order.
 
 use super::commands::SpoolCommand;
 use super::index::{SpoolEntry, SpoolId, SpoolIndex};
 use std::cmp::Ordering;
 
-/// Orders spools by what is evicted first: read to the end, then not protected, then least recently used.
+/// Orders spools by eviction priority: those read to the end first, then those not protected, then the least
+/// recently used.
 fn eviction_order(left: &SpoolEntry, right: &SpoolEntry) -> Ordering {
     right
         .read_to_end
@@ -14,7 +15,8 @@
 }
 
 impl SpoolIndex {
-    /// The spools that may be evicted for a result: complete, without readers, and not protected unless the result is.
+    /// Returns the spools that may be evicted for a result: complete, without readers, and not protected
+    /// unless the result is.
     pub(super) fn evictable_for(
         &self,
         protected: bool,
@@ -24,7 +26,7 @@
             .filter(move |(_, entry)| entry.is_idle() && (protected || !entry.protected))
     }
 
-    /// The next spool to evict for a result, of those that pass `filter`.
+    /// Returns the next spool to evict for a result, among those that pass `filter`.
     pub(super) fn eviction_candidate(
         &self,
         protected: bool,
--- a/src/spool/expiry.rs
+++ b/src/spool/expiry.rs
@@ -1,19 +1,19 @@
-//! The expiry of results that nobody reads.
+//! Expiry of results without readers.
 
 use super::index::{SpoolId, SpoolIndex};
 use crate::decision::model::Millis;
 
-/// Since when a result is complete, and until when it is retained.
+/// Times of completion and expiry of a result.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SpoolLifetime {
-    /// When the last page was added.
+    /// Time when the last page was added.
     pub completed_at: Millis,
-    /// When the result expires. `None` while it is read.
+    /// Time when the result expires. `None` while it has readers.
     pub expires_at: Option<Millis>,
 }
 
 impl SpoolIndex {
-    /// Removes the results whose retention is over, and returns their ids.
+    /// Removes the results whose retention time has elapsed, and returns their ids.
     pub fn expire(&mut self, now: Millis) -> Vec<SpoolId> {
         let retention = self.limits.retention;
         let expired: Vec<SpoolId> = self
@@ -29,7 +29,7 @@
         expired
     }
 
-    /// When the next result expires if nobody reads it.
+    /// Returns the time when the next result expires if it gets no reader.
     pub fn next_expiry(&self) -> Option<Millis> {
         self.entries
             .values()
@@ -38,7 +38,7 @@
             .reduce(f64::min)
     }
 
-    /// The lifetime of a complete result. `None` if there is none with this id.
+    /// Returns the lifetime of a complete result, or `None` if no complete result has this id.
     pub fn lifetime(&self, id: SpoolId) -> Option<SpoolLifetime> {
         let entry = self.entries.get(&id)?;
         let expires_at = entry.last_used_at + self.limits.retention;
--- a/src/spool/handles.rs
+++ b/src/spool/handles.rs
@@ -1,18 +1,18 @@
-//! Handles: who may come back for which result.
+//! Handles: which user may resume which result.
 //!
-//! A handle is 128 random bits, so it cannot be guessed. It belongs to the user who sent the statement. Any other user
-//! gets the same error as for a handle that never existed, so that probing reveals nothing. Only the owner learns
-//! that a result has expired.
+//! A handle is 128 random bits, so it cannot be guessed. It belongs to the user who sent the statement. Any
+//! other user gets the same error as for a handle that never existed, so that probing reveals nothing. Only
+//! the owner learns that a result has expired.
 
 use super::index::SpoolId;
 use std::collections::{HashMap, VecDeque};
 
-/// Expired handles that are remembered for their owners.
+/// Maximum number of expired handles that are remembered, so that their owners learn of the expiry.
 const MAX_EXPIRED_HANDLES: usize = 4_096;
-/// The length of a handle, in hexadecimal digits.
+/// Length of a handle, in hexadecimal digits.
 pub const HANDLE_DIGITS: usize = 32;
 
-/// Why a result cannot be resumed.
+/// Reason why a result cannot be resumed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ResumeError {
     /// The handle never existed, or belongs to another user.
@@ -26,7 +26,7 @@
     Malformed,
 }
 
-/// Rejected handles, by their true reason: operators see what users do not.
+/// Numbers of rejected handles by true reason, which operators see and users do not.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HandleRejections {
     /// Handles of another user.
@@ -37,21 +37,21 @@
     pub expired: u64,
 }
 
-/// The result behind a handle, and its owner.
+/// Spool of a handle, and the owner of the result.
 #[derive(Clone, Debug)]
 struct HandleOwner {
     user: String,
     spool: SpoolId,
 }
 
-/// The handles of the existing results and of the last expired ones.
+/// Handles of the existing results and of the most recently expired ones.
 #[derive(Clone, Debug, Default)]
 pub struct HandleTable {
     live: HashMap<String, HandleOwner>,
     by_spool: HashMap<SpoolId, String>,
-    /// The user of each expired handle.
+    /// Owner of each expired handle.
     expired: HashMap<String, String>,
-    /// The expired handles, the oldest first.
+    /// Expired handles, oldest first.
     expired_order: VecDeque<String>,
     rejections: HandleRejections,
 }
@@ -74,7 +74,7 @@
         self.by_spool.insert(spool, handle.to_string());
     }
 
-    /// The handle of an existing result.
+    /// Returns the handle of an existing result.
     pub fn of_spool(&self, spool: SpoolId) -> Option<&str> {
         self.by_spool.get(&spool).map(String::as_str)
     }
@@ -96,7 +96,7 @@
         self.expired.insert(handle, owner.user);
     }
 
-    /// Finds the result behind a handle, for its owner. Upper-case digits are accepted.
+    /// Returns the spool of a handle to the owner of the result. Upper-case digits are accepted.
     ///
     /// # Errors
     /// See [`ResumeError`]. The handle of another user gives the same error as an unknown one.
@@ -122,17 +122,17 @@
         }
     }
 
-    /// Rejected handles since the start.
+    /// Returns the numbers of rejected handles since the start.
     pub fn rejections(&self) -> HandleRejections {
         self.rejections
     }
 
-    /// The number of existing results with a handle.
+    /// Returns the number of existing results with a handle.
     pub fn len(&self) -> usize {
         self.live.len()
     }
 
-    /// Whether no existing result has a handle.
+    /// Returns whether no existing result has a handle.
     pub fn is_empty(&self) -> bool {
         self.live.is_empty()
     }
--- a/src/spool/index.rs
+++ b/src/spool/index.rs
@@ -1,4 +1,4 @@
-//! The index of all spools: their lifecycle from the first page to the last reader.
+//! Index of all spools, with their lifecycle from the first page to the last reader.
 
 use super::accounting::{SpoolUsage, UsageTotals};
 use super::admission::{AdmissionRequest, SpoolRejection};
@@ -12,47 +12,47 @@
 /// Identifies a spool within one process.
 pub type SpoolId = u64;
 
-/// Events since the start of the process.
+/// Event counts since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SpoolCounters {
     /// Statements that were rejected before they were sent.
     pub rejected: u64,
-    /// Results that were given up while their engine sent them.
+    /// Results that were abandoned while their engine was sending them.
     pub failed: u64,
-    /// Results that were evicted to make capacity.
+    /// Results that were evicted to free capacity.
     pub evicted: u64,
     /// Results that expired.
     pub expired: u64,
-    /// Spools that moved to disk for want of memory.
+    /// Spools that were moved to disk because memory was full.
     pub spilled: u64,
 }
 
 /// A complete result of an earlier process, found on disk.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RestoredSpool {
-    /// Its id in this process.
+    /// Id of the spool in this process.
     pub id: SpoolId,
-    /// The request that it answers.
+    /// Request that the result answers.
     pub request: AdmissionRequest,
-    /// Its pages, in bytes.
+    /// Size of all pages, in bytes.
     pub bytes: u64,
-    /// When it was completed.
+    /// Time of completion.
     pub completed_at: Millis,
 }
 
-/// One spool.
+/// Index entry of one spool.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct SpoolEntry {
     pub(super) tenant: Option<usize>,
     pub(super) class: usize,
     pub(super) protected: bool,
-    /// When its last page was added. `None` while its engine sends it.
+    /// Time when the last page was added. `None` while the engine is sending the result.
     pub(super) completed_at: Option<Millis>,
     pub(super) usage: SpoolUsage,
-    /// Where its next pages go.
+    /// Where the next pages are stored.
     pub(super) target: Placement,
     pub(super) readers: usize,
-    /// A reader has read it to the end.
+    /// Whether a reader has read the result to the end.
     pub(super) read_to_end: bool,
     pub(super) last_used_at: Millis,
 }
@@ -76,19 +76,20 @@
         self.usage.total_bytes()
     }
 
-    /// Complete and without readers: it may be evicted, and it expires.
+    /// Returns whether the spool is complete and has no readers. Only then may it be evicted, and only then
+    /// does it expire.
     pub(super) fn is_idle(&self) -> bool {
         self.completed_at.is_some() && self.readers == 0
     }
 }
 
-/// Accounts for all spools.
+/// Index and accounting of all spools.
 #[derive(Clone, Debug)]
 pub struct SpoolIndex {
     pub(super) limits: SpoolLimits,
     pub(super) entries: BTreeMap<SpoolId, SpoolEntry>,
     pub(super) totals: UsageTotals,
-    /// By the index of the class.
+    /// Size estimates by class index.
     pub(super) class_sizes: Vec<ClassSizes>,
     pub(super) disk_health: DiskHealth,
     pub(super) counters: SpoolCounters,
@@ -96,7 +97,7 @@
 }
 
 impl SpoolIndex {
-    /// An empty index for this number of request classes.
+    /// Creates an empty index for this number of request classes.
     pub fn new(limits: SpoolLimits, class_count: usize) -> Self {
         SpoolIndex {
             disk_health: DiskHealth::new(limits.disk_bytes.is_some()),
@@ -109,7 +110,7 @@
         }
     }
 
-    /// The limits in force.
+    /// Returns the limits in force.
     pub fn limits(&self) -> &SpoolLimits {
         &self.limits
     }
@@ -125,7 +126,8 @@
     /// Opens a spool for a result that has outgrown [`super::MAX_INLINE_RESULT_BYTES`].
     ///
     /// # Errors
-    /// [`SpoolRejection::TooManySpools`] if none can be evicted for it.
+    /// [`SpoolRejection::TooManySpools`] if the maximum number of spools exists and none of them can be
+    /// evicted.
     pub fn open(
         &mut self,
         now: Millis,
@@ -201,7 +203,7 @@
         }
     }
 
-    /// Removes a reader; `read_to_end` tells whether it has read all pages.
+    /// Removes a reader; `read_to_end` states whether it has read all pages.
     pub fn detach_reader(&mut self, now: Millis, id: SpoolId, read_to_end: bool) {
         if let Some(entry) = self.entries.get_mut(&id) {
             entry.readers = entry.readers.saturating_sub(1);
@@ -210,8 +212,8 @@
         }
     }
 
-    /// Records the outcome of a write to the disk and its duration in milliseconds. Returns whether the state of the
-    /// disk has changed.
+    /// Records the outcome of a write to the disk and its duration in milliseconds. Returns whether the state
+    /// of the disk has changed.
     pub fn record_disk_write(
         &mut self,
         now: Millis,
@@ -221,32 +223,32 @@
         self.disk_health.record_write(now, duration, outcome)
     }
 
-    /// The health of the disk.
+    /// Returns the health of the disk.
     pub fn disk_health(&self) -> &DiskHealth {
         &self.disk_health
     }
 
-    /// The event counters.
+    /// Returns the event counters.
     pub fn counters(&self) -> SpoolCounters {
         self.counters
     }
 
-    /// Whether the spool exists.
+    /// Returns whether the spool exists.
     pub fn contains(&self, id: SpoolId) -> bool {
         self.entries.contains_key(&id)
     }
 
-    /// The number of spools.
+    /// Returns the number of spools.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is no spool.
+    /// Returns whether there is no spool.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Removes a spool from all accounts.
+    /// Removes a spool, and its bytes from the totals.
     pub(super) fn remove(&mut self, id: SpoolId) {
         let Some(entry) = self.entries.remove(&id) else {
             return;
--- a/src/spool/limits.rs
+++ b/src/spool/limits.rs
@@ -1,21 +1,22 @@
-//! The configured limits of spooled results.
+//! Configured limits of spooled results.
 
 use crate::decision::model::Millis;
 
 /// Limits on the size, the number and the retention of spooled results.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SpoolLimits {
-    /// All pages in memory together, in bytes.
+    /// Maximum size of all pages in memory, in bytes.
     pub memory_bytes: u64,
-    /// All pages on disk together, in bytes. `None` without a spool directory.
+    /// Maximum size of all pages on disk, in bytes. `None` without a spool directory.
     pub disk_bytes: Option<u64>,
-    /// All results of one tenant in memory and on disk, in bytes. Requests without a tenant count as one tenant.
+    /// Maximum size of all results of one tenant in memory and on disk, in bytes. Requests without a tenant
+    /// count as one tenant.
     pub tenant_bytes: u64,
-    /// One result, in bytes.
+    /// Maximum size of one result, in bytes.
     pub result_bytes: u64,
-    /// How long a complete result is retained after its last use, in milliseconds.
+    /// Time for which a complete result is retained after its last use, in milliseconds.
     pub retention: Millis,
-    /// Spools that exist at a time.
+    /// Maximum number of spools that exist at the same time.
     pub max_spools: usize,
 }
 
--- a/src/spool/placement.rs
+++ b/src/spool/placement.rs
@@ -1,4 +1,4 @@
-//! Where pages go: in memory, or on disk when memory is full.
+//! Placement of pages: in memory, or on disk when memory is full.
 
 use super::admission::SpoolRejection;
 use super::commands::{AddPageOutcome, Placement, SpoolCommand};
@@ -6,8 +6,8 @@
 use crate::decision::model::Millis;
 
 impl SpoolIndex {
-    /// Adds a page of so many bytes to a spool. When it is rejected the whole result has to be given up with
-    /// [`SpoolIndex::fail`]; the commands have to be carried out in either case.
+    /// Adds a page of this size, in bytes, to a spool. If the page is rejected, the caller has to abandon the
+    /// whole result with [`SpoolIndex::fail`]. The commands have to be executed in either case.
     pub fn add_page(&mut self, now: Millis, id: SpoolId, bytes: u64) -> AddPageOutcome {
         let mut commands = vec![];
         let placement = self.try_add_page(now, id, bytes, &mut commands);
@@ -24,7 +24,7 @@
         bytes: u64,
         commands: &mut Vec<SpoolCommand>,
     ) -> Result<Placement, SpoolRejection> {
-        // Nothing is evicted for a page that would not fit after all.
+        // The limits are checked first, so that nothing is evicted for a page that cannot be stored.
         self.check_limits(now, id, bytes)?;
         self.make_tenant_capacity(id, bytes, commands)?;
         let placement = self.make_capacity(now, id, bytes, commands)?;
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Where a page fits without an eviction; spills spools to disk if that frees enough memory.
+    /// Returns where a page fits without an eviction. Spills spools to disk if that frees enough memory.
     fn place_page(
         &mut self,
         now: Millis,
@@ -102,8 +102,8 @@
         if self.is_spilled(id) && self.fits_on_disk(now, bytes) {
             return Some(Placement::Disk);
         }
-        // The spool with most memory is spilled: its reader is furthest behind, and memory then serves many small
-        // results again.
+        // The spool with the most bytes in memory is spilled: its reader is furthest behind, and the freed
+        // memory then serves many small results.
         while self.totals.usage.memory_bytes + bytes > self.limits.memory_bytes {
             let (largest, largest_bytes) = self.largest_in_memory()?;
             if !self.fits_on_disk(now, largest_bytes + bytes) {
@@ -136,7 +136,7 @@
                 .is_some_and(|limit| used + bytes <= limit)
     }
 
-    /// Moves a spool to disk, and all its pages to come.
+    /// Moves a spool to disk; its later pages are stored there as well.
     fn spill(&mut self, id: SpoolId, commands: &mut Vec<SpoolCommand>) {
         if let Some(entry) = self.entries.get_mut(&id) {
             let bytes = entry.usage.memory_bytes;
@@ -161,7 +161,7 @@
         commands
     }
 
-    /// Whether the pages of the spool go to disk.
+    /// Returns whether the pages of the spool are stored on disk.
     pub fn is_spilled(&self, id: SpoolId) -> bool {
         self.entries
             .get(&id)
--- a/src/spool/tests/admission.rs
+++ b/src/spool/tests/admission.rs
@@ -32,7 +32,7 @@
         "another tenant has capacity"
     );
 
-    // Everything is in use and read.
+    // Every stored result has a reader, so none can be evicted.
     for tenant in 1..4 {
         if let Ok(spool) = spool_result(&mut index, 12.0, report(tenant), 15) {
             index.attach_reader(12.0, spool.id);
@@ -46,9 +46,9 @@
         panic!("nobody has capacity")
     };
     assert!(reason.contains("neither memory nor disk"), "{reason}");
-    assert_eq!(retry_after, None, "the end of the readers is not known");
+    assert_eq!(retry_after, None, "it is unknown when the readers finish");
 
-    // A reader that ends makes its result evictable.
+    // Detaching the reader makes its result evictable.
     index.detach_reader(20.0, first.id, false);
     assert_eq!(index.admit(21.0, report(7)), Admission::Admitted);
     assert_eq!(index.next_expiry(), Some(1020.0));
--- a/src/spool/tests/disk_health.rs
+++ b/src/spool/tests/disk_health.rs
@@ -2,21 +2,21 @@
 use crate::spool::disk_health::{RETRY_INTERVAL_MS, SLOW_STATE_MS};
 
 #[test]
-fn a_failing_disk_is_reported_and_tried_again() {
+fn a_failing_disk_is_reported_and_retried() {
     let mut index = new_index();
     let stored = spool_result(&mut index, 0.0, report(0), 20).unwrap();
     assert!(index.attach_reader(0.0, stored.id));
     assert!(index.record_disk_write(10.0, 1.0, WriteOutcome::Full));
     assert!(
         !index.record_disk_write(11.0, 1.0, WriteOutcome::Full),
-        "the same state"
+        "the state has not changed"
     );
     assert_eq!(
         index.disk_health().state(),
         &DiskState::Full { since: 10.0 }
     );
 
-    // Only memory remains. What does not fit there fails, and what is stored stays.
+    // Only memory is available: a result that does not fit there fails, and stored results stay.
     assert_eq!(
         spool_result(&mut index, 20.0, report(1), 11),
         Err(SpoolRejection::NoCapacity)
--- a/src/spool/tests/handles.rs
+++ b/src/spool/tests/handles.rs
@@ -6,13 +6,13 @@
 #[test]
 fn a_handle_resolves_for_its_owner_only() {
     let mut handles = HandleTable::default();
-    let anns = handles.issue(1, "ann", 0x1234_5678_9abc_def0_1234_5678_9abc_def0);
-    let bobs = handles.issue(2, "bob", 7);
-    assert_eq!(anns.len(), HANDLE_DIGITS);
-    assert_eq!(handles.resolve("ann", &anns), Ok(1));
-    assert_eq!(handles.resolve("bob", &bobs), Ok(2));
-    assert_eq!(handles.resolve("ann", &anns.to_uppercase()), Ok(1));
-    let other_user = handles.resolve("ann", &bobs).unwrap_err();
+    let ann_handle = handles.issue(1, "ann", 0x1234_5678_9abc_def0_1234_5678_9abc_def0);
+    let bob_handle = handles.issue(2, "bob", 7);
+    assert_eq!(ann_handle.len(), HANDLE_DIGITS);
+    assert_eq!(handles.resolve("ann", &ann_handle), Ok(1));
+    assert_eq!(handles.resolve("bob", &bob_handle), Ok(2));
+    assert_eq!(handles.resolve("ann", &ann_handle.to_uppercase()), Ok(1));
+    let other_user = handles.resolve("ann", &bob_handle).unwrap_err();
     let unknown = handles.resolve("ann", UNKNOWN_HANDLE).unwrap_err();
     assert_eq!(
         other_user.to_string(),
@@ -21,9 +21,12 @@
     );
 
     handles.expire(1);
-    assert_eq!(handles.resolve("ann", &anns), Err(ResumeError::Expired));
     assert_eq!(
-        handles.resolve("bob", &anns).unwrap_err().to_string(),
+        handles.resolve("ann", &ann_handle),
+        Err(ResumeError::Expired)
+    );
+    assert_eq!(
+        handles.resolve("bob", &ann_handle).unwrap_err().to_string(),
         unknown.to_string()
     );
     assert_eq!(
--- a/src/spool/tests/invariants.rs
+++ b/src/spool/tests/invariants.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// What the test expects of a spool.
+/// Expected state of a spool.
 #[derive(Clone, Copy)]
 struct ExpectedSpool {
     protected: bool,
@@ -55,7 +55,7 @@
     readers: usize,
 }
 
-/// An index and what the test expects of it.
+/// An index and the expected state of its spools.
 struct Model {
     index: SpoolIndex,
     now: Millis,
@@ -196,8 +196,8 @@
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None,
         rng_seed: proptest::test_runner::RngSeed::Fixed(9), ..ProptestConfig::default() })]
 
-    /// The accounts match the spools and stay within the limits, and no spool is removed that is read, incomplete, or
-    /// protected from the result that needs the capacity.
+    /// The totals match the spools and stay within the limits, and no spool is removed while it is read or
+    /// incomplete, or if it is protected from the result that needs the capacity.
     #[test]
     fn limits_hold_and_evictions_are_legitimate(operations in operations()) {
         let limits = SpoolLimits { max_spools: 6, ..limits() };
--- a/src/spool/tests/mod.rs
+++ b/src/spool/tests/mod.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// Spools a complete result of so many pages of 10 KB.
+/// Spools a complete result of this number of pages of 10 KB.
 fn spool_result(
     index: &mut SpoolIndex,
     now: Millis,
