--- a/src/spool_io/completion.rs
+++ b/src/spool_io/completion.rs
@@ -1,4 +1,4 @@
-//! The background task: completions of disk writes, expiry and retries.
+//! Background task that handles completed disk writes, expiry and retries.
 
 use super::disk::{DiskCommand, DiskCompletion, WriteFailure, Written};
 use super::result::{BufferedPageState, SpooledResult};
@@ -11,13 +11,14 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// The interval of the checks for expired results and for writes to be tried again.
+/// Interval between checks for expired results and for writes to retry.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Spools {
     /// Processes the completions of disk writes, and removes expired results. Never returns.
     pub async fn run(self: Rc<Self>, completions: Option<mpsc::UnboundedReceiver<DiskCompletion>>) {
-        // Without a disk, an open channel without messages leaves the loop to the timer.
+        // Without a disk, an open channel that never receives a message keeps the loop running on the timer
+        // alone.
         let (_keeps_open, no_completions) = mpsc::unbounded_channel();
         let mut completions = completions.unwrap_or(no_completions);
         let mut maintenance = tokio::time::interval(MAINTENANCE_INTERVAL);
@@ -71,7 +72,7 @@
             self.retry_writes.set(true);
         }
         if let Written::Page { bytes, .. } = completion.written {
-            // Also if the result has been removed in the meantime.
+            // The bytes are no longer pending, even if the result has been removed in the meantime.
             let pending = self.pending_write_bytes.get();
             self.pending_write_bytes.set(pending.saturating_sub(bytes));
         }
--- a/src/spool_io/disk/directories.rs
+++ b/src/spool_io/disk/directories.rs
@@ -12,16 +12,18 @@
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The size of a segment, in bytes: at most this, a quarter of the quota, and at least the minimum.
+/// Maximum size of a segment, in bytes. A segment is also limited to a quarter of the quota, but to no less
+/// than [`MIN_SEGMENT_BYTES`].
 const MAX_SEGMENT_BYTES: u64 = 16 << 20;
+/// Smallest value of the maximum segment size, in bytes.
 const MIN_SEGMENT_BYTES: u64 = 64 << 10;
-/// Directories of processes that are considered.
+/// Maximum number of process directories that are considered.
 const MAX_DIRECTORIES: usize = 16;
-/// The prefix of the directory of a process.
+/// Prefix of the name of a process directory.
 const DIRECTORY_PREFIX: &str = "own-";
 const LOCK_FILE: &str = "lock";
 
-/// The position of the directory that this process writes to.
+/// Position of the directory that this process writes to.
 pub(super) const OWN_DIRECTORY: usize = 0;
 
 /// A directory that this process has locked.
@@ -31,22 +33,22 @@
     _lock: File,
 }
 
-/// Where a spool is stored.
+/// Location of a spool.
 #[derive(Clone, Copy)]
 struct SpoolLocation {
     directory: usize,
-    /// The id of the spool within the directory.
+    /// Id of the spool within the directory.
     local_id: u64,
 }
 
-/// The directories of this process, and where each spool is stored.
+/// Directories that this process has locked, and the location of each spool.
 pub(super) struct DirectorySet {
     root: PathBuf,
-    /// The first one is written to. The others are of processes that have ended; they are removed with their last spool
-    /// and keep their position here.
+    /// The first one is written to. The others belonged to processes that have ended; each is removed from
+    /// the disk with its last spool and keeps its position here.
     directories: Vec<LockedDirectory>,
     locations: HashMap<SpoolId, SpoolLocation>,
-    /// The next id in the own directory, above all that earlier processes used there.
+    /// Next id in the own directory, above all ids that earlier processes used there.
     next_local_id: u64,
 }
 
@@ -54,8 +56,8 @@
 pub(super) type FoundSpools = Vec<(SpoolId, PersistedSpool)>;
 
 impl DirectorySet {
-    /// Takes over the directories of processes that have ended, and makes one if there is none. The spools found get ids
-    /// from `first_id` on.
+    /// Takes over the directories of processes that have ended, and creates one if there is none. The spools
+    /// found get ids from `first_id` on.
     pub(super) fn open(
         root: &Path,
         quota_bytes: u64,
@@ -100,7 +102,7 @@
         let files = SegmentDirectory::new(&path)?;
         let (log, recovery) = match SegmentLog::open(files, limits) {
             Ok(opened) => opened,
-            // It may be of a later version, for example.
+            // For example, a later version of this program may have written the directory.
             Err(error) => {
                 log_line!(
                     "spools: {}: {error}; the directory is not used",
@@ -137,11 +139,19 @@
     }
 
     fn create_directory(&mut self, limits: SegmentLimits) -> io::Result<()> {
-        let name = format!("{DIRECTORY_PREFIX}{}-{}", std::process::id(), unique());
+        let name = format!(
+            "{DIRECTORY_PREFIX}{}-{}",
+            std::process::id(),
+            unix_time_nanos()
+        );
         let path = self.root.join(name);
         std::fs::create_dir_all(&path)?;
-        let lock =
-            lock(&path)?.ok_or_else(|| io::Error::other("a new directory is already locked"))?;
+        let lock = lock(&path)?.ok_or_else(|| {
+            io::Error::other(format!(
+                "the new spool directory {} is already locked",
+                path.display()
+            ))
+        })?;
         let (log, _) = SegmentLog::open(SegmentDirectory::new(&path)?, limits)?;
         self.directories.push(LockedDirectory {
             log,
@@ -151,12 +161,12 @@
         Ok(())
     }
 
-    /// The log of the own directory.
+    /// Returns the log of the own directory.
     pub(super) fn own_log(&mut self) -> &mut SegmentLog<SegmentDirectory> {
         &mut self.directories[OWN_DIRECTORY].log
     }
 
-    /// The local id of a spool in the own directory.
+    /// Returns the local id of a spool in the own directory.
     pub(super) fn own_local_id(&self, spool: SpoolId) -> Option<u64> {
         self.locations
             .get(&spool)
@@ -197,7 +207,7 @@
             .read_page(location.local_id, page)
     }
 
-    /// Removes a spool, and with its last one the directory of a process that has ended.
+    /// Removes a spool. The directory of a process that has ended is removed with its last spool.
     pub(super) fn remove(&mut self, spool: SpoolId) {
         let Some(location) = self.locations.remove(&spool) else {
             return;
@@ -301,14 +311,14 @@
     }
 }
 
-/// A number that no other start of this process has used.
-fn unique() -> u128 {
+/// Returns the Unix time in nanoseconds, which distinguishes processes with the same id.
+fn unix_time_nanos() -> u128 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since_epoch| since_epoch.as_nanos())
 }
 
-/// The directories of all processes, in order of their names.
+/// Returns the directories of all processes, sorted by name.
 fn process_directories(root: &Path) -> io::Result<Vec<PathBuf>> {
     let mut paths = vec![];
     for entry in std::fs::read_dir(root)? {
@@ -326,7 +336,7 @@
     Ok(paths)
 }
 
-/// Locks a directory. `None` if a running process has locked it.
+/// Locks a directory. Returns `None` if a running process has locked it.
 fn lock(path: &Path) -> io::Result<Option<File>> {
     let file = File::create(path.join(LOCK_FILE))?;
     match file.try_lock() {
@@ -336,7 +346,7 @@
     }
 }
 
-/// The segments of another running process: they are read and never changed.
+/// Segment files of another running process, which are read and never changed.
 struct ReadOnlyFiles(SegmentDirectory);
 
 impl SegmentFiles for ReadOnlyFiles {
--- a/src/spool_io/disk/mod.rs
+++ b/src/spool_io/disk/mod.rs
@@ -1,8 +1,8 @@
-//! The thread that owns the disk. Commands go in, and the completion of each write comes back; the async runtime never
-//! waits for a file.
+//! The thread that does all disk I/O. It receives commands and reports the completion of each write, so that
+//! the async runtime never blocks on a file.
 //!
-//! Each process has a directory of its own below the configured one, locked while it runs. Directories whose lock is
-//! free are taken over at the start; those of running processes are only read.
+//! Each process has a directory of its own below the configured one, locked while it runs. Directories whose
+//! lock is free are taken over at the start; those of running processes are only read.
 
 mod directories;
 mod worker;
@@ -17,57 +17,58 @@
 use tokio::sync::{mpsc, oneshot};
 use worker::Worker;
 
-/// Commands that wait for the thread at a time.
+/// Maximum number of commands that are queued for the thread.
 const COMMAND_QUEUE_CAPACITY: usize = 4096;
 
 /// Selects a spool by the content of its begin frame.
 pub type SpoolPredicate = Box<dyn Fn(&[u8]) -> bool + Send>;
 
-/// A command to the disk thread. Pages of one spool are written in order; after a page has failed no later one is
-/// written before the failed one is repeated.
+/// Command to the disk thread. Pages of one spool are written in order: after a failed page, no later one is
+/// written before the failed one has been written.
 pub enum DiskCommand {
     /// Begin a spool.
     Begin {
-        /// The spool.
+        /// Id of the spool.
         spool: SpoolId,
-        /// The content of its begin frame.
+        /// Content of the begin frame.
         content: Vec<u8>,
     },
     /// Append a page.
     AppendPage {
-        /// The spool.
+        /// Id of the spool.
         spool: SpoolId,
-        /// The index of the page.
+        /// Index of the page.
         page: u32,
-        /// Rows in the page.
+        /// Number of rows in the page.
         rows: u32,
-        /// The content of the page.
+        /// Content of the page.
         bytes: Bytes,
     },
     /// Complete a spool.
     End {
-        /// The spool.
+        /// Id of the spool.
         spool: SpoolId,
-        /// The content of its end frame.
+        /// Content of the end frame.
         content: Vec<u8>,
     },
     /// Remove a spool.
     Remove {
-        /// The spool.
+        /// Id of the spool.
         spool: SpoolId,
     },
     /// Read a page.
     ReadPage {
-        /// The spool.
+        /// Id of the spool.
         spool: SpoolId,
-        /// The index of the page.
+        /// Index of the page.
         page: u32,
         /// Receives the content of the page.
         reply: oneshot::Sender<Result<Vec<u8>, ReadError>>,
     },
-    /// Copy the first complete spool that the predicate selects from the directory of another running process.
+    /// Copy the first complete spool that the predicate selects from the directory of another running
+    /// process.
     Import {
-        /// The id of the copy.
+        /// Id of the copy.
         spool: SpoolId,
         /// Selects the spool.
         predicate: SpoolPredicate,
@@ -76,15 +77,15 @@
     },
     /// Change the limit on the size of each directory.
     SetQuota {
-        /// The limit, in bytes.
+        /// Limit, in bytes.
         bytes: u64,
     },
 }
 
-/// Why a page cannot be read from the disk.
+/// Reason why a page cannot be read from the disk.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReadError {
-    /// The page is not as it was written.
+    /// The page is corrupt: its content differs from what was written.
     #[error("a page is torn on the disk")]
     Corrupt,
     /// The disk failed with this message.
@@ -92,39 +93,39 @@
     Disk(String),
 }
 
-/// What a completed command has written.
+/// What a write command was to write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Written {
     /// The begin frame.
     Begin,
     /// A page.
     Page {
-        /// The index of the page.
+        /// Index of the page.
         page: u32,
-        /// Its content, in bytes.
+        /// Size of the content of the page, in bytes.
         bytes: u64,
     },
     /// The end frame.
     End,
 }
 
-/// The completion of a write.
+/// Completion of a write.
 #[derive(Debug)]
 pub struct DiskCompletion {
-    /// The spool.
+    /// Id of the spool.
     pub spool: SpoolId,
     /// What was to be written.
     pub written: Written,
-    /// How long the write took.
+    /// Duration of the write.
     pub duration: Duration,
-    /// Whether it was written.
+    /// Outcome of the write.
     pub result: Result<(), WriteFailure>,
 }
 
-/// Why a write has failed.
+/// Reason why a write has failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteFailure {
-    /// An earlier write of the same spool has failed, so this one was not tried.
+    /// An earlier write of the same spool has failed, so this one was not attempted.
     Skipped,
     /// The disk or the quota is full.
     Full,
@@ -135,16 +136,16 @@
 /// A complete spool on the disk.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PersistedSpool {
-    /// The content of its begin frame.
+    /// Content of the begin frame.
     pub begin: Vec<u8>,
-    /// The content of its end frame.
+    /// Content of the end frame.
     pub end: Vec<u8>,
-    /// Its pages, in order.
+    /// Pages of the spool, in order.
     pub pages: Vec<RecoveredPage>,
 }
 
 impl PersistedSpool {
-    /// The content of all pages, in bytes.
+    /// Returns the size of the content of all pages, in bytes.
     pub fn content_bytes(&self) -> u64 {
         self.pages
             .iter()
@@ -163,13 +164,13 @@
     }
 }
 
-/// The started thread and what it has found.
+/// A started disk thread, and the spools that were found on the disk.
 pub struct DiskStartup {
     /// Sends commands to the thread.
     pub disk: DiskHandle,
     /// Receives the completion of each write.
     pub completions: mpsc::UnboundedReceiver<DiskCompletion>,
-    /// The complete spools of earlier processes, by the ids that they have in this process.
+    /// Complete spools of earlier processes, with the ids that they have in this process.
     pub spools: Vec<(SpoolId, PersistedSpool)>,
 }
 
@@ -179,8 +180,8 @@
 }
 
 impl DiskHandle {
-    /// Opens the directory, which may take a while, and starts the thread. Each directory of a process may use
-    /// `quota_bytes`. The spools found get ids from `first_id` on.
+    /// Opens the directory, which may block for a while, and starts the thread. Each directory of a process
+    /// may use `quota_bytes`. The spools found get ids from `first_id` on.
     ///
     /// # Errors
     /// The directory cannot be used.
--- a/src/spool_io/disk/worker.rs
+++ b/src/spool_io/disk/worker.rs
@@ -9,13 +9,14 @@
 use std::time::Instant;
 use tokio::sync::mpsc;
 
-/// Bytes that a compaction copies between two commands.
+/// Number of copied bytes after which a compaction step ends, so that a waiting command is executed next.
 const COMPACTION_STEP_BYTES: u64 = 1 << 20;
 
-/// Carries out the commands.
+/// Executes the commands to the disk thread.
 pub(super) struct Worker {
     directories: DirectorySet,
-    /// The failed page of each spool with one: no other page of the spool is written before it.
+    /// Failed page of each spool that has one. No other page of such a spool is written before the failed
+    /// one.
     failed_pages: HashMap<SpoolId, u32>,
     completions: mpsc::UnboundedSender<DiskCompletion>,
 }
@@ -40,7 +41,7 @@
         }
     }
 
-    /// One step of compaction. Returns whether there may be more to do.
+    /// Runs one step of compaction. Returns whether there may be more to do.
     fn compact(&mut self) -> bool {
         self.directories
             .own_log()
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Carries out a write and reports its completion.
+    /// Executes a write and reports its completion.
     fn write(
         &mut self,
         spool: SpoolId,
@@ -131,7 +132,7 @@
             .directories
             .own_log()
             .append_page(local_id, rows, bytes);
-        // Dead bytes count against the quota until they are compacted.
+        // Dead bytes count against the quota until compaction frees them.
         while matches!(result, Err(SegmentError::Quota(_))) && self.compact() {
             result = self
                 .directories
--- a/src/spool_io/listing.rs
+++ b/src/spool_io/listing.rs
@@ -1,4 +1,4 @@
-//! Finding spooled results: by id, by handle, and all of a user.
+//! Look-up of spooled results by id, by handle and by user.
 
 use super::disk::{DiskCommand, SpoolPredicate};
 use super::reader::ResultReader;
@@ -10,30 +10,30 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// Results of other processes that one listing imports.
+/// Maximum number of results of other processes that one listing imports.
 const MAX_IMPORTS_PER_LISTING: usize = 16;
 
-/// A result that its owner can resume.
+/// Description of a result that its owner can resume.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResultListing {
-    /// The handle by which it is resumed.
+    /// Handle for resuming the result.
     pub handle: String,
-    /// The beginning of the statement.
+    /// Beginning of the statement.
     pub statement: String,
-    /// The number of pages.
+    /// Number of pages.
     pub pages: usize,
-    /// The number of rows.
+    /// Number of rows.
     pub rows: u64,
-    /// Bytes of all pages.
+    /// Size of all pages, in bytes.
     pub bytes: u64,
-    /// Seconds since it was completed.
+    /// Seconds since the result was completed.
     pub age_s: f64,
-    /// Seconds until it expires. `None` while it is read.
+    /// Seconds until the result expires. `None` while it has readers.
     pub expires_in_s: Option<f64>,
 }
 
 impl Spools {
-    /// Reads a result from this page on. `None` if it does not exist.
+    /// Returns a reader of the result that starts at this page, or `None` if the result does not exist.
     pub fn reader(self: &Rc<Self>, id: SpoolId, first_page: u32) -> Option<ResultReader> {
         let exists = self
             .index
@@ -42,7 +42,7 @@
         exists.then(|| ResultReader::new(self.clone(), id, first_page))
     }
 
-    /// Calls `inspect` with a result. `None` if it does not exist.
+    /// Calls `inspect` with a result. Returns `None` if the result does not exist.
     pub fn with_result<T>(
         &self,
         id: SpoolId,
@@ -51,12 +51,12 @@
         self.results.borrow().get(&id).map(inspect)
     }
 
-    /// The handle of a result.
+    /// Returns the handle of a result.
     pub fn handle(&self, id: SpoolId) -> Option<String> {
         self.handles.borrow().of_spool(id).map(str::to_string)
     }
 
-    /// Finds the result behind a handle of this user, also in the directories of other processes.
+    /// Finds the result with this handle of this user, also in the directories of other processes.
     ///
     /// # Errors
     /// See [`ResumeError`].
@@ -76,7 +76,7 @@
             .ok_or(ResumeError::Unknown)
     }
 
-    /// The complete results of a user, also those of other processes.
+    /// Returns the complete results of a user, including those of other processes.
     pub async fn list(self: &Rc<Self>, user: &str) -> Vec<ResultListing> {
         self.import_results_of(user).await;
         let now = process_time_millis();
@@ -132,7 +132,8 @@
         results.keys().filter_map(|id| self.handle(*id)).collect()
     }
 
-    /// Copies a result of another process. Only one import runs at a time, since it reads all that others have written.
+    /// Copies a result of another process into the directory of this one. Only one import runs at a time,
+    /// since each reads all that the other processes have written.
     async fn import(self: &Rc<Self>, predicate: SpoolPredicate) -> Option<SpoolId> {
         let disk = self.disk.as_ref()?;
         if self.import_in_progress.replace(true) {
--- a/src/spool_io/mod.rs
+++ b/src/spool_io/mod.rs
@@ -1,8 +1,10 @@
-//! Spooled results between engines and clients: the pages in memory and on disk, and their readers. [`crate::spool`]
-//! decides what becomes of them; this module carries that out.
+//! Spooled results between engines and clients: the pages in memory and on disk, and their readers.
+//! [`crate::spool`] decides where pages are stored and which results are removed; this module executes its
+//! commands.
 //!
-//! A [`ResultWriter`] takes the packets of one attempt. A result that outgrows [`MAX_INLINE_RESULT_BYTES`] is cut into
-//! pages and spooled in [`Spools`], where a [`ResultReader`] reads them at the pace of its client.
+//! A [`ResultWriter`] receives the packets of one attempt. A result that outgrows [`MAX_INLINE_RESULT_BYTES`]
+//! is cut into pages and spooled in [`Spools`], where a [`ResultReader`] reads them at the pace of its
+//! client.
 
 mod completion;
 pub mod disk;
--- a/src/spool_io/paging.rs
+++ b/src/spool_io/paging.rs
@@ -1,4 +1,4 @@
-//! Adding pages to spooled results, and moving them to the disk.
+//! Adding pages to spooled results, and writing them to the disk.
 
 use super::disk::{DiskCommand, DiskHandle};
 use super::result::{
@@ -9,7 +9,7 @@
 use crate::spool::{AdmissionRequest, Placement, SpoolCommand, SpoolId, SpoolRejection};
 use bytes::Bytes;
 
-/// Bytes that may be on their way to the disk. Above that, engines are read no faster than the disk writes.
+/// Maximum number of bytes in pending disk writes. Above it, engines are read no faster than the disk writes.
 const MAX_PENDING_WRITE_BYTES: u64 = 4 << 20;
 
 /// The disk command queue is full.
@@ -28,7 +28,7 @@
         let id = opened.id;
         let mut random = [0; 16];
         if getrandom::fill(&mut random).is_err() {
-            // Without random numbers any handle could be guessed.
+            // Without random numbers the handle could be guessed.
             self.index.borrow_mut().fail(id);
             return Err(SpoolRejection::TooManySpools);
         }
@@ -40,7 +40,8 @@
         Ok(id)
     }
 
-    /// Adds a page to an incomplete result. Waits while too much is on its way to the disk.
+    /// Adds a page to an incomplete result. Waits while more than [`MAX_PENDING_WRITE_BYTES`] are in pending
+    /// disk writes.
     pub(super) async fn add_page(
         &self,
         id: SpoolId,
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Sends to the disk, in order, what of a spilled result has not been sent yet.
+    /// Sends the unsent parts of a spilled result to the disk, in order.
     pub(super) fn write_to_disk(&self, id: SpoolId) {
         let Some(disk) = &self.disk else { return };
         if !self.index.borrow().is_spilled(id) {
@@ -152,7 +153,8 @@
         Ok(())
     }
 
-    /// Sends the pages in memory. On an error, the rest stays in memory for now.
+    /// Sends the pages in memory to the disk. If the queue is full, the remaining pages stay in memory until
+    /// a retry.
     fn send_pages(
         &self,
         disk: &DiskHandle,
--- a/src/spool_io/reader.rs
+++ b/src/spool_io/reader.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// Why a page cannot be read.
+/// Reason why a page cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SpoolError {
     /// The disk failed, or the page is corrupt.
@@ -20,7 +20,7 @@
     Removed,
 }
 
-/// Reads a spooled result, which is retained while a reader exists.
+/// Reader of a spooled result. The result is retained while a reader exists.
 pub struct ResultReader {
     spools: Rc<Spools>,
     id: SpoolId,
@@ -38,12 +38,12 @@
         }
     }
 
-    /// The id of the result.
+    /// Returns the id of the result.
     pub fn id(&self) -> SpoolId {
         self.id
     }
 
-    /// The rows of the next page as a sequence of packets, or `None` after the last one.
+    /// Returns the rows of the next page as a sequence of packets, or `None` after the last page.
     ///
     /// # Errors
     /// The page is corrupt or cannot be read, or the result has been removed.
--- a/src/spool_io/result.rs
+++ b/src/spool_io/result.rs
@@ -1,4 +1,4 @@
-//! A spooled result: its pages in memory, and the form in which it is persisted.
+//! A spooled result: its pages in memory, and its persisted representation.
 
 use super::disk::PersistedSpool;
 use crate::decision::model::Millis;
@@ -7,40 +7,40 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// The owner of a result, and the statement that it answers.
+/// Owner of a result, and the statement that the result answers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResultOwner {
-    /// The user who sent the statement.
+    /// User who sent the statement.
     pub user: String,
-    /// The beginning of the statement, by which its owner recognises it.
+    /// Beginning of the statement, by which the owner recognises the result.
     pub statement: String,
-    /// The rows are encoded in the binary protocol.
+    /// Whether the rows are encoded in the binary protocol.
     pub binary: bool,
 }
 
 /// A spooled result.
 pub struct SpooledResult {
-    /// Its owner.
+    /// Owner of the result.
     pub owner: ResultOwner,
-    /// The request that it answers.
+    /// Request that the result answers.
     pub request: AdmissionRequest,
-    /// The packets before the rows: the column count, the columns and their end.
+    /// Packets before the rows: the column count, the column definitions and the packet that ends them.
     pub header: Bytes,
-    /// The last packet. `None` while the result is incomplete.
+    /// Last packet. `None` while the result is incomplete.
     pub trailer: Option<Bytes>,
-    /// Rows so far.
+    /// Number of rows so far.
     pub rows: u64,
-    /// Bytes of all pages so far.
+    /// Size of all pages so far, in bytes.
     pub bytes: u64,
-    /// When the spool was opened.
+    /// Time when the spool was opened.
     pub created_at: Millis,
-    /// The first pages, which are on disk.
+    /// Number of leading pages that are on disk and no longer in memory.
     pub(super) pages_on_disk: usize,
-    /// The pages after them.
+    /// Pages in memory, which follow those on disk.
     pub(super) buffered_pages: VecDeque<BufferedPage>,
-    /// The begin frame is written or sent to the disk.
+    /// Whether the begin frame has been sent to the disk.
     pub(super) begin_sent: bool,
-    /// The end frame is written or sent to the disk.
+    /// Whether the end frame has been sent to the disk.
     pub(super) end_sent: bool,
 }
 
@@ -51,20 +51,20 @@
     pub(super) state: BufferedPageState,
 }
 
-/// Whether a page in memory is also on its way to the disk.
+/// Whether a page in memory is also being written to the disk.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum BufferedPageState {
     InMemory,
     Writing,
 }
 
-/// Where a page is found.
+/// Location of a page.
 pub(super) enum PageSource {
     /// On disk.
     Disk,
     /// In memory.
     Memory(Bytes),
-    /// There is no such page.
+    /// The result has no such page.
     End,
 }
 
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The number of pages so far.
+    /// Returns the number of pages so far.
     pub fn page_count(&self) -> usize {
         self.pages_on_disk + self.buffered_pages.len()
     }
@@ -115,13 +115,13 @@
         }
     }
 
-    /// Whether the result is complete and its end has not been sent to the disk.
+    /// Returns whether the result is complete and its end frame has not been sent to the disk.
     pub(super) fn needs_persisting(&self) -> bool {
         self.trailer.is_some() && !self.end_sent
     }
 }
 
-/// The content of a begin frame, as JSON before the packets of the header.
+/// Content of a begin frame: JSON, followed by the packets of the header.
 #[derive(Serialize, Deserialize)]
 pub(super) struct PersistedBegin {
     pub(super) user: String,
@@ -136,7 +136,7 @@
     pub(super) created_at: Millis,
 }
 
-/// The content of an end frame, as JSON before the last packet.
+/// Content of an end frame: JSON, followed by the last packet.
 #[derive(Serialize, Deserialize)]
 pub(super) struct PersistedEnd {
     pub(super) rows: u64,
@@ -145,10 +145,11 @@
     pub(super) completed_at: Millis,
 }
 
-/// The length of the prefix with the length of the JSON text, in bytes.
+/// Size of the prefix that states the length of the JSON text, in bytes.
 const JSON_LENGTH_BYTES: usize = 4;
 
-/// Encodes a JSON value before other bytes: the length of the JSON text as a big-endian `u32`, the text, and the bytes.
+/// Encodes a JSON value and a payload: the length of the JSON text as a big-endian `u32`, the text, and the
+/// payload.
 pub(super) fn encode_with_json(value: &impl Serialize, payload: &[u8]) -> Vec<u8> {
     let json = serde_json::to_vec(value).unwrap_or_default();
     let mut bytes = Vec::with_capacity(JSON_LENGTH_BYTES + json.len() + payload.len());
@@ -158,7 +159,7 @@
     bytes
 }
 
-/// Decodes what [`encode_with_json`] has encoded.
+/// Decodes the output of [`encode_with_json`].
 pub(super) fn decode_with_json<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Option<(T, Bytes)> {
     let (length, remaining) = bytes.split_first_chunk::<JSON_LENGTH_BYTES>()?;
     let (json, payload) = remaining.split_at_checked(u32::from_be_bytes(*length) as usize)?;
@@ -174,8 +175,8 @@
 }
 
 impl RestoredResult {
-    /// Decodes a persisted spool. Tenant and class are found by their names; an unknown tenant counts as none, and an
-    /// unknown class has no index.
+    /// Decodes a persisted spool. Tenant and class are looked up by name: an unknown tenant becomes none, and
+    /// an unknown class gets an index that no class has.
     pub(super) fn decode(
         persisted: &PersistedSpool,
         classes: &[String],
--- a/src/spool_io/spools.rs
+++ b/src/spool_io/spools.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use tokio::sync::{Notify, mpsc};
 
-/// The id of the first spool of a process.
+/// Id of the first spool of a process.
 const FIRST_SPOOL_ID: SpoolId = 1;
 
 /// All spooled results of a process.
@@ -26,42 +26,42 @@
     pub(super) results: RefCell<BTreeMap<SpoolId, SpooledResult>>,
     /// `None` without a spool directory.
     pub(super) disk: Option<DiskHandle>,
-    /// Bytes of pages that are on their way to the disk.
+    /// Bytes of pages in pending disk writes.
     pub(super) pending_write_bytes: Cell<u64>,
     /// Notified when a write is completed.
     pub(super) write_completed: Notify,
     pub(super) page_rows: Cell<u32>,
     client_stall_timeout: Cell<Duration>,
-    /// The names of the request classes, by index.
+    /// Names of the request classes, by index.
     pub(super) classes: Vec<String>,
-    /// The names of the tenants, by index.
+    /// Names of the tenants, by index.
     pub(super) tenants: Vec<String>,
-    /// The limits of all processes of this dispatcher together.
+    /// Limits that apply to all processes of this dispatcher together.
     dispatcher_limits: RefCell<SpoolLimits>,
     pub(super) process_count: Cell<u64>,
     pub(super) import_in_progress: Cell<bool>,
-    /// A write has failed or could not be sent, and has to be tried again.
+    /// Whether a write has failed or could not be sent, and has to be retried.
     pub(super) retry_writes: Cell<bool>,
     /// Removed results whose removal could not be sent to the disk yet.
     pub(super) unsent_removals: RefCell<Vec<SpoolId>>,
-    /// Pages that did not read as they were written.
+    /// Number of pages whose content on disk was corrupt when it was read.
     pub(super) corrupt_pages: Cell<u64>,
     /// Bytes of all pages received from engines.
     pub(super) received_bytes: Cell<u64>,
 }
 
 impl Spools {
-    /// Opens the configured spool directory, if there is one, and restores the results of earlier processes. The second
-    /// value is for [`Spools::run`].
+    /// Opens the configured spool directory, if there is one, and restores the results of earlier processes.
+    /// The returned receiver has to be passed to [`Spools::run`].
     ///
     /// # Errors
     /// The directory cannot be used.
     pub fn open(
-        source: &SpoolSettings,
+        settings: &SpoolSettings,
         classes: Vec<String>,
         tenants: Vec<String>,
     ) -> io::Result<(Rc<Self>, Option<mpsc::UnboundedReceiver<DiskCompletion>>)> {
-        let limits = source.rules.clone();
+        let limits = settings.rules.clone();
         let mut spools = Spools {
             index: RefCell::new(SpoolIndex::new(limits.clone(), classes.len())),
             handles: RefCell::default(),
@@ -69,8 +69,8 @@
             disk: None,
             pending_write_bytes: Cell::new(0),
             write_completed: Notify::new(),
-            page_rows: Cell::new(source.page_rows),
-            client_stall_timeout: Cell::new(source.stall_timeout),
+            page_rows: Cell::new(settings.page_rows),
+            client_stall_timeout: Cell::new(settings.stall_timeout),
             classes,
             tenants,
             dispatcher_limits: RefCell::new(limits.clone()),
@@ -82,7 +82,7 @@
             received_bytes: Cell::new(0),
         };
         let mut completions = None;
-        if let (Some(directory), Some(quota_bytes)) = (&source.directory, limits.disk_bytes) {
+        if let (Some(directory), Some(quota_bytes)) = (&settings.directory, limits.disk_bytes) {
             let startup = DiskHandle::start(directory, quota_bytes, FIRST_SPOOL_ID)?;
             spools.disk = Some(startup.disk);
             spools.restore_all(&startup.spools);
@@ -103,7 +103,8 @@
         }
     }
 
-    /// Adds a result that lies on the disk. Returns whether it could be decoded; if not, it is removed from the disk.
+    /// Adds a result that is stored on the disk. Returns whether it could be decoded; if not, it is removed
+    /// from the disk.
     pub(super) fn restore(&self, id: SpoolId, persisted: &PersistedSpool) -> bool {
         let Some(restored) = RestoredResult::decode(persisted, &self.classes, &self.tenants) else {
             if let Some(disk) = &self.disk {
@@ -128,15 +129,15 @@
         true
     }
 
-    /// Applies another configuration. Existing results stay.
-    pub fn configure(&self, source: &SpoolSettings) {
-        *self.dispatcher_limits.borrow_mut() = source.rules.clone();
-        self.page_rows.set(source.page_rows);
-        self.client_stall_timeout.set(source.stall_timeout);
+    /// Applies a new configuration. Existing results are kept.
+    pub fn configure(&self, settings: &SpoolSettings) {
+        *self.dispatcher_limits.borrow_mut() = settings.rules.clone();
+        self.page_rows.set(settings.page_rows);
+        self.client_stall_timeout.set(settings.stall_timeout);
         self.divide_limits();
     }
 
-    /// Divides the limits on memory and disk among this number of processes.
+    /// Divides the memory and disk limits among this number of processes.
     pub fn set_process_count(&self, processes: u32) {
         self.process_count.set(u64::from(processes.max(1)));
         self.divide_limits();
@@ -156,7 +157,7 @@
         self.index.borrow_mut().configure(limits);
     }
 
-    /// A client that reads nothing for this long is disconnected.
+    /// Returns the time after which a client that reads nothing is disconnected.
     pub fn client_stall_timeout(&self) -> Duration {
         self.client_stall_timeout.get()
     }
@@ -168,7 +169,7 @@
             .admit(process_time_millis(), request)
     }
 
-    /// A writer for the result of one attempt.
+    /// Returns a writer for the result of one attempt.
     pub fn writer(self: &Rc<Self>, request: AdmissionRequest, owner: ResultOwner) -> ResultWriter {
         ResultWriter::new(self.clone(), request, owner)
     }
--- a/src/spool_io/status.rs
+++ b/src/spool_io/status.rs
@@ -1,4 +1,5 @@
-//! What operators see of the spools: a page and metrics. Keys and texts are part of the interface of the program.
+//! Status of the spools for operators: a page and metrics. Keys and texts are part of the external interface
+//! of the program.
 
 use super::spools::Spools;
 use crate::clock::process_time_millis;
@@ -6,11 +7,11 @@
 use crate::spool::DiskState;
 use std::collections::BTreeMap;
 
-/// The name under which requests without a tenant are shown.
+/// Name that is shown for requests without a tenant.
 const NO_TENANT: &str = "(none)";
 
 impl Spools {
-    /// The page `GET /_spools`, as JSON.
+    /// Returns the body of `GET /_spools`, as JSON.
     pub fn status_page(&self) -> String {
         let now = process_time_millis();
         let index = self.index.borrow();
@@ -46,7 +47,7 @@
         serde_json::to_string_pretty(&page).unwrap_or_default() + "\n"
     }
 
-    /// Bytes by the name of the tenant.
+    /// Returns the bytes by tenant name.
     fn tenant_bytes(&self) -> BTreeMap<String, u64> {
         let index = self.index.borrow();
         let by_tenant = index.bytes_by_tenant().iter();
@@ -61,12 +62,12 @@
             .unwrap_or_else(|| NO_TENANT.into())
     }
 
-    /// The lines for `GET /_vars`.
+    /// Returns the lines for `GET /_vars`.
     pub fn metrics(&self) -> String {
         let index = self.index.borrow();
         let usage = index.usage();
         let counters = index.counters();
-        let disk_is_well = matches!(
+        let disk_is_healthy = matches!(
             index.disk_health().state(),
             DiskState::Healthy | DiskState::Absent
         );
@@ -74,7 +75,7 @@
             ("results", index.len() as u64),
             ("memory_bytes", usage.memory_bytes),
             ("disk_bytes", usage.disk_bytes),
-            ("disk_well", u64::from(disk_is_well)),
+            ("disk_well", u64::from(disk_is_healthy)),
             ("refused", counters.rejected),
             ("failed", counters.failed),
             ("evicted", counters.evicted),
@@ -86,7 +87,7 @@
     }
 }
 
-/// The state of the disk, as operators see it.
+/// Describes the state of the disk for operators.
 pub(super) fn describe_disk_state(state: &DiskState, now: Millis) -> String {
     let seconds = |since: &Millis| ((now - since) / 1000.0).max(0.0).round();
     match state {
--- a/src/spool_io/writer.rs
+++ b/src/spool_io/writer.rs
@@ -1,4 +1,4 @@
-//! Writing the result of one attempt as it comes from its engine.
+//! Writing the result of one attempt as it is received from the engine.
 
 use super::packets::{LENGTH_PREFIX_BYTES, packets, put_packet};
 use super::result::ResultOwner;
@@ -7,11 +7,12 @@
 use bytes::{Bytes, BytesMut};
 use std::rc::Rc;
 
-/// The longest beginning of a statement in a [`ResultOwner`], in characters.
+/// Maximum length of the statement text in a [`ResultOwner`], in characters.
 pub const MAX_STATEMENT_CHARS: usize = 120;
 
-/// A page is closed at this size, in bytes, or before by its number of rows; a single row may be longer. Each slow reader
-/// holds a page in memory, and each page on disk has an index entry.
+/// Size at which a page is closed, in bytes. A page may be closed earlier by its number of rows, and a single
+/// row may be longer. Two costs depend on the size: each slow reader holds a page in memory, and each page on
+/// disk has an index entry.
 const PAGE_BYTES: usize = 64 << 10;
 
 /// A complete result.
@@ -23,17 +24,18 @@
     Spooled(SpoolId),
 }
 
-/// Takes the packets of a result up to the last one. An incomplete result is removed when the writer is dropped.
+/// Receives the packets of a result up to the last one. An incomplete result is removed when the writer is
+/// dropped.
 pub struct ResultWriter {
     spools: Rc<Spools>,
     request: AdmissionRequest,
-    /// `None` once the spool is open.
+    /// Owner of the result. `None` once the spool is open.
     owner: Option<ResultOwner>,
-    /// All packets until the spool is open; then the rows of the current page.
+    /// All packets received so far until the spool is open, then the rows of the current page.
     buffer: BytesMut,
-    /// The length of the packets before the rows in the buffer.
+    /// Length of the packets before the rows in the buffer, in bytes.
     header_bytes: usize,
-    /// Rows in the buffer.
+    /// Number of rows in the buffer.
     buffered_rows: u32,
     spool: Option<SpoolId>,
     total_bytes: usize,
@@ -53,7 +55,7 @@
         }
     }
 
-    /// Adds a packet before the rows, or the only packet.
+    /// Adds a packet that precedes the rows, or the only packet of the result.
     ///
     /// # Errors
     /// The result is too large.
@@ -63,7 +65,8 @@
         self.check_size(payload.len())
     }
 
-    /// Counts a packet. The limit on a result holds from the first byte, spooled or not.
+    /// Adds a packet to the total size and checks the limit, which applies to a result from the first byte,
+    /// spooled or not.
     fn check_size(&mut self, payload_bytes: usize) -> Result<(), SpoolRejection> {
         self.total_bytes += payload_bytes + LENGTH_PREFIX_BYTES;
         let limit = self.spools.index.borrow().limits().result_bytes;
@@ -74,10 +77,10 @@
         }
     }
 
-    /// Adds a row. Waits while too much is on its way to the disk.
+    /// Adds a row. Waits while too many bytes are in pending disk writes.
     ///
     /// # Errors
-    /// There is no capacity for it; the whole result is given up.
+    /// There is no capacity for the row; the whole result has to be abandoned.
     pub async fn add_row(&mut self, payload: &[u8]) -> Result<(), SpoolRejection> {
         self.check_size(payload.len())?;
         self.buffer_row(payload);
@@ -112,8 +115,8 @@
     }
 
     async fn close_page_if_full(&mut self) -> Result<(), SpoolRejection> {
-        let has_all_rows = self.buffered_rows >= self.spools.page_rows.get();
-        if has_all_rows || self.buffer.len() >= PAGE_BYTES {
+        let has_max_rows = self.buffered_rows >= self.spools.page_rows.get();
+        if has_max_rows || self.buffer.len() >= PAGE_BYTES {
             self.close_page().await
         } else {
             Ok(())
@@ -129,7 +132,7 @@
         let rows = std::mem::take(&mut self.buffered_rows);
         let added = self.spools.add_page(spool, rows, page).await;
         if added.is_err() {
-            // So that the next of its class is rejected before it is sent.
+            // The size is recorded so that the next statement of the class is rejected before it is sent.
             self.spools
                 .record_result_size(self.request.class, self.total_bytes);
         }
@@ -139,7 +142,7 @@
     /// Completes the result with its last packet.
     ///
     /// # Errors
-    /// There is no capacity for the last page; the whole result is given up.
+    /// There is no capacity for the last page; the whole result is abandoned.
     pub async fn finish(mut self, trailer: Option<&[u8]>) -> Result<StoredResult, SpoolRejection> {
         if self.spool.is_none() {
             if let Some(trailer) = trailer {
