--- a/src/spool/tests/admission.rs
+++ b/src/spool/tests/admission.rs
@@ -43,7 +43,7 @@
         retry_after,
     } = index.admit(13.0, report(7))
     else {
-        panic!("nobody has capacity")
+        panic!("no tenant has capacity")
     };
     assert!(reason.contains("neither memory nor disk"), "{reason}");
     assert_eq!(retry_after, None, "it is unknown when the readers finish");
--- a/src/storage/file_system.rs
+++ b/src/storage/file_system.rs
@@ -1,4 +1,4 @@
-//! The file operations that a [`super::RecordStore`] is built on.
+//! File operations used by a [`super::RecordStore`].
 
 use std::fs::{DirEntry, File, OpenOptions};
 use std::io::{self, Read, Write};
@@ -10,47 +10,49 @@
     /// Writes a complete file and syncs it.
     ///
     /// # Errors
-    /// Those of the file system; a part of the file may have been written.
+    /// I/O errors of the file system; a part of the file may have been written.
     fn write(&self, path: &Path, bytes: &[u8]) -> io::Result<()>;
 
-    /// Renames a file, and replaces an existing one of the new name.
+    /// Renames a file, replacing an existing file with the new name.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// I/O errors of the file system.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
 
-    /// Syncs a directory, which makes the renames in it durable.
+    /// Syncs a directory, which makes renames in it durable.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// I/O errors of the file system.
     fn sync_directory(&self, path: &Path) -> io::Result<()>;
 
     /// Reads a file, at most `max_bytes` of it.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// I/O errors of the file system.
     fn read(&self, path: &Path, max_bytes: usize) -> io::Result<Vec<u8>>;
 
     /// Removes a file.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// I/O errors of the file system.
     fn remove(&self, path: &Path) -> io::Result<()>;
 
-    /// Whether there is a file of this name.
+    /// Returns whether a file with this name exists.
     fn exists(&self, path: &Path) -> bool;
 
-    /// Removes the files of a directory whose name has this prefix and that have not been written to for a while.
+    /// Removes the files of a directory whose name has this prefix and that have not been written to for
+    /// longer than a minute.
     ///
     /// # Errors
-    /// Those of the file system; some files may have been removed.
+    /// I/O errors of the file system; some files may have been removed.
     fn remove_abandoned(&self, directory: &Path, prefix: &str) -> io::Result<()>;
 }
 
-/// A draft is written in less time than this. An older one belongs to a process that was killed.
+/// Age above which a draft is abandoned. A draft is written in less time, so an older one belongs to a
+/// process that was killed.
 const ABANDONED_AFTER: Duration = Duration::from_secs(60);
 
-/// The file system of the machine.
+/// File system of the machine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LocalFileSystem;
 
@@ -104,7 +106,7 @@
     }
 }
 
-/// The time since a file was last written to.
+/// Returns the time since the last write to a file.
 fn age(entry: &DirEntry) -> Option<Duration> {
     let modified = entry.metadata().and_then(|metadata| metadata.modified());
     modified.ok()?.elapsed().ok()
--- a/src/storage/record.rs
+++ b/src/storage/record.rs
@@ -1,4 +1,4 @@
-//! The binary layout of a record: a header of [`HEADER_BYTES`], then the content. Numbers are big endian.
+//! Binary layout of a record: a header of [`HEADER_BYTES`], followed by the content. Numbers are big-endian.
 //!
 //! | offset | bytes | field |
 //! | --- | --- | --- |
@@ -16,19 +16,20 @@
 const VERSION_OFFSET: usize = 12;
 const LENGTH_OFFSET: usize = 16;
 const CHECKSUM_OFFSET: usize = 24;
-/// The length of the header, in bytes.
+/// Length of the header, in bytes.
 pub const HEADER_BYTES: usize = 28;
 
-/// What a record contains, and the format version that this program writes. Earlier versions are read as well.
+/// Kind of content of a record, and the format version that this program writes. Earlier versions can be read
+/// as well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordKind {
     /// Identifies the content.
     pub tag: [u8; 4],
-    /// The format version of the content.
+    /// Format version of the content.
     pub version: u32,
 }
 
-/// Why a record cannot be read. Operators see the messages on the page of the membership.
+/// Reason why a record cannot be read. Operators see the messages in the body of `GET /_members`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
     /// The file does not have the layout of a record.
@@ -40,23 +41,23 @@
     /// The record has a later format version.
     #[error("its form {found} is of a later program; this one reads up to {supported}")]
     UnsupportedVersion {
-        /// The version of the record.
+        /// Version of the record.
         found: u32,
-        /// The latest version that can be read.
+        /// Latest version that can be read.
         supported: u32,
     },
     /// The file ends too early.
     #[error("it is torn: {found} of {expected} bytes are there")]
     Truncated {
-        /// Bytes in the file.
+        /// Number of bytes in the file.
         found: u64,
-        /// Bytes of the complete record, or of its header.
+        /// Number of bytes of the complete record, or of the header if even that is incomplete.
         expected: u64,
     },
     /// The checksum does not match.
     #[error("its checksum is wrong")]
     Checksum,
-    /// The content has this length in bytes, which is above the limit.
+    /// The length of the content, given here in bytes, is above the limit.
     #[error("its {0} bytes are above the bound")]
     TooLong(u64),
     /// The content cannot be parsed.
@@ -71,7 +72,7 @@
     hasher.finalize()
 }
 
-/// A record with this content.
+/// Returns a record of this kind with this content.
 pub fn encode(kind: RecordKind, content: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(HEADER_BYTES + content.len());
     bytes.extend(MAGIC);
@@ -84,10 +85,11 @@
     bytes
 }
 
-/// The content of a record of this kind, if it is complete and at most `max_content_bytes` long.
+/// Returns the content of a record of this kind, which has to be complete and at most `max_content_bytes`
+/// long.
 ///
 /// # Errors
-/// The first mismatch.
+/// The first mismatch that is found.
 pub fn decode(
     kind: RecordKind,
     bytes: &[u8],
@@ -108,7 +110,7 @@
         let tag = String::from_utf8_lossy(tag).into_owned();
         return Err(RecordError::WrongTag(tag));
     }
-    // A later version may have another header, so the version is checked before anything else.
+    // A later version may have another header, so the version is checked before the fields after it.
     let version = read_u32(header, VERSION_OFFSET);
     if version > kind.version {
         return Err(RecordError::UnsupportedVersion {
--- a/src/storage/record_store.rs
+++ b/src/storage/record_store.rs
@@ -1,4 +1,4 @@
-//! A named record in a directory, replaced atomically.
+//! A named record in a directory, which is replaced atomically.
 
 use super::file_system::{FileSystem, LocalFileSystem};
 use super::record::{self, RecordError, RecordKind};
@@ -8,28 +8,29 @@
 #[cfg(test)]
 mod tests;
 
-/// Names for quarantined records. When all are in use, the last one is overwritten.
+/// Maximum number of quarantined files of a record. When all their names are in use, the last one is
+/// overwritten.
 const MAX_QUARANTINED: usize = 4;
 
-/// Why a record could not be loaded.
+/// Reason why a record could not be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
     /// The file system failed.
     #[error("{path}: {source}", path = path.display())]
     Io {
-        /// The record.
+        /// Path of the record.
         path: PathBuf,
-        /// What failed.
+        /// Error of the file system.
         source: io::Error,
     },
     /// The record could not be read and was moved to another name.
     #[error("{path}: {source}; it is set aside as {quarantine}", path = path.display(), quarantine = quarantine.display())]
     Quarantined {
-        /// The record.
+        /// Path of the record.
         path: PathBuf,
-        /// Its name now.
+        /// New path of the record.
         quarantine: PathBuf,
-        /// What is wrong with it.
+        /// Reason why the record could not be read.
         source: RecordError,
     },
 }
@@ -43,7 +44,8 @@
 }
 
 impl<F: FileSystem> RecordStore<F> {
-    /// The record of this name in an existing directory, with at most `max_content_bytes` of content.
+    /// Creates the store of the record with this name in an existing directory, with at most
+    /// `max_content_bytes` of content.
     pub fn new(
         file_system: F,
         directory: &Path,
@@ -59,7 +61,7 @@
         }
     }
 
-    /// The file of the record.
+    /// Returns the path of the record.
     pub fn path(&self) -> &Path {
         &self.path
     }
@@ -67,8 +69,8 @@
     /// Replaces the content atomically. Blocks until it is durable.
     ///
     /// # Errors
-    /// Those of the file system, or [`io::ErrorKind::InvalidInput`] for a content that is too long. The previous record
-    /// stays.
+    /// I/O errors of the file system, or [`io::ErrorKind::InvalidInput`] for content that is too long. The
+    /// previous record is kept, except after an error of the last step, the sync of the directory.
     pub fn save(&self, content: &[u8]) -> io::Result<()> {
         self.check_length(content)?;
         let record = record::encode(self.kind, content);
@@ -81,7 +83,7 @@
             .write(&draft, &record)
             .and_then(|()| self.file_system.rename(&draft, &self.path));
         if let Err(error) = replaced {
-            // The disk may be full, so the partial draft must not stay.
+            // The disk may be full, so a partial draft must not stay on it.
             let _ = self.file_system.remove(&draft);
             return Err(error);
         }
@@ -101,10 +103,12 @@
         Err(io::Error::new(io::ErrorKind::InvalidInput, message))
     }
 
-    /// The content as parsed by `parse`, or `None` if there is no record. Blocks while the file is read.
+    /// Returns the content as parsed by `parse`, or `None` if there is no record. Blocks while the file is
+    /// read.
     ///
     /// # Errors
-    /// Those of the file system. A record that cannot be decoded or parsed is moved to a quarantine name.
+    /// I/O errors of the file system. A record that cannot be decoded or parsed is moved to a quarantine name
+    /// and is an error as well.
     pub fn load<T>(
         &self,
         parse: impl FnOnce(&[u8]) -> Result<T, RecordError>,
@@ -114,7 +118,7 @@
             source,
         };
         self.remove_abandoned_drafts();
-        // One byte more than allowed reveals a file that is too long, without reading all of it.
+        // Reading one byte more than allowed detects a file that is too long without reading all of it.
         let max_bytes = self.max_content_bytes + record::HEADER_BYTES + 1;
         let bytes = match self.file_system.read(&self.path, max_bytes) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
@@ -133,7 +137,7 @@
         }
     }
 
-    /// Removes the drafts of processes that were killed while they wrote: they only use space.
+    /// Removes the drafts of processes that were killed while writing, which only use space.
     fn remove_abandoned_drafts(&self) {
         let directory = self.path.parent();
         let name = self.path.file_name().and_then(|name| name.to_str());
@@ -143,7 +147,7 @@
         }
     }
 
-    /// Moves the record to the first free quarantine name, and returns that.
+    /// Moves the record to the first free quarantine name, and returns its new path.
     fn quarantine(&self) -> io::Result<PathBuf> {
         let name = |number: usize| self.path.with_extension(format!("unread-{number}"));
         let free = (0..MAX_QUARANTINED)
--- a/src/storage/record_store/tests.rs
+++ b/src/storage/record_store/tests.rs
@@ -10,23 +10,23 @@
 
 type FileMap = BTreeMap<PathBuf, Vec<u8>>;
 
-/// An in-memory file system that loses power, or fails, at a given step. What is not synced is lost with the power:
-/// a write leaves any part of its bytes, and a rename may or may not have happened.
+/// An in-memory file system that loses power, or fails, at a given step. Unsynced data is lost with the
+/// power: a write leaves any part of its bytes, and a rename may or may not have happened.
 #[derive(Default)]
 struct FaultyFileSystem {
-    /// What a reader finds now.
+    /// Files that a reader finds now.
     visible: RefCell<FileMap>,
-    /// What is found after a restart.
+    /// Files that are found after a restart.
     durable: RefCell<FileMap>,
     steps: Cell<usize>,
     fail_at: Option<usize>,
-    /// The error of the failing step. `None`: the power fails.
+    /// Error of the failing step. If `None`, the power fails at that step.
     error: Option<io::ErrorKind>,
-    /// The fraction of a step that is done when the power fails.
+    /// Fraction of the step that is done when the power fails.
     completed_fraction: f64,
 }
 
-/// How a step goes on.
+/// Whether the power fails during a step.
 #[derive(Clone, Copy, PartialEq)]
 enum Power {
     On,
@@ -48,11 +48,11 @@
     fn end_step(power: Power) -> io::Result<()> {
         match power {
             Power::On => Ok(()),
-            Power::Fails => Err(io::Error::other("the power is off")),
+            Power::Fails => Err(io::Error::other("power failure")),
         }
     }
 
-    /// The machine starts again.
+    /// Returns the file system as found after a restart of the machine.
     fn restart(&self) -> FaultyFileSystem {
         let files = self.durable.borrow().clone();
         FaultyFileSystem {
@@ -86,7 +86,7 @@
             .remove(from)
             .ok_or(io::ErrorKind::NotFound)?;
         self.visible.borrow_mut().insert(to.into(), bytes.clone());
-        // When the power fails, the rename may be durable or not.
+        // If the power fails, the rename may or may not be durable.
         if power == Power::On || self.completed_fraction > 0.5 {
             self.durable.borrow_mut().remove(from);
             self.durable.borrow_mut().insert(to.into(), bytes);
@@ -161,7 +161,7 @@
                     "step {fail_at}, {completed_fraction}"
                 ),
             }
-            // The store works after the restart.
+            // The store still works after the restart.
             store(&restarted).save(b"later").unwrap();
             assert_eq!(load(&restarted).unwrap(), b"later");
         }
@@ -189,8 +189,8 @@
     assert!(store(&FaultyFileSystem::default()).save(&too_long).is_err());
 }
 
-/// Loads a record that cannot be read: it has to be quarantined unchanged, and the next one is saved as if there had
-/// been none.
+/// Loads a record that cannot be read, checks that it is quarantined unchanged and that the next record is
+/// saved as if there had been none, and returns the error.
 fn quarantine(bytes: &[u8]) -> RecordError {
     let files = FaultyFileSystem::default();
     let path = PathBuf::from("/state/members");
@@ -204,7 +204,7 @@
     assert_eq!(
         files.visible.borrow()[&quarantine],
         bytes,
-        "nothing is lost"
+        "the quarantined file is unchanged"
     );
     assert!(load(&files).is_none());
     store(&files).save(b"next").unwrap();
@@ -279,7 +279,7 @@
         "no draft remains"
     );
 
-    // The draft of another process is removed when it is old, and not before.
+    // The draft of another process is removed only when it is old.
     let draft = directory.join("members.draft-1");
     std::fs::write(&draft, b"half").unwrap();
     store().load(unparsed).unwrap();
--- a/src/storage/segments/compaction.rs
+++ b/src/storage/segments/compaction.rs
@@ -1,4 +1,5 @@
-//! Compaction: live frames are copied out of segments that are mostly dead, so that these can be removed.
+//! Compaction: live frames are copied out of segments with mostly dead frames, so that these segments can be
+//! removed.
 
 use super::error::SegmentError;
 use super::files::SegmentFiles;
@@ -6,11 +7,12 @@
 use super::log::SegmentLog;
 
 impl<F: SegmentFiles> SegmentLog<F> {
-    /// If more than half of all stored bytes are dead, copies the complete spools of the segment with the fewest live
-    /// bytes to the end of the log. Stops after `max_bytes`. Returns whether there may be more to do.
+    /// If more than half of all stored bytes are dead, copies the complete spools of the segment with the
+    /// fewest live bytes to the end of the log. Stops after `max_bytes`. Returns whether there may be more to
+    /// do.
     ///
     /// # Errors
-    /// Those of the disk; no spool is lost.
+    /// I/O errors of the disk; no spool is lost.
     pub fn compact(&mut self, max_bytes: u64) -> Result<bool, SegmentError> {
         let Some(segment) = self.segment_to_compact() else {
             return Ok(false);
@@ -29,7 +31,7 @@
         Ok(copied_bytes > 0)
     }
 
-    /// The segment with the fewest live bytes, if compaction is due. The active segment does not count.
+    /// Returns the segment with the fewest live bytes, excluding the active one, if compaction is due.
     fn segment_to_compact(&self) -> Option<u32> {
         let used = self.used_bytes();
         let is_mostly_dead = self.index.live_bytes() * 2 < used;
@@ -44,11 +46,12 @@
             .map(|(number, _)| *number)
     }
 
-    /// Copies a complete spool to the end of the log under the same id. A recovery uses the copy from its `End` frame on.
+    /// Copies a complete spool to the end of the log under the same id. A recovery uses the copy once its
+    /// `End` frame is written.
     fn move_to_end(&mut self, spool: u64, stored: &StoredSpool) -> Result<(), SegmentError> {
         let mut copies = vec![];
         if let Err(error) = self.copy_frames(spool, stored, &mut copies) {
-            // The original stays valid, also for a recovery, and the incomplete copy is dead.
+            // The original stays valid, also for a recovery, and the frames of the incomplete copy are dead.
             for frame in &copies {
                 self.index.mark_dead(frame);
             }
--- a/src/storage/segments/directory.rs
+++ b/src/storage/segments/directory.rs
@@ -1,4 +1,4 @@
-//! Segments as numbered files of a directory.
+//! Segments as numbered files in a directory.
 
 use super::files::{SegmentFile, SegmentFiles};
 use crate::storage::{LocalFileSystem, RecordError, RecordKind, RecordStore};
@@ -8,27 +8,27 @@
 use std::os::unix::fs::{DirBuilderExt, OpenOptionsExt};
 use std::path::{Path, PathBuf};
 
-/// The file name of the manifest.
+/// File name of the manifest.
 const MANIFEST_NAME: &str = "manifest";
 const MANIFEST_KIND: RecordKind = RecordKind {
     tag: *b"SEGM",
     version: 1,
 };
-/// The longest content of a manifest, in bytes.
+/// Maximum size of the content of a manifest, in bytes.
 const MAX_MANIFEST_BYTES: usize = 1 << 20;
 
 const SEGMENT_PREFIX: &str = "segment-";
-/// Only the user of the process may read results.
+/// Permissions of directories and files: only the user of the process may read results.
 const DIRECTORY_MODE: u32 = 0o700;
 const FILE_MODE: u32 = 0o600;
 
-/// Files that are open at a time.
+/// Maximum number of segment files that are open at the same time.
 const MAX_OPEN_FILES: usize = 8;
 
 /// A directory with segments.
 pub struct SegmentDirectory {
     path: PathBuf,
-    /// The open files by segment number, the most recently used one at the back.
+    /// Open files by segment number, the most recently used one at the back.
     open_files: VecDeque<(u32, File)>,
 }
 
@@ -40,10 +40,10 @@
 }
 
 impl SegmentDirectory {
-    /// Opens the directory, and creates it if it is missing, readable for this user only.
+    /// Opens the directory. A missing one is created, accessible to this user only.
     ///
     /// # Errors
-    /// It cannot be created.
+    /// The directory cannot be created.
     pub fn new(path: &Path) -> io::Result<Self> {
         DirBuilder::new()
             .recursive(true)
@@ -59,7 +59,7 @@
         self.path.join(format!("{SEGMENT_PREFIX}{segment:08}"))
     }
 
-    /// The file of a segment. If it has to be opened, the least recently used one may be closed.
+    /// Returns the file of a segment. If it has to be opened, the least recently used file may be closed.
     fn file(&mut self, segment: u32, mode: OpenMode) -> io::Result<&mut File> {
         let position = self
             .open_files
@@ -156,7 +156,8 @@
         let parse = |content: &[u8]| {
             serde_json::from_slice(content).map_err(|error| RecordError::Content(error.to_string()))
         };
-        // With the manifest of a later or of another program nothing in the directory is touched.
+        // A manifest that a later version or another program wrote is an error, so that no segment is
+        // changed.
         self.manifest().load(parse).map_err(io::Error::other)
     }
 }
--- a/src/storage/segments/error.rs
+++ b/src/storage/segments/error.rs
@@ -1,12 +1,12 @@
-//! The errors of a segment log.
+//! Errors of a segment log.
 
 use super::frame::FrameError;
 use std::io;
 
-/// Why a frame was not stored or could not be read.
+/// Reason why a frame was not stored or could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum SegmentError {
-    /// [`super::SegmentLimits::total_bytes`], this number of bytes, is reached.
+    /// The limit [`super::SegmentLimits::total_bytes`], given here, is reached.
     #[error("the {0} bytes for spools are used up")]
     Quota(u64),
     /// The disk, or the quota of the file system, has no space left.
@@ -15,17 +15,17 @@
     /// The disk failed.
     #[error("the disk: {0}")]
     Io(#[source] io::Error),
-    /// The spool of this id, or the page, is not stored.
+    /// The spool with this id, or the page of it, is not stored.
     #[error("spool {0} is not stored")]
     UnknownSpool(u64),
-    /// A page is not as it was written.
+    /// A page is corrupt: its frame differs from what was written.
     #[error("page {page} of spool {spool} is corrupt: {source}")]
     CorruptPage {
-        /// The id of the spool.
+        /// Id of the spool.
         spool: u64,
-        /// The index of the page.
+        /// Index of the page.
         page: u32,
-        /// What is wrong with the frame.
+        /// Reason why the frame cannot be decoded.
         source: FrameError,
     },
     /// The content cannot be encoded as a frame.
--- a/src/storage/segments/frame.rs
+++ b/src/storage/segments/frame.rs
@@ -1,5 +1,5 @@
-//! The binary layout of a frame: a header of [`HEADER_BYTES`] that protects itself and the content, then the content
-//! as stored. Segments are sequences of frames. Numbers are big endian.
+//! Binary layout of a frame: a header of [`HEADER_BYTES`] with checksums of itself and of the content,
+//! followed by the content as stored. Segments are sequences of frames. Numbers are big-endian.
 //!
 //! | offset | bytes | field |
 //! | --- | --- | --- |
@@ -15,7 +15,7 @@
 //! | 32 | 4 | CRC-32 of the content as stored |
 //! | 36 | 4 | CRC-32 of the 36 bytes before |
 //!
-//! Everything here is pure: nothing reads or writes a file.
+//! This module does no I/O.
 
 #[cfg(test)]
 mod tests;
@@ -30,18 +30,18 @@
 const STORED_BYTES_OFFSET: usize = 28;
 const CONTENT_CHECKSUM_OFFSET: usize = 32;
 const HEADER_CHECKSUM_OFFSET: usize = 36;
-/// The length of the header, in bytes.
+/// Length of the header, in bytes.
 pub const HEADER_BYTES: usize = 40;
 
 const FLAG_COMPRESSED: u8 = 1;
-/// The longest content, in bytes: one row of the largest packet and a margin.
+/// Maximum size of the content, in bytes: one row of the largest packet and a margin.
 pub const MAX_CONTENT_BYTES: usize = 32 << 20;
-/// The longest content as stored, in bytes.
+/// Maximum size of the content as stored, in bytes.
 const MAX_STORED_BYTES: usize = MAX_CONTENT_BYTES + MAX_CONTENT_BYTES / 128 + 64;
-/// Shorter contents are not compressed, in bytes.
+/// Minimum size of content that is compressed, in bytes.
 const MIN_COMPRESSED_BYTES: usize = 256;
 
-/// What a frame contains. The values are those of the binary layout.
+/// Kind of a frame. The values are those of the binary layout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameKind {
     /// The first frame of a spool; its content states the owner.
@@ -63,58 +63,58 @@
     }
 }
 
-/// Which part of which spool a frame contains.
+/// Identification of a frame: the spool, and the part of it that the frame contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FrameId {
-    /// What the frame contains.
+    /// Kind of the frame.
     pub kind: FrameKind,
-    /// The id of the spool within its segment log.
+    /// Id of the spool within its segment log.
     pub spool: u64,
-    /// The index of the page; for an [`FrameKind::End`] the number of pages.
+    /// Index of the page; for an [`FrameKind::End`] frame, the number of pages.
     pub page: u32,
-    /// Rows in the page.
+    /// Number of rows in the page.
     pub rows: u32,
 }
 
-/// The header of a frame.
+/// Header of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FrameHeader {
-    /// Which part of which spool it is.
+    /// Identification of the frame.
     pub id: FrameId,
-    /// The content is compressed.
+    /// Whether the content is compressed.
     pub compressed: bool,
-    /// The length of the content, in bytes.
+    /// Length of the content, in bytes.
     pub content_bytes: u32,
-    /// The length of the content as stored, in bytes.
+    /// Length of the content as stored, in bytes.
     pub stored_bytes: u32,
-    /// The CRC-32 of the content as stored.
+    /// CRC-32 of the content as stored.
     pub checksum: u32,
 }
 
-/// Why a frame cannot be encoded or decoded.
+/// Reason why a frame cannot be encoded or decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// There is no valid header of the expected frame.
-    #[error("no frame begins here")]
+    /// The header is invalid, or is not that of the expected frame.
+    #[error("no valid header of the expected frame")]
     Header,
     /// The checksum of the content does not match.
-    #[error("its checksum is wrong")]
+    #[error("the checksum of the content does not match")]
     Checksum,
     /// The content cannot be decompressed.
-    #[error("it cannot be unpacked")]
+    #[error("the content cannot be decompressed")]
     Compression,
-    /// The content of this length in bytes is above [`MAX_CONTENT_BYTES`].
+    /// The length of the content, given here in bytes, is above [`MAX_CONTENT_BYTES`].
     #[error("its content of {0} bytes is above the bound")]
     TooLong(usize),
 }
 
 impl FrameHeader {
-    /// The length of the frame with its header, in bytes.
+    /// Returns the length of the frame with its header, in bytes.
     pub fn frame_bytes(&self) -> u64 {
         HEADER_BYTES as u64 + u64::from(self.stored_bytes)
     }
 
-    /// The header in its binary layout.
+    /// Returns the header in its binary layout.
     pub fn encode(&self) -> [u8; HEADER_BYTES] {
         let mut bytes = [0; HEADER_BYTES];
         bytes[..MAGIC.len()].copy_from_slice(&MAGIC);
@@ -131,10 +131,10 @@
         bytes
     }
 
-    /// Reads a header from its binary layout.
+    /// Decodes a header from its binary layout.
     ///
     /// # Errors
-    /// [`FrameError::Header`] if the bytes are not a header, or not as they were written.
+    /// [`FrameError::Header`] if the bytes are not a header, or differ from what was written.
     pub fn decode(bytes: &[u8; HEADER_BYTES]) -> Result<Self, FrameError> {
         let checksum = crc32fast::hash(&bytes[..HEADER_CHECKSUM_OFFSET]);
         let is_intact = read_u32(bytes, HEADER_CHECKSUM_OFFSET) == checksum;
@@ -162,10 +162,10 @@
         }
     }
 
-    /// The content, from the content as stored.
+    /// Returns the content, decoded from the content as stored.
     ///
     /// # Errors
-    /// It is not as it was written.
+    /// The stored content differs from what was written.
     pub fn decode_content(&self, stored: &[u8]) -> Result<Vec<u8>, FrameError> {
         let has_length = stored.len() == self.stored_bytes as usize;
         if !has_length || crc32fast::hash(stored) != self.checksum {
@@ -185,16 +185,16 @@
 /// An encoded frame.
 #[derive(Clone, Debug)]
 pub struct EncodedFrame {
-    /// Its header.
+    /// Header of the frame.
     pub header: FrameHeader,
-    /// The frame with its header in the binary layout.
+    /// Binary layout of the frame with its header.
     pub bytes: Vec<u8>,
 }
 
 /// Encodes a frame. The content is compressed if that makes it shorter.
 ///
 /// # Errors
-/// [`FrameError::TooLong`] for a content above [`MAX_CONTENT_BYTES`].
+/// [`FrameError::TooLong`] for content above [`MAX_CONTENT_BYTES`].
 pub fn encode(id: FrameId, content: &[u8]) -> Result<EncodedFrame, FrameError> {
     if content.len() > MAX_CONTENT_BYTES {
         return Err(FrameError::TooLong(content.len()));
--- a/src/storage/segments/index.rs
+++ b/src/storage/segments/index.rs
@@ -1,18 +1,19 @@
-//! The index of a segment log: where the frames of each spool are, and how many bytes of each segment are live.
+//! Index of a segment log: the location of the frames of each spool, and the number of live bytes in each
+//! segment.
 
 use std::collections::BTreeMap;
 
-/// Where a frame is stored.
+/// Location of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct FrameLocation {
     pub(super) segment: u32,
-    /// In bytes from the start of the segment; segments are far below 4 GiB.
+    /// Offset from the start of the segment, in bytes. Segments are far below 4 GiB.
     pub(super) offset: u32,
-    /// The frame with its header, in bytes.
+    /// Length of the frame with its header, in bytes.
     pub(super) length: u32,
 }
 
-/// The frames of one spool.
+/// Locations of the frames of one spool.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct StoredSpool {
     pub(super) begin: FrameLocation,
@@ -30,7 +31,7 @@
         }
     }
 
-    /// All frames in the order of the spool.
+    /// Returns all frames in the order of the spool.
     pub(super) fn frames(&self) -> impl Iterator<Item = &FrameLocation> {
         std::iter::once(&self.begin)
             .chain(&self.pages)
@@ -42,16 +43,16 @@
     }
 }
 
-/// The size of one segment, in bytes.
+/// Numbers of bytes of one segment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct SegmentUsage {
-    /// All frames.
+    /// Size of all frames.
     pub(super) length: u64,
-    /// Frames of spools in the index.
+    /// Size of the frames of spools in the index.
     pub(super) live: u64,
 }
 
-/// The spools and the segments of a log.
+/// Spools and segments of a log.
 #[derive(Debug, Default)]
 pub(super) struct SegmentIndex {
     pub(super) spools: BTreeMap<u64, StoredSpool>,
@@ -59,12 +60,12 @@
 }
 
 impl SegmentIndex {
-    /// Bytes of all segments.
+    /// Returns the size of all segments, in bytes.
     pub(super) fn total_bytes(&self) -> u64 {
         self.segments.values().map(|segment| segment.length).sum()
     }
 
-    /// Bytes of all frames of spools in the index.
+    /// Returns the size of all frames of spools in the index, in bytes.
     pub(super) fn live_bytes(&self) -> u64 {
         self.segments.values().map(|segment| segment.live).sum()
     }
@@ -101,7 +102,7 @@
         }
     }
 
-    /// The complete spools with a frame in this segment.
+    /// Returns the complete spools with a frame in this segment.
     pub(super) fn complete_spools_in(&self, number: u32) -> Vec<u64> {
         self.spools
             .iter()
--- a/src/storage/segments/log.rs
+++ b/src/storage/segments/log.rs
@@ -1,4 +1,4 @@
-//! The segment log: appending, reading and removing spools.
+//! Segment log: appending, reading and removing spools.
 
 use super::error::SegmentError;
 use super::files::SegmentFiles;
@@ -8,27 +8,28 @@
 /// Limits on the size of segments, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SegmentLimits {
-    /// A segment of this size or more is followed by the next.
+    /// Size from which a segment is full and the next one is started.
     pub segment_bytes: u64,
-    /// All segments together.
+    /// Maximum size of all segments together.
     pub total_bytes: u64,
 }
 
-/// All spools in one set of segment files. See the [module](super) for its guarantees.
+/// Log of the spools in one set of segment files. See the [module](super) for its guarantees.
 pub struct SegmentLog<F: SegmentFiles> {
     pub(super) files: F,
     pub(super) limits: SegmentLimits,
     pub(super) index: SegmentIndex,
-    /// The segment that is appended to. `None` before the first frame and after a failure that could not be undone.
+    /// Segment that is appended to. `None` before the first frame and after a failure that could not be
+    /// undone.
     pub(super) active_segment: Option<u32>,
     pub(super) next_segment: u32,
 }
 
 impl<F: SegmentFiles> SegmentLog<F> {
-    /// Begins a spool. The content is returned by the recovery of a complete spool.
+    /// Begins a spool. A recovery returns the content if the spool is complete.
     ///
     /// # Errors
-    /// It was not stored.
+    /// The frame was not stored.
     pub fn begin_spool(&mut self, spool: u64, content: &[u8]) -> Result<(), SegmentError> {
         let id = FrameId {
             kind: FrameKind::Begin,
@@ -44,7 +45,7 @@
     /// Appends the next page of a spool.
     ///
     /// # Errors
-    /// It was not stored; the pages before it are.
+    /// The page was not stored; the pages before it are kept.
     pub fn append_page(
         &mut self,
         spool: u64,
@@ -64,10 +65,10 @@
         Ok(())
     }
 
-    /// Completes a spool. The content is returned by its recovery.
+    /// Completes a spool. A recovery returns the content.
     ///
     /// # Errors
-    /// It was not stored, and the spool is not complete.
+    /// The frame was not stored, and the spool is not complete.
     pub fn end_spool(&mut self, spool: u64, content: &[u8]) -> Result<(), SegmentError> {
         let id = FrameId {
             kind: FrameKind::End,
@@ -97,7 +98,7 @@
     /// Reads the content of a page.
     ///
     /// # Errors
-    /// The page is not stored, cannot be read, or is not as it was written.
+    /// The page is not stored, cannot be read, or differs from what was written.
     pub fn read_page(&mut self, spool: u64, page: u32) -> Result<Vec<u8>, SegmentError> {
         let location = *self
             .stored_spool(spool)?
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Reads and checks a frame: its header and its content.
+    /// Reads a frame and verifies its header and its content.
     pub(super) fn read_frame(
         &mut self,
         spool: u64,
@@ -146,11 +147,11 @@
         Ok((header, content))
     }
 
-    /// Removes a spool. Its space is free when no other spool is live in its segments. Until then a recovery finds it
-    /// again, so the caller has to recognise by their content spools that are too old.
+    /// Removes a spool. Its space is freed when no other spool is live in its segments. Until then a recovery
+    /// finds the spool again, so the caller has to detect outdated spools by their content.
     ///
     /// # Errors
-    /// Those of the disk while segments are removed. The spool is removed from the index in any case.
+    /// I/O errors of the disk while segments are removed. The spool is removed from the index in any case.
     pub fn remove_spool(&mut self, spool: u64) -> Result<(), SegmentError> {
         let Some(stored) = self.index.spools.remove(&spool) else {
             return Ok(());
@@ -161,7 +162,7 @@
         self.remove_dead_segments()
     }
 
-    /// Removes the segments without live frames, also the active one if it has any frame.
+    /// Removes the segments without live frames, including the active one if it has any frame.
     pub(super) fn remove_dead_segments(&mut self) -> Result<(), SegmentError> {
         let dead: Vec<u32> = self
             .index
@@ -224,7 +225,7 @@
     /// Starts the next segment and makes it the active one.
     fn start_segment(&mut self) -> Result<u32, SegmentError> {
         if let Some(full) = self.active_segment.take() {
-            // A recovery checks the contents of the newest segment only, so all others have to be durable.
+            // A recovery verifies the contents of the newest segment only, so all others have to be durable.
             self.files.sync(full)?;
         }
         let number = self.next_segment;
@@ -237,8 +238,8 @@
         Ok(number)
     }
 
-    /// Removes what a failed append may have written behind `length`. If that fails, the segment is not appended to any
-    /// more.
+    /// Removes the bytes beyond `length` that a failed append may have written. If that fails, nothing more
+    /// is appended to the segment.
     fn undo_append(&mut self, segment: u32, length: u64) {
         if self.files.truncate(segment, length).is_err() {
             self.active_segment = None;
@@ -253,7 +254,7 @@
     /// Makes all appended frames durable.
     ///
     /// # Errors
-    /// Those of the disk.
+    /// I/O errors of the disk.
     pub fn sync(&mut self) -> Result<(), SegmentError> {
         if let Some(number) = self.active_segment {
             self.files.sync(number)?;
@@ -261,27 +262,27 @@
         Ok(())
     }
 
-    /// Bytes of all segments.
+    /// Returns the size of all segments, in bytes.
     pub fn used_bytes(&self) -> u64 {
         self.index.total_bytes()
     }
 
-    /// The number of stored spools, complete or not.
+    /// Returns the number of stored spools, complete or not.
     pub fn len(&self) -> usize {
         self.index.spools.len()
     }
 
-    /// Whether no spool is stored.
+    /// Returns whether no spool is stored.
     pub fn is_empty(&self) -> bool {
         self.index.spools.is_empty()
     }
 
-    /// The limits in force.
+    /// Returns the limits in force.
     pub fn limits(&self) -> SegmentLimits {
         self.limits
     }
 
-    /// Replaces the limits. Stored spools stay.
+    /// Replaces the limits. Stored spools are kept.
     pub fn configure(&mut self, limits: SegmentLimits) {
         self.limits = limits;
     }
--- a/src/storage/segments/recovery.rs
+++ b/src/storage/segments/recovery.rs
@@ -10,47 +10,49 @@
 /// A page of a recovered spool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecoveredPage {
-    /// Rows in the page.
+    /// Number of rows in the page.
     pub rows: u32,
-    /// The length of its content, in bytes.
+    /// Length of the content, in bytes.
     pub content_bytes: u32,
 }
 
-/// A complete spool that was found at the start.
+/// A complete spool that was found by a recovery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecoveredSpool {
-    /// The id of the spool within the log.
+    /// Id of the spool within the log.
     pub spool: u64,
-    /// The content of its `Begin` frame.
+    /// Content of the `Begin` frame.
     pub begin: Vec<u8>,
-    /// The content of its `End` frame.
+    /// Content of the `End` frame.
     pub end: Vec<u8>,
-    /// Its pages, in order.
+    /// Pages of the spool, in order.
     pub pages: Vec<RecoveredPage>,
-    /// All its frames as stored, in bytes.
+    /// Size of all frames as stored, in bytes.
     pub stored_bytes: u64,
 }
 
-/// What was found at the start.
+/// Outcome of a recovery.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Recovery {
-    /// The complete spools, in the order of their ids.
+    /// Complete spools, in the order of their ids.
     pub spools: Vec<RecoveredSpool>,
-    /// Dropped spools: those without an `End` frame, or whose `Begin` or `End` cannot be read.
+    /// Number of dropped spools: those without an `End` frame, or whose `Begin` or `End` frame cannot be
+    /// read.
     pub dropped_spools: usize,
-    /// Bytes behind the last complete frame of a segment, which were cut off.
+    /// Number of bytes behind the last complete frame of each segment, which were removed by truncation.
     pub truncated_bytes: u64,
-    /// Segments that the manifest lists and that do not exist, except the newest, which may never have been created.
+    /// Number of segments that the manifest lists and that do not exist. The newest is not counted, since it
+    /// may never have been created.
     pub missing_segments: usize,
 }
 
-/// The frames of a spool, as a scan finds them.
+/// Frames of a spool that a scan has found.
 struct ScannedSpool {
     stored: StoredSpool,
     pages: Vec<RecoveredPage>,
 }
 
-/// The spools of the segments that have been scanned.
+/// Spools of the segments that have been scanned.
 #[derive(Default)]
 struct ScannedSpools {
     incomplete: BTreeMap<u64, ScannedSpool>,
@@ -61,7 +63,7 @@
     fn add_frame(&mut self, header: &FrameHeader, location: FrameLocation) {
         let id = header.id;
         if id.kind == FrameKind::Begin {
-            // It may begin a copy: the original stays valid until the copy is complete.
+            // The frame may begin a copy: the original stays valid until the copy is complete.
             let spool = ScannedSpool {
                 stored: StoredSpool::new(location),
                 pages: vec![],
@@ -88,12 +90,12 @@
     }
 }
 
-/// Which frames of a segment a scan verifies.
+/// Parts of the frames of a segment that a scan verifies.
 #[derive(Clone, Copy, PartialEq)]
 enum Verification {
-    /// The headers. The segment was synced; contents are checked when they are read.
+    /// Headers only. The segment was synced; contents are verified when they are read.
     Headers,
-    /// Also the contents. The newest segment may not have been synced.
+    /// Headers and contents. The newest segment may not have been synced.
     Contents,
 }
 
@@ -101,7 +103,7 @@
     /// Opens a log and rebuilds its index. Truncated frames and incomplete spools are dropped.
     ///
     /// # Errors
-    /// Those of the disk, and segments without a manifest: the files belong to somebody else.
+    /// I/O errors of the disk, and segments without a manifest, which belong to another program.
     pub fn open(files: F, limits: SegmentLimits) -> io::Result<(Self, Recovery)> {
         let mut log = SegmentLog {
             files,
@@ -125,7 +127,7 @@
     fn reconcile_with_manifest(&mut self, recovery: &mut Recovery) -> io::Result<Vec<SegmentFile>> {
         let mut segments = self.files.list()?;
         let Some(listed) = self.files.read_manifest()? else {
-            // The manifest is written before the first segment, so these segments belong to somebody else.
+            // The manifest is written before the first segment, so these segments belong to another program.
             if !segments.is_empty() {
                 return Err(io::Error::other(
                     "there are segments and no manifest: the directory belongs to another program",
@@ -199,7 +201,7 @@
         Ok(offset)
     }
 
-    /// The header of the frame at an offset, or `None` if there is no valid frame.
+    /// Returns the header of the frame at an offset, or `None` if there is no valid frame.
     fn scan_frame(
         &mut self,
         segment: &SegmentFile,
@@ -230,7 +232,7 @@
         Ok(Some(header))
     }
 
-    /// Adds a complete spool to the index, unless its `Begin` or `End` cannot be read.
+    /// Adds a complete spool to the index, unless its `Begin` or `End` frame cannot be read.
     fn index_spool(&mut self, spool: u64, scanned: ScannedSpool, recovery: &mut Recovery) {
         let stored = scanned.stored;
         let begin = self.read_frame(spool, &stored.begin);
--- a/src/storage/segments/tests/compaction.rs
+++ b/src/storage/segments/tests/compaction.rs
@@ -3,8 +3,8 @@
 const PAIRS: u64 = 20;
 const MAX_BYTES: u64 = 300;
 
-/// Writes large (even ids) and small spools (odd ids) in turns, and removes the large ones: a small one is left in every
-/// segment.
+/// Writes large (even ids) and small spools (odd ids) alternately and removes the large ones, so that every
+/// segment keeps a small one.
 fn fill_with_mostly_dead_segments(log: &mut SegmentLog<FaultyFiles>) {
     for pair in 0..PAIRS {
         write_spool(log, 2 * pair, 20).unwrap();
--- a/src/storage/segments/tests/failures.rs
+++ b/src/storage/segments/tests/failures.rs
@@ -14,7 +14,7 @@
     }
 }
 
-/// Writes six spools, of which one write fails.
+/// Writes six spools while one write fails.
 fn check_failing_write(kind: io::ErrorKind, fail_at: usize) {
     const PAGES: u32 = 4;
     let files = FaultyFiles::default();
--- a/src/storage/segments/tests/faulty_files.rs
+++ b/src/storage/segments/tests/faulty_files.rs
@@ -1,5 +1,5 @@
-//! In-memory segment files that fail, or are killed, at a given write. What was appended survives a kill; of the append
-//! that was interrupted, any part does.
+//! In-memory segment files that fail, or whose process is killed, at a given write. Appended bytes survive a
+//! kill; of an interrupted append, any part may survive.
 
 use super::*;
 use std::cell::{Ref, RefCell, RefMut};
@@ -15,16 +15,16 @@
     pub(super) files: BTreeMap<u32, Vec<u8>>,
     pub(super) manifest: Option<Vec<u32>>,
     pub(super) capacity: Option<usize>,
-    /// Writes so far.
+    /// Number of writes so far.
     pub(super) steps: usize,
     pub(super) kill_at: Option<usize>,
     pub(super) fail_at: Option<(usize, io::ErrorKind)>,
-    /// The fraction of the interrupted write that is done.
+    /// Fraction of the interrupted write that is done.
     pub(super) completed_fraction: f64,
     killed: bool,
 }
 
-/// How a write ends, and the fraction of it that is done.
+/// Outcome of a write, and the fraction of it that is done.
 struct Step {
     completed_fraction: f64,
     result: io::Result<()>,
@@ -59,7 +59,7 @@
 }
 
 impl FaultyFiles {
-    /// Files that are killed at a write.
+    /// Returns files whose process is killed at this write.
     pub(super) fn killed_at(step: usize, completed_fraction: f64) -> Self {
         let files = FaultyFiles::default();
         files.disk_mut().kill_at = Some(step);
@@ -75,7 +75,7 @@
         self.0.borrow_mut()
     }
 
-    /// The files as the next process finds them.
+    /// Returns the files as the next process finds them.
     pub(super) fn restart(&self) -> FaultyFiles {
         let disk = self.disk();
         FaultyFiles(Rc::new(RefCell::new(FaultyDisk {
@@ -147,7 +147,7 @@
     fn write_manifest(&mut self, segments: &[u32]) -> io::Result<()> {
         let mut disk = self.disk_mut();
         let step = disk.step();
-        // It is replaced atomically, so an interrupted write leaves the new one or the old one.
+        // The manifest is replaced atomically, so an interrupted write leaves either the old or the new one.
         if step.completed_fraction > 0.5 {
             disk.manifest = Some(segments.to_vec());
         }
--- a/src/storage/segments/tests/recovery.rs
+++ b/src/storage/segments/tests/recovery.rs
@@ -36,7 +36,7 @@
                 assert_eq!(spool.pages.len(), PAGES as usize);
                 check_spool(&mut log, spool.spool, PAGES);
             }
-            // The log works after the restart.
+            // The log still works after the restart.
             write_spool(&mut log, 99, 3).unwrap();
             check_spool(&mut log, 99, 3);
         }
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn the_manifest_tells_left_over_segments_from_lost_ones() {
+fn the_manifest_distinguishes_leftover_segments_from_lost_ones() {
     const STRAY_SEGMENT: u32 = 99;
     let files = FaultyFiles::default();
     let (mut log, _) = open(&files);
@@ -84,7 +84,7 @@
     let files = FaultyFiles::default();
     let (mut log, _) = open(&files);
     write_spools(&mut log, 0..4, 5);
-    // A byte of a page in an older segment, whose contents a recovery does not read.
+    // Corrupts a byte of a page in an older segment, whose contents a recovery does not read.
     let page = log.index.spools[&0].pages[2];
     let corrupt_byte = page.offset as usize + HEADER_BYTES + 3;
     files.disk_mut().files.get_mut(&page.segment).unwrap()[corrupt_byte] ^= 1;
@@ -104,7 +104,7 @@
     }
 }
 
-/// What the property test expects of a spool.
+/// Expected state of a spool in the property test.
 #[derive(Clone, Copy)]
 struct ExpectedSpool {
     pages: u32,
@@ -115,8 +115,8 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None,
         rng_seed: proptest::test_runner::RngSeed::Fixed(9), ..ProptestConfig::default() })]
 
-    /// Spools are written, removed and compacted in any interleaving; what is stored reads as it was written, before
-    /// and after a restart.
+    /// Spools are written, removed and compacted in any interleaving; every stored page reads as it was
+    /// written, before and after a restart.
     #[test]
     fn stored_spools_read_as_they_were_written(operations in prop::collection::vec((0..8u64, 0..4u8), 1..120)) {
         let files = FaultyFiles::default();
