--- a/tests/spool.rs
+++ b/tests/spool.rs
@@ -1,5 +1,5 @@
-//! Results that wait for their readers, on the program itself: slow, gone and returning clients, quotas, kills, torn
-//! pages. Engines are stand-ins that keep account of how long each result held them.
+//! Spooled results, tested on the program itself: slow, disconnected and returning clients, quotas, killed
+//! processes and corrupt pages. The engines are fakes that record for how long each result occupied them.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -16,97 +16,109 @@
 use testbed::program::{Folder, Program};
 use tokio::task::{LocalSet, spawn_local};
 
-fn play(f: impl Future<Output = ()>) {
+/// Maximum duration of one test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(90);
+
+fn run_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
     let timed = async {
-        tokio::time::timeout(Duration::from_secs(90), f)
+        tokio::time::timeout(TEST_TIMEOUT, test)
             .await
-            .expect("it takes too long")
+            .expect("the test timed out")
     };
     LocalSet::new().block_on(&runtime, timed)
 }
 
-fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+fn ms(milliseconds: u64) -> Duration {
+    Duration::from_millis(milliseconds)
 }
 
-async fn pass(n: u64) {
-    tokio::time::sleep(ms(n)).await;
+async fn sleep_ms(milliseconds: u64) {
+    tokio::time::sleep(ms(milliseconds)).await;
 }
 
-fn folder(name: &str) -> Folder {
+fn temporary_folder(name: &str) -> Folder {
     Folder::new(&format!("spool-{name}")).unwrap()
 }
 
-/// A file with these engines, two users and this `[spool]`.
-fn file(engines: &[Engine], spool: &str) -> String {
-    let mut list = String::new();
-    for e in engines {
-        list.push_str(&format!(
+/// Returns a configuration with these engines, two users and this `[spool]` section.
+fn configuration(engines: &[Engine], spool: &str) -> String {
+    let mut engine_sections = String::new();
+    for engine in engines {
+        engine_sections.push_str(&format!(
             "[[engine]]\nid = {:?}\naddress = \"{}\"\n",
-            e.name(),
-            e.address()
+            engine.name(),
+            engine.address()
         ));
     }
-    let users = "[[user]]\nname = \"bob\"\npassword = \"bob\"\ntenant = \"kitchen\"\n[[tenant]]\nname = \"kitchen\"\n";
+    let user_sections = "[[user]]\nname = \"bob\"\npassword = \"bob\"\ntenant = \"kitchen\"\n[[tenant]]\nname = \"kitchen\"\n";
     fixture::dispatcher_file(
         "max_clients = 400",
-        &format!("{users}{list}[spool]\n{spool}"),
+        &format!("{user_sections}{engine_sections}[spool]\n{spool}"),
     )
 }
 
-async fn start(folder: &Folder, name: &str, text: &str) -> Program {
-    let text = text.replace("FOLDER", folder.path().to_str().unwrap());
+/// Starts the program with this configuration, in which `FOLDER` stands for the path of the folder.
+async fn start(folder: &Folder, name: &str, configuration: &str) -> Program {
+    let configuration = configuration.replace("FOLDER", folder.path().to_str().unwrap());
     Program::start(
         Path::new(env!("CARGO_BIN_EXE_hitchwinch")),
         folder,
         name,
-        &text,
+        &configuration,
     )
     .await
     .unwrap()
 }
 
-async fn session(p: &Program) -> Session {
-    Session::log_in(p.address, "guest", "guest", SessionOptions::default())
+async fn log_in(program: &Program) -> Session {
+    Session::log_in(program.address, "guest", "guest", SessionOptions::default())
         .await
         .unwrap()
 }
 
-async fn spools(p: &Program) -> Value {
-    serde_json::from_str(&p.call("GET", "/_spools").await.unwrap().1).unwrap()
+/// Returns the body of `GET /_spools`.
+async fn spools_page(program: &Program) -> Value {
+    serde_json::from_str(&program.call("GET", "/_spools").await.unwrap().1).unwrap()
 }
 
-async fn until(p: &Program, what: &str, holds: impl Fn(&Value) -> bool) -> Value {
+/// Polls `GET /_spools` until the body meets the condition, and returns the body.
+async fn wait_until(program: &Program, what: &str, condition: impl Fn(&Value) -> bool) -> Value {
     for _ in 0..500 {
-        let page = spools(p).await;
-        if holds(&page) {
+        let page = spools_page(program).await;
+        if condition(&page) {
             return page;
         }
-        pass(20).await;
+        sleep_ms(20).await;
     }
-    panic!("{what}: {}", spools(p).await)
+    panic!("{what}: {}", spools_page(program).await)
 }
 
-/// The rows are those asked for, in order and whole, from this one on.
-fn whole(rows: &[bytes::Bytes], from: u64, n: u64, bytes: usize, binary: bool) {
-    assert_eq!(rows.len() as u64, n);
-    for (i, row) in rows.iter().enumerate() {
-        let (i, t) = (from + i as u64, text(row, binary).unwrap());
+/// Checks that the rows are the `count` generated rows from number `first` on, in order and complete.
+fn assert_rows(rows: &[bytes::Bytes], first: u64, count: u64, bytes: usize, binary: bool) {
+    assert_eq!(rows.len() as u64, count);
+    for (position, row) in rows.iter().enumerate() {
+        let number = first + position as u64;
+        let content = text(row, binary).unwrap();
+        assert!(
+            content.starts_with(&format!("{number}:")),
+            "row {number}: {}",
+            &content[..20.min(content.len())]
+        );
         assert!(
-            t.starts_with(&format!("{i}:")),
-            "row {i}: {}",
-            &t[..20.min(t.len())]
+            bytes >= 2000 || content == filled(number, bytes),
+            "row {number}"
         );
-        assert!(bytes >= 2000 || t == filled(i, bytes), "row {i}");
     }
 }
 
-async fn handles(s: &mut Session) -> Vec<Vec<String>> {
-    s.query("SHOW HITCHWINCH RESULTS")
+/// Returns the rows of the user's list of results; the first column is the handle.
+async fn list_results(session: &mut Session) -> Vec<Vec<String>> {
+    session
+        .query("SHOW HITCHWINCH RESULTS")
         .await
         .unwrap()
         .rows
@@ -119,19 +131,19 @@
 
 #[test]
 fn slow_clients_do_not_occupy_engines_and_memory_is_bounded() {
-    play(async {
+    run_test(async {
         let engines = fixture::engines(2, ms(1)).await.unwrap();
-        let folder = folder("slow");
+        let folder = temporary_folder("slow");
         let program = start(
             &folder,
             "a",
-            &file(&engines, "dir = \"FOLDER/spool\"\nmemory = \"8 MB\""),
+            &configuration(&engines, "dir = \"FOLDER/spool\"\nmemory = \"8 MB\""),
         )
         .await;
-        // What a result holds its engine for when its client reads at full speed.
-        let mut fast = session(&program).await;
+        // Results of a client that reads at full speed.
+        let mut fast = log_in(&program).await;
         for _ in 0..3 {
-            whole(
+            assert_rows(
                 &fast.query(REPORT).await.unwrap().rows,
                 0,
                 4000,
@@ -139,42 +151,42 @@
                 false,
             );
         }
-        // 200 clients that read 1 kB a second of a megabyte each.
+        // 200 clients, each of which reads a result of one megabyte at 1 kB per second.
         let mut slow = vec![];
         for _ in 0..200 {
-            let wants = SessionOptions {
+            let options = SessionOptions {
                 receive: Some(4096),
                 ..SessionOptions::default()
             };
             slow.push(
-                Session::log_in(program.address, "guest", "guest", wants)
+                Session::log_in(program.address, "guest", "guest", options)
                     .await
                     .unwrap(),
             );
         }
-        let slowly = "select engine from long_report /* rows(1000, 1000) */";
+        let slow_statement = "select engine from long_report /* rows(1000, 1000) */";
         let mut readers = vec![];
-        for (n, mut s) in slow.into_iter().enumerate() {
+        for (number, mut session) in slow.into_iter().enumerate() {
             readers.push(spawn_local(async move {
-                s.send(3, &[slowly.as_bytes()]).await.unwrap();
-                s.read_slowly(1000, ms(9_000)).await.unwrap()
+                session.send(3, &[slow_statement.as_bytes()]).await.unwrap();
+                session.read_slowly(1000, ms(9_000)).await.unwrap()
             }));
-            until(&program, "its result is whole", |p| {
-                p["results"].as_u64() > Some(3 + n as u64)
+            wait_until(&program, "the result is complete", |page| {
+                page["results"].as_u64() > Some(3 + number as u64)
             })
             .await;
         }
-        // All have their results while nobody has read more than a few kB.
+        // All results are complete while no client has read more than a few kB.
         while engines
             .iter()
             .flat_map(Engine::executions)
-            .filter(|r| !r.answered)
+            .filter(|execution| !execution.answered)
             .count()
             > 0
         {
-            pass(20).await;
+            sleep_ms(20).await;
         }
-        // Fast ones beside them are served as ever.
+        // Fast clients are served normally at the same time.
         let clients = Clients::start(
             program.address,
             Load {
@@ -184,98 +196,104 @@
                 prepared: true,
             },
         );
-        whole(
+        assert_rows(
             &fast.query(REPORT).await.unwrap().rows,
             0,
             4000,
             1000,
             false,
         );
-        pass(1500).await;
-        let account = clients.stop().await;
+        sleep_ms(1500).await;
+        let summary = clients.stop().await;
         assert_eq!(
-            account.count(End::Served),
-            account.all(),
+            summary.count(End::Served),
+            summary.all(),
             "{:?}",
-            account.troubles.borrow()
+            summary.troubles.borrow()
         );
-        let ran = engines
+        let executions = engines
             .iter()
             .flat_map(Engine::executions)
-            .filter(|r| r.sql == slowly);
-        let held: Vec<f64> = ran.map(|r| r.held).collect();
+            .filter(|execution| execution.sql == slow_statement);
+        let held_ms: Vec<f64> = executions.map(|execution| execution.held).collect();
         assert!(
-            held.iter().all(|h| *h < 3_000.0),
-            "an engine waited for a reader of 1,000 s: {held:?}"
+            held_ms.iter().all(|held| *held < 3_000.0),
+            "an engine waited for a client that reads for 1,000 s: {held_ms:?}"
         );
-        assert_eq!(held.len(), 200);
-        let page = spools(&program).await;
+        assert_eq!(held_ms.len(), 200);
+        let page = spools_page(&program).await;
         assert!(page["memory_bytes"].as_u64() <= Some(8_000_000), "{page}");
         assert!(
             program.memory().0 < 64.0,
             "{:?} MB with 200 slow readers",
             program.memory()
         );
-        for r in readers {
-            assert!(r.await.unwrap() > 2_000, "each gets its rows at its pace");
+        for reader in readers {
+            assert!(
+                reader.await.unwrap() > 2_000,
+                "each client receives rows at its own pace"
+            );
         }
     });
 }
 
 #[test]
 fn disconnected_client_resumes_its_result_and_nothing_runs_twice() {
-    play(async {
+    run_test(async {
         let engines = fixture::engines(2, ms(1)).await.unwrap();
-        let folder = folder("return");
-        let text = file(
+        let folder = temporary_folder("return");
+        let configuration = configuration(
             &engines,
             "dir = \"FOLDER/spool\"\npage_rows = 50\nkeep_s = 600",
         );
-        let program = start(&folder, "a", &text).await;
-        let mut s = session(&program).await;
-        s.send(3, &[REPORT.as_bytes()]).await.unwrap();
-        s.read_slowly(100_000, ms(300)).await.unwrap();
-        drop(s); // in the middle of its rows
-        let mut again = session(&program).await;
-        let listed = handles(&mut again).await;
+        let program = start(&folder, "a", &configuration).await;
+        let mut session = log_in(&program).await;
+        session.send(3, &[REPORT.as_bytes()]).await.unwrap();
+        session.read_slowly(100_000, ms(300)).await.unwrap();
+        drop(session); // Disconnects in the middle of the rows.
+        let mut second_session = log_in(&program).await;
+        let listed = list_results(&mut second_session).await;
         assert_eq!(
             (listed.len(), listed[0][1].as_str(), listed[0][2].as_str()),
             (1, REPORT, "80")
         );
         assert_eq!(&listed[0][3], "4000");
         let handle = listed[0][0].clone();
-        let fetch = |from: u32| format!("fetch hitchwinch result '{handle}' from page {from}");
-        whole(
-            &again.query(&fetch(25)).await.unwrap().rows,
+        let fetch = |page: u32| format!("fetch hitchwinch result '{handle}' from page {page}");
+        assert_rows(
+            &second_session.query(&fetch(25)).await.unwrap().rows,
             1250,
             2750,
             1000,
             false,
         );
-        whole(
-            &again.query(&fetch(0)).await.unwrap().rows,
+        assert_rows(
+            &second_session.query(&fetch(0)).await.unwrap().rows,
             0,
             4000,
             1000,
             false,
         );
-        assert_eq!(error(again.query(&fetch(80)).await).unwrap().code, 1141);
-        // Over another connection, and after the dispatcher was killed and started again.
-        until(&program, "all of it is on the disk", |p| {
-            p["memory_bytes"] == 0 && p["on_the_way_to_disk_bytes"] == 0
+        assert_eq!(
+            error(second_session.query(&fetch(80)).await).unwrap().code,
+            1141
+        );
+        // The result can also be resumed after the dispatcher was killed and started again.
+        wait_until(&program, "the whole result is on the disk", |page| {
+            page["memory_bytes"] == 0 && page["on_the_way_to_disk_bytes"] == 0
         })
         .await;
-        pass(100).await;
+        sleep_ms(100).await;
         program.kill().await.unwrap();
-        let program = start(&folder, "b", &text).await;
+        let program = start(&folder, "b", &configuration).await;
         program
             .says("1 results of earlier processes")
             .await
             .unwrap();
-        let mut retry_after = session(&program).await;
-        assert_eq!(handles(&mut retry_after).await[0][0], handle);
-        whole(
-            &retry_after.query(&fetch(79)).await.unwrap().rows,
+        let mut third_session = log_in(&program).await;
+        assert_eq!(list_results(&mut third_session).await[0][0], handle);
+        assert_rows(
+            &third_session.query(&fetch(79)).await.unwrap().rows,
             3950,
             50,
             1000,
@@ -285,34 +303,40 @@
             engines
                 .iter()
                 .flat_map(Engine::executions)
-                .filter(|r| r.sql == REPORT)
+                .filter(|execution| execution.sql == REPORT)
                 .count(),
             1,
-            "it ran once"
+            "the statement ran once"
         );
     });
 }
 
 #[test]
 fn foreign_wrong_and_expired_handles_are_indistinguishable() {
-    play(async {
+    run_test(async {
         let engines = fixture::engines(1, ms(1)).await.unwrap();
-        let folder = folder("handles");
-        let program = start(&folder, "a", &file(&engines, "keep_s = 0.6")).await;
-        let mut ann = session(&program).await;
+        let folder = temporary_folder("handles");
+        let program = start(&folder, "a", &configuration(&engines, "keep_s = 0.6")).await;
+        let mut ann = log_in(&program).await;
         ann.query(REPORT).await.unwrap();
-        let handle = handles(&mut ann).await[0][0].clone();
+        let handle = list_results(&mut ann).await[0][0].clone();
         assert!(handle.len() == 32 && handle.bytes().all(|b| b.is_ascii_hexdigit()));
         let fetch = format!("FETCH HITCHWINCH RESULT '{handle}' FROM PAGE 0");
         let mut bob = Session::log_in(program.address, "bob", "bob", SessionOptions::default())
             .await
             .unwrap();
-        assert!(handles(&mut bob).await.is_empty(), "nobody sees another's");
-        let others = error(bob.query(&fetch).await).unwrap();
-        let guessed = error(bob.query(&fetch.replace(&handle[..4], "0000")).await).unwrap();
-        assert_eq!((others.code, &others.message), (1141, &guessed.message));
-        whole(&ann.query(&fetch).await.unwrap().rows, 0, 4000, 1000, false);
-        pass(1300).await;
+        assert!(
+            list_results(&mut bob).await.is_empty(),
+            "a user sees only their own results"
+        );
+        let other_user = error(bob.query(&fetch).await).unwrap();
+        let unknown = error(bob.query(&fetch.replace(&handle[..4], "0000")).await).unwrap();
+        assert_eq!(
+            (other_user.code, &other_user.message),
+            (1141, &unknown.message)
+        );
+        assert_rows(&ann.query(&fetch).await.unwrap().rows, 0, 4000, 1000, false);
+        sleep_ms(1300).await;
         let expired = error(ann.query(&fetch).await).unwrap();
         assert!(
             expired.code == 1141 && expired.message.contains("expired"),
@@ -320,10 +344,10 @@
         );
         assert_eq!(
             error(bob.query(&fetch).await).unwrap().message,
-            others.message,
-            "also then"
+            other_user.message,
+            "an expired handle of another user gives the same error"
         );
-        let page = spools(&program).await;
+        let page = spools_page(&program).await;
         assert_eq!(
             (&page["handles"]["others"], &page["handles"]["wrong"]),
             (&2.into(), &1.into())
@@ -332,100 +356,115 @@
             (&page["expired"], &page["results"], &page["memory_bytes"]),
             (&1.into(), &0.into(), &0.into())
         );
-        // What is wrong with a statement of ours is told with its place.
-        let e = error(ann.query("FETCH HITCHWINCH RESULT x").await).unwrap();
+        // The error for an invalid statement of the dispatcher states the position.
+        let error_packet = error(ann.query("FETCH HITCHWINCH RESULT x").await).unwrap();
         assert!(
-            e.code == 1064 && e.message.contains("at character 25"),
-            "{e:?}"
+            error_packet.code == 1064 && error_packet.message.contains("at character 25"),
+            "{error_packet:?}"
         );
     });
 }
 
 #[test]
 fn full_quota_or_disk_rejects_or_fails_results_with_a_clear_error() {
-    play(async {
+    run_test(async {
         let engines = fixture::engines(2, ms(1)).await.unwrap();
-        let folder = folder("full");
+        let folder = temporary_folder("full");
         let spool = "dir = \"FOLDER/spool\"\nmemory = \"1 MB\"\ndisk = \"12 MB\"\nresult = \"6 MB\"\nkeep_s = 600";
-        let program = start(&folder, "a", &file(&engines, spool)).await;
-        let mut s = session(&program).await;
+        let program = start(&folder, "a", &configuration(&engines, spool)).await;
+        let mut session = log_in(&program).await;
         let long = "select engine from report /* rows(7000, 1000) */";
-        let e = error(s.query(long).await).unwrap();
+        let error_packet = error(session.query(long).await).unwrap();
         assert!(
-            e.code == 1104 && e.message.contains("6000000 bytes"),
-            "{e:?}"
+            error_packet.code == 1104 && error_packet.message.contains("6000000 bytes"),
+            "{error_packet:?}"
         );
-        // Readers that do not read hold their results: nobody's may be thrown away for another.
+        // Results with readers that read nothing are retained: none may be evicted for another result.
         let mut readers = vec![];
-        let mut refused = None;
+        let mut rejection = None;
         for n in 0..12 {
-            let wants = SessionOptions {
+            let options = SessionOptions {
                 receive: Some(4096),
                 ..SessionOptions::default()
             };
-            let mut r = Session::log_in(program.address, "guest", "guest", wants)
+            let mut reader = Session::log_in(program.address, "guest", "guest", options)
                 .await
                 .unwrap();
-            r.send(3, &[REPORT.as_bytes()]).await.unwrap();
-            r.read_slowly(10_000, ms(700)).await.unwrap();
-            readers.push(r);
+            reader.send(3, &[REPORT.as_bytes()]).await.unwrap();
+            reader.read_slowly(10_000, ms(700)).await.unwrap();
+            readers.push(reader);
             let sent = engines.iter().map(Engine::count).sum::<usize>();
-            if let Some(e) = error(s.query("select engine from t /* rows(4000, 1000) */").await) {
-                refused = Some((n, e, sent));
+            if let Some(error_packet) = error(
+                session
+                    .query("select engine from t /* rows(4000, 1000) */")
+                    .await,
+            ) {
+                rejection = Some((n, error_packet, sent));
                 break;
             }
         }
-        let (_, e, _) = refused.expect("a bound is reached");
-        assert!([3168, 1104].contains(&e.code), "{e:?}");
-        // And from then on nothing is sent for which there is no room.
+        let (_, error_packet, _) = rejection.expect("a limit is reached");
+        assert!(
+            [3168, 1104].contains(&error_packet.code),
+            "{error_packet:?}"
+        );
+        // From then on no statement is sent whose result has no capacity.
         for _ in 0..8 {
-            let _ = s.query("select engine from t /* rows(4000, 1000) */").await;
+            let _ = session
+                .query("select engine from t /* rows(4000, 1000) */")
+                .await;
         }
         let sent = engines.iter().map(Engine::count).sum::<usize>();
-        let e = error(s.query("select engine from t /* rows(4000, 1000) */").await).unwrap();
-        assert_eq!(e.code, 3168, "{e:?}");
+        let error_packet = error(
+            session
+                .query("select engine from t /* rows(4000, 1000) */")
+                .await,
+        )
+        .unwrap();
+        assert_eq!(error_packet.code, 3168, "{error_packet:?}");
         assert!(
-            e.message.contains("room for its result") && e.message.contains("does no harm"),
-            "{e:?}"
+            error_packet.message.contains("room for its result")
+                && error_packet.message.contains("does no harm"),
+            "{error_packet:?}"
         );
         assert_eq!(
             engines.iter().map(Engine::count).sum::<usize>(),
             sent,
-            "it was not sent"
+            "the statement was not sent"
         );
-        // What is short waits nowhere, and is served as ever.
+        // A statement with a short result is not spooled and is served normally.
         let mut bob = Session::log_in(program.address, "bob", "bob", SessionOptions::default())
             .await
             .unwrap();
         assert!(bob.query("insert into stock values (1)").await.is_ok());
-        let page = spools(&program).await;
+        let page = spools_page(&program).await;
         assert!(
             page["refused"].as_u64() > Some(0) && page["disk_bytes"].as_u64() <= Some(12_000_000),
             "{page}"
         );
-        let on_disk: u64 = walk(&folder.path().join("spool"));
+        let on_disk: u64 = bytes_below(&folder.path().join("spool"));
         assert!(on_disk <= 12_000_000, "{on_disk} bytes on the disk");
-        // Readers that go make room.
+        // Disconnecting the readers frees capacity.
         drop(readers);
         for _ in 0..100 {
-            if s.query(REPORT).await.is_ok() {
+            if session.query(REPORT).await.is_ok() {
                 return;
             }
-            pass(50).await;
+            sleep_ms(50).await;
         }
-        panic!("no room came back: {}", spools(&program).await);
+        panic!("no capacity was freed: {}", spools_page(&program).await);
     });
 }
 
-/// Bytes of all files below a folder.
-fn walk(path: &Path) -> u64 {
+/// Returns the size of all files below a folder, in bytes.
+fn bytes_below(path: &Path) -> u64 {
     let entries = std::fs::read_dir(path).into_iter().flatten().flatten();
     entries
-        .map(|e| {
-            if e.path().is_dir() {
-                walk(&e.path())
+        .map(|entry| {
+            if entry.path().is_dir() {
+                bytes_below(&entry.path())
             } else {
-                e.metadata().map_or(0, |m| m.len())
+                entry.metadata().map_or(0, |metadata| metadata.len())
             }
         })
         .sum()
@@ -433,89 +472,118 @@
 
 #[test]
 fn engine_death_during_a_result_leaves_no_partial_result_and_reads_are_retried() {
-    play(async {
+    run_test(async {
         let engines = fixture::engines(2, ms(1)).await.unwrap();
-        let folder = folder("dies");
-        let program = start(&folder, "a", &file(&engines, "dir = \"FOLDER/spool\"")).await;
-        let mut s = session(&program).await;
+        let folder = temporary_folder("dies");
+        let program = start(
+            &folder,
+            "a",
+            &configuration(&engines, "dir = \"FOLDER/spool\""),
+        )
+        .await;
+        let mut session = log_in(&program).await;
         engines[0].breaks_once();
         let breaking = "select engine from report /* rows(4000, 1000, 2500) */";
-        let mut asked = 0;
+        let mut sent = 0;
         while engines[0].count() == 0 {
-            whole(&s.query(breaking).await.unwrap().rows, 0, 4000, 1000, false);
-            asked += 1;
+            assert_rows(
+                &session.query(breaking).await.unwrap().rows,
+                0,
+                4000,
+                1000,
+                false,
+            );
+            sent += 1;
         }
-        let ran: Vec<_> = engines
+        let executions: Vec<_> = engines
             .iter()
             .flat_map(Engine::executions)
-            .filter(|r| r.sql == breaking)
+            .filter(|execution| execution.sql == breaking)
             .collect();
         assert_eq!(
-            (ran.len(), ran.iter().filter(|r| !r.answered).count()),
-            (asked + 1, 1)
+            (
+                executions.len(),
+                executions
+                    .iter()
+                    .filter(|execution| !execution.answered)
+                    .count()
+            ),
+            (sent + 1, 1)
         );
         assert_eq!(
-            handles(&mut s).await.len(),
-            asked,
-            "whole results, and no half"
+            list_results(&mut session).await.len(),
+            sent,
+            "only complete results are listed"
         );
-        // What writes runs once: its half result is an error, and nothing of it is kept.
+        // A statement that writes runs once: its partial result is an error, and nothing of the result is
+        // kept.
         engines.iter().for_each(Engine::breaks_once);
         let writing = "insert into report /* rows(4000, 1000, 2500) */ values (1)";
-        let e = error(s.query(writing).await).unwrap();
-        assert_eq!(e.code, 1317, "{e:?}");
+        let error_packet = error(session.query(writing).await).unwrap();
+        assert_eq!(error_packet.code, 1317, "{error_packet:?}");
         assert_eq!(
             engines
                 .iter()
                 .flat_map(Engine::executions)
-                .filter(|r| r.sql == writing)
+                .filter(|execution| execution.sql == writing)
                 .count(),
             1
         );
-        assert_eq!(handles(&mut s).await.len(), asked);
-        until(&program, "all is on the disk", |p| p["memory_bytes"] == 0).await;
+        assert_eq!(list_results(&mut session).await.len(), sent);
+        wait_until(&program, "all results are on the disk", |page| {
+            page["memory_bytes"] == 0
+        })
+        .await;
     });
 }
 
 #[test]
 fn kill_during_a_write_keeps_only_complete_results() {
-    play(async {
+    run_test(async {
         let engines = fixture::engines(1, ms(1)).await.unwrap();
-        let folder = folder("kill");
-        let text = file(
+        let folder = temporary_folder("kill");
+        let configuration = configuration(
             &engines,
             "dir = \"FOLDER/spool\"\nmemory = \"1 MB\"\nresult = \"1 GB\"\nkeep_s = 600",
         );
         for round in 0..6u64 {
-            let program = start(&folder, &format!("k{round}"), &text).await;
-            let mut s = session(&program).await;
-            s.query(&format!(
-                "select engine from report{round} /* rows(2000, 1000) */"
-            ))
-            .await
-            .unwrap();
-            until(&program, "it is on the disk", |p| {
-                p["memory_bytes"] == 0 && p["on_the_way_to_disk_bytes"] == 0
+            let program = start(&folder, &format!("k{round}"), &configuration).await;
+            let mut session = log_in(&program).await;
+            session
+                .query(&format!(
+                    "select engine from report{round} /* rows(2000, 1000) */"
+                ))
+                .await
+                .unwrap();
+            wait_until(&program, "the result is on the disk", |page| {
+                page["memory_bytes"] == 0 && page["on_the_way_to_disk_bytes"] == 0
             })
             .await;
-            pass(50).await;
-            s.send(3, &[b"select engine from half /* rows(200000, 1000) */"])
+            sleep_ms(50).await;
+            session
+                .send(3, &[b"select engine from half /* rows(200000, 1000) */"])
                 .await
                 .unwrap();
-            pass(100 + 60 * round).await;
+            sleep_ms(100 + 60 * round).await;
             program.kill().await.unwrap();
         }
-        let program = start(&folder, "last", &text).await;
+        let program = start(&folder, "last", &configuration).await;
         program
             .says("6 results of earlier processes")
             .await
             .unwrap();
-        let mut s = session(&program).await;
-        let listed = handles(&mut s).await;
-        for (round, line) in (0..6).zip(&listed) {
-            assert!(line[1].contains(&format!("report{round}")), "{listed:?}");
-            let fetch = format!("FETCH HITCHWINCH RESULT '{}'", line[0]);
-            whole(&s.query(&fetch).await.unwrap().rows, 0, 2000, 1000, false);
+        let mut session = log_in(&program).await;
+        let listed = list_results(&mut session).await;
+        for (round, row) in (0..6).zip(&listed) {
+            assert!(row[1].contains(&format!("report{round}")), "{listed:?}");
+            let fetch = format!("FETCH HITCHWINCH RESULT '{}'", row[0]);
+            assert_rows(
+                &session.query(&fetch).await.unwrap().rows,
+                0,
+                2000,
+                1000,
+                false,
+            );
         }
         assert_eq!(listed.len(), 6);
     });
@@ -523,63 +591,87 @@
 
 #[test]
 fn corrupt_page_ends_its_result_with_an_error_and_affects_no_other() {
-    play(async {
+    run_test(async {
         let engines = fixture::engines(1, ms(1)).await.unwrap();
-        let folder = folder("torn");
+        let folder = temporary_folder("torn");
         let program = start(
             &folder,
             "a",
-            &file(&engines, "dir = \"FOLDER/spool\"\npage_rows = 100"),
+            &configuration(&engines, "dir = \"FOLDER/spool\"\npage_rows = 100"),
         )
         .await;
-        let mut s = session(&program).await;
-        s.query(REPORT).await.unwrap();
-        s.query("select engine from other /* rows(1000, 500) */")
+        let mut session = log_in(&program).await;
+        session.query(REPORT).await.unwrap();
+        session
+            .query("select engine from other /* rows(1000, 500) */")
             .await
             .unwrap();
-        until(&program, "all is on the disk", |p| {
-            p["memory_bytes"] == 0 && p["on_the_way_to_disk_bytes"] == 0
+        wait_until(&program, "all results are on the disk", |page| {
+            page["memory_bytes"] == 0 && page["on_the_way_to_disk_bytes"] == 0
         })
         .await;
-        pass(50).await;
-        // A byte in the middle of the first segment.
-        let own = std::fs::read_dir(folder.path().join("spool"))
+        sleep_ms(50).await;
+        // Corrupts a byte in the middle of the first segment.
+        let own_directory = std::fs::read_dir(folder.path().join("spool"))
             .unwrap()
             .next()
             .unwrap()
             .unwrap()
             .path();
-        let segment = own.join("segment-00000001");
+        let segment = own_directory.join("segment-00000001");
         let mut bytes = std::fs::read(&segment).unwrap();
         bytes[400_000] ^= 1;
         std::fs::write(&segment, bytes).unwrap();
-        let listed = handles(&mut s).await;
-        let fetch = |n: usize| format!("FETCH HITCHWINCH RESULT '{}'", listed[n][0]);
-        let e = error(s.query(&fetch(0)).await).expect("it breaks off");
-        assert!(e.code == 1104 && e.message.contains("torn"), "{e:?}");
-        whole(&s.query(&fetch(1)).await.unwrap().rows, 0, 1000, 500, false);
-        assert_eq!(spools(&program).await["torn_pages"], 1);
+        let listed = list_results(&mut session).await;
+        let fetch = |position: usize| format!("FETCH HITCHWINCH RESULT '{}'", listed[position][0]);
+        let error_packet =
+            error(session.query(&fetch(0)).await).expect("the result ends with an error");
+        assert!(
+            error_packet.code == 1104 && error_packet.message.contains("torn"),
+            "{error_packet:?}"
+        );
+        assert_rows(
+            &session.query(&fetch(1)).await.unwrap().rows,
+            0,
+            1000,
+            500,
+            false,
+        );
+        assert_eq!(spools_page(&program).await["torn_pages"], 1);
     });
 }
 
 #[test]
 fn failing_disk_is_reported_and_results_stay_in_memory_until_recovery() {
-    play(async {
+    run_test(async {
         let engines = fixture::engines(1, ms(1)).await.unwrap();
-        let folder = folder("fails");
-        let program = start(&folder, "a", &file(&engines, "dir = \"FOLDER/spool\"")).await;
-        let own = std::fs::read_dir(folder.path().join("spool"))
+        let folder = temporary_folder("fails");
+        let program = start(
+            &folder,
+            "a",
+            &configuration(&engines, "dir = \"FOLDER/spool\""),
+        )
+        .await;
+        let own_directory = std::fs::read_dir(folder.path().join("spool"))
             .unwrap()
             .next()
             .unwrap()
             .unwrap()
             .path();
-        let aside = folder.path().join("aside");
-        std::fs::rename(&own, &aside).unwrap(); // whatever is written there now fails
-        let mut s = session(&program).await;
-        whole(&s.query(REPORT).await.unwrap().rows, 0, 4000, 1000, false);
-        let page = until(&program, "failing", |p| {
-            p["disk"].as_str().is_some_and(|d| d.starts_with("failing"))
+        let moved = folder.path().join("aside");
+        std::fs::rename(&own_directory, &moved).unwrap(); // All writes to the directory fail now.
+        let mut session = log_in(&program).await;
+        assert_rows(
+            &session.query(REPORT).await.unwrap().rows,
+            0,
+            4000,
+            1000,
+            false,
+        );
+        let page = wait_until(&program, "the disk is failing", |page| {
+            page["disk"]
+                .as_str()
+                .is_some_and(|disk| disk.starts_with("failing"))
         })
         .await;
         assert!(page["memory_bytes"].as_u64() >= Some(4_000_000), "{page}");
@@ -592,56 +684,73 @@
                 .1
                 .contains("spool.disk_well=0")
         );
-        let fetch = format!("FETCH HITCHWINCH RESULT '{}'", handles(&mut s).await[0][0]);
-        whole(&s.query(&fetch).await.unwrap().rows, 0, 4000, 1000, false);
-        std::fs::rename(&aside, &own).unwrap();
-        until(&program, "well again, and all is there", |p| {
-            p["disk"] == "well" && p["memory_bytes"] == 0
-        })
+        let fetch = format!(
+            "FETCH HITCHWINCH RESULT '{}'",
+            list_results(&mut session).await[0][0]
+        );
+        assert_rows(
+            &session.query(&fetch).await.unwrap().rows,
+            0,
+            4000,
+            1000,
+            false,
+        );
+        std::fs::rename(&moved, &own_directory).unwrap();
+        wait_until(
+            &program,
+            "the disk has recovered, and all results are on it",
+            |page| page["disk"] == "well" && page["memory_bytes"] == 0,
+        )
         .await;
-        whole(&s.query(&fetch).await.unwrap().rows, 0, 4000, 1000, false);
-        assert_eq!(engines[0].count(), 1, "nothing ran for it");
+        assert_rows(
+            &session.query(&fetch).await.unwrap().rows,
+            0,
+            4000,
+            1000,
+            false,
+        );
+        assert_eq!(engines[0].count(), 1, "the statement ran once");
     });
 }
 
 #[test]
 fn cursors_are_served_page_by_page_for_short_and_long_results() {
-    play(async {
+    run_test(async {
         let engines = fixture::engines(1, ms(1)).await.unwrap();
-        let folder = folder("cursor");
+        let folder = temporary_folder("cursor");
         let program = start(
             &folder,
             "a",
-            &file(&engines, "dir = \"FOLDER/spool\"\npage_rows = 70"),
+            &configuration(&engines, "dir = \"FOLDER/spool\"\npage_rows = 70"),
         )
         .await;
         for deprecate_eof in [false, true] {
-            let wants = SessionOptions {
+            let options = SessionOptions {
                 deprecate_eof,
                 ..SessionOptions::default()
             };
-            let mut s = Session::log_in(program.address, "guest", "guest", wants)
+            let mut session = Session::log_in(program.address, "guest", "guest", options)
                 .await
                 .unwrap();
-            for (n, bytes) in [(1000u64, 1000), (30, 20)] {
-                let sql = format!("select engine from report /* rows({n}, {bytes}) */");
-                let (id, columns) = s.prepare(&sql).await.unwrap();
-                let opened = s.execute(id, true).await.unwrap();
+            for (row_count, bytes) in [(1000u64, 1000), (30, 20)] {
+                let sql = format!("select engine from report /* rows({row_count}, {bytes}) */");
+                let (id, columns) = session.prepare(&sql).await.unwrap();
+                let opened = session.execute(id, true).await.unwrap();
                 assert_eq!((opened.columns, columns, opened.last[0]), (2, 2, 0xfe));
-                let status = |p: &bytes::Bytes| eof_status(p).unwrap();
+                let status = |packet: &bytes::Bytes| eof_status(packet).unwrap();
                 assert_eq!(
                     status(&opened.last) & SERVER_STATUS_CURSOR_EXISTS,
                     SERVER_STATUS_CURSOR_EXISTS
                 );
-                let ran = engines[0]
+                let unanswered = engines[0]
                     .executions()
                     .iter()
-                    .filter(|r| !r.answered)
+                    .filter(|execution| !execution.answered)
                     .count();
-                assert_eq!(ran, 0, "the engine is free before the first fetch");
+                assert_eq!(unanswered, 0, "the engine is free before the first fetch");
                 let (mut rows, mut fetches) = (vec![], 0);
                 loop {
-                    let page = s.fetch(id, 64).await.unwrap();
+                    let page = session.fetch(id, 64).await.unwrap();
                     assert!(page.rows.len() <= 64);
                     rows.extend(page.rows);
                     fetches += 1;
@@ -649,15 +758,21 @@
                         break;
                     }
                 }
-                assert_eq!(fetches, n.div_ceil(64));
-                whole(&rows, 0, n, bytes, true);
+                assert_eq!(fetches, row_count.div_ceil(64));
+                assert_rows(&rows, 0, row_count, bytes, true);
                 assert_eq!(
-                    error(s.fetch(id, 1).await).unwrap().code,
+                    error(session.fetch(id, 1).await).unwrap().code,
                     1421,
-                    "it is closed at its end"
+                    "the cursor is closed after its last row"
+                );
+                // Without a cursor, the result is the same.
+                assert_rows(
+                    &session.execute(id, false).await.unwrap().rows,
+                    0,
+                    row_count,
+                    bytes,
+                    true,
                 );
-                // Without a cursor it is the same result.
-                whole(&s.execute(id, false).await.unwrap().rows, 0, n, bytes, true);
             }
         }
     });
@@ -665,16 +780,17 @@
 
 #[test]
 fn stalled_client_is_disconnected_and_its_result_is_retained() {
-    play(async {
+    run_test(async {
         let engines = fixture::engines(1, ms(1)).await.unwrap();
-        let folder = folder("stall");
-        let text = file(&engines, "stall_s = 0.5\nkeep_s = 600\nresult = \"40 MB\"");
-        let program = start(&folder, "a", &text).await;
-        let wants = SessionOptions {
+        let folder = temporary_folder("stall");
+        let configuration =
+            configuration(&engines, "stall_s = 0.5\nkeep_s = 600\nresult = \"40 MB\"");
+        let program = start(&folder, "a", &configuration).await;
+        let options = SessionOptions {
             receive: Some(4096),
             ..SessionOptions::default()
         };
-        let mut stalled = Session::log_in(program.address, "guest", "guest", wants)
+        let mut stalled = Session::log_in(program.address, "guest", "guest", options)
             .await
             .unwrap();
         stalled
@@ -682,60 +798,67 @@
             .await
             .unwrap();
         program.says("timed out").await.unwrap();
-        // One that reads slowly, but reads, stays.
-        let mut slow = Session::log_in(program.address, "guest", "guest", wants)
+        // A client that reads slowly stays connected.
+        let mut slow = Session::log_in(program.address, "guest", "guest", options)
             .await
             .unwrap();
         slow.send(3, &[b"select engine from report /* rows(5000, 1000) */"])
             .await
             .unwrap();
         assert!(slow.read_slowly(300_000, ms(2_500)).await.unwrap() > 40_000);
-        let mut s = session(&program).await;
-        let listed = handles(&mut s).await;
+        let mut session = log_in(&program).await;
+        let listed = list_results(&mut session).await;
         let fetch = format!("FETCH HITCHWINCH RESULT '{}'", listed[0][0]);
-        whole(&s.query(&fetch).await.unwrap().rows, 0, 20_000, 1000, false);
+        assert_rows(
+            &session.query(&fetch).await.unwrap().rows,
+            0,
+            20_000,
+            1000,
+            false,
+        );
     });
 }
 
 #[test]
 fn results_are_available_after_a_takeover() {
-    play(async {
+    run_test(async {
         let engines = fixture::engines(1, ms(1)).await.unwrap();
-        let folder = folder("upgrade");
-        let text = file(
+        let folder = temporary_folder("upgrade");
+        let configuration = configuration(
             &engines,
             "dir = \"FOLDER/spool\"\npage_rows = 50\nkeep_s = 600",
         )
         .replace("max_clients", "state_dir = \"FOLDER\"\nmax_clients");
-        let old = start(&folder, "old", &text).await;
-        let mut s = session(&old).await;
-        s.query(REPORT).await.unwrap();
-        let handle = handles(&mut s).await[0][0].clone();
-        until(&old, "on the disk", |p| {
-            p["memory_bytes"] == 0 && p["on_the_way_to_disk_bytes"] == 0
+        let old = start(&folder, "old", &configuration).await;
+        let mut session = log_in(&old).await;
+        session.query(REPORT).await.unwrap();
+        let handle = list_results(&mut session).await[0][0].clone();
+        wait_until(&old, "the result is on the disk", |page| {
+            page["memory_bytes"] == 0 && page["on_the_way_to_disk_bytes"] == 0
         })
         .await;
-        pass(50).await;
-        let new = start(&folder, "new", &text).await;
+        sleep_ms(50).await;
+        let new = start(&folder, "new", &configuration).await;
         old.says("2 processes").await.unwrap();
-        // Both live, each on a folder of its own: the new one brings over what it is asked for.
-        let mut s = session(&new).await;
-        assert_eq!(handles(&mut s).await[0][0], handle);
+        // Both processes run, each with its own directory; the new one imports the results that are
+        // requested.
+        let mut session = log_in(&new).await;
+        assert_eq!(list_results(&mut session).await[0][0], handle);
         let fetch = format!("FETCH HITCHWINCH RESULT '{handle}' FROM PAGE 20");
-        whole(
-            &s.query(&fetch).await.unwrap().rows,
+        assert_rows(
+            &session.query(&fetch).await.unwrap().rows,
             1000,
             3000,
             1000,
             false,
         );
-        // A spool that is open at SIGTERM: the reader gets its rows to the end.
-        let mut reading = session(&old).await;
+        // A spool with a reader at SIGTERM: the reader receives all rows.
+        let mut reading = log_in(&old).await;
         reading.send(3, &[REPORT.as_bytes()]).await.unwrap();
         reading.read_slowly(1_000_000, ms(200)).await.unwrap();
         assert!(old.ends().await.unwrap());
-        whole(
-            &s.query(&fetch).await.unwrap().rows,
+        assert_rows(
+            &session.query(&fetch).await.unwrap().rows,
             1000,
             3000,
             1000,
@@ -747,63 +870,64 @@
         assert_eq!(
             error(bob.query(&fetch).await).unwrap().code,
             1141,
-            "its owner's alone, also there"
+            "in the new process as well, only the owner can resume the result"
         );
     });
 }
 
 #[test]
 fn session_tracking_client_receives_the_handle_in_the_last_packet() {
-    play(async {
+    run_test(async {
         let engines = fixture::engines(1, ms(1)).await.unwrap();
-        let folder = folder("track");
-        let program = start(&folder, "a", &file(&engines, "keep_s = 600")).await;
-        let wants = SessionOptions {
+        let folder = temporary_folder("track");
+        let program = start(&folder, "a", &configuration(&engines, "keep_s = 600")).await;
+        let options = SessionOptions {
             deprecate_eof: true,
             session_track: true,
             receive: None,
         };
-        let mut s = Session::log_in(program.address, "guest", "guest", wants)
+        let mut session = Session::log_in(program.address, "guest", "guest", options)
             .await
             .unwrap();
-        let answer = s.query(REPORT).await.unwrap();
-        whole(&answer.rows, 0, 4000, 1000, false);
+        let answer = session.query(REPORT).await.unwrap();
+        assert_rows(&answer.rows, 0, 4000, 1000, false);
         let last = String::from_utf8_lossy(&answer.last).into_owned();
-        let handle = &handles(&mut s).await[0][0];
+        let handle = &list_results(&mut session).await[0][0];
         assert!(
             last.contains(RESULT_HANDLE_VARIABLE) && last.contains(handle.as_str()),
             "{last:?}"
         );
-        // A short result is no spool, and has none.
-        let short = s.query("select engine from stock").await.unwrap();
+        // A short result is not spooled and has no handle.
+        let short = session.query("select engine from stock").await.unwrap();
         assert!(!String::from_utf8_lossy(&short.last).contains(RESULT_HANDLE_VARIABLE));
-        assert!(s.query("insert into t values (1)").await.is_ok());
+        assert!(session.query("insert into t values (1)").await.is_ok());
     });
 }
 
 #[test]
 fn two_gigabyte_result_passes_through_bounded_memory() {
-    play(async {
+    run_test(async {
         let engines = fixture::engines(1, ms(1)).await.unwrap();
-        let folder = folder("large");
+        let folder = temporary_folder("large");
         let spool =
             "dir = \"FOLDER/spool\"\nmemory = \"16 MB\"\ndisk = \"8 GB\"\nresult = \"4 GB\"";
         let program = start(
             &folder,
             "a",
-            &file(&engines, spool).replace("deadline_ms = 5000.0", "deadline_ms = 80000.0"),
+            &configuration(&engines, spool)
+                .replace("deadline_ms = 5000.0", "deadline_ms = 80000.0"),
         )
         .await;
-        let mut s = session(&program).await;
-        // 4,096 rows of half a megabyte; looked at as they come, and not kept.
+        let mut session = log_in(&program).await;
+        // 4,096 rows of half a megabyte, which are checked as they arrive and not kept.
         let mut bytes = 0;
-        let rows = s.each(
+        let rows = session.each(
             "select engine from archive /* rows(4096, 524288) */",
-            |n, row| {
+            |number, row| {
                 bytes += row.len();
                 assert!(
-                    text(row, false).unwrap().starts_with(&format!("{n}:")),
-                    "row {n}"
+                    text(row, false).unwrap().starts_with(&format!("{number}:")),
+                    "row {number}"
                 );
             },
         );
@@ -811,9 +935,9 @@
         assert!(bytes >= 2 << 30, "{bytes}");
         assert!(program.memory().1 < 96.0, "{:?} MB", program.memory());
         assert_eq!(
-            handles(&mut s).await[0][3],
+            list_results(&mut session).await[0][3],
             "4096",
-            "and it waits for who comes back"
+            "the complete result is available afterwards"
         );
     });
 }
