--- a/tests/stored/members.rs
+++ b/tests/stored/members.rs
@@ -1,26 +1,26 @@
-//! The snapshot of membership as a record.
+//! The snapshot of the membership, stored as a record.
 
 use query_dispatcher::membership::{PersistedInstance, SNAPSHOT_FORMAT_VERSION, Snapshot, Version};
 use query_dispatcher::storage::{LocalFileSystem, RecordError, RecordKind, RecordStore};
 use std::path::Path;
 
-const FILE: &str = "members";
-const MOST_BYTES: usize = 64 << 20;
+const FILE_NAME: &str = "members";
+const MAX_CONTENT_BYTES: usize = 64 << 20;
 
 fn store(folder: &Path) -> RecordStore {
     RecordStore::new(
         LocalFileSystem,
         folder,
-        FILE,
+        FILE_NAME,
         RecordKind {
             tag: *b"MEMB",
             version: SNAPSHOT_FORMAT_VERSION,
         },
-        MOST_BYTES,
+        MAX_CONTENT_BYTES,
     )
 }
 
-/// What the stored file holds: every field with and without a value.
+/// Returns the content of the stored file, in which every optional field occurs with and without a value.
 pub(crate) fn fixed_snapshot() -> Snapshot {
     let engine = |id: &str, port: u16, in_service: bool| PersistedInstance {
         id: id.into(),
@@ -33,7 +33,7 @@
         drained_version: None,
         started_at: None,
     };
-    let whole = PersistedInstance {
+    let complete = PersistedInstance {
         zone: Some("north".into()),
         kind: Some("gen-a".into()),
         newest_version: Version::new(1_700_000_000_123, 1_700_000_000_456),
@@ -47,10 +47,15 @@
         drained_version: Some(drained),
         ..engine("engine-3", 4003, false)
     };
-    let odd = engine("host/../x:80 %\u{e9}", 4004, true);
+    let unusual_id = engine("host/../x:80 %\u{e9}", 4004, true);
     Snapshot {
         taken_at: 1_700_000_001_000.25,
-        instances: vec![whole, engine("engine-2", 4002, true), draining, odd],
+        instances: vec![
+            complete,
+            engine("engine-2", 4002, true),
+            draining,
+            unusual_id,
+        ],
     }
 }
 
@@ -60,10 +65,10 @@
         .unwrap();
 }
 
-/// The snapshot in this folder, or the message that tells why there is none.
+/// Returns the snapshot in this folder, or the message of the error.
 pub(crate) fn load_snapshot(folder: &Path) -> Result<Option<Snapshot>, String> {
-    let read = |content: &[u8]| {
+    let parse = |content: &[u8]| {
         serde_json::from_slice(content).map_err(|error| RecordError::Content(error.to_string()))
     };
-    store(folder).load(read).map_err(|error| error.to_string())
+    store(folder).load(parse).map_err(|error| error.to_string())
 }
--- a/tests/stored/mod.rs
+++ b/tests/stored/mod.rs
@@ -1,5 +1,5 @@
-//! The library's readers and writers of stored data, and the fixed contents that were stored. All names of the library
-//! that the tests of stored data use stand here.
+//! Readers and writers of stored data, and the fixed contents of the stored files. The tests of stored data
+//! use the library through these modules only.
 #![allow(dead_code)]
 
 pub(crate) mod members;
--- a/tests/stored/shared.rs
+++ b/tests/stored/shared.rs
@@ -1,4 +1,4 @@
-//! Engines that operators took out by hand.
+//! Engines that are administratively drained.
 
 use query_dispatcher::server::instance_registry::InstanceRegistry;
 use std::path::Path;
@@ -16,16 +16,16 @@
         .collect()
 }
 
-pub(crate) fn drain_engine(folder: &Path, engines: &[&str]) {
-    let shared = open(folder);
+pub(crate) fn drain_engines(folder: &Path, engines: &[&str]) {
+    let registry = open(folder);
     engines
         .iter()
-        .for_each(|engine| shared.drain_engine(engine).unwrap());
+        .for_each(|engine| registry.drain_engine(engine).unwrap());
 }
 
-pub(crate) fn undrain(folder: &Path, engines: &[&str]) {
-    let shared = open(folder);
+pub(crate) fn undrain_engines(folder: &Path, engines: &[&str]) {
+    let registry = open(folder);
     engines
         .iter()
-        .for_each(|engine| shared.undrain_engine(engine).unwrap());
+        .for_each(|engine| registry.undrain_engine(engine).unwrap());
 }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -1,5 +1,5 @@
-//! Files that commit fb33aa2 wrote, under `tests/data/stored`: whatever names the program's parts have, it reads them
-//! in full, tells the same of copies that are cut short, and writes the same bytes.
+//! Compatibility with stored files: the files under `tests/data/stored` were written by commit fb33aa2. The
+//! program has to read them in full, report truncated copies of them as recorded, and write the same bytes.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -20,43 +20,44 @@
 use stored::members::{fixed_snapshot, load_snapshot, save_snapshot};
 use stored::segments::{read_folder, write_fixed};
 
-/// The user whose results are stored, with an empty password.
+/// User whose results are stored, with an empty password.
 const USER: &str = "empty";
 const MEMBERS: &str = "members";
 const SEGMENT: &str = "segment-00000001";
 const MANIFEST: &str = "manifest";
-/// The folder of a process's spools.
-const OWN: &str = "own-1-1";
-/// The folder for state holds the dispatcher's files in a folder of this name.
+/// Name of the folder that contains the spools of a process.
+const OWN_DIRECTORY: &str = "own-1-1";
+/// Name of the folder below the state folder that contains the files of the dispatcher.
 const STATE: &str = "hitchwinch";
 
-/// Shortens a file to so many bytes.
-fn cut(file: &Path, length: usize) {
+/// Truncates a file to this length, in bytes.
+fn truncate(file: &Path, length: usize) {
     let bytes = std::fs::read(file).unwrap();
     std::fs::write(file, &bytes[..length]).unwrap();
 }
 
-/// Bytes from the end of the last frames of the stored segment: the last spool's two, and one byte more and less.
-const LAST_FRAMES: [usize; 5] = [40, 41, 79, 80, 81];
+/// Distances from the end of the stored segment, in bytes, at which it is truncated: at and next to the
+/// starts of its last two frames, which are those of the last spool.
+const NEAR_LAST_FRAMES: [usize; 5] = [40, 41, 79, 80, 81];
 
-/// Lengths to which a file is cut, from nothing to all but one byte.
-fn cuts(whole: usize) -> Vec<usize> {
+/// Returns the lengths to which a file is truncated, from 0 to all but one byte.
+fn truncated_lengths(file_length: usize) -> Vec<usize> {
     const STEPS: usize = 12;
-    let mut cuts: Vec<usize> = (0..STEPS)
-        .map(|step| step * whole / STEPS)
-        .chain([8, 27, 28, whole - 1])
-        .chain(LAST_FRAMES.map(|length| whole.saturating_sub(length)))
+    let mut lengths: Vec<usize> = (0..STEPS)
+        .map(|step| step * file_length / STEPS)
+        .chain([8, 27, 28, file_length - 1])
+        .chain(NEAR_LAST_FRAMES.map(|length| file_length.saturating_sub(length)))
         .collect();
-    cuts.sort_unstable();
-    cuts.dedup();
-    cuts
+    lengths.sort_unstable();
+    lengths.dedup();
+    lengths
 }
 
 fn length(file: &Path) -> usize {
     std::fs::metadata(file).unwrap().len() as usize
 }
 
-// ---- the snapshot of membership --------------------------------------------------------------------
+// ---- snapshot of the membership --------------------------------------------------------------------
 
 #[test]
 fn snapshot_round_trips() {
@@ -68,29 +69,29 @@
     assert_eq!(
         read(fresh.path()),
         read(&data("stored/members")),
-        "other bytes are written"
+        "the written bytes differ"
     );
     assert_eq!(file_names(fresh.path()), [MEMBERS]);
 }
 
 #[test]
-fn snapshots_that_are_cut_short_are_set_aside() {
-    let mut told = String::new();
-    for length in cuts(length(&data("stored/members").join(MEMBERS))) {
+fn truncated_snapshots_are_quarantined() {
+    let mut text = String::new();
+    for length in truncated_lengths(length(&data("stored/members").join(MEMBERS))) {
         let folder = TemporaryFolder::copy_of("stored/members", &format!("members-{length}"));
-        cut(&folder.path().join(MEMBERS), length);
+        truncate(&folder.path().join(MEMBERS), length);
         let error = load_snapshot(folder.path()).unwrap_err();
         let error = error.replace(folder.path().to_str().unwrap(), "(folder)");
-        told += &format!(
+        text += &format!(
             "{length} bytes: {error}; files {:?}\n",
             file_names(folder.path())
         );
     }
-    assert_recorded("stored/members-cut.txt", &told);
+    assert_recorded("stored/members-cut.txt", &text);
 }
 
-/// The operators' file of a program whose registry never answers.
-fn registry_file(registry: &Service, state: &Path) -> String {
+/// Returns the configuration of a program whose registry never responds.
+fn registry_configuration(registry: &Service, state: &Path) -> String {
     let eureka = format!(
         "[eureka]\nservers = [\"http://{}/eureka\"]\napp = \"ENGINES\"\nperiod_s = 0.2\ntimeout_ms = 1000\n",
         registry.at
@@ -98,14 +99,15 @@
     testbed::fixture::dispatcher_file(&format!("state_dir = {state:?}"), &eureka)
 }
 
-/// A folder for state as fb33aa2 left it: a snapshot of membership, and engines that are out by hand.
+/// Returns a copy of the state folder that fb33aa2 wrote: a snapshot of the membership, and administratively
+/// drained engines.
 fn state_folder(name: &str) -> TemporaryFolder {
     TemporaryFolder::copy_of("stored/state", name)
 }
 
 #[test]
-fn the_program_serves_the_snapshot_with_engines_out_by_hand() {
-    const MOMENTARY: [&str; 8] = [
+fn the_program_serves_the_snapshot_with_drained_engines() {
+    const TIME_DEPENDENT_KEYS: [&str; 8] = [
         "answered_age_ms",
         "failures",
         "last_failure_age_ms",
@@ -116,19 +118,22 @@
         "turns",
     ];
     let (registry, folder) = (Service::down(), state_folder("state"));
-    let (program, log) = start_mysql(&registry_file(&registry, folder.path()));
-    let until = Instant::now() + Duration::from_secs(5);
+    let (program, log) = start_mysql(&registry_configuration(&registry, folder.path()));
+    let deadline = Instant::now() + Duration::from_secs(5);
     let page = loop {
         let page = call(program.admin, "GET", "/_members");
         if page.contains("\"serving\": true") {
             break page;
         }
-        assert!(Instant::now() < until, "{page}");
+        assert!(Instant::now() < deadline, "{page}");
         std::thread::sleep(Duration::from_millis(5));
     };
     let body = page.split_once("\r\n\r\n").unwrap().1;
     let body = body.replace(&registry.at.to_string(), "(registry)");
-    assert_recorded("stored/state-members.txt", &mask_numbers(&body, &MOMENTARY));
+    assert_recorded(
+        "stored/state-members.txt",
+        &mask_numbers(&body, &TIME_DEPENDENT_KEYS),
+    );
     assert!(
         log.iter()
             .any(|line| line.starts_with("members: a snapshot of 4 engines, ")),
@@ -137,11 +142,11 @@
 }
 
 #[test]
-fn the_program_sets_a_snapshot_that_is_cut_short_aside() {
+fn the_program_quarantines_a_truncated_snapshot() {
     let (registry, folder) = (Service::down(), state_folder("state-cut"));
     let file = folder.path().join(STATE).join(MEMBERS);
     std::fs::copy(data("stored/cut").join(MEMBERS), &file).unwrap();
-    let (_program, log) = start_mysql(&registry_file(&registry, folder.path()));
+    let (_program, log) = start_mysql(&registry_configuration(&registry, folder.path()));
     let log = log
         .join("\n")
         .replace(folder.path().to_str().unwrap(), "(folder)");
@@ -156,18 +161,21 @@
     );
 }
 
-// ---- engines that are out by hand ------------------------------------------------------------------
+// ---- administratively drained engines --------------------------------------------------------------
 
-/// Their ids: plain, one that needs escapes in a file name, and an empty one.
-const OUT_BY_HAND: [&str; 3] = ["", "engine-2", "host/../x:80 %\u{e9}"];
+/// Ids of the drained engines: an empty one, a plain one, and one that has to be escaped in a file name.
+const DRAINED_ENGINES: [&str; 3] = ["", "engine-2", "host/../x:80 %\u{e9}"];
 
 #[test]
-fn engines_out_by_hand_are_read_and_written_alike() {
+fn drained_engines_are_read_and_written_as_recorded() {
     let folder = state_folder("shared");
-    assert_eq!(stored::shared::drained_engines(folder.path()), OUT_BY_HAND);
+    assert_eq!(
+        stored::shared::drained_engines(folder.path()),
+        DRAINED_ENGINES
+    );
     let fresh = TemporaryFolder::new("shared-fresh");
-    stored::shared::drain_engine(fresh.path(), &OUT_BY_HAND);
-    let outs = |folder: &Path| {
+    stored::shared::drain_engines(fresh.path(), &DRAINED_ENGINES);
+    let drained_files = |folder: &Path| {
         let names = file_names(&folder.join(STATE))
             .into_iter()
             .filter(|name| name.starts_with("out-"));
@@ -175,33 +183,36 @@
             .map(|name| (length(&folder.join(STATE).join(&name)), name))
             .collect::<Vec<_>>()
     };
-    assert_eq!(outs(fresh.path()), outs(&data("stored/state")));
-    stored::shared::undrain(fresh.path(), &OUT_BY_HAND);
-    assert_eq!(outs(fresh.path()), []);
+    assert_eq!(
+        drained_files(fresh.path()),
+        drained_files(&data("stored/state"))
+    );
+    stored::shared::undrain_engines(fresh.path(), &DRAINED_ENGINES);
+    assert_eq!(drained_files(fresh.path()), []);
 }
 
-/// These files are empty: what can be cut short is their names.
+/// The files of drained engines are empty, so only their names can be truncated.
 #[test]
-fn names_that_are_cut_short_are_skipped_or_name_another_engine() {
-    const WHOLE: &str = "out-host%2F..%2Fx%3A80%20%25%C3%A9";
-    let mut told = String::new();
-    for length in 1..WHOLE.len() {
+fn truncated_names_are_skipped_or_name_another_engine() {
+    const FILE_NAME: &str = "out-host%2F..%2Fx%3A80%20%25%C3%A9";
+    let mut text = String::new();
+    for length in 1..FILE_NAME.len() {
         let folder = TemporaryFolder::new("shared-cut");
         std::fs::create_dir(folder.path().join(STATE)).unwrap();
-        std::fs::write(folder.path().join(STATE).join(&WHOLE[..length]), []).unwrap();
-        told += &format!(
+        std::fs::write(folder.path().join(STATE).join(&FILE_NAME[..length]), []).unwrap();
+        text += &format!(
             "{:?}: {:?}\n",
-            &WHOLE[..length],
+            &FILE_NAME[..length],
             stored::shared::drained_engines(folder.path())
         );
     }
-    assert_recorded("stored/shared-cut.txt", &told);
+    assert_recorded("stored/shared-cut.txt", &text);
 }
 
 // ---- spools ----------------------------------------------------------------------------------------
 
 #[test]
-fn segments_are_read_in_full_and_written_alike() {
+fn segments_are_read_in_full_and_written_as_recorded() {
     let folder = TemporaryFolder::copy_of("stored/segments", "segments");
     assert_recorded("stored/segments.txt", &read_folder(folder.path()));
     let fresh = TemporaryFolder::new("segments-fresh");
@@ -210,33 +221,34 @@
         let read = |folder: &Path| std::fs::read(folder.join(name)).unwrap();
         assert!(
             read(fresh.path()) == read(&data("stored/segments")),
-            "{name}: other bytes are written"
+            "{name}: the written bytes differ"
         );
     }
     assert_eq!(file_names(fresh.path()), [MANIFEST, SEGMENT]);
 }
 
 #[test]
-fn segments_and_manifests_that_are_cut_short() {
-    let mut told = String::new();
+fn truncated_segments_and_manifests_are_read_as_recorded() {
+    let mut text = String::new();
     for name in [SEGMENT, MANIFEST] {
-        for length in cuts(length(&data("stored/segments").join(name))) {
+        for length in truncated_lengths(length(&data("stored/segments").join(name))) {
             let folder =
                 TemporaryFolder::copy_of("stored/segments", &format!("segments-{name}-{length}"));
-            cut(&folder.path().join(name), length);
+            truncate(&folder.path().join(name), length);
             let read =
                 read_folder(folder.path()).replace(folder.path().to_str().unwrap(), "(folder)");
-            told += &format!(
+            text += &format!(
                 "{name}, {length} bytes: files {:?}\n{read}",
                 file_names(folder.path())
             );
         }
     }
-    assert_recorded("stored/segments-cut.txt", &told);
+    assert_recorded("stored/segments-cut.txt", &text);
 }
 
-/// The operators' file of a program that keeps results in this folder; its engine is never asked.
-fn spool_file(folder: &Path) -> String {
+/// Returns the configuration of a program that spools results in this folder. The engine never receives a
+/// request.
+fn spool_configuration(folder: &Path) -> String {
     let engine = "[[engine]]\nid = \"engine-1\"\naddress = \"127.0.0.1:1\"\n";
     let user = "[[user]]\nname = \"empty\"\npassword = \"\"\n";
     let spool = format!(
@@ -246,8 +258,9 @@
     testbed::fixture::dispatcher_file("", &format!("{user}{engine}{spool}"))
 }
 
-/// A listing of results with its last two columns, which count from now, left out: handles, statements and sizes.
-fn listed(client: &mut MysqlClient) -> Vec<Vec<String>> {
+/// Returns the listed results without the last two columns, which depend on the current time: handles,
+/// statements and sizes.
+fn list_results(client: &mut MysqlClient) -> Vec<Vec<String>> {
     let packets = client.query("SHOW HITCHWINCH RESULTS");
     const COLUMNS: usize = 7;
     let rows = &packets[COLUMNS + 2..packets.len() - 1];
@@ -259,7 +272,7 @@
     rows
 }
 
-/// The columns of a row whose texts are all shorter than 251 bytes.
+/// Returns the columns of a row, each of which is shorter than 251 bytes.
 fn texts(mut row: &[u8]) -> Vec<String> {
     let mut columns = vec![];
     while let Some((length, rest)) = row.split_first() {
@@ -270,7 +283,8 @@
     columns
 }
 
-/// The answer's number of packets and the CRC-32 of them as text, or all of it where it is an error.
+/// Returns the number of packets of a response and the CRC-32 of their text, or the whole response if it is a
+/// single packet.
 fn summary(packets: &[Packet]) -> String {
     match packets {
         [only] => only.text().trim().to_string(),
@@ -282,25 +296,26 @@
     }
 }
 
-/// All results that the program gives back from a folder: the log of its start, the listing and the packets of each.
+/// Returns the results that the program serves from a folder as text: the log of its start, the listing and
+/// the packets of each result.
 fn results_of(folder: &TemporaryFolder) -> String {
-    let (program, log) = start_mysql(&spool_file(folder.path()));
-    let mut told = log
+    let (program, log) = start_mysql(&spool_configuration(folder.path()));
+    let mut text = log
         .join("\n")
         .replace(folder.path().to_str().unwrap(), "(folder)")
         + "\n";
     let mut client = MysqlClient::log_in(program.address, USER);
-    for row in listed(&mut client) {
-        told += &format!("{row:?}\n");
+    for row in list_results(&mut client) {
+        text += &format!("{row:?}\n");
         let (handle, pages) = (&row[0], row[2].parse::<u32>().unwrap());
         for page in 0..=pages {
             let packets = client.query(&format!(
                 "FETCH HITCHWINCH RESULT '{handle}' FROM PAGE {page}"
             ));
-            told += &format!("  from page {page}: {}\n", summary(&packets));
+            text += &format!("  from page {page}: {}\n", summary(&packets));
         }
     }
-    told
+    text
 }
 
 fn spool_folder(name: &str) -> TemporaryFolder {
@@ -308,14 +323,18 @@
 }
 
 #[test]
-fn the_program_gives_stored_results_back() {
+fn the_program_serves_stored_results() {
     assert_recorded("stored/spools.txt", &results_of(&spool_folder("spools")));
 }
 
 #[test]
-fn the_program_gives_back_what_is_whole_of_a_segment_that_is_cut_short() {
+fn the_program_serves_the_complete_results_of_a_truncated_segment() {
     let folder = spool_folder("spools-cut");
-    let file = folder.path().join("spool").join(OWN).join(SEGMENT);
+    let file = folder
+        .path()
+        .join("spool")
+        .join(OWN_DIRECTORY)
+        .join(SEGMENT);
     std::fs::copy(data("stored/cut").join(SEGMENT), file).unwrap();
     assert_recorded("stored/spools-cut.txt", &results_of(&folder));
 }
