--- a/src/spool/tests/lifecycle.rs
+++ b/src/spool/tests/lifecycle.rs
@@ -27,7 +27,7 @@
         Err(SpoolRejection::ResultTooLarge(200 * KB))
     );
     assert!(index.is_consistent());
-    assert_eq!(index.len(), 1, "nothing of it remains");
+    assert_eq!(index.len(), 1, "the rejected result is removed");
 
     let memory_only = SpoolLimits {
         disk_bytes: None,
@@ -88,7 +88,7 @@
     assert_eq!(
         evictions,
         [&SpoolCommand::Evict(read.id)],
-        "a result that was read to the end goes first"
+        "a result that was read to the end is evicted first"
     );
     // Results that are not protected are evicted for a protected one.
     let second = spool_result(&mut index, 5.0, load(4), 15).unwrap();
@@ -117,7 +117,10 @@
     assert_eq!(index.next_expiry(), Some(1000.0));
     assert!(index.expire(999.0).is_empty());
     assert_eq!(index.expire(1000.0), [unread.id]);
-    assert!(index.expire(50_000.0).is_empty(), "a slow reader goes on");
+    assert!(
+        index.expire(50_000.0).is_empty(),
+        "a result with a slow reader does not expire"
+    );
     index.detach_reader(50_000.0, read.id, false);
     assert_eq!(index.expire(51_000.0), [read.id]);
     assert!(index.is_empty());
