--- a/src/frontend/frames/client.rs
+++ b/src/frontend/frames/client.rs
@@ -1,10 +1,11 @@
-//! What one client has asked: its open requests, what was read ahead of them, and what was rejected unread.
+//! Tracks the requests of one client: open requests, frames that were read ahead, and frames that were
+//! rejected unprocessed.
 
 use crate::core::{RejectionReason, RequestId, RequestOutcome};
 use crate::decision::model::Millis;
 use crate::dispatch::{Reply, Upstream};
-use crate::frontend::frames::replies::{enqueue_answer, enqueue_reply, enqueue_state};
-use crate::frontend::frames::request::{Unusable, Work, parse_class, parse_request};
+use crate::frontend::frames::replies::{enqueue_answer, enqueue_readiness, enqueue_reply};
+use crate::frontend::frames::request::{InvalidRequest, Work, parse_class, parse_request};
 use crate::frontend::frames::stream_numbers::StreamNumbers;
 use crate::frontend::frames::{FramedConnection, Frontend};
 use crate::protocol::frames::{Frame, FrameError, code, kind};
@@ -16,29 +17,29 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// Requests open on one connection.
+/// Maximum number of requests that are open on one connection.
 pub(super) const MAX_OPEN_STREAMS: usize = 32;
-/// A client that sends what cannot be used waits for this until its next frame is taken up, doubled with each such
-/// frame: retries at full speed must not take the others' share of the processor. Its answers are never held back, and
-/// what it sends is read ahead.
-const PENALTY: Duration = Duration::from_millis(4);
-/// The penalty is doubled so often at most.
-const MAX_PENALTY_DOUBLINGS: u32 = 6;
-/// Frames that are read ahead: all that may be open, twice. While the client has to wait, requests beyond are rejected
-/// unread, and so are no reason to stop reading.
+/// Delay before the next frame of a client is processed after an invalid request. It doubles with each
+/// further one: retries at full speed must not take other clients' share of the processor. Answers to a
+/// throttled client are never delayed, and its frames are read ahead.
+const THROTTLE_DELAY: Duration = Duration::from_millis(4);
+/// Maximum number of times that the delay is doubled.
+const MAX_THROTTLE_DOUBLINGS: u32 = 6;
+/// Maximum number of frames that are read ahead: twice as many as may be open. Further requests of a
+/// throttled client are rejected unprocessed, so that reading need not stop.
 const MAX_READ_AHEAD_FRAMES: usize = 2 * MAX_OPEN_STREAMS;
-/// Payload bytes that are read ahead.
+/// Number of payload bytes at which no further frame is read ahead.
 const MAX_READ_AHEAD_BYTES: usize = 4 * BUFFER_BYTES;
-/// Frames that were rejected unread and are not answered yet. A client that sends more, and takes no answers, is cut off:
-/// by that it has left as well.
+/// Maximum number of frames that were rejected unprocessed and are not answered yet. A client that sends more
+/// without reading its answers is disconnected, which cancels its requests.
 const MAX_UNANSWERED_REJECTIONS: usize = 8192;
-/// The reason for a rejection of what exceeds these bounds.
-const TOO_MUCH: RejectionReason = RejectionReason::Adapter("too much is open");
-/// When a request that was rejected so may be retried.
-const TOO_MUCH_RETRY_AFTER_MS: Millis = 100.0;
+/// Reason for rejecting requests beyond these limits.
+const LIMIT_EXCEEDED: RejectionReason = RejectionReason::Adapter("too much is open");
+/// Time after which a request that was rejected for this reason may be retried, in milliseconds.
+const LIMIT_EXCEEDED_RETRY_AFTER_MS: Millis = 100.0;
 
-/// Requests that are open, by stream. Those that are left when the connection ends are abandoned: nobody waits for them
-/// any more.
+/// Open requests by stream. Requests that are still open when the connection ends are abandoned, since no
+/// client waits for them any more.
 struct OpenRequests<'a, U: Upstream<Work = Work, Output = Buffer>> {
     frontend: &'a Frontend<U>,
     by_stream: HashMap<u32, RequestId>,
@@ -52,19 +53,19 @@
     }
 }
 
-/// A frame that was read and not taken up yet.
+/// A frame that was read and is not processed yet.
 struct ReadAheadFrame {
     frame: Frame,
     arrived: Millis,
 }
 
-/// A frame that was rejected unread and not answered yet.
+/// A frame that was rejected unprocessed and is not answered yet.
 struct RejectedFrame {
     kind: u8,
     stream: u32,
 }
 
-/// What one connection has told of its client.
+/// The state of one connection's client.
 pub(super) struct Client<'a, U: Upstream<Work = Work, Output = Buffer>> {
     frontend: &'a Frontend<U>,
     permit: &'a ConnectionPermit,
@@ -72,18 +73,19 @@
     streams: StreamNumbers,
     socket: SocketProbe,
     read_ahead: VecDeque<ReadAheadFrame>,
-    /// Payload bytes in `read_ahead`.
+    /// Number of payload bytes in `read_ahead`.
     read_ahead_bytes: usize,
     rejected: VecDeque<RejectedFrame>,
-    /// Requests in a row that could not be used.
+    /// Number of consecutive requests that were invalid or beyond a limit.
     protocol_errors: u32,
-    /// Nothing is taken up before.
-    penalty_until: Instant,
+    /// No frame is processed before this time.
+    throttled_until: Instant,
     replies: mpsc::Sender<(u32, Reply<Buffer>)>,
 }
 
 impl<'a, U: Upstream<Work = Work, Output = Buffer>> Client<'a, U> {
-    /// A client that has asked nothing yet; `replies` takes the answers to its requests, by stream.
+    /// Creates a client without requests. The answers to its requests are sent to `replies`, with their
+    /// streams.
     pub(super) fn new(
         frontend: &'a Frontend<U>,
         permit: &'a ConnectionPermit,
@@ -103,43 +105,44 @@
             read_ahead_bytes: 0,
             rejected: VecDeque::new(),
             protocol_errors: 0,
-            penalty_until: Instant::now(),
+            throttled_until: Instant::now(),
             replies,
         }
     }
 
-    /// Whether every frame has its answer.
-    pub(super) fn owes_nothing(&self) -> bool {
+    /// Returns whether every frame of the client has been answered.
+    pub(super) fn is_fully_answered(&self) -> bool {
         self.open.by_stream.is_empty() && self.read_ahead.is_empty() && self.rejected.is_empty()
     }
 
-    /// Whether no more is read ahead.
-    pub(super) fn is_full(&self) -> bool {
+    /// Returns whether a limit of the read-ahead is reached.
+    pub(super) fn is_read_ahead_full(&self) -> bool {
         self.read_ahead.len() >= MAX_READ_AHEAD_FRAMES
             || self.read_ahead_bytes >= MAX_READ_AHEAD_BYTES
     }
 
-    /// Whether a frame waits to be taken up.
+    /// Returns whether a frame that was read ahead is waiting to be processed.
     pub(super) fn has_read_ahead(&self) -> bool {
         !self.read_ahead.is_empty()
     }
 
-    /// Whether a rejection waits to be answered.
+    /// Returns whether a rejected frame is waiting to be answered.
     pub(super) fn has_rejections(&self) -> bool {
         !self.rejected.is_empty()
     }
 
-    /// The next frame is taken up no earlier.
-    pub(super) fn penalty_until(&self) -> Instant {
-        self.penalty_until
+    /// Returns the time before which no frame is processed.
+    pub(super) fn throttled_until(&self) -> Instant {
+        self.throttled_until
     }
 
-    /// Closes a stream that its answer has come for; false if the client has left it: the answer came too late.
+    /// Closes a stream when its answer is available; returns false if the client has cancelled the request
+    /// before.
     pub(super) fn close_stream(&mut self, stream: u32) -> bool {
         self.open.by_stream.remove(&stream).is_some()
     }
 
-    /// Takes a whole frame. A leave counts at once, whatever waits before it.
+    /// Accepts a complete frame. A cancel frame takes effect at once, whatever frames wait before it.
     pub(super) fn receive(&mut self, frame: Frame) -> Result<(), FrameError> {
         if !matches!(frame.kind, kind::REQUEST | kind::LEAVE | kind::ASK) {
             return Err(FrameError::Kind(frame.kind));
@@ -152,10 +155,10 @@
             return Err(FrameError::Stream(frame.stream));
         }
         if frame.kind == kind::LEAVE {
-            self.leave(frame.stream);
+            self.cancel(frame.stream);
             return Ok(());
         }
-        if self.is_full() {
+        if self.is_read_ahead_full() {
             return self.reject_unread(frame);
         }
         self.read_ahead_bytes += frame.payload.len();
@@ -168,14 +171,14 @@
 
     fn reject_unread(&mut self, frame: Frame) -> Result<(), FrameError> {
         if self.rejected.len() >= MAX_UNANSWERED_REJECTIONS {
-            let problem = "more is asked at once than can be answered";
+            let problem = "the client sends more frames than it reads answers for";
             return Err(io::Error::other(problem).into());
         }
         self.rejected.push_back(RejectedFrame {
             kind: frame.kind,
             stream: frame.stream,
         });
-        // One that cannot be read names no class, and is rejected all the same.
+        // A malformed request or one of an unknown class is rejected without being counted.
         if let Some(class) = parse_class(&self.frontend.router, frame) {
             let router = &self.frontend.router;
             router.record_frontend_answer(class, RequestOutcome::Overload);
@@ -183,8 +186,8 @@
         Ok(())
     }
 
-    /// Nobody waits for this stream any more: what is open on it is abandoned, and what is read ahead is dropped.
-    pub(super) fn leave(&mut self, stream: u32) {
+    /// Cancels the request on a stream: abandons it if it is open, or drops it if it was only read ahead.
+    pub(super) fn cancel(&mut self, stream: u32) {
         if let Some(id) = self.open.by_stream.remove(&stream) {
             self.frontend.router.abandon(id);
             return;
@@ -195,32 +198,41 @@
         self.read_ahead_bytes = self.read_ahead.iter().map(payload_bytes).sum();
     }
 
-    /// Answers the first of the frames that were rejected unread.
+    /// Answers the first of the frames that were rejected unprocessed.
     pub(super) fn answer_rejection(
         &mut self,
         wire: &mut FramedConnection,
     ) -> Result<(), FrameError> {
         match self.rejected.pop_front() {
-            Some(rejected) if rejected.kind == kind::ASK => self.answer_ask(wire, rejected.stream),
-            Some(rejected) => enqueue_too_much(wire, rejected.stream),
+            Some(rejected) if rejected.kind == kind::ASK => {
+                self.answer_readiness_query(wire, rejected.stream)
+            }
+            Some(rejected) => enqueue_limit_exceeded(wire, rejected.stream),
             None => Ok(()),
         }
     }
 
-    /// Tells a client whether the dispatcher is ready: with any of its processes.
-    fn answer_ask(&self, wire: &mut FramedConnection, stream: u32) -> Result<(), FrameError> {
+    /// Answers whether the dispatcher is ready; another process that accepts its clients suffices.
+    fn answer_readiness_query(
+        &self,
+        wire: &mut FramedConnection,
+        stream: u32,
+    ) -> Result<(), FrameError> {
         let is_ready = self.frontend.router.is_ready() || self.frontend.handed_over.get();
-        enqueue_state(wire, stream, is_ready)
+        enqueue_readiness(wire, stream, is_ready)
     }
 
-    /// Takes up the first of the frames that were read ahead.
-    pub(super) fn take_up(&mut self, wire: &mut FramedConnection) -> Result<(), FrameError> {
+    /// Processes the first of the frames that were read ahead.
+    pub(super) fn process_next_frame(
+        &mut self,
+        wire: &mut FramedConnection,
+    ) -> Result<(), FrameError> {
         let Some(ReadAheadFrame { frame, arrived }) = self.read_ahead.pop_front() else {
             return Ok(());
         };
         self.read_ahead_bytes -= frame.payload.len();
         if frame.kind == kind::ASK {
-            return self.answer_ask(wire, frame.stream);
+            return self.answer_readiness_query(wire, frame.stream);
         }
         self.open_request(wire, frame, arrived)
     }
@@ -234,31 +246,31 @@
         let frontend = self.frontend;
         let stream = frame.stream;
         let parsed = parse_request(&frontend.router, frame.payload, arrived)?;
-        let named = parsed.and_then(|(request, work)| {
-            // Two under one id would be one to an engine, and the first may be another client's.
-            match frontend.ids.reserve(&work.txn) {
+        let with_id = parsed.and_then(|(request, work)| {
+            // An engine takes two requests with one id for the same, and the first may be another client's.
+            match frontend.open_ids.reserve(&work.txn) {
                 Some(id) => Ok((request, work, id)),
-                None => Err(Unusable {
+                None => Err(InvalidRequest {
                     class: Some(request.class),
                     reason: "txn: a request of this id is open".to_string(),
                 }),
             }
         });
-        let (request, mut work, id) = match named {
-            Ok(named) => named,
-            Err(unusable) => return self.fail_request(wire, stream, &unusable),
+        let (request, mut work, id) = match with_id {
+            Ok(with_id) => with_id,
+            Err(invalid) => return self.fail_request(wire, stream, &invalid),
         };
-        let memory = frontend.budget.reserve(work.statement.len());
+        let memory = frontend.statement_budget.reserve(work.statement.len());
         let Some(memory) = memory.filter(|_| self.open.by_stream.len() < MAX_OPEN_STREAMS) else {
             self.record_protocol_error();
             let router = &frontend.router;
             router.record_frontend_answer(request.class, RequestOutcome::Overload);
-            return enqueue_too_much(wire, stream);
+            return enqueue_limit_exceeded(wire, stream);
         };
         work.attach(memory, id, self.socket.clone());
         self.protocol_errors = 0;
         self.permit.set_activity(Activity::Busy, Instant::now());
-        // The answer may come before the id is known, so the stream is marked open first.
+        // The answer may arrive before the request id is known, so the stream is marked open first.
         self.open.by_stream.insert(stream, 0);
         let replies = self.replies.clone();
         let on_reply = move |reply| drop(replies.try_send((stream, reply)));
@@ -271,27 +283,27 @@
         &mut self,
         wire: &mut FramedConnection,
         stream: u32,
-        unusable: &Unusable,
+        invalid: &InvalidRequest,
     ) -> Result<(), FrameError> {
         self.record_protocol_error();
-        if let Some(class) = unusable.class {
+        if let Some(class) = invalid.class {
             let router = &self.frontend.router;
             router.record_frontend_answer(class, RequestOutcome::Error);
         }
-        enqueue_answer(wire, stream, code::FAILED, unusable.reason.as_bytes())
+        enqueue_answer(wire, stream, code::FAILED, invalid.reason.as_bytes())
     }
 
     fn record_protocol_error(&mut self) {
-        let doublings = self.protocol_errors.min(MAX_PENALTY_DOUBLINGS);
-        self.penalty_until = Instant::now() + PENALTY * (1 << doublings);
+        let doublings = self.protocol_errors.min(MAX_THROTTLE_DOUBLINGS);
+        self.throttled_until = Instant::now() + THROTTLE_DELAY * (1 << doublings);
         self.protocol_errors += 1;
     }
 }
 
-fn enqueue_too_much(wire: &mut FramedConnection, stream: u32) -> Result<(), FrameError> {
+fn enqueue_limit_exceeded(wire: &mut FramedConnection, stream: u32) -> Result<(), FrameError> {
     let reply = Reply::Rejected {
-        retry_after: Some(TOO_MUCH_RETRY_AFTER_MS),
-        reason: TOO_MUCH,
+        retry_after: Some(LIMIT_EXCEEDED_RETRY_AFTER_MS),
+        reason: LIMIT_EXCEEDED,
     };
     enqueue_reply(wire, stream, reply)
 }
--- a/src/frontend/frames/connection.rs
+++ b/src/frontend/frames/connection.rs
@@ -1,11 +1,11 @@
-//! One client's connection. Its reads and its writes wait for nothing but the socket: what the client sends is read
-//! whether or not it takes what is written, is made to wait after requests that could not be used, or has sent what
-//! cannot be read. So its leave, its close and its reset are seen at once, behind any number of frames, and what it
-//! waited for is not forwarded after them.
+//! Serves one client connection. Reads and writes wait for nothing but the socket: input is read even while
+//! the client does not read its answers, is throttled after invalid requests, or has sent a malformed frame.
+//! Thus a cancel frame, a close or a reset is seen at once, behind any number of frames, and the request that
+//! it cancels is not forwarded afterwards.
 
 use crate::dispatch::{Reply, Upstream};
 use crate::frontend::frames::client::{Client, MAX_OPEN_STREAMS};
-use crate::frontend::frames::replies::{enqueue_answer, enqueue_goodbye, enqueue_reply};
+use crate::frontend::frames::replies::{enqueue_answer, enqueue_reply, enqueue_shutdown_notice};
 use crate::frontend::frames::request::Work;
 use crate::frontend::frames::{FramedConnection, Frontend, Phase};
 use crate::protocol::frames::{Frame, FrameCodec, FrameError, code, kind};
@@ -20,60 +20,61 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Interval;
 
-/// A client that does not take within this what was to be written is gone.
+/// Time limit for a stalled write: a client that reads nothing for this long is disconnected.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// A connection without a request for this long is closed; clients close theirs after 4 s, and what some keep for good
-/// would use up the permits.
+/// Time after which a connection without a request is closed. Clients close theirs after 4 s; connections
+/// that some clients keep open indefinitely would use up the permits.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// A new connection has this long for its first complete request, and every frame to arrive whole.
+/// Time limit for the first complete request on a new connection, and for any frame to arrive completely.
 const FRAME_TIMEOUT: Duration = Duration::from_millis(2000);
-/// How often these times are checked.
+/// Interval at which these time limits are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Frames that are read in a row before everything else on the connection has its turn.
+/// Maximum number of frames that are read in a row before the other events of the connection are handled.
 const MAX_READ_BURST: usize = 64;
-/// What is of no use (beyond the read-ahead, or after a fault) is read for its leaves and its end alone, so many bytes a
-/// [`USELESS_PERIOD`]. At that pace all that the system holds unread for a connection (6 MB), and all that may be
-/// rejected unread, is read in half of the 0.1 s after which nothing may begin for a client that has gone; and others
-/// have their share of the processor.
-const MAX_USELESS_BYTES: usize = 16 * BUFFER_BYTES;
-/// The period of that bound.
-const USELESS_PERIOD: Duration = Duration::from_millis(1);
-/// A useless frame counts for so many bytes at least.
-const MIN_USELESS_FRAME_BYTES: usize = 1024;
+/// Number of bytes of skipped input that are read per [`SKIP_PERIOD`]. Input beyond the read-ahead limits or
+/// after a protocol error is read only for its cancel frames and for the end of the connection. At this
+/// rate all that the kernel buffers for a connection (6 MB), and all that may be rejected unprocessed, is
+/// read within 0.05 s: half of the 0.1 s after which no attempt may start for a client that has disconnected.
+/// Other connections keep their share of the processor.
+const MAX_SKIPPED_BYTES: usize = 16 * BUFFER_BYTES;
+/// Period of the limit on skipped input.
+const SKIP_PERIOD: Duration = Duration::from_millis(1);
+/// Minimum number of bytes that a skipped frame counts as.
+const MIN_SKIPPED_FRAME_BYTES: usize = 1024;
 
-/// How a connection ends.
-type End = Result<(), FrameError>;
+/// The outcome of a connection: an error if it ended abnormally.
+type ConnectionResult = Result<(), FrameError>;
 
-/// Serves one client connection to its end.
+/// Serves one client connection until it is closed.
 pub(super) async fn serve_connection<U: Upstream<Work = Work, Output = Buffer>>(
     frontend: &Frontend<U>,
     permit: &ConnectionPermit,
     tcp: TcpStream,
-) -> End {
+) -> ConnectionResult {
     tcp.set_nodelay(true)?;
     let mut wire = FramedConnection::new(&frontend.pool, tcp.into(), FrameCodec);
     Connection::new(frontend, permit, &mut wire).run().await
 }
 
-/// What happens on a connection.
+/// An event on a connection.
 enum Event {
-    /// A request has its answer.
+    /// The answer to a request is available.
     Reply(u32, Reply<Buffer>),
     /// The socket was read or written.
     Wire(ConnectionEvent<Frame, FrameError>),
-    /// The process is at another step of its shutdown.
+    /// The phase of the shutdown has changed.
     PhaseChanged,
     /// The connection is evicted.
     Evicted,
-    /// A frame that was read ahead may be taken up.
-    ReadAheadDue,
-    /// A rejection may be answered.
+    /// A frame that was read ahead may be processed.
+    FrameDue,
+    /// A rejected frame may be answered.
     RejectionDue,
-    /// Useless bytes may be read again.
-    UselessPeriodOver,
-    /// The times are to be checked.
+    /// The period has ended, so further input may be skipped.
+    SkipPeriodOver,
+    /// The time limits are due to be checked.
     Check,
-    /// Frames may be read again.
+    /// Other tasks have run, so frames may be read again.
     BurstOver,
 }
 
@@ -84,20 +85,20 @@
     client: Client<'a, U>,
     replies: mpsc::Receiver<(u32, Reply<Buffer>)>,
     phase: watch::Receiver<Phase>,
-    /// The phase that the client knows.
-    announced_phase: Phase,
+    /// The phase that was last handled on this connection.
+    handled_phase: Phase,
     checks: Interval,
-    /// It ends as soon as nothing is owed and nothing unread.
+    /// Whether the connection closes once all frames are answered and no input is unread.
     closing: bool,
-    /// What the client has sent that cannot be read. After it nothing counts but leaves and the end.
-    fault: Option<FrameError>,
-    /// For how long a frame has been incomplete.
+    /// The client's protocol error. After it, only cancel frames and the end of the connection are heeded.
+    protocol_error: Option<FrameError>,
+    /// Time for which a frame has been incomplete.
     incomplete_for: Duration,
-    /// Frames read in a row.
+    /// Number of frames read in a row.
     read_burst: usize,
-    /// Useless bytes read in this period.
-    useless_bytes: usize,
-    useless_since: Instant,
+    /// Number of bytes of skipped input read in this period.
+    skipped_bytes: usize,
+    skip_period_start: Instant,
 }
 
 impl<'a, U: Upstream<Work = Work, Output = Buffer>> Connection<'a, U> {
@@ -106,7 +107,7 @@
         permit: &'a ConnectionPermit,
         wire: &'a mut FramedConnection,
     ) -> Self {
-        // Each open stream has one answer on its way at most, so this never fills.
+        // Each open stream has at most one answer in the channel, so the channel never fills.
         let (reply_sender, replies) = mpsc::channel(2 * MAX_OPEN_STREAMS);
         let mut phase = frontend.phase.subscribe();
         phase.mark_changed();
@@ -118,37 +119,38 @@
             wire,
             replies,
             phase,
-            announced_phase: Phase::Serving,
+            handled_phase: Phase::Serving,
             checks: tokio::time::interval(CHECK_INTERVAL),
             closing: false,
-            fault: None,
+            protocol_error: None,
             incomplete_for: Duration::ZERO,
             read_burst: 0,
-            useless_bytes: 0,
-            useless_since: Instant::now(),
+            skipped_bytes: 0,
+            skip_period_start: Instant::now(),
         }
     }
 
-    async fn run(mut self) -> End {
+    async fn run(mut self) -> ConnectionResult {
         loop {
-            if self.client.owes_nothing()
+            if self.client.is_fully_answered()
                 && self.wire.is_flushed()
-                && let ControlFlow::Break(end) = self.settle().await
+                && let ControlFlow::Break(result) = self.handle_no_pending_answers().await
             {
-                return end;
+                return result;
             }
             let event = self.next_event().await;
-            if let ControlFlow::Break(end) = self.handle(event)? {
-                return end;
+            if let ControlFlow::Break(result) = self.handle(event)? {
+                return result;
             }
         }
     }
 
-    /// Ends the connection where nothing is owed, if it is to end, or puts it to rest.
-    async fn settle(&mut self) -> ControlFlow<End> {
-        if let Some(fault) = self.fault.take() {
+    /// Handles a connection without pending answers: closes it if it is closing, and otherwise marks it as
+    /// idle.
+    async fn handle_no_pending_answers(&mut self) -> ControlFlow<ConnectionResult> {
+        if let Some(protocol_error) = self.protocol_error.take() {
             self.wire.close_gracefully().await;
-            return ControlFlow::Break(Err(fault));
+            return ControlFlow::Break(Err(protocol_error));
         }
         if self.permit.activity() == Activity::Busy {
             self.permit.set_activity(Activity::Idle, Instant::now());
@@ -164,8 +166,10 @@
         ControlFlow::Continue(())
     }
 
-    /// Lets the client take its last answer: the system has it, but a word of the client's would reset the connection.
-    /// An evicted one is waited for no longer than until another is evicted beside it.
+    /// Closes the connection after the client has read the last answer. The kernel has accepted it, but on
+    /// an immediate close further input from the client would cause a reset, which discards the answer. An
+    /// evicted connection is given no longer than [`EVICTION_GRACE`], after which another connection is
+    /// evicted as well.
     async fn close(&mut self) {
         if self.permit.activity() == Activity::NoRequest {
             return;
@@ -180,30 +184,31 @@
         }
     }
 
-    /// What is read next.
+    /// Returns what is read next.
     fn read_interest(&self, has_write_capacity: bool) -> ReadInterest {
-        let may_take_up = has_write_capacity
+        let may_process = has_write_capacity
             && self.client.has_read_ahead()
-            && self.client.penalty_until() <= Instant::now();
-        if self.useless_bytes >= MAX_USELESS_BYTES
+            && self.client.throttled_until() <= Instant::now();
+        if self.skipped_bytes >= MAX_SKIPPED_BYTES
             || self.read_burst >= MAX_READ_BURST
-            || self.client.is_full() && may_take_up
+            || self.client.is_read_ahead_full() && may_process
         {
             return ReadInterest::Paused;
         }
-        match self.fault {
-            // Without its length, nothing tells where the next frame begins.
+        match self.protocol_error {
+            // Without a valid length, the start of the next frame is unknown.
             Some(FrameError::Length(_)) => ReadInterest::Discard,
             _ => ReadInterest::Items,
         }
     }
 
-    /// Waits for what happens next: answers first, then the socket, then what the client has to wait for.
+    /// Waits for the next event. Answers come first, then the socket, then shutdown and eviction, then frames
+    /// that wait to be processed or answered.
     async fn next_event(&mut self) -> Event {
         let has_write_capacity = self.wire.write_buffer().len() < BUFFER_BYTES;
         let reads = self.read_interest(has_write_capacity);
-        let take_up_at: tokio::time::Instant = self.client.penalty_until().into();
-        let useless_period_end: tokio::time::Instant = (self.useless_since + USELESS_PERIOD).into();
+        let process_at: tokio::time::Instant = self.client.throttled_until().into();
+        let skip_period_end: tokio::time::Instant = (self.skip_period_start + SKIP_PERIOD).into();
         tokio::select! {
             biased;
             Some((stream, reply)) = self.replies.recv(), if has_write_capacity => {
@@ -212,12 +217,12 @@
             event = self.wire.next_event(reads, false) => Event::Wire(event),
             Ok(()) = self.phase.changed() => Event::PhaseChanged,
             () = self.permit.eviction.notified() => Event::Evicted,
-            () = tokio::time::sleep_until(take_up_at),
-                if has_write_capacity && self.client.has_read_ahead() => Event::ReadAheadDue,
+            () = tokio::time::sleep_until(process_at),
+                if has_write_capacity && self.client.has_read_ahead() => Event::FrameDue,
             () = std::future::ready(()),
                 if has_write_capacity && self.client.has_rejections() => Event::RejectionDue,
-            () = tokio::time::sleep_until(useless_period_end),
-                if self.useless_bytes >= MAX_USELESS_BYTES => Event::UselessPeriodOver,
+            () = tokio::time::sleep_until(skip_period_end),
+                if self.skipped_bytes >= MAX_SKIPPED_BYTES => Event::SkipPeriodOver,
             _ = self.checks.tick() => Event::Check,
             () = tokio::task::yield_now(), if self.read_burst >= MAX_READ_BURST => {
                 Event::BurstOver
@@ -225,7 +230,7 @@
         }
     }
 
-    fn handle(&mut self, event: Event) -> Result<ControlFlow<End>, FrameError> {
+    fn handle(&mut self, event: Event) -> Result<ControlFlow<ConnectionResult>, FrameError> {
         match event {
             Event::Reply(stream, reply) => {
                 if self.client.close_stream(stream) {
@@ -233,18 +238,18 @@
                 }
             }
             Event::Wire(event) => return self.handle_wire(event),
-            Event::PhaseChanged => self.follow_phase()?,
+            Event::PhaseChanged => self.handle_phase_change()?,
             Event::Evicted => self.closing = true,
-            Event::ReadAheadDue => {
+            Event::FrameDue => {
                 self.read_burst = 0;
-                if let Err(error) = self.client.take_up(self.wire) {
-                    self.fail(error)?;
+                if let Err(error) = self.client.process_next_frame(self.wire) {
+                    self.report_protocol_error(error)?;
                 }
             }
             Event::RejectionDue => self.client.answer_rejection(self.wire)?,
-            Event::UselessPeriodOver => {
-                self.useless_bytes = 0;
-                self.useless_since = Instant::now();
+            Event::SkipPeriodOver => {
+                self.skipped_bytes = 0;
+                self.skip_period_start = Instant::now();
             }
             Event::Check => self.check()?,
             Event::BurstOver => self.read_burst = 0,
@@ -255,20 +260,20 @@
     fn handle_wire(
         &mut self,
         event: ConnectionEvent<Frame, FrameError>,
-    ) -> Result<ControlFlow<End>, FrameError> {
+    ) -> Result<ControlFlow<ConnectionResult>, FrameError> {
         match event {
             ConnectionEvent::Written | ConnectionEvent::Writable => {}
-            ConnectionEvent::Discarded(bytes) => self.useless_bytes += bytes,
+            ConnectionEvent::Discarded(bytes) => self.skipped_bytes += bytes,
             ConnectionEvent::Closed => {
-                let end = self.fault.take().map_or(Ok(()), Err);
-                return Ok(ControlFlow::Break(end));
+                let result = self.protocol_error.take().map_or(Ok(()), Err);
+                return Ok(ControlFlow::Break(result));
             }
             ConnectionEvent::Failed(FrameError::Io(error))
                 if error.kind() == io::ErrorKind::ConnectionReset =>
             {
                 return Ok(ControlFlow::Break(Ok(())));
             }
-            ConnectionEvent::Failed(error) => self.fail(error)?,
+            ConnectionEvent::Failed(error) => self.report_protocol_error(error)?,
             ConnectionEvent::Item(frame) => self.receive(frame)?,
         }
         Ok(ControlFlow::Continue(()))
@@ -277,35 +282,35 @@
     fn receive(&mut self, frame: Frame) -> Result<(), FrameError> {
         self.incomplete_for = Duration::ZERO;
         self.read_burst += 1;
-        if self.fault.is_some() || self.client.is_full() {
-            self.useless_bytes += MIN_USELESS_FRAME_BYTES.max(frame.payload.len());
+        if self.protocol_error.is_some() || self.client.is_read_ahead_full() {
+            self.skipped_bytes += MIN_SKIPPED_FRAME_BYTES.max(frame.payload.len());
         }
-        if self.fault.is_none() {
+        if self.protocol_error.is_none() {
             if let Err(error) = self.client.receive(frame) {
-                self.fail(error)?;
+                self.report_protocol_error(error)?;
             }
         } else if frame.kind == kind::LEAVE {
-            self.client.leave(frame.stream);
+            self.client.cancel(frame.stream);
         }
         Ok(())
     }
 
-    fn follow_phase(&mut self) -> Result<(), FrameError> {
+    fn handle_phase_change(&mut self) -> Result<(), FrameError> {
         let phase = *self.phase.borrow_and_update();
-        if self.announced_phase < Phase::Goodbye && phase >= Phase::Goodbye {
-            enqueue_goodbye(self.wire)?;
+        if self.handled_phase < Phase::ShutdownAnnounced && phase >= Phase::ShutdownAnnounced {
+            enqueue_shutdown_notice(self.wire)?;
         }
-        self.announced_phase = phase;
-        self.closing |= phase == Phase::Ending;
+        self.handled_phase = phase;
+        self.closing |= phase == Phase::Closing;
         Ok(())
     }
 
-    /// Checks whether the client takes what is written, completes its frames, or has been idle for too long.
+    /// Checks the time limits: for stalled writes, incomplete frames and idle connections.
     fn check(&mut self) -> Result<(), FrameError> {
         if self.wire.is_write_stalled(WRITE_STALL_TIMEOUT) {
             return Err(io::Error::from(io::ErrorKind::TimedOut).into());
         }
-        let is_incomplete = !self.wire.read_buffer().is_empty() && self.fault.is_none();
+        let is_incomplete = !self.wire.read_buffer().is_empty() && self.protocol_error.is_none();
         self.incomplete_for = if is_incomplete {
             self.incomplete_for + CHECK_INTERVAL
         } else {
@@ -313,10 +318,12 @@
         };
         let inactive_for = self.permit.active_since().elapsed();
         let has_requested = self.permit.activity() != Activity::NoRequest;
-        let first_is_late = is_incomplete && !has_requested && inactive_for > FRAME_TIMEOUT;
-        if self.fault.is_none() && (self.incomplete_for > FRAME_TIMEOUT || first_is_late) {
-            self.fail(FrameError::Stalled)?;
-        } else if self.client.owes_nothing() {
+        let is_first_request_late = is_incomplete && !has_requested && inactive_for > FRAME_TIMEOUT;
+        if self.protocol_error.is_none()
+            && (self.incomplete_for > FRAME_TIMEOUT || is_first_request_late)
+        {
+            self.report_protocol_error(FrameError::Stalled)?;
+        } else if self.client.is_fully_answered() {
             let timeout = if has_requested {
                 IDLE_TIMEOUT
             } else {
@@ -327,21 +334,21 @@
         Ok(())
     }
 
-    /// Tells the client once that it has sent what cannot be read; what is open is still answered.
+    /// Reports the client's first protocol error to it; open requests are still answered.
     ///
     /// # Errors
     /// The connection itself is broken.
-    fn fail(&mut self, error: FrameError) -> Result<(), FrameError> {
+    fn report_protocol_error(&mut self, error: FrameError) -> Result<(), FrameError> {
         if let FrameError::Io(error) = error {
             return Err(error.into());
         }
-        if self.fault.is_none() {
+        if self.protocol_error.is_none() {
             let reason = error.to_string();
             enqueue_answer(self.wire, 0, code::FAILED, reason.as_bytes())?;
-            self.fault = Some(error);
+            self.protocol_error = Some(error);
         } else if matches!(error, FrameError::Length(_)) {
-            // Past it nothing tells any more where a frame begins.
-            self.fault = Some(error);
+            // From here on, the start of a frame is unknown.
+            self.protocol_error = Some(error);
         }
         Ok(())
     }
--- a/src/frontend/frames/mod.rs
+++ b/src/frontend/frames/mod.rs
@@ -1,7 +1,9 @@
-//! The platform's frontend: clients' frames, read and answered. It decides nothing itself.
+//! The platform's frontend, which reads clients' frames and answers them. Dispatch decisions are made by the
+//! router.
 //!
-//! [`Frontend`] accepts connections; `connection` serves one of them, `client` holds what its client has asked,
-//! `request` reads a request and `replies` writes the answers.
+//! [`Frontend`] accepts connections; `connection` serves one connection, `client` tracks the requests of its
+//! client, `request` parses a request, `stream_numbers` detects reused stream numbers and `replies` encodes
+//! the answers.
 
 mod client;
 mod connection;
@@ -30,53 +32,53 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// After an accept that failed.
+/// Delay after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// Statements may hold this part of the memory limit.
+/// Open statements may hold the memory limit divided by this number.
 const STATEMENT_MEMORY_DIVISOR: usize = 4;
 
 type FramedConnection = framed_connection::FramedConnection<FrameCodec, ClientSocket>;
 
-/// How far shutdown is, as connections are told.
+/// The phase of the shutdown, as connections are notified of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Phase {
     /// Shutdown has not begun.
     Serving,
-    /// No new request is wanted.
-    Goodbye,
-    /// Each connection ends once nothing is owed on it and nothing unread.
-    Ending,
+    /// Clients are asked to send no new requests; requests that arrive all the same are answered.
+    ShutdownAnnounced,
+    /// Each connection closes once all of its frames are answered and no input is unread.
+    Closing,
 }
 
-/// All that the connections of this frontend share.
+/// Accepts clients and holds the state that their connections share.
 pub struct Frontend<U: Upstream<Work = Work, Output = Buffer>> {
     router: Rc<RequestRouter<U>>,
     pool: BufferPool,
-    budget: StatementBudget,
-    ids: OpenIds,
+    statement_budget: StatementBudget,
+    open_ids: OpenIds,
     limiter: Rc<ConnectionLimiter>,
     limits: RefCell<MachineLimits>,
-    /// Processes of this dispatcher that share the limits.
-    processes: Cell<usize>,
-    /// Another process of this dispatcher takes its clients.
+    /// Number of processes of this dispatcher that share the limits.
+    process_count: Cell<usize>,
+    /// Whether another process accepts this dispatcher's clients.
     handed_over: Cell<bool>,
     phase: watch::Sender<Phase>,
-    /// Connections that are being served.
+    /// Number of connections that are being served.
     connections: Cell<usize>,
 }
 
 impl<U: Upstream<Work = Work, Output = Buffer>> Frontend<U> {
-    /// A frontend within these limits.
+    /// Creates a frontend with the machine's limits.
     pub fn new(router: Rc<RequestRouter<U>>, pool: BufferPool, limits: &MachineLimits) -> Rc<Self> {
         let (phase, _) = watch::channel(Phase::Serving);
         let frontend = Frontend {
             router,
             pool,
-            budget: StatementBudget::new(0),
-            ids: OpenIds::default(),
+            statement_budget: StatementBudget::new(0),
+            open_ids: OpenIds::default(),
             limiter: ConnectionLimiter::new(0, Activity::Idle),
             limits: RefCell::new(limits.clone()),
-            processes: Cell::new(1),
+            process_count: Cell::new(1),
             handed_over: Cell::new(false),
             phase,
             connections: Cell::new(0),
@@ -85,58 +87,59 @@
         Rc::new(frontend)
     }
 
-    /// Applies the machine's limits, which a new configuration may change.
+    /// Applies the machine's limits, which a reload of the configuration may change.
     pub fn apply_limits(&self, limits: &MachineLimits) {
         *self.limits.borrow_mut() = limits.clone();
         self.divide_limits();
     }
 
-    /// So many processes of this dispatcher share the limits.
+    /// Sets the number of processes of this dispatcher that share the limits.
     pub fn set_process_count(&self, processes: u32) {
-        self.processes.set(processes.max(1) as usize);
+        self.process_count.set(processes.max(1) as usize);
         self.divide_limits();
     }
 
     fn divide_limits(&self) {
         let limits = self.limits.borrow();
-        let processes = self.processes.get();
+        let process_count = self.process_count.get();
         let memory_bytes = limits.memory_mb * 1024 * 1024;
-        self.budget
-            .set_limit(memory_bytes / STATEMENT_MEMORY_DIVISOR / processes);
+        self.statement_budget
+            .set_limit(memory_bytes / STATEMENT_MEMORY_DIVISOR / process_count);
         self.limiter
-            .set_limit(DescriptorBudget::per_process(limits.max_sockets, processes).clients);
+            .set_limit(DescriptorBudget::per_process(limits.max_sockets, process_count).clients);
     }
 
-    /// No new request is wanted on any connection; what comes all the same is answered. With `handed_over`, another
-    /// process holds the listening socket and takes the clients.
+    /// Asks the clients of all connections to send no new requests; those that arrive all the same are
+    /// answered. With `handed_over`, another process holds the listening socket and accepts clients.
     pub fn announce_shutdown(&self, handed_over: bool) {
         self.handed_over.set(handed_over);
-        self.phase.send_replace(Phase::Goodbye);
+        self.phase.send_replace(Phase::ShutdownAnnounced);
     }
 
-    /// Every connection ends as soon as it owes nothing and nothing is unread on it.
+    /// Closes every connection as soon as all of its frames are answered and no input is unread.
     pub fn close_when_idle(&self) {
-        self.phase.send_replace(Phase::Ending);
+        self.phase.send_replace(Phase::Closing);
     }
 
-    /// Connections of clients: each of them may owe an answer, or the rest of one.
+    /// Returns the number of client connections. Each may have an answer pending or partly written.
     pub fn connection_count(&self) -> usize {
         self.connections.get()
     }
 
-    /// Requests that are read and unanswered.
+    /// Returns the number of requests that have been read and not answered.
     pub fn unanswered_requests(&self) -> usize {
         self.router.unanswered_requests()
     }
 
-    /// A connection that ends may stay until its client has taken what was written: while clients hold no more than half of
-    /// the descriptors.
+    /// Returns whether a closing connection may stay open until its client has read the last answers: only
+    /// while client connections use no more than half of this process's share of the descriptors.
     fn may_linger(&self) -> bool {
-        self.connections.get() <= self.limits.borrow().max_sockets / 2 / self.processes.get()
+        self.connections.get() <= self.limits.borrow().max_sockets / 2 / self.process_count.get()
     }
 
-    /// Accepts connections until the goodbye. Those that the system has accepted by then are served as well, for their
-    /// requests count as taken, unless another process holds the listening socket and will accept them.
+    /// Accepts connections until shutdown is announced. Connections that are in the listen queue by then are
+    /// served too, since their clients see them as accepted, unless another process holds the listening
+    /// socket and accepts them.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         let mut phase = self.phase.subscribe();
         loop {
@@ -149,7 +152,8 @@
                 Err(error) if listener::is_momentary(&error) => {}
                 Err(error) => {
                     log_line!("accept: {error}");
-                    // What the whole machine lacks for a moment is not freed by a client that gives way.
+                    // An eviction frees a descriptor. It does not help when the machine as a whole is short
+                    // of a resource.
                     if listener::is_out_of_descriptors(&error) {
                         self.limiter.evict_one();
                     }
@@ -157,21 +161,23 @@
                 }
             }
         }
-        let queued = self.accept_queued(listener);
+        let queued = self.accept_listen_queue(listener);
         for tcp in self.limiter.take_pending_accept().into_iter().chain(queued) {
             let permit = self.limiter.acquire_beyond_limit(Instant::now());
             self.clone().serve(tcp, permit);
         }
     }
 
-    /// The connections in the listen queue, unless another process accepts them. They are beyond the limit, which does
-    /// not matter for as long as they last.
-    fn accept_queued(&self, listener: TcpListener) -> Vec<TcpStream> {
+    /// Accepts the connections in the listen queue, unless another process accepts them. They may exceed the
+    /// limit of connections: the process ends soon.
+    fn accept_listen_queue(&self, listener: TcpListener) -> Vec<TcpStream> {
         if self.handed_over.get() {
             return vec![];
         }
-        let budget =
-            DescriptorBudget::per_process(self.limits.borrow().max_sockets, self.processes.get());
+        let budget = DescriptorBudget::per_process(
+            self.limits.borrow().max_sockets,
+            self.process_count.get(),
+        );
         listener::accepted(listener, budget.final_clients)
     }
 
--- a/src/frontend/frames/replies.rs
+++ b/src/frontend/frames/replies.rs
@@ -1,4 +1,4 @@
-//! Answers to clients, as frames.
+//! Encodes answers to clients as frames.
 
 use crate::dispatch::Reply;
 use crate::frontend::frames::FramedConnection;
@@ -61,8 +61,8 @@
     })
 }
 
-/// Enqueues whether the dispatcher is ready.
-pub(super) fn enqueue_state(
+/// Enqueues the answer to a readiness query.
+pub(super) fn enqueue_readiness(
     wire: &mut FramedConnection,
     stream: u32,
     is_ready: bool,
@@ -81,8 +81,8 @@
     })
 }
 
-/// Enqueues the goodbye.
-pub(super) fn enqueue_goodbye(wire: &mut FramedConnection) -> Result<(), FrameError> {
+/// Enqueues the notice that asks the client to send no new requests.
+pub(super) fn enqueue_shutdown_notice(wire: &mut FramedConnection) -> Result<(), FrameError> {
     wire.enqueue(OutgoingFrame {
         kind: kind::GOODBYE,
         stream: 0,
--- a/src/frontend/frames/request.rs
+++ b/src/frontend/frames/request.rs
@@ -1,4 +1,4 @@
-//! Requests as clients' frames bring them, and what they hold while they are open.
+//! Parses requests from clients' frames, and reserves what a request holds while it is open.
 
 use crate::config::position_of;
 use crate::core::NewRequest;
@@ -16,15 +16,15 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// A request id has this length, in hexadecimal digits.
+/// Length of a request id, in hexadecimal digits.
 const ID_DIGITS: usize = 16;
 
-/// A request as the engines get it: id, class and statement unchanged.
+/// A request as it is forwarded to engines: id, class and statement are unchanged.
 #[derive(Debug)]
 pub struct Work {
-    /// The request's id.
+    /// The request id.
     pub txn: String,
-    /// The name of its class.
+    /// The name of the request's class.
     pub class: String,
     /// The statement.
     pub statement: Bytes,
@@ -33,13 +33,13 @@
     client: Option<SocketProbe>,
 }
 
-/// Bounds the bytes of all open statements: otherwise a few connections could fill the memory.
+/// Bounds the bytes of all open statements; without it, a few connections could exhaust the memory.
 pub struct StatementBudget {
     limit: Cell<usize>,
     reserved: Rc<Cell<usize>>,
 }
 
-/// A statement's part of the budget, while its request is open.
+/// The part of the budget that a statement reserves while its request is open.
 #[derive(Debug, Default)]
 pub(super) struct ReservedMemory {
     bytes: usize,
@@ -47,7 +47,7 @@
 }
 
 impl StatementBudget {
-    /// A budget of so many bytes.
+    /// Creates a budget of `limit` bytes.
     pub(super) fn new(limit: usize) -> Self {
         StatementBudget {
             limit: Cell::new(limit),
@@ -55,12 +55,12 @@
         }
     }
 
-    /// Sets the limit, in bytes; what is reserved stays.
+    /// Sets the limit, in bytes; existing reservations are kept.
     pub(super) fn set_limit(&self, limit: usize) {
         self.limit.set(limit);
     }
 
-    /// Reserves so many bytes; `None` if that would exceed the limit.
+    /// Reserves `bytes` bytes; returns `None` if that would exceed the limit.
     pub(super) fn reserve(&self, bytes: usize) -> Option<ReservedMemory> {
         let reserved = self.reserved.get() + bytes;
         if reserved > self.limit.get() {
@@ -82,11 +82,11 @@
     }
 }
 
-/// Ids of open requests, by their numbers. Bounded by the requests.
+/// The ids of open requests, as numbers. The size of the set is bounded by the number of open requests.
 #[derive(Clone, Default)]
 pub(super) struct OpenIds(Rc<RefCell<HashSet<u64>>>);
 
-/// A request id while its request is open.
+/// Reserves a request id until it is dropped.
 #[derive(Default)]
 pub(super) struct ReservedId {
     number: u64,
@@ -94,7 +94,7 @@
 }
 
 impl OpenIds {
-    /// Reserves a request id; `None` if it is in use.
+    /// Reserves a request id; returns `None` if an open request has this id.
     pub(super) fn reserve(&self, txn: &str) -> Option<ReservedId> {
         let number = u64::from_str_radix(txn, 16).ok()?;
         let is_new = self.0.borrow_mut().insert(number);
@@ -120,7 +120,7 @@
 }
 
 impl Work {
-    /// Work that counts towards no budget.
+    /// Creates work that counts towards no budget and reserves no id.
     pub fn unbudgeted(txn: &str, class: &str, statement: Bytes) -> Self {
         Work {
             txn: txn.into(),
@@ -132,14 +132,15 @@
         }
     }
 
-    /// Holds its memory and its id for as long as it lives, on behalf of this client.
+    /// Attaches the reservations, which are released when the work is dropped, and the socket of its client.
     pub(super) fn attach(&mut self, memory: ReservedMemory, id: ReservedId, client: SocketProbe) {
         self._memory = memory;
         self._id = id;
         self.client = Some(client);
     }
 
-    /// What the system holds unread of its client: asked before an attempt begins, for the client may have gone.
+    /// Checks for unread input or a close on the client's socket. Called before an attempt starts, since the
+    /// client may have disconnected.
     pub fn client_input(&self) -> PendingInput {
         self.client
             .as_ref()
@@ -147,49 +148,49 @@
     }
 }
 
-/// Why a request fails before it is opened.
-pub(super) struct Unusable {
-    /// The class that it named, if any.
+/// The reason why a request fails before it is opened.
+pub(super) struct InvalidRequest {
+    /// The class that the request names, if it is known.
     pub(super) class: Option<ClassId>,
-    /// The message to the client.
+    /// The error message to the client.
     pub(super) reason: String,
 }
 
-/// The class that a request names.
+/// Returns the class that a request names, or `None` if the frame is malformed or the class is unknown.
 pub(super) fn parse_class<U: Upstream>(router: &RequestRouter<U>, frame: Frame) -> Option<ClassId> {
     let (fields, _) = parse_fields(frame.payload).ok()?;
     let (_, class) = fields.iter().find(|(name, _)| name == "verb")?;
     position_of(&router.names().classes, class)
 }
 
-/// Reads a request that arrived at this time of the process, in milliseconds.
+/// Parses a request that arrived at `arrived`, in milliseconds of the process clock.
 ///
 /// # Errors
-/// The payload ends inside its fields. What is wrong with the fields themselves is [`Unusable`].
+/// The payload ends inside its fields. Invalid fields are returned as [`InvalidRequest`].
 pub(super) fn parse_request<U: Upstream>(
     router: &RequestRouter<U>,
     payload: Bytes,
     arrived: Millis,
-) -> Result<Result<(NewRequest, Work), Unusable>, FrameError> {
+) -> Result<Result<(NewRequest, Work), InvalidRequest>, FrameError> {
     let (fields, statement) = parse_fields(payload)?;
     let fields = RequestFields(fields);
     let class = match fields.class(router) {
         Ok(class) => class,
         Err(reason) => {
-            return Ok(Err(Unusable {
+            return Ok(Err(InvalidRequest {
                 class: None,
                 reason,
             }));
         }
     };
     let parsed = fields.request(router, class, statement, arrived);
-    Ok(parsed.map_err(|reason| Unusable {
+    Ok(parsed.map_err(|reason| InvalidRequest {
         class: Some(class),
         reason,
     }))
 }
 
-/// Names and values of a request's fields. Errors are messages to the client.
+/// Names and values of a request's fields. Errors of the methods are messages to the client.
 struct RequestFields(Vec<(String, String)>);
 
 impl RequestFields {
@@ -203,7 +204,8 @@
             .ok_or_else(|| format!("the field `{name}` is missing"))
     }
 
-    /// A number. An absurd one would distort the estimates of all others, so its request fails.
+    /// Parses a number from 0 to `max`. A request with an absurd number fails, since the number would distort
+    /// the estimates of all other requests.
     fn number(&self, name: &str, max: f64) -> Result<Option<f64>, String> {
         let Some(value) = self.get(name) else {
             return Ok(None);
@@ -266,8 +268,8 @@
     }
 }
 
-/// Whether a statement is a text that engines can read: they close the connection on what they cannot, whatever else
-/// is open on it.
+/// Returns whether engines can read a statement. On any other, they close the connection, with all requests
+/// that are open on it.
 fn is_statement(statement: &[u8]) -> bool {
     let is_unreadable = |c: char| c.is_control() && !c.is_whitespace();
     std::str::from_utf8(statement)
--- a/src/frontend/frames/stream_numbers.rs
+++ b/src/frontend/frames/stream_numbers.rs
@@ -1,22 +1,22 @@
-//! The stream numbers that a connection has used.
+//! Records which stream numbers a connection has used.
 
-/// Numbers below the highest that are remembered one by one.
+/// Number of stream numbers below the highest that are tracked individually.
 const WINDOW: u32 = 128;
 
-/// The highest stream number, and which of the 128 below it were used. Older ones count as used, so that nothing grows
-/// with their number.
+/// The highest stream number, and which of the 128 below it were used. Lower numbers count as used, so that
+/// the memory does not grow with the number of streams.
 #[derive(Default)]
 pub(super) struct StreamNumbers {
     highest: u32,
-    /// Bit `n` stands for the number `highest - 1 - n`.
+    /// Bit `n` is set if the number `highest - 1 - n` was used.
     used_below: u128,
 }
 
 impl StreamNumbers {
-    /// Marks a number as used; false if it was used before, or is zero.
+    /// Marks a number as used; returns false if it was used before or is zero.
     pub(super) fn insert(&mut self, number: u32) -> bool {
         if number > self.highest {
-            self.raise(number);
+            self.raise_highest(number);
             return true;
         }
         let below = (self.highest - number).checked_sub(1);
@@ -28,10 +28,10 @@
         is_new
     }
 
-    fn raise(&mut self, number: u32) {
+    fn raise_highest(&mut self, number: u32) {
         let distance = number - self.highest;
         self.used_below = self.used_below.checked_shl(distance).unwrap_or(0);
-        // Zero is no number.
+        // Zero is not a valid stream number, so an initial `highest` of zero is not marked as used.
         if self.highest > 0 && distance <= WINDOW {
             self.used_below |= 1 << (distance - 1);
         }
