--- a/tests/frames.rs
+++ b/tests/frames.rs
@@ -1,4 +1,4 @@
-//! The platform's front and upstream against stand-in clients and engines.
+//! Tests of the frame frontend and the RESP upstream with fake clients and engines.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -17,11 +17,11 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// Reads commands and reports them; answers as ordered.
-async fn engine(number: usize, tcp: TcpStream, seen: mpsc::UnboundedSender<Seen>) {
+/// Serves one connection of a fake engine: reports the commands that it receives and answers as instructed.
+async fn engine(number: usize, tcp: TcpStream, requests: mpsc::UnboundedSender<EngineRequest>) {
     let (read, mut write) = tcp.into_split();
     let mut read = BufReader::new(read);
-    let (orders, mut inbox) = mpsc::unbounded_channel::<&'static str>();
+    let (instructions, mut inbox) = mpsc::unbounded_channel::<&'static str>();
     let mut id = String::new();
     loop {
         tokio::select! {
@@ -30,23 +30,24 @@
                 let class = match words[0].as_str() {
                     "GET" => {
                         id = words[1].clone();
-                        words[2].split(',').find_map(|f| f.strip_prefix("cls=")).unwrap().to_string()
+                        words[2].split(',').find_map(|field| field.strip_prefix("cls=")).unwrap().to_string()
                     }
                     "DROP" => "dropped".to_string(),
-                    "PAGE" if words[2] == "1" => continue, // the second page never comes
+                    "PAGE" if words[2] == "1" => continue, // the second page is never sent
                     other => panic!("engine got {other}"),
                 };
-                seen.send(Seen { engine: number, class, orders: orders.clone() }).unwrap();
+                let instructions = instructions.clone();
+                requests.send(EngineRequest { engine: number, class, instructions }).unwrap();
             }
-            Some(order) = inbox.recv() => {
-                let answer: [&str; 3] = match order {
+            Some(instruction) = inbox.recv() => {
+                let answer: [&str; 3] = match instruction {
                     "rows" => ["ACK", "total=1", "1\ta\tb\n"],
                     "half" => ["ACK", "total=2", "1\ta\tb\n"],
                     "full" => ["AGAIN", "-", ""],
                     "error" => ["EIO", "-", ""],
-                    "spoilt" => ["ACK", "total=1", "1\ta\tb\n2\tc\n"],
-                    "cut" | "more" => ["ACK", "total=1", "1\ta\tb\n"],
-                    "word" => ["OKAY", "-", ""],
+                    "malformed" => ["ACK", "total=1", "1\ta\tb\n2\tc\n"],
+                    "cut" | "duplicates" => ["ACK", "total=1", "1\ta\tb\n"],
+                    "unknown" => ["OKAY", "-", ""],
                     _ => return,
                 };
                 let bytes = |id: &str| {
@@ -54,23 +55,24 @@
                     let bulk = words.iter().map(|w| format!("${}\r\n{w}\r\n", w.len())).collect::<String>();
                     format!("*4\r\n{bulk}").into_bytes()
                 };
-                let bytes = match order {
-                    "more" => [bytes("0000000000000bad"), bytes(&id), bytes(&id)].concat(),
+                let bytes = match instruction {
+                    "duplicates" => [bytes("0000000000000bad"), bytes(&id), bytes(&id)].concat(),
                     _ => bytes(&id),
                 };
-                // Cut in the middle: an answer may come in any pieces.
-                let (a, b) = bytes.split_at(bytes.len() / 2);
-                write.write_all(a).await.unwrap();
-                if order == "cut" {
+                // Written in two pieces, since an answer may arrive in any fragments.
+                let (first_half, second_half) = bytes.split_at(bytes.len() / 2);
+                write.write_all(first_half).await.unwrap();
+                if instruction == "cut" {
                     continue;
                 }
                 tokio::task::yield_now().await;
-                write.write_all(b).await.unwrap();
+                write.write_all(second_half).await.unwrap();
             }
         }
     }
 }
 
+/// Reads one RESP command; `None` at the end of the connection.
 async fn command(read: &mut BufReader<tokio::net::tcp::OwnedReadHalf>) -> Option<Vec<String>> {
     let number = async |read: &mut BufReader<_>| {
         let mut line = String::new();
@@ -88,24 +90,26 @@
 
 struct FramesClient {
     address: std::net::SocketAddr,
-    /// Connections that stay open beside the one in use.
+    /// Write halves of earlier connections, which stay open.
     kept: Vec<OwnedWriteHalf>,
     write: Option<OwnedWriteHalf>,
     answers: mpsc::UnboundedReceiver<(u8, u32, Vec<u8>)>,
-    early: HashMap<u32, Vec<u8>>,
+    /// Payloads that were received and not requested yet, by stream.
+    received: HashMap<u32, Vec<u8>>,
+    /// Stream numbers by the names of requests.
     streams: HashMap<String, u32>,
 }
 
 impl FramesClient {
     async fn new(address: std::net::SocketAddr) -> Self {
         let (mut read, write) = TcpStream::connect(address).await.unwrap().into_split();
-        let (tx, answers) = mpsc::unbounded_channel();
+        let (sender, answers) = mpsc::unbounded_channel();
         spawn_local(async move {
             while let Ok(n) = read.read_u32().await {
                 let mut frame = vec![0; n as usize];
                 read.read_exact(&mut frame).await.unwrap();
                 let stream = u32::from_be_bytes(frame[1..5].try_into().unwrap());
-                let _ = tx.send((frame[0], stream, frame[5..].to_vec()));
+                let _ = sender.send((frame[0], stream, frame[5..].to_vec()));
             }
         });
         let kept = vec![];
@@ -114,41 +118,46 @@
             kept,
             write: Some(write),
             answers,
-            early: HashMap::new(),
+            received: HashMap::new(),
             streams: HashMap::new(),
         }
     }
 
     async fn frame(&mut self, kind: u8, stream: u32, payload: &[u8]) {
-        let mut f = (payload.len() as u32 + 5).to_be_bytes().to_vec();
-        f.push(kind);
-        f.extend(stream.to_be_bytes());
-        f.extend(payload);
-        self.write.as_mut().unwrap().write_all(&f).await.unwrap();
+        let mut frame = (payload.len() as u32 + 5).to_be_bytes().to_vec();
+        frame.push(kind);
+        frame.extend(stream.to_be_bytes());
+        frame.extend(payload);
+        self.write
+            .as_mut()
+            .unwrap()
+            .write_all(&frame)
+            .await
+            .unwrap();
     }
 
     async fn request(&mut self, stream: u32, fields: &[(&str, &str)], body: &str) {
-        let mut p = vec![fields.len() as u8];
-        for (n, v) in fields {
-            p.push(n.len() as u8);
-            p.extend(n.bytes());
-            p.extend((v.len() as u16).to_be_bytes());
-            p.extend(v.bytes());
+        let mut payload = vec![fields.len() as u8];
+        for (name, value) in fields {
+            payload.push(name.len() as u8);
+            payload.extend(name.bytes());
+            payload.extend((value.len() as u16).to_be_bytes());
+            payload.extend(value.bytes());
         }
-        p.extend(body.bytes());
-        self.frame(2, stream, &p).await;
+        payload.extend(body.bytes());
+        self.frame(2, stream, &payload).await;
     }
 
-    /// The payload of the next frame on this stream; the end of the connection is none.
+    /// Returns the payload of the next frame on this stream; `None` at the end of the connection.
     async fn next(&mut self, stream: u32) -> Option<Vec<u8>> {
-        while !self.early.contains_key(&stream) {
-            let (_, s, payload) = self.answers.recv().await?;
+        while !self.received.contains_key(&stream) {
+            let (_, other, payload) = self.answers.recv().await?;
             assert!(
-                self.early.insert(s, payload).is_none(),
-                "a second answer on stream {s}"
+                self.received.insert(other, payload).is_none(),
+                "a second answer on stream {other}"
             );
         }
-        self.early.remove(&stream)
+        self.received.remove(&stream)
     }
 }
 
@@ -168,7 +177,10 @@
     }
 
     async fn answer(&mut self, name: &str) -> &'static str {
-        let payload = self.next(self.streams[name]).await.expect("an answer");
+        let payload = self
+            .next(self.streams[name])
+            .await
+            .expect("an answer before the connection ends");
         let late = String::from_utf8_lossy(&payload).contains("the time is over");
         match payload[0] {
             _ if late => "late",
@@ -185,7 +197,7 @@
         }
     }
 
-    fn leave(&mut self) {
+    fn disconnect(&mut self) {
         self.write = None;
     }
 
@@ -193,29 +205,30 @@
         self.address
     }
 
-    async fn again(&mut self) {
-        let mut fresh = FramesClient::new(self.address).await;
-        fresh.kept = self.kept.drain(..).chain(self.write.take()).collect();
-        *self = fresh;
+    async fn reconnect(&mut self) {
+        let mut client = FramesClient::new(self.address).await;
+        client.kept = self.kept.drain(..).chain(self.write.take()).collect();
+        *self = client;
     }
 }
 
-type SetUp = (
+type Fixture = (
     std::rc::Rc<RequestRouter<RespUpstream>>,
     FramesClient,
     Vec<std::net::SocketAddr>,
-    mpsc::UnboundedReceiver<Seen>,
+    mpsc::UnboundedReceiver<EngineRequest>,
 );
 
-async fn set_up() -> SetUp {
-    set_up_with_notes(0.0).await
+async fn set_up() -> Fixture {
+    set_up_with_progress_interval(0.0).await
 }
 
-/// A client before the front, with both engines behind it that are to tell notes this often.
-async fn set_up_with_notes(notes: f64) -> SetUp {
-    let (addresses, seen) = engines(engine).await;
+/// Starts a dispatcher with two engines and connects a client. Engines are expected to send progress notes at
+/// this interval in milliseconds; zero for none.
+async fn set_up_with_progress_interval(interval_ms: f64) -> Fixture {
+    let (addresses, requests) = start_engines(engine).await;
     let (core, names, mut sockets) = core();
-    sockets.progress_interval = notes;
+    sockets.progress_interval = interval_ms;
     let pool = BufferPool::default();
     let router = RequestRouter::new(
         core,
@@ -237,49 +250,56 @@
         )
         .accept(listener),
     );
-    (router, FramesClient::new(address).await, addresses, seen)
+    (
+        router,
+        FramesClient::new(address).await,
+        addresses,
+        requests,
+    )
 }
 
 #[test]
 fn shared_frontend_scenarios_pass_on_frames() {
-    for (tells, script) in ALIKE {
-        println!("{tells}");
+    for (label, script) in SHARED_SCENARIOS {
+        println!("{label}");
         on_one_thread(async {
-            let (router, mut client, addresses, mut seen) = set_up().await;
-            play(&router, &mut client, &addresses, &mut seen, script).await;
+            let (router, mut client, addresses, mut requests) = set_up().await;
+            run_script(&router, &mut client, &addresses, &mut requests, script).await;
         });
     }
 }
 
-/// It stays open and leads to nobody. A load on it is waited for: to give it up would gain nothing.
+/// An open connection without progress notes is taken for dead, and its lookup is retried. A load on it is
+/// kept, since giving it up would gain nothing.
 #[test]
 fn connection_without_progress_reports_is_dead_unless_it_carries_a_load() {
     let script = "send a lookup\n engine lookup\n engine lookup\n reply rows\n expect a served
         send b load\n engine load\n wait 500\n reply rows\n expect b served\n ran 3";
     on_one_thread(async {
-        let (router, mut client, addresses, mut seen) = set_up_with_notes(50.0).await;
-        play(&router, &mut client, &addresses, &mut seen, script).await;
+        let (router, mut client, addresses, mut requests) =
+            set_up_with_progress_interval(50.0).await;
+        run_script(&router, &mut client, &addresses, &mut requests, script).await;
     });
 }
 
-/// What is turned away at the door counts as well; what its client has left does not.
+/// Requests that the frontend rejects count as well; requests that their client has abandoned do not.
 #[test]
 fn every_outcome_and_attempt_is_counted_once() {
-    let script = "send a lookup\n engine lookup\n figures dispatches=1\n close\n engine lookup\n reply rows
+    let script = "send a lookup\n engine lookup\n metrics dispatches=1\n close\n engine lookup\n reply rows
         expect a served\n send b nothing\n expect b failed\n send c lookup 1\n expect c refused
         send d load\n engine load\n leave\n engine dropped
-        figures replies.lookup.success=1 replies.lookup.overload=1 replies.lookup.error=0 replies.load.error=0
-        figures dispatches=3 concurrent=0";
+        metrics replies.lookup.success=1 replies.lookup.overload=1 replies.lookup.error=0 replies.load.error=0
+        metrics dispatches=3 concurrent=0";
     on_one_thread(async {
-        let (router, mut client, addresses, mut seen) = set_up().await;
-        play(&router, &mut client, &addresses, &mut seen, script).await;
+        let (router, mut client, addresses, mut requests) = set_up().await;
+        run_script(&router, &mut client, &addresses, &mut requests, script).await;
     });
 }
 
 #[test]
 fn bad_requests_get_an_error_and_bad_frames_close_the_connection() {
     on_one_thread(async {
-        let (_hub, mut c, _, _seen) = set_up().await;
+        let (_router, mut client, _, _requests) = set_up().await;
         let txn = "0123456789abcdef";
         let good = [
             ("verb", "lookup"),
@@ -289,7 +309,7 @@
         ];
         let with = |name, value| {
             good.into_iter()
-                .filter(|f| f.0 != name)
+                .filter(|field| field.0 != name)
                 .chain([(name, value)])
                 .collect::<Vec<_>>()
         };
@@ -326,42 +346,53 @@
             (&[("verb", "lookup"), ("txn", txn)], "limit"),
         ];
         for (i, (fields, message)) in cases.into_iter().enumerate() {
-            c.request(i as u32 + 1, fields, "select 1").await;
-            let payload = c.next(i as u32 + 1).await.unwrap();
+            client.request(i as u32 + 1, fields, "select 1").await;
+            let payload = client.next(i as u32 + 1).await.unwrap();
             assert!(
                 payload[0] == 2 && String::from_utf8_lossy(&payload).contains(message),
                 "{payload:?}"
             );
         }
-        c.request(70, &good, "\0").await;
-        assert_eq!(c.next(70).await.unwrap()[0], 2, "no text");
-        // Two under one id, and a stream that is used twice.
-        c.request(71, &good, "select 1").await;
-        c.request(72, &good, "select 2").await;
-        assert_eq!(c.next(72).await.unwrap()[0], 2);
-        c.frame(16, 77, &[0]).await;
-        assert_eq!(c.next(77).await.unwrap(), [0, 0], "ready");
-        c.frame(8, 99, &[]).await; // a stream that nobody knows
-        c.frame(2, 100, &[3, 200, 1]).await; // fields that end too early
-        assert_eq!(c.next(0).await.unwrap()[0], 2);
-        assert!(c.next(101).await.is_none(), "and the connection ends");
+        client.request(70, &good, "\0").await;
+        assert_eq!(
+            client.next(70).await.unwrap()[0],
+            2,
+            "the statement is not text"
+        );
+        // Two open requests with one id.
+        client.request(71, &good, "select 1").await;
+        client.request(72, &good, "select 2").await;
+        assert_eq!(client.next(72).await.unwrap()[0], 2);
+        client.frame(16, 77, &[0]).await;
+        assert_eq!(client.next(77).await.unwrap(), [0, 0], "ready");
+        client.frame(8, 99, &[]).await; // a cancel frame for an unknown stream
+        client.frame(2, 100, &[3, 200, 1]).await; // truncated fields
+        assert_eq!(client.next(0).await.unwrap()[0], 2);
+        assert!(client.next(101).await.is_none(), "and the connection ends");
     });
 }
 
-/// Alone on this front: on the other, sessions are kept, and a silent client is given more time.
+/// Runs on the frame frontend only: the MySQL frontend keeps sessions, and gives a silent client more time.
 #[test]
 fn unused_connections_are_evicted_first() {
     on_one_thread(async {
-        let (router, mut client, addresses, mut seen) = set_up().await;
-        let once =
-            "again\n send x lookup\n engine lookup\n reply rows\n expect x served\n".repeat(10);
-        play(&router, &mut client, &addresses, &mut seen, &once).await;
-        play(
+        let (router, mut client, addresses, mut requests) = set_up().await;
+        let served_connections =
+            "reconnect\n send x lookup\n engine lookup\n reply rows\n expect x served\n".repeat(10);
+        run_script(
+            &router,
+            &mut client,
+            &addresses,
+            &mut requests,
+            &served_connections,
+        )
+        .await;
+        run_script(
             &router,
             &mut client,
             &addresses,
-            &mut seen,
-            "crowd 5\n crowd closed",
+            &mut requests,
+            "silent_clients 5\n silent closed",
         )
         .await;
     });
@@ -370,61 +401,63 @@
 #[test]
 fn incomplete_frame_closes_its_connection() {
     on_one_thread(async {
-        let (_hub, mut c, _, _seen) = set_up().await;
-        c.frame(16, 1, &[0]).await;
-        assert_eq!(c.next(1).await.unwrap(), [0, 0]);
-        c.write
+        let (_router, mut client, _, _requests) = set_up().await;
+        client.frame(16, 1, &[0]).await;
+        assert_eq!(client.next(1).await.unwrap(), [0, 0]);
+        client
+            .write
             .as_mut()
             .unwrap()
             .write_all(&[0, 0, 1, 0, 2])
             .await
             .unwrap();
-        assert_eq!(c.next(0).await.unwrap()[0], 2);
-        assert!(c.next(1).await.is_none(), "and the connection ends");
+        assert_eq!(client.next(0).await.unwrap()[0], 2);
+        assert!(client.next(1).await.is_none(), "and the connection ends");
     });
 }
 
-/// What engines alike do now and then: none of it may reach a client as served, nor cost another request.
-const BAD_PEERS: [(&str, &str); 7] = [
+/// Faulty responses of engines, with a label and a script each: none may be served to a client or affect
+/// another request.
+const FAULTY_ENGINES: [(&str, &str); 7] = [
     (
-        "a spoilt page is not passed on, and a lookup goes elsewhere",
-        "send a lookup\n engine lookup\n reply spoilt\n engine lookup\n moved\n reply rows\n expect a served\n ran 2",
+        "a malformed page is not forwarded, and a lookup is retried on another engine",
+        "send a lookup\n engine lookup\n reply malformed\n engine lookup\n moved\n reply rows\n expect a served\n ran 2",
     ),
     (
-        "a load whose page is spoilt has run",
-        "send a load\n engine load\n reply spoilt\n expect a failed\n wait 100\n ran 1",
+        "a load whose page is malformed has run, and fails",
+        "send a load\n engine load\n reply malformed\n expect a failed\n wait 100\n ran 1",
     ),
     (
-        "an answer of no kind ends its connection",
-        "send a lookup\n engine lookup\n reply word\n engine lookup\n reply rows\n expect a served\n ran 2",
+        "an answer of an unknown kind ends its connection",
+        "send a lookup\n engine lookup\n reply unknown\n engine lookup\n reply rows\n expect a served\n ran 2",
     ),
     (
-        "a result that stops short is not waited for",
+        "a result that stalls is not waited for until the deadline",
         "send a lookup\n engine lookup\n reply half\n engine lookup\n reply rows\n expect a served\n ran 2",
     ),
     (
-        "an answer that stops short is not waited for",
+        "an answer that stalls is not waited for until the deadline",
         "send a load\n engine load\n reply cut\n expect a failed\n wait 100\n ran 1",
     ),
     (
-        "a load shares no connection with a lookup that breaks it",
+        "a load shares no connection with a lookup that may break it",
         "send a lookup\n engine lookup\n drain\n send b load 700\n engine load\n send c lookup\n engine lookup
          close\n engine lookup\n reply rows\n expect c served\n expect b late\n engine dropped\n ran 4",
     ),
     (
-        "a second copy and an answer for nobody cost nothing",
-        "send a lookup\n engine lookup\n reply more\n expect a served
+        "a duplicate answer and an answer to an unknown request have no effect",
+        "send a lookup\n engine lookup\n reply duplicates\n expect a served
          send b lookup\n engine lookup\n reply rows\n expect b served\n ran 2",
     ),
 ];
 
 #[test]
 fn malformed_engine_responses_are_never_served() {
-    for (tells, script) in BAD_PEERS {
-        println!("{tells}");
+    for (label, script) in FAULTY_ENGINES {
+        println!("{label}");
         on_one_thread(async {
-            let (router, mut client, addresses, mut seen) = set_up().await;
-            play(&router, &mut client, &addresses, &mut seen, script).await;
+            let (router, mut client, addresses, mut requests) = set_up().await;
+            run_script(&router, &mut client, &addresses, &mut requests, script).await;
         });
     }
 }
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -1,10 +1,7 @@
-//! The MySQL front and upstream against stand-in clients and engines, on prepared statements.
+//! Tests of the MySQL frontend and upstream with fake clients and engines, mostly with prepared statements.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
-#![allow(
-    clippy::too_many_lines,
-    reason = "one scenario each, not yet split into steps"
-)]
+#![allow(clippy::too_many_lines, reason = "each test is one scenario")]
 
 mod scenario;
 
@@ -43,8 +40,8 @@
     )
 }
 
-/// A result of one column and one row.
-fn rows(row: &[u8], end: bool) -> Vec<Vec<u8>> {
+/// Returns the packets of a result with one column and one row; `complete` adds the packet that ends it.
+fn rows(row: &[u8], complete: bool) -> Vec<Vec<u8>> {
     let column = [
         &[3][..],
         b"def",
@@ -53,16 +50,17 @@
         &[0, 0x0c, 45, 0, 9, 0, 0, 0, 0xfd, 0, 0, 0, 0, 0],
     ];
     let eof = vec![0xfe, 0, 0, 2, 0];
-    let mut all = vec![vec![1], column.concat(), eof.clone(), row.to_vec()];
-    all.extend(end.then_some(eof));
-    all
+    let mut packets = vec![vec![1], column.concat(), eof.clone(), row.to_vec()];
+    packets.extend(complete.then_some(eof));
+    packets
 }
 
-/// Binary: no NULL, the text `a`.
+/// A row in the binary format: no NULL values, the text `a`.
 const ROW: [u8; 4] = [0, 0, 1, b'a'];
 
-/// Logs clients in, prepares with ids that no other engine has, and reports what it is asked to run.
-async fn engine(number: usize, tcp: TcpStream, seen: mpsc::UnboundedSender<Seen>) {
+/// Serves one connection of a fake engine: logs the dispatcher in, prepares statements under ids that are
+/// unique to the engine, reports the statements that it receives and answers them as instructed.
+async fn engine(number: usize, tcp: TcpStream, requests: mpsc::UnboundedSender<EngineRequest>) {
     let mut w = wire(tcp);
     let nonce = vec![number as u8 + 1; 20];
     let greeting = Greeting {
@@ -85,9 +83,9 @@
     ));
     w.send(&[1u8, 3][..]).await.unwrap();
     w.send(&ok_packet()[..]).await.unwrap();
-    let (orders, mut inbox) = mpsc::unbounded_channel::<&'static str>();
+    let (instructions, mut inbox) = mpsc::unbounded_channel::<&'static str>();
     let mut statements: HashMap<u32, String> = HashMap::new();
-    let mut long = String::new();
+    let mut long_data = String::new();
     loop {
         w.codec_mut().sequence = 0;
         let Some(Ok(p)) = w.next().await else { return };
@@ -112,13 +110,13 @@
                 continue;
             }
             COM_STMT_SEND_LONG_DATA => {
-                long.push_str(&text[6..]);
+                long_data.push_str(&text[6..]);
                 continue;
             }
             COM_STMT_CLOSE => {
                 statements
                     .remove(&id())
-                    .expect("a statement of this connection is closed");
+                    .expect("only statements of this connection are closed");
                 continue;
             }
             COM_INIT_DB => {
@@ -128,16 +126,23 @@
             COM_STMT_EXECUTE => {
                 let sql = statements
                     .get(&id())
-                    .expect("a statement of this very connection")
+                    .expect("the statement was prepared on this connection")
                     .clone();
                 if sql.contains('?') {
-                    assert_eq!(&p[11..13], [1, 0xfd], "types are named to every connection");
-                    let sent = if long.is_empty() {
+                    assert_eq!(
+                        &p[11..13],
+                        [1, 0xfd],
+                        "every connection receives the parameter types"
+                    );
+                    let parameter = if long_data.is_empty() {
                         text[13..].to_string()
                     } else {
-                        std::mem::take(&mut long)
+                        std::mem::take(&mut long_data)
                     };
-                    assert!(sent.ends_with("par"), "the parameter came along: {sent:?}");
+                    assert!(
+                        parameter.ends_with("par"),
+                        "the engine receives the parameter: {parameter:?}"
+                    );
                 }
                 sql
             }
@@ -154,24 +159,26 @@
             () if sql.contains("select") => "lookup",
             () => "load",
         };
-        seen.send(Seen {
-            engine: number,
-            class: class.into(),
-            orders: orders.clone(),
-        })
-        .unwrap();
+        requests
+            .send(EngineRequest {
+                engine: number,
+                class: class.into(),
+                instructions: instructions.clone(),
+            })
+            .unwrap();
         if class == "dropped" {
             w.send(&ok_packet()[..]).await.unwrap();
             continue;
         }
-        let mut half = false;
+        let mut is_incomplete = false;
         loop {
-            let order = tokio::select! {
-                order = inbox.recv() => order,
-                // Nothing is asked beside it; one that is given up is closed, or reset.
-                gone = w.next(), if !half => { assert!(!matches!(gone, Some(Ok(_)))); return }
+            let instruction = tokio::select! {
+                instruction = inbox.recv() => instruction,
+                // No command is sent beside a running statement; a cancelled one has its connection closed or
+                // reset.
+                next = w.next(), if !is_incomplete => { assert!(!matches!(next, Some(Ok(_)))); return }
             };
-            let answer = match order {
+            let answer = match instruction {
                 Some("rows") if class == "load" => vec![ok_packet()],
                 Some("rows") => rows(&ROW, true),
                 Some("half") => rows(&ROW, false),
@@ -188,22 +195,24 @@
             for p in answer {
                 w.send(&p[..]).await.unwrap();
             }
-            half = order == Some("half");
-            if !half {
+            is_incomplete = instruction == Some("half");
+            if !is_incomplete {
                 break;
             }
         }
     }
 }
 
-/// Each request is the execute of a statement that was prepared at the start, on a session of its own; the
-/// first session keeps the statement prepared throughout.
+/// A client whose requests execute prepared statements on one session. Each statement is prepared on first
+/// use.
 struct MysqlClient {
     address: SocketAddr,
     wire: Option<FramedConnection>,
+    /// Ids of prepared statements by their SQL.
     prepared: HashMap<String, u32>,
 }
 
+/// Logs in to the dispatcher and returns the session, or the error that the login was answered with.
 async fn log_in(
     address: SocketAddr,
     user: &str,
@@ -229,6 +238,7 @@
     }
 }
 
+/// Sends a command as the first packet of a new sequence.
 async fn command(w: &mut FramedConnection, kind: u8, parts: &[&[u8]]) {
     w.codec_mut().sequence = 0;
     w.send(&[&[kind], &parts.concat()[..]].concat()[..])
@@ -240,7 +250,7 @@
     w.next().await.unwrap().unwrap()
 }
 
-/// Reads a result: its packets, or the error.
+/// Reads a complete answer and returns its packets, or the error.
 async fn result(w: &mut FramedConnection) -> Result<Vec<Bytes>, SqlError> {
     let mut all = vec![packet(w).await];
     match all[0][0] {
@@ -248,15 +258,16 @@
         0xff => return Err(parse_err_packet(&all[0])),
         _ => {}
     }
-    let mut ends = 0;
-    while ends < 2 {
+    let mut eof_count = 0;
+    while eof_count < 2 {
         let p = packet(w).await;
-        ends += usize::from(eof_status(&p).is_some());
+        eof_count += usize::from(eof_status(&p).is_some());
         all.push(p);
     }
     Ok(all)
 }
 
+/// Prepares a statement and returns its id.
 async fn prepare(w: &mut FramedConnection, sql: &str) -> Result<u32, SqlError> {
     command(w, COM_STMT_PREPARE, &[sql.as_bytes()]).await;
     let p = packet(w).await;
@@ -270,9 +281,10 @@
     Ok(u32::from_le_bytes(p[1..5].try_into().unwrap()))
 }
 
-/// With types only the first time: later ones are remembered for the session.
-async fn execute(w: &mut FramedConnection, id: u32, typed: bool) {
-    let types: &[u8] = if typed { &[1, 0xfd, 0] } else { &[0] };
+/// Executes a statement. Drivers send the parameter types with the first execution only; the session
+/// remembers them.
+async fn execute(w: &mut FramedConnection, id: u32, with_types: bool) {
+    let types: &[u8] = if with_types { &[1, 0xfd, 0] } else { &[0] };
     command(
         w,
         COM_STMT_EXECUTE,
@@ -293,25 +305,25 @@
             "insert into"
         };
         let sql = format!("{verb} sales_17.orders /* ? */ where x = ?").replace(" /* ? */", "");
-        // The limit stands in the leading comment, so a limited one is another statement.
+        // The deadline is in the leading comment, so a request with another deadline is another statement.
         let sql = if ms == 5000 {
             sql
         } else {
             format!("/* limit={ms} */ {sql}")
         };
-        let typed = !self.prepared.contains_key(&sql);
-        if typed {
+        let with_types = !self.prepared.contains_key(&sql);
+        if with_types {
             let id = prepare(w, &sql).await.unwrap();
             self.prepared.insert(sql.clone(), id);
         }
-        execute(w, self.prepared[&sql], typed).await;
+        execute(w, self.prepared[&sql], with_types).await;
     }
 
     async fn answer(&mut self, _: &str) -> &'static str {
         match result(self.wire.as_mut().unwrap()).await {
             Ok(all) if all.len() == 1 => "served",
             Ok(all) => {
-                assert_eq!(all[3][..], ROW, "the row as the engine sent it");
+                assert_eq!(all[3][..], ROW, "the row is unchanged");
                 "served"
             }
             Err(e) if e.code == 3168 => "refused",
@@ -323,7 +335,7 @@
         }
     }
 
-    fn leave(&mut self) {
+    fn disconnect(&mut self) {
         self.wire = None;
     }
 
@@ -331,56 +343,63 @@
         self.address
     }
 
-    async fn again(&mut self) {
+    async fn reconnect(&mut self) {
         (self.wire, self.prepared) = (None, HashMap::new());
     }
 }
 
-type Seens = mpsc::UnboundedReceiver<Seen>;
+type EngineRequests = mpsc::UnboundedReceiver<EngineRequest>;
 
+/// Starts the fixture like [`set_up_all`], for tests that need no frontend.
 async fn set_up() -> (
     Rc<RequestRouter<MysqlUpstream>>,
     MysqlClient,
     Vec<SocketAddr>,
-    Seens,
+    EngineRequests,
 ) {
-    let (router, _, client, addresses, seen) = set_up_all().await;
-    (router, client, addresses, seen)
+    let (router, _, client, addresses, requests) = set_up_all().await;
+    (router, client, addresses, requests)
 }
 
+/// Starts the fixture like [`set_up_all`], for tests that use the frontend and not the engines' addresses.
 async fn set_up_front() -> (
     Rc<RequestRouter<MysqlUpstream>>,
     Rc<Frontend<MysqlUpstream>>,
     MysqlClient,
-    Seens,
+    EngineRequests,
 ) {
-    let (router, frontend, client, _, seen) = set_up_all().await;
-    (router, frontend, client, seen)
+    let (router, frontend, client, _, requests) = set_up_all().await;
+    (router, frontend, client, requests)
 }
 
+/// Starts a dispatcher with two engines, and a client that logs in on its first request.
 async fn set_up_all() -> (
     Rc<RequestRouter<MysqlUpstream>>,
     Rc<Frontend<MysqlUpstream>>,
     MysqlClient,
     Vec<SocketAddr>,
-    Seens,
+    EngineRequests,
 ) {
-    let (addresses, seen) = engines(engine).await;
+    let (addresses, requests) = start_engines(engine).await;
     let (core, names, sockets) = core();
     let pool = BufferPool::default();
-    let (spools, done) =
-        Spools::open(&spools(), names.classes.clone(), names.tenants.clone()).unwrap();
-    spawn_local(spools.clone().run(done));
+    let (spools, disk_completions) = Spools::open(
+        &spool_settings(),
+        names.classes.clone(),
+        names.tenants.clone(),
+    )
+    .unwrap();
+    spawn_local(spools.clone().run(disk_completions));
     let router = RequestRouter::new(
         core,
         names,
-        MysqlUpstream::new(access(), sockets, pool.clone(), spools.clone()),
+        MysqlUpstream::new(engine_credentials(), sockets, pool.clone(), spools.clone()),
     );
     router.update_endpoints(&change(&addresses, None));
     spawn_local(router.clone().run_clock());
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let frontend = Frontend::new(router.clone(), pool, mysql_front(), spools);
+    let frontend = Frontend::new(router.clone(), pool, mysql_frontend_config(), spools);
     spawn_local(frontend.clone().accept(listener));
     (
         router,
@@ -391,51 +410,51 @@
             prepared: HashMap::new(),
         },
         addresses,
-        seen,
+        requests,
     )
 }
 
 #[test]
 fn shared_frontend_scenarios_pass_on_prepared_statements() {
-    for (tells, script) in ALIKE {
-        println!("{tells}");
+    for (label, script) in SHARED_SCENARIOS {
+        println!("{label}");
         on_one_thread(async {
-            let (router, mut client, addresses, mut seen) = set_up().await;
-            play(&router, &mut client, &addresses, &mut seen, script).await;
+            let (router, mut client, addresses, mut requests) = set_up().await;
+            run_script(&router, &mut client, &addresses, &mut requests, script).await;
         });
     }
 }
 
-/// Preparing goes through an engine like any read, and counts as one.
+/// A prepare command is sent to an engine like any read, and counts as one.
 #[test]
 fn every_command_sent_to_an_engine_is_counted_once() {
     let script = "send a load\n engine load\n reply rows\n expect a served
-        figures replies.load.success=1 replies.lookup.success=1 dispatches=2
-        send b load\n engine load\n close\n expect b failed\n figures replies.load.error=1 dispatches=3";
+        metrics replies.load.success=1 replies.lookup.success=1 dispatches=2
+        send b load\n engine load\n close\n expect b failed\n metrics replies.load.error=1 dispatches=3";
     on_one_thread(async {
-        let (router, mut client, addresses, mut seen) = set_up().await;
-        play(&router, &mut client, &addresses, &mut seen, script).await;
+        let (router, mut client, addresses, mut requests) = set_up().await;
+        run_script(&router, &mut client, &addresses, &mut requests, script).await;
     });
 }
 
 #[test]
 fn prepared_statement_migrates_from_a_draining_engine_and_back() {
     let script = "send a lookup\n engine lookup\n reply rows\n expect a served\n drain
-        send b lookup\n engine lookup\n moved\n reply rows\n expect b served\n back\n drain
-        send c lookup\n engine lookup\n moved\n reply rows\n expect c served\n back
+        send b lookup\n engine lookup\n moved\n reply rows\n expect b served\n restore\n drain
+        send c lookup\n engine lookup\n moved\n reply rows\n expect c served\n restore
         send d load\n engine load\n drain\n reply rows\n expect d served\n ran 4";
     on_one_thread(async {
-        let (router, mut client, addresses, mut seen) = set_up().await;
-        play(&router, &mut client, &addresses, &mut seen, script).await;
+        let (router, mut client, addresses, mut requests) = set_up().await;
+        run_script(&router, &mut client, &addresses, &mut requests, script).await;
     });
 }
 
 #[test]
 fn unsupported_commands_get_an_error_and_the_session_continues() {
     on_one_thread(async {
-        let (_hub, client, _, mut seen) = set_up().await;
-        let wrong = log_in(client.address, "ann", "wrong").await.err().unwrap();
-        assert_eq!(wrong.code, 1045);
+        let (_router, client, _, mut requests) = set_up().await;
+        let wrong_password = log_in(client.address, "ann", "wrong").await.err().unwrap();
+        assert_eq!(wrong_password.code, 1045);
         assert_eq!(
             log_in(client.address, "bob", "").await.err().unwrap().code,
             1045
@@ -487,7 +506,7 @@
         assert_eq!(
             result(&mut w).await.unwrap_err().code,
             1235,
-            "a cursor that writes"
+            "a cursor for update"
         );
         command(
             &mut w,
@@ -502,9 +521,9 @@
         assert_eq!(
             result(&mut w).await.unwrap_err().code,
             1210,
-            "a parameter that ends early"
+            "a truncated parameter"
         );
-        // Long data in two pieces, then one that has to be forgotten.
+        // Long data in two pieces is joined; the long data of the next execution exceeds the limit.
         for piece in [&b"long "[..], b"par"] {
             command(
                 &mut w,
@@ -515,8 +534,8 @@
         }
         let execute = [&id.to_le_bytes()[..], &[0, 1, 0, 0, 0, 0, 1, 0xfd, 0]].concat();
         command(&mut w, COM_STMT_EXECUTE, &[&execute]).await;
-        let asked = seen.recv().await.unwrap();
-        asked.orders.send("rows").unwrap();
+        let request = requests.recv().await.unwrap();
+        request.instructions.send("rows").unwrap();
         assert_eq!(result(&mut w).await.unwrap()[3][..], ROW);
         command(
             &mut w,
@@ -534,31 +553,35 @@
         assert_eq!(
             result(&mut w).await.unwrap_err().code,
             1153,
-            "long data above the bound"
+            "long data above the limit"
         );
         prepare(&mut w, "select 2").await.unwrap();
         let third = prepare(&mut w, "select 3").await.unwrap();
         assert_eq!(prepare(&mut w, "select 4").await.unwrap_err().code, 1461);
         command(&mut w, COM_STMT_CLOSE, &[&third.to_le_bytes()]).await;
         prepare(&mut w, "select 4").await.unwrap();
-        assert!(seen.try_recv().is_err(), "nothing of that ran");
+        assert!(
+            requests.try_recv().is_err(),
+            "none of the invalid commands ran"
+        );
         command(&mut w, COM_QUERY, &[&[b' '; 70_000]]).await;
         assert_eq!(
             result(&mut w).await.unwrap_err().code,
             1153,
-            "a packet above the bound"
+            "a packet above the limit"
         );
         assert!(w.next().await.is_none(), "and the session ends");
     });
 }
 
-/// A statement waits, and its client goes: by its last word, behind a command sent early, by a close, by a reset. The term
-/// later it would be let go, and another's is the first that an engine sees.
+/// A statement is queued when its client disconnects: by COM_QUIT, by a close behind a pipelined command, by
+/// a close or by a reset. When engines are available 100 ms later, another client's statement is the first
+/// that reaches one.
 #[test]
 fn queued_statement_is_not_forwarded_after_its_session_ends() {
     on_one_thread(async {
-        for how in ["quit", "early and closed", "closed", "reset"] {
-            let (router, client, addresses, mut seen) = set_up().await;
+        for how in ["quit", "pipelined and closed", "closed", "reset"] {
+            let (router, client, addresses, mut requests) = set_up().await;
             let mut w = log_in(client.address, "ann", "secret").await.unwrap();
             router.update_endpoints(&EndpointListChange {
                 update: ListUpdate::Snapshot,
@@ -573,12 +596,12 @@
             while router.unanswered_requests() == 0 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
-            let kept = match how {
+            let open_session = match how {
                 "quit" => {
                     command(&mut w, COM_QUIT, &[]).await;
                     Some(w)
                 }
-                "early and closed" => {
+                "pipelined and closed" => {
                     command(&mut w, COM_PING, &[]).await;
                     drop(w);
                     None
@@ -599,55 +622,62 @@
             assert_eq!(
                 router.unanswered_requests(),
                 0,
-                "{how}: it is left, and what it held is free"
+                "{how}: the statement is abandoned and its capacity released"
             );
             router.update_endpoints(&change(&addresses, None));
             let mut other = log_in(client.address, "ann", "secret").await.unwrap();
             command(&mut other, COM_QUERY, &[b"select n from sales_17.orders"]).await;
-            assert_eq!(seen.recv().await.unwrap().class, "lookup", "{how}");
-            drop(kept);
+            assert_eq!(requests.recv().await.unwrap().class, "lookup", "{how}");
+            drop(open_session);
         }
     });
 }
 
-/// A command sent early is no leave: both are answered.
+/// A command that arrives while a statement runs is no disconnect: both are answered.
 #[test]
 fn pipelined_command_is_answered_in_order() {
     on_one_thread(async {
-        let (_hub, client, _, mut seen) = set_up().await;
+        let (_router, client, _, mut requests) = set_up().await;
         let mut w = log_in(client.address, "ann", "secret").await.unwrap();
         command(&mut w, COM_QUERY, &[b"select n from sales_17.orders"]).await;
-        let first = seen.recv().await.unwrap();
+        let first = requests.recv().await.unwrap();
         command(&mut w, COM_PING, &[]).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
-        first.orders.send("rows").unwrap();
+        first.instructions.send("rows").unwrap();
         w.codec_mut().sequence = 1;
         assert!(result(&mut w).await.is_ok());
         w.codec_mut().sequence = 1;
-        assert!(result(&mut w).await.is_ok(), "the ping");
+        assert!(result(&mut w).await.is_ok(), "the ping is answered");
     });
 }
 
-/// A client in the machine's queue, one between commands and one whose command is unread, at the stop.
+/// When shutdown begins, one client is in the listen queue, one is idle between commands, and the command of
+/// a third is unread.
 #[test]
 fn shutdown_answers_pending_commands_and_notifies_other_sessions() {
     on_one_thread(async {
-        let (_hub, frontend, client, mut seen) = set_up_front().await;
-        let mut asked = log_in(client.address, "ann", "secret").await.unwrap();
+        let (_router, frontend, client, mut requests) = set_up_front().await;
+        let mut active = log_in(client.address, "ann", "secret").await.unwrap();
         let mut idle = log_in(client.address, "ann", "secret").await.unwrap();
-        // All before the runtime hears of any.
+        // All three events precede the next poll of the runtime.
         let queued = std::net::TcpStream::connect(client.address).unwrap();
         let sql = [
             &[30, 0, 0, 0, COM_QUERY][..],
             b"select n from sales_17.orders",
         ]
         .concat();
-        assert_eq!(asked.get_ref().try_write(&sql).unwrap(), sql.len());
+        assert_eq!(active.get_ref().try_write(&sql).unwrap(), sql.len());
         frontend.announce_shutdown(false);
-        seen.recv().await.unwrap().orders.send("rows").unwrap();
-        asked.codec_mut().sequence = 1;
-        assert!(result(&mut asked).await.is_ok());
-        for w in [&mut asked, &mut idle] {
+        requests
+            .recv()
+            .await
+            .unwrap()
+            .instructions
+            .send("rows")
+            .unwrap();
+        active.codec_mut().sequence = 1;
+        assert!(result(&mut active).await.is_ok());
+        for w in [&mut active, &mut idle] {
             w.codec_mut().sequence = 0;
             assert_eq!(parse_err_packet(&packet(w).await).code, 1053);
         }
@@ -657,35 +687,44 @@
     });
 }
 
-/// What happened: a command that breaks off, or more sent early than is read ahead, ended its session without a word; the
-/// client could not tell whether its statement had run. Why: such faults were taken for failures of the connection.
+/// Guards against a session that ends without an answer after a truncated command, or after more pipelined
+/// commands than are read ahead: such protocol errors used to be handled as connection failures, and the
+/// client could not tell whether its statement had run.
 #[test]
 fn a_command_that_ends_its_session_is_answered_first() {
     on_one_thread(async {
-        let (router, client, _, mut seen) = set_up().await;
+        let (router, client, _, mut requests) = set_up().await;
         let mut w = log_in(client.address, "ann", "secret").await.unwrap();
         command(&mut w, COM_CHANGE_USER, &[b"ann\0\x14only a part"]).await;
-        let told = tokio::time::timeout(Duration::from_secs(2), w.next()).await;
-        let told = told.unwrap().expect("an answer before the end").unwrap();
-        assert_eq!(parse_err_packet(&told).code, 1835, "it breaks off");
+        let answer = tokio::time::timeout(Duration::from_secs(2), w.next()).await;
+        let answer = answer.unwrap().expect("an answer before the end").unwrap();
+        assert_eq!(parse_err_packet(&answer).code, 1835, "a truncated command");
         assert!(w.next().await.is_none(), "and the session ends");
 
         let mut w = log_in(client.address, "ann", "secret").await.unwrap();
         command(&mut w, COM_QUERY, &[b"select n from sales_17.orders"]).await;
-        let held = seen.recv().await.unwrap();
+        let held = requests.recv().await.unwrap();
         for _ in 0..30 {
-            let early = [
+            let pipelined = [
                 b"select n from sales_17.orders /* ",
                 &[b'x'; 4000][..],
                 b"*/",
             ];
-            command(&mut w, COM_QUERY, &early).await;
+            command(&mut w, COM_QUERY, &pipelined).await;
         }
         w.codec_mut().sequence = 1;
-        let told = tokio::time::timeout(Duration::from_secs(2), w.next()).await;
-        let told = told.unwrap().expect("an answer before the end").unwrap();
-        assert_eq!(parse_err_packet(&told).code, 1835, "too much sent early");
-        assert_eq!(router.unanswered_requests(), 0, "the statement is given up");
+        let answer = tokio::time::timeout(Duration::from_secs(2), w.next()).await;
+        let answer = answer.unwrap().expect("an answer before the end").unwrap();
+        assert_eq!(
+            parse_err_packet(&answer).code,
+            1835,
+            "too many pipelined commands"
+        );
+        assert_eq!(
+            router.unanswered_requests(),
+            0,
+            "the statement is abandoned"
+        );
         drop(held);
         let counts = router.invariants();
         assert!(
@@ -695,7 +734,8 @@
     });
 }
 
-/// The process ends with a statement at an engine: the connection that closes over it is counted and told in the log.
+/// The process ends while a statement runs on an engine: the connection that closes with it unanswered is
+/// counted.
 #[test]
 fn a_session_that_ends_with_a_command_unanswered_is_counted() {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -704,23 +744,23 @@
         .unwrap();
     let local = tokio::task::LocalSet::new();
     let (router, w, held) = local.block_on(&runtime, async {
-        let (router, client, _, mut seen) = set_up().await;
+        let (router, client, _, mut requests) = set_up().await;
         let mut w = log_in(client.address, "ann", "secret").await.unwrap();
         command(&mut w, COM_QUERY, &[b"select n from sales_17.orders"]).await;
-        let held = seen.recv().await.unwrap();
+        let held = requests.recv().await.unwrap();
         (router, w, held)
     });
-    let counted = |router: &RequestRouter<MysqlUpstream>| {
+    let closed_unanswered = |router: &RequestRouter<MysqlUpstream>| {
         let text = router.invariants();
         text.lines()
             .find_map(|line| line.strip_prefix("violations.closed_unanswered="))
             .map(ToString::to_string)
     };
-    assert_eq!(counted(&router), Some("0".into()));
+    assert_eq!(closed_unanswered(&router), Some("0".into()));
     {
         let _runtime = runtime.enter();
         drop(local);
     }
-    assert_eq!(counted(&router), Some("1".into()));
+    assert_eq!(closed_unanswered(&router), Some("1".into()));
     drop((w, held));
 }
--- a/tests/mysql_client_disconnect.rs
+++ b/tests/mysql_client_disconnect.rs
@@ -1,8 +1,8 @@
-//! MySQL clients that have gone, by their last word, a close, a reset or the end of their TLS, and requests that are
-//! killed: nothing of theirs begins on an engine any more. Each test forces the moment: the engine's word is held back,
-//! and given in the same turn as the leave, before the runtime hears of either; then the thread is kept for longer than
-//! the term. At the engine's end nothing may come whole; and another's transaction has to get the one place, pin and
-//! connection that there are.
+//! MySQL clients that disconnect by COM_QUIT, a close, a reset or the end of TLS, and statements that are
+//! killed: no statement of theirs starts on an engine afterwards. Each test forces the order of events: the
+//! engine's response is held back and sent together with the disconnect, before the runtime polls either;
+//! then the thread is blocked for longer than the detection limit. No complete command may reach the engine,
+//! and the transaction of another client must get the only slot, sticky session and engine connection.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -47,11 +47,12 @@
 
 type FramedConnection<S = TcpStream> = Framed<S, PacketCodec>;
 
-/// So late after a leave nothing may begin any more.
-const TERM: Duration = Duration::from_millis(100);
-/// The thread is kept from the runtime for so long.
-const LATE: Duration = Duration::from_millis(120);
-const LEAVERS: &str = "insert into sales_17.leaver values (1)";
+/// No statement may start for a client that disconnected longer ago than this.
+const DISCONNECT_DETECTION_LIMIT: Duration = Duration::from_millis(100);
+/// Time for which the thread of the runtime is blocked: longer than the detection limit.
+const STALL: Duration = Duration::from_millis(120);
+/// The statement of the client that disconnects.
+const DEPARTED_STATEMENT: &str = "insert into sales_17.departed values (1)";
 
 fn wire<S: AsyncRead + AsyncWrite>(io: S) -> FramedConnection<S> {
     Framed::new(
@@ -63,7 +64,7 @@
     )
 }
 
-/// Packets as they stand on the wire, counted from `sequence`.
+/// Encodes packets with sequence numbers from `sequence` on.
 fn framed<'a>(sequence: u8, packets: impl IntoIterator<Item = &'a [u8]>) -> Vec<u8> {
     let (mut codec, mut bytes) = (
         PacketCodec {
@@ -78,44 +79,49 @@
     bytes.to_vec()
 }
 
-/// Hands bytes to the machine at once.
+/// Writes bytes to the kernel's send buffer at once.
 fn send_now(tcp: &TcpStream, bytes: &[u8]) {
     assert_eq!(SockRef::from(tcp).send(bytes).unwrap(), bytes.len());
 }
 
-fn reset(tcp: &TcpStream) {
+/// Makes the close of a connection a reset.
+fn reset_on_close(tcp: &TcpStream) {
     SockRef::from(tcp).set_linger(Some(Duration::ZERO)).unwrap();
 }
 
-/// A connection whose engine holds its word back, and that word.
-struct Held {
+/// An engine's connection and the response that is held back on it.
+struct HeldResponse {
     wire: FramedConnection,
-    word: Vec<u8>,
+    response: Vec<u8>,
 }
 
-/// All engines: what they were sent whole, and where one is to hold its word back.
+/// The state that all fake engines share.
 #[derive(Default)]
 struct Engines {
-    came: RefCell<Vec<String>>,
+    /// All commands that were received completely.
+    received: RefCell<Vec<String>>,
+    /// Prefix of the next command, or step of the login, whose response is held back.
     hold: Cell<Option<&'static str>>,
-    held: RefCell<Option<Held>>,
-    /// All connections end.
+    held: RefCell<Option<HeldResponse>>,
+    /// Closes all connections.
     close: Notify,
 }
 
 impl Engines {
-    fn holds(&self, what: &str) -> bool {
+    /// Returns whether the response to this command is held back; only one response is.
+    fn holds(&self, command: &str) -> bool {
         let holds = self
             .hold
             .get()
-            .is_some_and(|h| what.to_ascii_lowercase().starts_with(h));
+            .is_some_and(|prefix| command.to_ascii_lowercase().starts_with(prefix));
         if holds {
             self.hold.set(None);
         }
         holds
     }
 
-    async fn held(&self) -> Held {
+    /// Waits for the response that is held back.
+    async fn held(&self) -> HeldResponse {
         loop {
             if let Some(held) = self.held.take() {
                 return held;
@@ -125,7 +131,8 @@
     }
 }
 
-async fn log_in_here(engines: Rc<Engines>, tcp: TcpStream) {
+/// Serves one connection of a fake engine from its greeting on.
+async fn serve_from_login(engines: Rc<Engines>, tcp: TcpStream) {
     let mut w = wire(tcp);
     let greeting = Greeting {
         connection: 7,
@@ -135,23 +142,23 @@
     };
     w.send(&greeting.write("8.0.0")[..]).await.unwrap();
     let Some(Ok(_)) = w.next().await else { return };
-    let word = framed(2, [&ok_packet()[..]]);
+    let response = framed(2, [&ok_packet()[..]]);
     if engines.holds("login") {
-        *engines.held.borrow_mut() = Some(Held { wire: w, word });
+        *engines.held.borrow_mut() = Some(HeldResponse { wire: w, response });
         return;
     }
-    w.get_mut().write_all(&word).await.unwrap();
+    w.get_mut().write_all(&response).await.unwrap();
     if engines.holds("silent") {
-        *engines.held.borrow_mut() = Some(Held {
+        *engines.held.borrow_mut() = Some(HeldResponse {
             wire: w,
-            word: vec![],
+            response: vec![],
         });
         return;
     }
     serve(engines, w).await;
 }
 
-/// Answers whatever comes whole, and keeps account of it.
+/// Answers and records every complete command.
 async fn serve(engines: Rc<Engines>, mut w: FramedConnection) {
     let mut status = SERVER_STATUS_AUTOCOMMIT;
     loop {
@@ -162,23 +169,23 @@
         };
         let Some(Ok(p)) = p else { return };
         let text = String::from_utf8_lossy(&p[1..]).into_owned();
-        let what = match p[0] {
+        let received = match p[0] {
             COM_QUERY => text,
             COM_STMT_PREPARE => format!("prepare {text}"),
             COM_STMT_EXECUTE => "execute".into(),
             COM_QUIT => return,
             other => format!("command {other}"),
         };
-        status = match &what[..] {
+        status = match &received[..] {
             begin if begin.starts_with("begin") => {
                 SERVER_STATUS_AUTOCOMMIT | SERVER_STATUS_IN_TRANS
             }
             "commit" | "rollback" => SERVER_STATUS_AUTOCOMMIT,
             _ => status,
         };
-        let done = [0, 0, 0, status as u8, 0, 0, 0];
-        let word = match &what[..] {
-            // Number 1, without columns, of as many parameters as it names (one at most).
+        let ok = [0, 0, 0, status as u8, 0, 0, 0];
+        let response = match &received[..] {
+            // Statement 1, without columns, with one parameter if the SQL has a placeholder.
             prepare if prepare.contains('?') => framed(
                 1,
                 [
@@ -191,19 +198,20 @@
                 framed(1, [&[0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0][..]])
             }
             large if large.starts_with("select large") => large_result(),
-            _ => framed(1, [&done[..]]),
+            _ => framed(1, [&ok[..]]),
         };
-        engines.came.borrow_mut().push(what.clone());
-        if engines.holds(&what) {
-            *engines.held.borrow_mut() = Some(Held { wire: w, word });
+        engines.received.borrow_mut().push(received.clone());
+        if engines.holds(&received) {
+            *engines.held.borrow_mut() = Some(HeldResponse { wire: w, response });
             return;
         }
-        if w.get_mut().write_all(&word).await.is_err() {
+        if w.get_mut().write_all(&response).await.is_err() {
             return;
         }
     }
 }
 
+/// Returns the definition of a column.
 fn column() -> Vec<u8> {
     [
         &[3][..],
@@ -215,7 +223,7 @@
     .concat()
 }
 
-/// More than the machine keeps unread and unsent of one connection.
+/// Returns a result that is larger than the kernel's buffers of one connection.
 fn large_result() -> Vec<u8> {
     let (column, end) = (column(), eof_packet(SERVER_STATUS_AUTOCOMMIT));
     let row = [&[0xfc][..], &60_000u16.to_le_bytes(), &[b'x'; 60_000]].concat();
@@ -229,30 +237,31 @@
     )
 }
 
-struct Stand {
+/// A dispatcher with fake engines.
+struct Fixture {
     router: Rc<RequestRouter<MysqlUpstream>>,
     frontend: Rc<Frontend<MysqlUpstream>>,
     address: SocketAddr,
     engines: Rc<Engines>,
-    at: Vec<SocketAddr>,
-    /// What had come at the last leave.
-    before: Cell<usize>,
+    engine_addresses: Vec<SocketAddr>,
+    /// Number of commands that engines had received at the last disconnect.
+    received_before: Cell<usize>,
 }
 
-/// One pin and one connection to each of so many engines.
-async fn stand(engines: usize) -> Stand {
-    let (all, mut at) = (Rc::new(Engines::default()), vec![]);
-    for _ in 0..engines {
+/// Starts a dispatcher with this number of engines, one connection to each and one sticky session.
+async fn start(engine_count: usize) -> Fixture {
+    let (engines, mut engine_addresses) = (Rc::new(Engines::default()), vec![]);
+    for _ in 0..engine_count {
         let socket = TcpSocket::new_v4().unwrap();
-        // It takes little that it does not read.
+        // The kernel buffers little of what the engine does not read.
         socket.set_recv_buffer_size(4096).unwrap();
         socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
         let listener = socket.listen(64).unwrap();
-        at.push(listener.local_addr().unwrap());
-        let all = all.clone();
+        engine_addresses.push(listener.local_addr().unwrap());
+        let engines = engines.clone();
         spawn_local(async move {
             while let Ok((tcp, _)) = listener.accept().await {
-                spawn_local(log_in_here(all.clone(), tcp));
+                spawn_local(serve_from_login(engines.clone(), tcp));
             }
         });
     }
@@ -268,25 +277,25 @@
     )
     .unwrap();
     let pool = BufferPool::default();
-    let large = SpoolSettings::in_memory(64 << 20);
-    let (spools, done) =
-        Spools::open(&large, names.classes.clone(), names.tenants.clone()).unwrap();
-    spawn_local(spools.clone().run(done));
-    let access = EngineCredentials {
+    let large_spool = SpoolSettings::in_memory(64 << 20);
+    let (spools, disk_completions) =
+        Spools::open(&large_spool, names.classes.clone(), names.tenants.clone()).unwrap();
+    spawn_local(spools.clone().run(disk_completions));
+    let credentials = EngineCredentials {
         max_connections: 1,
-        ..access()
+        ..engine_credentials()
     };
     let router = RequestRouter::new(
         core,
         names,
-        MysqlUpstream::new(access, sockets, pool.clone(), spools.clone()),
+        MysqlUpstream::new(credentials, sockets, pool.clone(), spools.clone()),
     );
-    router.update_endpoints(&change(&at, None));
+    router.update_endpoints(&change(&engine_addresses, None));
     spawn_local(router.clone().run_clock());
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let config = mysql_front();
-    let pins = StickySessionLimits {
+    let config = mysql_frontend_config();
+    let sticky_sessions = StickySessionLimits {
         max_sessions: 1,
         max_sessions_per_tenant: 1,
         ..config.sticky_sessions.clone()
@@ -296,98 +305,112 @@
         pool,
         MysqlFrontendConfig {
             max_clients: 400,
-            sticky_sessions: pins,
+            sticky_sessions,
             ..config
         },
         spools,
     );
     spawn_local(frontend.clone().accept(listener));
-    Stand {
+    Fixture {
         router,
         frontend,
         address,
-        engines: all,
-        at,
-        before: Cell::new(0),
+        engines,
+        engine_addresses,
+        received_before: Cell::new(0),
     }
 }
 
-impl Stand {
+impl Fixture {
     async fn session(&self) -> FramedConnection {
-        self.numbered().await.0
+        self.session_with_id().await.0
     }
 
-    async fn numbered(&self) -> (FramedConnection, u32) {
+    /// Opens a session and returns it with its connection id.
+    async fn session_with_id(&self) -> (FramedConnection, u32) {
         let mut w = wire(connect(self.address).await);
-        let number = prove(&mut w, None).await;
-        (w, number)
+        let id = log_in(&mut w, None).await;
+        (w, id)
     }
 
-    /// From here on nothing of the leaver's may come.
-    fn leaves(&self) {
-        self.before.set(self.engines.came.borrow().len());
+    /// Marks the disconnect: from here on, engines may receive no statement of the departed client.
+    fn mark_disconnect(&self) {
+        self.received_before
+            .set(self.engines.received.borrow().len());
     }
 
-    fn since(&self) -> Vec<String> {
-        let came = self.engines.came.borrow();
-        let others =
-            |w: &&String| !w.starts_with("KILL") && !w.to_ascii_lowercase().starts_with("set ");
-        came[self.before.get()..]
+    /// Returns the commands since the disconnect that are neither KILL nor SET.
+    fn received_since_disconnect(&self) -> Vec<String> {
+        let received = self.engines.received.borrow();
+        let is_statement = |sql: &&String| {
+            !sql.starts_with("KILL") && !sql.to_ascii_lowercase().starts_with("set ")
+        };
+        received[self.received_before.get()..]
             .iter()
-            .filter(others)
+            .filter(is_statement)
             .cloned()
             .collect()
     }
 
-    /// The engine's word and the leave are with the machine before the runtime hears of either, and it hears late.
-    async fn in_one_turn<T>(&self, tells: &str, leave: impl FnOnce() -> T) -> T {
+    /// Sends the held response and disconnects the client before the runtime polls either, and stalls the
+    /// runtime.
+    async fn disconnect_with_held_response<T>(
+        &self,
+        label: &str,
+        disconnect: impl FnOnce() -> T,
+    ) -> T {
         let held = self.engines.held().await;
-        self.leaves();
-        send_now(held.wire.get_ref(), &held.word);
-        let kept = leave();
-        std::thread::sleep(LATE);
+        self.mark_disconnect();
+        send_now(held.wire.get_ref(), &held.response);
+        let still_open = disconnect();
+        std::thread::sleep(STALL);
         spawn_local(serve(self.engines.clone(), held.wire));
-        self.nothing_more(tells).await;
-        kept
+        self.expect_nothing_sent(label).await;
+        still_open
     }
 
-    /// Nothing of the leaver's has come, and all that it held is free.
-    async fn nothing_more(&self, tells: &str) {
+    /// Expects that no statement of the departed client has reached an engine, and that its resources are
+    /// released: another client's transaction succeeds.
+    async fn expect_nothing_sent(&self, label: &str) {
         tokio::time::sleep(Duration::from_millis(30)).await;
-        assert_eq!(self.since(), Vec::<String>::new(), "{tells}");
+        assert_eq!(
+            self.received_since_disconnect(),
+            Vec::<String>::new(),
+            "{label}"
+        );
         assert_eq!(
             self.router.unanswered_requests(),
             0,
-            "{tells}: its place in the budget"
+            "{label}: the departed client has an open request"
         );
         let mut other = self.session().await;
         for sql in ["begin", "insert into sales_17.other values (1)", "commit"] {
-            ask(&mut other, COM_QUERY, sql).await;
+            send_command(&mut other, COM_QUERY, sql).await;
             let p = packet(&mut other).await;
             assert_eq!(
                 p[0],
                 0,
-                "{tells}: another's {sql}: {:?}",
+                "{label}: another client's {sql}: {:?}",
                 parse_err_packet(&p)
             );
         }
         assert_eq!(
-            self.since(),
+            self.received_since_disconnect(),
             ["begin", "insert into sales_17.other values (1)", "commit"],
-            "{tells}"
+            "{label}"
         );
     }
 }
 
-/// A client whose machine holds nothing back.
+/// Connects a client that sends without delay.
 async fn connect(address: SocketAddr) -> TcpStream {
     let tcp = TcpStream::connect(address).await.unwrap();
     tcp.set_nodelay(true).unwrap();
     tcp
 }
 
-/// Reads the greeting and logs in; in TLS the caller has read the greeting.
-async fn prove<S: AsyncRead + AsyncWrite + Unpin>(
+/// Logs in after reading the greeting, unless it is passed in (over TLS). Returns the connection id.
+async fn log_in<S: AsyncRead + AsyncWrite + Unpin>(
     w: &mut FramedConnection<S>,
     greeting: Option<Greeting>,
 ) -> u32 {
@@ -398,14 +421,14 @@
     };
     let proof =
         auth::auth_response(auth::MYSQL_NATIVE_PASSWORD, "secret", &greeting.nonce).unwrap();
-    let ends = ResultFormat::default();
+    let result_format = ResultFormat::default();
     let plugin = auth::MYSQL_NATIVE_PASSWORD.into();
     let mut login = Login {
         user: "ann".into(),
         auth: proof,
         schema: None,
         plugin,
-        result_format: ends,
+        result_format,
     }
     .write(1 << 20);
     let flags = u32::from_le_bytes(login[..4].try_into().unwrap()) | flags;
@@ -419,14 +442,20 @@
     w.next().await.unwrap().unwrap()
 }
 
-async fn ask<S: AsyncRead + AsyncWrite + Unpin>(w: &mut FramedConnection<S>, kind: u8, text: &str) {
+/// Sends a command as the first packet of a new sequence.
+async fn send_command<S: AsyncRead + AsyncWrite + Unpin>(
+    w: &mut FramedConnection<S>,
+    kind: u8,
+    text: &str,
+) {
     w.codec_mut().sequence = 0;
     w.send(&[&[kind], text.as_bytes()].concat()[..])
         .await
         .unwrap();
 }
 
-async fn told(w: &mut FramedConnection) -> Result<(), SqlError> {
+/// Reads an answer of one packet, or an error.
+async fn read_answer(w: &mut FramedConnection) -> Result<(), SqlError> {
     let p = packet(w).await;
     if p[0] == 0xff {
         Err(parse_err_packet(&p))
@@ -435,11 +464,12 @@
     }
 }
 
-fn command(kind: u8, text: &str) -> Vec<u8> {
+fn encode_command(kind: u8, text: &str) -> Vec<u8> {
     framed(0, [&[&[kind], text.as_bytes()].concat()[..]])
 }
 
-const WAYS: [&str; 6] = [
+/// Ways of a client to disconnect.
+const DISCONNECTS: [&str; 6] = [
     "quit",
     "closed",
     "reset",
@@ -448,23 +478,23 @@
     "a statement, a ping and quit",
 ];
 
-/// A client leaves in one of these ways; what is kept of it stays open.
-fn leave(w: FramedConnection, way: &str) -> Option<FramedConnection> {
+/// Disconnects a client in one of these ways; returns the connection if it stays open.
+fn disconnect(w: FramedConnection, way: &str) -> Option<FramedConnection> {
     let tcp = w.get_ref();
     if way.starts_with("a statement") {
         send_now(
             tcp,
-            &command(COM_QUERY, "insert into sales_17.leaver values (2)"),
+            &encode_command(COM_QUERY, "insert into sales_17.departed values (2)"),
         );
     }
     if way.contains("ping") {
-        send_now(tcp, &command(COM_PING, ""));
+        send_now(tcp, &encode_command(COM_PING, ""));
     }
     if way == "reset" {
-        reset(tcp);
+        reset_on_close(tcp);
     }
     if way.ends_with("quit") {
-        send_now(tcp, &command(COM_QUIT, ""));
+        send_now(tcp, &encode_command(COM_QUIT, ""));
         return Some(w);
     }
     None
@@ -473,12 +503,14 @@
 #[test]
 fn no_statement_is_sent_when_upstream_login_and_disconnect_arrive_together() {
     on_one_thread(async {
-        for way in WAYS {
-            let stand = stand(1).await;
-            let mut w = stand.session().await;
-            stand.engines.hold.set(Some("login"));
-            ask(&mut w, COM_QUERY, LEAVERS).await;
-            stand.in_one_turn(way, || leave(w, way)).await;
+        for way in DISCONNECTS {
+            let fixture = start(1).await;
+            let mut w = fixture.session().await;
+            fixture.engines.hold.set(Some("login"));
+            send_command(&mut w, COM_QUERY, DEPARTED_STATEMENT).await;
+            fixture
+                .disconnect_with_held_response(way, || disconnect(w, way))
+                .await;
         }
     });
 }
@@ -486,62 +518,70 @@
 #[test]
 fn no_transaction_begins_when_sticky_session_and_disconnect_arrive_together() {
     on_one_thread(async {
-        for way in WAYS {
-            let stand = stand(1).await;
-            let mut w = stand.session().await;
-            stand.engines.hold.set(Some("login"));
-            ask(&mut w, COM_QUERY, "begin /* leaver */").await;
-            stand.in_one_turn(way, || leave(w, way)).await;
+        for way in DISCONNECTS {
+            let fixture = start(1).await;
+            let mut w = fixture.session().await;
+            fixture.engines.hold.set(Some("login"));
+            send_command(&mut w, COM_QUERY, "begin /* departed */").await;
+            fixture
+                .disconnect_with_held_response(way, || disconnect(w, way))
+                .await;
         }
     });
 }
 
-/// The engine's connection stands ready, and the statement itself comes with the leave.
+/// An engine connection is idle, and the statement arrives together with the disconnect.
 #[test]
 fn statement_arriving_with_its_clients_disconnect_is_not_sent() {
     on_one_thread(async {
-        for way in WAYS {
-            let stand = stand(1).await;
-            let mut other = stand.session().await;
-            ask(
+        for way in DISCONNECTS {
+            let fixture = start(1).await;
+            let mut other = fixture.session().await;
+            send_command(
                 &mut other,
                 COM_QUERY,
                 "insert into sales_17.other values (0)",
             )
             .await;
-            told(&mut other).await.unwrap();
-            let w = stand.session().await;
-            stand.leaves();
-            send_now(w.get_ref(), &command(COM_QUERY, LEAVERS));
-            let kept = leave(w, way);
-            std::thread::sleep(LATE);
-            stand.nothing_more(way).await;
-            drop(kept);
+            read_answer(&mut other).await.unwrap();
+            let w = fixture.session().await;
+            fixture.mark_disconnect();
+            send_now(w.get_ref(), &encode_command(COM_QUERY, DEPARTED_STATEMENT));
+            let still_open = disconnect(w, way);
+            std::thread::sleep(STALL);
+            fixture.expect_nothing_sent(way).await;
+            drop(still_open);
         }
     });
 }
 
-/// More than a client may say early stands before its end: nobody looks for the end behind it, the session ends there.
+/// Before its disconnect the client pipelines more than is read ahead: the session ends there, without a
+/// search for the disconnect.
 #[test]
 fn disconnect_behind_a_full_read_ahead_buffer_is_not_forwarded() {
     on_one_thread(async {
-        let stand = stand(1).await;
-        let mut w = stand.session().await;
-        stand.engines.hold.set(Some("login"));
-        ask(&mut w, COM_QUERY, LEAVERS).await;
-        let more = command(COM_QUERY, &format!("{LEAVERS} /* {} */", "x".repeat(4_000)));
-        let leave = || {
-            let said = (0..25)
-                .filter(|_| SockRef::from(w.get_ref()).send(&more).is_ok())
+        let fixture = start(1).await;
+        let mut w = fixture.session().await;
+        fixture.engines.hold.set(Some("login"));
+        send_command(&mut w, COM_QUERY, DEPARTED_STATEMENT).await;
+        let pipelined = encode_command(
+            COM_QUERY,
+            &format!("{DEPARTED_STATEMENT} /* {} */", "x".repeat(4_000)),
+        );
+        let disconnect = || {
+            let sent = (0..25)
+                .filter(|_| SockRef::from(w.get_ref()).send(&pipelined).is_ok())
                 .count();
-            assert!(said * more.len() > 64 * 1024, "{said}");
+            assert!(sent * pipelined.len() > 64 * 1024, "{sent}");
             drop(w);
         };
-        stand.in_one_turn("behind much", leave).await;
+        fixture
+            .disconnect_with_held_response("behind pipelined commands", disconnect)
+            .await;
     });
 }
 
-/// The session has settings, or a statement prepared, that its next connection lacks.
+/// The session has settings or a prepared statement that its next engine connection lacks.
 #[test]
 fn nothing_runs_when_setup_or_prepare_completes_with_the_disconnect() {
     on_one_thread(async {
@@ -549,51 +589,51 @@
             .into_iter()
             .flat_map(|h| ["quit", "closed", "reset"].map(|w| (h, w)))
         {
-            let stand = stand(1).await;
-            let mut w = stand.session().await;
+            let fixture = start(1).await;
+            let mut w = fixture.session().await;
             match hold {
-                "set " => ask(&mut w, COM_QUERY, "set time_zone = '+04:00'").await,
-                _ => ask(&mut w, COM_STMT_PREPARE, LEAVERS).await,
+                "set " => send_command(&mut w, COM_QUERY, "set time_zone = '+04:00'").await,
+                _ => send_command(&mut w, COM_STMT_PREPARE, DEPARTED_STATEMENT).await,
             }
             let first = packet(&mut w).await;
             assert_eq!(first[0], 0);
-            stand.engines.close.notify_waiters();
+            fixture.engines.close.notify_waiters();
             tokio::time::sleep(Duration::from_millis(5)).await;
-            stand.engines.hold.set(Some(hold));
+            fixture.engines.hold.set(Some(hold));
             match hold {
-                "set " => ask(&mut w, COM_QUERY, LEAVERS).await,
+                "set " => send_command(&mut w, COM_QUERY, DEPARTED_STATEMENT).await,
                 _ => {
                     let execute = [&[COM_STMT_EXECUTE], &first[1..5], &[0, 1, 0, 0, 0]].concat();
                     w.codec_mut().sequence = 0;
                     w.send(&execute[..]).await.unwrap();
                 }
             }
-            stand
-                .in_one_turn(&format!("{hold}: {way}"), || leave(w, way))
+            fixture
+                .disconnect_with_held_response(&format!("{hold}: {way}"), || disconnect(w, way))
                 .await;
         }
     });
 }
 
-/// The pin holds, and its next statement waits for one that runs there.
+/// The session is sticky, and a statement runs in its transaction when its client disconnects.
 #[test]
 fn open_transaction_ends_on_disconnect_and_frees_its_sticky_session() {
     on_one_thread(async {
-        for way in WAYS {
-            let stand = stand(1).await;
-            let mut w = stand.session().await;
-            ask(&mut w, COM_QUERY, "begin").await;
+        for way in DISCONNECTS {
+            let fixture = start(1).await;
+            let mut w = fixture.session().await;
+            send_command(&mut w, COM_QUERY, "begin").await;
             assert_eq!(packet(&mut w).await[0], 0);
-            stand.engines.hold.set(Some("insert"));
-            ask(&mut w, COM_QUERY, LEAVERS).await;
-            let held = stand.engines.held().await;
-            stand.leaves();
-            let kept = leave(w, way);
-            tokio::time::sleep(TERM).await;
-            drop(SockRef::from(held.wire.get_ref()).send(&held.word));
-            spawn_local(serve(stand.engines.clone(), held.wire));
-            stand.nothing_more(way).await;
-            drop(kept);
+            fixture.engines.hold.set(Some("insert"));
+            send_command(&mut w, COM_QUERY, DEPARTED_STATEMENT).await;
+            let held = fixture.engines.held().await;
+            fixture.mark_disconnect();
+            let still_open = disconnect(w, way);
+            tokio::time::sleep(DISCONNECT_DETECTION_LIMIT).await;
+            drop(SockRef::from(held.wire.get_ref()).send(&held.response));
+            spawn_local(serve(fixture.engines.clone(), held.wire));
+            fixture.expect_nothing_sent(way).await;
+            drop(still_open);
         }
     });
 }
@@ -601,144 +641,165 @@
 #[test]
 fn no_retry_when_upstream_failure_and_disconnect_arrive_together() {
     on_one_thread(async {
-        for way in WAYS {
-            let stand = stand(2).await;
-            let mut w = stand.session().await;
-            stand.engines.hold.set(Some("select"));
-            ask(&mut w, COM_QUERY, "select n from sales_17.leaver").await;
-            let held = stand.engines.held().await;
-            stand.leaves();
-            reset(held.wire.get_ref());
+        for way in DISCONNECTS {
+            let fixture = start(2).await;
+            let mut w = fixture.session().await;
+            fixture.engines.hold.set(Some("select"));
+            send_command(&mut w, COM_QUERY, "select n from sales_17.departed").await;
+            let held = fixture.engines.held().await;
+            fixture.mark_disconnect();
+            reset_on_close(held.wire.get_ref());
             drop(held);
-            let kept = leave(w, way);
-            std::thread::sleep(LATE);
-            stand.nothing_more(way).await;
-            drop(kept);
+            let still_open = disconnect(w, way);
+            std::thread::sleep(STALL);
+            fixture.expect_nothing_sent(way).await;
+            drop(still_open);
         }
     });
 }
 
-/// A last word behind other commands: neither what waits nor what stands before it begins.
+/// COM_QUIT arrives behind other commands: neither the queued statement nor the pipelined one starts.
 #[test]
 fn quit_behind_pipelined_commands_is_seen_in_time() {
     on_one_thread(async {
-        let stand = stand(1).await;
-        let mut w = stand.session().await;
-        stand.engines.hold.set(Some("login"));
-        ask(&mut w, COM_QUERY, LEAVERS).await;
-        let held = stand.engines.held().await;
-        stand.leaves();
-        let kept = leave(w, "a statement, a ping and quit");
-        tokio::time::sleep(TERM).await;
-        assert_eq!(stand.router.unanswered_requests(), 0, "it is left");
-        drop(SockRef::from(held.wire.get_ref()).send(&held.word));
-        spawn_local(serve(stand.engines.clone(), held.wire));
-        stand.nothing_more("behind others").await;
-        drop(kept);
+        let fixture = start(1).await;
+        let mut w = fixture.session().await;
+        fixture.engines.hold.set(Some("login"));
+        send_command(&mut w, COM_QUERY, DEPARTED_STATEMENT).await;
+        let held = fixture.engines.held().await;
+        fixture.mark_disconnect();
+        let still_open = disconnect(w, "a statement, a ping and quit");
+        tokio::time::sleep(DISCONNECT_DETECTION_LIMIT).await;
+        assert_eq!(
+            fixture.router.unanswered_requests(),
+            0,
+            "the statement is abandoned"
+        );
+        drop(SockRef::from(held.wire.get_ref()).send(&held.response));
+        spawn_local(serve(fixture.engines.clone(), held.wire));
+        fixture
+            .expect_nothing_sent("quit behind pipelined commands")
+            .await;
+        drop(still_open);
     });
 }
 
-/// It takes nothing of a large answer, and goes behind further commands.
+/// The client reads nothing of a large answer and disconnects behind further commands.
 #[test]
 fn commands_behind_an_unread_response_are_dropped_on_disconnect() {
     on_one_thread(async {
         for way in ["quit", "half closed"] {
-            let stand = stand(1).await;
+            let fixture = start(1).await;
             let socket = TcpSocket::new_v4().unwrap();
             socket.set_recv_buffer_size(4096).unwrap();
-            let mut w = wire(socket.connect(stand.address).await.unwrap());
+            let mut w = wire(socket.connect(fixture.address).await.unwrap());
             w.get_ref().set_nodelay(true).unwrap();
-            prove(&mut w, None).await;
-            ask(&mut w, COM_QUERY, "select large from sales_17.orders").await;
-            while stand.engines.came.borrow().is_empty() || stand.router.unanswered_requests() > 0 {
+            log_in(&mut w, None).await;
+            send_command(&mut w, COM_QUERY, "select large from sales_17.orders").await;
+            while fixture.engines.received.borrow().is_empty()
+                || fixture.router.unanswered_requests() > 0
+            {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
-            stand.leaves();
+            fixture.mark_disconnect();
             let tcp = w.get_ref();
-            send_now(tcp, &command(COM_QUERY, LEAVERS));
-            send_now(tcp, &command(COM_PING, ""));
+            send_now(tcp, &encode_command(COM_QUERY, DEPARTED_STATEMENT));
+            send_now(tcp, &encode_command(COM_PING, ""));
             match way {
-                "quit" => send_now(tcp, &command(COM_QUIT, "")),
+                "quit" => send_now(tcp, &encode_command(COM_QUIT, "")),
                 _ => SockRef::from(tcp)
                     .shutdown(std::net::Shutdown::Write)
                     .unwrap(),
             }
-            tokio::time::sleep(TERM).await;
+            tokio::time::sleep(DISCONNECT_DETECTION_LIMIT).await;
             assert_eq!(
-                stand.frontend.pending_answers(),
+                fixture.frontend.pending_answers(),
                 1,
-                "it has not taken its answer"
+                "the client has not read its answer"
             );
             SockRef::from(tcp).set_recv_buffer_size(1 << 20).unwrap();
-            let mut all = vec![];
-            drop(w.get_mut().read_to_end(&mut all).await);
+            let mut answer = vec![];
+            drop(w.get_mut().read_to_end(&mut answer).await);
             assert!(
-                all.len() > 200 * 60_000,
-                "the answer came whole: {}",
-                all.len()
+                answer.len() > 200 * 60_000,
+                "the answer is complete: {} bytes",
+                answer.len()
             );
-            stand.nothing_more(way).await;
+            fixture.expect_nothing_sent(way).await;
         }
     });
 }
 
-/// An engine that reads nothing for a while: some of a command, or of the long data before it, is there, and the rest must
-/// not follow. On a new connection, on a pin, and with a prepared statement.
+/// While the engine reads nothing, a command or the long data before it is partly written when its client
+/// disconnects: the rest must not be written. Played on a new connection, in a sticky session and with a
+/// prepared statement.
 #[test]
 fn partly_written_command_is_not_completed_after_disconnect() {
     on_one_thread(async {
         for first in ["silent", "begin", "prepare"] {
             for way in ["quit", "closed", "reset"] {
-                let stand = stand(1).await;
-                let mut w = stand.session().await;
-                stand.engines.hold.set(Some(first));
+                let fixture = start(1).await;
+                let mut w = fixture.session().await;
+                fixture.engines.hold.set(Some(first));
                 if first != "silent" {
                     match first {
-                        "begin" => ask(&mut w, COM_QUERY, "begin").await,
+                        "begin" => send_command(&mut w, COM_QUERY, "begin").await,
                         _ => {
-                            ask(
+                            send_command(
                                 &mut w,
                                 COM_STMT_PREPARE,
-                                "insert into sales_17.leaver values (?)",
+                                "insert into sales_17.departed values (?)",
                             )
                             .await
                         }
                     }
-                    let Held { wire, word } = stand.engines.held().await;
-                    send_now(wire.get_ref(), &word);
+                    let HeldResponse { wire, response } = fixture.engines.held().await;
+                    send_now(wire.get_ref(), &response);
                     assert_eq!(packet(&mut w).await[0], 0);
-                    *stand.engines.held.borrow_mut() = Some(Held { wire, word: vec![] });
+                    *fixture.engines.held.borrow_mut() = Some(HeldResponse {
+                        wire,
+                        response: vec![],
+                    });
                 }
-                let much = "x".repeat(60_000);
+                let padding = "x".repeat(60_000);
                 match first {
                     "prepare" => {
                         packet(&mut w).await;
                         packet(&mut w).await;
-                        ask(
+                        send_command(
                             &mut w,
                             COM_STMT_SEND_LONG_DATA,
-                            &format!("\u{1}\0\0\0\0\0{much}"),
+                            &format!("\u{1}\0\0\0\0\0{padding}"),
                         )
                         .await;
                         w.codec_mut().sequence = 0;
                         let execute = [COM_STMT_EXECUTE, 1, 0, 0, 0, 0, 1, 0, 0, 0, 0, 1, 0xfd, 0];
                         w.send(&execute[..]).await.unwrap();
                     }
-                    _ => ask(&mut w, COM_QUERY, &format!("{LEAVERS} /* {much} */")).await,
+                    _ => {
+                        send_command(
+                            &mut w,
+                            COM_QUERY,
+                            &format!("{DEPARTED_STATEMENT} /* {padding} */"),
+                        )
+                        .await
+                    }
                 }
-                let held = stand.engines.held().await;
+                let held = fixture.engines.held().await;
                 tokio::time::sleep(Duration::from_millis(30)).await;
                 assert_eq!(
-                    stand.router.unanswered_requests(),
+                    fixture.router.unanswered_requests(),
                     1,
-                    "{first}: it is asked"
+                    "{first}: the request is open"
                 );
-                stand.leaves();
-                let kept = leave(w, way);
-                tokio::time::sleep(TERM).await;
-                spawn_local(serve(stand.engines.clone(), held.wire));
-                stand.nothing_more(&format!("{way}, behind {first}")).await;
-                drop(kept);
+                fixture.mark_disconnect();
+                let still_open = disconnect(w, way);
+                tokio::time::sleep(DISCONNECT_DETECTION_LIMIT).await;
+                spawn_local(serve(fixture.engines.clone(), held.wire));
+                fixture
+                    .expect_nothing_sent(&format!("{way}, after {first}"))
+                    .await;
+                drop(still_open);
             }
         }
     });
@@ -747,86 +808,91 @@
 #[test]
 fn nothing_starts_for_hundreds_of_clients_that_disconnect_together() {
     on_one_thread(async {
-        let stand = stand(1).await;
-        stand.router.update_endpoints(&EndpointListChange {
+        let fixture = start(1).await;
+        fixture.router.update_endpoints(&EndpointListChange {
             update: ListUpdate::Snapshot,
             engines: vec![],
         });
-        let mut all = vec![];
-        for way in WAYS.iter().cycle().take(200) {
-            let mut w = stand.session().await;
-            ask(
+        let mut clients = vec![];
+        for way in DISCONNECTS.iter().cycle().take(200) {
+            let mut w = fixture.session().await;
+            send_command(
                 &mut w,
                 COM_QUERY,
-                &format!("insert into sales_17.leaver values ('{way}')"),
+                &format!("insert into sales_17.departed values ('{way}')"),
             )
             .await;
-            all.push((w, way));
+            clients.push((w, way));
         }
-        while stand.router.unanswered_requests() < all.len() {
+        while fixture.router.unanswered_requests() < clients.len() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        let kept: Vec<_> = all.into_iter().map(|(w, way)| leave(w, way)).collect();
-        stand.router.update_endpoints(&change(&stand.at, None));
-        tokio::time::sleep(TERM).await;
+        let still_open: Vec<_> = clients
+            .into_iter()
+            .map(|(w, way)| disconnect(w, way))
+            .collect();
+        fixture
+            .router
+            .update_endpoints(&change(&fixture.engine_addresses, None));
+        tokio::time::sleep(DISCONNECT_DETECTION_LIMIT).await;
         assert_eq!(
-            stand.router.unanswered_requests(),
+            fixture.router.unanswered_requests(),
             0,
-            "the last of them is heeded within the term"
+            "every disconnect is detected within the limit"
         );
-        stand.nothing_more("hundreds").await;
-        drop(kept);
+        fixture.expect_nothing_sent("hundreds of disconnects").await;
+        drop(still_open);
     });
 }
 
-/// KILL QUERY while the engine's connection comes up, alone or for a pin; by turns the engine's word comes after the kill
-/// is answered, or in the same turn as the kill.
+/// KILL QUERY arrives while an engine connection is established, for a single statement or for a sticky
+/// session. The engine's response is sent after the kill is answered, or together with the kill.
 #[test]
 fn killed_statement_starts_nowhere_and_its_session_continues() {
     on_one_thread(async {
-        for (sql, code) in [(LEAVERS, 1317), ("begin /* leaver */", 1213)] {
-            for one_turn in [false, true] {
-                let stand = stand(1).await;
-                let (mut victim, number) = stand.numbered().await;
-                let mut killer = stand.session().await;
-                stand.engines.hold.set(Some("login"));
-                ask(&mut victim, COM_QUERY, sql).await;
-                let held = stand.engines.held().await;
-                stand.leaves();
+        for (sql, code) in [(DEPARTED_STATEMENT, 1317), ("begin /* departed */", 1213)] {
+            for together in [false, true] {
+                let fixture = start(1).await;
+                let (mut victim, id) = fixture.session_with_id().await;
+                let mut killer = fixture.session().await;
+                fixture.engines.hold.set(Some("login"));
+                send_command(&mut victim, COM_QUERY, sql).await;
+                let held = fixture.engines.held().await;
+                fixture.mark_disconnect();
                 send_now(
                     killer.get_ref(),
-                    &command(COM_QUERY, &format!("KILL QUERY {number}")),
+                    &encode_command(COM_QUERY, &format!("KILL QUERY {id}")),
                 );
                 killer.codec_mut().sequence = 1;
-                if !one_turn {
-                    told(&mut killer).await.unwrap();
+                if !together {
+                    read_answer(&mut killer).await.unwrap();
                 }
-                send_now(held.wire.get_ref(), &held.word);
-                spawn_local(serve(stand.engines.clone(), held.wire));
-                if one_turn {
-                    told(&mut killer).await.unwrap();
+                send_now(held.wire.get_ref(), &held.response);
+                spawn_local(serve(fixture.engines.clone(), held.wire));
+                if together {
+                    read_answer(&mut killer).await.unwrap();
                 }
-                let e = told(&mut victim).await.unwrap_err();
+                let e = read_answer(&mut victim).await.unwrap_err();
                 assert_eq!(e.code, code, "{}", e.message);
                 assert!(e.message.contains("KILL QUERY"), "{}", e.message);
-                stand
-                    .nothing_more(&format!("{sql}, in one turn: {one_turn}"))
+                fixture
+                    .expect_nothing_sent(&format!("{sql}, together: {together}"))
                     .await;
-                ask(&mut victim, COM_PING, "").await;
-                told(&mut victim).await.unwrap();
+                send_command(&mut victim, COM_PING, "").await;
+                read_answer(&mut victim).await.unwrap();
             }
         }
     });
 }
 
-/// In TLS: its end alone, its end behind a last word, and the connection's own end.
+/// Over TLS, clients disconnect by close_notify, by COM_QUIT, or by a close or reset of the connection.
 #[test]
 fn no_statement_is_sent_for_a_tls_client_that_disconnects() {
     let folder = Folder::new("mysql-gone").unwrap();
-    let own = rcgen::generate_simple_self_signed(vec!["a.example".into()]).unwrap();
+    let certified = rcgen::generate_simple_self_signed(vec!["a.example".into()]).unwrap();
     let (cert, key) = (folder.path().join("a.pem"), folder.path().join("a.key"));
-    std::fs::write(&cert, own.cert.pem()).unwrap();
-    std::fs::write(&key, own.signing_key.serialize_pem()).unwrap();
+    std::fs::write(&cert, certified.cert.pem()).unwrap();
+    std::fs::write(&key, certified.signing_key.serialize_pem()).unwrap();
     let source = TlsSettings {
         min_version: TlsVersion::Tls12,
         required: false,
@@ -838,7 +904,7 @@
     };
     let mut roots = RootCertStore::empty();
     roots
-        .add(CertificateDer::from(own.cert.der().to_vec()))
+        .add(CertificateDer::from(certified.cert.der().to_vec()))
         .unwrap();
     let config = ClientConfig::builder_with_provider(Arc::new(ring::default_provider()))
         .with_safe_default_protocol_versions()
@@ -847,31 +913,35 @@
         .with_no_client_auth();
     let connector = TlsConnector::from(Arc::new(config));
     on_one_thread(async {
-        for way in ["its end", "quit", "a ping and quit", "closed", "reset"] {
-            let stand = stand(1).await;
-            stand.frontend.enable_tls(TlsKeys::load(&source).unwrap());
-            let mut w = wire(connect(stand.address).await);
+        for way in ["close_notify", "quit", "a ping and quit", "closed", "reset"] {
+            let fixture = start(1).await;
+            fixture.frontend.enable_tls(TlsKeys::load(&source).unwrap());
+            let mut w = wire(connect(fixture.address).await);
             let greeting = Greeting::read(packet(&mut w).await).unwrap();
-            let mut wish = (BASE_CAPABILITIES | CLIENT_SSL).to_le_bytes().to_vec();
-            wish.resize(32, 0);
-            w.send(&wish[..]).await.unwrap();
+            let mut ssl_request = (BASE_CAPABILITIES | CLIENT_SSL).to_le_bytes().to_vec();
+            ssl_request.resize(32, 0);
+            w.send(&ssl_request[..]).await.unwrap();
             let host = ServerName::try_from("a.example").unwrap();
             let tls = connector.connect(host, w.into_inner()).await.unwrap();
             let mut w = wire(tls);
             w.codec_mut().sequence = 2;
-            prove(&mut w, Some(greeting)).await;
-            stand.engines.hold.set(Some("login"));
-            ask(&mut w, COM_QUERY, LEAVERS).await;
-            let leave = move || {
+            log_in(&mut w, Some(greeting)).await;
+            fixture.engines.hold.set(Some("login"));
+            send_command(&mut w, COM_QUERY, DEPARTED_STATEMENT).await;
+            let disconnect = move || {
                 let (tcp, tls) = w.get_mut().get_mut();
                 match way {
-                    "its end" => tls.send_close_notify(),
-                    "quit" => tls.writer().write_all(&command(COM_QUIT, "")).unwrap(),
+                    "close_notify" => tls.send_close_notify(),
+                    "quit" => tls
+                        .writer()
+                        .write_all(&encode_command(COM_QUIT, ""))
+                        .unwrap(),
                     "a ping and quit" => {
-                        let both = [command(COM_PING, ""), command(COM_QUIT, "")].concat();
-                        tls.writer().write_all(&both).unwrap();
+                        let commands =
+                            [encode_command(COM_PING, ""), encode_command(COM_QUIT, "")].concat();
+                        tls.writer().write_all(&commands).unwrap();
                     }
-                    "reset" => reset(tcp),
+                    "reset" => reset_on_close(tcp),
                     _ => {}
                 }
                 let mut bytes = vec![];
@@ -881,7 +951,7 @@
                 send_now(tcp, &bytes);
                 (way != "closed" && way != "reset").then_some(w)
             };
-            stand.in_one_turn(way, leave).await;
+            fixture.disconnect_with_held_response(way, disconnect).await;
         }
     });
 }
