--- a/tests/client_disconnect_races.rs
+++ b/tests/client_disconnect_races.rs
@@ -1,5 +1,6 @@
-//! Races of client disconnects with requests. Each test forces the bad order on real connections: by holding a read,
-//! writing half a frame, or letting both events happen before the runtime polls either. `docs/RACES.md` has the list.
+//! Race conditions between client disconnects and requests. Each test forces the critical order on real
+//! connections: by holding a read, writing half a frame, or causing both events before the runtime polls
+//! either. `docs/RACES.md` lists them.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -46,7 +47,7 @@
     DispatcherFixture::start(parts).await
 }
 
-/// A dispatcher that admits hundreds of clients.
+/// Starts a dispatcher that admits hundreds of clients.
 async fn start_with_many_clients() -> DispatcherFixture {
     let fixture = start_with(
         core_with(1000),
@@ -65,7 +66,7 @@
     start(TcpListener::bind("127.0.0.1:0").await.unwrap(), |_| {}).await
 }
 
-/// A dispatcher whose engine buffers little of what it does not read.
+/// Starts a dispatcher whose engine's kernel buffers little of what the engine does not read.
 async fn start_with_slow_engine() -> DispatcherFixture {
     start(small_buffer_listener(), |_| {}).await
 }
@@ -83,7 +84,8 @@
         .update_endpoints(&change(&dispatcher.engines, None));
 }
 
-/// A request of another client is the next to reach the engine: none that was queued before it does.
+/// Expects that a request of another client is the next to reach the engine, and so none that was queued
+/// before it.
 async fn expect_only(dispatcher: &DispatcherFixture, txn: u64) {
     let mut client = Client::connect(dispatcher.address).await;
     client.send(&request(1, txn, "lookup", "")).await;
@@ -96,14 +98,14 @@
     encode_request(stream, txn, class, &statement)
 }
 
-/// Requests of an unknown class, which are failed one by one while their client is throttled.
+/// Encodes requests of an unknown class, which fail one by one while their client is throttled.
 fn malformed_requests(from: u32, count: u32) -> Vec<u8> {
     (from..from + count)
         .flat_map(|stream| request(stream, stream.into(), "nonsense", ""))
         .collect()
 }
 
-/// Submits a request to the router, in the same poll as what the test did before; its answer is recorded.
+/// Submits a request to the router, in the same poll as the test's previous step; its answer is recorded.
 fn submit(
     fixture: &DispatcherFixture,
     txn: u64,
@@ -135,23 +137,24 @@
     fixture.router.open(request, work, Box::new(record));
 }
 
-// ---- client disconnect and its queued request
+// ---- client disconnects and queued requests
 
-/// Requests are queued, their client disconnects in this way, and after the detection limit they could be dispatched.
+/// Queues `request_count` requests, disconnects their client after `before`, and makes dispatch possible only
+/// after the detection limit: none of the requests may be dispatched.
 async fn disconnect_while_queued(
     before: impl AsyncFnOnce(&mut Client),
-    open: usize,
+    request_count: usize,
     disconnect: impl AsyncFnOnce(Client) -> Option<Client>,
 ) {
     let fixture = start_default().await;
     drain_engine(&fixture);
     let mut client = Client::with_small_buffer(fixture.address).await;
-    for number in 1..=open {
+    for number in 1..=request_count {
         client
             .send(&request(number as u32, number as u64, "lookup", ""))
             .await;
     }
-    fixture.wait_for_open(open).await;
+    fixture.wait_for_open(request_count).await;
     before(&mut client).await;
     let still_open = disconnect(client).await;
     tokio::time::sleep(DISCONNECT_DETECTION_LIMIT).await;
@@ -190,29 +193,31 @@
     });
 }
 
-/// Fourteen malformed frames delay the next by some two seconds.
+/// Fourteen invalid requests delay the next frame by some two seconds.
 #[test]
 fn disconnect_behind_malformed_frames_is_seen_while_the_client_is_throttled() {
     on_one_thread(async {
-        let junk = async |client: &mut Client| client.send(&malformed_requests(100, 14)).await;
-        disconnect_while_queued(junk, 1, cancel).await;
-        disconnect_while_queued(junk, 1, close).await;
-        disconnect_while_queued(junk, 1, by_reset).await;
+        let malformed_frames =
+            async |client: &mut Client| client.send(&malformed_requests(100, 14)).await;
+        disconnect_while_queued(malformed_frames, 1, cancel).await;
+        disconnect_while_queued(malformed_frames, 1, close).await;
+        disconnect_while_queued(malformed_frames, 1, by_reset).await;
     });
 }
 
-/// As many malformed frames as are delayed, as are rejected, and more than are allowed.
+/// The counts exceed the read-ahead limit (65), reach far into the frames that are rejected (500 and 4,000),
+/// and exceed the limit of pending answers (40,000).
 #[test]
 fn disconnect_is_seen_behind_any_number_of_malformed_frames() {
     on_one_thread(async {
         for count in [65, 500, 4000] {
-            let junk =
+            let malformed_frames =
                 async |client: &mut Client| client.send(&malformed_requests(100, count)).await;
-            disconnect_while_queued(junk, 1, cancel).await;
-            disconnect_while_queued(junk, 1, close).await;
-            disconnect_while_queued(junk, 1, by_reset).await;
+            disconnect_while_queued(malformed_frames, 1, cancel).await;
+            disconnect_while_queued(malformed_frames, 1, close).await;
+            disconnect_while_queued(malformed_frames, 1, by_reset).await;
         }
-        // The client need not be able to send all of it: it is disconnected, or has closed.
+        // The client need not be able to send everything: the dispatcher may disconnect it before it closes.
         let flood = async |client: &mut Client| {
             let _ = client
                 .0
@@ -227,41 +232,41 @@
 #[test]
 fn disconnect_is_seen_behind_large_malformed_frames() {
     on_one_thread(async {
-        let junk = async |client: &mut Client| {
+        let malformed_frames = async |client: &mut Client| {
             let large = "x".repeat(60_000);
-            let all: Vec<u8> = (100..120)
+            let requests: Vec<u8> = (100..120)
                 .flat_map(|stream| request(stream, stream.into(), "nonsense", &large))
                 .collect();
-            client.send(&all).await;
+            client.send(&requests).await;
         };
-        disconnect_while_queued(junk, 1, cancel).await;
-        disconnect_while_queued(junk, 1, close).await;
+        disconnect_while_queued(malformed_frames, 1, cancel).await;
+        disconnect_while_queued(malformed_frames, 1, close).await;
     });
 }
 
-/// Each frame has an answer: the malformed ones, the rejected ones and the readiness query; and a valid request after
-/// them is served.
+/// Each frame has an answer: the malformed ones, the rejected ones and the readiness query; and a valid
+/// request after them is served.
 #[test]
 fn every_frame_of_a_burst_is_answered() {
     on_one_thread(async {
         let fixture = start_default().await;
         let mut client = Client::connect(fixture.address).await;
-        // Four fill the read-ahead buffer; others are rejected meanwhile.
+        // Four requests fill the read-ahead buffer; further ones are rejected meanwhile.
         let large = "x".repeat(20_000);
-        let all: Vec<u8> = (1..=100)
+        let requests: Vec<u8> = (1..=100)
             .flat_map(|stream| request(stream, stream.into(), "nonsense", &large))
             .collect();
         client
-            .send(&[all, encode_frame(16, 101, &[0])].concat())
+            .send(&[requests, encode_frame(16, 101, &[0])].concat())
             .await;
         let mut answers_by_stream = std::collections::BTreeMap::new();
         while answers_by_stream.len() < 101 {
-            let (kind, stream, payload) = client.receive().await.expect("every answer");
+            let (kind, stream, payload) = client.receive().await.expect("every frame is answered");
             assert!(
                 answers_by_stream
                     .insert(stream, (kind, payload[0]))
                     .is_none(),
-                "one answer each"
+                "a second answer on stream {stream}"
             );
         }
         assert_eq!(answers_by_stream.remove(&101), Some((32, 0)));
@@ -299,8 +304,8 @@
         client.send(&request(1, 1, "lookup", "")).await;
         fixture.wait_for_open(1).await;
         let flood = malformed_requests(100, 60_000);
-        let sent = expect_soon("an end", client.0.write_all(&flood)).await;
-        assert!(sent.is_err(), "it has been closed");
+        let sent = expect_soon("end of the connection", client.0.write_all(&flood)).await;
+        assert!(sent.is_err(), "the connection is closed");
         fixture.wait_for_open(0).await;
         restore_engine(&fixture);
         expect_only(&fixture, 2).await;
@@ -361,13 +366,13 @@
         let fixture = start_default().await;
         for disconnect in [true, false] {
             let mut client = Client::connect(fixture.address).await;
-            let mut all = [malformed_requests(100, 10), request(1, 7, "lookup", "")].concat();
+            let mut frames = [malformed_requests(100, 10), request(1, 7, "lookup", "")].concat();
             if disconnect {
-                all.extend(encode_frame(8, 1, &[]));
+                frames.extend(encode_frame(8, 1, &[]));
             }
-            client.send(&all).await;
+            client.send(&frames).await;
             let still_open = disconnect.then_some(client);
-            // Ten malformed frames delay it for a second.
+            // Ten invalid requests delay the valid one by a second.
             let accepted =
                 tokio::time::timeout(Duration::from_millis(1500), fixture.engine.accept()).await;
             if let Ok(accepted) = accepted {
@@ -416,13 +421,13 @@
 #[test]
 fn close_is_seen_after_a_protocol_error() {
     on_one_thread(async {
-        let fault = async |client: &mut Client| {
+        let unreadable_frames = async |client: &mut Client| {
             client
                 .send(&[&encode_frame(99, 1, &[])[..], &[7; 100_000]].concat())
                 .await
         };
-        disconnect_while_queued(fault, 1, close).await;
-        disconnect_while_queued(fault, 1, by_reset).await;
+        disconnect_while_queued(unreadable_frames, 1, close).await;
+        disconnect_while_queued(unreadable_frames, 1, by_reset).await;
     });
 }
 
@@ -430,12 +435,14 @@
 #[test]
 fn cancel_frame_is_honoured_after_a_protocol_error() {
     on_one_thread(async {
-        let unknown = async |client: &mut Client| client.send(&encode_frame(99, 1, &[])).await;
-        disconnect_while_queued(unknown, 1, cancel).await;
-        let twice = async |client: &mut Client| client.send(&request(1, 9, "lookup", "")).await;
-        disconnect_while_queued(twice, 1, cancel).await;
-        let short = async |client: &mut Client| client.send(&encode_frame(2, 9, &[4, 200])).await;
-        disconnect_while_queued(short, 1, cancel).await;
+        let unknown_kind = async |client: &mut Client| client.send(&encode_frame(99, 1, &[])).await;
+        disconnect_while_queued(unknown_kind, 1, cancel).await;
+        let reused_stream =
+            async |client: &mut Client| client.send(&request(1, 9, "lookup", "")).await;
+        disconnect_while_queued(reused_stream, 1, cancel).await;
+        let truncated =
+            async |client: &mut Client| client.send(&encode_frame(2, 9, &[4, 200])).await;
+        disconnect_while_queued(truncated, 1, cancel).await;
     });
 }
 
@@ -445,20 +452,21 @@
     on_one_thread(async {
         let flood = async |client: &mut Client| {
             client.send(&[255; 8]).await;
-            let all = vec![7; 4 << 20];
+            let garbage = vec![7; 4 << 20];
             let mut sent = 0;
-            while let Ok(n) = client.0.try_write(&all[sent..]) {
+            while let Ok(n) = client.0.try_write(&garbage[sent..]) {
                 sent += n;
             }
-            assert!(sent > 100_000, "the kernel buffers much: {sent}");
+            assert!(sent > 100_000, "the kernel buffers {sent} bytes");
         };
         disconnect_while_queued(flood, 1, close).await;
         disconnect_while_queued(flood, 1, by_reset).await;
     });
 }
 
-/// The process is stalled from the disconnect on, for longer than the detection limit: then it learns at once that the
-/// request may be dispatched, with its upstream connection established.
+/// Stalls the process for longer than the detection limit, from the disconnect on. Afterwards the disconnect
+/// and the endpoint list that makes dispatch possible are seen in one poll, with an upstream connection
+/// established.
 async fn disconnect_during_stall(disconnect: impl AsyncFnOnce(Client) -> Option<Client>) {
     let fixture = start_default().await;
     let mut other = Client::connect(fixture.address).await;
@@ -496,14 +504,14 @@
     });
 }
 
-/// In one poll the engine's connection is reset and the client disconnects. No second attempt begins.
+/// The engine's connection is reset and the client disconnects in one poll: no second attempt starts.
 #[test]
 fn no_retry_when_client_disconnect_and_engine_reset_arrive_together() {
     on_one_thread(async {
         for client_first in [true, false] {
             for by_reset in [true, false] {
                 let fixture = start_default().await;
-                // A second connection, idle: there a retry would be written at once.
+                // A second, idle connection, to which a retry would be written at once.
                 let (mut first_client, mut second_client) = (
                     Client::connect(fixture.address).await,
                     Client::connect(fixture.address).await,
@@ -576,7 +584,7 @@
         assert_eq!(
             read_request_id(&mut late).await,
             request_id(2),
-            "it is established, and its first request is another client's"
+            "the first request on the late connection is the other client's"
         );
     });
 }
@@ -592,7 +600,7 @@
             .await;
         let mut engine = fixture.accept_upstream().await;
         let mut first = [0; 1];
-        expect_soon("a byte", engine.read_exact(&mut first))
+        expect_soon("a byte of the request", engine.read_exact(&mut first))
             .await
             .unwrap();
         SockRef::from(&engine)
@@ -601,18 +609,18 @@
         client.send(&encode_frame(8, 1, &[])).await;
         fixture.wait_for_open(0).await;
         tokio::time::sleep(DISCONNECT_DETECTION_LIMIT).await;
-        let mut all = vec![];
-        let end = expect_soon("an end", engine.read_to_end(&mut all)).await;
+        let mut received = vec![];
+        let end = expect_soon("end of the connection", engine.read_to_end(&mut received)).await;
         assert!(
-            end.is_err() || all.len() < 250_000,
-            "{} bytes came",
-            all.len()
+            end.is_err() || received.len() < 250_000,
+            "{} bytes were received",
+            received.len()
         );
     });
 }
 
-/// One large request is half written; behind it, in the same poll, are two whose client then cancels them, or whose
-/// engine then drains.
+/// A large request is half written, and two more wait behind it from the same poll on. After `event` (their
+/// client cancels them, or their engine drains), neither may be written.
 async fn behind_a_stalled_write(event: impl AsyncFnOnce(&DispatcherFixture, &mut Client)) {
     let fixture = start_with_slow_engine().await;
     let mut client = Client::connect(fixture.address).await;
@@ -622,19 +630,21 @@
     client.send(&large).await;
     fixture.wait_for_open(3).await;
     let mut engine = fixture.accept_upstream().await;
-    expect_soon("a byte", engine.peek(&mut [0])).await.unwrap();
+    expect_soon("a byte of the request", engine.peek(&mut [0]))
+        .await
+        .unwrap();
     event(&fixture, &mut client).await;
     tokio::time::sleep(DISCONNECT_DETECTION_LIMIT).await;
     assert_eq!(
         read_request_id(&mut engine).await,
         request_id(1),
-        "it was begun before"
+        "the write of the first request had begun"
     );
     client.send(&encode_frame(8, 1, &[])).await;
     assert_eq!(
         read_command(&mut engine).await.unwrap(),
         ["DROP", &request_id(1)],
-        "nothing but its end"
+        "nothing but the cancellation of the first request"
     );
 }
 
@@ -655,7 +665,7 @@
     }));
 }
 
-/// In one poll the request is dispatched and its client disconnects.
+/// The request is dispatched and its client disconnects in one poll.
 #[test]
 fn disconnect_in_the_poll_that_dispatches_the_request_prevents_forwarding() {
     on_one_thread(async {
@@ -666,11 +676,14 @@
         restore_engine(&fixture);
         fixture.router.abandon(1);
         expect_only(&fixture, 2).await;
-        assert!(answers.borrow().is_empty(), "and it gets no answer");
+        assert!(
+            answers.borrow().is_empty(),
+            "an abandoned request gets no answer"
+        );
     });
 }
 
-/// The upstream connection broke and the retry waits for another: its client disconnects.
+/// The upstream connection breaks, and the client disconnects while the retry waits for a new connection.
 #[test]
 fn pending_retry_is_dropped_on_disconnect() {
     on_one_thread(async {
@@ -684,10 +697,14 @@
         read_request_id(&mut engine).await;
         let filler = TcpStream::connect(fixture.engines[0]).await.unwrap();
         drop(engine);
-        // The dispatcher has seen the break once it has answered what came after it.
+        // Once a later readiness query is answered, the dispatcher has seen the break.
         client.send(&encode_frame(16, 9, &[0])).await;
         assert_eq!(client.receive().await.unwrap().0, 32);
-        assert_eq!(fixture.router.unanswered_requests(), 1, "it is retried");
+        assert_eq!(
+            fixture.router.unanswered_requests(),
+            1,
+            "the retry is pending"
+        );
         drop(client);
         fixture.wait_for_open(0).await;
         drop((fixture.accept_upstream().await, filler));
@@ -734,27 +751,30 @@
             assert_eq!(client.receive().await.unwrap().0, 32);
             idle.push(client);
         }
-        // Both before the runtime polls either, the new connection first.
+        // The new connection and the request both precede the next poll, in this order.
         let newcomer = std::net::TcpStream::connect(fixture.address).unwrap();
         let written = idle[0].0.try_write(&request(2, 1, "lookup", "")).unwrap();
         assert!(written > 0);
         let mut engine = fixture.accept_upstream().await;
         let id = read_request_id(&mut engine).await;
         serve_pages(&mut engine, &id, 1).await;
-        let (kind, stream, payload) = idle[0].receive().await.expect("its answer");
+        let (kind, stream, payload) = idle[0].receive().await.expect("the request is answered");
         assert_eq!((kind, stream, payload[0]), (4, 2, 0));
-        assert!(idle[0].receive().await.is_none(), "and then it is evicted");
+        assert!(
+            idle[0].receive().await.is_none(),
+            "the connection is evicted afterwards"
+        );
         drop(newcomer);
     });
 }
 
-/// An id is reused while a duplicate response to its first request is still to come.
+/// A request id is reused while a duplicate response to the first request with this id is pending.
 #[test]
 fn duplicate_response_is_not_matched_to_a_later_request_with_the_same_id() {
     on_one_thread(async {
         let fixture = start_default().await;
         let answers = Rc::default();
-        for second in ["ACK", "EIO"] {
+        for duplicate in ["ACK", "EIO"] {
             submit(&fixture, 1, 0, &answers);
             let mut engine = fixture.accept_upstream().await;
             let id = read_request_id(&mut engine).await;
@@ -765,10 +785,10 @@
             assert_eq!(
                 read_request_id(&mut other).await,
                 id,
-                "on another connection"
+                "the second request uses another connection"
             );
-            let fields = if second == "ACK" { "total=1" } else { "-" };
-            send_reply(&mut engine, [&id, second, fields, "x\ty\tz\n"]).await;
+            let fields = if duplicate == "ACK" { "total=1" } else { "-" };
+            send_reply(&mut engine, [&id, duplicate, fields, "x\ty\tz\n"]).await;
             tokio::task::yield_now().await;
             send_reply(&mut other, [&id, "EIO", "-", ""]).await;
             drop((engine, other));
@@ -786,7 +806,8 @@
     });
 }
 
-/// Without progress reports silence means nothing: a healthy engine accepts a further request beside long queries.
+/// Without progress notes, silence does not indicate a fault: a healthy engine receives a further request
+/// beside a long query.
 #[test]
 fn engine_without_progress_reports_accepts_more_during_long_queries() {
     on_one_thread(async {
@@ -800,16 +821,16 @@
         assert_eq!(
             read_request_id(&mut engine).await,
             request_id(2),
-            "on the same connection"
+            "the second request uses the same connection"
         );
     });
 }
 
-/// A result breaks off or a response never ends while other requests share the connection.
+/// A result is truncated or malformed, or a response never ends, while other requests share the connection.
 #[test]
 fn broken_shared_connection_loses_no_idempotent_request() {
     on_one_thread(async {
-        for fault in ["reset", "endless", "spoilt"] {
+        for fault in ["reset", "endless", "malformed"] {
             let fixture = start_default().await;
             let answers = Rc::default();
             (1..=3).for_each(|n| submit(&fixture, n, 0, &answers));
@@ -821,7 +842,7 @@
             send_reply(&mut engine, [&ids[0], "ACK", "total=3", "a\tb\tc\n"]).await;
             read_command(&mut engine)
                 .await
-                .expect("a page is asked for");
+                .expect("a page is requested");
             match fault {
                 "reset" => SockRef::from(&engine)
                     .set_linger(Some(Duration::ZERO))
@@ -849,9 +870,9 @@
     });
 }
 
-// ---- shutdown and data in transit
+// ---- shutdown and data in flight
 
-/// The kernel accepted a connection and its request is written; shutdown begins in the same poll.
+/// The kernel has accepted a connection, its request is written, and shutdown begins in the same poll.
 #[test]
 fn connection_accepted_by_the_kernel_is_served_during_shutdown() {
     on_one_thread(async {
@@ -862,26 +883,31 @@
         fixture.frontend.announce_shutdown(false);
         client.set_nonblocking(true).unwrap();
         let mut client = Client(TcpStream::from_std(client).unwrap());
-        assert_eq!(client.receive().await.unwrap().0, 64, "it is told");
+        assert_eq!(
+            client.receive().await.unwrap().0,
+            64,
+            "the client receives the shutdown notice"
+        );
         let mut engine = fixture.accept_upstream().await;
         let id = read_request_id(&mut engine).await;
         serve_pages(&mut engine, &id, 1).await;
         assert_eq!(
             client.receive().await.map(|f| (f.0, f.1, f.2[0])),
             Some((4, 1, 0)),
-            "and served"
+            "the request is served"
         );
-        let refused = TcpStream::connect(fixture.address)
+        let later_connection = TcpStream::connect(fixture.address)
             .await
             .map_err(|e| e.kind());
         assert!(
-            matches!(refused, Err(ErrorKind::ConnectionRefused)),
-            "later ones go elsewhere"
+            matches!(later_connection, Err(ErrorKind::ConnectionRefused)),
+            "later connections are refused"
         );
     });
 }
 
-/// Half a frame has arrived when connections are to close, then its rest; its client reads the response late.
+/// Half a frame has arrived when idle connections are closed; the rest follows, and the client reads the
+/// response late.
 #[test]
 fn connections_close_only_after_responses_are_fully_read() {
     on_one_thread(async {
@@ -890,11 +916,17 @@
         let request_bytes = request(1, 1, "lookup", "");
         client.send(&request_bytes[..request_bytes.len() / 2]).await;
         let mut idle = Client::connect(fixture.address).await;
-        wait_until("both", || fixture.frontend.connection_count() == 2).await;
+        wait_until("two connections", || {
+            fixture.frontend.connection_count() == 2
+        })
+        .await;
         fixture.frontend.announce_shutdown(true);
         fixture.frontend.close_when_idle();
         assert_eq!(idle.receive().await.unwrap().0, 64);
-        assert!(idle.receive().await.is_none(), "nothing is owed on it");
+        assert!(
+            idle.receive().await.is_none(),
+            "an idle connection is closed"
+        );
         client.send(&request_bytes[request_bytes.len() / 2..]).await;
         let mut engine = fixture.accept_upstream().await;
         let id = read_request_id(&mut engine).await;
@@ -903,17 +935,21 @@
         assert_eq!(
             fixture.frontend.connection_count(),
             1,
-            "the response is written, and not read"
+            "the response is written and not read"
         );
         assert_eq!(client.receive().await.unwrap().0, 64);
         let (kind, stream, payload) = client.receive().await.unwrap();
         assert_eq!((kind, stream, payload.len()), (4, 1, 2 + 9 * 5005));
         assert!(client.receive().await.is_none());
-        wait_until("none", || fixture.frontend.connection_count() == 0).await;
+        wait_until("close of the last connection", || {
+            fixture.frontend.connection_count() == 0
+        })
+        .await;
     });
 }
 
-/// SIGTERM arrives while one load is in flight and one is queued: the first may have run, the second never did.
+/// SIGTERM arrives while one load is in flight and one is queued: the first may have run, the second never
+/// did.
 #[test]
 fn shutdown_fails_a_sent_load_and_rejects_a_queued_one() {
     on_one_thread(async {
@@ -941,11 +977,12 @@
             "{sorted_answers:?}"
         );
         let next = read_command(&mut engine).await.unwrap();
-        assert_eq!(next, ["DROP", &request_id(1)], "and neither is sent again");
+        assert_eq!(next, ["DROP", &request_id(1)], "neither load is retried");
     });
 }
 
-/// Clients send many frames and disconnect: none of their requests is forwarded, and other clients are served.
+/// Clients send many frames and disconnect: none of their requests is forwarded, and other clients are
+/// served.
 #[test]
 fn clients_that_flood_and_disconnect_do_not_affect_others() {
     on_one_thread(async {
@@ -975,7 +1012,7 @@
         serve_pages(&mut engine, &request_id(7), 1).await;
         assert_eq!(client.receive().await.unwrap().2[0], 0);
         assert!(began.elapsed() < Duration::from_secs(1));
-        // As long as forty malformed frames of each would have delayed the rest.
+        // Longer than forty invalid requests of each client would have delayed its valid ones.
         tokio::time::sleep(Duration::from_millis(1200)).await;
         client.send(&request(2, 8, "lookup", "")).await;
         assert_eq!(
