--- a/tests/client_disconnect_races.rs
+++ b/tests/client_disconnect_races.rs
@@ -15,7 +15,7 @@
 use query_dispatcher::core::{Core, NewRequest};
 use query_dispatcher::dispatch::Reply;
 use query_dispatcher::frontend::frames::Work;
-use scenario::{change, core, core_with, on_one_thread};
+use scenario::{core, core_with, endpoint_list_snapshot, on_one_thread};
 use socket2::SockRef;
 use std::cell::RefCell;
 use std::io::{ErrorKind, Write};
@@ -73,7 +73,7 @@
 
 /// Drains the engine: requests that arrive from now on are queued.
 fn drain_engine(dispatcher: &DispatcherFixture) {
-    let drained = change(&dispatcher.engines, Some((0, "drain")));
+    let drained = endpoint_list_snapshot(&dispatcher.engines, Some((0, "drain")));
     dispatcher.router.update_endpoints(&drained);
 }
 
@@ -81,7 +81,7 @@
 fn restore_engine(dispatcher: &DispatcherFixture) {
     dispatcher
         .router
-        .update_endpoints(&change(&dispatcher.engines, None));
+        .update_endpoints(&endpoint_list_snapshot(&dispatcher.engines, None));
 }
 
 /// Expects that a request of another client is the next to reach the engine, and so none that was queued
--- a/tests/frames.rs
+++ b/tests/frames.rs
@@ -235,7 +235,7 @@
         names,
         RespUpstream::new(sockets, vec![], pool.clone()),
     );
-    router.update_endpoints(&change(&addresses, None));
+    router.update_endpoints(&endpoint_list_snapshot(&addresses, None));
     spawn_local(router.clone().run_clock());
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -395,7 +395,7 @@
         names,
         MysqlUpstream::new(engine_credentials(), sockets, pool.clone(), spools.clone()),
     );
-    router.update_endpoints(&change(&addresses, None));
+    router.update_endpoints(&endpoint_list_snapshot(&addresses, None));
     spawn_local(router.clone().run_clock());
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -624,7 +624,7 @@
                 0,
                 "{how}: the statement is abandoned and its capacity released"
             );
-            router.update_endpoints(&change(&addresses, None));
+            router.update_endpoints(&endpoint_list_snapshot(&addresses, None));
             let mut other = log_in(client.address, "ann", "secret").await.unwrap();
             command(&mut other, COM_QUERY, &[b"select n from sales_17.orders"]).await;
             assert_eq!(requests.recv().await.unwrap().class, "lookup", "{how}");
--- a/tests/mysql_client_disconnect.rs
+++ b/tests/mysql_client_disconnect.rs
@@ -290,7 +290,7 @@
         names,
         MysqlUpstream::new(credentials, sockets, pool.clone(), spools.clone()),
     );
-    router.update_endpoints(&change(&engine_addresses, None));
+    router.update_endpoints(&endpoint_list_snapshot(&engine_addresses, None));
     spawn_local(router.clone().run_clock());
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -833,7 +833,7 @@
             .collect();
         fixture
             .router
-            .update_endpoints(&change(&fixture.engine_addresses, None));
+            .update_endpoints(&endpoint_list_snapshot(&fixture.engine_addresses, None));
         tokio::time::sleep(DISCONNECT_DETECTION_LIMIT).await;
         assert_eq!(
             fixture.router.unanswered_requests(),
--- a/tests/protocol/fixture.rs
+++ b/tests/protocol/fixture.rs
@@ -1,7 +1,7 @@
 //! A dispatcher on loopback before one engine that the test plays itself.
 
 use super::{expect_soon, wait_until};
-use crate::scenario::change;
+use crate::scenario::endpoint_list_snapshot;
 use query_dispatcher::config::{MachineLimits, NameTable, SocketSettings};
 use query_dispatcher::core::Core;
 use query_dispatcher::dispatch::RequestRouter;
@@ -43,7 +43,7 @@
         let upstream = RespUpstream::new(parts.sockets, vec![], pool.clone());
         let router = RequestRouter::new(parts.core, parts.names, upstream);
         let engines = vec![parts.engine.local_addr().unwrap()];
-        router.update_endpoints(&change(&engines, None));
+        router.update_endpoints(&endpoint_list_snapshot(&engines, None));
         spawn_local(router.clone().run_clock());
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         SockRef::from(&listener)
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -20,7 +20,7 @@
 use query_dispatcher::server::instance_registry::InstanceRegistry;
 use query_dispatcher::transport::buffer_pool::BufferPool;
 use query_dispatcher::{DeduplicationScope, Idempotency};
-use scenario::{change, on_one_thread};
+use scenario::{endpoint_list_snapshot, on_one_thread};
 use socket2::SockRef;
 use std::cell::RefCell;
 use std::ops::Deref;
@@ -711,9 +711,10 @@
         let healthy = TcpListener::bind("127.0.0.1:0").await.unwrap();
         (0..3).for_each(|class| fixture.submit(class as u64, class));
         sleep_ms(50).await;
-        fixture
-            .router
-            .update_endpoints(&change(&[at, healthy.local_addr().unwrap()], None));
+        fixture.router.update_endpoints(&endpoint_list_snapshot(
+            &[at, healthy.local_addr().unwrap()],
+            None,
+        ));
         let mut served = 0;
         let serving = async {
             let mut open = vec![];
@@ -752,10 +753,13 @@
     sleep_ms(50).await;
     drop((fixture.accept_upstream().await, filler));
     match state {
-        "draining" => fixture
+        "draining" => fixture.router.update_endpoints(&endpoint_list_snapshot(
+            &fixture.engines,
+            Some((0, "drain")),
+        )),
+        "removed" => fixture
             .router
-            .update_endpoints(&change(&fixture.engines, Some((0, "drain")))),
-        "removed" => fixture.router.update_endpoints(&change(&[], None)),
+            .update_endpoints(&endpoint_list_snapshot(&[], None)),
         _ => fixture.wait_for_open(0).await,
     }
     let mut late = fixture.accept_upstream().await;
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -122,7 +122,7 @@
 
 /// Returns a snapshot of the endpoint list. `special` is the index of an engine that is reported with the
 /// change `drain`, `takeover` or `restart`.
-pub(crate) fn change(
+pub(crate) fn endpoint_list_snapshot(
     addresses: &[SocketAddr],
     special: Option<(usize, &str)>,
 ) -> EndpointListChange {
@@ -303,9 +303,10 @@
             }
             ["close"] => last.as_ref().unwrap().instructions.send("close").unwrap(),
             [state @ ("drain" | "takeover" | "restart")] => {
-                router.update_endpoints(&change(addresses, Some((engine(), state))));
+                router
+                    .update_endpoints(&endpoint_list_snapshot(addresses, Some((engine(), state))));
             }
-            ["restore"] => router.update_endpoints(&change(addresses, None)),
+            ["restore"] => router.update_endpoints(&endpoint_list_snapshot(addresses, None)),
             ["moved"] => assert_ne!(Some(engine()), previous_engine, "{line}"),
             ["silent", "closed"] => {
                 for mut tcp in silent_connections.drain(..) {
