--- a/tests/decision_regressions.rs
+++ b/tests/decision_regressions.rs
@@ -1,4 +1,5 @@
-//! Regression tests of the decision module: each failure that was found under load, as a few scripted events.
+//! Regression tests of the decision module: each reproduces a failure found under load with a few scripted
+//! events.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -16,7 +17,8 @@
     ]
 }
 
-/// Serves a query at once, with what its engine reports.
+/// Submits a query that is sent at once, and ends it after `ms` with the work and load that its engine
+/// reports.
 fn serve_query(controller: &mut TestController, id: QueryId, class: ClassId, ms: f64, work: f64) {
     let sent = sent_attempts(&controller.submit(query(id, class)));
     assert_eq!(sent.len(), 1, "query {id}");
@@ -29,7 +31,8 @@
     }));
 }
 
-/// Queries in rounds of so many, all answered in time, until a whole round is sent at once.
+/// Widens the congestion window: submits rounds of this many queries, all answered in time, until a whole
+/// round is sent at once.
 fn widen_window(controller: &mut TestController, round: u64) {
     for first in (1000..9000).step_by(round as usize) {
         let mut sent: Vec<_> = (first..first + round)
@@ -49,15 +52,16 @@
             )));
         }
     }
-    panic!("the window does not grow");
+    panic!("the congestion window does not grow to {round} queries");
 }
 
-/// Seen at ikeja-main: a five-fold burst filled every engine before the first answer could tell.
+/// A window that had grown while one query at a time was sent let a five-fold burst fill every engine
+/// before the first answer could report the overload.
 #[test]
 fn congestion_window_grows_only_with_use() {
     let mut settings = test_settings(vec![class(1.0, 800.0)]);
     settings.dispatchers = 50;
-    let mut controller = TestController::new(settings, fleet(50)); // our budgets: 16 threads
+    let mut controller = TestController::new(settings, fleet(50)); // this dispatcher's budget: 16 threads
     for id in 0..200 {
         serve_query(&mut controller, id, 0, 10.0, 10.0);
     }
@@ -68,48 +72,55 @@
     assert_eq!(
         sent(&mut controller, 1000..1100),
         16,
-        "one query at a time widens nothing"
+        "one query at a time does not widen the window"
     );
     let more: usize = (1000..1016)
         .map(|id| sent_attempts(&controller.end_attempt(id, 0, Outcome::Served)).len())
         .sum();
     assert!(
         more > 16,
-        "a window in use grows, {more} of those held follow"
+        "a fully used window grows, {more} queued queries were sent"
     );
 }
 
 #[test]
 fn fast_failing_engine_is_ejected_and_restored_after_recovery() {
     let mut controller = TestController::new(test_settings(vec![class(1.0, 800.0)]), fleet(4));
-    let mut bad_sends_late = 0;
+    let mut late_sends_to_failing = 0;
     for id in 0..200 {
         controller.now += 5.0;
         let mut sent = sent_attempts(&controller.submit(query(id, 0)));
         let mut attempt = 0;
         while let Some((_, engine)) = sent.pop() {
-            let bad = engine == "e0";
-            bad_sends_late += u32::from(bad && id > 100);
+            let failing = engine == "e0";
+            late_sends_to_failing += u32::from(failing && id > 100);
             sent = sent_attempts(&controller.end_attempt(
                 id,
                 attempt,
-                if bad { Outcome::Error } else { Outcome::Served },
+                if failing {
+                    Outcome::Error
+                } else {
+                    Outcome::Served
+                },
             ));
             attempt += 1;
         }
     }
     assert!(
-        bad_sends_late <= 1,
-        "{bad_sends_late} sends to an engine that fails"
+        late_sends_to_failing <= 1,
+        "{late_sends_to_failing} sends to the failing engine after its ejection"
     );
     controller.advance(9000.0);
-    let mut back = 0;
+    let mut restored_sends = 0;
     for id in 200..260 {
         controller.now += 5.0;
-        back += u32::from(sent_attempts(&controller.submit(query(id, 0)))[0].1 == "e0");
+        restored_sends += u32::from(sent_attempts(&controller.submit(query(id, 0)))[0].1 == "e0");
         controller.end_attempt(id, 0, Outcome::Served);
     }
-    assert!(back >= 3, "mended engines serve again, {back} sends");
+    assert!(
+        restored_sends >= 3,
+        "a recovered engine is used again, {restored_sends} sends"
+    );
 }
 
 #[test]
@@ -120,7 +131,7 @@
         assert_eq!(
             sent_attempts(&controller.submit(query(id, 0))).len(),
             1,
-            "still served by someone"
+            "some engine still gets the query"
         );
         controller.handle(Event::AttemptEnded(Ended {
             last: true,
@@ -131,7 +142,7 @@
 
 #[test]
 fn queries_of_a_silent_engine_are_migrated_but_not_those_of_a_slow_fleet() {
-    for hang in [true, false] {
+    for hangs in [true, false] {
         let mut controller = TestController::new(test_settings(vec![class(1.0, 3000.0)]), fleet(3));
         for id in 0..30 {
             serve_query(&mut controller, id, 0, 20.0, 20.0);
@@ -143,7 +154,7 @@
             running.extend(
                 sent_attempts(&out)
                     .into_iter()
-                    .filter(|(_, e)| e != "e0" && hang),
+                    .filter(|(_, e)| e != "e0" && hangs),
             );
             while running.len() > 20 {
                 let (id, _) = running.pop_front().unwrap();
@@ -156,27 +167,28 @@
             .iter()
             .filter(|a| matches!(a, Action::Cancel { .. }))
             .count();
-        assert_eq!(cancels > 0, hang, "{cancels} cancels");
+        assert_eq!(cancels > 0, hangs, "{cancels} cancelled attempts");
     }
 }
 
-/// Its engine answers others, so that the engine is not silent: only the one whose notes cease is sent anew.
+/// The engine answers other queries, so it is not silent: only an attempt whose progress notes cease is
+/// retried.
 #[test]
 fn attempt_without_progress_reports_is_retried_while_its_engine_responds() {
-    for ceases in [true, false] {
+    for notes_cease in [true, false] {
         let mut settings = test_settings(vec![class(1.0, 8000.0)]);
         settings.engines.progress_interval = 100.0;
         let mut controller = TestController::new(settings, fleet(1));
-        let late = Query {
+        let long_query = Query {
             time_left: 8000.0,
             ..query(1, 0)
         };
-        assert_eq!(sent_attempts(&controller.submit(late)).len(), 1);
+        assert_eq!(sent_attempts(&controller.submit(long_query)).len(), 1);
         let mut all = vec![];
         for id in 2..20 {
             controller.submit(query(id, 0));
             all.extend(controller.advance(100.0));
-            if !ceases {
+            if !notes_cease {
                 controller.handle(Event::Progress {
                     id: 1,
                     attempt: 0,
@@ -185,18 +197,22 @@
             }
             controller.end_attempt(id, 0, Outcome::Served);
         }
-        assert_eq!(all.contains(&Action::Cancel { id: 1, attempt: 0 }), ceases);
+        assert_eq!(
+            all.contains(&Action::Cancel { id: 1, attempt: 0 }),
+            notes_cease
+        );
     }
 }
 
 #[test]
 fn thread_budget_applies_only_to_a_saturated_engine() {
     let mut controller = TestController::new(test_settings(vec![class(1.0, 3000.0)]), fleet(1));
-    let free = (0..16)
+    let sent = (0..16)
         .filter(|&id| !sent_attempts(&controller.submit(query(id, 0))).is_empty())
         .count();
-    assert_eq!(free, 16);
-    // It holds 40 queries, most of them not ours: our 15 and one more make up the budget of 16 threads.
+    assert_eq!(sent, 16);
+    // The engine holds 40 queries, most of them from others: this dispatcher's 15 and one more use up its
+    // budget of 16 threads.
     controller.handle(Event::AttemptEnded(Ended {
         report: vec![40.0, 0.5],
         ..attempt_ended(0, 0, Outcome::Served)
@@ -204,7 +220,7 @@
     assert_eq!(sent_attempts(&controller.submit(query(100, 0))).len(), 1);
     assert!(
         sent_attempts(&controller.submit(query(101, 0))).is_empty(),
-        "over the budget under pressure"
+        "beyond the budget of a saturated engine"
     );
 }
 
@@ -215,7 +231,7 @@
         assert_eq!(
             sent_attempts(&controller.submit(query(id, 0))).len(),
             1,
-            "nothing held before a sign"
+            "nothing is queued before a report of overload"
         );
     }
     controller.now += 100.0;
@@ -231,11 +247,11 @@
         let first = id;
         while !sent_attempts(&controller.submit(query(id, 0))).is_empty() {
             id += 1;
-            assert!(id < first + 200, "no limit");
+            assert!(id < first + 200, "the window has no limit");
         }
         let sent = id - first;
         for served in first..=id {
-            controller.end_attempt(served, 0, Outcome::Served); // the last was held until the others ended
+            controller.end_attempt(served, 0, Outcome::Served); // the last was queued until the others ended
         }
         id += 1;
         controller.advance(2000.0);
@@ -244,11 +260,11 @@
     let reduced_window = fill_window(&mut controller);
     assert!(
         (16..24).contains(&reduced_window),
-        "cut, but not below half the budgets: {reduced_window}"
+        "reduced, but not below half the budgets: {reduced_window}"
     );
     assert!(
         fill_window(&mut controller) > reduced_window,
-        "grows by answers in time"
+        "answers in time widen the window"
     );
 }
 
@@ -272,7 +288,7 @@
         });
         assert!(
             !out.iter().any(|a| matches!(a, Action::Cancel { .. })),
-            "a usual pace stays"
+            "an attempt with the usual progress continues"
         );
     }
     let out = controller.handle(Event::Progress {
@@ -299,7 +315,7 @@
         ..class(7.0, 4000.0)
     };
     let mut controller = TestController::new(test_settings(vec![reader, load]), fleet(2));
-    let loaded = sent_attempts(&controller.submit(Query {
+    let loading_engine = sent_attempts(&controller.submit(Query {
         tables: Some(1),
         ..query(0, 1)
     }))[0]
@@ -310,10 +326,13 @@
             tables: Some(1),
             ..query(id, 0)
         }));
-        assert_ne!(sent[0].1, loaded, "our own load");
+        assert_ne!(
+            sent[0].1, loading_engine,
+            "the engine runs a load of this dispatcher"
+        );
     }
-    // A load that we do not know shows in a note.
-    let there = sent_attempts(&controller.submit(Query {
+    // A progress note reveals a load of another dispatcher.
+    let waiting_engine = sent_attempts(&controller.submit(Query {
         tables: Some(2),
         ..query(20, 0)
     }))[0]
@@ -327,7 +346,7 @@
     assert!(out.contains(&Action::Cancel { id: 20, attempt: 0 }));
     assert_ne!(
         sent_attempts(&controller.end_attempt(20, 0, Outcome::Cancelled))[0].1,
-        there
+        waiting_engine
     );
 }
 
@@ -347,7 +366,7 @@
     assert_eq!(
         refused,
         (10..20).collect::<Vec<u64>>(),
-        "two seconds of its quota may wait"
+        "two seconds of the quota may be queued"
     );
 }
 
@@ -380,7 +399,7 @@
     let first = granted_memory(&controller.submit(estimated(0))).unwrap();
     assert!(
         (110.0..130.0).contains(&first),
-        "somewhat over the estimate: {first}"
+        "a margin over the estimate: {first}"
     );
     for id in 0..10 {
         controller.handle(Event::AttemptEnded(Ended {
@@ -393,7 +412,7 @@
     let learned = granted_memory(&out).unwrap();
     assert!(
         (310.0..375.0).contains(&learned),
-        "its class needs three times what it says: {learned}"
+        "queries of the class need three times their estimates: {learned}"
     );
 }
 
@@ -402,8 +421,9 @@
     let mut controller = TestController::new(test_settings(vec![class(1.0, 3000.0)]), fleet(1));
     let (mut spills, mut granted_mb, mut needed_mb) = (0, 0.0, 0.0);
     for id in 0..400u64 {
-        // The need takes 1/2, 1 and 2 times the usual, the error 1/4, 1 and 4, in every pair: plain slack
-        // would be short a third of the time and grant far more than is needed otherwise.
+        // The need is 1/2, 1 or 2 times the usual and the error of the estimate 1/4, 1 or 4, in every
+        // combination: a fixed margin would be too small a third of the time and grant far more than is
+        // needed otherwise.
         let (need, error) = (
             100.0 * 2f64.powi((id % 3) as i32 - 1),
             4f64.powi((id / 3 % 3) as i32 - 1),
@@ -422,10 +442,10 @@
             ..attempt_ended(id, 0, Outcome::Served)
         }));
     }
-    assert!(spills <= 50, "{spills} of 200 spill");
+    assert!(spills <= 50, "{spills} of 200 queries spilled");
     assert!(
         granted_mb < 1.5 * needed_mb,
-        "{granted_mb} MB granted for {needed_mb}"
+        "{granted_mb} MB granted, {needed_mb} MB needed"
     );
 }
 
@@ -449,7 +469,7 @@
     assert_eq!(
         granted_memory(&out),
         Some(first + 200.0),
-        "what it had and what it lacked"
+        "the first grant and the memory that was missing"
     );
     let out = controller.handle(Event::Progress {
         id: 1,
@@ -458,7 +478,7 @@
     });
     assert!(
         !out.iter().any(|a| matches!(a, Action::Cancel { .. })),
-        "no engine has it: it runs"
+        "no engine has the memory: the attempt continues"
     );
     controller.submit(Query {
         memory_mb: Some(100.0),
@@ -471,7 +491,7 @@
     });
     assert!(
         !out.iter().any(|a| matches!(a, Action::Cancel { .. })),
-        "little is lacking"
+        "too little memory is missing for a retry"
     );
 }
 
@@ -496,7 +516,11 @@
             attempt: 0,
             note: ProgressNote::Completed(0.3),
         });
-        assert_eq!(final_answers(&out), [0; 0], "2.3 s to go of 3");
+        assert_eq!(
+            final_answers(&out),
+            [0; 0],
+            "2.3 s of work left, 3 s of time"
+        );
         let out = controller.handle(Event::Progress {
             id: 1,
             attempt: 0,
@@ -504,7 +528,7 @@
         });
         assert!(
             out.contains(&Action::Cancel { id: 1, attempt: 0 }),
-            "19 s to go of 3"
+            "19 s of work left, 3 s of time"
         );
         let refused = out.contains(&Action::Refuse {
             id: 1,
@@ -513,13 +537,13 @@
         assert_eq!(
             refused,
             idempotency == Idempotency::Idempotent,
-            "it is still out and may run: {out:?}"
+            "only an idempotent query is refused for a retry, its attempt may still run: {out:?}"
         );
         assert_eq!(final_answers(&out), [1]);
     }
 }
 
-/// The users' day of issue 10: most traffic comes to the gateways of one room, whose engines are fewer.
+/// Most traffic arrives at the dispatchers of one zone, whose engines are too few for it.
 #[test]
 fn overloaded_zone_spills_to_another_zone() {
     let mut settings = test_settings(two_classes());
@@ -551,34 +575,34 @@
     assert_eq!(
         sent.len(),
         20,
-        "nothing is held while the other zone has room"
+        "nothing is queued while the other zone has capacity"
     );
-    let other = sent.iter().filter(|(_, e)| e.as_str() >= "e4").count();
+    let to_other_zone = sent.iter().filter(|(_, e)| e.as_str() >= "e4").count();
     assert!(
-        other >= 12,
-        "{other} of 20 to the four idle engines, the rest to the one that told nothing"
+        to_other_zone >= 12,
+        "{to_other_zone} of 20 to the four idle engines, the rest to the one without reports"
     );
 }
 
 #[test]
 fn overload_sheds_the_costliest_requests_of_a_class_only() {
     let mut controller = TestController::new(test_settings(vec![class(1.0, 3000.0)]), fleet(2));
-    let of = |id, work| Query {
+    let query_with_work = |id, work| Query {
         work: Some(work),
         time_left: 9000.0,
         ..query(id, 0)
     };
     for id in 0..10 {
-        controller.submit(of(id, 100.0));
+        controller.submit(query_with_work(id, 100.0));
         controller.handle(Event::AttemptEnded(Ended {
             work: Some(100.0),
             ..attempt_ended(id, 0, Outcome::Served)
         }));
     }
     assert_eq!(
-        sent_attempts(&controller.submit(of(20, 1000.0))).len(),
+        sent_attempts(&controller.submit(query_with_work(20, 1000.0))).len(),
         1,
-        "no crowd, nothing is too heavy"
+        "without overload no query is too costly"
     );
     for k in 0..20 {
         let (engine, outcome) = (format!("e{}", k % 2), Outcome::Served);
@@ -589,47 +613,51 @@
         });
     }
     assert_eq!(
-        sent_attempts(&controller.submit(of(21, 100.0))).len(),
+        sent_attempts(&controller.submit(query_with_work(21, 100.0))).len(),
         1,
-        "a usual one runs"
+        "a query of the usual work is sent"
+    );
+    let out = controller.submit(query_with_work(22, 1000.0));
+    assert_eq!(
+        final_answers(&out),
+        [22],
+        "a query of ten times the usual work is refused"
     );
-    let out = controller.submit(of(22, 1000.0));
-    assert_eq!(final_answers(&out), [22], "ten times the usual");
     assert!(
         out.contains(&Action::Refuse {
             id: 22,
             retry_after: Some(500.0)
         }),
-        "with advice"
+        "the refusal suggests a delay"
     );
 }
 
 #[test]
 fn invalid_settings_name_their_field() {
-    let field = |change: fn(&mut Settings)| {
+    let rejected_field = |change: fn(&mut Settings)| {
         let mut settings = test_settings(vec![class(1.0, 800.0)]);
         change(&mut settings);
         Controller::new(settings, 1).err().map(|e| e.field)
     };
-    assert_eq!(field(|_| {}), None);
+    assert_eq!(rejected_field(|_| {}), None);
     assert_eq!(
-        field(|settings| settings.classes.clear()),
+        rejected_field(|settings| settings.classes.clear()),
         Some("classes".into())
     );
     assert_eq!(
-        field(|settings| settings.dispatchers = 0),
+        rejected_field(|settings| settings.dispatchers = 0),
         Some("gateways".into())
     );
     assert_eq!(
-        field(|settings| settings.classes[0].latency_objective = f64::NAN),
+        rejected_field(|settings| settings.classes[0].latency_objective = f64::NAN),
         Some("classes[0].aim".into())
     );
     assert_eq!(
-        field(|settings| settings.rules.overload_window = -1.0),
+        rejected_field(|settings| settings.rules.overload_window = -1.0),
         Some("rules.fall_window".into())
     );
     assert_eq!(
-        field(|settings| settings.classes[0].allowed_kinds = Some(vec![9])),
+        rejected_field(|settings| settings.classes[0].allowed_kinds = Some(vec![9])),
         Some("classes[0].only_kinds".into())
     );
 }
@@ -650,7 +678,11 @@
     assert_eq!(subscriptions(&out), 1);
     assert_eq!(subscriptions(&controller.advance(5000.0)), 0);
     controller.handle(Event::DiscoveryFailed);
-    assert_eq!(subscriptions(&controller.advance(100.0)), 0, "not in haste");
+    assert_eq!(
+        subscriptions(&controller.advance(100.0)),
+        0,
+        "not renewed at once"
+    );
     assert_eq!(subscriptions(&controller.advance(2000.0)), 1);
 }
 
@@ -662,20 +694,27 @@
             .filter(|a| matches!(a, Action::Timer { .. }))
             .count()
     };
-    assert!(timers(&controller.advance(10_000.0)) <= 6, "idle");
+    assert!(
+        timers(&controller.advance(10_000.0)) <= 6,
+        "timers of an idle dispatcher in 10 s"
+    );
     let out = controller.submit(query(1, 0));
-    let soon = out
+    let wakes_soon = out
         .iter()
         .any(|a| matches!(a, Action::Timer { at, .. } if *at <= controller.now + 20.0));
-    assert!(soon, "a query is looked after from its arrival on");
+    assert!(wakes_soon, "a query sets a timer on arrival");
 }
 
-/// Seen at launceston-hive: without estimates reports that spilled at their start were 2% done after 2 s.
+/// Without estimates, report queries that spilled at their start had completed 2% after 2 s.
 #[test]
 fn spilling_query_without_an_estimate_is_retried_once_with_the_missing_memory() {
     let mut controller = TestController::new(test_settings(vec![class(1.0, 3000.0)]), fleet(2));
     let out = controller.submit(query(1, 0));
-    assert_eq!(granted_memory(&out), Some(0.0), "the engine chooses");
+    assert_eq!(
+        granted_memory(&out),
+        Some(0.0),
+        "the engine chooses the grant"
+    );
     let out = controller.handle(Event::Progress {
         id: 1,
         attempt: 0,
@@ -686,7 +725,7 @@
     assert_eq!(
         granted_memory(&out),
         Some(1724.0),
-        "a thread's part of the memory and what it lacked"
+        "one thread's share of the memory and the memory that was missing"
     );
     let out = controller.handle(Event::Progress {
         id: 1,
@@ -695,14 +734,14 @@
     });
     assert!(
         !out.iter().any(|a| matches!(a, Action::Cancel { .. })),
-        "only once"
+        "a second spill is not retried"
     );
 }
 
-/// Seen at launceston-hive: only `util` is told, and a jam at the disks leaves cores idle.
+/// Some engines report only `util`, and congestion at the disks leaves their cores idle.
 #[test]
 fn overload_is_detected_from_cpu_reports_alone() {
-    let sent_by = |busy: f64, ms: f64| {
+    let sent_after = |busy: f64, ms: f64| {
         let mut settings = test_settings(vec![class(1.0, 800.0)]);
         (settings.dispatchers, settings.report_fields) = (4, vec![ReportField::CpuBusy]);
         let mut controller = TestController::new(settings, fleet(4));
@@ -724,15 +763,18 @@
             .map(|id| sent_attempts(&controller.submit(query(id, 0))).len())
             .sum::<usize>()
     };
-    let calm = sent_by(0.3, 200.0);
-    assert!(sent_by(1.0, 200.0) < calm, "busy cores");
-    assert!(sent_by(0.3, 1500.0) < calm, "idle cores, long answers");
+    let baseline = sent_after(0.3, 200.0);
+    assert!(sent_after(1.0, 200.0) < baseline, "busy cores");
+    assert!(
+        sent_after(0.3, 1500.0) < baseline,
+        "idle cores, slow answers"
+    );
 }
 
-/// Seen at ikeja-main: in a storm of attempts that end without an answer no report tells of the jam.
+/// When most attempts end without an answer, no report shows the overload.
 #[test]
 fn long_unanswered_attempts_signal_overload_unless_the_engine_responded_since() {
-    let left = |spoke: bool| {
+    let sent_after = |engines_responded: bool| {
         let mut settings = test_settings(vec![class(1.0, 800.0)]);
         settings.dispatchers = 4;
         let mut controller = TestController::new(settings, fleet(4));
@@ -741,7 +783,7 @@
             .collect();
         controller.now += 3000.0;
         for (id, engine) in sent {
-            if spoke {
+            if engines_responded {
                 let outcome = Outcome::Served;
                 controller.handle(Event::EngineReport {
                     engine,
@@ -759,14 +801,14 @@
             .sum::<usize>()
     };
     assert!(
-        left(false) < left(true),
-        "{} beside {}",
-        left(false),
-        left(true)
+        sent_after(false) < sent_after(true),
+        "{} sends without responses, {} with them",
+        sent_after(false),
+        sent_after(true)
     );
 }
 
-/// Seen at milano-main: half of the look-ups that stood in an engine's line for memory came too late.
+/// Half of the look-ups that waited in an engine's memory queue were answered late.
 #[test]
 fn query_waiting_for_memory_migrates_to_an_engine_with_capacity() {
     let mut controller = TestController::new(test_settings(vec![class(1.0, 3000.0)]), fleet(2));
@@ -781,7 +823,7 @@
         sent_attempts(&controller.end_attempt(1, 0, Outcome::Cancelled))[0].1,
         first
     );
-    // The other turns it away: a move would lose the place in line for nothing.
+    // The other engine rejects the attempt: a migration would lose the place in the queue for nothing.
     assert_eq!(sent_attempts(&controller.submit(query(2, 0)))[0].1, first);
     controller.end_attempt(1, 1, Outcome::Rejected);
     let out = controller.handle(Event::Progress {
@@ -792,7 +834,8 @@
     assert!(!out.contains(&Action::Cancel { id: 2, attempt: 0 }));
 }
 
-/// Seen on churn days: an engine barred for a second then got all that had waited, and turned it away again.
+/// An engine that had been skipped for a second as full then got all queued queries at once, and rejected
+/// them again.
 #[test]
 fn full_engine_is_refilled_at_its_service_rate() {
     let mut controller = TestController::new(test_settings(vec![class(1.0, 3000.0)]), fleet(1));
@@ -803,16 +846,16 @@
     assert_eq!(
         sent_attempts(&controller.advance(1100.0)).len(),
         0,
-        "it has as many as when it was full"
+        "it has as many attempts in flight as when it was full"
     );
     controller.end_attempt(0, 0, Outcome::Served);
     assert!(
         (1..=2).contains(&sent_attempts(&controller.end_attempt(1, 0, Outcome::Served)).len()),
-        "as it serves"
+        "refilled at the rate at which it serves"
     );
 }
 
-/// Seen on a reload day: an engine that failed fast was the only one with room, and took the attempts of all.
+/// A fast-failing engine was the only one with capacity, and used up the attempts of all queries.
 #[test]
 fn fast_failing_engine_is_skipped_while_a_healthy_one_is_full() {
     let mut controller = TestController::new(test_settings(vec![class(1.0, 3000.0)]), fleet(2));
@@ -834,34 +877,34 @@
     assert_eq!(
         sent_attempts(&controller.end_attempt(50, 0, Outcome::Rejected)).len(),
         0,
-        "it waits for the other"
+        "the query waits for the healthy engine"
     );
 }
 
-/// Seen at launceston-hive and milano-main: one report of the window's width shut look-ups out for a second.
+/// One report query that was as wide as the window blocked look-ups for a second.
 #[test]
 fn wide_query_does_not_block_a_higher_class() {
     let mut settings = test_settings(two_classes());
     settings.dispatchers = 100;
-    let mut controller = TestController::new(settings, fleet(20)); // our budgets: 3.2 threads
+    let mut controller = TestController::new(settings, fleet(20)); // this dispatcher's budgets: 3.2 threads
     assert_eq!(
         sent_attempts(&controller.submit(query(1, 1))).len(),
         1,
-        "three threads"
+        "a query of three threads"
     );
     assert_eq!(
         sent_attempts(&controller.submit(query(2, 0))).len(),
         1,
-        "a look-up goes beside them"
+        "a look-up runs beside it"
     );
     assert_eq!(
         sent_attempts(&controller.submit(query(3, 1))).len(),
         0,
-        "no second wide one"
+        "a second wide query is queued"
     );
 }
 
-/// Seen at milano-main: queries whose probes were late were given up with room on every engine.
+/// Queries whose probe answers were late were dropped although every engine had capacity.
 #[test]
 fn requests_with_capacity_are_sent_before_the_timer_sheds_load() {
     let mut settings = test_settings(vec![class(1.0, 800.0)]);
@@ -873,21 +916,21 @@
             tenant: Some(0),
             ..query(id, 0)
         });
-        assert_eq!(sent_attempts(&out).len(), 0, "its pair is asked first");
+        assert_eq!(sent_attempts(&out).len(), 0, "two engines are probed first");
         out.extend(controller.advance(60.0));
         assert_eq!(
             (sent_attempts(&out).len(), final_answers(&out).len()),
             (1, 0),
-            "beyond its share, but nobody waits"
+            "over the tenant quota, but no other query waits"
         );
         controller.end_attempt(id, 0, Outcome::Served);
     }
 }
 
-/// Seen at launceston-hive and ikeja-main: among many gateways few engines are heard of in time.
+/// Among many dispatchers, each receives recent reports of only a few engines.
 #[test]
 fn overload_of_most_zones_shrinks_the_window_and_unknown_engines_use_their_zone() {
-    let sent = |told: usize| {
+    let sent = |overloaded_zones: usize| {
         let mut settings = test_settings(vec![class(1.0, 800.0)]);
         settings.dispatchers = 10;
         let engines = (0..12)
@@ -899,7 +942,7 @@
         let mut controller = TestController::new(settings, engines);
         widen_window(&mut controller, 40);
         controller.now += 1000.0;
-        for i in (0..12 * 3).filter(|i| i % 12 / 4 < told) {
+        for i in (0..12 * 3).filter(|i| i % 12 / 4 < overloaded_zones) {
             let (engine, outcome) = (format!("e{}", i % 12), Outcome::Served);
             controller.handle(Event::EngineReport {
                 engine,
@@ -913,11 +956,17 @@
             .sum::<usize>()
     };
     let (one, two) = (sent(1), sent(2));
-    assert!(one >= 20, "a jam of one zone leaves two others, {one}");
-    assert!(two < one, "most zones jammed, {two} beside {one}");
+    assert!(
+        one >= 20,
+        "two of three zones are not overloaded, {one} sends"
+    );
+    assert!(
+        two < one,
+        "most zones are overloaded, {two} sends beside {one}"
+    );
 }
 
-/// Seen at ikeja-main: loads stood behind other gateways' loads for their whole aim.
+/// Loads waited behind loads of other dispatchers for their whole latency objective.
 #[test]
 fn keyed_load_behind_another_migrates_within_its_deduplication_window() {
     let idempotency = Idempotency::Keyed {
@@ -935,7 +984,7 @@
         time_left: 20000.0,
         ..query(id, 0)
     };
-    for (id, wait, moves) in [(1, 500.0, true), (2, 2500.0, false)] {
+    for (id, wait, migrates) in [(1, 500.0, true), (2, 2500.0, false)] {
         assert_eq!(sent_attempts(&controller.submit(query(id))).len(), 1);
         controller.now += wait;
         let out = controller.handle(Event::Progress {
@@ -945,20 +994,20 @@
         });
         assert_eq!(
             out.contains(&Action::Cancel { id, attempt: 0 }),
-            moves,
-            "after {wait} ms of 4000"
+            migrates,
+            "after {wait} ms of the window of 4000 ms"
         );
-        if moves {
+        if migrates {
             assert_eq!(
                 sent_attempts(&controller.end_attempt(id, 0, Outcome::Cancelled)).len(),
                 1,
-                "within the window"
+                "sent again within the deduplication window"
             );
         }
     }
 }
 
-/// Loads of one group share one half of the engines, its readers the other, at every gateway alike.
+/// Loads of a table group share one half of the engines and its readers the other, at every dispatcher alike.
 #[test]
 fn loads_and_readers_of_a_table_group_use_different_engines() {
     let load = Class {
@@ -970,28 +1019,34 @@
         waits_for_loads: true,
         ..class(1.0, 1000.0)
     };
-    let mut used = [
+    let mut engines_by_class = [
         std::collections::BTreeSet::new(),
         std::collections::BTreeSet::new(),
     ];
-    for gateway in 0..10 {
+    for dispatcher in 0..10 {
         let mut controller =
             TestController::new(test_settings(vec![load.clone(), reader.clone()]), fleet(12));
         for id in 0..20 {
-            let class = (id + gateway) % 2;
+            let class = (id + dispatcher) % 2;
             let out = controller.submit(Query {
                 tables: Some(7),
                 ..query(id as u64, class)
             });
-            used[class].extend(sent_attempts(&out).into_iter().map(|(_, e)| e));
-            controller.end_attempt(id as u64, 0, Outcome::Served); // while it runs, others may leave their half
+            engines_by_class[class].extend(sent_attempts(&out).into_iter().map(|(_, e)| e));
+            controller.end_attempt(id as u64, 0, Outcome::Served); // during a load others may leave their half
         }
     }
-    assert!(used.iter().all(|u| u.len() >= 3), "{used:?}");
-    assert!(used[0].is_disjoint(&used[1]), "{used:?}");
+    assert!(
+        engines_by_class.iter().all(|engines| engines.len() >= 3),
+        "{engines_by_class:?}"
+    );
+    assert!(
+        engines_by_class[0].is_disjoint(&engines_by_class[1]),
+        "{engines_by_class:?}"
+    );
 }
 
-/// Seen at ikeja-main and launceston-hive: where answers tell no cost a jam inflated work, and with it the aims.
+/// If answers report no cost, overload inflated the measured work and with it the latency objectives.
 #[test]
 fn overload_does_not_inflate_the_work_behind_latency_objectives() {
     let mut controller = TestController::new(test_settings(vec![class(1.0, 800.0)]), fleet(1));
@@ -1010,29 +1065,29 @@
         .collect();
     assert!(
         !final_answers(&out).is_empty(),
-        "work of 100 ms is due in 1 s, and answers take 2"
+        "work of 100 ms is due in 1 s, and answers take 2 s"
     );
 }
 
-/// Seen at ikeja-main: with the living engines under pressure a third of all attempts went to dead ones.
+/// While the reachable engines were saturated, a third of all attempts went to unreachable ones.
 #[test]
 fn unreachable_engine_is_not_retried_even_when_others_are_full() {
     let mut controller = TestController::new(test_settings(vec![class(1.0, 3000.0)]), fleet(2));
-    let (_, dead) = sent_attempts(&controller.submit(query(1, 0))).remove(0);
+    let (_, unreachable) = sent_attempts(&controller.submit(query(1, 0))).remove(0);
     let (_, other) = sent_attempts(&controller.end_attempt(1, 0, Outcome::Unreachable)).remove(0);
-    assert_ne!(dead, other);
+    assert_ne!(unreachable, other);
     assert!(
         sent_attempts(&controller.end_attempt(1, 1, Outcome::Rejected)).is_empty(),
-        "the full one rests, and so does the dead one"
+        "the full engine and the unreachable one are both skipped"
     );
     assert_eq!(
         sent_attempts(&controller.advance(1100.0)).len(),
         1,
-        "both are tried again"
+        "both may be used again"
     );
 }
 
-/// Seen at lakaz-main: a hot group's loads had one engine of six, since each engine drew its half alone.
+/// Each engine drew its half independently, so the loads of a busy table group had one engine of six.
 #[test]
 fn loads_of_a_table_group_get_half_of_the_engines_and_readers_the_other_half() {
     let load = Class {
@@ -1048,7 +1103,7 @@
     for group in 0..12u64 {
         let mut controller =
             TestController::new(test_settings(vec![load.clone(), reader.clone()]), fleet(6));
-        let mut taken = [
+        let mut engines_by_class = [
             std::collections::BTreeSet::new(),
             std::collections::BTreeSet::new(),
         ];
@@ -1058,16 +1113,23 @@
                 tables: Some(group),
                 ..query(id, class)
             }));
-            taken[class].extend(sent.into_iter().map(|settings| settings.1));
+            engines_by_class[class].extend(sent.into_iter().map(|(_, engine)| engine));
             controller.end_attempt(id, 0, Outcome::Served);
         }
-        assert_eq!((taken[0].len(), taken[1].len()), (3, 3), "group {group}");
-        assert!(taken[0].is_disjoint(&taken[1]), "group {group}");
+        assert_eq!(
+            (engines_by_class[0].len(), engines_by_class[1].len()),
+            (3, 3),
+            "group {group}"
+        );
+        assert!(
+            engines_by_class[0].is_disjoint(&engines_by_class[1]),
+            "group {group}"
+        );
     }
 }
 
-/// Seen at lakaz-main: while a load of another gateway held a group, reader after reader was sent behind it,
-/// though the first one's note had told.
+/// While a load of another dispatcher held a table group, one reader after another was sent to wait behind
+/// it, though the first reader's progress note had reported the load.
 #[test]
 fn readers_avoid_an_engine_after_a_reported_load_on_their_table_group() {
     let load = Class {
@@ -1088,7 +1150,7 @@
         }));
         sent[0].1.clone()
     };
-    let behind = read(&mut controller, 1);
+    let loading_engine = read(&mut controller, 1);
     controller.handle(Event::Progress {
         id: 1,
         attempt: 0,
@@ -1096,24 +1158,28 @@
     });
     controller.end_attempt(1, 0, Outcome::Cancelled);
     controller.end_attempt(1, 1, Outcome::Served);
-    let met = |controller: &mut TestController, ids: std::ops::Range<u64>| {
+    let sends_to_loading_engine = |controller: &mut TestController, ids: std::ops::Range<u64>| {
         ids.filter(|&id| {
             let engine = read(controller, id);
             controller.end_attempt(id, 0, Outcome::Served);
-            engine == behind
+            engine == loading_engine
         })
         .count()
     };
-    assert_eq!(met(&mut controller, 10..50), 0, "the note still counts");
+    assert_eq!(
+        sends_to_loading_engine(&mut controller, 10..50),
+        0,
+        "the note is still in effect"
+    );
     controller.advance(1100.0);
     assert!(
-        met(&mut controller, 50..90) > 0,
-        "loads end: the engine is back in use"
+        sends_to_loading_engine(&mut controller, 50..90) > 0,
+        "the note has expired: the engine is used again"
     );
 }
 
-/// Seen on a churn day: with few engines the loads of a hot group stood behind each other in their half of them
-/// until their time was over.
+/// With few engines, the loads of a busy table group waited behind each other in their half of the engines
+/// until their deadline.
 #[test]
 fn load_may_use_the_other_half_when_its_own_is_locked() {
     let load = Class {
@@ -1137,16 +1203,16 @@
     sent.extend(sent_attempts(&controller.advance(3500.0)));
     assert_eq!(
         sent.iter()
-            .map(|settings| &settings.1)
+            .map(|(_, engine)| engine)
             .collect::<std::collections::BTreeSet<_>>()
             .len(),
         6,
-        "one on each"
+        "one load on each engine"
     );
 }
 
-/// Seen on a day with engines out by hand: most late look-ups stood behind a load on their half of the engines,
-/// though loads had seconds to spare.
+/// While some engines were administratively drained, most late look-ups waited behind a load on their half
+/// of the engines, though the loads had seconds left.
 #[test]
 fn load_with_slack_waits_for_its_own_half() {
     let load = Class {
@@ -1161,7 +1227,7 @@
     };
     let mut controller = TestController::new(test_settings(vec![load, reader]), fleet(6));
     for id in 0..10 {
-        serve_query(&mut controller, id, 0, 200.0, 200.0); // so that loads are known to be short
+        serve_query(&mut controller, id, 0, 200.0, 200.0); // teaches the dispatcher that loads are short
     }
     let load = |id| Query {
         tables: Some(5),
@@ -1171,17 +1237,21 @@
     let sent: Vec<_> = (11..17)
         .flat_map(|id| sent_attempts(&controller.submit(load(id))))
         .collect();
-    assert_eq!(sent.len(), 3, "one on each of its half: {sent:?}");
+    assert_eq!(
+        sent.len(),
+        3,
+        "one load on each engine of their half: {sent:?}"
+    );
     let sent = sent_attempts(&controller.advance(3500.0));
     assert_eq!(
         sent.len(),
         3,
-        "the others leave it before their time is over"
+        "the other loads leave their half before their deadline"
     );
 }
 
-/// Seen on a day with engines out by hand: those put back got a third of what they bear, for in a jam answers
-/// take several times their work.
+/// Engines that returned from an administrative drain got a third of what they sustain, since answers under
+/// overload take several times as long as their work.
 #[test]
 fn slow_start_usage_is_charged_by_estimate_not_latency() {
     let sent = |work| {
@@ -1199,15 +1269,18 @@
             update: ListUpdate::Patch,
             entries: vec![warming_engine],
         });
-        let goes = |id: &u64| {
+        let is_sent = |id: &u64| {
             !sent_attempts(&controller.submit(Query {
                 work,
                 ..query(*id, 0)
             }))
             .is_empty()
         };
-        (100..200).filter(goes).count()
+        (100..200).filter(is_sent).count()
     };
-    let (told, untold) = (sent(Some(300.0)), sent(None));
-    assert!(told > untold, "{told} beside {untold}");
+    let (estimated, unestimated) = (sent(Some(300.0)), sent(None));
+    assert!(
+        estimated > unestimated,
+        "{estimated} sends with estimates, {unestimated} without"
+    );
 }
