--- a/tests/many_dispatchers.rs
+++ b/tests/many_dispatchers.rs
@@ -1,4 +1,5 @@
-//! Properties that hold when each of many dispatchers sees only a little of the traffic, as scripted events.
+//! Properties of the decision module that hold when each of many dispatchers gets a small part of the
+//! traffic, tested with scripted events.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -6,12 +7,14 @@
 use common::*;
 use query_dispatcher::*;
 
-fn settings_of_one(dispatchers: u32, probes: bool) -> Settings {
+/// Settings of one dispatcher in a fleet of this size.
+fn fleet_settings(dispatchers: u32, probes: bool) -> Settings {
     let mut settings = test_settings(vec![class(1.0, 2000.0)]);
     (settings.dispatchers, settings.limits.probes) = (dispatchers, probes);
     settings
 }
 
+/// Returns the engines that these actions probe.
 fn probed_engines(actions: &[Action]) -> Vec<String> {
     let name = |a: &Action| {
         if let Action::Probe { engine } = a {
@@ -32,12 +35,13 @@
     }
 }
 
-/// Seen with 100 dispatchers and 30 engines: each held a connection to nearly all, 4,296 for 11,825 requests.
+/// Each of 100 dispatchers held a connection to nearly all of 30 engines: 4,296 connections for 11,825
+/// requests.
 #[test]
 fn each_dispatcher_uses_a_small_subset_and_together_they_balance() {
     let mut used = std::collections::BTreeMap::<String, usize>::new();
     for seed in 0..60 {
-        let mut controller = TestController::seeded(settings_of_one(100, false), fleet(30), seed);
+        let mut controller = TestController::seeded(fleet_settings(100, false), fleet(30), seed);
         let mut subset = std::collections::BTreeSet::new();
         for id in 0..40 {
             let sent = sent_attempts(&controller.submit(query(id, 0)));
@@ -47,19 +51,19 @@
         }
         assert!(
             (2..=6).contains(&subset.len()),
-            "gateway {seed} keeps to {subset:?}"
+            "dispatcher {seed} uses {subset:?}"
         );
         subset
             .into_iter()
             .for_each(|e| *used.entry(e).or_default() += 1);
     }
-    assert_eq!(used.len(), 30, "every engine has its gateways");
+    assert_eq!(used.len(), 30, "every engine is used by some dispatcher");
     assert!(used.values().all(|n| (2..=20).contains(n)), "{used:?}");
 }
 
 #[test]
 fn new_engines_are_not_tried_while_the_subset_has_capacity() {
-    let mut controller = TestController::new(settings_of_one(100, false), fleet(10));
+    let mut controller = TestController::new(fleet_settings(100, false), fleet(10));
     let serve_query = |controller: &mut TestController, id| {
         let engine = sent_attempts(&controller.submit(query(id, 0)))[0].1.clone();
         controller.end_attempt(id, 0, Outcome::Served);
@@ -67,7 +71,7 @@
     };
     let subset: std::collections::BTreeSet<String> =
         (0..40).map(|id| serve_query(&mut controller, id)).collect();
-    // Thirty more engines: in the dispatcher's own order some of them come before its subset.
+    // Some of the thirty new engines precede the subset in the dispatcher's own order of engines.
     controller.handle(Event::EngineList {
         update: ListUpdate::Snapshot,
         entries: fleet(40),
@@ -76,17 +80,17 @@
         let engine = serve_query(&mut controller, id);
         assert!(
             subset.contains(&engine),
-            "{engine} is new, and {subset:?} have room"
+            "{engine} is new, and {subset:?} have capacity"
         );
     }
 }
 
-/// However many share one cold engine and want it all the time: what they send it in any window stays under the
-/// bound in the settings, by what it can do at its age when the window begins.
+/// Any number of dispatchers share one cold engine and always have queries for it: the work that they send
+/// in any window stays within the settings' multiple of the engine's capacity at the window's start.
 #[test]
 fn warming_engine_stays_under_its_limit_with_3_30_and_100_dispatchers() {
     for dispatchers in [3u32, 30, 100] {
-        let settings = settings_of_one(dispatchers, false);
+        let settings = fleet_settings(dispatchers, false);
         let (rules, cores) = (settings.rules.clone(), settings.kinds[0].cores);
         let warming_engine = EngineEntry {
             started: Some(1000.0),
@@ -123,7 +127,7 @@
         }
         assert!(
             sent.len() > 20,
-            "{dispatchers} gateways use it, {} sends",
+            "{dispatchers} dispatchers use the engine, {} sends",
             sent.len()
         );
         for (start, _) in &sent {
@@ -137,7 +141,7 @@
             let sum: f64 = window.map(|(_, work)| work).sum();
             assert!(
                 sum <= bound,
-                "{dispatchers} gateways: {sum} of {bound} in the window from {start}"
+                "{dispatchers} dispatchers: work {sum} in the window from {start}, limit {bound}"
             );
         }
     }
@@ -145,45 +149,45 @@
 
 #[test]
 fn subset_is_widened_when_it_has_no_capacity() {
-    let mut controller = TestController::new(settings_of_one(100, false), fleet(30));
+    let mut controller = TestController::new(fleet_settings(100, false), fleet(30));
     let mut full = std::collections::BTreeSet::new();
     for id in 0..12 {
         let sent = sent_attempts(&controller.submit(query(id, 0)));
         assert_eq!(
             sent.len(),
             1,
-            "the next in its order takes the place of those that are full"
+            "the next engine in the dispatcher's order replaces the full ones"
         );
         assert!(
             full.insert(sent[0].1.clone()),
-            "{} was full a moment ago",
+            "{} has just rejected an attempt",
             sent[0].1
         );
-        let moved = sent_attempts(&controller.end_attempt(id, 0, Outcome::Rejected));
-        assert!(!full.contains(&moved[0].1));
+        let retried = sent_attempts(&controller.end_attempt(id, 0, Outcome::Rejected));
+        assert!(!full.contains(&retried[0].1));
         controller.end_attempt(id, 1, Outcome::Served);
     }
 }
 
 #[test]
 fn idle_dispatcher_probes_two_engines_and_picks_the_less_loaded() {
-    for crowded in 0..2 {
-        let mut controller = TestController::new(settings_of_one(100, true), fleet(9));
+    for loaded in 0..2 {
+        let mut controller = TestController::new(fleet_settings(100, true), fleet(9));
         let pair = probed_engines(&controller.submit(query(1, 0)));
         assert_eq!(pair.len(), 2);
         assert_eq!(
-            sent_attempts(&controller.handle(engine_report(&pair[crowded], 12.0))),
+            sent_attempts(&controller.handle(engine_report(&pair[loaded], 12.0))),
             vec![]
         );
-        let sent = sent_attempts(&controller.handle(engine_report(&pair[1 - crowded], 2.0)));
-        assert_eq!(sent, vec![(1, pair[1 - crowded].clone())]);
+        let sent = sent_attempts(&controller.handle(engine_report(&pair[1 - loaded], 2.0)));
+        assert_eq!(sent, vec![(1, pair[1 - loaded].clone())]);
     }
 }
 
 #[test]
 fn only_a_loaded_fleet_is_probed_for_each_query() {
-    for (inflight, asks) in [(1.0, false), (9.0, true)] {
-        let mut controller = TestController::new(settings_of_one(100, true), fleet(9));
+    for (inflight, probes) in [(1.0, false), (9.0, true)] {
+        let mut controller = TestController::new(fleet_settings(100, true), fleet(9));
         for i in 0..6 {
             controller.handle(engine_report(&format!("e{i}"), inflight));
         }
@@ -191,16 +195,16 @@
         let out = controller.submit(query(1, 0));
         assert_eq!(
             sent_attempts(&out).is_empty(),
-            asks,
+            probes,
             "reports of {inflight} queries an engine"
         );
-        assert_eq!(probed_engines(&out).len() >= 2, asks);
+        assert_eq!(probed_engines(&out).len() >= 2, probes);
     }
 }
 
 #[test]
 fn lost_late_duplicate_or_malformed_probes_delay_nothing() {
-    let mut controller = TestController::new(settings_of_one(100, true), fleet(9));
+    let mut controller = TestController::new(fleet_settings(100, true), fleet(9));
     let pair = probed_engines(&controller.submit(query(1, 0)));
     controller.handle(engine_report("unknown", 1.0));
     controller.handle(engine_report(&pair[0], f64::NAN));
@@ -208,7 +212,7 @@
     assert_eq!(
         sent_attempts(&controller.advance(60.0)).len(),
         1,
-        "sent once the wait for probes is over"
+        "sent when the wait for probes ends"
     );
     for _ in 0..3 {
         assert_eq!(
@@ -220,11 +224,12 @@
 
 #[test]
 fn dispatchers_with_whole_queries_of_budget_do_not_wait_for_probes() {
-    let mut controller = TestController::new(settings_of_one(2, true), fleet(4));
+    let mut controller = TestController::new(fleet_settings(2, true), fleet(4));
     assert_eq!(sent_attempts(&controller.submit(query(1, 0))).len(), 1);
 }
 
-/// Attempts that many dispatchers with different seeds send, each with a few queries for less than a sampling period.
+/// Counts the attempts that dispatchers with different seeds send; each gets three queries and runs for
+/// less than a sampling period.
 fn total_sends(settings: &Settings, entries: &[EngineEntry], inflight: f64) -> usize {
     let mut total = 0;
     for seed in 0..u64::from(settings.dispatchers) {
@@ -236,7 +241,7 @@
             update: ListUpdate::Stale,
             entries: entries.to_vec(),
         });
-        controller.advance(2100.0); // one sampling period: the draws are made
+        controller.advance(2100.0); // one sampling period, after which the random draws are made
         let mut out = vec![];
         for id in 0..3 {
             out.extend(controller.submit(query(id, 0)));
@@ -256,16 +261,16 @@
 
 #[test]
 fn all_dispatchers_under_load_stay_near_an_engines_budget() {
-    let sent = total_sends(&settings_of_one(100, true), &fleet(4), 40.0);
+    let sent = total_sends(&fleet_settings(100, true), &fleet(4), 40.0);
     assert!(
         (16..=80).contains(&sent),
-        "{sent} sends for budgets of 4 x 16 threads"
+        "{sent} sends, four engines with budgets of 16 threads"
     );
 }
 
 #[test]
 fn all_dispatchers_use_a_warming_engines_budget_and_no_more() {
-    let settings = settings_of_one(200, false);
+    let settings = fleet_settings(200, false);
     let warming_engine = EngineEntry {
         started: Some(1000.0),
         ..engine_entry("cold")
@@ -279,30 +284,33 @@
         * rules.overload_window
         / mean_work;
     let sent = total_sends(&settings, &[warming_engine], 0.0) as f64;
-    assert!(sent <= limit, "{sent} sends, it stands {limit}");
+    assert!(sent <= limit, "{sent} sends, limit {limit}");
     assert!(
         sent > 0.1 * limit,
-        "{sent} sends leave it idle, it stands {limit}"
+        "{sent} sends leave the engine idle, limit {limit}"
     );
 }
 
-/// What a fake fleet saw of one dispatcher: the final answers of each query, and which engine got an attempt when.
+/// What one dispatcher sent to a fake fleet.
 #[derive(Default)]
 struct RunResult {
-    ends: std::collections::BTreeMap<QueryId, u32>,
+    /// Number of final answers of each query.
+    final_answers: std::collections::BTreeMap<QueryId, u32>,
+    /// Time and engine of each attempt.
     sent: Vec<(f64, String)>,
     served: u32,
 }
 
-/// One query each 10 ms for `steps`, each needing 100 ms of work; `answers` says how an attempt ends after 40 ms.
+/// Submits a query every 10 ms for this many steps, each of 100 ms of work; an attempt ends after 40 ms
+/// with the outcome that `outcome_of` returns for the time and the engine.
 fn play(
     controller: &mut TestController,
     steps: u64,
-    answers: impl Fn(f64, &str) -> Outcome,
+    outcome_of: impl Fn(f64, &str) -> Outcome,
 ) -> RunResult {
     let mut result = RunResult::default();
     let mut in_flight: Vec<(f64, QueryId, u32, String)> = vec![];
-    let mut attempts = std::collections::BTreeMap::<QueryId, u32>::new();
+    let mut attempt_counts = std::collections::BTreeMap::<QueryId, u32>::new();
     let first = controller.now as QueryId * 1000;
     for step in 0..steps + 100 {
         let mut actions = controller.advance(10.0);
@@ -316,59 +324,59 @@
         loop {
             for (id, engine) in sent_attempts(&actions) {
                 result.sent.push((controller.now, engine.clone()));
-                let attempt = attempts.entry(id).or_default();
+                let attempt = attempt_counts.entry(id).or_default();
                 in_flight.push((controller.now + 40.0, id, *attempt, engine));
                 *attempt += 1;
             }
             final_answers(&actions)
                 .into_iter()
-                .for_each(|id| *result.ends.entry(id).or_default() += 1);
+                .for_each(|id| *result.final_answers.entry(id).or_default() += 1);
             actions.clear();
-            let Some(index) = in_flight.iter().position(|o| o.0 <= controller.now) else {
+            let Some(index) = in_flight.iter().position(|a| a.0 <= controller.now) else {
                 break;
             };
             let (_, id, attempt, engine) = in_flight.swap_remove(index);
-            let outcome = answers(controller.now, &engine);
+            let outcome = outcome_of(controller.now, &engine);
             if outcome == Outcome::Served {
-                *result.ends.entry(id).or_default() += 1;
+                *result.final_answers.entry(id).or_default() += 1;
                 result.served += 1;
             }
             actions = controller.end_attempt(id, attempt, outcome);
         }
     }
     assert_eq!(
-        result.ends.len() as u64,
+        result.final_answers.len() as u64,
         steps,
-        "every query came to an end"
+        "every query gets a final answer"
     );
     assert!(
-        result.ends.values().all(|n| *n == 1),
+        result.final_answers.values().all(|n| *n == 1),
         "one final answer each: {:?}",
-        result.ends
+        result.final_answers
     );
     result
 }
 
-/// The most work that was sent to one engine in any window of this many milliseconds.
+/// Returns the largest work that was sent to one engine in any window of this many milliseconds.
 fn peak_work_in_window(result: &RunResult, engine: &str, window: f64) -> f64 {
     let send_times: Vec<f64> = result
         .sent
         .iter()
-        .filter(|settings| settings.1 == engine)
-        .map(|settings| settings.0)
+        .filter(|s| s.1 == engine)
+        .map(|s| s.0)
         .collect();
-    let work_in_window = |t: &f64| {
+    let sends_in_window = |start: &f64| {
         send_times
             .iter()
-            .filter(|u| *u >= t && **u < t + window)
+            .filter(|at| *at >= start && **at < start + window)
             .count()
     };
-    send_times.iter().map(work_in_window).max().unwrap_or(0) as f64 * 100.0
+    send_times.iter().map(sends_in_window).max().unwrap_or(0) as f64 * 100.0
 }
 
 #[test]
 fn all_warming_engines_are_used_to_their_limit_and_every_query_is_answered() {
-    let mut settings = settings_of_one(1, false);
+    let mut settings = fleet_settings(1, false);
     settings.kinds[0].cores = 2.0;
     let rules = settings.rules.clone();
     let warming_engine = |i| EngineEntry {
@@ -384,24 +392,24 @@
             peak_work_in_window(&result, engine, rules.overload_window),
             rules.overload_multiple * capacity * 2.0 * 1500.0,
         );
-        assert!(peak <= bound, "{engine}: {peak} of {bound}");
+        assert!(peak <= bound, "{engine}: work {peak}, limit {bound}");
         assert!(
             peak > 0.5 * bound,
-            "{engine} is cold, not closed: {peak} of {bound}"
+            "{engine} is warming up but usable: work {peak}, limit {bound}"
         );
     }
     assert!(
-        result.served >= 60 && result.ends.len() as u32 > result.served,
-        "{} served, the rest refused",
+        result.served >= 60 && result.final_answers.len() as u32 > result.served,
+        "{} queries served, the rest must be refused",
         result.served
     );
 }
 
 #[test]
 fn full_fleet_replacement_uses_only_the_new_engines() {
-    let mut controller = TestController::new(settings_of_one(1, false), fleet(4));
+    let mut controller = TestController::new(fleet_settings(1, false), fleet(4));
     play(&mut controller, 40, |_, _| Outcome::Served);
-    // Queries are out on the old ones when they go: their connections break with them.
+    // Queries are in flight on the old engines when they are removed and their connections break.
     let in_flight: Vec<QueryId> = (1..=6).collect();
     let out: Vec<_> = in_flight
         .iter()
@@ -425,26 +433,33 @@
         .iter()
         .for_each(|&id| actions.extend(controller.end_attempt(id, 0, Outcome::Reset)));
     actions.extend(controller.advance(100.0));
-    let moved = sent_attempts(&actions);
+    let retried = sent_attempts(&actions);
     assert_eq!(
-        moved.len(),
+        retried.len(),
         6,
-        "what is harmless to repeat goes on: {actions:?}"
+        "idempotent queries are retried: {actions:?}"
+    );
+    assert!(
+        retried.iter().all(|(_, e)| e.starts_with("new")),
+        "{retried:?}"
     );
-    assert!(moved.iter().all(|(_, e)| e.starts_with("new")), "{moved:?}");
     in_flight
         .iter()
         .for_each(|&id| drop(controller.end_attempt(id, 1, Outcome::Served)));
     let result = play(&mut controller, 100, |_, _| Outcome::Served);
     assert!(result.sent.iter().all(|(_, e)| e.starts_with("new")));
-    assert!(result.served > 80, "{} of 100", result.served);
+    assert!(
+        result.served > 80,
+        "{} of 100 queries served",
+        result.served
+    );
 }
 
 #[test]
 fn engine_out_of_connections_is_retried_once_a_second_and_loses_no_query() {
     let mut connections = 0;
     for seed in 0..30 {
-        let mut controller = TestController::seeded(settings_of_one(30, false), fleet(6), seed);
+        let mut controller = TestController::seeded(fleet_settings(30, false), fleet(6), seed);
         let result = play(&mut controller, 500, |_, e| {
             if e == "e0" {
                 Outcome::Unreachable
@@ -454,33 +469,37 @@
         });
         assert_eq!(
             result.served, 500,
-            "gateway {seed}: the next engine serves what was refused"
+            "dispatcher {seed}: another engine serves the queries that e0 cannot accept"
         );
         let attempt_times: Vec<f64> = result
             .sent
             .iter()
-            .filter(|settings| settings.1 == "e0")
-            .map(|settings| settings.0)
+            .filter(|s| s.1 == "e0")
+            .map(|s| s.0)
             .collect();
-        // One is at work on the connection while others may be sent: a try is what begins a second later.
-        let rounds = attempt_times
+        // Several attempts may be sent before the first one fails: a try begins 900 ms or more after the
+        // last attempt.
+        let tries = attempt_times
             .iter()
             .zip(std::iter::once(&f64::MIN).chain(&attempt_times))
-            .filter(|(t, u)| **t > **u + 900.0);
+            .filter(|(at, previous)| **at > **previous + 900.0);
         assert!(
-            rounds.count() <= 6 && attempt_times.len() <= 30,
-            "gateway {seed}: {} connections in 5 s",
+            tries.count() <= 6 && attempt_times.len() <= 30,
+            "dispatcher {seed}: {} connections in 5 s",
             attempt_times.len()
         );
         connections += attempt_times.len();
     }
-    assert!(connections > 0, "nobody met it: the test tells nothing");
+    assert!(
+        connections > 0,
+        "no dispatcher used e0: the test proves nothing"
+    );
 }
 
 #[test]
 fn duplicate_or_unknown_list_entries_change_nothing() {
-    let mut controller = TestController::new(settings_of_one(1, false), fleet(3));
-    let out = sent_attempts(&controller.submit(query(1, 0)));
+    let mut controller = TestController::new(fleet_settings(1, false), fleet(3));
+    let in_flight = sent_attempts(&controller.submit(query(1, 0)));
     for update in [ListUpdate::Patch, ListUpdate::Snapshot, ListUpdate::Patch] {
         let repeated = controller.handle(Event::EngineList {
             update,
@@ -489,7 +508,7 @@
         assert_eq!(
             (sent_attempts(&repeated), final_answers(&repeated)),
             (vec![], vec![]),
-            "what is out stays out"
+            "a repeated entry leaves attempts in flight alone"
         );
     }
     let removed = EngineEntry {
@@ -502,8 +521,9 @@
     });
     let result = play(&mut controller, 60, |_, _| Outcome::Served);
     assert!(result.sent.iter().all(|(_, e)| e != "never"));
-    assert_eq!((out.len(), result.served), (1, 60));
-    // The id of one that has gone comes back as a new process: it is cold, and what was known of it is forgotten.
+    assert_eq!((in_flight.len(), result.served), (1, 60));
+    // A removed engine's id returns as a new process: it is cold, and earlier observations of it are
+    // discarded.
     let removed = EngineEntry {
         state: EngineState::Gone,
         ..engine_entry("e0")
@@ -529,10 +549,10 @@
     assert!(peak_work_in_window(&result, "e0", rules.overload_window) <= bound);
 }
 
-/// Its failures and its crowd were true half a minute ago; nobody has met it since.
+/// The engine's failures and load are half a minute old, and it has not been used since.
 #[test]
 fn rarely_used_engine_is_not_evaluated_by_old_observations() {
-    let mut controller = TestController::new(settings_of_one(1, false), fleet(2));
+    let mut controller = TestController::new(fleet_settings(1, false), fleet(2));
     let result = play(&mut controller, 60, |_, e| {
         if e == "e0" {
             Outcome::Error
@@ -541,25 +561,16 @@
         }
     });
     assert!(
-        result
-            .sent
-            .iter()
-            .filter(|settings| settings.1 == "e0")
-            .count()
-            < 30,
-        "left while it fails"
+        result.sent.iter().filter(|s| s.1 == "e0").count() < 30,
+        "avoided while it fails"
     );
     controller.handle(engine_report("e0", 60.0));
     controller.advance(30_000.0);
     let result = play(&mut controller, 100, |_, _| Outcome::Served);
-    let recent_sends = result
-        .sent
-        .iter()
-        .filter(|settings| settings.1 == "e0")
-        .count();
+    let recent_sends = result.sent.iter().filter(|s| s.1 == "e0").count();
     assert!(
         recent_sends >= 25,
-        "{recent_sends} of {} half a minute later",
+        "{recent_sends} of {} sends half a minute later",
         result.sent.len()
     );
 }
