--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,9 +1,11 @@
-//! The decision module under scripted events: settings, an engine list, queries and a controller with its clock.
+//! Helpers for tests of the decision module with scripted events: settings, engine lists, queries and a
+//! controller with its own clock.
 #![allow(dead_code)]
 
 use query_dispatcher::*;
 
-/// An idempotent single-threaded class with this priority weight and latency objective in milliseconds.
+/// Returns an idempotent single-threaded class with this priority weight and latency objective in
+/// milliseconds.
 pub(crate) fn class(priority_weight: f64, latency_objective: f64) -> Class {
     Class {
         priority_weight,
@@ -20,7 +22,7 @@
     }
 }
 
-/// Settings of a single dispatcher with these classes and two kinds of engine.
+/// Returns the settings of a single dispatcher with these classes and two kinds of engine.
 pub(crate) fn test_settings(classes: Vec<Class>) -> Settings {
     Settings {
         dispatchers: 1,
@@ -71,7 +73,7 @@
     }
 }
 
-/// A ready, warm engine of the first kind in the first zone.
+/// Returns the list entry of a ready, warm engine of the first kind in the first zone.
 pub(crate) fn engine_entry(engine: &str) -> EngineEntry {
     EngineEntry {
         engine: engine.into(),
@@ -83,7 +85,7 @@
     }
 }
 
-/// A query without estimates that waits for four seconds.
+/// Returns a query without estimates that waits for four seconds.
 pub(crate) fn query(id: QueryId, class: ClassId) -> Query {
     Query {
         id,
@@ -97,29 +99,29 @@
     }
 }
 
-/// This many engines, `e0` and on, all ready and warm.
+/// Returns the list entries of this many engines, named from `e0` on, all ready and warm.
 pub(crate) fn fleet(engine_count: usize) -> Vec<EngineEntry> {
     (0..engine_count)
         .map(|i| engine_entry(&format!("e{i}")))
         .collect()
 }
 
-/// The decision module with a clock of its own, in milliseconds.
+/// The decision module with its own clock, in milliseconds.
 pub(crate) struct TestController {
     pub(crate) inner: Controller,
     pub(crate) now: f64,
 }
 
 impl TestController {
-    /// A controller with seed 1 and this engine list.
-    pub(crate) fn new(s: Settings, engines: Vec<EngineEntry>) -> Self {
-        Self::seeded(s, engines, 1)
+    /// Creates a controller with seed 1 and this engine list.
+    pub(crate) fn new(settings: Settings, engines: Vec<EngineEntry>) -> Self {
+        Self::seeded(settings, engines, 1)
     }
 
-    /// A controller with this seed and engine list.
-    pub(crate) fn seeded(s: Settings, engines: Vec<EngineEntry>, seed: u64) -> Self {
+    /// Creates a controller with this seed and engine list.
+    pub(crate) fn seeded(settings: Settings, engines: Vec<EngineEntry>, seed: u64) -> Self {
         let mut controller = TestController {
-            inner: Controller::new(s, seed).unwrap(),
+            inner: Controller::new(settings, seed).unwrap(),
             now: 1000.0,
         };
         controller.handle(Event::EngineList {
@@ -129,14 +131,15 @@
         controller
     }
 
-    /// Handles an event now and gives the actions.
+    /// Handles an event now and returns the actions.
     pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = vec![];
         self.inner.handle(self.now, event, &mut out);
         out
     }
 
-    /// Advances the clock by this many milliseconds, with a timer event each 20 ms, and gives the actions.
+    /// Advances the clock by this many milliseconds, with a timer event every 20 ms, and returns the
+    /// actions.
     pub(crate) fn advance(&mut self, ms: f64) -> Vec<Action> {
         let end = self.now + ms;
         let mut all = vec![];
@@ -147,12 +150,12 @@
         all
     }
 
-    /// A query arrives now.
-    pub(crate) fn submit(&mut self, q: Query) -> Vec<Action> {
-        self.handle(Event::Query(q))
+    /// Submits a query now and returns the actions.
+    pub(crate) fn submit(&mut self, query: Query) -> Vec<Action> {
+        self.handle(Event::Query(query))
     }
 
-    /// An attempt ends now with this outcome.
+    /// Ends an attempt now with this outcome and returns the actions.
     pub(crate) fn end_attempt(
         &mut self,
         id: QueryId,
@@ -163,7 +166,7 @@
     }
 }
 
-/// The event of an attempt that ended with this outcome.
+/// Returns the end of an attempt with this outcome, which is final if the query was served.
 pub(crate) fn attempt_ended(id: QueryId, attempt: u32, outcome: Outcome) -> Ended {
     let last = outcome == Outcome::Served;
     Ended {
@@ -178,7 +181,7 @@
     }
 }
 
-/// The query and the engine of each attempt that these actions send.
+/// Returns the query and the engine of each attempt that these actions send.
 pub(crate) fn sent_attempts(actions: &[Action]) -> Vec<(QueryId, String)> {
     actions
         .iter()
@@ -189,7 +192,7 @@
         .collect()
 }
 
-/// The memory granted by the first terms among these actions, in megabytes.
+/// Returns the memory granted by the first terms among these actions, in megabytes.
 pub(crate) fn granted_memory(actions: &[Action]) -> Option<f64> {
     actions.iter().find_map(|action| match action {
         Action::Terms { memory_mb, .. } => Some(*memory_mb),
@@ -197,7 +200,7 @@
     })
 }
 
-/// The queries that these actions refuse or fail.
+/// Returns the queries that these actions refuse or fail.
 pub(crate) fn final_answers(actions: &[Action]) -> Vec<QueryId> {
     actions
         .iter()
