--- a/tests/recorded_decisions.rs
+++ b/tests/recorded_decisions.rs
@@ -1,5 +1,6 @@
-//! Seeded event streams whose every decision is held by a digest. A change that must not alter decisions (renames,
-//! splits) leaves all digests as they are; one that alters them on purpose records them anew and says so.
+//! Plays seeded event streams against the decision module and the request core, and compares a digest of
+//! every decision with the recorded one. A change that must not alter decisions (a rename, a split) leaves
+//! all digests as they are; one that alters decisions on purpose records new digests and names the reason.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -26,15 +27,16 @@
 use testbed::scenario::Scenario;
 use testbed::simulation::{play, policy::Policy};
 
-/// Streams of each profile, each with its own seed.
+/// Seeds of the streams of each profile of the decision module.
 const CONTROLLER_SEEDS: std::ops::Range<u64> = 0..16;
+/// Seeds of the streams of each profile of the request core.
 const CORE_SEEDS: std::ops::Range<u64> = 100..112;
 
 const SCENARIO_SEED: u64 = 7;
-/// So much of each scenario is played, in seconds.
+/// Length of the part of each scenario that is played, in seconds.
 const SCENARIO_S: f64 = 45.0;
 
-/// Compares a finished record with what was recorded for this profile.
+/// Asserts that a finished record equals the recorded one of this profile.
 fn compare(profile: &str, record: Record) {
     let (counts, digest) = record.finish();
     compare_texts(profile, &counts, &digest);
@@ -45,7 +47,7 @@
     let (old_counts, old_digest) = expected.map_or(("", ""), |row| (row.counts, row.digest));
     assert!(
         (old_counts, old_digest) == (counts, digest),
-        "profile {profile} decides otherwise than recorded\n\
+        "the decisions of profile {profile} differ from the recorded ones\n\
          expected digest {old_digest}\n     new digest {digest}\n\
          expected counts {old_counts}\n     new counts {counts}"
     );
@@ -93,10 +95,10 @@
 );
 
 const CORE: CoreTraffic = CoreTraffic {
-    open: 1000,
+    max_open_requests: 1000,
     peers: 0,
-    operators: false,
-    stops: false,
+    drains_engines: false,
+    shuts_down: false,
 };
 
 #[test]
@@ -106,7 +108,10 @@
 
 #[test]
 fn core_with_few_open_requests() {
-    let traffic = CoreTraffic { open: 12, ..CORE };
+    let traffic = CoreTraffic {
+        max_open_requests: 12,
+        ..CORE
+    };
     check_core(
         "core_with_few_open_requests",
         "memory_overcommitted",
@@ -118,7 +123,7 @@
 fn core_with_peers_and_operators() {
     let traffic = CoreTraffic {
         peers: 3,
-        operators: true,
+        drains_engines: true,
         ..CORE
     };
     check_core(
@@ -131,31 +136,31 @@
 #[test]
 fn core_with_loads_that_stops() {
     let traffic = CoreTraffic {
-        operators: true,
-        stops: true,
+        drains_engines: true,
+        shuts_down: true,
         ..CORE
     };
     check_core("core_with_loads_that_stops", "loads_hold_tables", traffic);
 }
 
-/// Plays a scenario in virtual time with the real core at each gateway; the simulator mixes every event of it, in order,
-/// into one hash.
+/// Plays a scenario in virtual time with the real core at each dispatcher. The simulator mixes every event,
+/// in order, into one hash.
 fn check_scenario(file: &str) {
     let path = format!("{}/lab/scenarios/{file}.json5", env!("CARGO_MANIFEST_DIR"));
-    let whole = Scenario::read(path.as_ref()).expect("a scenario");
+    let full = Scenario::read(path.as_ref()).expect("the scenario file is valid");
     let scenario = Scenario {
         seconds: SCENARIO_S,
-        ..whole
+        ..full
     };
-    let day = play(&scenario, Policy::Module, SCENARIO_SEED);
+    let run = play(&scenario, Policy::Module, SCENARIO_SEED);
     let counts = format!(
         "simulated-events={} simulated-attempts={}",
-        day.events, day.attempts
+        run.events, run.attempts
     );
     compare_texts(
         &format!("scenario {file}"),
         &counts,
-        &format!("{:016x}", day.hash),
+        &format!("{:016x}", run.hash),
     );
 }
 
@@ -174,7 +179,8 @@
     check_scenario("festival-night");
 }
 
-/// The kinds of line that must come often enough for the digests to mean anything, with the least count of each.
+/// Kinds of line that must occur often enough for the digests to be meaningful, with the minimum count of
+/// each.
 const EXERCISED: [(&str, u64); 42] = [
     ("answer-failed", 50),
     ("answer-refused", 50),
@@ -222,18 +228,18 @@
 
 #[test]
 fn streams_exercise_every_kind_of_event_and_action() {
-    for (kind, least) in EXERCISED {
+    for (kind, min_count) in EXERCISED {
         let pairs = EXPECTED
             .iter()
             .flat_map(|row| row.counts.split_whitespace());
         let of_kind =
             pairs.filter_map(|pair| pair.split_once('=').filter(|(name, _)| *name == kind));
         let total: u64 = of_kind
-            .map(|(_, count)| count.parse::<u64>().expect("a count"))
+            .map(|(_, count)| count.parse::<u64>().expect("the count is a number"))
             .sum();
         assert!(
-            total >= least,
-            "{kind}: {total} in all profiles, at least {least} are due"
+            total >= min_count,
+            "{kind}: {total} in all profiles, expected at least {min_count}"
         );
     }
 }
--- a/tests/recorded_decisions/controller_stream.rs
+++ b/tests/recorded_decisions/controller_stream.rs
@@ -1,14 +1,15 @@
-//! One seeded event stream against the decision module: a toy model of engines answers what the module sends.
+//! A seeded event stream against the decision module: simulated engines answer the attempts that the module
+//! sends.
 
 use crate::profiles::Traffic;
-use crate::random::{Agenda, Random};
+use crate::random::{Random, StepQueue};
 use crate::record::{Record, bits};
 use crate::vocabulary::*;
 use std::collections::BTreeMap;
 
-/// Virtual time that a stream lasts, in milliseconds.
-const STREAM_MS: f64 = 5500.0;
-/// Engine names in the list's pool beyond those at the start: names that come later, and come back.
+/// Virtual time at which a stream ends, in milliseconds.
+const STREAM_END_MS: f64 = 5500.0;
+/// Number of engines beyond those listed at the start; they are listed later and may return after removal.
 const SPARE_ENGINES: usize = 3;
 
 enum Step {
@@ -26,10 +27,10 @@
         request: u64,
         attempt: usize,
     },
-    Leave {
+    Disconnect {
         request: u64,
     },
-    Wake {
+    Timer {
         token: u64,
     },
     ProbeAnswer {
@@ -37,26 +38,26 @@
     },
     LoadReport,
     ListChange,
-    WholeList,
+    FullList,
     ListFailure,
-    Share,
-    Survey,
-    Nonsense,
+    ProcessCount,
+    CheckEjected,
+    InvalidEvent,
 }
 
-struct ToyAttempt {
+struct SimulatedAttempt {
     engine: usize,
-    sent: f64,
-    usual_end: f64,
-    out: bool,
+    sent_at: f64,
+    expected_end: f64,
+    in_flight: bool,
 }
 
-struct ToyRequest {
+struct SimulatedRequest {
     closed: bool,
     deadline: f64,
     work: f64,
     memory_mb: f64,
-    attempts: Vec<ToyAttempt>,
+    attempts: Vec<SimulatedAttempt>,
 }
 
 pub(crate) struct Stream<'a> {
@@ -64,9 +65,9 @@
     traffic: Traffic,
     random: Random,
     now: f64,
-    agenda: Agenda<Step>,
-    engines: Vec<ToyEngine>,
-    requests: BTreeMap<u64, ToyRequest>,
+    queue: StepQueue<Step>,
+    engines: Vec<SimulatedEngine>,
+    requests: BTreeMap<u64, SimulatedRequest>,
     controller: Controller,
     record: &'a mut Record,
 }
@@ -78,16 +79,16 @@
         seed: u64,
         record: &'a mut Record,
     ) -> Self {
-        let controller = Controller::new(settings.clone(), seed).expect("the settings are sound");
+        let controller = Controller::new(settings.clone(), seed).expect("the settings are valid");
         let engines = (0..traffic.engines + SPARE_ENGINES)
-            .map(|number| toy_engine(number, traffic))
+            .map(|number| simulated_engine(number, traffic))
             .collect();
         Stream {
             settings,
             traffic,
             random: Random::new(seed ^ 0x5eed),
             now: 1000.0,
-            agenda: Agenda::new(),
+            queue: StepQueue::new(),
             engines,
             requests: BTreeMap::new(),
             controller,
@@ -96,33 +97,33 @@
     }
 
     pub(crate) fn play(&mut self) {
-        self.plan_start();
-        while let Some((at, step)) = self.agenda.pop().filter(|(at, _)| *at <= STREAM_MS) {
+        self.schedule_start();
+        while let Some((at, step)) = self.queue.pop().filter(|(at, _)| *at <= STREAM_END_MS) {
             self.now = at;
             self.step(step);
         }
     }
 
-    fn plan_start(&mut self) {
+    fn schedule_start(&mut self) {
         let listed = self.engines[..self.traffic.engines].to_vec();
-        self.tell(list_event(Update::Stale, &listed));
+        self.send_event(list_event(Update::Stale, &listed));
         let first = [
             Step::Arrive,
             Step::LoadReport,
             Step::ListChange,
-            Step::Survey,
-            Step::Nonsense,
+            Step::CheckEjected,
+            Step::InvalidEvent,
         ];
         first
             .into_iter()
-            .for_each(|step| self.agenda.plan(1001.0, step));
+            .for_each(|step| self.queue.schedule(1001.0, step));
         for (from, to, step) in [
-            (1500.0, 4000.0, Step::Share),
-            (1500.0, 5500.0, Step::WholeList),
+            (1500.0, 4000.0, Step::ProcessCount),
+            (1500.0, 5500.0, Step::FullList),
             (1100.0, 4000.0, Step::ListFailure),
         ] {
             let at = self.random.between(from, to);
-            self.agenda.plan(at, step);
+            self.queue.schedule(at, step);
         }
     }
 
@@ -134,58 +135,58 @@
                 attempt,
                 outcome,
             } => self.end(request, attempt, outcome),
-            Step::ProgressNote { request, attempt } => self.note(request, attempt),
+            Step::ProgressNote { request, attempt } => self.send_note(request, attempt),
             Step::Stream { request, attempt } => {
-                if self.is_out(request, attempt) {
-                    self.tell(streaming_event(request, attempt as u32));
+                if self.is_in_flight(request, attempt) {
+                    self.send_event(streaming_event(request, attempt as u32));
                 }
             }
-            Step::Leave { request } => self.leave(request),
-            Step::Wake { token } => self.tell(timer_event(token)),
+            Step::Disconnect { request } => self.disconnect(request),
+            Step::Timer { token } => self.send_event(timer_event(token)),
             Step::ProbeAnswer { engine } => self.load_report(engine),
             Step::LoadReport => {
                 let engine = self.random.below(self.engines.len());
                 self.load_report(engine);
-                self.repeat(self.traffic.load_report_every, Step::LoadReport);
+                self.repeat(self.traffic.load_report_interval_ms, Step::LoadReport);
             }
             Step::ListChange => self.list_change(),
-            Step::WholeList => self.whole_list(),
-            Step::ListFailure => self.tell(list_failure_event()),
-            Step::Share => self.share(),
-            Step::Survey => self.survey(),
-            Step::Nonsense => self.nonsense(),
+            Step::FullList => self.full_list(),
+            Step::ListFailure => self.send_event(list_failure_event()),
+            Step::ProcessCount => self.change_process_count(),
+            Step::CheckEjected => self.check_ejected(),
+            Step::InvalidEvent => self.invalid_event(),
         }
     }
 
-    /// Plans a step about this long from now.
-    fn repeat(&mut self, average: f64, step: Step) {
-        let at = self.now + self.random.between(0.0, 2.0 * average);
-        self.agenda.plan(at, step);
+    /// Schedules a step after a random delay with this mean.
+    fn repeat(&mut self, mean_ms: f64, step: Step) {
+        let at = self.now + self.random.between(0.0, 2.0 * mean_ms);
+        self.queue.schedule(at, step);
     }
 
-    /// Gives the module one event and does what its actions ask for.
-    fn tell(&mut self, event: ControllerEvent) {
-        // A clock that jumps back or is none at all must change nothing.
+    /// Sends one event to the module, and records and carries out its actions.
+    fn send_event(&mut self, event: ControllerEvent) {
+        // A clock that jumps back or is not a number must change nothing.
         let clock = self
             .random
             .weighted(&[(self.now, 200), (self.now - 30.0, 1), (f64::NAN, 1)]);
-        self.record.line(event_word(&event), &bits(clock));
+        self.record.line(event_kind(&event), &bits(clock));
         let mut actions = vec![];
         self.controller.handle(clock, event, &mut actions);
         for action in &actions {
-            let (word, details) = action_text(action);
-            self.record.line(word, &details);
+            let (kind, details) = action_text(action);
+            self.record.line(kind, &details);
             self.carry_out(observe(action));
         }
     }
 
     fn carry_out(&mut self, observed: Observed) {
         match observed {
-            Observed::Sent { request, engine } => self.sent(request, &engine),
-            Observed::CancelAsked { request, attempt } => {
+            Observed::Sent { request, engine } => self.start_attempt(request, &engine),
+            Observed::CancelRequested { request, attempt } => {
                 let at = self.now + self.random.between(0.5, 6.0);
                 let attempt = attempt as usize;
-                self.agenda.plan(
+                self.queue.schedule(
                     at,
                     Step::End {
                         request,
@@ -195,20 +196,20 @@
                 );
             }
             Observed::Closed { request } => {
-                if let Some(toy) = self.requests.get_mut(&request) {
-                    toy.closed = true;
+                if let Some(simulated) = self.requests.get_mut(&request) {
+                    simulated.closed = true;
                 }
             }
-            Observed::ProbeAsked { engine } => {
+            Observed::ProbeRequested { engine } => {
                 let engine = self.engine_number(&engine);
                 let at = self.now + self.random.between(1.0, 40.0);
-                self.agenda.plan(at, Step::ProbeAnswer { engine });
+                self.queue.schedule(at, Step::ProbeAnswer { engine });
             }
-            Observed::WakeAsked { at, token } => {
-                self.agenda.plan(at.max(self.now), Step::Wake { token })
+            Observed::TimerRequested { at, token } => {
+                self.queue.schedule(at.max(self.now), Step::Timer { token })
             }
-            Observed::ListAsked => self.repeat(10.0, Step::WholeList),
-            Observed::NothingToDo => {}
+            Observed::ListRequested => self.repeat(10.0, Step::FullList),
+            Observed::Ignored => {}
         }
     }
 
@@ -219,25 +220,25 @@
             .expect("only listed engines are named")
     }
 
-    fn sent(&mut self, request: u64, engine: &str) {
+    fn start_attempt(&mut self, request: u64, engine: &str) {
         let engine = self.engine_number(engine);
-        let toy = &self.requests[&request];
-        let attempt = toy.attempts.len();
-        let crowd = 1.0 + self.engines[engine].running as f64 / 8.0;
-        let usual_end = self.now + toy.work * crowd * self.engines[engine].slowness;
-        let deadline = toy.deadline;
-        let outcome = match self.engines[engine].dead {
+        let simulated = &self.requests[&request];
+        let attempt = simulated.attempts.len();
+        let contention = 1.0 + self.engines[engine].in_flight as f64 / 8.0;
+        let expected_end = self.now + simulated.work * contention * self.engines[engine].slowness;
+        let deadline = simulated.deadline;
+        let outcome = match self.engines[engine].unresponsive {
             true => self
                 .random
                 .pick(&[Ending::Unreachable, Ending::Reset, Ending::TimedOut]),
-            false => draw_outcome(&mut self.random, self.traffic.trouble),
+            false => draw_outcome(&mut self.random, self.traffic.failure_weight),
         };
         let at = match outcome {
             Ending::TimedOut => deadline.min(self.now + self.random.between(100.0, 1500.0)),
-            Ending::Served => usual_end * self.random.between(1.0, 1.02),
+            Ending::Served => expected_end * self.random.between(1.0, 1.02),
             _ => self.random.between(self.now, self.now + 40.0),
         };
-        self.agenda.plan(
+        self.queue.schedule(
             at.max(self.now),
             Step::End {
                 request,
@@ -245,28 +246,28 @@
                 outcome,
             },
         );
-        if self.random.chance(self.traffic.notes) {
+        if self.random.chance(self.traffic.note_probability) {
             self.repeat(60.0, Step::ProgressNote { request, attempt });
         }
         if self.random.chance(0.05) {
             self.repeat(60.0, Step::Stream { request, attempt });
         }
-        self.engines[engine].running += 1;
-        let sent = self.now;
-        let toy = self
+        self.engines[engine].in_flight += 1;
+        let sent_at = self.now;
+        let simulated = self
             .requests
             .get_mut(&request)
             .expect("the request is known");
-        toy.attempts.push(ToyAttempt {
+        simulated.attempts.push(SimulatedAttempt {
             engine,
-            sent,
-            usual_end,
-            out: true,
+            sent_at,
+            expected_end,
+            in_flight: true,
         });
     }
 
-    fn is_out(&self, request: u64, attempt: usize) -> bool {
-        self.requests[&request].attempts[attempt].out
+    fn is_in_flight(&self, request: u64, attempt: usize) -> bool {
+        self.requests[&request].attempts[attempt].in_flight
     }
 
     fn arrive(&mut self) {
@@ -275,63 +276,67 @@
         let memory_mb = self.random.between(50.0, 3000.0);
         let time_left = self.random.pick(&[30.0, 400.0, 1200.0, 2500.0]);
         let deadline = self.now + time_left;
-        let toy = ToyRequest {
+        let simulated = SimulatedRequest {
             closed: false,
             deadline,
             work,
             memory_mb,
             attempts: vec![],
         };
-        self.requests.insert(request, toy);
+        self.requests.insert(request, simulated);
         let arrival = self.draw_arrival(request, work, memory_mb, time_left);
-        let gives_up = if self.random.chance(0.05) {
+        let leaves_at = if self.random.chance(0.05) {
             self.now + time_left / 4.0
         } else {
             deadline
         };
-        self.agenda.plan(gives_up, Step::Leave { request });
-        self.tell(arrival_event(arrival));
+        self.queue.schedule(leaves_at, Step::Disconnect { request });
+        self.send_event(arrival_event(arrival));
         self.repeat(1000.0 / self.traffic.arrivals_per_s, Step::Arrive);
     }
 
     fn draw_arrival(&mut self, request: u64, work: f64, memory_mb: f64, time_left: f64) -> Arrival {
-        let rough = self.random.between(0.4, 2.5);
-        let estimate = |true_value: f64, told: bool| told.then_some(true_value * rough);
-        let told = self.traffic.estimates && self.random.chance(0.8);
-        let named = |random: &mut Random, count: usize| {
+        let error_factor = self.random.between(0.4, 2.5);
+        let estimate =
+            |true_value: f64, estimated: bool| estimated.then_some(true_value * error_factor);
+        let estimated = self.traffic.estimates && self.random.chance(0.8);
+        let draw_name = |random: &mut Random, count: usize| {
             (count > 0 && random.chance(0.9)).then(|| random.below(count.max(1)) as u64)
         };
         Arrival {
             request,
             class: self.random.below(self.settings.classes.len()),
-            tenant: named(&mut self.random, self.settings.tenants.len())
+            tenant: draw_name(&mut self.random, self.settings.tenants.len())
                 .map(|tenant| tenant as usize),
-            key: named(&mut self.random, self.traffic.keys).map(|key| format!("key-{key}")),
-            tables: named(&mut self.random, self.traffic.tables),
+            key: draw_name(&mut self.random, self.traffic.keys).map(|key| format!("key-{key}")),
+            table_group: draw_name(&mut self.random, self.traffic.table_groups),
             time_left,
             work: if self.random.chance(0.01) {
                 Some(f64::NAN)
             } else {
-                estimate(work, told)
+                estimate(work, estimated)
             },
-            memory_mb: estimate(memory_mb, told),
+            memory_mb: estimate(memory_mb, estimated),
         }
     }
 
     fn end(&mut self, request: u64, attempt: usize, outcome: Ending) {
-        if !self.is_out(request, attempt) {
+        if !self.is_in_flight(request, attempt) {
             return;
         }
-        let toy = self
+        let simulated = self
             .requests
             .get_mut(&request)
             .expect("the request is known");
-        toy.attempts[attempt].out = false;
-        toy.closed |= outcome == Ending::Served;
-        let (engine, sent) = (toy.attempts[attempt].engine, toy.attempts[attempt].sent);
-        self.engines[engine].running -= 1;
-        let told = outcome == Ending::Served && self.settings.engines.reports_cost;
-        let silent = matches!(
+        simulated.attempts[attempt].in_flight = false;
+        simulated.closed |= outcome == Ending::Served;
+        let (engine, sent_at) = (
+            simulated.attempts[attempt].engine,
+            simulated.attempts[attempt].sent_at,
+        );
+        self.engines[engine].in_flight -= 1;
+        let reports_cost = outcome == Ending::Served && self.settings.engines.reports_cost;
+        let without_report = matches!(
             outcome,
             Ending::TimedOut | Ending::Unreachable | Ending::Reset
         );
@@ -339,127 +344,129 @@
             request,
             attempt: attempt as u32,
             outcome,
-            last: toy.closed,
-            latency: self.now - sent,
-            work: told.then_some(toy.work),
-            memory_mb: told.then_some(toy.memory_mb),
-            report: if silent {
+            last: simulated.closed,
+            latency: self.now - sent_at,
+            work: reports_cost.then_some(simulated.work),
+            memory_mb: reports_cost.then_some(simulated.memory_mb),
+            report: if without_report {
                 vec![]
             } else {
                 self.draw_report(engine)
             },
         };
-        self.tell(end_event(end));
+        self.send_event(end_event(end));
     }
 
     fn draw_report(&mut self, engine: usize) -> Vec<f64> {
         draw_report(
             &mut self.random,
             &self.settings,
-            self.engines[engine].running,
+            self.engines[engine].in_flight,
         )
     }
 
-    fn note(&mut self, request: u64, attempt: usize) {
-        if !self.is_out(request, attempt) {
+    fn send_note(&mut self, request: u64, attempt: usize) {
+        if !self.is_in_flight(request, attempt) {
             return;
         }
-        let toy = &self.requests[&request].attempts[attempt];
-        let done = (self.now - toy.sent) / (toy.usual_end - toy.sent).max(1.0);
-        let lagging = if self.random.chance(0.1) { 0.05 } else { 1.0 };
-        let note = draw_note(&mut self.random, done * lagging);
+        let running = &self.requests[&request].attempts[attempt];
+        let completed =
+            (self.now - running.sent_at) / (running.expected_end - running.sent_at).max(1.0);
+        let progress_factor = if self.random.chance(0.1) { 0.05 } else { 1.0 };
+        let note = draw_note(&mut self.random, completed * progress_factor);
         self.repeat(80.0, Step::ProgressNote { request, attempt });
-        self.tell(note_event(request, attempt as u32, note));
+        self.send_event(note_event(request, attempt as u32, note));
     }
 
-    fn leave(&mut self, request: u64) {
-        let toy = self
+    fn disconnect(&mut self, request: u64) {
+        let simulated = self
             .requests
             .get_mut(&request)
             .expect("the request is known");
-        if !std::mem::replace(&mut toy.closed, true) {
-            self.tell(client_left_event(request));
+        if !std::mem::replace(&mut simulated.closed, true) {
+            self.send_event(client_left_event(request));
         }
     }
 
     fn load_report(&mut self, engine: usize) {
-        let outcome = if self.engines[engine].dead {
+        let outcome = if self.engines[engine].unresponsive {
             Ending::Unreachable
         } else {
             Ending::Served
         };
-        let report = if self.engines[engine].dead {
+        let report = if self.engines[engine].unresponsive {
             vec![]
         } else {
             self.draw_report(engine)
         };
         let name = self.engines[engine].name.clone();
-        self.tell(load_event(&name, outcome, report));
+        self.send_event(load_event(&name, outcome, report));
     }
 
-    /// One engine drains, goes, comes back, starts anew, moves or fails unseen.
+    /// Drains, removes, restores, restarts or moves one engine, or makes it unresponsive without a change
+    /// of the list.
     fn list_change(&mut self) {
         let number = self.random.below(self.engines.len());
         let started = self.now - self.random.between(0.0, 50.0);
         let zone = self.random.below(self.traffic.zones);
         let engine = &mut self.engines[number];
         match self.random.below(8) {
-            0 => engine.standing = Standing::Draining,
-            1 => engine.standing = Standing::Gone,
+            0 => engine.state = ListedState::Draining,
+            1 => engine.state = ListedState::Gone,
             2 | 3 => {
-                (engine.standing, engine.started, engine.dead) =
-                    (Standing::Ready, Some(started), false)
+                (engine.state, engine.started, engine.unresponsive) =
+                    (ListedState::Ready, Some(started), false)
             }
-            4 | 5 => (engine.standing, engine.dead) = (Standing::Ready, false),
-            6 => engine.dead = true,
+            4 | 5 => (engine.state, engine.unresponsive) = (ListedState::Ready, false),
+            6 => engine.unresponsive = true,
             _ => (engine.zone, engine.slowness) = (zone, [1.0, 6.0][zone % 2]),
         }
         let changed = self.engines[number].clone();
-        self.tell(list_event(Update::Patch, &[changed]));
-        self.repeat(self.traffic.list_change_every, Step::ListChange);
+        self.send_event(list_event(Update::Patch, &[changed]));
+        self.repeat(self.traffic.list_change_interval_ms, Step::ListChange);
     }
 
-    fn whole_list(&mut self) {
+    fn full_list(&mut self) {
         let update = if self.random.chance(0.3) {
             Update::Stale
         } else {
             Update::Snapshot
         };
-        let listed: Vec<ToyEngine> = self
+        let listed: Vec<SimulatedEngine> = self
             .engines
             .iter()
-            .filter(|engine| engine.standing != Standing::Gone)
+            .filter(|engine| engine.state != ListedState::Gone)
             .cloned()
             .collect();
         let absent = self.random.below(listed.len().max(1));
-        let kept: Vec<ToyEngine> = listed
+        let kept: Vec<SimulatedEngine> = listed
             .into_iter()
             .enumerate()
             .filter(|(number, _)| *number != absent)
             .map(|pair| pair.1)
             .collect();
-        self.tell(list_event(update, &kept));
+        self.send_event(list_event(update, &kept));
     }
 
-    fn share(&mut self) {
+    fn change_process_count(&mut self) {
         let processes = self.random.pick(&[0, 1, 2, 2]);
         self.record.line("share", &processes.to_string());
         self.controller.set_process_count(processes);
-        self.repeat(700.0, Step::Share);
+        self.repeat(700.0, Step::ProcessCount);
     }
 
-    /// Records which engines are avoided now.
-    fn survey(&mut self) {
+    /// Records which engines are ejected now.
+    fn check_ejected(&mut self) {
         for engine in &self.engines {
             if self.controller.is_ejected(&engine.name) {
                 self.record.line("avoided", &engine.name);
             }
         }
-        self.repeat(100.0, Step::Survey);
+        self.repeat(100.0, Step::CheckEjected);
     }
 
-    /// An event about something that nobody knows, or that cannot be.
-    fn nonsense(&mut self) {
+    /// Sends an event that names an unknown item or carries invalid values.
+    fn invalid_event(&mut self) {
         let known = self.requests.len().saturating_sub(1) as u64;
         let unknown = 1_000_000_000;
         let arrival = |request, class, time_left| Arrival {
@@ -467,7 +474,7 @@
             class,
             tenant: Some(99),
             key: None,
-            tables: None,
+            table_group: None,
             time_left,
             work: Some(-1.0),
             memory_mb: Some(f64::INFINITY),
@@ -481,26 +488,27 @@
             5 => load_event("nobody", Ending::Unreachable, vec![1.0]),
             _ => streaming_event(unknown, 0),
         };
-        self.tell(event);
-        self.repeat(300.0, Step::Nonsense);
+        self.send_event(event);
+        self.repeat(300.0, Step::InvalidEvent);
     }
 }
 
-pub(crate) fn toy_engine(number: usize, traffic: Traffic) -> ToyEngine {
+/// Returns an engine of the initial list, or a spare one that the list does not hold yet.
+pub(crate) fn simulated_engine(number: usize, traffic: Traffic) -> SimulatedEngine {
     let spare = number >= traffic.engines;
-    ToyEngine {
+    SimulatedEngine {
         name: format!("e{number}"),
-        standing: if spare {
-            Standing::Gone
+        state: if spare {
+            ListedState::Gone
         } else {
-            Standing::Ready
+            ListedState::Ready
         },
         started: (number % 4 == 3).then_some(900.0),
         kind: number % 2,
         zone: number % traffic.zones,
         cell: (number / 2) as i64,
         slowness: if number % 5 == 4 { 3.0 } else { 1.0 },
-        dead: false,
-        running: 0,
+        unresponsive: false,
+        in_flight: 0,
     }
 }
--- a/tests/recorded_decisions/core_stream.rs
+++ b/tests/recorded_decisions/core_stream.rs
@@ -1,32 +1,35 @@
-//! One seeded stream against the request core: clients, operators, peers and toy engines that answer its commands.
+//! A seeded stream against the request core: simulated clients, operators, peers and engines that answer
+//! its commands.
 
-use crate::controller_stream::toy_engine;
-use crate::profiles::{Traffic, core_bounds};
-use crate::random::{Agenda, Random};
+use crate::controller_stream::simulated_engine;
+use crate::profiles::{Traffic, core_limits};
+use crate::random::{Random, StepQueue};
 use crate::record::{Record, bits, optional_bits};
 use crate::vocabulary::*;
 use query_dispatcher::core::AttemptId;
 use std::collections::BTreeSet;
 
-/// Virtual time that a stream lasts, in milliseconds, and the moment at which it begins.
+/// Virtual duration of a stream, in milliseconds.
 const STREAM_MS: f64 = 5000.0;
+/// Virtual time at which a stream begins, in milliseconds.
 const BEGIN: f64 = 1_000_000.0;
 
-/// What a stream brings beyond the profile of the decision module.
+/// Properties of a stream beyond the profile of the decision module.
 #[derive(Clone, Copy)]
 pub(crate) struct CoreTraffic {
-    pub(crate) open: usize,
-    /// Dispatchers that tell each other of loads; 0: none do.
+    /// Maximum number of open requests.
+    pub(crate) max_open_requests: usize,
+    /// Number of dispatchers that exchange load reports; 0 disables gossip.
     pub(crate) peers: u32,
-    /// Operators take engines out and put them back.
-    pub(crate) operators: bool,
-    /// The process stops before the stream ends.
-    pub(crate) stops: bool,
+    /// Operators drain engines and return them to service.
+    pub(crate) drains_engines: bool,
+    /// The process shuts down before the stream ends.
+    pub(crate) shuts_down: bool,
 }
 
 enum Step {
     Open,
-    Leave {
+    Disconnect {
         request: u64,
     },
     End {
@@ -34,20 +37,20 @@
         engine: usize,
         outcome: Ending,
     },
-    Begin {
+    FirstPage {
         attempt: AttemptId,
         engine: usize,
     },
     ProgressNote {
         attempt: AttemptId,
     },
-    Written,
+    Dispatched,
     ListChange,
-    WholeList,
-    Operator,
+    FullList,
+    DrainOrUndrain,
     PeerMessage,
-    Share,
-    Stop,
+    ProcessCount,
+    Shutdown,
     Metrics,
 }
 
@@ -57,11 +60,11 @@
     core_traffic: CoreTraffic,
     random: Random,
     now: f64,
-    agenda: Agenda<Step>,
-    engines: Vec<ToyEngine>,
+    queue: StepQueue<Step>,
+    engines: Vec<SimulatedEngine>,
     running: BTreeSet<AttemptId>,
     core: Core,
-    /// What the core told its peers; it comes back as if a peer had sent it.
+    /// Gossip messages of the core, which return to it as if a peer had sent them.
     peer_messages: Vec<Vec<u8>>,
     class_names: Vec<String>,
     record: &'a mut Record,
@@ -75,8 +78,12 @@
         seed: u64,
         record: &'a mut Record,
     ) -> Self {
-        let mut core =
-            Core::new(settings.clone(), seed, core_bounds(core_traffic.open)).expect("sound");
+        let mut core = Core::new(
+            settings.clone(),
+            seed,
+            core_limits(core_traffic.max_open_requests),
+        )
+        .expect("the settings are valid");
         if core_traffic.peers > 0 {
             let fields = settings.report_fields.len();
             core.join_gossip(GossipBudget {
@@ -90,14 +97,14 @@
                 .map(|class| format!("class-{class}"))
                 .collect(),
             engines: (0..traffic.engines + 1)
-                .map(|number| toy_engine(number, traffic))
+                .map(|number| simulated_engine(number, traffic))
                 .collect(),
             settings,
             traffic,
             core_traffic,
             random: Random::new(seed ^ 0xc0de),
             now: BEGIN,
-            agenda: Agenda::new(),
+            queue: StepQueue::new(),
             running: BTreeSet::new(),
             core,
             peer_messages: vec![],
@@ -106,13 +113,13 @@
     }
 
     pub(crate) fn play(&mut self) {
-        self.plan_start();
+        self.schedule_start();
         while let Some(at) = self.next_time().filter(|at| *at <= BEGIN + STREAM_MS) {
             self.now = at;
             if self.core.next_wakeup().is_some_and(|wake| wake <= at) {
                 self.record.line("tick", &bits(at));
                 self.core.tick(at);
-            } else if let Some((_, step)) = self.agenda.pop() {
+            } else if let Some((_, step)) = self.queue.pop() {
                 self.step(step);
             }
             self.settle();
@@ -120,7 +127,7 @@
     }
 
     fn next_time(&self) -> Option<f64> {
-        let times = [self.core.next_wakeup(), self.agenda.next_time()];
+        let times = [self.core.next_wakeup(), self.queue.next_time()];
         times
             .into_iter()
             .flatten()
@@ -128,31 +135,31 @@
             .map(|at| at.max(self.now))
     }
 
-    fn plan_start(&mut self) {
-        self.agenda.plan(BEGIN, Step::WholeList);
+    fn schedule_start(&mut self) {
+        self.queue.schedule(BEGIN, Step::FullList);
         let first = [
             Step::Open,
             Step::ListChange,
-            Step::Share,
+            Step::ProcessCount,
             Step::Metrics,
             Step::PeerMessage,
         ];
         first
             .into_iter()
-            .for_each(|step| self.agenda.plan(BEGIN + 1.0, step));
-        if self.core_traffic.operators {
-            self.agenda.plan(BEGIN + 200.0, Step::Operator);
+            .for_each(|step| self.queue.schedule(BEGIN + 1.0, step));
+        if self.core_traffic.drains_engines {
+            self.queue.schedule(BEGIN + 200.0, Step::DrainOrUndrain);
         }
-        if self.core_traffic.stops {
+        if self.core_traffic.shuts_down {
             let at = BEGIN + self.random.between(2500.0, 4000.0);
-            self.agenda.plan(at, Step::Stop);
+            self.queue.schedule(at, Step::Shutdown);
         }
     }
 
     fn step(&mut self, step: Step) {
         match step {
             Step::Open => self.open(),
-            Step::Leave { request } => {
+            Step::Disconnect { request } => {
                 self.record
                     .line("leave", &format!("{request} {}", bits(self.now)));
                 self.core.abandon(self.now, request);
@@ -162,20 +169,20 @@
                 engine,
                 outcome,
             } => self.end(attempt, engine, outcome),
-            Step::Begin { attempt, engine } => self.begin(attempt, engine),
-            Step::ProgressNote { attempt } => self.note(attempt),
-            Step::Written => self.core.record_dispatch(),
+            Step::FirstPage { attempt, engine } => self.first_page(attempt, engine),
+            Step::ProgressNote { attempt } => self.send_note(attempt),
+            Step::Dispatched => self.core.record_dispatch(),
             Step::ListChange => self.list_change(),
-            Step::WholeList => self.whole_list(),
-            Step::Operator => self.operator(),
+            Step::FullList => self.full_list(),
+            Step::DrainOrUndrain => self.drain_or_undrain(),
             Step::PeerMessage => self.peer_message(),
-            Step::Share => {
+            Step::ProcessCount => {
                 let processes = self.random.pick(&[1, 1, 2]);
                 self.record.line("share", &processes.to_string());
                 self.core.set_process_count(processes);
-                self.repeat(900.0, Step::Share);
+                self.repeat(900.0, Step::ProcessCount);
             }
-            Step::Stop => {
+            Step::Shutdown => {
                 self.record.line("stop", &bits(self.now));
                 self.core.begin_shutdown(self.now, self.now + 400.0);
             }
@@ -183,30 +190,31 @@
         }
     }
 
-    fn repeat(&mut self, average: f64, step: Step) {
-        let at = self.now + self.random.between(0.0, 2.0 * average);
-        self.agenda.plan(at, step);
+    fn repeat(&mut self, mean_ms: f64, step: Step) {
+        let at = self.now + self.random.between(0.0, 2.0 * mean_ms);
+        self.queue.schedule(at, step);
     }
 
-    /// Records what the core wants done, carries it out, and records how the core stands.
+    /// Records and carries out the core's commands, and records the core's state.
     fn settle(&mut self) {
         for command in self.core.take_commands() {
-            let (word, details) = command_text(&command);
-            self.record.line(word, &details);
+            let (kind, details) = command_text(&command);
+            self.record.line(kind, &details);
             match attempt_of(&command) {
-                Some((attempt, Some(engine))) => self.started(attempt, &engine),
+                Some((attempt, Some(engine))) => self.start_attempt(attempt, &engine),
                 Some((attempt, None)) => drop(self.running.remove(&attempt)),
                 None => {}
             }
-            self.peer_messages.extend(message_of(&command));
+            self.peer_messages.extend(broadcast_message(&command));
         }
-        let (ready, owed) = (self.core.is_ready(), self.core.unanswered_requests());
-        let wake = optional_bits(self.core.next_wakeup());
-        self.record.line("state", &format!("{ready} {owed} {wake}"));
+        let (ready, unanswered) = (self.core.is_ready(), self.core.unanswered_requests());
+        let wakeup = optional_bits(self.core.next_wakeup());
+        self.record
+            .line("state", &format!("{ready} {unanswered} {wakeup}"));
     }
 
     fn open(&mut self) {
-        let group_count = self.traffic.tables.max(1);
+        let group_count = self.traffic.table_groups.max(1);
         let time_left = self.random.pick(&[10.0, 200.0, 900.0, 2000.0]);
         let no_deadline = self.random.chance(0.01);
         let class = if self.random.chance(0.01) {
@@ -214,47 +222,49 @@
         } else {
             self.random.below(self.settings.classes.len())
         };
-        let told = self.random.chance(0.7);
+        let estimated = self.random.chance(0.7);
         let new_request = NewRequest {
             class,
             tenant: Some(self.random.below(3)),
-            group: (self.traffic.tables > 0).then(|| self.random.below(group_count) as u64),
+            group: (self.traffic.table_groups > 0).then(|| self.random.below(group_count) as u64),
             deadline: if no_deadline {
                 f64::INFINITY
             } else {
                 self.now + time_left
             },
-            work: told.then(|| self.random.between(10.0, 400.0)),
-            memory_mb: told.then(|| self.random.between(50.0, 3000.0)),
+            work: estimated.then(|| self.random.between(10.0, 400.0)),
+            memory_mb: estimated.then(|| self.random.between(50.0, 3000.0)),
         };
         let request = self.core.open(self.now, new_request);
         self.record
             .line("open", &format!("{request} {}", bits(self.now)));
         if self.random.chance(0.08) {
-            self.repeat(60.0, Step::Leave { request });
+            self.repeat(60.0, Step::Disconnect { request });
         }
         self.repeat(1000.0 / self.traffic.arrivals_per_s, Step::Open);
     }
 
-    fn started(&mut self, attempt: AttemptId, engine: &str) {
+    fn start_attempt(&mut self, attempt: AttemptId, engine: &str) {
         let engine = self
             .engines
             .iter()
-            .position(|toy| toy.name == engine)
-            .expect("a listed engine");
+            .position(|known| known.name == engine)
+            .expect("the core starts attempts on listed engines only");
         self.running.insert(attempt);
-        self.agenda.plan(self.now, Step::Written);
-        let outcome = draw_outcome(&mut self.random, self.traffic.trouble);
-        let takes = self.random.between(5.0, 300.0) * self.engines[engine].slowness;
+        self.queue.schedule(self.now, Step::Dispatched);
+        let outcome = draw_outcome(&mut self.random, self.traffic.failure_weight);
+        let duration = self.random.between(5.0, 300.0) * self.engines[engine].slowness;
         match outcome {
-            // It never ends by itself: the core's own time limits must end it.
+            // The attempt never ends by itself: the core's own timeouts must end it.
             Ending::TimedOut => {}
             Ending::Served if self.random.chance(0.4) => {
-                self.agenda
-                    .plan(self.now + takes / 2.0, Step::Begin { attempt, engine });
+                self.queue.schedule(
+                    self.now + duration / 2.0,
+                    Step::FirstPage { attempt, engine },
+                );
             }
-            _ => self.agenda.plan(
-                self.now + takes,
+            _ => self.queue.schedule(
+                self.now + duration,
                 Step::End {
                     attempt,
                     engine,
@@ -262,12 +272,12 @@
                 },
             ),
         }
-        if self.random.chance(self.traffic.notes) {
+        if self.random.chance(self.traffic.note_probability) {
             self.repeat(60.0, Step::ProgressNote { attempt });
         }
     }
 
-    fn begin(&mut self, attempt: AttemptId, engine: usize) {
+    fn first_page(&mut self, attempt: AttemptId, engine: usize) {
         self.record.line("answering", &bits(self.now));
         self.core.page_received(self.now, attempt);
         let outcome = if self.random.chance(0.9) {
@@ -294,18 +304,18 @@
         );
         let counted = self.core.attempt_ended(self.now, attempt, outcome, report);
         self.record.line(
-            outcome_word(outcome),
+            outcome_kind(outcome),
             &format!("{counted} {}", bits(self.now)),
         );
     }
 
-    fn note(&mut self, attempt: AttemptId) {
+    fn send_note(&mut self, attempt: AttemptId) {
         if !self.running.contains(&attempt) {
             return;
         }
-        let done = self.random.between(0.0, 1.0);
-        let note = draw_note(&mut self.random, done);
-        self.record.line(note_word(note), &bits(self.now));
+        let completed = self.random.between(0.0, 1.0);
+        let note = draw_note(&mut self.random, completed);
+        self.record.line(note_kind(note), &bits(self.now));
         self.core.progress(self.now, attempt, note);
         self.repeat(80.0, Step::ProgressNote { attempt });
     }
@@ -313,11 +323,11 @@
     fn list_change(&mut self) {
         let number = self.random.below(self.engines.len());
         let engine = &mut self.engines[number];
-        engine.standing = self.random.pick(&[
-            Standing::Ready,
-            Standing::Ready,
-            Standing::Draining,
-            Standing::Gone,
+        engine.state = self.random.pick(&[
+            ListedState::Ready,
+            ListedState::Ready,
+            ListedState::Draining,
+            ListedState::Gone,
         ]);
         engine.started = if self.random.chance(0.3) {
             Some(self.now - 5.0)
@@ -327,14 +337,14 @@
         let entries = vec![entry(engine)];
         self.record.line("list-patch", &bits(self.now));
         self.core.update_endpoints(self.now, Update::Patch, entries);
-        self.repeat(self.traffic.list_change_every, Step::ListChange);
+        self.repeat(self.traffic.list_change_interval_ms, Step::ListChange);
     }
 
-    fn whole_list(&mut self) {
+    fn full_list(&mut self) {
         let entries: Vec<_> = self
             .engines
             .iter()
-            .filter(|engine| engine.standing != Standing::Gone)
+            .filter(|engine| engine.state != ListedState::Gone)
             .map(entry)
             .collect();
         let first = self.now == BEGIN;
@@ -351,28 +361,28 @@
             },
             entries,
         );
-        self.repeat(1000.0, Step::WholeList);
+        self.repeat(1000.0, Step::FullList);
     }
 
-    fn operator(&mut self) {
+    fn drain_or_undrain(&mut self) {
         let name = format!("e{}", self.random.below(self.engines.len() + 1));
-        let (word, entry) = match self.random.chance(0.5) {
+        let (kind, entry) = match self.random.chance(0.5) {
             true => ("hold-out", self.core.drain_engine(self.now, &name)),
             false => ("put-back", self.core.undrain_engine(self.now, &name)),
         };
-        let (serves, known) = (self.core.is_in_service(&name), self.core.is_known(&name));
+        let (in_service, known) = (self.core.is_in_service(&name), self.core.is_known(&name));
         let drained_engines = self.core.drained_engines().len();
         self.record.line(
-            word,
+            kind,
             &format!(
-                "{name} {serves} {known} {drained_engines} {}",
+                "{name} {in_service} {known} {drained_engines} {}",
                 entry_text(entry)
             ),
         );
-        self.repeat(150.0, Step::Operator);
+        self.repeat(150.0, Step::DrainOrUndrain);
     }
 
-    /// A message as a peer would send it: one that this core wrote itself, sometimes damaged.
+    /// Delivers a message as if from a peer: one that this core wrote itself, sometimes malformed.
     fn peer_message(&mut self) {
         self.repeat(100.0, Step::PeerMessage);
         if self.peer_messages.is_empty() {
--- a/tests/recorded_decisions/expected.rs
+++ b/tests/recorded_decisions/expected.rs
@@ -1,6 +1,6 @@
-//! What each profile brought when it was recorded.
+//! The recorded counts and digests of each profile.
 
-/// How often each kind of line came in all streams of a profile, and the digest of all lines.
+/// Number of lines of each kind in all streams of a profile, and the digest of all lines.
 pub(crate) struct Expected {
     pub(crate) profile: &'static str,
     pub(crate) counts: &'static str,
--- a/tests/recorded_decisions/profiles.rs
+++ b/tests/recorded_decisions/profiles.rs
@@ -1,4 +1,4 @@
-//! The settings and the traffic of each profile.
+//! Settings and traffic of each profile.
 
 use crate::vocabulary::AllSettings as Settings;
 use query_dispatcher::core::CoreLimits;
@@ -8,23 +8,26 @@
 };
 use std::time::Duration;
 
-/// What a stream brings, beside what the settings say.
+/// Properties of a stream that the settings do not determine.
 #[derive(Clone, Copy)]
 pub(crate) struct Traffic {
     pub(crate) engines: usize,
     pub(crate) zones: usize,
     pub(crate) arrivals_per_s: f64,
-    /// Weight of each kind of failure beside a hundred answers.
-    pub(crate) trouble: u32,
-    /// Milliseconds between changes of the engine list, on average.
-    pub(crate) list_change_every: f64,
-    /// Milliseconds between load reports that come unasked, on average.
-    pub(crate) load_report_every: f64,
-    /// Tables that requests name, 0: none; and in-order keys.
-    pub(crate) tables: usize,
+    /// Weight of a kind of failure beside a weight of 100 for served attempts; errors and rejections get
+    /// twice it.
+    pub(crate) failure_weight: u32,
+    /// Mean time between changes of the engine list, in milliseconds.
+    pub(crate) list_change_interval_ms: f64,
+    /// Mean time between unsolicited load reports, in milliseconds.
+    pub(crate) load_report_interval_ms: f64,
+    /// Number of table groups that requests name; 0 if they name none.
+    pub(crate) table_groups: usize,
+    /// Number of ordering keys that requests name.
     pub(crate) keys: usize,
-    /// Probability that an attempt tells of its progress.
-    pub(crate) notes: f64,
+    /// Probability that an attempt sends progress notes.
+    pub(crate) note_probability: f64,
+    /// Most requests carry estimates of work and memory.
     pub(crate) estimates: bool,
 }
 
@@ -32,12 +35,12 @@
     engines: 6,
     zones: 2,
     arrivals_per_s: 50.0,
-    trouble: 3,
-    list_change_every: 400.0,
-    load_report_every: 120.0,
-    tables: 0,
+    failure_weight: 3,
+    list_change_interval_ms: 400.0,
+    load_report_interval_ms: 120.0,
+    table_groups: 0,
     keys: 3,
-    notes: 0.2,
+    note_probability: 0.2,
     estimates: true,
 };
 
@@ -132,7 +135,7 @@
     ReportField::Other,
 ];
 
-/// Settings and traffic of a profile, by its name.
+/// Returns the settings and traffic of the profile with this name.
 pub(crate) fn profile(name: &str) -> (Settings, Traffic) {
     let mut settings = base();
     let mut traffic = TRAFFIC;
@@ -163,7 +166,7 @@
             traffic = Traffic {
                 engines: 12,
                 arrivals_per_s: 25.0,
-                list_change_every: 100.0,
+                list_change_interval_ms: 100.0,
                 ..traffic
             };
         }
@@ -175,7 +178,7 @@
                 .for_each(|class| class.in_order = true);
             traffic = Traffic {
                 keys: 12,
-                trouble: 5,
+                failure_weight: 5,
                 ..traffic
             };
         }
@@ -190,7 +193,7 @@
                 window: 1000.0,
             });
             traffic = Traffic {
-                trouble: 10,
+                failure_weight: 10,
                 ..traffic
             };
         }
@@ -203,7 +206,7 @@
             traffic = Traffic {
                 engines: 4,
                 arrivals_per_s: 80.0,
-                notes: 0.6,
+                note_probability: 0.6,
                 ..traffic
             };
         }
@@ -213,13 +216,13 @@
             settings.report_fields = vec![];
             settings.engines.reports_cost = false;
             traffic = Traffic {
-                list_change_every: 60.0,
+                list_change_interval_ms: 60.0,
                 estimates: false,
                 ..traffic
             };
         }
         "hedging_in_places" => hedging_in_places(&mut settings, &mut traffic),
-        other => panic!("no profile {other}"),
+        other => panic!("unknown profile {other:?}"),
     }
     (settings, traffic)
 }
@@ -239,8 +242,8 @@
     };
     *traffic = Traffic {
         engines: 8,
-        tables: 4,
-        notes: 0.9,
+        table_groups: 4,
+        note_probability: 0.9,
         ..*traffic
     };
 }
@@ -254,15 +257,15 @@
     *traffic = Traffic {
         engines: 9,
         zones: 3,
-        trouble: 6,
+        failure_weight: 6,
         ..*traffic
     };
 }
 
-/// What the request core may hold open, and its margins.
-pub(crate) fn core_bounds(open: usize) -> CoreLimits {
+/// Returns the limits of the request core with this maximum number of open requests.
+pub(crate) fn core_limits(max_open_requests: usize) -> CoreLimits {
     CoreLimits {
-        max_open_requests: open,
+        max_open_requests,
         answer_margin: Duration::from_millis(20),
         page_timeout: Duration::from_millis(300),
     }
--- a/tests/recorded_decisions/random.rs
+++ b/tests/recorded_decisions/random.rs
@@ -1,4 +1,4 @@
-//! Random draws from a fixed seed, and an agenda of planned steps in the order of their times.
+//! Random draws from a fixed seed, and a queue of scheduled steps ordered by time.
 
 use std::collections::BTreeMap;
 
@@ -28,35 +28,35 @@
     /// Draws an item with a probability in proportion to its weight.
     pub(crate) fn weighted<Item: Copy>(&mut self, items: &[(Item, u32)]) -> Item {
         let total: u32 = items.iter().map(|(_, weight)| weight).sum();
-        let mut left = self.below(total as usize) as u32;
+        let mut remaining = self.below(total as usize) as u32;
         for &(item, weight) in items {
-            if left < weight {
+            if remaining < weight {
                 return item;
             }
-            left -= weight;
+            remaining -= weight;
         }
         items[0].0
     }
 }
 
-/// Steps by time; those of one time come in the order in which they were planned.
-pub(crate) struct Agenda<Step> {
+/// Scheduled steps ordered by time; steps of the same time keep the order in which they were scheduled.
+pub(crate) struct StepQueue<Step> {
     steps: BTreeMap<(u64, u64), Step>,
-    planned: u64,
+    scheduled: u64,
 }
 
-impl<Step> Agenda<Step> {
+impl<Step> StepQueue<Step> {
     pub(crate) fn new() -> Self {
-        Agenda {
+        StepQueue {
             steps: BTreeMap::new(),
-            planned: 0,
+            scheduled: 0,
         }
     }
 
-    /// Plans a step; the time must not be negative, so that times sort like their bits.
-    pub(crate) fn plan(&mut self, at: f64, step: Step) {
-        self.planned += 1;
-        self.steps.insert((at.to_bits(), self.planned), step);
+    /// Schedules a step; the time must not be negative, so that times sort like their bits.
+    pub(crate) fn schedule(&mut self, at: f64, step: Step) {
+        self.scheduled += 1;
+        self.steps.insert((at.to_bits(), self.scheduled), step);
     }
 
     pub(crate) fn next_time(&self) -> Option<f64> {
--- a/tests/recorded_decisions/record.rs
+++ b/tests/recorded_decisions/record.rs
@@ -1,4 +1,4 @@
-//! What one profile brought: a digest of every line in order, and how often each kind of line came.
+//! The record of one profile: a digest of all lines in order, and the number of lines of each kind.
 
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
         *self.counts.entry(kind).or_default() += 1;
     }
 
-    /// The counts as `kind=count`, by kind, and the digest in hexadecimal.
+    /// Returns the counts as `kind=count`, ordered by kind, and the digest in hexadecimal.
     pub(crate) fn finish(self) -> (String, String) {
         let counts: Vec<String> = self
             .counts
@@ -33,12 +33,12 @@
     }
 }
 
-/// A number as the hexadecimal form of its bits, so that no digit is lost.
+/// Writes a number as its bits in hexadecimal, so that no digit is lost.
 pub(crate) fn bits(number: f64) -> String {
     format!("{:016x}", number.to_bits())
 }
 
-/// The same for a number that may be absent.
+/// Writes an optional number as its bits in hexadecimal, or `-` if it is absent.
 pub(crate) fn optional_bits(number: Option<f64>) -> String {
     number.map_or_else(|| "-".to_string(), bits)
 }
--- a/tests/recorded_decisions/vocabulary.rs
+++ b/tests/recorded_decisions/vocabulary.rs
@@ -1,5 +1,5 @@
-//! The words of the library's public interface: events are built here and actions are written as text here, so that
-//! the text stays the same when types, variants or fields get other names.
+//! Adapter to the library's public interface. Events are built and actions are written as text here alone,
+//! so that the recorded text stays the same when types, variants or fields are renamed.
 
 use crate::random::Random;
 use crate::record::{bits, optional_bits};
@@ -12,39 +12,40 @@
 pub(crate) use query_dispatcher::core::{Core, NewRequest};
 pub(crate) use query_dispatcher::gossip::GossipBudget;
 pub(crate) use query_dispatcher::{
-    Controller, EngineState as Standing, Event as ControllerEvent, ListUpdate as Update,
+    Controller, EngineState as ListedState, Event as ControllerEvent, ListUpdate as Update,
     Outcome as Ending, ProgressNote, Settings as AllSettings,
 };
 
-/// An engine as the streams know it.
+/// A simulated engine.
 #[derive(Clone)]
-pub(crate) struct ToyEngine {
+pub(crate) struct SimulatedEngine {
     pub(crate) name: String,
-    pub(crate) standing: Standing,
+    pub(crate) state: ListedState,
     pub(crate) started: Option<f64>,
     pub(crate) kind: usize,
     pub(crate) zone: usize,
     pub(crate) cell: i64,
-    /// How many times longer than usual it takes.
+    /// Factor by which its attempts take longer than usual.
     pub(crate) slowness: f64,
-    /// Its process does not answer though the list says that it does.
-    pub(crate) dead: bool,
-    pub(crate) running: usize,
+    /// The process does not respond, whatever state the list gives.
+    pub(crate) unresponsive: bool,
+    /// Number of attempts in flight.
+    pub(crate) in_flight: usize,
 }
 
-/// What a new request asks for.
+/// A new request.
 pub(crate) struct Arrival {
     pub(crate) request: u64,
     pub(crate) class: usize,
     pub(crate) tenant: Option<usize>,
     pub(crate) key: Option<String>,
-    pub(crate) tables: Option<u64>,
+    pub(crate) table_group: Option<u64>,
     pub(crate) time_left: f64,
     pub(crate) work: Option<f64>,
     pub(crate) memory_mb: Option<f64>,
 }
 
-/// How an attempt ended.
+/// The end of an attempt.
 pub(crate) struct AttemptEnd {
     pub(crate) request: u64,
     pub(crate) attempt: u32,
@@ -56,21 +57,22 @@
     pub(crate) report: Vec<f64>,
 }
 
-/// What the streams need to know of an action.
+/// The part of an action that the streams respond to.
 pub(crate) enum Observed {
     Sent { request: u64, engine: String },
-    CancelAsked { request: u64, attempt: u32 },
+    CancelRequested { request: u64, attempt: u32 },
     Closed { request: u64 },
-    ProbeAsked { engine: String },
-    WakeAsked { at: f64, token: u64 },
-    ListAsked,
-    NothingToDo,
+    ProbeRequested { engine: String },
+    TimerRequested { at: f64, token: u64 },
+    ListRequested,
+    Ignored,
 }
 
-pub(crate) fn entry(engine: &ToyEngine) -> EngineEntry {
+/// Returns the list entry of an engine.
+pub(crate) fn entry(engine: &SimulatedEngine) -> EngineEntry {
     EngineEntry {
         engine: engine.name.clone(),
-        state: engine.standing,
+        state: engine.state,
         started: engine.started,
         kind: Some(engine.kind),
         zone: Some(engine.zone),
@@ -78,7 +80,7 @@
     }
 }
 
-pub(crate) fn list_event(update: Update, engines: &[ToyEngine]) -> Event {
+pub(crate) fn list_event(update: Update, engines: &[SimulatedEngine]) -> Event {
     Event::EngineList {
         update,
         entries: engines.iter().map(entry).collect(),
@@ -95,7 +97,7 @@
         class: arrival.class,
         tenant: arrival.tenant,
         key: arrival.key,
-        tables: arrival.tables,
+        tables: arrival.table_group,
         time_left: arrival.time_left,
         work: arrival.work,
         memory_mb: arrival.memory_mb,
@@ -146,8 +148,8 @@
     Event::Timer(token)
 }
 
-/// The word for an event in the record.
-pub(crate) fn event_word(event: &Event) -> &'static str {
+/// Returns the kind of line that an event has in the record.
+pub(crate) fn event_kind(event: &Event) -> &'static str {
     match event {
         Event::EngineList {
             update: ListUpdate::Patch,
@@ -163,16 +165,16 @@
         } => "list-stale",
         Event::DiscoveryFailed => "list-failure",
         Event::Query(_) => "arrival",
-        Event::AttemptEnded(ended) => outcome_word(ended.outcome),
+        Event::AttemptEnded(ended) => outcome_kind(ended.outcome),
         Event::EngineReport { .. } => "load-report",
-        Event::Progress { note, .. } => note_word(*note),
+        Event::Progress { note, .. } => note_kind(*note),
         Event::Streaming { .. } => "streaming",
         Event::ClientDisconnected(_) => "client-left",
         Event::Timer(_) => "timer",
     }
 }
 
-pub(crate) fn outcome_word(outcome: Ending) -> &'static str {
+pub(crate) fn outcome_kind(outcome: Ending) -> &'static str {
     match outcome {
         Outcome::Served => "end-served",
         Outcome::Error => "end-error",
@@ -185,7 +187,7 @@
     }
 }
 
-pub(crate) fn note_word(note: ProgressNote) -> &'static str {
+pub(crate) fn note_kind(note: ProgressNote) -> &'static str {
     match note {
         ProgressNote::Completed(_) => "note-done",
         ProgressNote::SpilledMemory(_) => "note-spills",
@@ -196,7 +198,7 @@
     }
 }
 
-/// An action as its word and its details.
+/// Returns the kind and the details of the line that records an action.
 pub(crate) fn action_text(action: &Action) -> (&'static str, String) {
     match action {
         Action::Send {
@@ -227,24 +229,24 @@
             request: *id,
             engine: engine.clone(),
         },
-        Action::Cancel { id, attempt } => Observed::CancelAsked {
+        Action::Cancel { id, attempt } => Observed::CancelRequested {
             request: *id,
             attempt: *attempt,
         },
         Action::Refuse { id, .. } | Action::Fail { id } => Observed::Closed { request: *id },
-        Action::Probe { engine } => Observed::ProbeAsked {
+        Action::Probe { engine } => Observed::ProbeRequested {
             engine: engine.clone(),
         },
-        Action::Timer { at, token } => Observed::WakeAsked {
+        Action::Timer { at, token } => Observed::TimerRequested {
             at: *at,
             token: *token,
         },
-        Action::Subscribe => Observed::ListAsked,
-        Action::Terms { .. } | Action::Log(_) => Observed::NothingToDo,
+        Action::Subscribe => Observed::ListRequested,
+        Action::Terms { .. } | Action::Log(_) => Observed::Ignored,
     }
 }
 
-/// A command of the request core as its word and its details.
+/// Returns the kind and the details of the line that records a command of the request core.
 pub(crate) fn command_text(command: &Command) -> (&'static str, String) {
     match command {
         Command::Start(StartAttempt {
@@ -266,8 +268,8 @@
         }
         Command::Cancel { attempt } => ("drop", attempt_text(*attempt)),
         Command::Answer { request, answer } => {
-            let (word, details) = answer_text(answer);
-            (word, format!("{request} {details}"))
+            let (kind, details) = answer_text(answer);
+            (kind, format!("{request} {details}"))
         }
         Command::Log(text) => ("say", text.clone()),
         Command::Broadcast(message) => ("tell", format!("{message:?}")),
@@ -312,7 +314,7 @@
     )
 }
 
-/// What the core wants started or dropped: the attempt, and the engine if it starts.
+/// Returns the attempt that a command starts or cancels, and the engine if it starts.
 pub(crate) fn attempt_of(command: &Command) -> Option<(AttemptId, Option<String>)> {
     match command {
         Command::Start(StartAttempt {
@@ -323,33 +325,33 @@
     }
 }
 
-/// A message for the peers, if this is one.
-pub(crate) fn message_of(command: &Command) -> Option<Vec<u8>> {
+/// Returns the gossip message that a command broadcasts.
+pub(crate) fn broadcast_message(command: &Command) -> Option<Vec<u8>> {
     match command {
         Command::Broadcast(message) => Some(message.clone()),
         _ => None,
     }
 }
 
-/// How an attempt ends at an engine that answers: mostly well, sometimes in each other way.
-pub(crate) fn draw_outcome(random: &mut Random, trouble: u32) -> Ending {
+/// Draws the outcome of an attempt at a responsive engine: mostly served, sometimes one of the failures.
+pub(crate) fn draw_outcome(random: &mut Random, failure_weight: u32) -> Ending {
     random.weighted(&[
         (Outcome::Served, 100),
-        (Outcome::Error, 2 * trouble),
-        (Outcome::Rejected, 2 * trouble),
-        (Outcome::TimedOut, trouble),
-        (Outcome::Reset, trouble),
+        (Outcome::Error, 2 * failure_weight),
+        (Outcome::Rejected, 2 * failure_weight),
+        (Outcome::TimedOut, failure_weight),
+        (Outcome::Reset, failure_weight),
         (Outcome::NeverStarted, 1),
     ])
 }
 
-/// A word on a running attempt; `done` is the part of it that is over.
-pub(crate) fn draw_note(random: &mut Random, done: f64) -> ProgressNote {
-    let short = random.between(10.0, 4000.0);
+/// Draws a progress note of a running attempt; `completed` is the completed part of its work.
+pub(crate) fn draw_note(random: &mut Random, completed: f64) -> ProgressNote {
+    let missing_mb = random.between(10.0, 4000.0);
     random.weighted(&[
-        (ProgressNote::Completed(done), 60),
+        (ProgressNote::Completed(completed), 60),
         (ProgressNote::Completed(f64::NAN), 1),
-        (ProgressNote::SpilledMemory(short), 8),
+        (ProgressNote::SpilledMemory(missing_mb), 8),
         (ProgressNote::WaitsForMemory, 5),
         (ProgressNote::WaitsForLoad, 5),
         (ProgressNote::Idle, 4),
@@ -357,8 +359,9 @@
     ])
 }
 
-/// An engine's load report, in the order of the settings; now and then one that makes no sense.
-pub(crate) fn draw_report(random: &mut Random, settings: &Settings, running: usize) -> Vec<f64> {
+/// Draws an engine's load report with its fields in the order of the settings; a few reports are invalid or
+/// empty.
+pub(crate) fn draw_report(random: &mut Random, settings: &Settings, in_flight: usize) -> Vec<f64> {
     if random.chance(0.04) {
         return random
             .pick(&[[f64::NAN, 1.0], [-1.0, 0.5], [f64::INFINITY, 0.0]])
@@ -367,7 +370,7 @@
     if random.chance(0.05) {
         return vec![];
     }
-    let load = running as f64 + random.between(0.0, 8.0);
+    let load = in_flight as f64 + random.between(0.0, 8.0);
     let mut value = |field: &ReportField| match field {
         ReportField::Inflight => load,
         ReportField::MemoryQueue => (load - 12.0).max(0.0),
