--- a/tests/recorded/mod.rs
+++ b/tests/recorded/mod.rs
@@ -1,59 +1,61 @@
-//! Comparison with recorded text, and the helpers that the tests of stored data and of the external interface share.
+//! Comparison with recorded text, and helpers shared by the tests of stored data and of the external
+//! interface.
 #![allow(dead_code)]
 
 use std::path::{Path, PathBuf};
 
-/// A file or folder below `tests/data`.
+/// Returns the path of a file or folder below `tests/data`.
 pub(crate) fn data(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/data")
         .join(name)
 }
 
-/// Fails unless `given` equals the recorded file byte for byte. What was given instead is left in the folder for the
-/// tests' temporary files, so that both can be compared.
-pub(crate) fn assert_recorded(name: &str, given: &str) {
+/// Asserts that `actual` equals the recorded file byte for byte. On a difference, `actual` is written to
+/// Cargo's folder for temporary files of tests, so that both can be compared.
+pub(crate) fn assert_recorded(name: &str, actual: &str) {
     let expected = std::fs::read_to_string(data(name)).unwrap_or_default();
-    if expected == given {
+    if expected == actual {
         return;
     }
-    let actual = Path::new(env!("CARGO_TARGET_TMPDIR"))
+    let actual_path = Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join("recorded")
         .join(name);
-    std::fs::create_dir_all(actual.parent().unwrap()).unwrap();
-    std::fs::write(&actual, given).unwrap();
-    let (line, old, new) = first_difference(&expected, given);
+    std::fs::create_dir_all(actual_path.parent().unwrap()).unwrap();
+    std::fs::write(&actual_path, actual).unwrap();
+    let (line, old, new) = first_difference(&expected, actual);
     panic!(
-        "{name}, line {line}:\nrecorded: {old}\ngiven:    {new}\nall that was given: {}",
-        actual.display()
+        "{name}, line {line}:\nrecorded: {old}\nactual:   {new}\nwhole actual text: {}",
+        actual_path.display()
     );
 }
 
-/// The first line that differs, counted from 1, as recorded and as given.
+/// Returns the number of the first line that differs, counted from 1, with its expected and its actual text.
 fn first_difference<'text>(
     expected: &'text str,
-    given: &'text str,
+    actual: &'text str,
 ) -> (usize, &'text str, &'text str) {
-    const NO_LINE: &str = "(the end)";
-    let (mut old, mut new) = (expected.lines(), given.lines());
+    const NO_LINE: &str = "(end of text)";
+    let (mut old, mut new) = (expected.lines(), actual.lines());
     for line in 1.. {
         match (old.next(), new.next()) {
-            (None, None) => return (line, "(other line ends)", "(other line ends)"),
+            (None, None) => return (line, "(different line endings)", "(different line endings)"),
             (before, now) if before != now => {
                 return (line, before.unwrap_or(NO_LINE), now.unwrap_or(NO_LINE));
             }
             _ => {}
         }
     }
-    unreachable!("lines end")
+    unreachable!("both texts have a last line")
 }
 
-/// Bytes as printable ASCII, everything else escaped.
+/// Writes bytes as printable ASCII, with all other bytes escaped.
 pub(crate) fn printable(bytes: &[u8]) -> String {
     bytes.escape_ascii().to_string()
 }
 
-/// Replaces the number behind each of these JSON keys by `#`: ages and counts that depend on the moment.
+/// Replaces the number after each of these JSON keys with `#`: ages and counts that depend on the time of
+/// the run.
 pub(crate) fn mask_numbers(json: &str, keys: &[&str]) -> String {
     let masked = json
         .lines()
@@ -70,7 +72,7 @@
     masked.collect()
 }
 
-/// A temporary folder that is removed with its handle.
+/// A temporary folder that is removed when the value is dropped.
 pub(crate) struct TemporaryFolder(PathBuf);
 
 impl TemporaryFolder {
@@ -82,7 +84,7 @@
         TemporaryFolder(path)
     }
 
-    /// A copy of a folder below `tests/data`.
+    /// Creates a temporary copy of a folder below `tests/data`.
     pub(crate) fn copy_of(source: &str, name: &str) -> Self {
         let folder = Self::new(name);
         copy(&data(source), &folder.0);
@@ -112,7 +114,7 @@
     }
 }
 
-/// The names of all files in a folder, sorted.
+/// Returns the sorted names of all entries in a folder.
 pub(crate) fn file_names(folder: &Path) -> Vec<String> {
     let names = std::fs::read_dir(folder)
         .unwrap()
--- a/tests/recorded/program.rs
+++ b/tests/recorded/program.rs
@@ -1,22 +1,23 @@
-//! The program on the MySQL front, with the lines that it logged while it started.
+//! Starts the program with its MySQL front and collects the lines that it logs during startup.
 
 use crate::process::{Program, connect};
 use std::io::{Read, Write};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The longest that a start takes.
-const START: Duration = Duration::from_secs(10);
+/// Maximum time between two log lines during startup.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Starts the program on this file and waits until it listens: the program, and all that it logged before.
-pub(crate) fn start_mysql(file: &str) -> (Program, Vec<String>) {
-    let mut program = Program::spawn(file, &["--mysql"], None);
+/// Starts the program with this configuration file and waits until it listens. Returns the program and the
+/// lines that it logged before, without those that name its addresses.
+pub(crate) fn start_mysql(config_file: &str) -> (Program, Vec<String>) {
+    let mut program = Program::spawn(config_file, &["--mysql"], None);
     let mut lines = vec![];
     while program.address.port() == 0 {
         let line = program
             .log
-            .recv_timeout(START)
-            .unwrap_or_else(|_| panic!("it does not start: {lines:?}"));
+            .recv_timeout(STARTUP_TIMEOUT)
+            .unwrap_or_else(|_| panic!("the program does not listen; log lines: {lines:?}"));
         if let Some((_, address)) = line.split_once("operators call at ") {
             program.admin = address.parse().unwrap();
         } else if let Some((_, address)) = line.split_once("listens on ") {
@@ -28,7 +29,7 @@
     (program, lines)
 }
 
-/// One HTTP call at the operators' address: the whole response.
+/// Makes one HTTP call to the operators' address and returns the whole response.
 pub(crate) fn call(admin: SocketAddr, method: &str, path: &str) -> String {
     let mut connection = connect(admin);
     connection
