--- a/tests/recorded_state.rs
+++ b/tests/recorded_state.rs
@@ -1,10 +1,10 @@
-//! The pure state machines give out exactly what they gave out when they were recorded: the registry view, the spool
-//! index, sticky sessions and the gossip between dispatchers.
+//! Compares the outputs of the pure state machines with recorded ones: the registry view, the spool index,
+//! sticky sessions and the gossip between dispatchers.
 //!
-//! Streams of events from fixed seeds are played through each machine's public interface. Every output is written as
-//! text by this test, so that renaming an item of the program does not move a digest; floats are written by their
-//! bits. One pair of digests stands for all streams of one profile: states and decisions, and the wording that people
-//! and other programs read. The machines' items are named in the adapters alone.
+//! Streams of events from fixed seeds are played through each machine's public interface. This test writes
+//! every output as text, so that renaming an item of the library does not change a digest; floats are
+//! written as their bits. Two digests cover all streams of a profile: one of states and decisions, one of
+//! the wording that people and other programs read. Only the adapters use the machines' items.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
--- a/tests/recorded_state/expected.rs
+++ b/tests/recorded_state/expected.rs
@@ -1,4 +1,4 @@
-//! What each profile must come to, as recorded.
+//! The recorded digests and counts of each profile.
 
 use super::recording::Expected;
 
--- a/tests/recorded_state/gossip.rs
+++ b/tests/recorded_state/gossip.rs
@@ -1,20 +1,21 @@
-//! Streams of events for the gossip: a few dispatchers with lists that differ, requests, reports and bad messages.
+//! Event streams for the gossip: a few dispatchers with different endpoint lists, requests, reports and
+//! malformed messages.
 
 use super::expected::{
     GOSSIP_ALL_FIELDS, GOSSIP_MALFORMED, GOSSIP_SAVED_BUDGET, GOSSIP_TIGHT_BUDGET,
 };
-use super::gossip_adapter::{Gossip, LONGEST_MESSAGE, Options};
+use super::gossip_adapter::{Gossip, MAX_MESSAGE_BYTES, Options};
 use super::random::Random;
 use super::recording::{Recording, assert_exercised};
 
 const DISPATCHERS: usize = 3;
 const ENGINES: u64 = 12;
-/// Names among which some two share one short hash.
-const HASHED_NAMES: u32 = 6_000;
-const MOST_COLLIDING: usize = 4;
-const QUIET_AFTER_MESSAGE: f64 = 300.0;
-const LARGEST_VALUE: f64 = 450.0;
-const ODD_VALUES: [f64; 9] = [
+/// Number of names, enough for at least two of them to share a short hash.
+const CANDIDATE_NAMES: u32 = 6_000;
+const MAX_COLLIDING: usize = 4;
+const MIN_BROADCAST_INTERVAL_MS: f64 = 300.0;
+const MAX_VALUE: f64 = 450.0;
+const EDGE_VALUES: [f64; 9] = [
     0.0,
     -0.0,
     1.26,
@@ -30,11 +31,11 @@
     seed: u64,
     streams: u64,
     events: u64,
-    /// In percent: a message is changed on its way.
-    malformed: u64,
-    /// In percent: a report value is an odd one.
-    odd_values: u64,
-    /// In percent: an event is a request rather than a report.
+    /// Probability in percent that a message is altered in transit.
+    altered_messages: u64,
+    /// Probability in percent that a report value is one of [`EDGE_VALUES`].
+    edge_values: u64,
+    /// Probability in percent that an event is a request rather than a report.
     requests: u64,
     options: Options,
 }
@@ -43,8 +44,8 @@
     seed: 31,
     streams: 120,
     events: 300,
-    malformed: 0,
-    odd_values: 5,
+    altered_messages: 0,
+    edge_values: 5,
     requests: 70,
     options: Options {
         dispatchers: 100,
@@ -57,8 +58,8 @@
     seed: 32,
     streams: 120,
     events: 300,
-    malformed: 60,
-    odd_values: 5,
+    altered_messages: 60,
+    edge_values: 5,
     requests: 30,
     options: Options {
         dispatchers: 3,
@@ -71,8 +72,8 @@
     seed: 33,
     streams: 60,
     events: 200,
-    malformed: 5,
-    odd_values: 2,
+    altered_messages: 5,
+    edge_values: 2,
     requests: 20,
     options: Options {
         dispatchers: 2,
@@ -81,13 +82,13 @@
     },
 };
 
-/// Most of the time too few reports to spend the budget on: it reaches its bound.
+/// Reports are too rare to use up the message budget, so that it reaches its maximum.
 const SAVED_BUDGET: Profile = Profile {
     seed: 34,
     streams: 40,
     events: 1_200,
-    malformed: 0,
-    odd_values: 0,
+    altered_messages: 0,
+    edge_values: 0,
     requests: 97,
     options: Options {
         dispatchers: 100,
@@ -109,7 +110,10 @@
 fn play(profile: &Profile) -> Recording {
     let mut recording = Recording::default();
     let colliding = colliding_names();
-    assert!(colliding.len() >= 2, "some two names share a short hash");
+    assert!(
+        colliding.len() >= 2,
+        "at least two names share a short hash"
+    );
     colliding.iter().for_each(|name| recording.state(name));
     for stream in 0..profile.streams {
         Stream::new(profile, stream, &colliding).play(&mut recording);
@@ -117,9 +121,10 @@
     recording
 }
 
-/// Names of one short hash: a dispatcher that lists both sends nothing of them, however often it may.
+/// Returns names that share a short hash with another: a dispatcher that lists both broadcasts reports of
+/// neither, even with an unlimited budget.
 fn colliding_names() -> Vec<String> {
-    let names: Vec<String> = (0..HASHED_NAMES)
+    let names: Vec<String> = (0..CANDIDATE_NAMES)
         .map(|number| format!("s-{number:08x}"))
         .collect();
     let mut gossip = Gossip::new(Options {
@@ -127,11 +132,11 @@
         message_price: 0.0,
         report_fields: 1,
     });
-    gossip.list(&names);
-    let silent = names
+    gossip.set_engines(&names);
+    let not_broadcast = names
         .into_iter()
-        .filter(|name| gossip.learned(0.0, name, &[1.0]).is_none());
-    silent.take(MOST_COLLIDING).collect()
+        .filter(|name| gossip.offer_report(0.0, name, &[1.0]).is_none());
+    not_broadcast.take(MAX_COLLIDING).collect()
 }
 
 struct Stream<'profile> {
@@ -161,40 +166,40 @@
     }
 
     fn play(&mut self, recording: &mut Recording) {
-        (0..DISPATCHERS).for_each(|dispatcher| self.list(dispatcher));
+        (0..DISPATCHERS).for_each(|dispatcher| self.update_list(dispatcher));
         for _ in 0..self.profile.events {
-            self.now += self.random.float_below(QUIET_AFTER_MESSAGE / 4.0);
+            self.now += self.random.float_below(MIN_BROADCAST_INTERVAL_MS / 4.0);
             let dispatcher = self.random.below(DISPATCHERS as u64) as usize;
             if self.random.percent(2) {
-                self.list(dispatcher);
+                self.update_list(dispatcher);
             } else if self.random.percent(self.profile.requests) {
-                self.dispatchers[dispatcher].request_taken();
+                self.dispatchers[dispatcher].accept_request();
             } else {
                 self.report(dispatcher, recording);
             }
         }
     }
 
-    /// The dispatcher's list becomes most of the names.
-    fn list(&mut self, dispatcher: usize) {
+    /// Sets the dispatcher's endpoint list to a random 80% of the names.
+    fn update_list(&mut self, dispatcher: usize) {
         let listed: Vec<String> = self
             .names
             .iter()
             .filter(|_| self.random.percent(80))
             .cloned()
             .collect();
-        self.dispatchers[dispatcher].list(&listed);
+        self.dispatchers[dispatcher].set_engines(&listed);
     }
 
     fn report(&mut self, dispatcher: usize, recording: &mut Recording) {
         let engine = self.random.choose(&self.names).clone();
         let report = self.values();
-        let sent =
-            self.dispatchers[dispatcher].record_learned(self.now, &engine, &report, recording);
+        let sent = self.dispatchers[dispatcher]
+            .record_offered_report(self.now, &engine, &report, recording);
         let Some(message) = sent else { return };
         for peer in (0..DISPATCHERS).filter(|peer| *peer != dispatcher) {
-            let message = self.on_its_way(&message);
-            self.dispatchers[peer].heard(self.now, &message, recording);
+            let message = self.transmit(&message);
+            self.dispatchers[peer].receive(self.now, &message, recording);
         }
     }
 
@@ -205,20 +210,20 @@
     }
 
     fn value(&mut self) -> f64 {
-        if self.random.percent(self.profile.odd_values) {
-            return *self.random.choose(&ODD_VALUES);
+        if self.random.percent(self.profile.edge_values) {
+            return *self.random.choose(&EDGE_VALUES);
         }
         match self.random.below(3) {
             0 => self.random.float_below(1.3),
             1 => self.random.below(45) as f64,
-            _ => self.random.float_below(LARGEST_VALUE),
+            _ => self.random.float_below(MAX_VALUE),
         }
     }
 
-    /// The message as a peer gets it.
-    fn on_its_way(&mut self, message: &[u8]) -> Vec<u8> {
+    /// Returns the message as a peer receives it, sometimes altered.
+    fn transmit(&mut self, message: &[u8]) -> Vec<u8> {
         let mut message = message.to_vec();
-        if !self.random.percent(self.profile.malformed) {
+        if !self.random.percent(self.profile.altered_messages) {
             return message;
         }
         let position = self.random.below(message.len() as u64) as usize;
@@ -227,7 +232,7 @@
             1 => message.truncate(position),
             2 => message.push(self.random.bits() as u8),
             _ => {
-                let length = self.random.below(LONGEST_MESSAGE as u64 + 2);
+                let length = self.random.below(MAX_MESSAGE_BYTES as u64 + 2);
                 message = (0..length).map(|_| self.random.bits() as u8).collect();
             }
         }
--- a/tests/recorded_state/gossip_adapter.rs
+++ b/tests/recorded_state/gossip_adapter.rs
@@ -1,9 +1,10 @@
-//! The gossip between dispatchers as the streams use it. The only file of this test that names the machine's own items.
+//! Adapter to the gossip between dispatchers: the only file of this test that uses the library's gossip
+//! items.
 
 use super::recording::{Recording, float, hexadecimal};
 use query_dispatcher::gossip::{Broadcaster, DecodeError, GossipBudget, PeerReport};
 
-pub(crate) const LONGEST_MESSAGE: usize = query_dispatcher::gossip::MAX_MESSAGE_BYTES;
+pub(crate) const MAX_MESSAGE_BYTES: usize = query_dispatcher::gossip::MAX_MESSAGE_BYTES;
 
 #[derive(Clone, Copy)]
 pub(crate) struct Options {
@@ -23,27 +24,32 @@
         }))
     }
 
-    pub(crate) fn list(&mut self, engines: &[String]) {
+    pub(crate) fn set_engines(&mut self, engines: &[String]) {
         self.0.set_engines(engines.iter().map(String::as_str));
     }
 
-    pub(crate) fn request_taken(&mut self) {
+    pub(crate) fn accept_request(&mut self) {
         self.0.credit_request();
     }
 
-    /// The message for all peers, if the report is worth one.
-    pub(crate) fn learned(&mut self, now: f64, engine: &str, report: &[f64]) -> Option<Vec<u8>> {
+    /// Returns the message to broadcast, if the report warrants one.
+    pub(crate) fn offer_report(
+        &mut self,
+        now: f64,
+        engine: &str,
+        report: &[f64],
+    ) -> Option<Vec<u8>> {
         self.0.offer_report(now, engine, report)
     }
 
-    pub(crate) fn record_learned(
+    pub(crate) fn record_offered_report(
         &mut self,
         now: f64,
         engine: &str,
         report: &[f64],
         recording: &mut Recording,
     ) -> Option<Vec<u8>> {
-        let message = self.learned(now, engine, report);
+        let message = self.offer_report(now, engine, report);
         recording.count(if message.is_some() {
             "message sent"
         } else {
@@ -53,7 +59,7 @@
         message
     }
 
-    pub(crate) fn heard(&mut self, now: f64, message: &[u8], recording: &mut Recording) {
+    pub(crate) fn receive(&mut self, now: f64, message: &[u8], recording: &mut Recording) {
         match self.0.receive(now, message) {
             Ok(Some(PeerReport { engine, report })) => {
                 let report: Vec<String> = report.into_iter().map(float).collect();
@@ -82,10 +88,10 @@
 }
 
 fn error_text(error: &DecodeError) -> String {
-    let particulars = match error {
+    let details = match error {
         DecodeError::Length { actual, expected } => format!("{actual} {expected}"),
         DecodeError::UnknownKind(kind) => kind.to_string(),
         DecodeError::ByteOutOfRange => String::new(),
     };
-    format!("{} {particulars}", error_kind(error))
+    format!("{} {details}", error_kind(error))
 }
--- a/tests/recorded_state/random.rs
+++ b/tests/recorded_state/random.rs
@@ -1,8 +1,8 @@
-//! Random choices of a stream, from a fixed seed.
+//! Random draws of a stream from a fixed seed.
 
 use oorandom::Rand64;
 
-/// Streams of one profile have neighbouring seeds; profiles are this far apart.
+/// Number of seeds reserved for each profile; its streams use consecutive ones.
 const SEEDS_PER_PROFILE: u64 = 1 << 20;
 
 pub(crate) struct Random(Rand64);
@@ -14,17 +14,17 @@
         )))
     }
 
-    /// A whole number below `bound`.
+    /// Draws an integer below `bound`.
     pub(crate) fn below(&mut self, bound: u64) -> u64 {
         self.0.rand_range(0..bound)
     }
 
-    /// True in so many of a hundred cases.
-    pub(crate) fn percent(&mut self, share: u64) -> bool {
-        self.below(100) < share
+    /// Returns true with this probability in percent.
+    pub(crate) fn percent(&mut self, probability: u64) -> bool {
+        self.below(100) < probability
     }
 
-    /// A span or moment with a fraction, below `bound`.
+    /// Draws a non-negative float below `bound`.
     pub(crate) fn float_below(&mut self, bound: f64) -> f64 {
         self.0.rand_float() * bound
     }
@@ -37,15 +37,15 @@
         &items[self.below(items.len() as u64) as usize]
     }
 
-    /// The position of one of these weights, the heavier the likelier.
+    /// Draws the position of a weight with a probability in proportion to it.
     pub(crate) fn weighted(&mut self, weights: &[u64]) -> usize {
-        let mut left = self.below(weights.iter().sum());
+        let mut remaining = self.below(weights.iter().sum());
         for (position, weight) in weights.iter().enumerate() {
-            if left < *weight {
+            if remaining < *weight {
                 return position;
             }
-            left -= weight;
+            remaining -= weight;
         }
-        unreachable!("less than the sum was drawn")
+        unreachable!("the drawn number is below the sum of the weights")
     }
 }
--- a/tests/recorded_state/recording.rs
+++ b/tests/recorded_state/recording.rs
@@ -1,20 +1,20 @@
-//! The recording of one profile: digests over everything that a state machine gave out, in order, and counts by kind.
+//! The recording of one profile: digests of all outputs of a state machine, in order, and counts by kind.
 
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 
-/// What a profile's recording must come to.
+/// The recording that a profile must reproduce.
 pub(crate) struct Expected {
     pub(crate) profile: &'static str,
-    /// Digest over states, decisions and encoded bytes.
+    /// Digest of states, decisions and encoded bytes.
     pub(crate) state: &'static str,
-    /// Digest over what people and other programs read: messages, reasons, JSON.
+    /// Digest of the texts that people and other programs read: messages, reasons, JSON.
     pub(crate) wording: &'static str,
-    /// How often each kind of output occurred. No count is zero.
+    /// Number of outputs of each kind; kinds that do not occur are absent.
     pub(crate) counts: &'static [(&'static str, u64)],
 }
 
-/// Takes the outputs of all streams of one profile.
+/// Collects the outputs of all streams of one profile.
 #[derive(Default)]
 pub(crate) struct Recording {
     state: Sha256,
@@ -23,12 +23,12 @@
 }
 
 impl Recording {
-    /// Appends one line to the digest over states and decisions.
+    /// Appends one line to the digest of states and decisions.
     pub(crate) fn state(&mut self, line: &str) {
         append(&mut self.state, line);
     }
 
-    /// Appends one line to the digest over texts.
+    /// Appends one line to the digest of texts.
     pub(crate) fn wording(&mut self, line: &str) {
         append(&mut self.wording, line);
     }
@@ -38,7 +38,7 @@
         *self.counts.entry(kind).or_default() += 1;
     }
 
-    /// Compares with what is expected; on a difference it prints what the recording comes to now.
+    /// Asserts that the recording equals the expected one; the failure message holds the new values.
     pub(crate) fn check(self, expected: &Expected) {
         let state = hexadecimal(&self.state.finalize());
         let wording = hexadecimal(&self.wording.finalize());
@@ -48,8 +48,9 @@
         let profile = expected.profile;
         assert!(
             same,
-            "profile {profile:?} differs\nstate: expected {} new {state}\nwording: expected {} new {wording}\n\
-             counts: expected {:?} new {counts:?}",
+            "profile {profile:?} differs\nstate: expected {} actual {state}\n\
+             wording: expected {} actual {wording}\n\
+             counts: expected {:?} actual {counts:?}",
             expected.state, expected.wording, expected.counts
         );
     }
@@ -60,7 +61,7 @@
     digest.update(b"\n");
 }
 
-/// Asserts that each of these kinds of output occurs in some profile.
+/// Asserts that each of these kinds of output occurs in at least one profile.
 pub(crate) fn assert_exercised(required: &[&str], profiles: &[&Expected]) {
     for kind in required {
         let occurs = |profile: &&Expected| {
@@ -69,7 +70,10 @@
                 .iter()
                 .any(|(name, count)| name == kind && *count > 0)
         };
-        assert!(profiles.iter().any(occurs), "no stream gives out {kind:?}");
+        assert!(
+            profiles.iter().any(occurs),
+            "no stream produces an output of the kind {kind:?}"
+        );
     }
 }
 
@@ -77,7 +81,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// A float by its exact bits.
+/// Writes a float as its bits in hexadecimal.
 pub(crate) fn float(value: f64) -> String {
     format!("{:016x}", value.to_bits())
 }
@@ -86,7 +90,8 @@
     value.map_or("none".into(), float)
 }
 
-/// A value by its own standard text, for types whose text is not the project's (numbers, text, addresses).
+/// Writes a value as its `Display` text; for types of the standard library only (numbers, strings,
+/// addresses), whose text the project cannot change.
 pub(crate) fn optional<Value: ToString>(value: Option<Value>) -> String {
     value.map_or("none".into(), |value| value.to_string())
 }
--- a/tests/recorded_state/registry.rs
+++ b/tests/recorded_state/registry.rs
@@ -1,4 +1,5 @@
-//! Streams of events for the registry view: what sources answer, connections, operators, restarts and time.
+//! Event streams for the registry view: answers of registry sources, connections, operators, restarts and
+//! time.
 
 use super::random::Random;
 use super::recording::Recording;
@@ -7,19 +8,19 @@
 };
 use std::net::SocketAddr;
 
-pub(crate) const USUAL: Options = Options {
+pub(crate) const DEFAULT_OPTIONS: Options = Options {
     networks: AllowedNetworks::Any,
-    preserved_share: 0.25,
-    preserved_least: 2,
-    preserved_span: 120_000.0,
+    max_missing_share: 0.25,
+    max_missing_count: 2,
+    preservation_duration: 120_000.0,
     source_timeout: 15_000.0,
-    missing_timeout: 60_000.0,
-    removed_kept: 600_000.0,
-    instance_limit: 20_000,
-    removed_limit: 4_096,
+    missing_grace: 60_000.0,
+    tombstone_ttl: 600_000.0,
+    max_instances: 20_000,
+    max_tombstones: 4_096,
 };
 
-/// What the streams of one profile are like. Shares are in percent.
+/// Properties of the streams of one profile. Shares are in percent.
 pub(crate) struct Profile {
     pub(crate) seed: u64,
     pub(crate) streams: u64,
@@ -28,16 +29,20 @@
     pub(crate) sources: u64,
     /// Weights of [`ACTIONS`].
     pub(crate) weights: [u64; ACTIONS.len()],
-    /// A full list holds an instance with this share ...
+    /// Share of the instances that a full list holds.
     pub(crate) listed: u64,
-    /// ... unless it is one that lost most of them.
-    pub(crate) short_lists: u64,
+    /// Share of full lists that lost most of the instances.
+    pub(crate) truncated_lists: u64,
+    /// Share of listed instances whose status is not `UP`.
     pub(crate) not_up: u64,
+    /// Share of listed instances whose address is missing or unusable.
     pub(crate) bad_addresses: u64,
-    /// Instances without timestamps.
+    /// Share of listed instances without timestamps.
     pub(crate) unversioned: u64,
+    /// Number of distinct usable addresses.
     pub(crate) addresses: u64,
-    pub(crate) longest_pause: f64,
+    /// Maximum time that passes in a time step or a restart, in milliseconds.
+    pub(crate) max_pause: f64,
     pub(crate) options: Options,
 }
 
@@ -47,8 +52,8 @@
     Delta,
     SourceFails,
     Connection,
-    Operator,
-    Time,
+    Drain,
+    Wait,
     Configure,
     Report,
     Restart,
@@ -59,8 +64,8 @@
     Action::Delta,
     Action::SourceFails,
     Action::Connection,
-    Action::Operator,
-    Action::Time,
+    Action::Drain,
+    Action::Wait,
     Action::Configure,
     Action::Report,
     Action::Restart,
@@ -90,10 +95,10 @@
     "only=odd",
     "odd=1",
 ];
-const LOST_LIST_SHARE: u64 = 15;
-const LONGEST_ANSWER: f64 = 3_000.0;
+const TRUNCATED_LIST_SHARE: u64 = 15;
+const MAX_RESPONSE_TIME_MS: f64 = 3_000.0;
 const EVENTS_PER_FULL_RECORD: u64 = 6;
-/// Connections are told of so few engines, so that one after another concerns the same.
+/// Number of engines with connections, small so that successive events concern the same engine.
 const CONNECTED_ENGINES: u64 = 2;
 const CLOCK_SKEW_STEP: u64 = 700;
 
@@ -149,13 +154,13 @@
                 self.view.source_failed(self.now, &source, recording);
             }
             Action::Connection => self.connection(recording),
-            Action::Operator => {
+            Action::Drain => {
                 let count = self.random.below(3);
                 let engines = (0..count).map(|_| self.engine()).collect();
-                self.view.taken_out_by_operator(engines);
+                self.view.set_drained(engines);
             }
-            Action::Time => {
-                self.now += self.random.float_below(self.profile.longest_pause);
+            Action::Wait => {
+                self.now += self.random.float_below(self.profile.max_pause);
                 self.view.tick(self.now, recording);
             }
             Action::Configure => self.configure(recording),
@@ -178,14 +183,14 @@
         engine_name(self.random.below(self.profile.instances))
     }
 
-    fn asked(&mut self) -> f64 {
-        self.now - self.random.float_below(LONGEST_ANSWER)
+    fn draw_request_time(&mut self) -> f64 {
+        self.now - self.random.float_below(MAX_RESPONSE_TIME_MS)
     }
 
     fn full_list(&mut self, recording: &mut Recording) {
-        let short = self.random.percent(self.profile.short_lists);
-        let share = if short {
-            LOST_LIST_SHARE
+        let truncated = self.random.percent(self.profile.truncated_lists);
+        let share = if truncated {
+            TRUNCATED_LIST_SHARE
         } else {
             self.profile.listed
         };
@@ -195,9 +200,14 @@
                 listed.push(self.instance(number));
             }
         }
-        let (source, asked) = (self.source(), self.asked());
-        self.view
-            .answered(self.now, &source, asked, Answer::Full(listed), recording);
+        let (source, requested_at) = (self.source(), self.draw_request_time());
+        self.view.apply_answer(
+            self.now,
+            &source,
+            requested_at,
+            Answer::Full(listed),
+            recording,
+        );
     }
 
     fn delta(&mut self, recording: &mut Recording) {
@@ -211,11 +221,11 @@
         let deleted = (0..deletions)
             .map(|_| (self.engine(), self.version()))
             .collect();
-        let (source, asked) = (self.source(), self.asked());
-        self.view.answered(
+        let (source, requested_at) = (self.source(), self.draw_request_time());
+        self.view.apply_answer(
             self.now,
             &source,
-            asked,
+            requested_at,
             Answer::Delta { changed, deleted },
             recording,
         );
@@ -291,12 +301,12 @@
         self.view.configure(self.now, options, &sources, recording);
     }
 
-    /// Another process takes over from a snapshot, sometimes before any source answers it.
+    /// Starts a new process from a snapshot, sometimes before any source has answered it.
     fn restart(&mut self, recording: &mut Recording) {
         let Some(snapshot) = self.view.snapshot(self.now, recording) else {
             return;
         };
-        self.now += self.random.float_below(self.profile.longest_pause);
+        self.now += self.random.float_below(self.profile.max_pause);
         self.view = RegistryView::new(self.profile.options);
         self.view.restore(self.now, &snapshot, recording);
         if self.random.percent(50) {
--- a/tests/recorded_state/registry_adapter.rs
+++ b/tests/recorded_state/registry_adapter.rs
@@ -1,4 +1,4 @@
-//! The registry view as the streams use it. With `registry_text` the only file that names its items.
+//! Adapter to the registry view. Only this file and `registry_text` use the library's membership items.
 
 use super::recording::{Recording, float, optional, optional_float};
 use super::registry_text::*;
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// One instance as a source lists it, in the words of the registry's protocol.
+/// One instance as a source lists it, in the terms of the registry's protocol.
 #[derive(Clone)]
 pub(crate) struct Instance {
     pub(crate) id: String,
@@ -51,14 +51,14 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Options {
     pub(crate) networks: AllowedNetworks,
-    pub(crate) preserved_share: f64,
-    pub(crate) preserved_least: usize,
-    pub(crate) preserved_span: f64,
+    pub(crate) max_missing_share: f64,
+    pub(crate) max_missing_count: usize,
+    pub(crate) preservation_duration: f64,
     pub(crate) source_timeout: f64,
-    pub(crate) missing_timeout: f64,
-    pub(crate) removed_kept: f64,
-    pub(crate) instance_limit: usize,
-    pub(crate) removed_limit: usize,
+    pub(crate) missing_grace: f64,
+    pub(crate) tombstone_ttl: f64,
+    pub(crate) max_instances: usize,
+    pub(crate) max_tombstones: usize,
 }
 
 fn networks(allowed: AllowedNetworks) -> Networks {
@@ -74,23 +74,23 @@
     }
 }
 
-fn rules(options: Options) -> MembershipConfig {
+fn config(options: Options) -> MembershipConfig {
     MembershipConfig {
         networks: networks(options.networks),
         self_preservation: SelfPreservationConfig {
-            max_missing_share: options.preserved_share,
-            max_missing_count: options.preserved_least,
-            duration: options.preserved_span,
+            max_missing_share: options.max_missing_share,
+            max_missing_count: options.max_missing_count,
+            duration: options.preservation_duration,
         },
         unreachable_after: options.source_timeout,
-        missing_grace: options.missing_timeout,
-        tombstone_ttl: options.removed_kept,
-        max_instances: options.instance_limit,
-        max_tombstones: options.removed_limit,
+        missing_grace: options.missing_grace,
+        tombstone_ttl: options.tombstone_ttl,
+        max_instances: options.max_instances,
+        max_tombstones: options.max_tombstones,
     }
 }
 
-fn fact(instance: Instance) -> InstanceRecord {
+fn record(instance: Instance) -> InstanceRecord {
     InstanceRecord {
         id: instance.id,
         status: Status::parse(instance.status),
@@ -104,25 +104,25 @@
 }
 
 fn content(answer: Answer) -> UpdateContent {
-    let facts = |instances: Vec<Instance>| instances.into_iter().map(fact).collect();
-    let named = |(id, version): (String, (u64, u64))| (id, Version::new(version.0, version.1));
+    let records = |instances: Vec<Instance>| instances.into_iter().map(record).collect();
+    let deletion = |(id, version): (String, (u64, u64))| (id, Version::new(version.0, version.1));
     match answer {
-        Answer::Full(listed) => UpdateContent::Full(facts(listed)),
+        Answer::Full(listed) => UpdateContent::Full(records(listed)),
         Answer::Delta { changed, deleted } => UpdateContent::Delta {
-            changed: facts(changed),
-            deleted: deleted.into_iter().map(named).collect(),
+            changed: records(changed),
+            deleted: deleted.into_iter().map(deletion).collect(),
         },
     }
 }
 
 pub(crate) struct RegistryView(Membership);
 
-/// A snapshot that was taken, as its file's text.
+/// A snapshot as the text of its file.
 pub(crate) struct SnapshotText(String);
 
 impl RegistryView {
     pub(crate) fn new(options: Options) -> Self {
-        RegistryView(Membership::new(rules(options)))
+        RegistryView(Membership::new(config(options)))
     }
 
     pub(crate) fn configure(
@@ -132,11 +132,11 @@
         sources: &[String],
         recording: &mut Recording,
     ) {
-        let change = self.0.configure(now, rules(options), sources);
+        let change = self.0.configure(now, config(options), sources);
         self.record_change(change, recording);
     }
 
-    pub(crate) fn answered(
+    pub(crate) fn apply_answer(
         &mut self,
         now: f64,
         source: &str,
@@ -144,13 +144,13 @@
         answer: Answer,
         recording: &mut Recording,
     ) {
-        let view = SourceUpdate {
+        let update = SourceUpdate {
             source: source.into(),
             requested_at,
             received_at: now,
             content: content(answer),
         };
-        let change = self.0.apply_update(now, view);
+        let change = self.0.apply_update(now, update);
         self.record_change(change, recording);
     }
 
@@ -168,7 +168,7 @@
         event: Connection,
         recording: &mut Recording,
     ) {
-        let seen = match event {
+        let observation = match event {
             Connection::Opened { at } => Observation::Opened { at },
             Connection::Broken { open } => Observation::Broken {
                 open_connections: open,
@@ -180,7 +180,8 @@
                 open_connections: open,
             },
         };
-        let ObservationOutcome { change, restarted } = self.0.record_observation(now, engine, seen);
+        let ObservationOutcome { change, restarted } =
+            self.0.record_observation(now, engine, observation);
         recording.state(&format!("restarted {restarted}"));
         if restarted {
             recording.count("restart detected");
@@ -188,7 +189,7 @@
         self.record_change(change, recording);
     }
 
-    pub(crate) fn taken_out_by_operator(&mut self, engines: BTreeSet<String>) {
+    pub(crate) fn set_drained(&mut self, engines: BTreeSet<String>) {
         self.0.set_administratively_drained(engines);
     }
 
@@ -211,7 +212,7 @@
         snapshot
             .instances
             .iter()
-            .for_each(|kept| recording.state(&kept_text(kept)));
+            .for_each(|instance| recording.state(&persisted_text(instance)));
         let text = serde_json::to_string(&snapshot).unwrap();
         recording.wording(&text);
         Some(SnapshotText(text))
@@ -231,14 +232,14 @@
         self.record_change(change, recording);
     }
 
-    /// The operators' report for a query, as JSON.
+    /// Records the operators' report for a query, as JSON.
     pub(crate) fn report(&self, now: f64, query: &str, recording: &mut Recording) {
         match Query::parse(query) {
             Ok(query) => {
                 recording.count("report");
-                let only = query.filter.map(only_text);
+                let filter = query.filter.map(filter_text);
                 recording.state(&format!(
-                    "query {} {:?} {only:?}",
+                    "query {} {:?} {filter:?}",
                     optional(query.limit),
                     query.after
                 ));
@@ -252,7 +253,7 @@
         }
     }
 
-    /// Everything that the view shows of itself.
+    /// Records everything that the view exposes.
     pub(crate) fn record_all(&self, now: f64, recording: &mut Recording) {
         for source in self.0.sources() {
             recording.state(&format!(
@@ -279,13 +280,13 @@
         if self.0.instances_over_limit() > 0 {
             recording.count("beyond instance limit");
         }
-        let (overflow, gone, held) = (
+        let (over_limit, tombstones, preserved) = (
             self.0.instances_over_limit(),
             self.0.tombstone_count(),
             self.0.preserved_count(),
         );
         recording.state(&format!(
-            "totals {rejections} {overflow} {gone} {held} {}",
+            "totals {rejections} {over_limit} {tombstones} {preserved} {}",
             self.0.config().max_instances
         ));
         recording.state(&format!(
@@ -317,7 +318,7 @@
     }
 
     fn record_member(&self, id: &str, member: &Member, recording: &mut Recording) {
-        let claims: Vec<String> = member.records.iter().map(claim_text).collect();
+        let records: Vec<String> = member.records.iter().map(record_text).collect();
         recording.count(reason_kind(member.resolved.reason));
         if member.preservation.is_some() {
             recording.count("kept by self-preservation");
@@ -334,7 +335,7 @@
             member_text(member)
         ));
         recording.state(&format!(
-            "claims {} {claims:?}",
+            "claims {} {records:?}",
             member.records.outdated_records
         ));
         recording.state(&format!(
@@ -364,7 +365,7 @@
     }
 }
 
-/// Whether an address may be used, under these networks.
+/// Records whether these networks admit an address.
 pub(crate) fn record_admission(
     allowed: AllowedNetworks,
     address: SocketAddr,
@@ -383,7 +384,7 @@
     }
 }
 
-/// The version that two timestamps of a registry's answer make.
+/// Records the version that two timestamps of a registry's answer form.
 pub(crate) fn record_version(dirty: Option<f64>, updated: Option<f64>, recording: &mut Recording) {
     let version = Version::from_timestamps(dirty, updated);
     recording.count(if version.is_unset() {
--- a/tests/recorded_state/registry_profiles.rs
+++ b/tests/recorded_state/registry_profiles.rs
@@ -1,4 +1,4 @@
-//! The profiles of the registry view, and what each must come to.
+//! Profiles of the registry view, each compared with its recording.
 
 use super::expected::{
     REGISTRY_ADMISSIONS, REGISTRY_CONFLICTS, REGISTRY_LIMITS, REGISTRY_LIVENESS, REGISTRY_RESTARTS,
@@ -6,7 +6,7 @@
 };
 use super::random::Random;
 use super::recording::{Recording, assert_exercised};
-use super::registry::{Profile, USUAL, play};
+use super::registry::{DEFAULT_OPTIONS, Profile, play};
 use super::registry_adapter::{AllowedNetworks, Options, record_admission, record_version};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
@@ -18,13 +18,13 @@
     sources: 3,
     weights: [8, 8, 1, 3, 1, 3, 0, 1, 0],
     listed: 70,
-    short_lists: 0,
+    truncated_lists: 0,
     not_up: 25,
     bad_addresses: 0,
     unversioned: 10,
     addresses: 4,
-    longest_pause: 30_000.0,
-    options: USUAL,
+    max_pause: 30_000.0,
+    options: DEFAULT_OPTIONS,
 };
 
 const SELF_PRESERVATION: Profile = Profile {
@@ -35,13 +35,13 @@
     sources: 2,
     weights: [8, 2, 2, 4, 1, 3, 1, 1, 0],
     listed: 96,
-    short_lists: 15,
+    truncated_lists: 15,
     not_up: 3,
     bad_addresses: 0,
     unversioned: 0,
     addresses: 16,
-    longest_pause: 60_000.0,
-    options: USUAL,
+    max_pause: 60_000.0,
+    options: DEFAULT_OPTIONS,
 };
 
 const RESTARTS: Profile = Profile {
@@ -52,13 +52,13 @@
     sources: 2,
     weights: [6, 4, 2, 6, 1, 3, 1, 1, 3],
     listed: 85,
-    short_lists: 5,
+    truncated_lists: 5,
     not_up: 10,
     bad_addresses: 0,
     unversioned: 5,
     addresses: 7,
-    longest_pause: 40_000.0,
-    options: USUAL,
+    max_pause: 40_000.0,
+    options: DEFAULT_OPTIONS,
 };
 
 const LIMITS: Profile = Profile {
@@ -69,22 +69,22 @@
     sources: 20,
     weights: [6, 6, 1, 2, 1, 4, 2, 1, 1],
     listed: 50,
-    short_lists: 10,
+    truncated_lists: 10,
     not_up: 10,
     bad_addresses: 25,
     unversioned: 5,
     addresses: 12,
-    longest_pause: 20_000.0,
+    max_pause: 20_000.0,
     options: Options {
         networks: AllowedNetworks::Only(&["127.0.0.0/8", "fd00::/8"]),
-        instance_limit: 8,
-        removed_limit: 3,
-        removed_kept: 20_000.0,
-        ..USUAL
+        max_instances: 8,
+        max_tombstones: 3,
+        tombstone_ttl: 20_000.0,
+        ..DEFAULT_OPTIONS
     },
 };
 
-/// Connections come and go while the source is often away.
+/// Connections open and close while the source is often unavailable.
 const LIVENESS: Profile = Profile {
     seed: 6,
     streams: 80,
@@ -93,15 +93,15 @@
     sources: 1,
     weights: [2, 0, 2, 12, 0, 4, 0, 1, 0],
     listed: 95,
-    short_lists: 0,
+    truncated_lists: 0,
     not_up: 2,
     bad_addresses: 0,
     unversioned: 0,
     addresses: 2,
-    longest_pause: 12_000.0,
+    max_pause: 12_000.0,
     options: Options {
         source_timeout: 4_000.0,
-        ..USUAL
+        ..DEFAULT_OPTIONS
     },
 };
 
@@ -157,7 +157,7 @@
     Some(f64::INFINITY),
 ];
 
-/// Addresses and timestamps as any registry may write them.
+/// Records the admission of addresses and the versions of timestamps, including unusable ones.
 fn play_admissions() -> Recording {
     let mut recording = Recording::default();
     for stream in 0..ADMISSIONS {
@@ -174,8 +174,8 @@
 
 fn random_address(random: &mut Random) -> SocketAddr {
     let [_, second, third, fourth] = (random.bits() as u32).to_be_bytes();
-    let short = Ipv4Addr::new(*random.choose(&FIRST_BYTES), second % 20, third, fourth);
-    let long = Ipv6Addr::new(
+    let v4 = Ipv4Addr::new(*random.choose(&FIRST_BYTES), second % 20, third, fourth);
+    let v6 = Ipv6Addr::new(
         *random.choose(&[0x2001, 0xfd00, 0xff02, 0]),
         0xdb8,
         0,
@@ -186,10 +186,10 @@
         1,
     );
     let ip = *random.choose(&[
-        IpAddr::V4(short),
+        IpAddr::V4(v4),
         IpAddr::V4(Ipv4Addr::BROADCAST),
-        IpAddr::V6(short.to_ipv6_mapped()),
-        IpAddr::V6(long),
+        IpAddr::V6(v4.to_ipv6_mapped()),
+        IpAddr::V6(v6),
         IpAddr::V6(Ipv6Addr::LOCALHOST),
         IpAddr::V6(Ipv6Addr::UNSPECIFIED),
     ]);
--- a/tests/recorded_state/registry_text.rs
+++ b/tests/recorded_state/registry_text.rs
@@ -1,4 +1,5 @@
-//! The text form of what the registry view gives out. With its adapter the only file that names the machine's items.
+//! Text forms of the registry view's outputs. Only this file and `registry_adapter` use the library's
+//! membership items.
 
 use super::recording::{Recording, float, optional, optional_float};
 use query_dispatcher::membership::report::{MemberFilter, QueryError};
@@ -60,7 +61,7 @@
 }
 
 pub(crate) fn member_text(member: &Member) -> String {
-    let particulars = [
+    let details = [
         optional(member.address),
         optional(member.zone.as_ref()),
         optional(member.kind.as_ref()),
@@ -72,63 +73,63 @@
         Some(member.since),
     ]
     .map(optional_float);
-    let claims = [
+    let versions = [
         version_text(member.records.newest_version),
         member
             .records
             .drain_watermark
-            .map_or("none".into(), floor_text),
+            .map_or("none".into(), watermark_text),
     ];
-    let (liveness, held) = (
-        proof_text(&member.liveness),
-        member.preservation.as_ref().map(held_text),
+    let (liveness, preservation) = (
+        liveness_text(&member.liveness),
+        member.preservation.as_ref().map(preservation_text),
     );
-    let (belief, superseded) = (
-        belief_text(&member.resolved),
+    let (resolved, superseded) = (
+        resolved_text(&member.resolved),
         optional(member.superseded_by.as_ref()),
     );
     format!(
-        "{particulars:?} {times:?} {claims:?} {liveness} {held:?} {belief} {superseded} {}",
+        "{details:?} {times:?} {versions:?} {liveness} {preservation:?} {resolved} {superseded} {}",
         member.state_changes
     )
 }
 
-pub(crate) fn proof_text(proof: &LivenessEvidence) -> String {
+pub(crate) fn liveness_text(evidence: &LivenessEvidence) -> String {
     let times = [
-        proof.all_lost_at,
-        proof.unconnected_since,
-        proof.restarted_at,
+        evidence.all_lost_at,
+        evidence.unconnected_since,
+        evidence.restarted_at,
     ]
     .map(optional_float);
     format!(
         "liveness {times:?} {} {} {}",
-        proof.ever_connected,
-        proof.refusals,
-        proof.is_unreachable()
+        evidence.ever_connected,
+        evidence.refusals,
+        evidence.is_unreachable()
     )
 }
 
-pub(crate) fn held_text(held: &Preservation) -> String {
+pub(crate) fn preservation_text(preservation: &Preservation) -> String {
     format!(
         "{} {} {} {}",
-        float(held.since),
-        float(held.until),
-        held.missing,
-        held.in_service
+        float(preservation.since),
+        float(preservation.until),
+        preservation.missing,
+        preservation.in_service
     )
 }
 
-pub(crate) fn belief_text(belief: &ResolvedState) -> String {
-    let stand = match belief.standing {
+pub(crate) fn resolved_text(resolved: &ResolvedState) -> String {
+    let standing = match resolved.standing {
         Standing::Serving => "serves",
         Standing::Draining => "drains",
         Standing::Removed => "gone",
     };
-    let until = optional_float(belief.until);
+    let until = optional_float(resolved.until);
     format!(
-        "{stand} {} {} {until}",
-        reason_text(belief.reason),
-        belief.reason.contradicts()
+        "{standing} {} {} {until}",
+        reason_text(resolved.reason),
+        resolved.reason.contradicts()
     )
 }
 
@@ -145,7 +146,7 @@
 }
 
 pub(crate) fn reason_text(reason: Reason) -> String {
-    let particulars = match reason {
+    let details = match reason {
         Reason::ListedAs(status) => status.as_str().to_string(),
         Reason::Contradicted(source, status) => format!("{source} {}", status.as_str()),
         Reason::MissingFrom(source) => source.to_string(),
@@ -153,46 +154,49 @@
             String::new()
         }
     };
-    format!("{} {particulars}", reason_kind(reason))
+    format!("{} {details}", reason_kind(reason))
 }
 
-pub(crate) fn claim_text(claim: &SourceRecord) -> String {
-    let said = match claim.reported {
+pub(crate) fn record_text(record: &SourceRecord) -> String {
+    let reported = match record.reported {
         Reported::Serving => "serves".to_string(),
         Reported::Draining(status) => format!("drains {}", status.as_str()),
         Reported::UnusableAddress => "unusable".to_string(),
         Reported::Absent => "absent".to_string(),
     };
-    let times = [float(claim.requested_at), float(claim.since)];
-    let (version, address) = (version_text(claim.version), optional(claim.address));
+    let times = [float(record.requested_at), float(record.since)];
+    let (version, address) = (version_text(record.version), optional(record.address));
     format!(
-        "{} {said} {version} {address} {times:?} {}",
-        claim.source, claim.generation
+        "{} {reported} {version} {address} {times:?} {}",
+        record.source, record.generation
     )
 }
 
-pub(crate) fn floor_text(floor: DrainWatermark) -> String {
+pub(crate) fn watermark_text(watermark: DrainWatermark) -> String {
     format!(
         "{} {} {}",
-        version_text(floor.version),
-        floor.source,
-        float(floor.requested_at)
+        version_text(watermark.version),
+        watermark.source,
+        float(watermark.requested_at)
     )
 }
 
-pub(crate) fn kept_text(kept: &PersistedInstance) -> String {
-    let particulars = [optional(kept.zone.as_ref()), optional(kept.kind.as_ref())];
-    let versions =
-        [Some(kept.newest_version), kept.drained_version].map(|version| version.map(version_text));
-    let times = [Some(kept.since), kept.started_at].map(optional_float);
+pub(crate) fn persisted_text(instance: &PersistedInstance) -> String {
+    let details = [
+        optional(instance.zone.as_ref()),
+        optional(instance.kind.as_ref()),
+    ];
+    let versions = [Some(instance.newest_version), instance.drained_version]
+        .map(|version| version.map(version_text));
+    let times = [Some(instance.since), instance.started_at].map(optional_float);
     format!(
-        "kept {} {} {particulars:?} {} {times:?} {versions:?}",
-        kept.id, kept.address, kept.in_service
+        "kept {} {} {details:?} {} {times:?} {versions:?}",
+        instance.id, instance.address, instance.in_service
     )
 }
 
-pub(crate) fn only_text(only: MemberFilter) -> &'static str {
-    match only {
+pub(crate) fn filter_text(filter: MemberFilter) -> &'static str {
+    match filter {
         MemberFilter::Ready => "ready",
         MemberFilter::Draining => "draining",
         MemberFilter::Removed => "gone",
--- a/tests/recorded_state/spool.rs
+++ b/tests/recorded_state/spool.rs
@@ -1,4 +1,4 @@
-//! Streams of events for the spool index: results that come page by page, their readers, the disk and time.
+//! Event streams for the spool index: results that arrive page by page, their readers, the disk and time.
 
 use super::expected::{SPOOL_IN_MEMORY, SPOOL_WITH_BAD_DISK, SPOOL_WITH_DISK};
 use super::random::Random;
@@ -8,23 +8,24 @@
 const KIB: u64 = 1024;
 const CLASSES: u64 = 3;
 const TENANTS: u64 = 4;
-const LARGEST_PAGE: u64 = 30 * KIB;
-const LONGEST_WRITE: f64 = 1_400.0;
+const MAX_PAGE_BYTES: u64 = 30 * KIB;
+const MAX_WRITE_MS: f64 = 1_400.0;
 const EVENTS_PER_FULL_RECORD: u64 = 4;
 const RECENT_SPOOLS: usize = 12;
-/// No spool ever has this number.
-const NO_SPOOL: u64 = u64::MAX;
+/// An id that no spool has.
+const UNKNOWN_SPOOL: u64 = u64::MAX;
 const USERS: [&str; 2] = ["reader", "other"];
 
 struct Profile {
     seed: u64,
     streams: u64,
     events: u64,
-    longest_step: f64,
+    /// Maximum time between events, in milliseconds.
+    max_step: f64,
     /// Weights of [`ACTIONS`].
     weights: [u64; ACTIONS.len()],
-    /// In percent: a write that ends well.
-    good_writes: u64,
+    /// Probability in percent that a write succeeds.
+    successful_writes: u64,
     options: Options,
 }
 
@@ -35,16 +36,16 @@
     Page,
     Complete,
     Fail,
-    Return,
+    ReturnToMemory,
     Persist,
-    Find,
+    Restore,
     Attach,
     Detach,
     DiskWrite,
     Expire,
     Configure,
     Resume,
-    Learn,
+    RecordSize,
 }
 
 const ACTIONS: [Action; 15] = [
@@ -53,32 +54,32 @@
     Action::Page,
     Action::Complete,
     Action::Fail,
-    Action::Return,
+    Action::ReturnToMemory,
     Action::Persist,
-    Action::Find,
+    Action::Restore,
     Action::Attach,
     Action::Detach,
     Action::DiskWrite,
     Action::Expire,
     Action::Configure,
     Action::Resume,
-    Action::Learn,
+    Action::RecordSize,
 ];
 
 const DISK: Profile = Profile {
     seed: 11,
     streams: 120,
     events: 150,
-    longest_step: 120.0,
+    max_step: 120.0,
     weights: [6, 10, 40, 10, 1, 1, 3, 2, 6, 5, 3, 2, 0, 5, 2],
-    good_writes: 95,
+    successful_writes: 95,
     options: Options {
-        memory: 100 * KIB,
-        disk: Some(400 * KIB),
-        tenant_quota: 250 * KIB,
-        result_limit: 150 * KIB,
-        time_to_live: 4_000.0,
-        spool_limit: 14,
+        memory_bytes: 100 * KIB,
+        disk_bytes: Some(400 * KIB),
+        tenant_quota_bytes: 250 * KIB,
+        max_result_bytes: 150 * KIB,
+        retention: 4_000.0,
+        max_spools: 14,
     },
 };
 
@@ -86,14 +87,14 @@
     seed: 12,
     streams: 100,
     events: 150,
-    longest_step: 120.0,
+    max_step: 120.0,
     weights: [6, 12, 40, 12, 1, 0, 1, 0, 6, 5, 1, 2, 0, 5, 2],
-    good_writes: 90,
+    successful_writes: 90,
     options: Options {
-        disk: None,
-        memory: 300 * KIB,
-        time_to_live: 9_000.0,
-        spool_limit: 8,
+        disk_bytes: None,
+        memory_bytes: 300 * KIB,
+        retention: 9_000.0,
+        max_spools: 8,
         ..DISK.options
     },
 };
@@ -102,9 +103,9 @@
     seed: 13,
     streams: 100,
     events: 150,
-    longest_step: 500.0,
+    max_step: 500.0,
     weights: [6, 10, 40, 10, 2, 3, 4, 2, 6, 5, 8, 3, 1, 5, 1],
-    good_writes: 55,
+    successful_writes: 55,
     options: DISK.options,
 };
 
@@ -149,9 +150,11 @@
     random: Random,
     index: RecordedSpoolIndex,
     now: f64,
-    /// All spools so far, also those that are gone.
+    /// All spools so far, including removed ones.
     spools: Vec<u64>,
+    /// Spools that still receive pages.
     open: Vec<u64>,
+    /// Spools with an attached reader, one entry for each.
     read: Vec<u64>,
     handles: Vec<String>,
 }
@@ -172,7 +175,7 @@
 
     fn play(&mut self, recording: &mut Recording) {
         for event in 0..self.profile.events {
-            self.now += self.random.float_below(self.profile.longest_step);
+            self.now += self.random.float_below(self.profile.max_step);
             let action = ACTIONS[self.random.weighted(&self.profile.weights)];
             self.act(action, recording);
             if event % EVENTS_PER_FULL_RECORD == 0 {
@@ -198,27 +201,27 @@
                 let spool = self.any_spool();
                 self.index.fail(spool);
             }
-            Action::Return => {
-                let (spool, bytes) = (self.any_spool(), self.random.below(LARGEST_PAGE));
-                self.index.returned(spool, bytes);
+            Action::ReturnToMemory => {
+                let (spool, bytes) = (self.any_spool(), self.random.below(MAX_PAGE_BYTES));
+                self.index.return_to_memory(spool, bytes);
             }
             Action::Persist => {
                 let spool = self.any_spool();
                 self.index.persist(self.now, spool, recording);
             }
-            Action::Find => self.find(),
+            Action::Restore => self.restore(),
             Action::Attach => self.attach(recording),
             Action::Detach => self.detach(),
             Action::DiskWrite => self.disk_write(recording),
             Action::Expire => self.index.expire(self.now, recording),
             Action::Configure => self.configure(),
             Action::Resume => self.resume(recording),
-            Action::Learn => {
+            Action::RecordSize => {
                 let (class, bytes) = (
                     self.random.below(CLASSES),
                     self.random.float_below(200_000.0),
                 );
-                self.index.learn_size(class as usize, bytes);
+                self.index.record_size(class as usize, bytes);
             }
         }
     }
@@ -232,11 +235,11 @@
         }
     }
 
-    /// Some spool of late, which may be gone, or one that never was.
+    /// Draws a recent spool, which may have been removed, or an unknown one.
     fn any_spool(&mut self) -> u64 {
         let from = self.spools.len().saturating_sub(RECENT_SPOOLS);
         match self.spools[from..].is_empty() || self.random.percent(2) {
-            true => NO_SPOOL,
+            true => UNKNOWN_SPOOL,
             false => *self.random.choose(&self.spools[from..]),
         }
     }
@@ -252,11 +255,11 @@
     fn page(&mut self, recording: &mut Recording) {
         let unknown = self.open.is_empty() || self.random.percent(2);
         let spool = if unknown {
-            NO_SPOOL
+            UNKNOWN_SPOOL
         } else {
             *self.random.choose(&self.open)
         };
-        let bytes = 1 + self.random.below(LARGEST_PAGE);
+        let bytes = 1 + self.random.below(MAX_PAGE_BYTES);
         if !self.index.page(self.now, spool, bytes, recording) {
             self.index.fail(spool);
             self.open.retain(|other| *other != spool);
@@ -276,13 +279,13 @@
         );
     }
 
-    fn find(&mut self) {
-        let (request, bytes) = (self.request(), 1 + self.random.below(LARGEST_PAGE));
+    fn restore(&mut self) {
+        let (request, bytes) = (self.request(), 1 + self.random.below(MAX_PAGE_BYTES));
         let completed = self.now - 1_000.0 + self.random.float_below(1_500.0);
         let handle = format!("{:032x}", self.random.bits());
         let spool = self
             .index
-            .found(self.now, request, bytes, completed, USERS[0], &handle);
+            .restore(self.now, request, bytes, completed, USERS[0], &handle);
         self.spools.push(spool);
         self.handles.push(handle);
     }
@@ -297,33 +300,33 @@
     fn detach(&mut self) {
         if let Some(spool) = self.read.pop() {
             let complete = self.random.percent(50);
-            self.index.reading(self.now, spool);
+            self.index.record_read(self.now, spool);
             self.index.detach(self.now, spool, complete);
         }
     }
 
     fn disk_write(&mut self, recording: &mut Recording) {
-        let bad = *self.random.choose(&[DiskWrite::Full, DiskWrite::Failed]);
-        let write = if self.random.percent(self.profile.good_writes) {
-            DiskWrite::Well
+        let failure = *self.random.choose(&[DiskWrite::Full, DiskWrite::Failed]);
+        let write = if self.random.percent(self.profile.successful_writes) {
+            DiskWrite::Successful
         } else {
-            bad
+            failure
         };
-        let took = self.random.float_below(LONGEST_WRITE);
-        self.index.disk_write(self.now, took, write, recording);
+        let duration = self.random.float_below(MAX_WRITE_MS);
+        self.index.disk_write(self.now, duration, write, recording);
     }
 
     fn configure(&mut self) {
-        let disk = self.random.percent(70).then_some(300 * KIB);
+        let disk_bytes = self.random.percent(70).then_some(300 * KIB);
         self.index.configure(Options {
-            disk,
+            disk_bytes,
             ..self.profile.options
         });
     }
 
     fn resume(&mut self, recording: &mut Recording) {
-        let wrong = self.handles.is_empty() || self.random.percent(20);
-        let handle = match wrong {
+        let use_unknown = self.handles.is_empty() || self.random.percent(20);
+        let handle = match use_unknown {
             true => self
                 .random
                 .choose(&["short", "0123456789abcdef0123456789abcdef"])
--- a/tests/recorded_state/spool_adapter.rs
+++ b/tests/recorded_state/spool_adapter.rs
@@ -1,4 +1,4 @@
-//! The spool index as the streams use it. The only file of this test that names the machine's own items.
+//! Adapter to the spool index: the only file of this test that uses the library's spool items.
 
 use super::recording::{Recording, float, optional, optional_float};
 use query_dispatcher::spool::{
@@ -8,12 +8,12 @@
 
 #[derive(Clone, Copy)]
 pub(crate) struct Options {
-    pub(crate) memory: u64,
-    pub(crate) disk: Option<u64>,
-    pub(crate) tenant_quota: u64,
-    pub(crate) result_limit: u64,
-    pub(crate) time_to_live: f64,
-    pub(crate) spool_limit: usize,
+    pub(crate) memory_bytes: u64,
+    pub(crate) disk_bytes: Option<u64>,
+    pub(crate) tenant_quota_bytes: u64,
+    pub(crate) max_result_bytes: u64,
+    pub(crate) retention: f64,
+    pub(crate) max_spools: usize,
 }
 
 #[derive(Clone, Copy)]
@@ -25,23 +25,23 @@
 
 #[derive(Clone, Copy)]
 pub(crate) enum DiskWrite {
-    Well,
+    Successful,
     Full,
     Failed,
 }
 
 fn limits(options: Options) -> SpoolLimits {
     SpoolLimits {
-        memory_bytes: options.memory,
-        disk_bytes: options.disk,
-        tenant_bytes: options.tenant_quota,
-        result_bytes: options.result_limit,
-        retention: options.time_to_live,
-        max_spools: options.spool_limit,
+        memory_bytes: options.memory_bytes,
+        disk_bytes: options.disk_bytes,
+        tenant_bytes: options.tenant_quota_bytes,
+        result_bytes: options.max_result_bytes,
+        retention: options.retention,
+        max_spools: options.max_spools,
     }
 }
 
-fn ask(request: Request) -> AdmissionRequest {
+fn admission_request(request: Request) -> AdmissionRequest {
     AdmissionRequest {
         tenant: request.tenant,
         class: request.class,
@@ -49,26 +49,26 @@
     }
 }
 
-/// The account of spools together with the handles that clients resume by.
+/// The spool index with the handles by which clients resume their results.
 pub(crate) struct RecordedSpoolIndex {
-    ledger: SpoolIndex,
+    index: SpoolIndex,
     handles: HandleTable,
 }
 
 impl RecordedSpoolIndex {
     pub(crate) fn new(options: Options, classes: usize) -> Self {
         RecordedSpoolIndex {
-            ledger: SpoolIndex::new(limits(options), classes),
+            index: SpoolIndex::new(limits(options), classes),
             handles: HandleTable::default(),
         }
     }
 
     pub(crate) fn configure(&mut self, options: Options) {
-        self.ledger.configure(limits(options));
+        self.index.configure(limits(options));
     }
 
     pub(crate) fn admit(&mut self, now: f64, request: Request, recording: &mut Recording) {
-        match self.ledger.admit(now, ask(request)) {
+        match self.index.admit(now, admission_request(request)) {
             Admission::Admitted => {
                 recording.count("admitted");
                 recording.state("admitted");
@@ -90,22 +90,22 @@
         request: Request,
         recording: &mut Recording,
     ) -> Option<u64> {
-        match self.ledger.open(now, ask(request)) {
+        match self.index.open(now, admission_request(request)) {
             Ok(opened) => {
                 let spool = opened.id;
                 recording.count("opened");
                 recording.state(&format!("opened {spool}"));
-                self.carry_out(&opened.commands, recording);
+                self.execute(&opened.commands, recording);
                 Some(spool)
             }
             Err(error) => {
-                record_unfit(error, recording);
+                record_rejection(error, recording);
                 None
             }
         }
     }
 
-    /// A page has come; true if it was stored.
+    /// Adds a page to a spool; returns true if it was stored.
     pub(crate) fn page(
         &mut self,
         now: f64,
@@ -113,20 +113,20 @@
         bytes: u64,
         recording: &mut Recording,
     ) -> bool {
-        let outcome = self.ledger.add_page(now, spool, bytes);
+        let outcome = self.index.add_page(now, spool, bytes);
         let stored = outcome.placement.is_ok();
         match outcome.placement {
-            Ok(place) => record_place(place, recording),
-            Err(error) => record_unfit(error, recording),
+            Ok(placement) => record_placement(placement, recording),
+            Err(error) => record_rejection(error, recording),
         }
-        self.carry_out(&outcome.commands, recording);
+        self.execute(&outcome.commands, recording);
         stored
     }
 
-    /// Records the orders; the handle of an evicted spool expires.
-    fn carry_out(&mut self, orders: &[SpoolCommand], recording: &mut Recording) {
-        for order in orders {
-            match order {
+    /// Records and executes the commands; the handle of an evicted spool expires.
+    fn execute(&mut self, commands: &[SpoolCommand], recording: &mut Recording) {
+        for command in commands {
+            match command {
                 SpoolCommand::Evict(spool) => {
                     recording.count("evict");
                     recording.state(&format!("evict {spool}"));
@@ -148,7 +148,7 @@
         random: u128,
         recording: &mut Recording,
     ) -> String {
-        self.ledger.complete(now, spool);
+        self.index.complete(now, spool);
         let handle = self.handles.issue(spool, user, random);
         recording.count("handle given");
         recording.state(&format!(
@@ -159,21 +159,21 @@
     }
 
     pub(crate) fn persist(&mut self, now: f64, spool: u64, recording: &mut Recording) {
-        let orders = self.ledger.persist(now, spool);
-        self.carry_out(&orders, recording);
+        let commands = self.index.persist(now, spool);
+        self.execute(&commands, recording);
     }
 
     pub(crate) fn fail(&mut self, spool: u64) {
-        self.ledger.fail(spool);
+        self.index.fail(spool);
         self.handles.expire(spool);
     }
 
-    pub(crate) fn returned(&mut self, spool: u64, bytes: u64) {
-        self.ledger.return_to_memory(spool, bytes);
+    pub(crate) fn return_to_memory(&mut self, spool: u64, bytes: u64) {
+        self.index.return_to_memory(spool, bytes);
     }
 
-    /// A complete spool of an earlier process is found on the disk.
-    pub(crate) fn found(
+    /// Restores a complete spool of an earlier process from the disk.
+    pub(crate) fn restore(
         &mut self,
         now: f64,
         request: Request,
@@ -182,20 +182,20 @@
         user: &str,
         handle: &str,
     ) -> u64 {
-        let spool = self.ledger.reserve_id();
+        let spool = self.index.reserve_id();
         let restored = RestoredSpool {
             id: spool,
-            request: ask(request),
+            request: admission_request(request),
             bytes,
             completed_at: completed,
         };
-        self.ledger.restore(now, restored);
+        self.index.restore(now, restored);
         self.handles.restore(spool, user, handle);
         spool
     }
 
     pub(crate) fn attach(&mut self, now: f64, spool: u64, recording: &mut Recording) -> bool {
-        let attached = self.ledger.attach_reader(now, spool);
+        let attached = self.index.attach_reader(now, spool);
         recording.count(if attached {
             "reader attached"
         } else {
@@ -205,36 +205,36 @@
         attached
     }
 
-    pub(crate) fn reading(&mut self, now: f64, spool: u64) {
-        self.ledger.record_read(now, spool);
+    pub(crate) fn record_read(&mut self, now: f64, spool: u64) {
+        self.index.record_read(now, spool);
     }
 
     pub(crate) fn detach(&mut self, now: f64, spool: u64, complete: bool) {
-        self.ledger.detach_reader(now, spool, complete);
+        self.index.detach_reader(now, spool, complete);
     }
 
     pub(crate) fn disk_write(
         &mut self,
         now: f64,
-        took: f64,
+        duration: f64,
         write: DiskWrite,
         recording: &mut Recording,
     ) {
         let outcome = match write {
-            DiskWrite::Well => WriteOutcome::Success,
+            DiskWrite::Successful => WriteOutcome::Success,
             DiskWrite::Full => WriteOutcome::Full,
             DiskWrite::Failed => WriteOutcome::Failed("read-only".into()),
         };
-        let changed = self.ledger.record_disk_write(now, took, outcome);
+        let changed = self.index.record_disk_write(now, duration, outcome);
         recording.state(&format!("disk changed {changed}"));
     }
 
-    pub(crate) fn learn_size(&mut self, class: usize, bytes: f64) {
-        self.ledger.record_result_size(class, bytes);
+    pub(crate) fn record_size(&mut self, class: usize, bytes: f64) {
+        self.index.record_result_size(class, bytes);
     }
 
     pub(crate) fn expire(&mut self, now: f64, recording: &mut Recording) {
-        for spool in self.ledger.expire(now) {
+        for spool in self.index.expire(now) {
             recording.count("expired");
             recording.state(&format!("expired {spool}"));
             self.handles.expire(spool);
@@ -262,9 +262,9 @@
         classes: usize,
         recording: &mut Recording,
     ) {
-        let ledger = &self.ledger;
-        assert!(ledger.is_consistent(), "the account of all spools adds up");
-        let counters = ledger.counters();
+        let index = &self.index;
+        assert!(index.is_consistent(), "the index is consistent");
+        let counters = index.counters();
         let totals = [
             counters.rejected,
             counters.failed,
@@ -272,33 +272,30 @@
             counters.expired,
             counters.spilled,
         ];
-        let usage = ledger.usage();
+        let usage = index.usage();
         let expected: Vec<u64> = (0..classes)
-            .map(|class| ledger.expected_bytes(class))
+            .map(|class| index.expected_bytes(class))
             .collect();
         recording.state(&format!(
             "used {:?} {} {}",
             (usage.memory_bytes, usage.disk_bytes),
-            ledger.len(),
-            ledger.is_empty()
+            index.len(),
+            index.is_empty()
         ));
         recording.state(&format!("totals {totals:?} expected {expected:?}"));
         recording.state(&format!(
             "next expiry {}",
-            optional_float(ledger.next_expiry())
+            optional_float(index.next_expiry())
         ));
-        for (tenant, bytes) in ledger.bytes_by_tenant() {
+        for (tenant, bytes) in index.bytes_by_tenant() {
             recording.state(&format!("tenant {} {bytes}", optional(*tenant)));
         }
         let disk = [
-            disk_text(ledger.disk_health().state()),
-            ledger.disk_health().accepts_writes(now).to_string(),
+            disk_text(index.disk_health().state()),
+            index.disk_health().accepts_writes(now).to_string(),
         ];
-        recording.count(disk_kind(ledger.disk_health().state()));
-        recording.state(&format!(
-            "disk {disk:?} {}",
-            ledger.disk_health().failures()
-        ));
+        recording.count(disk_kind(index.disk_health().state()));
+        recording.state(&format!("disk {disk:?} {}", index.disk_health().failures()));
         let handles = &self.handles;
         let rejections = handles.rejections();
         let refused = [
@@ -318,22 +315,22 @@
     }
 
     fn record_spool(&self, spool: u64, recording: &mut Recording) {
-        let life = self.ledger.lifetime(spool).map(|lifetime| {
+        let lifetime = self.index.lifetime(spool).map(|lifetime| {
             [
                 float(lifetime.completed_at),
                 optional_float(lifetime.expires_at),
             ]
         });
-        let (present, spilled) = (self.ledger.contains(spool), self.ledger.is_spilled(spool));
+        let (present, spilled) = (self.index.contains(spool), self.index.is_spilled(spool));
         recording.state(&format!(
-            "spool {spool} {present} {spilled} {life:?} {:?}",
+            "spool {spool} {present} {spilled} {lifetime:?} {:?}",
             self.handles.of_spool(spool)
         ));
     }
 }
 
-fn record_place(place: Placement, recording: &mut Recording) {
-    let kind = match place {
+fn record_placement(placement: Placement, recording: &mut Recording) {
+    let kind = match placement {
         Placement::Memory => "page in memory",
         Placement::Disk => "page on disk",
     };
@@ -341,7 +338,7 @@
     recording.state(kind);
 }
 
-fn record_unfit(error: SpoolRejection, recording: &mut Recording) {
+fn record_rejection(error: SpoolRejection, recording: &mut Recording) {
     let kind = match error {
         SpoolRejection::ResultTooLarge(_) => "above result limit",
         SpoolRejection::TenantQuota(_) => "above tenant quota",
@@ -373,10 +370,10 @@
 }
 
 fn disk_text(state: &DiskState) -> String {
-    let particulars = match state {
+    let details = match state {
         DiskState::Absent | DiskState::Healthy => String::new(),
         DiskState::Full { since } | DiskState::Slow { since } => float(*since),
         DiskState::Failing { since, reason } => format!("{} {reason}", float(*since)),
     };
-    format!("{} {particulars}", disk_kind(state))
+    format!("{} {details}", disk_kind(state))
 }
--- a/tests/recorded_state/sticky.rs
+++ b/tests/recorded_state/sticky.rs
@@ -1,10 +1,11 @@
-//! Streams of events for sticky sessions: statements, answers, draining engines, lost connections and time.
+//! Event streams for sticky sessions: statements, answers, draining engines, lost connections and time.
 
 use super::expected::{STICKY_TIMEOUTS, STICKY_TRANSACTIONS};
 use super::random::Random;
 use super::recording::{Recording, assert_exercised};
 use super::sticky_adapter::{
-    Answer, HOLDS, Options, RecordedStickySession, SessionLimits, Statement, record_lost_connection,
+    Answer, Options, RecordedStickySession, STICKY_REASONS, SessionLimits, Statement,
+    record_lost_connection,
 };
 
 const TENANTS: u64 = 4;
@@ -15,10 +16,11 @@
     seed: u64,
     streams: u64,
     events: u64,
-    longest_step: f64,
-    /// In percent, of an event.
+    /// Maximum time between events, in milliseconds.
+    max_step: f64,
+    /// Probability in percent that the engine of a client begins to drain.
     drains: u64,
-    /// In percent, of an answer.
+    /// Probability in percent that an answer is an error.
     errors: u64,
     options: Options,
 }
@@ -27,15 +29,15 @@
     seed: 21,
     streams: 200,
     events: 120,
-    longest_step: 20.0,
+    max_step: 20.0,
     drains: 2,
     errors: 25,
     options: Options {
         idle_timeout: 150.0,
-        longest: 800.0,
+        max_lifetime: 800.0,
         drain_timeout: 60.0,
-        session_limit: 8,
-        tenant_limit: 4,
+        max_sessions: 8,
+        max_sessions_per_tenant: 4,
     },
 };
 
@@ -43,15 +45,15 @@
     seed: 22,
     streams: 200,
     events: 120,
-    longest_step: 60.0,
+    max_step: 60.0,
     drains: 10,
     errors: 10,
     options: Options {
         idle_timeout: 300.0,
-        longest: 700.0,
+        max_lifetime: 700.0,
         drain_timeout: 90.0,
-        session_limit: 5,
-        tenant_limit: 2,
+        max_sessions: 5,
+        max_sessions_per_tenant: 2,
     },
 };
 
@@ -76,10 +78,12 @@
     recording
 }
 
+/// A client whose session is bound to an engine connection.
 struct Client {
     tenant: Option<usize>,
     session: RecordedStickySession,
-    sent: Option<Statement>,
+    /// Statement that awaits its answer.
+    pending: Option<Statement>,
 }
 
 struct Stream<'profile> {
@@ -104,12 +108,12 @@
 
     fn play(&mut self, recording: &mut Recording) {
         for _ in 0..self.profile.events {
-            self.now += self.random.float_below(self.profile.longest_step);
+            self.now += self.random.float_below(self.profile.max_step);
             match self.clients.is_empty() || self.random.percent(20) {
                 true => self.begin(recording),
-                false => self.use_client(recording),
+                false => self.act_for_client(recording),
             }
-            self.end_what_is_due(recording);
+            self.end_expired_sessions(recording);
         }
     }
 
@@ -121,21 +125,21 @@
             self.clients.push(Client {
                 tenant,
                 session,
-                sent: None,
+                pending: None,
             });
         } else {
             self.limits.release(UNKNOWN_TENANT, recording);
         }
     }
 
-    fn use_client(&mut self, recording: &mut Recording) {
+    fn act_for_client(&mut self, recording: &mut Recording) {
         let position = self.random.below(self.clients.len() as u64) as usize;
         if self.random.percent(self.profile.drains) {
-            self.clients[position].session.engine_drains(self.now);
+            self.clients[position].session.engine_draining(self.now);
         } else if self.random.percent(3) {
-            record_lost_connection(self.clients[position].sent, recording);
+            record_lost_connection(self.clients[position].pending, recording);
             self.end(position, recording);
-        } else if self.clients[position].sent.is_none() {
+        } else if self.clients[position].pending.is_none() {
             self.send(position);
         } else {
             self.answer(position, recording);
@@ -143,15 +147,18 @@
     }
 
     fn send(&mut self, position: usize) {
-        let begins = self.random.percent(60).then(|| *self.random.choose(&HOLDS));
+        let acquires = self
+            .random
+            .percent(60)
+            .then(|| *self.random.choose(&STICKY_REASONS));
         let statement = Statement {
-            begins,
-            unlocks: self.random.percent(15),
+            acquires,
+            unlocks_tables: self.random.percent(15),
             commits: self.random.percent(30),
         };
         let client = &mut self.clients[position];
-        client.session.sent(self.now, statement);
-        client.sent = Some(statement);
+        client.session.statement_sent(self.now, statement);
+        client.pending = Some(statement);
     }
 
     fn answer(&mut self, position: usize, recording: &mut Recording) {
@@ -162,8 +169,8 @@
             },
         };
         let client = &mut self.clients[position];
-        client.sent = None;
-        if client.session.answered(self.now, answer, recording) && self.random.percent(50) {
+        client.pending = None;
+        if client.session.answer_received(self.now, answer, recording) && self.random.percent(50) {
             self.end(position, recording);
         }
     }
@@ -173,11 +180,11 @@
         self.limits.release(client.tenant, recording);
     }
 
-    fn end_what_is_due(&mut self, recording: &mut Recording) {
+    fn end_expired_sessions(&mut self, recording: &mut Recording) {
         for position in (0..self.clients.len()).rev() {
             if self.clients[position]
                 .session
-                .record_end(self.now, recording)
+                .record_expiry(self.now, recording)
             {
                 self.end(position, recording);
             }
--- a/tests/recorded_state/sticky_adapter.rs
+++ b/tests/recorded_state/sticky_adapter.rs
@@ -1,4 +1,4 @@
-//! Sticky sessions as the streams use them. The only file of this test that names the machine's own items.
+//! Adapter to sticky sessions: the only file of this test that uses the library's sticky session items.
 
 use super::recording::{Recording, float};
 use query_dispatcher::sticky_sessions::{
@@ -9,14 +9,14 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Options {
     pub(crate) idle_timeout: f64,
-    pub(crate) longest: f64,
+    pub(crate) max_lifetime: f64,
     pub(crate) drain_timeout: f64,
-    pub(crate) session_limit: usize,
-    pub(crate) tenant_limit: usize,
+    pub(crate) max_sessions: usize,
+    pub(crate) max_sessions_per_tenant: usize,
 }
 
 #[derive(Clone, Copy)]
-pub(crate) enum Hold {
+pub(crate) enum Binding {
     Transaction,
     TableLock,
     TemporaryTable,
@@ -24,18 +24,18 @@
     Variable,
 }
 
-pub(crate) const HOLDS: [Hold; 5] = [
-    Hold::Transaction,
-    Hold::TableLock,
-    Hold::TemporaryTable,
-    Hold::UserLock,
-    Hold::Variable,
+pub(crate) const STICKY_REASONS: [Binding; 5] = [
+    Binding::Transaction,
+    Binding::TableLock,
+    Binding::TemporaryTable,
+    Binding::UserLock,
+    Binding::Variable,
 ];
 
 #[derive(Clone, Copy)]
 pub(crate) struct Statement {
-    pub(crate) begins: Option<Hold>,
-    pub(crate) unlocks: bool,
+    pub(crate) acquires: Option<Binding>,
+    pub(crate) unlocks_tables: bool,
     pub(crate) commits: bool,
 }
 
@@ -45,30 +45,30 @@
     Error(u16),
 }
 
-fn terms(options: Options) -> StickySessionLimits {
+fn limits(options: Options) -> StickySessionLimits {
     StickySessionLimits {
         idle_timeout: options.idle_timeout,
-        max_lifetime: options.longest,
+        max_lifetime: options.max_lifetime,
         drain_timeout: options.drain_timeout,
-        max_sessions: options.session_limit,
-        max_sessions_per_tenant: options.tenant_limit,
+        max_sessions: options.max_sessions,
+        max_sessions_per_tenant: options.max_sessions_per_tenant,
     }
 }
 
-fn reason(hold: Hold) -> StickyReason {
-    match hold {
-        Hold::Transaction => StickyReason::Transaction,
-        Hold::TableLock => StickyReason::TableLocks,
-        Hold::TemporaryTable => StickyReason::TemporaryTable,
-        Hold::UserLock => StickyReason::UserLock,
-        Hold::Variable => StickyReason::SessionVariable,
+fn reason(binding: Binding) -> StickyReason {
+    match binding {
+        Binding::Transaction => StickyReason::Transaction,
+        Binding::TableLock => StickyReason::TableLocks,
+        Binding::TemporaryTable => StickyReason::TemporaryTable,
+        Binding::UserLock => StickyReason::UserLock,
+        Binding::Variable => StickyReason::SessionVariable,
     }
 }
 
-fn step(statement: Statement) -> StatementEffect {
+fn effect(statement: Statement) -> StatementEffect {
     StatementEffect {
-        acquires: statement.begins.map(reason),
-        unlocks_tables: statement.unlocks,
+        acquires: statement.acquires.map(reason),
+        unlocks_tables: statement.unlocks_tables,
         commits: statement.commits,
     }
 }
@@ -78,61 +78,70 @@
 
 impl RecordedStickySession {
     pub(crate) fn new(options: Options, now: f64) -> Self {
-        RecordedStickySession(StickySession::new(terms(options), now))
+        RecordedStickySession(StickySession::new(limits(options), now))
     }
 
-    pub(crate) fn sent(&mut self, now: f64, statement: Statement) {
-        self.0.on_statement_sent(now, step(statement));
+    pub(crate) fn statement_sent(&mut self, now: f64, statement: Statement) {
+        self.0.on_statement_sent(now, effect(statement));
     }
 
-    /// True if the session is free again.
-    pub(crate) fn answered(&mut self, now: f64, answer: Answer, recording: &mut Recording) -> bool {
-        let after = match answer {
+    /// Records the answer to a statement; returns true if the session releases its connection.
+    pub(crate) fn answer_received(
+        &mut self,
+        now: f64,
+        answer: Answer,
+        recording: &mut Recording,
+    ) -> bool {
+        let response = match answer {
             Answer::Status { transaction_open } => EngineResponse::Status {
                 in_transaction: transaction_open,
             },
             Answer::Error(code) => EngineResponse::Error(code),
         };
-        let next = self.0.on_response(now, after);
-        let kind = match next {
+        let disposition = self.0.on_response(now, response);
+        let kind = match disposition {
             ConnectionDisposition::Retain => "session kept",
             ConnectionDisposition::Release => "session free",
         };
         recording.count(kind);
         recording.state(kind);
-        next == ConnectionDisposition::Release
+        disposition == ConnectionDisposition::Release
     }
 
-    pub(crate) fn engine_drains(&mut self, now: f64) {
+    pub(crate) fn engine_draining(&mut self, now: f64) {
         self.0.on_engine_draining(now);
     }
 
-    /// Records when and why it ends; true if that is now.
-    pub(crate) fn record_end(&self, now: f64, recording: &mut Recording) -> bool {
-        let (at, over) = self.0.expiry();
-        let holds = HOLDS.map(|hold| self.0.is_bound_by(reason(hold)));
-        recording.state(&format!("ends {} {} {holds:?}", float(at), end_kind(over)));
+    /// Records when and why the session ends; returns true if it has ended.
+    pub(crate) fn record_expiry(&self, now: f64, recording: &mut Recording) -> bool {
+        let (expires_at, reason_to_end) = self.0.expiry();
+        let bindings = STICKY_REASONS.map(|binding| self.0.is_bound_by(reason(binding)));
+        recording.state(&format!(
+            "ends {} {} {bindings:?}",
+            float(expires_at),
+            expiry_kind(reason_to_end)
+        ));
         let ended = self.0.expired(now);
-        if let Some(over) = ended {
-            recording.count(end_kind(over));
-            recording.state(&format!("ended {}", end_kind(over)));
-            recording.wording(&over.to_string());
+        if let Some(expired) = ended {
+            recording.count(expiry_kind(expired));
+            recording.state(&format!("ended {}", expiry_kind(expired)));
+            recording.wording(&expired.to_string());
         }
         ended.is_some()
     }
 }
 
-fn end_kind(over: Expired) -> &'static str {
-    match over {
+fn expiry_kind(expired: Expired) -> &'static str {
+    match expired {
         Expired::Idle => "idle timeout",
         Expired::MaxLifetime => "lifetime over",
         Expired::EngineDraining => "drain timeout",
     }
 }
 
-/// What became of a transaction whose connection was lost.
-pub(crate) fn record_lost_connection(sent: Option<Statement>, recording: &mut Recording) {
-    let kind = match TransactionOutcome::of_lost_connection(sent.map(step)) {
+/// Records the outcome of a transaction whose connection was lost.
+pub(crate) fn record_lost_connection(pending: Option<Statement>, recording: &mut Recording) {
+    let kind = match TransactionOutcome::of_lost_connection(pending.map(effect)) {
         TransactionOutcome::RolledBack => "rolled back",
         TransactionOutcome::Unknown => "outcome unknown",
     };
@@ -150,7 +159,7 @@
         tenant: Option<usize>,
         recording: &mut Recording,
     ) -> bool {
-        let result = self.0.acquire(&terms(options), tenant);
+        let result = self.0.acquire(&limits(options), tenant);
         let kind = match result {
             Ok(()) => "session begun",
             Err(StickySessionLimitError::Total) => "session limit reached",
