--- a/crates/testbed/src/comparison.rs
+++ b/crates/testbed/src/comparison.rs
@@ -65,8 +65,8 @@
     }
 }
 
-/// The day with another number of gateways: engines, load and areas in proportion, so that each gateway meets what it
-/// met before and only the number of them differs.
+/// The day with another number of gateways: engines, load and areas in proportion, so that each gateway
+/// meets what it met before and only the number of them differs.
 pub fn scaled(s: &Scenario, dispatchers: usize) -> Scenario {
     let times = dispatchers as f64 / s.dispatchers as f64;
     let mut out = s.clone();
@@ -170,7 +170,8 @@
 /// Resamplings of a bootstrap.
 const RESAMPLED: usize = 2000;
 
-/// The median of paired differences, other minus first, and its bootstrap interval. The verdict is of the other.
+/// The median of paired differences, other minus first, and its bootstrap interval. The verdict is of the
+/// other.
 pub fn difference(first: &[f64], other: &[f64], random: &mut Stream) -> Difference {
     let pairs: Vec<f64> = first.iter().zip(other).map(|(a, b)| b - a).collect();
     let interval = interval(&pairs, random);
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,5 +1,5 @@
-//! Fakes of what surrounds a dispatcher, a simulation of a whole fleet in virtual time, and the tools that measure both.
-//! Tests, measurements and examples share them. Everything stays on loopback and on one thread.
+//! Fakes of what surrounds a dispatcher, a simulation of a whole fleet in virtual time, and the tools that
+//! measure both. Tests, measurements and examples share them. Everything stays on loopback and on one thread.
 
 #![allow(
     missing_docs,
--- a/crates/testbed/src/random.rs
+++ b/crates/testbed/src/random.rs
@@ -1,5 +1,5 @@
-//! Random numbers with names: each source draws from a stream of its own, so that one more draw in one of them changes
-//! no other. The same on every machine: ChaCha for the bits, `libm` for logarithms and powers.
+//! Random numbers with names: each source draws from a stream of its own, so that one more draw in one of
+//! them changes no other. The same on every machine: ChaCha for the bits, `libm` for logarithms and powers.
 
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
--- a/crates/testbed/src/simulation/arrivals.rs
+++ b/crates/testbed/src/simulation/arrivals.rs
@@ -41,7 +41,7 @@
                 (work, need) = (work * times, need * libm::sqrt(*times));
             }
         }
-        let area = self.areas.weighted(&self.area_weights) as u64;
+        let table_group = self.areas.weighted(&self.area_weights) as u64;
         let sigma = s.load.estimate_sigma;
         let (told, told_mb) = (
             self.estimates.lognormal(work, sigma),
@@ -55,10 +55,10 @@
             io,
             need_mb: need,
             grant_mb: 0.0,
-            area,
-            holds: c.holds_tables,
-            stands: c.waits_for_loads,
-            from: gateway as u32,
+            table_group,
+            holds_tables: c.holds_tables,
+            waits_for_loads: c.waits_for_loads,
+            sender: gateway as u32,
         };
         let over = self.over_quota(tenant);
         let priority_weight = c.priority_weight * if over { 0.05 } else { 1.0 };
@@ -132,13 +132,14 @@
         let new = NewRequest {
             class: t.class,
             tenant: (!self.scenario.tenants.is_empty()).then_some(t.tenant),
-            group: Some(t.job.area),
+            group: Some(t.job.table_group),
             deadline: t.gives_up,
             work: Some(t.work_told),
             memory_mb: Some(t.memory_told),
         };
         let gives_up = t.gives_up;
-        // The core gives the request its number and may answer at once: it is known before its commands are looked at.
+        // The core gives the request its number and may answer at once: it is known before its commands are
+        // looked at.
         let began = std::time::Instant::now();
         let request = self.dispatchers[g].decisions.open(self.now, new);
         self.day.decided_s += began.elapsed().as_secs_f64();
--- a/crates/testbed/src/simulation/dispatchers.rs
+++ b/crates/testbed/src/simulation/dispatchers.rs
@@ -1,4 +1,5 @@
-//! Dispatchers: calls of their decisions, the commands these give, messages to engines and answers to clients.
+//! Dispatchers: calls of their decisions, the commands these give, messages to engines and answers to
+//! clients.
 
 use super::{
     Answer, Attempt, AttemptId, ClientRequest, Command, Dispatch, Event, Job, Outcome, Simulation,
--- a/crates/testbed/src/simulation/emulator/engine.rs
+++ b/crates/testbed/src/simulation/emulator/engine.rs
@@ -1,105 +1,108 @@
-//! The engine itself.
+//! The engine model.
 
 use super::params::Params;
 use query_dispatcher::ProgressNote;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The caller's own number of a query on this engine.
+/// Identifier of a query on this engine, chosen by the caller.
 pub type JobId = u64;
 
-/// What is sent to an engine.
+/// A query as it is sent to an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
-    /// Time on one thread of a free engine of speed 1, in milliseconds.
+    /// Time on one thread of an idle engine of speed 1, in milliseconds.
     pub work: f64,
     pub threads: f64,
-    /// The part of its work that reads or writes.
+    /// Fraction of the work that reads or writes.
     pub io: f64,
-    /// What it needs, and what it was granted (0: the engine chooses), in megabytes.
+    /// Memory that the query needs, in megabytes.
     pub need_mb: f64,
+    /// Memory that the query was granted, in megabytes; 0 lets the engine choose.
     pub grant_mb: f64,
-    pub area: u64,
-    /// It holds its area until it ends: whoever stands still for that waits.
-    pub holds: bool,
-    /// It stands still while another holds its area.
-    pub stands: bool,
-    /// Who sent it: told when somebody waits for it.
-    pub from: u32,
+    pub table_group: u64,
+    /// Whether the query locks its table group while it runs.
+    pub holds_tables: bool,
+    /// Whether the query is blocked while another one locks its table group.
+    pub waits_for_loads: bool,
+    /// The dispatcher that sent the query; reported by the queries that this one blocks.
+    pub sender: u32,
 }
 
-/// How a query left its engine.
+/// How a query ended on its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum JobOutcome {
     Served,
-    /// Its engine ended, with all that it had.
+    /// The process of the engine ended.
     Lost,
 }
 
-/// What a query is at.
+/// State of a query on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
-    Runs,
-    /// Its grant does not fit.
-    InLine,
-    /// A load of this sender holds its area.
-    Stands(u32),
+pub enum JobState {
+    Running,
+    /// The memory grant does not fit yet.
+    QueuedForMemory,
+    /// A load of this sender locks the table group.
+    WaitingForLoad(u32),
 }
 
-/// Where a query's time on its engine went, in milliseconds.
+/// Time that a query spent in each state on its engine, in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Waits {
-    pub ran: f64,
-    pub in_line: f64,
-    /// By whose load it stood.
-    pub stood: BTreeMap<u32, f64>,
+    pub running: f64,
+    pub queued_for_memory: f64,
+    /// Time blocked by a load, by the sender of that load.
+    pub blocked_by_load: BTreeMap<u32, f64>,
 }
 
 #[derive(Clone, Debug)]
-struct Run {
+struct JobEntry {
     job: Job,
-    /// Work as it is here: with what a warm area saves and what a spill adds.
+    /// Work on this engine: less what a warm table group saves, plus what spilling adds.
     total: f64,
     done: f64,
-    /// Of the work as it is here.
+    /// Fraction of `total` that reads or writes.
     io: f64,
     granted: f64,
-    state: State,
+    state: JobState,
     waits: Waits,
-    noted: f64,
+    /// Time of the last progress note, in milliseconds.
+    last_note: f64,
 }
 
-/// One engine's process.
+/// Model of one engine process.
 #[derive(Clone, Debug)]
 pub struct Emulator {
     params: Params,
     now: f64,
     started: f64,
-    runs: BTreeMap<JobId, Run>,
-    line: VecDeque<JobId>,
+    jobs: BTreeMap<JobId, JobEntry>,
+    memory_queue: VecDeque<JobId>,
+    /// Memory granted to the queries that were admitted, in megabytes.
     granted: f64,
-    /// Read last at the back.
-    warm: VecDeque<u64>,
-    /// What it was sent while it was cold: when, and how much work.
-    sent: VecDeque<(f64, f64)>,
-    /// The part of the machine that others take.
-    taken: f64,
-    /// It takes what it is sent, does nothing and says nothing.
+    /// Warm table groups, the most recently read one at the back.
+    warm_groups: VecDeque<u64>,
+    /// Time and work of each query received while warming up, within the last `overload_window`.
+    cold_arrivals: VecDeque<(f64, f64)>,
+    /// Fraction of the machine that other programs use.
+    neighbour_share: f64,
+    /// Whether the process accepts queries but neither works nor reports.
     hung: bool,
-    /// It fell over, and stays down.
-    fallen: bool,
-    /// When and what it last saw of itself.
-    seen: (f64, [f64; 2]),
-    /// Thread-milliseconds done in all, and what it was sent.
-    pub done: f64,
-    /// Milliseconds in which anything ran.
+    /// Whether the process failed under overload; it stays down until it is restarted.
+    overloaded: bool,
+    /// Time and values of the last sample of the load.
+    last_sample: (f64, [f64; 2]),
+    /// Work done since the start of the model, in thread-milliseconds.
+    pub work_done: f64,
+    /// Time in which at least one query ran, in milliseconds.
     pub busy: f64,
 }
 
-/// Work below this is done: what is left of a sum of many steps.
-const DUST: f64 = 1e-6;
+/// Tolerance for the rounding errors of a sum of many steps.
+const WORK_EPSILON: f64 = 1e-6;
 
 impl Emulator {
-    /// A process that starts now; `warm` from the beginning, as one that started long ago.
+    /// Creates a process that starts now or, if `warm`, one whose slow-start window is over.
     pub fn new(params: Params, now: f64, warm: bool) -> Self {
         let started = if warm {
             now - params.warm_up_period - params.overload_window - 1.0
@@ -110,16 +113,16 @@
             params,
             now,
             started,
-            runs: BTreeMap::new(),
-            line: VecDeque::new(),
+            jobs: BTreeMap::new(),
+            memory_queue: VecDeque::new(),
             granted: 0.0,
-            warm: VecDeque::new(),
-            sent: VecDeque::new(),
-            taken: 0.0,
+            warm_groups: VecDeque::new(),
+            cold_arrivals: VecDeque::new(),
+            neighbour_share: 0.0,
             hung: false,
-            fallen: false,
-            seen: (now, [0.0, 0.0]),
-            done: 0.0,
+            overloaded: false,
+            last_sample: (now, [0.0, 0.0]),
+            work_done: 0.0,
             busy: 0.0,
         }
     }
@@ -128,29 +131,29 @@
         &self.params
     }
 
-    /// When its process started.
+    /// Returns the time at which the process started, in milliseconds.
     pub fn started(&self) -> f64 {
         self.started
     }
 
     pub fn len(&self) -> usize {
-        self.runs.len()
+        self.jobs.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.runs.is_empty()
+        self.jobs.is_empty()
     }
 
-    pub fn hung(&self) -> bool {
+    pub fn is_hung(&self) -> bool {
         self.hung
     }
 
-    pub fn fallen(&self) -> bool {
-        self.fallen
+    pub fn is_overloaded(&self) -> bool {
+        self.overloaded
     }
 
-    /// The part of its full work that it can do at this moment.
-    pub fn capacity_part(&self, now: f64) -> f64 {
+    /// Returns the fraction of its full capacity that the engine has at `now`.
+    pub fn capacity_fraction(&self, now: f64) -> f64 {
         let age = now - self.started;
         let warm = match self.params.warm_up_period {
             w if w <= 0.0 || age >= w => 1.0,
@@ -159,51 +162,54 @@
                     + (1.0 - self.params.initial_warm_up_capacity) * (age / w).max(0.0)
             }
         };
-        warm * (1.0 - self.taken)
+        warm * (1.0 - self.neighbour_share)
     }
 
-    fn cold(&self, now: f64) -> bool {
+    fn is_warming_up(&self, now: f64) -> bool {
         now < self.started + self.params.warm_up_period
     }
 
-    /// Another program takes this part of the machine from now on.
-    pub fn neighbour(&mut self, now: f64, part: f64) {
+    /// Lets another program use this fraction of the machine from now on.
+    pub fn set_neighbour_share(&mut self, now: f64, share: f64) {
         self.advance(now);
-        self.taken = part.clamp(0.0, 0.95);
+        self.neighbour_share = share.clamp(0.0, 0.95);
     }
 
-    pub fn hang(&mut self, now: f64, hung: bool) {
+    pub fn set_hung(&mut self, now: f64, hung: bool) {
         self.advance(now);
         self.hung = hung;
     }
 
-    /// How quickly each thread goes on, as a part of a free core's: for what computes, and for what reads.
-    fn rates(&self) -> (f64, f64) {
+    /// Returns the speed of each thread relative to an idle core of speed 1: while it computes and while it
+    /// reads.
+    fn thread_rates(&self) -> (f64, f64) {
         let p = &self.params;
-        let (mut threads, mut reading) = (0.0, 0.0);
-        for r in self.runs.values().filter(|r| r.state == State::Runs) {
+        let (mut threads, mut reading_threads) = (0.0, 0.0);
+        for r in self.jobs.values().filter(|r| r.state == JobState::Running) {
             threads += r.job.threads;
-            reading += r.job.threads * r.io;
+            reading_threads += r.job.threads * r.io;
         }
-        let crowd = threads / p.cores;
-        let part = self.capacity_part(self.now);
-        let falls = (1.0 - p.fall * (crowd - p.knee).max(0.0)).max(p.floor);
-        let compute = p.speed * part * falls * (1.0 / crowd).min(1.0);
-        let disks = p.speed * part * falls * (p.disks / reading.max(1e-9)).min(1.0);
+        let threads_per_core = threads / p.cores;
+        let capacity = self.capacity_fraction(self.now);
+        let throughput = (1.0 - p.fall * (threads_per_core - p.knee).max(0.0)).max(p.floor);
+        let compute = p.speed * capacity * throughput * (1.0 / threads_per_core).min(1.0);
+        let disks =
+            p.speed * capacity * throughput * (p.disks / reading_threads.max(1e-9)).min(1.0);
         (compute, disks)
     }
 
-    /// Work a query does in a millisecond.
-    fn pace(r: &Run, (compute, disks): (f64, f64)) -> f64 {
-        // Each piece of work computes for a part of its time and reads for the rest, one after the other.
+    /// Returns the work that a query does per millisecond.
+    fn work_rate(r: &JobEntry, (compute, disks): (f64, f64)) -> f64 {
+        // Each piece of work first computes and then reads, so the times of the two add up.
         r.job.threads / ((1.0 - r.io) / compute.max(1e-12) + r.io / disks.max(1e-12))
     }
 
-    /// Lets time pass. What ends within it must have been asked for by [`Emulator::next`].
+    /// Advances the model to `now`. The caller must not skip a completion that
+    /// [`Emulator::next_completion`] announced.
     pub fn advance(&mut self, now: f64) {
-        // Rates change while an engine warms up: small steps follow that closely enough.
+        // Rates change while an engine warms up; steps of 50 ms follow that closely enough.
         while self.now < now {
-            let step = if self.cold(self.now) {
+            let step = if self.is_warming_up(self.now) {
                 (now - self.now).min(50.0)
             } else {
                 now - self.now
@@ -214,51 +220,54 @@
 
     fn step(&mut self, now: f64) {
         let span = now - self.now;
-        if !self.hung && !self.fallen {
-            let rates = self.rates();
+        if !self.hung && !self.overloaded {
+            let rates = self.thread_rates();
             let mut any = false;
-            for r in self.runs.values_mut() {
+            for r in self.jobs.values_mut() {
                 match r.state {
-                    State::Runs => {
-                        let did = (Self::pace(r, rates) * span).min(r.total - r.done);
-                        r.done += did;
-                        self.done += did;
-                        r.waits.ran += span;
+                    JobState::Running => {
+                        let done = (Self::work_rate(r, rates) * span).min(r.total - r.done);
+                        r.done += done;
+                        self.work_done += done;
+                        r.waits.running += span;
                         any = true;
                     }
-                    State::InLine => r.waits.in_line += span,
-                    State::Stands(whose) => *r.waits.stood.entry(whose).or_default() += span,
+                    JobState::QueuedForMemory => r.waits.queued_for_memory += span,
+                    JobState::WaitingForLoad(sender) => {
+                        *r.waits.blocked_by_load.entry(sender).or_default() += span
+                    }
                 }
             }
             self.busy += if any { span } else { 0.0 };
         }
         self.now = now;
-        if self.now >= self.seen.0 + self.params.report_every {
-            self.seen = (self.now, self.truth());
+        if self.now >= self.last_sample.0 + self.params.report_every {
+            self.last_sample = (self.now, self.current_load());
         }
     }
 
-    fn truth(&self) -> [f64; 2] {
+    fn current_load(&self) -> [f64; 2] {
         [
-            self.runs.len() as f64,
+            self.jobs.len() as f64,
             (self.granted / self.params.memory_mb).min(1.0),
         ]
     }
 
-    /// Takes a query; false if it has no room for another. `id` is new.
-    pub fn send(&mut self, now: f64, id: JobId, job: Job) -> bool {
+    /// Accepts a query under a new `id`; returns false if the maximum number of queries is reached.
+    pub fn submit(&mut self, now: f64, id: JobId, job: Job) -> bool {
         self.advance(now);
-        if self.runs.len() >= self.params.sessions {
+        if self.jobs.len() >= self.params.sessions {
             return false;
         }
         let p = &self.params;
-        if self.cold(now) {
-            self.sent.retain(|(t, _)| *t > now - p.overload_window);
-            self.sent.push_back((now, job.work));
-            let sent: f64 = self.sent.iter().map(|s| s.1).sum();
-            let can = p.cores * p.speed * self.capacity_part(now) * p.overload_window;
-            if sent > p.overload_multiple * can {
-                self.fallen = true;
+        if self.is_warming_up(now) {
+            self.cold_arrivals
+                .retain(|(t, _)| *t > now - p.overload_window);
+            self.cold_arrivals.push_back((now, job.work));
+            let received: f64 = self.cold_arrivals.iter().map(|s| s.1).sum();
+            let capacity = p.cores * p.speed * self.capacity_fraction(now) * p.overload_window;
+            if received > p.overload_multiple * capacity {
+                self.overloaded = true;
             }
         }
         let granted = if job.grant_mb > 0.0 {
@@ -267,118 +276,122 @@
             job.need_mb * p.own_grant
         };
         let granted = granted.min(p.memory_mb);
-        let lacks = if job.need_mb > 0.0 {
+        let missing = if job.need_mb > 0.0 {
             (1.0 - granted / job.need_mb).max(0.0)
         } else {
             0.0
         };
         let reads = job.work * job.io;
-        let saved = if self.warm.contains(&job.area) {
+        let saved = if self.warm_groups.contains(&job.table_group) {
             reads * p.warm_saves
         } else {
             0.0
         };
-        let total = ((job.work - saved) * (1.0 + (p.spill - 1.0) * lacks)).max(DUST * 2.0);
-        let io = ((reads - saved) / (job.work - saved).max(DUST)).clamp(0.0, 1.0);
-        let run = Run {
+        let total =
+            ((job.work - saved) * (1.0 + (p.spill - 1.0) * missing)).max(WORK_EPSILON * 2.0);
+        let io = ((reads - saved) / (job.work - saved).max(WORK_EPSILON)).clamp(0.0, 1.0);
+        let entry = JobEntry {
             job,
             total,
             done: 0.0,
             io,
             granted,
-            state: State::InLine,
+            state: JobState::QueuedForMemory,
             waits: Waits::default(),
-            noted: now,
+            last_note: now,
         };
-        self.runs.insert(id, run);
-        self.line.push_back(id);
-        self.settle();
+        self.jobs.insert(id, entry);
+        self.memory_queue.push_back(id);
+        self.update_job_states();
         true
     }
 
-    /// Lets in from the line what fits, in turn, and finds who stands still behind whom.
-    fn settle(&mut self) {
-        while let Some(&id) = self.line.front() {
-            let Some(r) = self.runs.get_mut(&id) else {
-                self.line.pop_front();
+    /// Admits queued queries whose memory fits, in order, and then updates which queries are blocked by a
+    /// load.
+    fn update_job_states(&mut self) {
+        while let Some(&id) = self.memory_queue.front() {
+            let Some(r) = self.jobs.get_mut(&id) else {
+                self.memory_queue.pop_front();
                 continue;
             };
-            let fits = self.granted + r.granted <= self.params.memory_mb + DUST;
+            let fits = self.granted + r.granted <= self.params.memory_mb + WORK_EPSILON;
             if !fits && self.granted > 0.0 {
                 break;
             }
             self.granted += r.granted;
-            r.state = State::Runs;
-            let area = r.job.area;
-            self.line.pop_front();
-            self.warm.retain(|a| *a != area);
-            self.warm.push_back(area);
-            while self.warm.len() > self.params.warm_areas {
-                self.warm.pop_front();
+            r.state = JobState::Running;
+            let group = r.job.table_group;
+            self.memory_queue.pop_front();
+            self.warm_groups.retain(|g| *g != group);
+            self.warm_groups.push_back(group);
+            while self.warm_groups.len() > self.params.warm_areas {
+                self.warm_groups.pop_front();
             }
         }
-        let held: BTreeMap<u64, (JobId, u32)> = self
-            .runs
+        let locks: BTreeMap<u64, (JobId, u32)> = self
+            .jobs
             .iter()
-            .filter(|(_, r)| r.job.holds && r.state != State::InLine)
-            .map(|(id, r)| (r.job.area, (*id, r.job.from)))
+            .filter(|(_, r)| r.job.holds_tables && r.state != JobState::QueuedForMemory)
+            .map(|(id, r)| (r.job.table_group, (*id, r.job.sender)))
             .collect();
-        for (id, r) in &mut self.runs {
-            if r.state == State::InLine || !r.job.stands {
+        for (id, r) in &mut self.jobs {
+            if r.state == JobState::QueuedForMemory || !r.job.waits_for_loads {
                 continue;
             }
-            r.state = match held.get(&r.job.area) {
-                Some((holder, from)) if holder != id => State::Stands(*from),
-                _ => State::Runs,
+            r.state = match locks.get(&r.job.table_group) {
+                Some((holder, sender)) if holder != id => JobState::WaitingForLoad(*sender),
+                _ => JobState::Running,
             };
         }
     }
 
-    /// Takes a query out before its end.
+    /// Removes a query before it completes.
     pub fn cancel(&mut self, now: f64, id: JobId) -> Option<Waits> {
         self.advance(now);
         self.remove(id)
     }
 
     fn remove(&mut self, id: JobId) -> Option<Waits> {
-        let r = self.runs.remove(&id)?;
-        if r.state != State::InLine {
+        let r = self.jobs.remove(&id)?;
+        if r.state != JobState::QueuedForMemory {
             self.granted = (self.granted - r.granted).max(0.0);
         }
-        self.line.retain(|l| *l != id);
-        if self.runs.is_empty() {
+        self.memory_queue.retain(|l| *l != id);
+        if self.jobs.is_empty() {
             self.granted = 0.0;
         }
-        self.settle();
+        self.update_job_states();
         Some(r.waits)
     }
 
-    /// When something ends next, as things are now; none while nothing runs.
-    pub fn next(&self) -> Option<f64> {
-        if self.hung || self.fallen {
+    /// Returns when the next query completes at the current rates, or `None` while nothing runs.
+    pub fn next_completion(&self) -> Option<f64> {
+        if self.hung || self.overloaded {
             return None;
         }
-        let rates = self.rates();
-        let runs = self.runs.values().filter(|r| r.state == State::Runs);
-        let next =
-            runs.map(|r| self.now + (r.total - r.done).max(0.0) / Self::pace(r, rates).max(1e-12));
+        let rates = self.thread_rates();
+        let running = self.jobs.values().filter(|r| r.state == JobState::Running);
+        let next = running
+            .map(|r| self.now + (r.total - r.done).max(0.0) / Self::work_rate(r, rates).max(1e-12));
         let next = next.reduce(f64::min)?;
-        // A cold engine quickens: what is far is looked at again.
-        Some(if self.cold(self.now) {
+        // An engine that warms up gets faster, so a later completion is computed again after at most 100 ms.
+        Some(if self.is_warming_up(self.now) {
             next.min(self.now + 100.0)
         } else {
             next
         })
     }
 
-    /// What has ended by now, with where its time went.
-    pub fn ended(&mut self, now: f64) -> Vec<(JobId, Waits)> {
+    /// Removes and returns the queries that have completed by `now`.
+    pub fn take_completed(&mut self, now: f64) -> Vec<(JobId, Waits)> {
         self.advance(now);
-        let over = |r: &Run| r.state == State::Runs && r.total - r.done <= DUST * r.total.max(1.0);
+        let completed = |r: &JobEntry| {
+            r.state == JobState::Running && r.total - r.done <= WORK_EPSILON * r.total.max(1.0)
+        };
         let ids: Vec<JobId> = self
-            .runs
+            .jobs
             .iter()
-            .filter(|(_, r)| over(r))
+            .filter(|(_, r)| completed(r))
             .map(|(id, _)| *id)
             .collect();
         ids.into_iter()
@@ -386,75 +399,75 @@
             .collect()
     }
 
-    /// Its process ends: all that it had is lost.
-    pub fn end(&mut self, now: f64) -> Vec<(JobId, Waits)> {
+    /// Ends the process: removes and returns all queries, which are lost.
+    pub fn stop(&mut self, now: f64) -> Vec<(JobId, Waits)> {
         self.advance(now);
-        let ids: Vec<JobId> = self.runs.keys().copied().collect();
+        let ids: Vec<JobId> = self.jobs.keys().copied().collect();
         let lost = ids
             .into_iter()
             .filter_map(|id| Some((id, self.remove(id)?)))
             .collect();
-        self.warm.clear();
+        self.warm_groups.clear();
         lost
     }
 
-    /// Its process starts anew, cold.
+    /// Restarts the process, which then warms up.
     pub fn restart(&mut self, now: f64) {
-        self.end(now);
-        (self.started, self.fallen, self.hung) = (now, false, false);
-        self.sent.clear();
-        self.seen = (now, [0.0, 0.0]);
+        self.stop(now);
+        (self.started, self.overloaded, self.hung) = (now, false, false);
+        self.cold_arrivals.clear();
+        self.last_sample = (now, [0.0, 0.0]);
     }
 
-    /// What it tells of itself with an answer: queries in hand, and the part of memory that is granted, as of its last
-    /// look.
-    pub fn report(&self) -> [f64; 2] {
-        self.seen.1
+    /// Returns the load report that goes with an answer: the number of queries and the fraction of memory
+    /// that is granted, as of the last sample.
+    pub fn load_report(&self) -> [f64; 2] {
+        self.last_sample.1
     }
 
-    /// The notes that are due: how far each query is, and what it waits for.
-    pub fn notes(&mut self, now: f64) -> Vec<(JobId, ProgressNote)> {
+    /// Returns the progress notes that are due: how far each query is, or what it waits for.
+    pub fn take_notes(&mut self, now: f64) -> Vec<(JobId, ProgressNote)> {
         self.advance(now);
         let every = self.params.note_every;
-        if every <= 0.0 || self.hung || self.fallen {
+        if every <= 0.0 || self.hung || self.overloaded {
             return vec![];
         }
         let mut notes = vec![];
         for (id, r) in self
-            .runs
+            .jobs
             .iter_mut()
-            .filter(|(_, r)| r.noted + every <= now + DUST)
+            .filter(|(_, r)| r.last_note + every <= now + WORK_EPSILON)
         {
-            r.noted = now;
-            let short = r.job.need_mb - r.granted;
+            r.last_note = now;
+            let spilled = r.job.need_mb - r.granted;
             notes.push(match r.state {
-                State::InLine => (*id, ProgressNote::WaitsForMemory),
-                State::Stands(_) => (*id, ProgressNote::WaitsForLoad),
-                State::Runs => (*id, ProgressNote::Completed(r.done / r.total)),
+                JobState::QueuedForMemory => (*id, ProgressNote::WaitsForMemory),
+                JobState::WaitingForLoad(_) => (*id, ProgressNote::WaitsForLoad),
+                JobState::Running => (*id, ProgressNote::Completed(r.done / r.total)),
             });
-            if r.state == State::Runs && short > 0.5 {
-                notes.push((*id, ProgressNote::SpilledMemory(short)));
+            if r.state == JobState::Running && spilled > 0.5 {
+                notes.push((*id, ProgressNote::SpilledMemory(spilled)));
             }
         }
         notes
     }
 
-    /// When the next note is due.
-    pub fn next_note(&self) -> Option<f64> {
-        if self.params.note_every <= 0.0 || self.hung || self.fallen {
+    /// Returns when the next progress note is due.
+    pub fn next_note_due(&self) -> Option<f64> {
+        if self.params.note_every <= 0.0 || self.hung || self.overloaded {
             return None;
         }
-        self.runs
+        self.jobs
             .values()
-            .map(|r| r.noted + self.params.note_every)
+            .map(|r| r.last_note + self.params.note_every)
             .reduce(f64::min)
     }
 
-    /// Threads of what runs.
-    pub fn threads(&self) -> f64 {
-        self.runs
+    /// Returns the number of threads of the running queries.
+    pub fn running_threads(&self) -> f64 {
+        self.jobs
             .values()
-            .filter(|r| r.state == State::Runs)
+            .filter(|r| r.state == JobState::Running)
             .map(|r| r.job.threads)
             .sum()
     }
--- a/crates/testbed/src/simulation/emulator/params.rs
+++ b/crates/testbed/src/simulation/emulator/params.rs
@@ -1,45 +1,51 @@
-//! What an engine is like.
+//! Parameters of an emulated engine.
 
 use serde::{Deserialize, Serialize};
 
-/// One kind of engine. Spans in milliseconds, memory in megabytes; work is time on one thread of a free engine.
+/// Parameters of one kind of engine. Durations are in milliseconds and memory in megabytes; work is the
+/// time it takes on one thread of an otherwise idle engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Params {
     pub cores: f64,
-    /// Of a core, beside the yardstick's 1.
+    /// Speed of a core; 1 is the speed that work is measured at.
     pub speed: f64,
-    /// Threads a core past which total work falls, ...
+    /// Threads per core past which total throughput falls.
     pub knee: f64,
-    /// ... by this part for each thread a core beyond, ...
+    /// Fraction of throughput that is lost for each thread per core beyond `knee`.
     pub fall: f64,
-    /// ... down to this part.
+    /// Fraction of throughput that remains however many threads run.
     pub floor: f64,
-    /// Threads that read or write at full speed at a time.
+    /// Number of threads that can read or write at full speed at the same time.
     pub disks: f64,
     pub memory_mb: f64,
-    /// Queries that it holds at most, running and waiting.
+    /// Maximum number of queries, running and waiting.
     pub sessions: usize,
-    /// A query without any of the memory that it needs does so many times its work; with a part of it, in between.
+    /// Factor on the work of a query that gets none of the memory it needs; with a part of the memory, the
+    /// factor is interpolated linearly towards 1.
     pub spill: f64,
-    /// What a query gets that names no grant, as a part of its need.
+    /// Memory granted to a query that requests no grant, as a fraction of its need.
     pub own_grant: f64,
-    /// Areas that stay warm, and the part of reading that this saves.
+    /// Number of table groups that stay warm.
     pub warm_areas: usize,
+    /// Fraction of reading that a warm table group saves.
     pub warm_saves: f64,
-    /// Right after its start it does this part of its work, and all of it after `warm_up_period`.
+    /// Fraction of full capacity right after a start; capacity is full after `warm_up_period`.
     #[serde(rename = "cold_from")]
     pub initial_warm_up_capacity: f64,
+    /// Length of the slow-start window, in milliseconds.
     #[serde(rename = "warm_within")]
     pub warm_up_period: f64,
-    /// Sent more than so many times what it can do within `overload_window`, while it is cold, it falls over.
+    /// An engine that is warming up fails when the work it is sent within `overload_window` exceeds this
+    /// multiple of its capacity in that window.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
+    /// Length of the window over which received work is summed, in milliseconds.
     #[serde(rename = "fall_window")]
     pub overload_window: f64,
-    /// Between two looks at itself: what it reports is so old at most.
+    /// Interval between two samples of its load in milliseconds: the maximum age of a load report.
     pub report_every: f64,
-    /// Between two notes on a query; 0: none.
+    /// Interval between two progress notes on a query, in milliseconds; 0 disables notes.
     pub note_every: f64,
 }
 
@@ -68,7 +74,7 @@
     }
 }
 
-/// A parameter that cannot be.
+/// A parameter whose value is out of range.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{key}: {problem}")]
 pub struct ParamsError {
@@ -77,10 +83,12 @@
 }
 
 impl Params {
+    /// Checks that all parameters are in range.
+    ///
     /// # Errors
-    /// The first parameter that is impossible, by name.
+    /// Returns the key of the first parameter that is out of range.
     pub fn check(&self) -> Result<(), ParamsError> {
-        let above = [
+        let positive = [
             ("cores", self.cores),
             ("speed", self.speed),
             ("knee", self.knee),
@@ -91,7 +99,7 @@
             ("fall_multiple", self.overload_multiple),
             ("fall_window", self.overload_window),
         ];
-        let not_below = [
+        let lower_bounded = [
             ("fall", self.fall, 0.0),
             ("spill", self.spill, 1.0),
             ("own_grant", self.own_grant, 0.0),
@@ -100,29 +108,29 @@
             ("report_every", self.report_every, 0.0),
             ("note_every", self.note_every, 0.0),
         ];
-        let parts = [
+        let fractions = [
             ("floor", self.floor),
             ("cold_from", self.initial_warm_up_capacity),
             ("warm_saves", self.warm_saves),
         ];
-        let bad = |key, problem: String| Err(ParamsError { key, problem });
-        for (key, v) in above {
+        let error = |key, problem: String| Err(ParamsError { key, problem });
+        for (key, v) in positive {
             if !(v.is_finite() && v > 0.0) {
-                return bad(key, format!("{v} is not above 0"));
+                return error(key, format!("{v} is not a finite number above 0"));
             }
         }
-        for (key, v, least) in not_below {
-            if !(v.is_finite() && v >= least) {
-                return bad(key, format!("{v} is below {least}"));
+        for (key, v, min) in lower_bounded {
+            if !(v.is_finite() && v >= min) {
+                return error(key, format!("{v} is not a finite number of at least {min}"));
             }
         }
-        for (key, v) in parts {
+        for (key, v) in fractions {
             if v > 1.0 {
-                return bad(key, format!("{v} is above 1"));
+                return error(key, format!("{v} is above the maximum of 1"));
             }
         }
         if self.sessions == 0 {
-            return bad("sessions", "must be at least 1".into());
+            return error("sessions", "must be at least 1".into());
         }
         Ok(())
     }
--- a/crates/testbed/src/simulation/engines.rs
+++ b/crates/testbed/src/simulation/engines.rs
@@ -20,7 +20,7 @@
         let x = &mut self.engines[e];
         (x.stamp, x.note_stamp) = (x.stamp + 1, x.note_stamp + 1);
         let (stamp, note_stamp) = (x.stamp, x.note_stamp);
-        let (next, note) = (x.model.next(), x.model.next_note());
+        let (next, note) = (x.model.next_completion(), x.model.next_note_due());
         if let Some(at) = next {
             self.schedule(at, Event::Wake { engine: e, stamp });
         }
@@ -33,7 +33,7 @@
                 },
             );
         }
-        if self.engines[e].model.fallen()
+        if self.engines[e].model.is_overloaded()
             && !std::mem::replace(&mut self.engines[e].overloaded, true)
         {
             self.checker.overloaded(self.now, e);
@@ -55,8 +55,8 @@
         }
         let id = x.next_job;
         x.next_job += 1;
-        if !x.model.send(self.now, id, job) {
-            let report = x.model.report().to_vec();
+        if !x.model.submit(self.now, id, job) {
+            let report = x.model.load_report().to_vec();
             return self.send_result(attempt, e, Outcome::Rejected, report);
         }
         x.jobs.insert(id, attempt);
@@ -71,23 +71,23 @@
             .open_requests
             .get_mut(&attempt.id.request)
         {
-            t.waits.ran += waits.ran;
-            t.waits.in_line += waits.in_line;
-            for (whose, span) in &waits.stood {
-                *t.waits.stood.entry(*whose).or_default() += span;
+            t.waits.running += waits.running;
+            t.waits.queued_for_memory += waits.queued_for_memory;
+            for (whose, span) in &waits.blocked_by_load {
+                *t.waits.blocked_by_load.entry(*whose).or_default() += span;
             }
         }
     }
 
     pub(super) fn wake(&mut self, e: usize) {
-        let ended = self.engines[e].model.ended(self.now);
+        let ended = self.engines[e].model.take_completed(self.now);
         for (id, waits) in ended {
             let x = &mut self.engines[e];
             let Some(attempt) = x.jobs.remove(&id) else {
                 continue;
             };
             x.ids.remove(&attempt);
-            let report = x.model.report().to_vec();
+            let report = x.model.load_report().to_vec();
             self.add_to_hash(4, e as u64, id);
             self.add_waits(attempt, &waits);
             self.send_result(attempt, e, Outcome::Served, report);
@@ -98,7 +98,7 @@
     /// All that an engine has is lost, and its gateways see that.
     pub(super) fn fail_attempts(&mut self, e: usize, outcome: Outcome) {
         let x = &mut self.engines[e];
-        let lost = x.model.end(self.now);
+        let lost = x.model.stop(self.now);
         let jobs = std::mem::take(&mut x.jobs);
         x.ids.clear();
         for (id, waits) in lost {
--- a/crates/testbed/src/simulation/event_loop.rs
+++ b/crates/testbed/src/simulation/event_loop.rs
@@ -125,7 +125,7 @@
     }
 
     pub(super) fn notes(&mut self, e: usize) {
-        let notes = self.engines[e].model.notes(self.now);
+        let notes = self.engines[e].model.take_notes(self.now);
         let lost = self.scenario.net.lost_notes;
         for (id, note) in notes {
             let Some(attempt) = self.engines[e].jobs.get(&id).copied() else {
@@ -147,7 +147,7 @@
         let mut bears = 0.0;
         for x in &mut self.engines {
             x.model.advance(now);
-            done += x.model.done;
+            done += x.model.work_done;
             bears += x.model.params().cores * x.model.params().speed;
         }
         let serving = self
--- a/crates/testbed/src/simulation/faults.rs
+++ b/crates/testbed/src/simulation/faults.rs
@@ -53,7 +53,7 @@
             FaultKind::Hang { engines, for_s } => {
                 let hung = self.select_engines(&engines);
                 for e in &hung {
-                    self.engines[*e].model.hang(self.now, true);
+                    self.engines[*e].model.set_hung(self.now, true);
                     self.schedule_wake(*e);
                 }
                 self.schedule(self.now + for_s * s, Event::Over(i, hung));
@@ -65,7 +65,7 @@
             } => {
                 let crowded = self.select_engines(&engines);
                 for e in &crowded {
-                    self.engines[*e].model.neighbour(self.now, part);
+                    self.engines[*e].model.set_neighbour_share(self.now, part);
                     self.schedule_wake(*e);
                 }
                 self.schedule(self.now + for_s * s, Event::Over(i, crowded));
@@ -165,13 +165,13 @@
         match self.scenario.faults[i].what.clone() {
             FaultKind::Hang { .. } => {
                 for e in engines {
-                    self.engines[e].model.hang(self.now, false);
+                    self.engines[e].model.set_hung(self.now, false);
                     self.schedule_wake(e);
                 }
             }
             FaultKind::Neighbour { .. } => {
                 for e in engines {
-                    self.engines[e].model.neighbour(self.now, 0.0);
+                    self.engines[e].model.set_neighbour_share(self.now, 0.0);
                     self.schedule_wake(e);
                 }
             }
--- a/crates/testbed/src/simulation/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A simulation of a fleet in virtual time: clients, dispatchers with their decisions, messages, engines, the endpoint list
-//! and faults. One seed gives one run, to the last event.
+//! A simulation of a fleet in virtual time: clients, dispatchers with their decisions, messages, engines,
+//! the endpoint list and faults. One seed gives one run, to the last event.
 
 mod arrivals;
 mod dispatchers;
@@ -118,7 +118,8 @@
         page_timeout: PAGE_TIMEOUT,
     };
     match policy {
-        // Settings were checked with their scenario; should the core still refuse them, nothing is dispatched at all.
+        // Settings were checked with their scenario; should the core still refuse them, nothing is
+        // dispatched at all.
         Policy::Module => match Core::new(settings, random.bits(), bounds) {
             Ok(core) => Box::new(core),
             Err(_) => Box::new(Plain::new(Policy::Random, vec![], random)),
--- a/crates/testbed/src/simulation/report.rs
+++ b/crates/testbed/src/simulation/report.rs
@@ -62,9 +62,9 @@
 
 impl LateCauses {
     pub fn add(&mut self, gateway: u32, waits: &Waits) {
-        self.ran += waits.ran;
-        self.in_line += waits.in_line;
-        for (whose, span) in &waits.stood {
+        self.ran += waits.running;
+        self.in_line += waits.queued_for_memory;
+        for (whose, span) in &waits.blocked_by_load {
             *(if *whose == gateway {
                 &mut self.behind_own
             } else {
@@ -132,8 +132,8 @@
         all
     }
 
-    /// The operators' goal: 30% the whole, 40% the worst window, 20% the worst class, 10% the worst member; 0 if a rule was
-    /// broken.
+    /// The operators' goal: 30% the whole, 40% the worst window, 20% the worst class, 10% the worst member;
+    /// 0 if a rule was broken.
     pub fn goal(&self) -> f64 {
         match self.broken.is_empty() {
             true => self.service(),
--- a/crates/testbed/src/simulation/rules.rs
+++ b/crates/testbed/src/simulation/rules.rs
@@ -1,5 +1,5 @@
-//! The rules of the brief, by an account of the checker's own: it believes nothing that a gateway says of itself. The
-//! first event that breaks a rule is kept, with its moment.
+//! The rules of the brief, by an account of the checker's own: it believes nothing that a gateway says of
+//! itself. The first event that breaks a rule is kept, with its moment.
 
 use std::collections::{BTreeMap, BTreeSet};
 
