--- a/crates/testbed/src/simulation/arrivals.rs
+++ b/crates/testbed/src/simulation/arrivals.rs
@@ -145,7 +145,7 @@
         self.day.decided_s += began.elapsed().as_secs_f64();
         self.day.calls += 1;
         self.add_to_hash(1, g as u64, request);
-        self.checker.took((g, request), fragile, gives_up);
+        self.checker.request_opened((g, request), fragile, gives_up);
         self.dispatchers[g].open_requests.insert(request, t);
         self.carry_out(g);
         self.dispatchers[g]
--- a/crates/testbed/src/simulation/dispatchers.rs
+++ b/crates/testbed/src/simulation/dispatchers.rs
@@ -95,7 +95,8 @@
             (g as u64) << 32 | e as u64,
             id.request << 8 | u64::from(id.index),
         );
-        self.checker.sent(self.now, (g, id.request), id.index, e);
+        self.checker
+            .attempt_sent(self.now, (g, id.request), id.index, e);
         self.dispatchers[g].out.insert(id, (e, self.now));
         let Some(t) = self.dispatchers[g].open_requests.get_mut(&id.request) else {
             return;
@@ -152,7 +153,7 @@
     }
 
     pub(super) fn answer(&mut self, g: usize, request: u64, answer: Answer) {
-        self.checker.answered(self.now, (g, request));
+        self.checker.request_answered(self.now, (g, request));
         let Some(t) = self.dispatchers[g].open_requests.get_mut(&request) else {
             return;
         };
@@ -232,7 +233,7 @@
         let out = gateway.out.range(first..=last).next().is_some();
         if !out && gateway.open_requests.get(&request).is_some_and(|t| t.over) {
             gateway.open_requests.remove(&request);
-            self.checker.closed((g, request));
+            self.checker.request_closed((g, request));
         }
     }
 }
--- a/crates/testbed/src/simulation/engines.rs
+++ b/crates/testbed/src/simulation/engines.rs
@@ -36,7 +36,7 @@
         if self.engines[e].model.is_overloaded()
             && !std::mem::replace(&mut self.engines[e].overloaded, true)
         {
-            self.checker.overloaded(self.now, e);
+            self.checker.engine_overloaded(self.now, e);
             self.fail_attempts(e, Outcome::Reset);
         }
     }
@@ -62,7 +62,7 @@
         x.jobs.insert(id, attempt);
         x.ids.insert(attempt, id);
         self.checker
-            .ran(self.now, (attempt.gateway, attempt.id.request), e);
+            .attempt_accepted(self.now, (attempt.gateway, attempt.id.request), e);
         self.schedule_wake(e);
     }
 
--- a/crates/testbed/src/simulation/event_loop.rs
+++ b/crates/testbed/src/simulation/event_loop.rs
@@ -24,7 +24,7 @@
                 t.over = true;
                 let class = t.class;
                 self.day.classes[class].outcomes.left += 1;
-                self.checker.left((gateway, request));
+                self.checker.client_left((gateway, request));
                 self.with_decisions(gateway, |d, now| d.leave(now, request));
                 self.close(gateway, request);
             }
@@ -100,8 +100,12 @@
                     return;
                 }
                 self.add_to_hash(9, gateway as u64, engine as u64);
-                self.checker
-                    .told(self.now, gateway, engine, entry.state == EngineState::Ready);
+                self.checker.engine_notice(
+                    self.now,
+                    gateway,
+                    engine,
+                    entry.state == EngineState::Ready,
+                );
                 self.with_decisions(gateway, |d, now| {
                     d.engines(now, ListUpdate::Patch, vec![*entry])
                 });
@@ -112,7 +116,7 @@
                 out,
             } => {
                 let name = self.engines[engine].name.clone();
-                self.checker.told(self.now, gateway, engine, !out);
+                self.checker.engine_notice(self.now, gateway, engine, !out);
                 self.with_decisions(gateway, |d, now| {
                     d.administratively_drained(now, &name, out)
                 });
--- a/crates/testbed/src/simulation/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -294,9 +294,9 @@
     }
 
     fn finish(mut self) -> RunReport {
-        self.checker.end(self.now);
-        self.day.broken = self.checker.broken().to_vec();
-        self.day.latest_after_notice_ms = self.checker.latest_after_notice;
+        self.checker.finish(self.now);
+        self.day.broken = self.checker.violations().to_vec();
+        self.day.latest_after_notice_ms = self.checker.latest_send_after_notice_ms;
         self.day.hash = self.hash;
         self.day
     }
--- a/crates/testbed/src/simulation/rules.rs
+++ b/crates/testbed/src/simulation/rules.rs
@@ -1,44 +1,44 @@
-//! The rules of the brief, by an account of the checker's own: it believes nothing that a gateway says of
-//! itself. The first event that breaks a rule is kept, with its moment.
+//! Checks the rules that operators require of dispatchers. The checker keeps its own records and trusts no
+//! dispatcher's account of itself. It keeps the first event that violates each rule, with its time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The rules, as operators word them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rule {
-    /// Exactly one final answer, before the client gives up.
+    /// A request gets exactly one final answer, before the client gives up.
     OneAnswer,
-    /// Nothing new to an engine later than 1 s after notice that it drains or is gone.
-    Drains,
-    /// What may have run is not sent again beyond its class: a load never runs twice.
-    Repeats,
-    /// No cold engine is pushed over.
-    Cold,
-    /// At most three attempts.
-    Attempts,
+    /// No new attempt is sent to an engine later than 1 s after a notice that it drains or is gone.
+    DrainGrace,
+    /// A non-idempotent request that may have run is not sent again: a load never runs twice.
+    NoRepeatedLoads,
+    /// No engine fails under overload while it is warming up.
+    ColdEngineOverload,
+    /// A request has at most three attempts.
+    AttemptLimit,
 }
 
 impl Rule {
     pub const ALL: [Rule; 5] = [
         Rule::OneAnswer,
-        Rule::Drains,
-        Rule::Repeats,
-        Rule::Cold,
-        Rule::Attempts,
+        Rule::DrainGrace,
+        Rule::NoRepeatedLoads,
+        Rule::ColdEngineOverload,
+        Rule::AttemptLimit,
     ];
 
     pub fn name(self) -> &'static str {
         match self {
             Rule::OneAnswer => "one final answer",
-            Rule::Drains => "drains within 1 s",
-            Rule::Repeats => "no load twice",
-            Rule::Cold => "cold engines not pushed over",
-            Rule::Attempts => "attempts bounded",
+            Rule::DrainGrace => "drains within 1 s",
+            Rule::NoRepeatedLoads => "no load twice",
+            Rule::ColdEngineOverload => "cold engines not pushed over",
+            Rule::AttemptLimit => "attempts bounded",
         }
     }
 }
 
-/// The event that broke a rule first.
+/// The first event that violated a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RuleViolation {
     pub rule: Rule,
@@ -46,190 +46,197 @@
     pub event: String,
 }
 
-/// After a notice so long, in milliseconds.
-const GRACE: f64 = 1000.0;
-const ATTEMPTS: u32 = 3;
+/// Time after a notice in which new attempts may still be sent, in milliseconds.
+const DRAIN_GRACE_MS: f64 = 1000.0;
+const MAX_ATTEMPTS: u32 = 3;
 
 #[derive(Clone, Debug, Default)]
 struct Request {
-    fragile: bool,
-    gives_up: f64,
+    non_idempotent: bool,
+    deadline: f64,
     answers: u32,
     attempts: u32,
-    /// Attempts that reached an engine and were not turned away unseen.
-    ran: u32,
+    /// Number of attempts that reached an engine and were accepted there.
+    accepted: u32,
 }
 
-/// One gateway's request.
-pub type Key = (usize, u64);
+/// A dispatcher and the identifier of one of its requests.
+pub type RequestKey = (usize, u64);
 
-/// The account.
+/// The checker's records of all requests and notices.
 #[derive(Clone, Debug, Default)]
 pub struct Checker {
-    open: BTreeMap<Key, Request>,
-    /// Which gateway was told, and when, that an engine takes nothing new.
+    open: BTreeMap<RequestKey, Request>,
+    /// When a dispatcher was notified that an engine accepts no new attempts, by dispatcher and engine.
     notices: BTreeMap<(usize, usize), f64>,
-    broken: Vec<RuleViolation>,
-    seen: BTreeSet<Rule>,
-    pub taken: u64,
+    violations: Vec<RuleViolation>,
+    violated: BTreeSet<Rule>,
+    pub opened: u64,
     pub answered: u64,
-    /// The longest after a notice that something new was still sent, in milliseconds.
-    pub latest_after_notice: f64,
+    /// Longest time after a notice at which a new attempt was still sent, in milliseconds.
+    pub latest_send_after_notice_ms: f64,
 }
 
 impl Checker {
-    fn breaks(&mut self, rule: Rule, at_ms: f64, event: String) {
-        // The first of each rule is enough to find its cause.
-        if self.seen.insert(rule) {
-            self.broken.push(RuleViolation { rule, at_ms, event });
+    fn record_violation(&mut self, rule: Rule, at_ms: f64, event: String) {
+        // The first violation of each rule is enough to find its cause.
+        if self.violated.insert(rule) {
+            self.violations.push(RuleViolation { rule, at_ms, event });
         }
     }
 
-    /// A gateway took a request whose client gives up then.
-    pub fn took(&mut self, key: Key, fragile: bool, gives_up: f64) {
-        self.taken += 1;
+    /// Records a request that a dispatcher accepted, and the time at which its client gives up.
+    pub fn request_opened(&mut self, key: RequestKey, non_idempotent: bool, deadline: f64) {
+        self.opened += 1;
         self.open.insert(
             key,
             Request {
-                fragile,
-                gives_up,
+                non_idempotent,
+                deadline,
                 ..Request::default()
             },
         );
     }
 
-    /// Its client left before: nothing is owed.
-    pub fn left(&mut self, key: Key) {
+    /// Records that the client disconnected: no answer is pending any more.
+    pub fn client_left(&mut self, key: RequestKey) {
         if let Some(r) = self.open.get_mut(&key) {
-            (r.gives_up, r.answers) = (f64::INFINITY, r.answers + 1);
+            (r.deadline, r.answers) = (f64::INFINITY, r.answers + 1);
         }
     }
 
-    /// A gateway is told how an engine stands.
-    pub fn told(&mut self, now: f64, gateway: usize, engine: usize, ready: bool) {
+    /// Records that a dispatcher was notified of the state of an engine.
+    pub fn engine_notice(&mut self, now: f64, dispatcher: usize, engine: usize, ready: bool) {
         match ready {
-            true => drop(self.notices.remove(&(gateway, engine))),
-            false => drop(self.notices.entry((gateway, engine)).or_insert(now)),
+            true => drop(self.notices.remove(&(dispatcher, engine))),
+            false => drop(self.notices.entry((dispatcher, engine)).or_insert(now)),
         }
     }
 
-    /// A gateway sends an attempt.
-    pub fn sent(&mut self, now: f64, key: Key, index: u32, engine: usize) {
+    /// Records that a dispatcher sent an attempt.
+    pub fn attempt_sent(&mut self, now: f64, key: RequestKey, index: u32, engine: usize) {
         if let Some(notice) = self.notices.get(&(key.0, engine)).copied() {
             let after = now - notice;
-            self.latest_after_notice = self.latest_after_notice.max(after);
-            if after > GRACE {
+            self.latest_send_after_notice_ms = self.latest_send_after_notice_ms.max(after);
+            if after > DRAIN_GRACE_MS {
                 let event = format!(
-                    "gateway {} sent request {} to engine {engine} {after:.0} ms after it was told",
+                    "dispatcher {} sent request {} to engine {engine} {after:.0} ms after the notice to stop",
                     key.0, key.1
                 );
-                self.breaks(Rule::Drains, now, event);
+                self.record_violation(Rule::DrainGrace, now, event);
             }
         }
         let Some(r) = self.open.get_mut(&key) else {
-            let event = format!("gateway {} sent request {} after its end", key.0, key.1);
-            return self.breaks(Rule::OneAnswer, now, event);
+            let event = format!(
+                "dispatcher {} sent request {} after the request had ended",
+                key.0, key.1
+            );
+            return self.record_violation(Rule::OneAnswer, now, event);
         };
         r.attempts += 1;
-        let (attempts, twice) = (r.attempts, r.fragile && r.ran > 0);
-        if attempts > ATTEMPTS {
-            self.breaks(
-                Rule::Attempts,
+        let (attempts, repeated) = (r.attempts, r.non_idempotent && r.accepted > 0);
+        if attempts > MAX_ATTEMPTS {
+            self.record_violation(
+                Rule::AttemptLimit,
                 now,
                 format!(
-                    "gateway {} made attempt {} of request {}",
+                    "dispatcher {} made attempt {} of request {}",
                     key.0,
                     index + 1,
                     key.1
                 ),
             );
         }
-        if twice {
+        if repeated {
             let event = format!(
-                "gateway {} sent load {} again, which may have run",
+                "dispatcher {} sent load {} again although it may have run",
                 key.0, key.1
             );
-            self.breaks(Rule::Repeats, now, event);
+            self.record_violation(Rule::NoRepeatedLoads, now, event);
         }
     }
 
-    /// An attempt has reached its engine, which took it.
-    pub fn ran(&mut self, now: f64, key: Key, engine: usize) {
+    /// Records that an engine accepted an attempt.
+    pub fn attempt_accepted(&mut self, now: f64, key: RequestKey, engine: usize) {
         let Some(r) = self.open.get_mut(&key) else {
             return;
         };
-        r.ran += 1;
-        if r.fragile && r.ran > 1 {
+        r.accepted += 1;
+        if r.non_idempotent && r.accepted > 1 {
             let event = format!(
-                "load {} of gateway {} ran a second time, on engine {engine}",
+                "load {} of dispatcher {} ran a second time, on engine {engine}",
                 key.1, key.0
             );
-            self.breaks(Rule::Repeats, now, event);
+            self.record_violation(Rule::NoRepeatedLoads, now, event);
         }
     }
 
-    pub fn answered(&mut self, now: f64, key: Key) {
+    /// Records the answer to a request.
+    pub fn request_answered(&mut self, now: f64, key: RequestKey) {
         let Some(r) = self.open.get_mut(&key) else {
             let event = format!(
-                "gateway {} answered request {}, which it has not",
+                "dispatcher {} answered request {}, which is not open",
                 key.0, key.1
             );
-            return self.breaks(Rule::OneAnswer, now, event);
+            return self.record_violation(Rule::OneAnswer, now, event);
         };
         r.answers += 1;
-        let (answers, late) = (r.answers, now - r.gives_up);
+        let (answers, late) = (r.answers, now - r.deadline);
         self.answered += 1;
         if answers > 1 {
-            self.breaks(
+            self.record_violation(
                 Rule::OneAnswer,
                 now,
-                format!("gateway {} answered request {} again", key.0, key.1),
+                format!(
+                    "dispatcher {} answered request {} more than once",
+                    key.0, key.1
+                ),
             );
         }
         if late > 0.0 {
             let event = format!(
-                "gateway {} answered request {} {late:.0} ms after its client gave up",
+                "dispatcher {} answered request {} {late:.0} ms after its client gave up",
                 key.0, key.1
             );
-            self.breaks(Rule::OneAnswer, now, event);
+            self.record_violation(Rule::OneAnswer, now, event);
         }
     }
 
-    /// Nothing of this request is out any more.
-    pub fn closed(&mut self, key: Key) {
+    /// Records that no attempt of an answered request is in flight any more.
+    pub fn request_closed(&mut self, key: RequestKey) {
         if self.open.get(&key).is_some_and(|r| r.answers > 0) {
             self.open.remove(&key);
         }
     }
 
-    /// An engine fell over.
-    pub fn overloaded(&mut self, now: f64, engine: usize) {
-        self.breaks(
-            Rule::Cold,
+    /// Records that an engine failed under overload.
+    pub fn engine_overloaded(&mut self, now: f64, engine: usize) {
+        self.record_violation(
+            Rule::ColdEngineOverload,
             now,
-            format!("engine {engine} fell over, pushed while it was cold"),
+            format!("engine {engine} failed under overload while it was warming up"),
         );
     }
 
-    /// The day is over: whatever is owed has had its time.
-    pub fn end(&mut self, now: f64) {
-        let owed = self
+    /// Ends the run: a request that is still unanswered past its deadline violates a rule.
+    pub fn finish(&mut self, now: f64) {
+        let unanswered = self
             .open
             .iter()
-            .find(|(_, r)| r.answers == 0 && r.gives_up < now)
+            .find(|(_, r)| r.answers == 0 && r.deadline < now)
             .map(|(k, _)| *k);
-        if let Some((gateway, request)) = owed {
-            self.breaks(
+        if let Some((dispatcher, request)) = unanswered {
+            self.record_violation(
                 Rule::OneAnswer,
                 now,
-                format!("gateway {gateway} never answered request {request}"),
+                format!("dispatcher {dispatcher} never answered request {request}"),
             );
         }
     }
 
-    /// The first event of each rule that was broken, in the order met.
-    pub fn broken(&self) -> &[RuleViolation] {
-        &self.broken
+    /// Returns the first violation of each rule, in the order in which they occurred.
+    pub fn violations(&self) -> &[RuleViolation] {
+        &self.violations
     }
 }
 
@@ -237,75 +244,78 @@
 mod tests {
     use super::*;
 
-    fn rules(c: &Checker) -> Vec<Rule> {
-        c.broken().iter().map(|b| b.rule).collect()
+    fn violated_rules(c: &Checker) -> Vec<Rule> {
+        c.violations().iter().map(|b| b.rule).collect()
     }
 
     #[test]
-    fn a_sound_request_breaks_nothing() {
+    fn a_correct_request_violates_no_rule() {
         let mut c = Checker::default();
-        c.took((0, 1), true, 100.0);
-        c.sent(1.0, (0, 1), 0, 4);
-        c.ran(2.0, (0, 1), 4);
-        c.answered(50.0, (0, 1));
-        c.closed((0, 1));
-        c.end(1e9);
-        assert!(c.broken().is_empty() && c.open.is_empty());
+        c.request_opened((0, 1), true, 100.0);
+        c.attempt_sent(1.0, (0, 1), 0, 4);
+        c.attempt_accepted(2.0, (0, 1), 4);
+        c.request_answered(50.0, (0, 1));
+        c.request_closed((0, 1));
+        c.finish(1e9);
+        assert!(c.violations().is_empty() && c.open.is_empty());
     }
 
     #[test]
-    fn every_rule_has_an_event_that_breaks_it_and_the_first_is_named() {
+    fn each_rule_is_violated_and_the_first_violation_is_reported() {
         let mut c = Checker::default();
-        c.told(0.0, 0, 4, false);
-        c.took((0, 1), true, 5_000.0);
-        c.sent(999.0, (0, 1), 0, 4);
-        assert!(c.broken().is_empty(), "within its grace");
-        c.ran(1000.0, (0, 1), 4);
-        c.sent(1001.0, (0, 1), 1, 4);
-        assert_eq!(rules(&c), [Rule::Drains, Rule::Repeats]);
+        c.engine_notice(0.0, 0, 4, false);
+        c.request_opened((0, 1), true, 5_000.0);
+        c.attempt_sent(999.0, (0, 1), 0, 4);
+        assert!(c.violations().is_empty(), "within the drain grace");
+        c.attempt_accepted(1000.0, (0, 1), 4);
+        c.attempt_sent(1001.0, (0, 1), 1, 4);
+        assert_eq!(
+            violated_rules(&c),
+            [Rule::DrainGrace, Rule::NoRepeatedLoads]
+        );
         assert!(
-            c.broken()[0].event.contains("engine 4 1001 ms after"),
+            c.violations()[0].event.contains("engine 4 1001 ms after"),
             "{:?}",
-            c.broken()
+            c.violations()
         );
-        c.sent(1002.0, (0, 1), 2, 5);
-        c.sent(1003.0, (0, 1), 3, 5);
-        c.answered(5_001.0, (0, 1));
-        c.answered(5_002.0, (0, 1));
-        c.overloaded(6_000.0, 2);
+        c.attempt_sent(1002.0, (0, 1), 2, 5);
+        c.attempt_sent(1003.0, (0, 1), 3, 5);
+        c.request_answered(5_001.0, (0, 1));
+        c.request_answered(5_002.0, (0, 1));
+        c.engine_overloaded(6_000.0, 2);
         assert_eq!(
-            rules(&c),
+            violated_rules(&c),
             [
-                Rule::Drains,
-                Rule::Repeats,
-                Rule::Attempts,
+                Rule::DrainGrace,
+                Rule::NoRepeatedLoads,
+                Rule::AttemptLimit,
                 Rule::OneAnswer,
-                Rule::Cold
+                Rule::ColdEngineOverload
             ]
         );
         assert!(
-            c.broken()[3].event.contains("after its client gave up"),
+            c.violations()[3].event.contains("after its client gave up"),
             "{:?}",
-            c.broken()[3]
+            c.violations()[3]
         );
     }
 
     #[test]
-    fn a_request_that_nobody_answers_is_found_at_the_end() {
+    fn an_unanswered_request_is_reported_at_the_end_of_the_run() {
         let mut c = Checker::default();
-        c.took((2, 9), false, 100.0);
-        c.end(99.0);
-        assert!(c.broken().is_empty());
-        c.end(101.0);
+        c.request_opened((2, 9), false, 100.0);
+        c.finish(99.0);
+        assert!(c.violations().is_empty());
+        c.finish(101.0);
         assert!(
-            c.broken()[0]
+            c.violations()[0]
                 .event
-                .contains("gateway 2 never answered request 9")
+                .contains("dispatcher 2 never answered request 9")
         );
         let mut c = Checker::default();
-        c.took((2, 9), false, 100.0);
-        c.left((2, 9));
-        c.end(1e9);
-        assert!(c.broken().is_empty(), "its client left");
+        c.request_opened((2, 9), false, 100.0);
+        c.client_left((2, 9));
+        c.finish(1e9);
+        assert!(c.violations().is_empty(), "the client disconnected");
     }
 }
--- a/crates/testbed/src/simulation/tests.rs
+++ b/crates/testbed/src/simulation/tests.rs
@@ -15,7 +15,8 @@
 
 /// No rule is broken, but for cold engines that a plain policy knows nothing of.
 fn sound_for(policy: Policy, d: &RunReport) {
-    let kept = |b: &rules::RuleViolation| policy != Policy::Module && b.rule == Rule::Cold;
+    let kept =
+        |b: &rules::RuleViolation| policy != Policy::Module && b.rule == Rule::ColdEngineOverload;
     assert!(
         d.broken.iter().all(kept),
         "{}: {:?}",
@@ -236,12 +237,12 @@
     let cases = [
         (
             "repeats",
-            Rule::Repeats,
+            Rule::NoRepeatedLoads,
             r#"{ at_s: 5, kind: "reset", engines: [0, 1, 2, 3] }, { at_s: 9, kind: "reset", engines: [0, 1, 2, 3] }"#,
         ),
         (
             "deaf",
-            Rule::Drains,
+            Rule::DrainGrace,
             r#"{ at_s: 5, kind: "drain", engines: [0, 1], for_s: 9 }"#,
         ),
         ("answers twice", Rule::OneAnswer, ""),
@@ -272,7 +273,7 @@
             .first()
             .unwrap_or_else(|| panic!("{how} was not caught"));
         assert_eq!(first.rule, rule, "{how}: {first:?}");
-        assert!(first.event.contains("gateway"), "{first:?}");
+        assert!(first.event.contains("dispatcher"), "{first:?}");
         assert_eq!(d.goal(), 0.0);
     }
 }
@@ -289,13 +290,13 @@
     ));
     let d = play(&s, Policy::Random, 1);
     assert!(
-        d.broken.iter().any(|b| b.rule == Rule::Cold),
+        d.broken.iter().any(|b| b.rule == Rule::ColdEngineOverload),
         "{:?}",
         d.broken
     );
     let d = play(&s, Policy::Module, 1);
     assert!(
-        !d.broken.iter().any(|b| b.rule == Rule::Cold),
+        !d.broken.iter().any(|b| b.rule == Rule::ColdEngineOverload),
         "{:?}",
         d.broken
     );
