--- a/crates/testbed/src/simulation/dispatchers.rs
+++ b/crates/testbed/src/simulation/dispatchers.rs
@@ -17,7 +17,7 @@
 
     pub(super) fn carry_out(&mut self, g: usize) {
         loop {
-            let commands = self.dispatchers[g].decisions.commands();
+            let commands = self.dispatchers[g].decisions.take_commands();
             if commands.is_empty() {
                 break;
             }
@@ -25,7 +25,7 @@
                 self.command(g, c);
             }
         }
-        let wake = self.dispatchers[g].decisions.next_wake();
+        let wake = self.dispatchers[g].decisions.next_wakeup();
         if let Some(at) = wake
             && self.dispatchers[g]
                 .tick_at
@@ -78,7 +78,7 @@
         };
         let attempt = Attempt { gateway: g, id };
         // As the program does: looked at again right before it is written.
-        if !self.dispatchers[g].decisions.in_service(engine) {
+        if !self.dispatchers[g].decisions.is_in_service(engine) {
             self.dispatchers[g].out.insert(id, (e, self.now));
             return self.schedule(
                 self.now,
--- a/crates/testbed/src/simulation/event_loop.rs
+++ b/crates/testbed/src/simulation/event_loop.rs
@@ -25,7 +25,7 @@
                 let class = t.class;
                 self.day.classes[class].outcomes.left += 1;
                 self.checker.client_left((gateway, request));
-                self.with_decisions(gateway, |d, now| d.leave(now, request));
+                self.with_decisions(gateway, |d, now| d.abandon(now, request));
                 self.close(gateway, request);
             }
             Event::Reach {
@@ -70,7 +70,7 @@
                     t.lost += self.now - sent;
                 }
                 self.add_to_hash(8, gateway as u64, id.request << 4 | outcome as u64);
-                self.with_decisions(gateway, |d, now| d.ended(now, id, outcome, report));
+                self.with_decisions(gateway, |d, now| d.attempt_ended(now, id, outcome, report));
                 self.close(gateway, id.request);
             }
             Event::Noted { attempt, note } => {
@@ -78,7 +78,9 @@
                     .out
                     .contains_key(&attempt.id)
                 {
-                    self.with_decisions(attempt.gateway, |d, now| d.note(now, attempt.id, note));
+                    self.with_decisions(attempt.gateway, |d, now| {
+                        d.progress(now, attempt.id, note)
+                    });
                 }
             }
             Event::Tick { gateway, at } => {
@@ -107,7 +109,7 @@
                     entry.state == EngineState::Ready,
                 );
                 self.with_decisions(gateway, |d, now| {
-                    d.engines(now, ListUpdate::Patch, vec![*entry])
+                    d.update_endpoints(now, ListUpdate::Patch, vec![*entry])
                 });
             }
             Event::Hand {
@@ -118,7 +120,7 @@
                 let name = self.engines[engine].name.clone();
                 self.checker.engine_notice(self.now, gateway, engine, !out);
                 self.with_decisions(gateway, |d, now| {
-                    d.administratively_drained(now, &name, out)
+                    d.set_administrative_drain(now, &name, out)
                 });
             }
             Event::Fault(i) => self.begin_fault(i),
--- a/crates/testbed/src/simulation/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -19,7 +19,7 @@
 use crate::simulation::emulator::{Emulator, Job, JobId, Waits};
 use events::{Attempt, ClientRequest, Event, FaultStep, ScheduledEvent};
 use hdrhistogram::Histogram;
-use policy::{Dispatch, Plain, Policy};
+use policy::{BaselineDispatcher, Dispatch, Policy};
 use query_dispatcher::core::{Answer, AttemptId, Command, Core, CoreLimits, NewRequest};
 use query_dispatcher::{EngineEntry, EngineState, ListUpdate, Outcome, ProgressNote};
 use report::{ClassReport, LateCauses, OutcomeCounts, RunReport, WINDOW_S, WeightedValue, Window};
@@ -122,11 +122,11 @@
         // dispatched at all.
         Policy::Module => match Core::new(settings, random.bits(), bounds) {
             Ok(core) => Box::new(core),
-            Err(_) => Box::new(Plain::new(Policy::Random, vec![], random)),
+            Err(_) => Box::new(BaselineDispatcher::new(Policy::Random, vec![], random)),
         },
-        plain => {
+        baseline => {
             let fragile = scenario.classes.iter().map(|c| c.non_idempotent).collect();
-            Box::new(Plain::new(plain, fragile, random))
+            Box::new(BaselineDispatcher::new(baseline, fragile, random))
         }
     }
 }
@@ -275,7 +275,9 @@
         let list: Vec<EngineEntry> = (0..self.engines.len()).map(|e| self.entry(e)).collect();
         for g in 0..self.dispatchers.len() {
             let entries = list.clone();
-            self.with_decisions(g, |d, now| d.engines(now, ListUpdate::Stale, entries));
+            self.with_decisions(g, |d, now| {
+                d.update_endpoints(now, ListUpdate::Stale, entries)
+            });
         }
         for (i, t) in self.scenario.faults.iter().enumerate() {
             self.schedule(START_MS + t.at_s * 1000.0, Event::Fault(i));
--- a/crates/testbed/src/simulation/policy.rs
+++ b/crates/testbed/src/simulation/policy.rs
@@ -1,4 +1,5 @@
-//! Who decides at a gateway: the real core, or one of the plain ways that it is measured beside.
+//! Dispatch policies of a simulated dispatcher: the real core, or one of the baselines that it is compared
+//! with.
 
 use crate::random::Stream;
 use query_dispatcher::core::{
@@ -9,39 +10,39 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a gateway's decisions need to be.
+/// Decisions of a dispatcher: reports go in as calls, and commands come out.
 pub trait Dispatch: Send {
     fn open(&mut self, now: f64, r: NewRequest) -> RequestId;
-    fn leave(&mut self, now: f64, request: RequestId);
-    fn ended(&mut self, now: f64, attempt: AttemptId, outcome: Outcome, report: Vec<f64>);
-    fn note(&mut self, now: f64, attempt: AttemptId, note: ProgressNote);
-    fn engines(&mut self, now: f64, update: ListUpdate, entries: Vec<EngineEntry>);
-    fn administratively_drained(&mut self, now: f64, engine: &str, out: bool);
+    fn abandon(&mut self, now: f64, request: RequestId);
+    fn attempt_ended(&mut self, now: f64, attempt: AttemptId, outcome: Outcome, report: Vec<f64>);
+    fn progress(&mut self, now: f64, attempt: AttemptId, note: ProgressNote);
+    fn update_endpoints(&mut self, now: f64, update: ListUpdate, entries: Vec<EngineEntry>);
+    fn set_administrative_drain(&mut self, now: f64, engine: &str, drained: bool);
     fn tick(&mut self, now: f64);
-    fn next_wake(&self) -> Option<f64>;
-    fn commands(&mut self) -> Vec<Command>;
-    /// New work may still be written to this engine: looked at right before.
-    fn in_service(&self, engine: &str) -> bool;
+    fn next_wakeup(&self) -> Option<f64>;
+    fn take_commands(&mut self) -> Vec<Command>;
+    /// Returns whether new work may still be sent to this engine; checked immediately before sending.
+    fn is_in_service(&self, engine: &str) -> bool;
 }
 
 impl Dispatch for Core {
     fn open(&mut self, now: f64, r: NewRequest) -> RequestId {
         Core::open(self, now, r)
     }
-    fn leave(&mut self, now: f64, request: RequestId) {
+    fn abandon(&mut self, now: f64, request: RequestId) {
         Core::abandon(self, now, request);
     }
-    fn ended(&mut self, now: f64, attempt: AttemptId, outcome: Outcome, report: Vec<f64>) {
+    fn attempt_ended(&mut self, now: f64, attempt: AttemptId, outcome: Outcome, report: Vec<f64>) {
         Core::attempt_ended(self, now, attempt, outcome, report);
     }
-    fn note(&mut self, now: f64, attempt: AttemptId, note: ProgressNote) {
+    fn progress(&mut self, now: f64, attempt: AttemptId, note: ProgressNote) {
         Core::progress(self, now, attempt, note);
     }
-    fn engines(&mut self, now: f64, update: ListUpdate, entries: Vec<EngineEntry>) {
+    fn update_endpoints(&mut self, now: f64, update: ListUpdate, entries: Vec<EngineEntry>) {
         Core::update_endpoints(self, now, update, entries);
     }
-    fn administratively_drained(&mut self, now: f64, engine: &str, out: bool) {
-        let _ = if out {
+    fn set_administrative_drain(&mut self, now: f64, engine: &str, drained: bool) {
+        let _ = if drained {
             self.drain_engine(now, engine)
         } else {
             self.undrain_engine(now, engine)
@@ -50,18 +51,18 @@
     fn tick(&mut self, now: f64) {
         Core::tick(self, now);
     }
-    fn next_wake(&self) -> Option<f64> {
+    fn next_wakeup(&self) -> Option<f64> {
         Core::next_wakeup(self)
     }
-    fn commands(&mut self) -> Vec<Command> {
+    fn take_commands(&mut self) -> Vec<Command> {
         Core::take_commands(self)
     }
-    fn in_service(&self, engine: &str) -> bool {
+    fn is_in_service(&self, engine: &str) -> bool {
         Core::is_in_service(self, engine)
     }
 }
 
-/// How an engine is chosen.
+/// How a dispatcher chooses an engine.
 #[derive(
     Clone,
     Copy,
@@ -77,13 +78,13 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Policy {
-    /// The program's own decisions.
+    /// The decisions of the real core.
     Module,
     Random,
     RoundRobin,
-    /// The engine with the fewest of this gateway's attempts.
+    /// The engine with the fewest attempts of this dispatcher in flight.
     LeastOutstanding,
-    /// Of two drawn, the one with fewer.
+    /// Of two engines drawn at random, the one with fewer attempts of this dispatcher in flight.
     TwoChoices,
 }
 
@@ -107,49 +108,55 @@
     }
 }
 
-struct Open {
-    fragile: bool,
-    due: f64,
+struct OpenRequest {
+    non_idempotent: bool,
+    deadline: f64,
+    /// Engine of each attempt, and whether the attempt is in flight.
     attempts: Vec<(usize, bool)>,
     may_have_run: bool,
 }
 
-/// Sends each request at once to an engine of the list, and again where that does no harm.
-pub struct Plain {
+/// A baseline dispatcher: sends each request at once to a listed engine, and sends it again after a failure
+/// where a retry is safe.
+pub struct BaselineDispatcher {
     policy: Policy,
-    fragile: Vec<bool>,
+    /// By class, whether its requests are non-idempotent.
+    non_idempotent: Vec<bool>,
     random: Stream,
     engines: Vec<String>,
-    place: BTreeMap<String, usize>,
+    /// Positions in `engines`, by name.
+    positions: BTreeMap<String, usize>,
     ready: BTreeSet<usize>,
     administratively_drained: BTreeSet<usize>,
-    out: Vec<usize>,
-    turn: usize,
-    open: BTreeMap<RequestId, Open>,
-    due: BTreeSet<(u64, RequestId)>,
+    /// Number of attempts in flight, by engine.
+    in_flight: Vec<usize>,
+    rotation: usize,
+    open: BTreeMap<RequestId, OpenRequest>,
+    /// Deadlines of open requests, as the bits of a time that is not negative.
+    deadlines: BTreeSet<(u64, RequestId)>,
     next: RequestId,
     commands: Vec<Command>,
 }
 
-/// An answer is given this long before its client gives up, in milliseconds.
-const MARGIN: f64 = 40.0;
-const ATTEMPTS: usize = 3;
+/// Time before the client gives up at which a request is answered as timed out, in milliseconds.
+const ANSWER_MARGIN_MS: f64 = 40.0;
+const MAX_ATTEMPTS: usize = 3;
 
-impl Plain {
-    /// `fragile` tells by class what must not run twice.
-    pub fn new(policy: Policy, fragile: Vec<bool>, random: Stream) -> Self {
-        Plain {
+impl BaselineDispatcher {
+    /// Creates a dispatcher; `non_idempotent` states by class which requests must not run twice.
+    pub fn new(policy: Policy, non_idempotent: Vec<bool>, random: Stream) -> Self {
+        BaselineDispatcher {
             policy,
-            fragile,
+            non_idempotent,
             random,
             engines: vec![],
-            place: BTreeMap::new(),
+            positions: BTreeMap::new(),
             ready: BTreeSet::new(),
             administratively_drained: BTreeSet::new(),
-            out: vec![],
-            turn: 0,
+            in_flight: vec![],
+            rotation: 0,
             open: BTreeMap::new(),
-            due: BTreeSet::new(),
+            deadlines: BTreeSet::new(),
             next: 1,
             commands: vec![],
         }
@@ -161,25 +168,27 @@
             .difference(&self.administratively_drained)
             .copied()
             .collect();
-        let fresh: Vec<usize> = usable
+        let untried: Vec<usize> = usable
             .iter()
             .copied()
             .filter(|e| !tried.contains(e))
             .collect();
-        let from = if fresh.is_empty() { usable } else { fresh };
+        let from = if untried.is_empty() { usable } else { untried };
         if from.is_empty() {
             return None;
         }
         Some(match self.policy {
             Policy::Module | Policy::Random => from[self.random.below(from.len())],
             Policy::RoundRobin => {
-                self.turn += 1;
-                from[self.turn % from.len()]
+                self.rotation += 1;
+                from[self.rotation % from.len()]
             }
             Policy::LeastOutstanding => {
-                let least = from.iter().map(|e| self.out[*e]).min().unwrap_or(0);
-                let equal: Vec<usize> =
-                    from.into_iter().filter(|e| self.out[*e] == least).collect();
+                let least = from.iter().map(|e| self.in_flight[*e]).min().unwrap_or(0);
+                let equal: Vec<usize> = from
+                    .into_iter()
+                    .filter(|e| self.in_flight[*e] == least)
+                    .collect();
                 equal[self.random.below(equal.len())]
             }
             Policy::TwoChoices => {
@@ -187,16 +196,20 @@
                     from[self.random.below(from.len())],
                     from[self.random.below(from.len())],
                 );
-                if self.out[b] < self.out[a] { b } else { a }
+                if self.in_flight[b] < self.in_flight[a] {
+                    b
+                } else {
+                    a
+                }
             }
         })
     }
 
-    fn send(&mut self, id: RequestId) {
+    fn send_attempt(&mut self, id: RequestId) {
         let Some(r) = self.open.get(&id) else { return };
         let tried: Vec<usize> = r.attempts.iter().map(|a| a.0).collect();
-        let (due, retry_safe) = (r.due, !(r.fragile && r.may_have_run));
-        let chosen = if tried.len() < ATTEMPTS && retry_safe {
+        let (deadline, retry_safe) = (r.deadline, !(r.non_idempotent && r.may_have_run));
+        let chosen = if tried.len() < MAX_ATTEMPTS && retry_safe {
             self.choose(&tried)
         } else {
             None
@@ -213,7 +226,7 @@
             };
             return self.close(id, Some(answer));
         };
-        self.out[engine] += 1;
+        self.in_flight[engine] += 1;
         if let Some(r) = self.open.get_mut(&id) {
             r.attempts.push((engine, true));
         }
@@ -226,7 +239,7 @@
         let start = StartAttempt {
             attempt,
             engine,
-            deadline: due,
+            deadline,
             write_by,
             memory_mb: 0.0,
             exclusive_connection: false,
@@ -234,13 +247,13 @@
         self.commands.push(Command::Start(start));
     }
 
-    /// The end of a request; nobody hears it if no answer is given.
+    /// Ends a request and cancels its attempts in flight; without an answer, nothing is sent to the client.
     fn close(&mut self, id: RequestId, answer: Option<Answer>) {
         if let Some(r) = self.open.remove(&id) {
-            self.due.remove(&(r.due.to_bits(), id));
-            for (index, (engine, out)) in r.attempts.into_iter().enumerate() {
-                if out {
-                    self.out[engine] -= 1;
+            self.deadlines.remove(&(r.deadline.to_bits(), id));
+            for (index, (engine, in_flight)) in r.attempts.into_iter().enumerate() {
+                if in_flight {
+                    self.in_flight[engine] -= 1;
                     self.commands.push(Command::Cancel {
                         attempt: AttemptId {
                             request: id,
@@ -257,31 +270,31 @@
     }
 }
 
-impl Dispatch for Plain {
+impl Dispatch for BaselineDispatcher {
     fn open(&mut self, now: f64, r: NewRequest) -> RequestId {
         let id = self.next;
         self.next += 1;
-        let due = (r.deadline - MARGIN).max(now);
-        let fragile = self.fragile.get(r.class).copied().unwrap_or(true);
+        let deadline = (r.deadline - ANSWER_MARGIN_MS).max(now);
+        let non_idempotent = self.non_idempotent.get(r.class).copied().unwrap_or(true);
         self.open.insert(
             id,
-            Open {
-                fragile,
-                due,
+            OpenRequest {
+                non_idempotent,
+                deadline,
                 attempts: vec![],
                 may_have_run: false,
             },
         );
-        self.due.insert((due.to_bits(), id));
-        self.send(id);
+        self.deadlines.insert((deadline.to_bits(), id));
+        self.send_attempt(id);
         id
     }
 
-    fn leave(&mut self, _: f64, request: RequestId) {
+    fn abandon(&mut self, _: f64, request: RequestId) {
         self.close(request, None);
     }
 
-    fn ended(&mut self, _: f64, attempt: AttemptId, outcome: Outcome, _: Vec<f64>) {
+    fn attempt_ended(&mut self, _: f64, attempt: AttemptId, outcome: Outcome, _: Vec<f64>) {
         let Some(r) = self.open.get_mut(&attempt.request) else {
             return;
         };
@@ -294,65 +307,65 @@
             outcome,
             Outcome::Rejected | Outcome::Unreachable | Outcome::NeverStarted
         );
-        self.out[engine] -= 1;
+        self.in_flight[engine] -= 1;
         match outcome {
             Outcome::Served => self.close(attempt.request, Some(Answer::Served(attempt))),
-            _ => self.send(attempt.request),
+            _ => self.send_attempt(attempt.request),
         }
     }
 
-    fn note(&mut self, _: f64, _: AttemptId, _: ProgressNote) {}
+    fn progress(&mut self, _: f64, _: AttemptId, _: ProgressNote) {}
 
-    fn engines(&mut self, _: f64, update: ListUpdate, entries: Vec<EngineEntry>) {
+    fn update_endpoints(&mut self, _: f64, update: ListUpdate, entries: Vec<EngineEntry>) {
         if update != ListUpdate::Patch {
             self.ready.clear();
         }
         for e in entries {
             let n = self.engines.len();
-            let place = *self.place.entry(e.engine.clone()).or_insert(n);
-            if place == n {
+            let position = *self.positions.entry(e.engine.clone()).or_insert(n);
+            if position == n {
                 self.engines.push(e.engine);
-                self.out.push(0);
+                self.in_flight.push(0);
             }
             match e.state {
-                EngineState::Ready => drop(self.ready.insert(place)),
-                _ => drop(self.ready.remove(&place)),
+                EngineState::Ready => drop(self.ready.insert(position)),
+                _ => drop(self.ready.remove(&position)),
             }
         }
     }
 
-    fn administratively_drained(&mut self, _: f64, engine: &str, out: bool) {
-        let Some(place) = self.place.get(engine) else {
+    fn set_administrative_drain(&mut self, _: f64, engine: &str, drained: bool) {
+        let Some(position) = self.positions.get(engine) else {
             return;
         };
-        match out {
-            true => drop(self.administratively_drained.insert(*place)),
-            false => drop(self.administratively_drained.remove(place)),
+        match drained {
+            true => drop(self.administratively_drained.insert(*position)),
+            false => drop(self.administratively_drained.remove(position)),
         }
     }
 
     fn tick(&mut self, now: f64) {
         while let Some((_, id)) = self
-            .due
+            .deadlines
             .first()
             .copied()
             .filter(|d| f64::from_bits(d.0) <= now)
         {
-            let retry_safe = self.open.get(&id).is_none_or(|r| !r.fragile);
+            let retry_safe = self.open.get(&id).is_none_or(|r| !r.non_idempotent);
             self.close(id, Some(Answer::TimedOut { retry_safe }));
         }
     }
 
-    fn next_wake(&self) -> Option<f64> {
-        self.due.first().map(|d| f64::from_bits(d.0))
+    fn next_wakeup(&self) -> Option<f64> {
+        self.deadlines.first().map(|d| f64::from_bits(d.0))
     }
 
-    fn commands(&mut self) -> Vec<Command> {
+    fn take_commands(&mut self) -> Vec<Command> {
         std::mem::take(&mut self.commands)
     }
 
-    fn in_service(&self, engine: &str) -> bool {
-        self.place
+    fn is_in_service(&self, engine: &str) -> bool {
+        self.positions
             .get(engine)
             .is_some_and(|p| self.ready.contains(p) && !self.administratively_drained.contains(p))
     }
--- a/crates/testbed/src/simulation/tests.rs
+++ b/crates/testbed/src/simulation/tests.rs
@@ -175,60 +175,60 @@
 }
 
 /// A gateway that breaks a rule on purpose, round a sound one.
-struct Cheat {
-    sound: Plain,
-    how: &'static str,
+struct FaultyDispatcher {
+    inner: BaselineDispatcher,
+    fault: &'static str,
     /// Drains that were told are not heard.
-    deaf: bool,
+    ignores_drains: bool,
 }
 
-impl Dispatch for Cheat {
+impl Dispatch for FaultyDispatcher {
     fn open(&mut self, now: f64, r: NewRequest) -> u64 {
-        self.sound.open(now, r)
+        self.inner.open(now, r)
     }
-    fn leave(&mut self, now: f64, request: u64) {
-        self.sound.leave(now, request);
+    fn abandon(&mut self, now: f64, request: u64) {
+        self.inner.abandon(now, request);
     }
-    fn ended(&mut self, now: f64, attempt: AttemptId, outcome: Outcome, report: Vec<f64>) {
+    fn attempt_ended(&mut self, now: f64, attempt: AttemptId, outcome: Outcome, report: Vec<f64>) {
         // What broke off is called never sent: it goes out again, a load as well.
-        let outcome = if self.how == "repeats" && outcome == Outcome::Reset {
+        let outcome = if self.fault == "repeats" && outcome == Outcome::Reset {
             Outcome::Unreachable
         } else {
             outcome
         };
-        self.sound.ended(now, attempt, outcome, report);
+        self.inner.attempt_ended(now, attempt, outcome, report);
     }
-    fn note(&mut self, _: f64, _: AttemptId, _: ProgressNote) {}
-    fn engines(&mut self, now: f64, update: ListUpdate, entries: Vec<EngineEntry>) {
-        if !self.deaf || update != ListUpdate::Patch {
-            self.sound.engines(now, update, entries);
+    fn progress(&mut self, _: f64, _: AttemptId, _: ProgressNote) {}
+    fn update_endpoints(&mut self, now: f64, update: ListUpdate, entries: Vec<EngineEntry>) {
+        if !self.ignores_drains || update != ListUpdate::Patch {
+            self.inner.update_endpoints(now, update, entries);
         }
     }
-    fn administratively_drained(&mut self, now: f64, engine: &str, out: bool) {
-        self.sound.administratively_drained(now, engine, out);
+    fn set_administrative_drain(&mut self, now: f64, engine: &str, drained: bool) {
+        self.inner.set_administrative_drain(now, engine, drained);
     }
     fn tick(&mut self, now: f64) {
-        if self.how != "silent" {
-            self.sound.tick(now);
+        if self.fault != "silent" {
+            self.inner.tick(now);
         }
     }
-    fn next_wake(&self) -> Option<f64> {
-        self.sound.next_wake()
+    fn next_wakeup(&self) -> Option<f64> {
+        self.inner.next_wakeup()
     }
-    fn commands(&mut self) -> Vec<Command> {
-        let mut all = self.sound.commands();
+    fn take_commands(&mut self) -> Vec<Command> {
+        let mut all = self.inner.take_commands();
         let twice = all
             .iter()
             .filter(|c| matches!(c, Command::Answer { .. }))
             .cloned()
             .collect::<Vec<_>>();
-        if self.how == "answers twice" {
+        if self.fault == "answers twice" {
             all.extend(twice);
         }
         all
     }
-    fn in_service(&self, engine: &str) -> bool {
-        self.deaf || self.sound.in_service(engine)
+    fn is_in_service(&self, engine: &str) -> bool {
+        self.ignores_drains || self.inner.is_in_service(engine)
     }
 }
 
@@ -252,27 +252,27 @@
             r#"{ at_s: 5, kind: "hang", engines: [0, 1], for_s: 15 }"#,
         ),
     ];
-    for (how, rule, trouble) in cases {
+    for (fault, rule, trouble) in cases {
         let s = small(trouble);
         let fragile: Vec<bool> = s.classes.iter().map(|c| c.non_idempotent).collect();
         let streams = Streams::new(1);
         let d = play_with(&s, 1, &mut |g, _| {
-            let sound = Plain::new(
+            let inner = BaselineDispatcher::new(
                 Policy::Random,
                 fragile.clone(),
                 streams.numbered("cheat", g),
             );
-            Box::new(Cheat {
-                sound,
-                how,
-                deaf: how == "deaf",
+            Box::new(FaultyDispatcher {
+                inner,
+                fault,
+                ignores_drains: fault == "deaf",
             })
         });
         let first = d
             .broken
             .first()
-            .unwrap_or_else(|| panic!("{how} was not caught"));
-        assert_eq!(first.rule, rule, "{how}: {first:?}");
+            .unwrap_or_else(|| panic!("{fault} was not caught"));
+        assert_eq!(first.rule, rule, "{fault}: {first:?}");
         assert!(first.event.contains("dispatcher"), "{first:?}");
         assert_eq!(d.goal(), 0.0);
     }
