--- a/crates/testbed/src/simulation/dispatchers.rs
+++ b/crates/testbed/src/simulation/dispatchers.rs
@@ -1,5 +1,4 @@
-//! Dispatchers: calls of their decisions, the commands these give, messages to engines and answers to
-//! clients.
+//! Dispatchers: calls to their decisions, the resulting commands, messages to engines and answers to clients.
 
 use super::{
     Answer, Attempt, AttemptId, ClientRequest, Command, Dispatch, Event, Job, Outcome, Simulation,
@@ -7,14 +6,17 @@
 use query_dispatcher::core::StartAttempt;
 
 impl Simulation<'_> {
+    /// Calls the decisions of a dispatcher, measures the time this takes, and carries out the resulting
+    /// commands.
     pub(super) fn with_decisions(&mut self, g: usize, f: impl FnOnce(&mut dyn Dispatch, f64)) {
         let began = std::time::Instant::now();
         f(&mut *self.dispatchers[g].decisions, self.now);
-        self.day.decided_s += began.elapsed().as_secs_f64();
-        self.day.calls += 1;
+        self.report.decision_time_s += began.elapsed().as_secs_f64();
+        self.report.decision_calls += 1;
         self.carry_out(g);
     }
 
+    /// Carries out all pending commands of a dispatcher and schedules its next wake-up.
     pub(super) fn carry_out(&mut self, g: usize) {
         loop {
             let commands = self.dispatchers[g].decisions.take_commands();
@@ -28,15 +30,15 @@
         let wake = self.dispatchers[g].decisions.next_wakeup();
         if let Some(at) = wake
             && self.dispatchers[g]
-                .tick_at
+                .next_tick
                 .is_none_or(|t| at < t || t <= self.now)
         {
             let at = at.max(self.now + 0.01);
-            self.dispatchers[g].tick_at = Some(at);
+            self.dispatchers[g].next_tick = Some(at);
             self.schedule(
                 at,
-                Event::Tick {
-                    gateway: g,
+                Event::DispatcherWakeup {
+                    dispatcher: g,
                     at: at.to_bits(),
                 },
             );
@@ -50,16 +52,16 @@
                 engine,
                 memory_mb,
                 ..
-            }) => self.start(g, attempt, &engine, memory_mb),
+            }) => self.start_attempt(g, attempt, &engine, memory_mb),
             Command::Cancel { attempt } => {
-                if let Some((engine, _)) = self.dispatchers[g].out.remove(&attempt) {
-                    let at = self.now + self.delay(g, engine);
+                if let Some((engine, _)) = self.dispatchers[g].in_flight.remove(&attempt) {
+                    let at = self.now + self.message_delay(g, engine);
                     self.schedule(
                         at,
                         Event::Cancel {
                             engine,
                             attempt: Attempt {
-                                gateway: g,
+                                dispatcher: g,
                                 id: attempt,
                             },
                         },
@@ -72,24 +74,25 @@
         }
     }
 
-    pub(super) fn start(&mut self, g: usize, id: AttemptId, engine: &str, memory_mb: f64) {
+    /// Sends an attempt to its engine.
+    pub(super) fn start_attempt(&mut self, g: usize, id: AttemptId, engine: &str, memory_mb: f64) {
         let Some(e) = self.engines.iter().position(|x| x.name == engine) else {
             return;
         };
-        let attempt = Attempt { gateway: g, id };
-        // As the program does: looked at again right before it is written.
+        let attempt = Attempt { dispatcher: g, id };
+        // Like the dispatcher program, checks the engine again immediately before sending.
         if !self.dispatchers[g].decisions.is_in_service(engine) {
-            self.dispatchers[g].out.insert(id, (e, self.now));
+            self.dispatchers[g].in_flight.insert(id, (e, self.now));
             return self.schedule(
                 self.now,
-                Event::Back {
+                Event::AttemptOutcome {
                     attempt,
                     outcome: Outcome::Unreachable,
                     report: vec![],
                 },
             );
         }
-        self.day.attempts += 1;
+        self.report.attempts += 1;
         self.add_to_hash(
             2,
             (g as u64) << 32 | e as u64,
@@ -97,7 +100,7 @@
         );
         self.checker
             .attempt_sent(self.now, (g, id.request), id.index, e);
-        self.dispatchers[g].out.insert(id, (e, self.now));
+        self.dispatchers[g].in_flight.insert(id, (e, self.now));
         let Some(t) = self.dispatchers[g].open_requests.get_mut(&id.request) else {
             return;
         };
@@ -106,31 +109,37 @@
             grant_mb: memory_mb,
             ..t.job.clone()
         };
-        let (process, at) = (self.engines[e].process, self.now + self.delay(g, e));
+        let (incarnation, at) = (
+            self.engines[e].incarnation,
+            self.now + self.message_delay(g, e),
+        );
         self.schedule(
             at,
-            Event::Reach {
+            Event::AttemptArrival {
                 engine: e,
-                process,
+                incarnation,
                 attempt,
                 job: Box::new(job),
             },
         );
     }
 
-    pub(super) fn delay(&mut self, g: usize, e: usize) -> f64 {
+    /// Draws the delay of a message between a dispatcher and an engine, in milliseconds.
+    pub(super) fn message_delay(&mut self, g: usize, e: usize) -> f64 {
         let net = &self.scenario.net;
-        let gateway = &mut self.dispatchers[g];
-        let across = gateway.delay.between(net.across_ms[0], net.across_ms[1]);
-        let span = if gateway.zone == self.engines[e].zone {
+        let dispatcher = &mut self.dispatchers[g];
+        let cross_zone_ms = dispatcher
+            .delays
+            .between(net.across_ms[0], net.across_ms[1]);
+        let delay = if dispatcher.zone == self.engines[e].zone {
             net.within_ms
         } else {
-            across
+            cross_zone_ms
         };
-        span + self.slow.get(&g).copied().unwrap_or(0.0)
+        delay + self.extra_delay.get(&g).copied().unwrap_or(0.0)
     }
 
-    /// Something that an engine sends to a gateway.
+    /// Sends the outcome of an attempt from its engine to its dispatcher.
     pub(super) fn send_result(
         &mut self,
         attempt: Attempt,
@@ -138,13 +147,13 @@
         outcome: Outcome,
         report: Vec<f64>,
     ) {
-        if self.cut.contains(&(attempt.gateway, engine)) {
+        if self.partitioned.contains(&(attempt.dispatcher, engine)) {
             return;
         }
-        let at = self.now + self.delay(attempt.gateway, engine);
+        let at = self.now + self.message_delay(attempt.dispatcher, engine);
         self.schedule(
             at,
-            Event::Back {
+            Event::AttemptOutcome {
                 attempt,
                 outcome,
                 report,
@@ -152,12 +161,13 @@
         );
     }
 
+    /// Handles the answer to a request: the client retries it, or the report counts it.
     pub(super) fn answer(&mut self, g: usize, request: u64, answer: Answer) {
         self.checker.request_answered(self.now, (g, request));
         let Some(t) = self.dispatchers[g].open_requests.get_mut(&request) else {
             return;
         };
-        if std::mem::replace(&mut t.over, true) {
+        if std::mem::replace(&mut t.finished, true) {
             return;
         }
         let t = t.clone();
@@ -169,34 +179,36 @@
         };
         self.add_to_hash(3, g as u64, request << 3 | kind);
         if let Answer::Rejected { retry_after, .. } = answer
-            && t.again < self.scenario.load.retries
+            && t.retries < self.scenario.load.retries
         {
             let at = self.now + retry_after.unwrap_or(self.scenario.load.retry_ms).max(1.0);
-            if at < t.gives_up - 200.0 {
-                let again = ClientRequest {
-                    again: t.again + 1,
-                    over: false,
+            if at < t.deadline - 200.0 {
+                let retry = ClientRequest {
+                    retries: t.retries + 1,
+                    finished: false,
                     ..t
                 };
-                self.schedule(at, Event::Again(Box::new(again)));
+                self.schedule(at, Event::Retry(Box::new(retry)));
                 return self.close(g, request);
             }
         }
-        let class = &mut self.day.classes[t.class];
-        let took = self.now - t.born;
+        let class = &mut self.report.classes[t.class];
+        let latency = self.now - t.first_tried_at;
         let late_answer_weight = self.scenario.classes[t.class].late_answer_weight;
         let earned = match answer {
             Answer::Served(_) => {
                 class.outcomes.served += 1;
-                class.latency.saturating_record((took * 1000.0) as u64 + 1);
-                if took <= t.latency_objective {
+                class
+                    .latency
+                    .saturating_record((latency * 1000.0) as u64 + 1);
+                if latency <= t.latency_objective {
                     t.priority_weight
                 } else {
                     t.priority_weight * late_answer_weight
                 }
             }
             Answer::Rejected { .. } => {
-                class.outcomes.refused += 1;
+                class.outcomes.rejected += 1;
                 0.0
             }
             Answer::Failed { .. } => {
@@ -204,35 +216,41 @@
                 0.0
             }
             Answer::TimedOut { .. } => {
-                class.outcomes.late += 1;
+                class.outcomes.timed_out += 1;
                 0.0
             }
         };
         class.priority_weight.earned += earned;
-        self.day.tenants[t.tenant].1.earned += earned;
-        self.window_of(t.born).priority_weight.earned += earned;
-        // What look-ups that missed their aim waited for: their attempts' times are still being added.
+        self.report.tenants[t.tenant].1.earned += earned;
+        self.window_of(t.first_tried_at).priority_weight.earned += earned;
+        // Records what look-ups that missed their latency objective waited for, as far as their attempts
+        // have ended.
         if t.class == 0 && earned < t.priority_weight {
-            let late = self.day.late.entry(g as u32).or_default();
+            let late = self.report.late.entry(g as u32).or_default();
             late.requests += 1;
-            late.held += t.first_sent.unwrap_or(self.now) - t.born;
-            late.lost += t.lost;
+            late.held += t.first_sent.unwrap_or(self.now) - t.first_tried_at;
+            late.lost += t.lost_ms;
             late.add(g as u32, &t.waits);
         }
         self.close(g, request);
     }
 
-    /// Forgets a request that is answered and has nothing out.
+    /// Removes a request that is answered and has no attempt in flight.
     pub(super) fn close(&mut self, g: usize, request: u64) {
-        let gateway = &mut self.dispatchers[g];
+        let dispatcher = &mut self.dispatchers[g];
         let first = AttemptId { request, index: 0 };
         let last = AttemptId {
             request,
             index: u32::MAX,
         };
-        let out = gateway.out.range(first..=last).next().is_some();
-        if !out && gateway.open_requests.get(&request).is_some_and(|t| t.over) {
-            gateway.open_requests.remove(&request);
+        let has_attempts = dispatcher.in_flight.range(first..=last).next().is_some();
+        if !has_attempts
+            && dispatcher
+                .open_requests
+                .get(&request)
+                .is_some_and(|t| t.finished)
+        {
+            dispatcher.open_requests.remove(&request);
             self.checker.request_closed((g, request));
         }
     }
--- a/crates/testbed/src/simulation/engines.rs
+++ b/crates/testbed/src/simulation/engines.rs
@@ -3,6 +3,7 @@
 use super::{Attempt, EngineEntry, EngineState, Event, Job, Outcome, START_MS, Simulation, Waits};
 
 impl Simulation<'_> {
+    /// Returns the entry of an engine in the endpoint list.
     pub(super) fn entry(&self, e: usize) -> EngineEntry {
         let x = &self.engines[e];
         EngineEntry {
@@ -15,21 +16,28 @@
         }
     }
 
-    /// Asks to be rung when something ends next there, and when a note is due.
+    /// Schedules the next completion and the next progress notes of an engine, and handles its failure
+    /// under overload.
     pub(super) fn schedule_wake(&mut self, e: usize) {
         let x = &mut self.engines[e];
-        (x.stamp, x.note_stamp) = (x.stamp + 1, x.note_stamp + 1);
-        let (stamp, note_stamp) = (x.stamp, x.note_stamp);
+        (x.wake_generation, x.note_generation) = (x.wake_generation + 1, x.note_generation + 1);
+        let (generation, note_generation) = (x.wake_generation, x.note_generation);
         let (next, note) = (x.model.next_completion(), x.model.next_note_due());
         if let Some(at) = next {
-            self.schedule(at, Event::Wake { engine: e, stamp });
+            self.schedule(
+                at,
+                Event::EngineWakeup {
+                    engine: e,
+                    generation,
+                },
+            );
         }
         if let Some(at) = note {
             self.schedule(
                 at,
-                Event::Notes {
+                Event::NotesDue {
                     engine: e,
-                    stamp: note_stamp,
+                    generation: note_generation,
                 },
             );
         }
@@ -41,16 +49,17 @@
         }
     }
 
-    pub(super) fn reach(&mut self, e: usize, process: u32, attempt: Attempt, job: Job) {
-        if self.cut.contains(&(attempt.gateway, e)) {
+    /// Handles an attempt that reaches its engine.
+    pub(super) fn reach(&mut self, e: usize, incarnation: u32, attempt: Attempt, job: Job) {
+        if self.partitioned.contains(&(attempt.dispatcher, e)) {
             return;
         }
         let x = &mut self.engines[e];
         if !x.up || x.overloaded {
             return self.send_result(attempt, e, Outcome::Unreachable, vec![]);
         }
-        // Its connection was to the process before.
-        if x.process != process {
+        // The connection was to an earlier process of the engine.
+        if x.incarnation != incarnation {
             return self.send_result(attempt, e, Outcome::Unreachable, vec![]);
         }
         let id = x.next_job;
@@ -60,33 +69,35 @@
             return self.send_result(attempt, e, Outcome::Rejected, report);
         }
         x.jobs.insert(id, attempt);
-        x.ids.insert(attempt, id);
+        x.job_ids.insert(attempt, id);
         self.checker
-            .attempt_accepted(self.now, (attempt.gateway, attempt.id.request), e);
+            .attempt_accepted(self.now, (attempt.dispatcher, attempt.id.request), e);
         self.schedule_wake(e);
     }
 
+    /// Adds the times of an attempt to its request, if that is still open.
     pub(super) fn add_waits(&mut self, attempt: Attempt, waits: &Waits) {
-        if let Some(t) = self.dispatchers[attempt.gateway]
+        if let Some(t) = self.dispatchers[attempt.dispatcher]
             .open_requests
             .get_mut(&attempt.id.request)
         {
             t.waits.running += waits.running;
             t.waits.queued_for_memory += waits.queued_for_memory;
-            for (whose, span) in &waits.blocked_by_load {
-                *t.waits.blocked_by_load.entry(*whose).or_default() += span;
+            for (sender, span) in &waits.blocked_by_load {
+                *t.waits.blocked_by_load.entry(*sender).or_default() += span;
             }
         }
     }
 
+    /// Handles the queries of an engine that have completed.
     pub(super) fn wake(&mut self, e: usize) {
-        let ended = self.engines[e].model.take_completed(self.now);
-        for (id, waits) in ended {
+        let completed = self.engines[e].model.take_completed(self.now);
+        for (id, waits) in completed {
             let x = &mut self.engines[e];
             let Some(attempt) = x.jobs.remove(&id) else {
                 continue;
             };
-            x.ids.remove(&attempt);
+            x.job_ids.remove(&attempt);
             let report = x.model.load_report().to_vec();
             self.add_to_hash(4, e as u64, id);
             self.add_waits(attempt, &waits);
@@ -95,12 +106,12 @@
         self.schedule_wake(e);
     }
 
-    /// All that an engine has is lost, and its gateways see that.
+    /// Ends all attempts of an engine with `outcome`, which is sent to their dispatchers.
     pub(super) fn fail_attempts(&mut self, e: usize, outcome: Outcome) {
         let x = &mut self.engines[e];
         let lost = x.model.stop(self.now);
         let jobs = std::mem::take(&mut x.jobs);
-        x.ids.clear();
+        x.job_ids.clear();
         for (id, waits) in lost {
             let Some(attempt) = jobs.get(&id).copied() else {
                 continue;
@@ -113,7 +124,7 @@
     pub(super) fn end_process(&mut self, e: usize) {
         self.fail_attempts(e, Outcome::Reset);
         let x = &mut self.engines[e];
-        (x.up, x.process) = (false, x.process + 1);
+        (x.up, x.incarnation) = (false, x.incarnation + 1);
         self.add_to_hash(5, e as u64, 0);
         self.schedule_wake(e);
     }
@@ -126,22 +137,24 @@
         self.schedule_wake(e);
     }
 
-    /// The list tells how an engine stands, to each gateway when its news get there.
-    pub(super) fn list(&mut self, e: usize, state: EngineState) {
+    /// Changes the state of an engine in the endpoint list, and sends the change to each dispatcher with
+    /// its own delay.
+    pub(super) fn set_listed_state(&mut self, e: usize, state: EngineState) {
         self.engines[e].listed_state = state;
         let entry = self.entry(e);
         let net = &self.scenario.net;
         for g in 0..self.dispatchers.len() {
-            let lag = self.lists.between(net.list_ms[0], net.list_ms[1]) + self.list_extra;
-            if self.list_away {
+            let delay =
+                self.list_delays.between(net.list_ms[0], net.list_ms[1]) + self.extra_list_delay;
+            if self.registry_down {
                 self.delayed_list_events.push((g, e, entry.clone()));
                 continue;
             }
             let at = self.now.to_bits();
             self.schedule(
-                self.now + lag,
-                Event::News {
-                    gateway: g,
+                self.now + delay,
+                Event::EndpointUpdate {
+                    dispatcher: g,
                     engine: e,
                     entry: Box::new(entry.clone()),
                     at,
--- a/crates/testbed/src/simulation/faults.rs
+++ b/crates/testbed/src/simulation/faults.rs
@@ -5,22 +5,23 @@
 };
 
 impl Simulation<'_> {
-    pub(super) fn select_engines(&mut self, w: &EngineSelection) -> Vec<usize> {
+    /// Returns the engines of a selection; some selections draw them at random.
+    pub(super) fn select_engines(&mut self, selection: &EngineSelection) -> Vec<usize> {
         let n = self.engines.len();
-        let drawn = |random: &mut Stream, k: usize| {
-            let mut left: Vec<usize> = (0..n).collect();
+        let draw = |random: &mut Stream, k: usize| {
+            let mut candidates: Vec<usize> = (0..n).collect();
             let mut picked = vec![];
             for _ in 0..k.min(n) {
-                picked.push(left.swap_remove(random.below(left.len())));
+                picked.push(candidates.swap_remove(random.below(candidates.len())));
             }
             picked.sort_unstable();
             picked
         };
-        match w {
+        match selection {
             EngineSelection::These(all) => all.clone(),
-            EngineSelection::Some(k) => drawn(&mut self.troubles, *k),
+            EngineSelection::Some(k) => draw(&mut self.fault_targets, *k),
             EngineSelection::Part { part } => {
-                drawn(&mut self.troubles, (part * n as f64).round() as usize)
+                draw(&mut self.fault_targets, (part * n as f64).round() as usize)
             }
             EngineSelection::Zone { zone } => {
                 let z = self.scenario.zones.iter().position(|x| x == zone);
@@ -31,23 +32,30 @@
         }
     }
 
+    /// Begins a fault and schedules its later steps and its end.
     pub(super) fn begin_fault(&mut self, i: usize) {
-        let what = self.scenario.faults[i].what.clone();
+        let kind = self.scenario.faults[i].what.clone();
         self.add_to_hash(7, i as u64, 0);
-        let s = 1000.0;
-        match what {
+        let ms_per_s = 1000.0;
+        match kind {
             FaultKind::Die { engines, back_s } => {
                 for e in self.select_engines(&engines) {
                     self.end_process(e);
-                    self.list(e, EngineState::Gone);
-                    self.schedule(self.now + back_s * s, Event::Step(FaultStep::Start(e)));
+                    self.set_listed_state(e, EngineState::Gone);
+                    self.schedule(
+                        self.now + back_s * ms_per_s,
+                        Event::Step(FaultStep::Start(e)),
+                    );
                 }
             }
             FaultKind::ZoneOutage { zone, back_s } => {
                 for e in self.select_engines(&EngineSelection::Zone { zone }) {
                     self.end_process(e);
-                    self.list(e, EngineState::Gone);
-                    self.schedule(self.now + back_s * s, Event::Step(FaultStep::Start(e)));
+                    self.set_listed_state(e, EngineState::Gone);
+                    self.schedule(
+                        self.now + back_s * ms_per_s,
+                        Event::Step(FaultStep::Start(e)),
+                    );
                 }
             }
             FaultKind::Hang { engines, for_s } => {
@@ -56,27 +64,27 @@
                     self.engines[*e].model.set_hung(self.now, true);
                     self.schedule_wake(*e);
                 }
-                self.schedule(self.now + for_s * s, Event::Over(i, hung));
+                self.schedule(self.now + for_s * ms_per_s, Event::FaultEnd(i, hung));
             }
             FaultKind::Neighbour {
                 engines,
                 part,
                 for_s,
             } => {
-                let crowded = self.select_engines(&engines);
-                for e in &crowded {
+                let slowed = self.select_engines(&engines);
+                for e in &slowed {
                     self.engines[*e].model.set_neighbour_share(self.now, part);
                     self.schedule_wake(*e);
                 }
-                self.schedule(self.now + for_s * s, Event::Over(i, crowded));
+                self.schedule(self.now + for_s * ms_per_s, Event::FaultEnd(i, slowed));
             }
             FaultKind::StaleList { extra_s, for_s } => {
-                self.list_extra += extra_s * s;
-                self.schedule(self.now + for_s * s, Event::Over(i, vec![]));
+                self.extra_list_delay += extra_s * ms_per_s;
+                self.schedule(self.now + for_s * ms_per_s, Event::FaultEnd(i, vec![]));
             }
             FaultKind::RegistryOutage { for_s } => {
-                self.list_away = true;
-                self.schedule(self.now + for_s * s, Event::Over(i, vec![]));
+                self.registry_down = true;
+                self.schedule(self.now + for_s * ms_per_s, Event::FaultEnd(i, vec![]));
             }
             FaultKind::HeavyTail {
                 class,
@@ -90,8 +98,8 @@
                     .iter()
                     .position(|c| c.name == class)
                     .unwrap_or(0);
-                self.heavy.push((class, part, times));
-                self.schedule(self.now + for_s * s, Event::Over(i, vec![class]));
+                self.heavy_tails.push((class, part, times));
+                self.schedule(self.now + for_s * ms_per_s, Event::FaultEnd(i, vec![class]));
             }
             FaultKind::Partition {
                 dispatchers,
@@ -100,9 +108,9 @@
             } => {
                 let engines = self.select_engines(&engines);
                 for g in &dispatchers {
-                    self.cut.extend(engines.iter().map(|e| (*g, *e)));
+                    self.partitioned.extend(engines.iter().map(|e| (*g, *e)));
                 }
-                self.schedule(self.now + for_s * s, Event::Over(i, engines));
+                self.schedule(self.now + for_s * ms_per_s, Event::FaultEnd(i, engines));
             }
             FaultKind::SlowLink {
                 dispatchers,
@@ -111,8 +119,8 @@
             } => {
                 dispatchers
                     .iter()
-                    .for_each(|g| *self.slow.entry(*g).or_default() += extra_ms);
-                self.schedule(self.now + for_s * s, Event::Over(i, vec![]));
+                    .for_each(|g| *self.extra_delay.entry(*g).or_default() += extra_ms);
+                self.schedule(self.now + for_s * ms_per_s, Event::FaultEnd(i, vec![]));
             }
             FaultKind::Reset { engines } => {
                 for e in self.select_engines(&engines) {
@@ -122,15 +130,21 @@
             }
             FaultKind::Drain { engines, for_s } => {
                 for e in self.select_engines(&engines) {
-                    self.list(e, EngineState::Draining);
-                    self.schedule(self.now + for_s * s, Event::Step(FaultStep::ListIn(e)));
+                    self.set_listed_state(e, EngineState::Draining);
+                    self.schedule(
+                        self.now + for_s * ms_per_s,
+                        Event::Step(FaultStep::RestartDrained(e)),
+                    );
                 }
             }
             FaultKind::RollingRestart { each_s, drain_s } => {
                 for e in 0..self.engines.len() {
-                    let at = self.now + e as f64 * each_s * s;
-                    self.schedule(at, Event::Step(FaultStep::ListOut(e)));
-                    self.schedule(at + drain_s * s, Event::Step(FaultStep::ListIn(e)));
+                    let at = self.now + e as f64 * each_s * ms_per_s;
+                    self.schedule(at, Event::Step(FaultStep::ListDraining(e)));
+                    self.schedule(
+                        at + drain_s * ms_per_s,
+                        Event::Step(FaultStep::RestartDrained(e)),
+                    );
                 }
             }
             FaultKind::AdministrativeDrain {
@@ -140,27 +154,31 @@
             } => {
                 for e in self.select_engines(&engines) {
                     for g in 0..self.dispatchers.len() {
-                        // Operators call one gateway after the other.
+                        // Operators call one dispatcher after the other, 50 ms apart.
                         let at = self.now + 50.0 * g as f64;
                         self.schedule(
                             at,
-                            Event::Hand {
-                                gateway: g,
+                            Event::AdministrativeDrain {
+                                dispatcher: g,
                                 engine: e,
-                                out: true,
+                                drained: true,
                             },
                         );
                     }
                     self.schedule(
-                        self.now + restart_after_s * s,
+                        self.now + restart_after_s * ms_per_s,
                         Event::Step(FaultStep::Start(e)),
                     );
-                    self.schedule(self.now + for_s * s, Event::Step(FaultStep::HandIn(e)));
+                    self.schedule(
+                        self.now + for_s * ms_per_s,
+                        Event::Step(FaultStep::EndAdministrativeDrain(e)),
+                    );
                 }
             }
         }
     }
 
+    /// Reverts a fault; `engines` holds what it affected (for a heavy tail, the class).
     pub(super) fn end_fault(&mut self, i: usize, engines: Vec<usize>) {
         match self.scenario.faults[i].what.clone() {
             FaultKind::Hang { .. } => {
@@ -175,15 +193,15 @@
                     self.schedule_wake(e);
                 }
             }
-            FaultKind::StaleList { extra_s, .. } => self.list_extra -= extra_s * 1000.0,
+            FaultKind::StaleList { extra_s, .. } => self.extra_list_delay -= extra_s * 1000.0,
             FaultKind::RegistryOutage { .. } => {
-                self.list_away = false;
+                self.registry_down = false;
                 for (g, e, entry) in std::mem::take(&mut self.delayed_list_events) {
                     let at = self.now.to_bits();
                     self.schedule(
                         self.now + 1.0,
-                        Event::News {
-                            gateway: g,
+                        Event::EndpointUpdate {
+                            dispatcher: g,
                             engine: e,
                             entry: Box::new(entry),
                             at,
@@ -192,18 +210,18 @@
                 }
             }
             FaultKind::HeavyTail { .. } => {
-                let first = self
-                    .heavy
+                let position = self
+                    .heavy_tails
                     .iter()
                     .position(|h| Some(&h.0) == engines.first());
-                if let Some(n) = first {
-                    self.heavy.remove(n);
+                if let Some(n) = position {
+                    self.heavy_tails.remove(n);
                 }
             }
             FaultKind::Partition { dispatchers, .. } => {
                 for g in dispatchers {
-                    self.cut
-                        .retain(|(cut, e)| *cut != g || !engines.contains(e));
+                    self.partitioned
+                        .retain(|(dispatcher, e)| *dispatcher != g || !engines.contains(e));
                 }
             }
             FaultKind::SlowLink {
@@ -212,13 +230,14 @@
                 ..
             } => {
                 for g in dispatchers {
-                    *self.slow.entry(g).or_default() -= extra_ms;
+                    *self.extra_delay.entry(g).or_default() -= extra_ms;
                 }
             }
             _ => {}
         }
     }
 
+    /// Carries out a later step of a fault.
     pub(super) fn step(&mut self, step: FaultStep) {
         match step {
             FaultStep::Start(e) => {
@@ -226,24 +245,24 @@
                     self.end_process(e);
                 }
                 self.start_process(e);
-                self.list(e, EngineState::Ready);
+                self.set_listed_state(e, EngineState::Ready);
             }
-            FaultStep::ListOut(e) => self.list(e, EngineState::Draining),
-            FaultStep::ListIn(e) => {
-                // It was drained to be restarted: what it still has ends with its process.
+            FaultStep::ListDraining(e) => self.set_listed_state(e, EngineState::Draining),
+            FaultStep::RestartDrained(e) => {
+                // The engine was drained for a restart: attempts that still run end with the process.
                 self.end_process(e);
                 self.start_process(e);
-                self.list(e, EngineState::Ready);
+                self.set_listed_state(e, EngineState::Ready);
             }
-            FaultStep::HandIn(e) => {
+            FaultStep::EndAdministrativeDrain(e) => {
                 for g in 0..self.dispatchers.len() {
                     let at = self.now + 50.0 * g as f64;
                     self.schedule(
                         at,
-                        Event::Hand {
-                            gateway: g,
+                        Event::AdministrativeDrain {
+                            dispatcher: g,
                             engine: e,
-                            out: false,
+                            drained: false,
                         },
                     );
                 }
--- a/crates/testbed/src/simulation/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A simulation of a fleet in virtual time: clients, dispatchers with their decisions, messages, engines,
-//! the endpoint list and faults. One seed gives one run, to the last event.
+//! Discrete-event simulation of a fleet in virtual time: clients, dispatchers, messages, engines, the
+//! endpoint list and faults. A run is deterministic: the same scenario, policy and seed give the same events.
 
 mod arrivals;
 mod dispatchers;
@@ -28,74 +28,89 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::Duration;
 
-/// The day begins at this moment, in milliseconds: spans before it are in the past, as on a real clock.
+/// Start of the run in virtual milliseconds. It is above 0 so that times before the start are valid, as on
+/// a real clock.
 const START_MS: f64 = 1_000_000.0;
-/// After the last arrival the day goes on for so long, in milliseconds.
-const RUN_OUT_MS: f64 = 60_000.0;
-/// The same bounds as the program's.
+/// Virtual time that the run continues after the last arrival, in milliseconds.
+const SETTLE_MS: f64 = 60_000.0;
+/// Time before a request's deadline at which it is answered; as in the dispatcher program.
 const ANSWER_MARGIN: Duration = Duration::from_millis(40);
+/// Timeout for pages of results; as in the dispatcher program.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(600);
+
 struct SimulatedEngine {
     name: String,
     kind: usize,
     zone: usize,
     model: Emulator,
-    process: u32,
+    /// Number of the current process; connections to earlier ones are dead.
+    incarnation: u32,
     up: bool,
-    /// As the list has it.
+    /// State in the endpoint list.
     listed_state: EngineState,
     jobs: BTreeMap<JobId, Attempt>,
-    ids: BTreeMap<Attempt, JobId>,
+    job_ids: BTreeMap<Attempt, JobId>,
     next_job: JobId,
-    stamp: u64,
-    note_stamp: u64,
+    /// Number of the last scheduled wake-up; earlier ones are ignored.
+    wake_generation: u64,
+    /// Number of the last scheduled progress notes; earlier ones are ignored.
+    note_generation: u64,
+    /// Whether the failure of the model under overload has been handled.
     overloaded: bool,
 }
 
 struct SimulatedDispatcher {
     zone: usize,
     decisions: Box<dyn Dispatch>,
-    tick_at: Option<f64>,
+    next_tick: Option<f64>,
     open_requests: BTreeMap<u64, ClientRequest>,
-    /// Attempts out: to which engine, and when they were sent.
-    out: BTreeMap<AttemptId, (usize, f64)>,
-    delay: Stream,
-    /// News of each engine already told, by their moments: late ones never go before.
-    news: BTreeMap<usize, u64>,
+    /// Attempts in flight, with the engine and the time at which they were sent.
+    in_flight: BTreeMap<AttemptId, (usize, f64)>,
+    delays: Stream,
+    /// Time of the newest list event received for each engine, as bits; older events that arrive later are
+    /// dropped.
+    last_list_event: BTreeMap<usize, u64>,
 }
 
-/// A day being played.
+/// State of a run.
 struct Simulation<'a> {
     scenario: &'a Scenario,
     now: f64,
     end: f64,
     seq: u64,
-    queue: BinaryHeap<Reverse<ScheduledEvent>>,
+    event_queue: BinaryHeap<Reverse<ScheduledEvent>>,
     engines: Vec<SimulatedEngine>,
     dispatchers: Vec<SimulatedDispatcher>,
     checker: Checker,
     arrivals: Stream,
     mix: Stream,
     sizes: Stream,
-    areas: Stream,
+    table_groups: Stream,
     estimates: Stream,
     clients: Stream,
-    lists: Stream,
-    troubles: Stream,
-    area_weights: Vec<f64>,
-    heavy: Vec<(usize, f64, f64)>,
-    cut: BTreeSet<(usize, usize)>,
-    slow: BTreeMap<usize, f64>,
-    list_extra: f64,
-    list_away: bool,
+    list_delays: Stream,
+    fault_targets: Stream,
+    table_group_weights: Vec<f64>,
+    /// Active heavy tails: class, fraction of its requests, factor on their work.
+    heavy_tails: Vec<(usize, f64, f64)>,
+    /// Pairs of dispatcher and engine that cannot reach each other.
+    partitioned: BTreeSet<(usize, usize)>,
+    /// Extra delay of each message of a dispatcher, in milliseconds.
+    extra_delay: BTreeMap<usize, f64>,
+    /// Extra delay of list events, in milliseconds.
+    extra_list_delay: f64,
+    registry_down: bool,
+    /// Events that are held back while the registry is down: dispatcher, engine, entry.
     delayed_list_events: Vec<(usize, usize, EngineEntry)>,
-    buckets: Vec<(f64, f64)>,
-    day: RunReport,
-    done_at_window: f64,
+    /// Token bucket of each tenant's quota: tokens and the time of the last update.
+    quota_buckets: Vec<(f64, f64)>,
+    report: RunReport,
+    /// Work done by all engines at the end of the last window, in thread-milliseconds.
+    work_done_at_window_end: f64,
     hash: u64,
 }
 
-/// Plays a scenario with a policy and a seed.
+/// Runs a scenario with a policy and a seed.
 pub fn play(scenario: &Scenario, policy: Policy, seed: u64) -> RunReport {
     let streams = Streams::new(seed);
     play_with(scenario, seed, &mut |g, zone| {
@@ -107,31 +122,31 @@
     scenario: &Scenario,
     policy: Policy,
     streams: &Streams,
-    gateway: usize,
+    dispatcher: usize,
     zone: usize,
 ) -> Box<dyn Dispatch> {
-    let mut random = streams.numbered("decisions", gateway);
+    let mut random = streams.numbered("decisions", dispatcher);
     let settings = scenario.settings(zone);
-    let bounds = CoreLimits {
+    let limits = CoreLimits {
         max_open_requests: 20_000,
         answer_margin: ANSWER_MARGIN,
         page_timeout: PAGE_TIMEOUT,
     };
     match policy {
-        // Settings were checked with their scenario; should the core still refuse them, nothing is
-        // dispatched at all.
-        Policy::Module => match Core::new(settings, random.bits(), bounds) {
+        // Settings were checked with their scenario. If the core still rejects them, a random baseline that
+        // treats every class as non-idempotent takes its place.
+        Policy::Module => match Core::new(settings, random.bits(), limits) {
             Ok(core) => Box::new(core),
             Err(_) => Box::new(BaselineDispatcher::new(Policy::Random, vec![], random)),
         },
         baseline => {
-            let fragile = scenario.classes.iter().map(|c| c.non_idempotent).collect();
-            Box::new(BaselineDispatcher::new(baseline, fragile, random))
+            let non_idempotent = scenario.classes.iter().map(|c| c.non_idempotent).collect();
+            Box::new(BaselineDispatcher::new(baseline, non_idempotent, random))
         }
     }
 }
 
-/// Plays a scenario with whatever decides at each gateway.
+/// Runs a scenario; `decisions` creates the decisions of each dispatcher from its number and zone.
 pub fn play_with(
     scenario: &Scenario,
     seed: u64,
@@ -143,9 +158,9 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    // From a microsecond to ten minutes, to three digits: bounds that are always good.
+    // From one microsecond to ten minutes, with three significant digits: these bounds are always valid.
     Histogram::new_with_bounds(1, 600_000_000, 3).unwrap_or_else(|_| {
-        Histogram::new_from(&Histogram::<u64>::new(3).expect("three digits are good"))
+        Histogram::new_from(&Histogram::<u64>::new(3).expect("three significant digits are valid"))
     })
 }
 
@@ -167,14 +182,14 @@
                     kind,
                     zone: n % scenario.zones.len(),
                     model: Emulator::new(scenario.kind(&set.kind), START_MS, true),
-                    process: 1,
+                    incarnation: 1,
                     up: true,
                     listed_state: EngineState::Ready,
                     jobs: BTreeMap::new(),
-                    ids: BTreeMap::new(),
+                    job_ids: BTreeMap::new(),
                     next_job: 1,
-                    stamp: 0,
-                    note_stamp: 0,
+                    wake_generation: 0,
+                    note_generation: 0,
                     overloaded: false,
                 });
             }
@@ -184,11 +199,11 @@
             SimulatedDispatcher {
                 zone,
                 decisions: decisions(g, zone),
-                tick_at: None,
+                next_tick: None,
                 open_requests: BTreeMap::new(),
-                out: BTreeMap::new(),
-                delay: streams.numbered("delays", g),
-                news: BTreeMap::new(),
+                in_flight: BTreeMap::new(),
+                delays: streams.numbered("delays", g),
+                last_list_event: BTreeMap::new(),
             }
         });
         let classes = scenario.classes.iter().map(|c| ClassReport {
@@ -205,19 +220,19 @@
         if tenants.is_empty() {
             tenants.push(("all".into(), WeightedValue::default()));
         }
-        let buckets = vec![(1.0, START_MS); tenants.len()];
-        let day = RunReport {
+        let quota_buckets = vec![(1.0, START_MS); tenants.len()];
+        let report = RunReport {
             seconds: scenario.seconds,
             classes: classes.collect(),
             tenants,
             windows: vec![],
             attempts: 0,
             requests: 0,
-            calls: 0,
-            decided_s: 0.0,
+            decision_calls: 0,
+            decision_time_s: 0.0,
             late: BTreeMap::new(),
-            broken: vec![],
-            latest_after_notice_ms: 0.0,
+            violations: vec![],
+            latest_send_after_notice_ms: 0.0,
             hash: 0,
             events: 0,
         };
@@ -225,28 +240,28 @@
             now: START_MS,
             end: START_MS + scenario.seconds * 1000.0,
             seq: 0,
-            queue: BinaryHeap::new(),
+            event_queue: BinaryHeap::new(),
             engines,
             dispatchers: dispatchers.collect(),
             checker: Checker::default(),
             arrivals: streams.stream("arrivals"),
             mix: streams.stream("mix"),
             sizes: streams.stream("sizes"),
-            areas: streams.stream("areas"),
+            table_groups: streams.stream("areas"),
             estimates: streams.stream("estimates"),
             clients: streams.stream("clients"),
-            lists: streams.stream("lists"),
-            troubles: streams.stream("troubles"),
-            area_weights: zipf(scenario.load.areas, scenario.load.zipf),
-            heavy: vec![],
-            cut: BTreeSet::new(),
-            slow: BTreeMap::new(),
-            list_extra: 0.0,
-            list_away: false,
+            list_delays: streams.stream("lists"),
+            fault_targets: streams.stream("troubles"),
+            table_group_weights: zipf(scenario.load.areas, scenario.load.zipf),
+            heavy_tails: vec![],
+            partitioned: BTreeSet::new(),
+            extra_delay: BTreeMap::new(),
+            extra_list_delay: 0.0,
+            registry_down: false,
             delayed_list_events: vec![],
-            buckets,
-            day,
-            done_at_window: 0.0,
+            quota_buckets,
+            report,
+            work_done_at_window_end: 0.0,
             hash: 0xcbf2_9ce4_8422_2325,
             scenario,
         }
@@ -254,17 +269,17 @@
 
     fn schedule(&mut self, at: f64, event: Event) {
         self.seq += 1;
-        self.queue.push(Reverse(ScheduledEvent {
+        self.event_queue.push(Reverse(ScheduledEvent {
             at: at.max(self.now),
             seq: self.seq,
             event,
         }));
     }
 
-    /// Mixes an event into the day's hash: its moment in microseconds, what it is, and whose.
-    fn add_to_hash(&mut self, what: u64, a: u64, b: u64) {
-        self.day.events += 1;
-        for n in [((self.now - START_MS) * 1000.0) as u64, what, a, b] {
+    /// Adds an event to the FNV-1a hash of the run: its time in microseconds, its kind, and two operands.
+    fn add_to_hash(&mut self, kind: u64, a: u64, b: u64) {
+        self.report.events += 1;
+        for n in [((self.now - START_MS) * 1000.0) as u64, kind, a, b] {
             for byte in n.to_le_bytes() {
                 self.hash = (self.hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
             }
@@ -272,39 +287,39 @@
     }
 
     fn run(&mut self) {
-        let list: Vec<EngineEntry> = (0..self.engines.len()).map(|e| self.entry(e)).collect();
+        let endpoints: Vec<EngineEntry> = (0..self.engines.len()).map(|e| self.entry(e)).collect();
         for g in 0..self.dispatchers.len() {
-            let entries = list.clone();
+            let entries = endpoints.clone();
             self.with_decisions(g, |d, now| {
                 d.update_endpoints(now, ListUpdate::Stale, entries)
             });
         }
-        for (i, t) in self.scenario.faults.iter().enumerate() {
-            self.schedule(START_MS + t.at_s * 1000.0, Event::Fault(i));
+        for (i, fault) in self.scenario.faults.iter().enumerate() {
+            self.schedule(START_MS + fault.at_s * 1000.0, Event::FaultBegin(i));
         }
-        let first = self.gap();
-        self.schedule(START_MS + first, Event::Arrive);
-        self.schedule(START_MS + WINDOW_S * 1000.0, Event::Look);
-        while let Some(Reverse(due)) = self.queue.pop() {
-            if due.at > self.end + RUN_OUT_MS {
+        let first = self.interarrival_time();
+        self.schedule(START_MS + first, Event::Arrival);
+        self.schedule(START_MS + WINDOW_S * 1000.0, Event::WindowEnd);
+        while let Some(Reverse(scheduled)) = self.event_queue.pop() {
+            if scheduled.at > self.end + SETTLE_MS {
                 break;
             }
-            self.now = due.at;
-            self.event(due.event);
+            self.now = scheduled.at;
+            self.handle_event(scheduled.event);
         }
-        self.now = self.end + RUN_OUT_MS;
+        self.now = self.end + SETTLE_MS;
     }
 
     fn finish(mut self) -> RunReport {
         self.checker.finish(self.now);
-        self.day.broken = self.checker.violations().to_vec();
-        self.day.latest_after_notice_ms = self.checker.latest_send_after_notice_ms;
-        self.day.hash = self.hash;
-        self.day
+        self.report.violations = self.checker.violations().to_vec();
+        self.report.latest_send_after_notice_ms = self.checker.latest_send_after_notice_ms;
+        self.report.hash = self.hash;
+        self.report
     }
 }
 
-/// All late look-ups of a day, by their gateway: for reports.
-pub fn late_by_dispatcher(day: &RunReport) -> Vec<(u32, &LateCauses)> {
-    day.late.iter().map(|(g, l)| (*g, l)).collect()
+/// Returns the causes of late look-ups for each dispatcher.
+pub fn late_by_dispatcher(report: &RunReport) -> Vec<(u32, &LateCauses)> {
+    report.late.iter().map(|(g, l)| (*g, l)).collect()
 }
--- a/crates/testbed/src/simulation/tests.rs
+++ b/crates/testbed/src/simulation/tests.rs
@@ -2,68 +2,76 @@
 use super::rules::Rule;
 use super::*;
 
-fn day(text: &str) -> Scenario {
+fn parse(text: &str) -> Scenario {
     Scenario::parse(text).unwrap()
 }
 
 const SMALL: &str = r#"{ name: "small", seconds: 20, gateways: 3, zones: ["a", "b"],
-    engines: [{ kind: "std", count: 4 }], load: { per_s: 24 }, trouble: [TROUBLE] }"#;
+    engines: [{ kind: "std", count: 4 }], load: { per_s: 24 }, trouble: [FAULTS] }"#;
 
-fn small(trouble: &str) -> Scenario {
-    day(&SMALL.replace("TROUBLE", trouble))
+fn small(faults: &str) -> Scenario {
+    parse(&SMALL.replace("FAULTS", faults))
 }
 
-/// No rule is broken, but for cold engines that a plain policy knows nothing of.
-fn sound_for(policy: Policy, d: &RunReport) {
-    let kept =
+/// Asserts that no rule is violated, except that baselines may overload engines that are warming up.
+fn assert_valid_for(policy: Policy, r: &RunReport) {
+    let allowed =
         |b: &rules::RuleViolation| policy != Policy::Module && b.rule == Rule::ColdEngineOverload;
     assert!(
-        d.broken.iter().all(kept),
+        r.violations.iter().all(allowed),
         "{}: {:?}",
         policy.name(),
-        d.broken
+        r.violations
     );
-    one_end_each(d);
+    assert_one_outcome_each(r);
 }
 
-fn sound(d: &RunReport) {
-    assert!(d.broken.is_empty(), "{:?}", d.broken);
-    one_end_each(d);
+fn assert_valid(r: &RunReport) {
+    assert!(r.violations.is_empty(), "{:?}", r.violations);
+    assert_one_outcome_each(r);
 }
 
-fn one_end_each(d: &RunReport) {
-    let outcomes: u64 = d
+fn assert_one_outcome_each(r: &RunReport) {
+    let outcomes: u64 = r
         .classes
         .iter()
         .map(|c| {
             let e = c.outcomes;
-            e.served + e.refused + e.failed + e.late + e.left
+            e.served + e.rejected + e.failed + e.timed_out + e.client_left
         })
         .sum();
-    assert_eq!(outcomes, d.requests, "every request has one end");
+    assert_eq!(
+        outcomes, r.requests,
+        "every request has exactly one outcome"
+    );
 }
 
 #[test]
-fn a_calm_day_is_served_by_every_policy_and_breaks_no_rule() {
+fn every_policy_serves_a_run_without_faults_and_violates_no_rule() {
     let s = small("");
     for policy in Policy::ALL {
-        let d = play(&s, policy, 1);
-        sound(&d);
-        assert!(d.service() > 0.8, "{}: {}", policy.name(), d.service());
-        assert!(d.requests > 400 && d.attempts >= d.requests);
+        let r = play(&s, policy, 1);
+        assert_valid(&r);
+        assert!(
+            r.unpenalized_score() > 0.8,
+            "{}: {}",
+            policy.name(),
+            r.unpenalized_score()
+        );
+        assert!(r.requests > 400 && r.attempts >= r.requests);
     }
 }
 
 #[test]
-fn one_seed_gives_one_day_and_another_gives_another() {
+fn a_run_is_determined_by_its_seed() {
     let s = small(r#"{ at_s: 5, kind: "die", engines: 1, back_s: 5 }"#);
     for policy in [Policy::Module, Policy::TwoChoices] {
         let (a, b) = (play(&s, policy, 7), play(&s, policy, 7));
         assert_eq!((a.hash, a.events), (b.hash, b.events));
-        assert_eq!(a.service(), b.service());
+        assert_eq!(a.unpenalized_score(), b.unpenalized_score());
         assert_ne!(a.hash, play(&s, policy, 8).hash);
     }
-    // On other threads as well, beside others.
+    // Runs on other threads, at the same time, give the same hash.
     let hashes: Vec<u64> = std::thread::scope(|t| {
         let all: Vec<_> = (0..4)
             .map(|_| t.spawn(|| play(&s, Policy::Module, 7).hash))
@@ -74,83 +82,83 @@
 }
 
 #[test]
-fn policies_meet_the_very_same_clients() {
+fn all_policies_receive_the_same_requests() {
     let s = small("");
-    let asked = |p| {
-        let d = play(&s, p, 3);
+    let offered = |p| {
+        let r = play(&s, p, 3);
         (
-            d.requests,
-            d.classes
+            r.requests,
+            r.classes
                 .iter()
-                .map(|c| c.priority_weight.asked.to_bits())
+                .map(|c| c.priority_weight.offered.to_bits())
                 .collect::<Vec<_>>(),
         )
     };
-    let first = asked(Policy::Module);
-    assert!(Policy::ALL.into_iter().all(|p| asked(p) == first));
+    let first = offered(Policy::Module);
+    assert!(Policy::ALL.into_iter().all(|p| offered(p) == first));
 }
 
 #[test]
-fn an_engine_dies_with_a_load_running_and_its_answer_is_lost() {
+fn a_load_on_an_engine_that_dies_fails_and_is_not_repeated() {
     let s = small(
         r#"{ at_s: 4, kind: "die", engines: [0, 1], back_s: 6 }, { at_s: 8, kind: "reset", engines: [2, 3] }"#,
     );
     for policy in Policy::ALL {
-        let d = play(&s, policy, 5);
-        sound_for(policy, &d);
-        let failed = d.classes[2].outcomes.failed;
+        let r = play(&s, policy, 5);
+        assert_valid_for(policy, &r);
+        let failed = r.classes[2].outcomes.failed;
         assert!(
             failed > 0,
-            "{}: a load that may have run is failed, not sent again",
+            "{}: a load that may have run must fail rather than be sent again",
             policy.name()
         );
         assert_eq!(
-            d.classes[0].outcomes.failed,
+            r.classes[0].outcomes.failed,
             0,
-            "{}: a look-up goes elsewhere",
+            "{}: a look-up must be retried on another engine",
             policy.name()
         );
     }
 }
 
 #[test]
-fn a_drain_in_the_same_instant_as_a_request_is_kept() {
-    // News at once: the drain and the requests of its moment meet in one millisecond.
+fn a_drain_at_the_same_time_as_a_request_is_respected() {
+    // Without a list delay, the drain and requests reach the dispatcher within the same millisecond.
     let text = SMALL
         .replace("load:", "net: { list_ms: [0, 0], within_ms: 0.1, across_ms: [0.1, 0.2] }, load:")
         .replace("per_s: 24", "per_s: 60")
-        .replace("TROUBLE", r#"{ at_s: 5, kind: "drain", engines: [0], for_s: 5 }, { at_s: 12, kind: "drain", engines: [1, 2], for_s: 4 }"#);
-    let d = play(&day(&text), Policy::Module, 2);
-    sound(&d);
+        .replace("FAULTS", r#"{ at_s: 5, kind: "drain", engines: [0], for_s: 5 }, { at_s: 12, kind: "drain", engines: [1, 2], for_s: 4 }"#);
+    let r = play(&parse(&text), Policy::Module, 2);
+    assert_valid(&r);
     assert!(
-        d.latest_after_notice_ms < 1000.0,
+        r.latest_send_after_notice_ms < 1000.0,
         "{}",
-        d.latest_after_notice_ms
+        r.latest_send_after_notice_ms
     );
 }
 
 #[test]
-fn a_day_on_which_every_policy_must_refuse_is_answered_all_the_same() {
+fn requests_are_answered_while_all_engines_are_down() {
     let s = small(r#"{ at_s: 3, kind: "die", engines: [0, 1, 2, 3], back_s: 30 }"#);
     for policy in Policy::ALL {
-        let d = play(&s, policy, 4);
-        sound(&d);
-        let unserved: u64 = d
+        let r = play(&s, policy, 4);
+        assert_valid(&r);
+        let unserved: u64 = r
             .classes
             .iter()
-            .map(|c| c.outcomes.refused + c.outcomes.failed + c.outcomes.late)
+            .map(|c| c.outcomes.rejected + c.outcomes.failed + c.outcomes.timed_out)
             .sum();
         assert!(
-            unserved * 2 > d.requests,
+            unserved * 2 > r.requests,
             "{}: {unserved} of {}",
             policy.name(),
-            d.requests
+            r.requests
         );
     }
 }
 
 #[test]
-fn hung_crowded_partitioned_and_slow_engines_and_stale_lists_break_no_rule() {
+fn no_rule_is_violated_under_many_overlapping_faults() {
     let s = small(
         r#"{ at_s: 2, kind: "hang", engines: [0], for_s: 5 }, { at_s: 3, kind: "neighbour", engines: 2, part: 0.6, for_s: 6 },
            { at_s: 4, kind: "partition", gateways: [1], engines: [2], for_s: 5 }, { at_s: 5, kind: "slow_link", gateways: [0], extra_ms: 40, for_s: 5 },
@@ -159,26 +167,28 @@
            { at_s: 10, kind: "registry_away", for_s: 6 }, { at_s: 11, kind: "by_hand", engines: [1], for_s: 5, restart_after_s: 2 }"#,
     );
     for seed in 1..4 {
-        sound(&play(&s, Policy::Module, seed));
+        assert_valid(&play(&s, Policy::Module, seed));
     }
 }
 
 #[test]
-fn clients_that_leave_are_owed_nothing_and_break_nothing() {
-    let s = day(&SMALL
-        .replace("TROUBLE", "")
-        .replace("per_s: 24", "per_s: 24, leave: 0.3"));
+fn clients_that_disconnect_cause_no_violation() {
+    let s = parse(
+        &SMALL
+            .replace("FAULTS", "")
+            .replace("per_s: 24", "per_s: 24, leave: 0.3"),
+    );
     for policy in [Policy::Module, Policy::Random] {
-        let d = play(&s, policy, 4);
-        sound(&d);
+        let r = play(&s, policy, 4);
+        assert_valid(&r);
     }
 }
 
-/// A gateway that breaks a rule on purpose, round a sound one.
+/// A dispatcher with a deliberate fault, wrapped around a correct one.
 struct FaultyDispatcher {
     inner: BaselineDispatcher,
     fault: &'static str,
-    /// Drains that were told are not heard.
+    /// Whether drains in list events are ignored.
     ignores_drains: bool,
 }
 
@@ -190,7 +200,7 @@
         self.inner.abandon(now, request);
     }
     fn attempt_ended(&mut self, now: f64, attempt: AttemptId, outcome: Outcome, report: Vec<f64>) {
-        // What broke off is called never sent: it goes out again, a load as well.
+        // A reset attempt is reported as unreachable, so even a load is sent again.
         let outcome = if self.fault == "repeats" && outcome == Outcome::Reset {
             Outcome::Unreachable
         } else {
@@ -233,7 +243,7 @@
 }
 
 #[test]
-fn who_breaks_a_rule_is_caught_and_the_first_event_is_named() {
+fn a_faulty_dispatcher_is_detected_and_its_first_violation_is_reported() {
     let cases = [
         (
             "repeats",
@@ -252,11 +262,11 @@
             r#"{ at_s: 5, kind: "hang", engines: [0, 1], for_s: 15 }"#,
         ),
     ];
-    for (fault, rule, trouble) in cases {
-        let s = small(trouble);
+    for (fault, rule, faults) in cases {
+        let s = small(faults);
         let fragile: Vec<bool> = s.classes.iter().map(|c| c.non_idempotent).collect();
         let streams = Streams::new(1);
-        let d = play_with(&s, 1, &mut |g, _| {
+        let r = play_with(&s, 1, &mut |g, _| {
             let inner = BaselineDispatcher::new(
                 Policy::Random,
                 fragile.clone(),
@@ -268,54 +278,58 @@
                 ignores_drains: fault == "deaf",
             })
         });
-        let first = d
-            .broken
+        let first = r
+            .violations
             .first()
             .unwrap_or_else(|| panic!("{fault} was not caught"));
         assert_eq!(first.rule, rule, "{fault}: {first:?}");
         assert!(first.event.contains("dispatcher"), "{first:?}");
-        assert_eq!(d.goal(), 0.0);
+        assert_eq!(r.score(), 0.0);
     }
 }
 
 #[test]
-fn a_cold_engine_that_is_pushed_over_is_seen() {
-    // Random sending knows no cold engines: all of a high load goes to one that has just come back.
+fn an_overload_of_an_engine_that_is_warming_up_is_detected() {
+    // The random policy sends at full rate to engines that have just restarted.
     let text = SMALL
         .replace("per_s: 24", "per_s: 150")
         .replace("count: 4", "count: 2");
-    let s = day(&text.replace(
-        "TROUBLE",
+    let s = parse(&text.replace(
+        "FAULTS",
         r#"{ at_s: 3, kind: "die", engines: [0, 1], back_s: 3 }"#,
     ));
-    let d = play(&s, Policy::Random, 1);
+    let r = play(&s, Policy::Random, 1);
     assert!(
-        d.broken.iter().any(|b| b.rule == Rule::ColdEngineOverload),
+        r.violations
+            .iter()
+            .any(|b| b.rule == Rule::ColdEngineOverload),
         "{:?}",
-        d.broken
+        r.violations
     );
-    let d = play(&s, Policy::Module, 1);
+    let r = play(&s, Policy::Module, 1);
     assert!(
-        !d.broken.iter().any(|b| b.rule == Rule::ColdEngineOverload),
+        !r.violations
+            .iter()
+            .any(|b| b.rule == Rule::ColdEngineOverload),
         "{:?}",
-        d.broken
+        r.violations
     );
 }
 
 #[test]
-fn the_ready_days_are_read_and_the_module_keeps_every_rule_on_them() {
+fn the_scenario_files_parse_and_the_core_violates_no_rule_in_them() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../lab/scenarios");
     let mut names = vec![];
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         let mut s = Scenario::read(&path).unwrap();
         names.push(path.file_stem().unwrap().to_str().unwrap().to_string());
-        // Large days are for `make lab`.
+        // Scenarios with more dispatchers are too large for a unit test.
         if s.dispatchers > 10 {
             continue;
         }
         s.seconds = s.seconds.min(45.0);
-        sound(&play(&s, Policy::Module, 1));
+        assert_valid(&play(&s, Policy::Module, 1));
     }
     for wanted in [
         "calm",
