--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -1,4 +1,5 @@
-//! A scenario as a JSON5 file: the fleet, the load and the faults. `lab/scenarios/` has ready ones.
+//! Scenarios of the simulation, as JSON5 files: the fleet, the load and the faults. `lab/scenarios/` has
+//! examples.
 
 use crate::simulation::emulator::Params;
 use query_dispatcher::{
@@ -7,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Why a file is not a valid scenario.
+/// Error for a file that is not a valid scenario.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
     #[error("{path}: {problem}")]
@@ -16,32 +17,32 @@
     Key { key: String, problem: String },
 }
 
-fn bad(key: impl Into<String>, problem: impl std::fmt::Display) -> ScenarioError {
+fn key_error(key: impl Into<String>, problem: impl std::fmt::Display) -> ScenarioError {
     ScenarioError::Key {
         key: key.into(),
         problem: problem.to_string(),
     }
 }
 
-/// A scenario. Spans are in seconds where a name ends in `_s`, in milliseconds where it ends in `_ms`.
+/// A scenario. Durations are in seconds where a name ends in `_s` and in milliseconds where it ends in `_ms`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
     pub name: String,
-    /// What it is about, for reports.
+    /// Description for reports.
     #[serde(default)]
     pub about: String,
-    /// Requests come for so long.
+    /// Time during which requests arrive, in seconds.
     pub seconds: f64,
     #[serde(rename = "gateways")]
     pub dispatchers: usize,
-    #[serde(default = "one_zone")]
+    #[serde(default = "default_zones")]
     pub zones: Vec<String>,
     pub engines: Vec<EngineGroup>,
-    /// Kinds by name; what is left out is as in [`Params::default`].
+    /// Engine kinds by name; missing parameters are those of [`Params::default`].
     #[serde(default)]
     pub kinds: BTreeMap<String, Params>,
-    #[serde(default = "classes")]
+    #[serde(default = "default_classes")]
     pub classes: Vec<ClassSpec>,
     #[serde(default)]
     pub tenants: Vec<TenantSpec>,
@@ -52,11 +53,11 @@
     pub faults: Vec<Fault>,
 }
 
-fn one_zone() -> Vec<String> {
+fn default_zones() -> Vec<String> {
     vec!["home".into()]
 }
 
-/// This many engines of a kind, distributed over the zones in turn.
+/// A number of engines of one kind, distributed over the zones in turn.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineGroup {
@@ -64,54 +65,59 @@
     pub count: usize,
 }
 
+/// A request class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassSpec {
     pub name: String,
-    /// Its part of all requests.
+    /// Share of all requests, as a weight relative to the other classes.
     pub share: f64,
-    /// The mean of its work, and the standard deviation of its logarithm.
+    /// Mean work of a request, on one thread of an idle engine.
     pub work_ms: f64,
-    #[serde(default = "spread")]
+    /// Standard deviation of the logarithm of the work.
+    #[serde(default = "default_sigma")]
     pub sigma: f64,
-    #[serde(default = "one")]
+    #[serde(default = "one_thread")]
     pub threads: f64,
-    /// The part of its work that reads, drawn between these.
+    /// Bounds between which the fraction of work that reads is drawn.
     #[serde(default)]
     pub io: [f64; 2],
-    /// Memory that it needs, on average.
+    /// Mean memory that a request needs, in megabytes.
     pub memory_mb: f64,
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    pub aim_ms: f64,
+    #[serde(rename = "aim_ms")]
+    pub latency_objective_ms: f64,
+    /// Factor on the work divided by the threads, added to the latency objective.
     #[serde(default)]
     #[serde(rename = "aim_stretch")]
     pub latency_objective_slowdown: f64,
+    /// Fraction of the priority weight that an answer after the latency objective earns.
     #[serde(default)]
     #[serde(rename = "late_share")]
     pub late_answer_weight: f64,
     pub deadline_ms: f64,
-    /// Running it twice would do harm.
+    /// Whether a request must not run twice.
     #[serde(default, rename = "unsafe")]
     pub non_idempotent: bool,
-    /// It locks the tables of its area while it runs.
+    /// Whether a request locks its table group while it runs.
     #[serde(default, rename = "holds")]
     pub holds_tables: bool,
-    /// It waits while a load locks the tables of its area.
+    /// Whether a request is blocked while a load locks its table group.
     #[serde(default, rename = "stands")]
     pub waits_for_loads: bool,
 }
 
-fn one() -> f64 {
+fn one_thread() -> f64 {
     1.0
 }
 
-fn spread() -> f64 {
+fn default_sigma() -> f64 {
     0.7
 }
 
-/// The operators' three classes.
-fn classes() -> Vec<ClassSpec> {
+/// Returns the three classes of the operators.
+fn default_classes() -> Vec<ClassSpec> {
     let class = |name: &str,
                  share,
                  work_ms,
@@ -119,19 +125,19 @@
                  io,
                  memory_mb,
                  priority_weight,
-                 aim_ms,
+                 latency_objective_ms,
                  latency_objective_slowdown,
                  deadline_ms| {
         ClassSpec {
             name: name.into(),
             share,
             work_ms,
-            sigma: spread(),
+            sigma: default_sigma(),
             threads,
             io,
             memory_mb,
             priority_weight,
-            aim_ms,
+            latency_objective_ms,
             latency_objective_slowdown,
             late_answer_weight: 0.25,
             deadline_ms,
@@ -180,33 +186,38 @@
     ]
 }
 
+/// A tenant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantSpec {
     pub name: String,
-    /// Its part of all requests.
+    /// Share of all requests, as a weight relative to the other tenants.
     pub share: f64,
-    /// Beyond it its requests are worth a twentieth; none: no bound.
+    /// Requests per second beyond which a request has a twentieth of its priority weight; unlimited if
+    /// missing.
     pub quota_per_s: Option<f64>,
 }
 
-/// The offered load: arrivals do not wait for answers.
+/// The offered load. It is open: arrivals do not wait for answers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// Requests a second of all clients, where the shape is 1.
+    /// Requests per second of all clients where the shape is 1.
     pub per_s: f64,
-    /// Moments in seconds and the part of `per_s` at each, joined by lines; empty: always 1.
+    /// Pairs of a time in seconds and the fraction of `per_s` at that time, interpolated linearly; if
+    /// empty, the fraction is always 1.
     pub shape: Vec<[f64; 2]>,
-    /// Subject areas, and how unevenly they are asked for.
+    /// Number of table groups.
     pub areas: usize,
+    /// Exponent of Zipf's law for the popularity of table groups.
     pub zipf: f64,
-    /// The standard deviation of an estimate's logarithm, of work and of memory.
+    /// Standard deviation of the logarithm of an estimate, for work and for memory.
     pub estimate_sigma: f64,
-    /// A refused client asks again so often, after this or after what it was told.
+    /// Maximum number of retries of a rejected client.
     pub retries: u32,
+    /// Delay before a retry whose rejection named none.
     pub retry_ms: f64,
-    /// The part of clients that leave before their time, at half of it.
+    /// Fraction of clients that disconnect early, at half of their deadline.
     pub leave: f64,
 }
 
@@ -226,8 +237,8 @@
 }
 
 impl Load {
-    /// The part of `per_s` at a moment in seconds.
-    pub fn part(&self, at: f64) -> f64 {
+    /// Returns the fraction of `per_s` at a time in seconds.
+    pub fn fraction_at(&self, at: f64) -> f64 {
         let Some(first) = self.shape.first() else {
             return 1.0;
         };
@@ -243,7 +254,8 @@
         self.shape.last().map_or(1.0, |l| l[1])
     }
 
-    pub fn most(&self) -> f64 {
+    /// Returns the highest fraction of `per_s`.
+    pub fn peak_fraction(&self) -> f64 {
         self.shape
             .iter()
             .map(|s| s[1])
@@ -251,16 +263,17 @@
     }
 }
 
-/// One way, between a gateway and an engine.
+/// One-way delays and losses of messages.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
+    /// Delay between a dispatcher and an engine of the same zone.
     pub within_ms: f64,
-    /// Between zones, drawn anew for each message.
+    /// Bounds of the delay between zones, drawn for each message.
     pub across_ms: [f64; 2],
-    /// News of the list reach each gateway within these.
+    /// Bounds of the delay of list events, drawn for each dispatcher and event.
     pub list_ms: [f64; 2],
-    /// The part of notes that are lost.
+    /// Fraction of progress notes that are lost.
     pub lost_notes: f64,
 }
 
@@ -279,13 +292,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum EngineSelection {
-    /// By their places in the fleet.
+    /// Engines by their index in the fleet.
     These(Vec<usize>),
-    /// So many, drawn.
+    /// A number of engines, drawn at random.
     Some(usize),
-    /// This part of all, drawn.
+    /// A fraction of all engines, drawn at random.
     Part { part: f64 },
-    /// All of a zone.
+    /// All engines of a zone.
     Zone { zone: String },
 }
 
@@ -294,94 +307,99 @@
 pub struct Fault {
     pub at_s: f64,
     #[serde(flatten)]
-    pub what: FaultKind,
+    pub kind: FaultKind,
 }
 
+/// What a fault does, and for how long.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Processes end, and come back cold.
+    /// Engine processes end and are started again after `back_s`; they then warm up.
     Die {
         engines: EngineSelection,
         back_s: f64,
     },
-    /// They take requests and answer none.
+    /// Engines accept requests but answer none.
     Hang {
         engines: EngineSelection,
         for_s: f64,
     },
-    /// Another program takes this part of the machine.
+    /// Another program uses this fraction of each engine's machine.
     Neighbour {
         engines: EngineSelection,
         part: f64,
         for_s: f64,
     },
-    /// The list is so much further behind.
+    /// List events are delayed by an additional `extra_s`.
     StaleList { extra_s: f64, for_s: f64 },
-    /// This part of a class's requests costs so many times the usual; their estimates show it.
+    /// The work of this fraction of a class's requests is multiplied by `times`; their estimates reflect it.
     HeavyTail {
         class: String,
         part: f64,
         times: f64,
         for_s: f64,
     },
-    /// Nothing passes between these gateways and these engines.
+    /// No message passes between these dispatchers and these engines.
     Partition {
         #[serde(rename = "gateways")]
         dispatchers: Vec<usize>,
         engines: EngineSelection,
         for_s: f64,
     },
-    /// Messages of these gateways take so much longer.
+    /// Messages of these dispatchers are delayed by an additional `extra_ms`.
     SlowLink {
         #[serde(rename = "gateways")]
         dispatchers: Vec<usize>,
         extra_ms: f64,
         for_s: f64,
     },
-    /// What these engines have breaks off; their processes go on.
+    /// All attempts on these engines are reset; the processes continue.
     Reset { engines: EngineSelection },
-    /// All engines of a zone end; those that are back start cold.
+    /// All engine processes of a zone end and are started again after `back_s`; they then warm up.
     #[serde(rename = "building_lost")]
     ZoneOutage { zone: String, back_s: f64 },
-    /// The list takes them out of service; after `for_s` they are back, restarted.
+    /// The list reports engines as draining; after `for_s` they are restarted and listed as ready.
     Drain {
         engines: EngineSelection,
         for_s: f64,
     },
-    /// One after the other: drained, restarted, back.
+    /// All engines are drained and restarted one after the other: one begins every `each_s`, and is
+    /// restarted after `drain_s`.
     RollingRestart { each_s: f64, drain_s: f64 },
-    /// Operators take them out at every gateway, restart them and put them back.
+    /// Operators drain engines at every dispatcher, restart them after `restart_after_s`, and end the drain
+    /// after `for_s`.
     #[serde(rename = "by_hand")]
     AdministrativeDrain {
         engines: EngineSelection,
         for_s: f64,
         restart_after_s: f64,
     },
-    /// No news of the list reaches anybody.
+    /// No list event reaches any dispatcher until the fault ends.
     #[serde(rename = "registry_away")]
     RegistryOutage { for_s: f64 },
 }
 
 impl Scenario {
-    /// Reads a scenario.
+    /// Reads a scenario from a file.
     ///
     /// # Errors
-    /// What is wrong with the file, by its key.
+    /// Returns the first problem of the file, with its path and key.
     pub fn read(path: &std::path::Path) -> Result<Self, ScenarioError> {
-        let shown = path.display().to_string();
-        let file = |problem: String| ScenarioError::File {
-            path: shown.clone(),
+        let path_text = path.display().to_string();
+        let file_error = |problem: String| ScenarioError::File {
+            path: path_text.clone(),
             problem,
         };
-        let text = std::fs::read_to_string(path).map_err(|e| file(e.to_string()))?;
-        Self::parse(&text).map_err(|e| file(e.to_string()))
+        let text = std::fs::read_to_string(path).map_err(|e| file_error(e.to_string()))?;
+        Self::parse(&text).map_err(|e| file_error(e.to_string()))
     }
 
+    /// Parses and checks a scenario.
+    ///
     /// # Errors
-    /// What is wrong with the text, by its key.
+    /// Returns the first problem of the text, with its key.
     pub fn parse(text: &str) -> Result<Self, ScenarioError> {
-        let s: Scenario = json5::from_str(text).map_err(|e| bad("JSON5", e))?;
+        let s: Scenario = json5::from_str(text).map_err(|e| key_error("JSON5", e))?;
         s.check()?;
         Ok(s)
     }
@@ -389,62 +407,68 @@
     fn check(&self) -> Result<(), ScenarioError> {
         let total: usize = self.engines.iter().map(|e| e.count).sum();
         if !(1..=5000).contains(&total) {
-            return Err(bad("engines", format!("{total} engines are not 1 to 5000")));
+            return Err(key_error(
+                "engines",
+                format!("the total of {total} is not in 1 to 5000"),
+            ));
         }
         if !(1..=5000).contains(&self.dispatchers) {
-            return Err(bad(
+            return Err(key_error(
                 "gateways",
                 format!("{} is not in 1 to 5000", self.dispatchers),
             ));
         }
         if !(self.seconds > 0.0 && self.seconds <= 86_400.0) {
-            return Err(bad(
+            return Err(key_error(
                 "seconds",
-                format!("{} is not in 0 to 86400", self.seconds),
+                format!("{} is not above 0 and at most 86400", self.seconds),
             ));
         }
         if self.zones.is_empty() {
-            return Err(bad("zones", "at least one is needed"));
+            return Err(key_error("zones", "at least one is required"));
         }
         for (name, kind) in &self.kinds {
             kind.check()
-                .map_err(|e| bad(format!("kinds.{name}.{}", e.key), e.problem))?;
+                .map_err(|e| key_error(format!("kinds.{name}.{}", e.key), e.problem))?;
         }
         let unknown = self
             .engines
             .iter()
             .position(|e| !self.kinds.contains_key(&e.kind) && e.kind != "std");
         if let Some(i) = unknown {
-            return Err(bad(
+            return Err(key_error(
                 format!("engines[{i}].kind"),
-                format!("{:?} is no kind", self.engines[i].kind),
+                format!("{:?} is an unknown kind", self.engines[i].kind),
             ));
         }
         if self.classes.is_empty() {
-            return Err(bad("classes", "at least one is needed"));
+            return Err(key_error("classes", "at least one is required"));
         }
         for (i, c) in self.classes.iter().enumerate() {
-            let ok = c.share >= 0.0
+            let valid = c.share >= 0.0
                 && c.work_ms > 0.0
                 && c.deadline_ms > 0.0
                 && c.priority_weight > 0.0
                 && c.threads >= 1.0;
-            if !ok {
-                return Err(bad(
+            if !valid {
+                return Err(key_error(
                     format!("classes[{i}]"),
-                    "share, work, deadline, worth or threads cannot be",
+                    "share must be at least 0, work_ms, deadline_ms and worth above 0, and threads at least 1",
                 ));
             }
         }
         if !(self.load.per_s >= 0.0 && self.load.per_s.is_finite() && self.load.areas > 0) {
-            return Err(bad("load", "per_s or areas cannot be"));
+            return Err(key_error(
+                "load",
+                "per_s must be finite and at least 0, and areas at least 1",
+            ));
         }
         if self.load.shape.windows(2).any(|w| w[0][0] >= w[1][0]) {
-            return Err(bad("load.shape", "moments must rise"));
+            return Err(key_error("load.shape", "times must be strictly increasing"));
         }
-        for (i, t) in self.faults.iter().enumerate() {
+        for (i, fault) in self.faults.iter().enumerate() {
             let key = format!("trouble[{i}]");
-            let which = match &t.what {
+            let selection = match &fault.kind {
                 FaultKind::Die { engines, .. }
                 | FaultKind::Hang { engines, .. }
                 | FaultKind::Neighbour { engines, .. }
@@ -457,44 +481,44 @@
                 }
                 _ => None,
             };
-            match which {
+            match selection {
                 Some(EngineSelection::These(n)) if n.iter().any(|n| *n >= total) => {
-                    return Err(bad(
+                    return Err(key_error(
                         key,
-                        format!("there are {total} engines, counted from 0"),
+                        format!("engine indices must be below {total}"),
                     ));
                 }
                 Some(EngineSelection::Zone { zone }) if !self.zones.contains(&zone) => {
-                    return Err(bad(key, format!("{zone:?} is no zone")));
+                    return Err(key_error(key, format!("{zone:?} is an unknown zone")));
                 }
                 _ => {}
             }
-            if let FaultKind::HeavyTail { class, .. } = &t.what
+            if let FaultKind::HeavyTail { class, .. } = &fault.kind
                 && !self.classes.iter().any(|c| c.name == *class)
             {
-                return Err(bad(key, format!("{class:?} is no class")));
+                return Err(key_error(key, format!("{class:?} is an unknown class")));
             }
-            let dispatchers = match &t.what {
+            let dispatchers = match &fault.kind {
                 FaultKind::Partition { dispatchers, .. }
                 | FaultKind::SlowLink { dispatchers, .. } => &dispatchers[..],
                 _ => &[],
             };
             if dispatchers.iter().any(|g| *g >= self.dispatchers) {
-                return Err(bad(
+                return Err(key_error(
                     key,
-                    format!("there are {} gateways, counted from 0", self.dispatchers),
+                    format!("gateway indices must be below {}", self.dispatchers),
                 ));
             }
         }
         Ok(())
     }
 
-    /// The kind by its name; `std` is there without a word.
+    /// Returns the parameters of a kind; one that is not defined, such as `std`, has the default parameters.
     pub fn kind(&self, name: &str) -> Params {
         self.kinds.get(name).cloned().unwrap_or_default()
     }
 
-    /// The names of kinds, in the order that gateways number them by.
+    /// Returns the names of the kinds in the order in which dispatchers number them.
     pub fn kind_names(&self) -> Vec<String> {
         let mut names: Vec<String> = self.engines.iter().map(|e| e.kind.clone()).collect();
         names.sort();
@@ -502,7 +526,7 @@
         names
     }
 
-    /// The settings of one dispatcher in this zone.
+    /// Returns the settings of a dispatcher in this zone.
     pub fn settings(&self, zone: usize) -> Settings {
         let params: Vec<Params> = self.kind_names().iter().map(|n| self.kind(n)).collect();
         let first = params.first().cloned().unwrap_or_default();
@@ -512,7 +536,7 @@
         });
         let class = |c: &ClassSpec| Class {
             priority_weight: c.priority_weight,
-            latency_objective: c.aim_ms,
+            latency_objective: c.latency_objective_ms,
             latency_objective_slowdown: c.latency_objective_slowdown,
             late_answer_weight: c.late_answer_weight,
             idempotency: if c.non_idempotent {
--- a/crates/testbed/src/scenario/tests.rs
+++ b/crates/testbed/src/scenario/tests.rs
@@ -1,14 +1,18 @@
 use super::*;
 
 #[test]
-fn a_day_is_read_and_every_bad_key_is_named() {
-    let good = r#"{ name: "calm", seconds: 30, gateways: 3, zones: ["a", "b"],
+fn a_scenario_is_parsed_and_every_invalid_key_is_reported() {
+    let valid = r#"{ name: "calm", seconds: 30, gateways: 3, zones: ["a", "b"],
             engines: [{ kind: "gen-a", count: 4 }], kinds: { "gen-a": { cores: 8 } },
             load: { per_s: 40, shape: [[0, 1], [10, 2]] },
             trouble: [{ at_s: 5, kind: "die", engines: { part: 0.25 }, back_s: 10 }] }"#;
-    let s = Scenario::parse(good).unwrap();
+    let s = Scenario::parse(valid).unwrap();
     assert_eq!(
-        (s.classes.len(), s.load.part(5.0), s.load.part(99.0)),
+        (
+            s.classes.len(),
+            s.load.fraction_at(5.0),
+            s.load.fraction_at(99.0)
+        ),
         (3, 1.5, 2.0)
     );
     s.settings(0).check().unwrap();
@@ -28,11 +32,11 @@
         ("{ part: 0.25 }", "{ zone: \"x\" }", "trouble[0]"),
         ("\"die\"", "\"dye\"", "dye"),
     ];
-    for (old, new, what) in cases {
-        assert!(good.contains(old), "{old}");
-        let e = Scenario::parse(&good.replace(old, new))
+    for (old, new, expected) in cases {
+        assert!(valid.contains(old), "{old}");
+        let e = Scenario::parse(&valid.replace(old, new))
             .unwrap_err()
             .to_string();
-        assert!(e.contains(what), "{new}: {e}");
+        assert!(e.contains(expected), "{new}: {e}");
     }
 }
--- a/crates/testbed/src/simulation/arrivals.rs
+++ b/crates/testbed/src/simulation/arrivals.rs
@@ -8,14 +8,14 @@
     /// that the shape of the load changes no draw of another stream.
     pub(super) fn interarrival_time(&mut self) -> f64 {
         let load = &self.scenario.load;
-        let peak = load.per_s * load.most();
+        let peak = load.per_s * load.peak_fraction();
         if peak <= 0.0 {
             return f64::MAX / 4.0;
         }
         let mut at = self.now;
         loop {
             at += self.arrivals.exponential(1000.0 / peak);
-            let fraction = load.part((at - START_MS) / 1000.0) * load.per_s / peak;
+            let fraction = load.fraction_at((at - START_MS) / 1000.0) * load.per_s / peak;
             if self.arrivals.chance(fraction) || at > self.end {
                 return at - self.now;
             }
@@ -65,7 +65,8 @@
         };
         let over_quota = self.over_quota(tenant);
         let priority_weight = c.priority_weight * if over_quota { 0.05 } else { 1.0 };
-        let latency_objective = c.aim_ms + c.latency_objective_slowdown * work / c.threads;
+        let latency_objective =
+            c.latency_objective_ms + c.latency_objective_slowdown * work / c.threads;
         let deadline = self.now + c.deadline_ms * patience;
         self.report.requests += 1;
         self.report.classes[class].priority_weight.offered += priority_weight;
--- a/crates/testbed/src/simulation/faults.rs
+++ b/crates/testbed/src/simulation/faults.rs
@@ -34,7 +34,7 @@
 
     /// Begins a fault and schedules its later steps and its end.
     pub(super) fn begin_fault(&mut self, i: usize) {
-        let kind = self.scenario.faults[i].what.clone();
+        let kind = self.scenario.faults[i].kind.clone();
         self.add_to_hash(7, i as u64, 0);
         let ms_per_s = 1000.0;
         match kind {
@@ -180,7 +180,7 @@
 
     /// Reverts a fault; `engines` holds what it affected (for a heavy tail, the class).
     pub(super) fn end_fault(&mut self, i: usize, engines: Vec<usize>) {
-        match self.scenario.faults[i].what.clone() {
+        match self.scenario.faults[i].kind.clone() {
             FaultKind::Hang { .. } => {
                 for e in engines {
                     self.engines[e].model.set_hung(self.now, false);
