--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,5 +1,6 @@
-//! Fakes of what surrounds a dispatcher, a simulation of a whole fleet in virtual time, and the tools that
-//! measure both. Tests, measurements and examples share them. Everything stays on loopback and on one thread.
+//! Testbed for the dispatcher: fakes of its surroundings (engines, registries, clients), a simulation of a
+//! whole fleet in virtual time, and measurements of both. Tests, measurements and examples share it. All
+//! sockets are on loopback, and the fakes run on one thread.
 
 #![allow(
     missing_docs,
@@ -8,7 +9,7 @@
     clippy::too_many_lines,
     clippy::unwrap_used,
     clippy::wildcard_imports,
-    reason = "fakes and measurements whose modules are laid out, and not yet documented item by item"
+    reason = "test support: modules are documented, but not yet each item"
 )]
 
 pub mod clients;
@@ -23,7 +24,7 @@
 pub mod scenario;
 pub mod simulation;
 
-/// The machine's Unix clock, in milliseconds: the fakes' logs and the checkers use it.
+/// Returns the Unix time of the machine in milliseconds, for the logs of fakes and for checkers.
 pub fn now() -> f64 {
     query_dispatcher::clock::wall_clock_millis()
 }
