--- a/crates/testbed/src/comparison.rs
+++ b/crates/testbed/src/comparison.rs
@@ -3,9 +3,9 @@
 
 use crate::random::{Stream, Streams};
 use crate::scenario::{Scenario, ScenarioError};
-use crate::simulation::play;
 use crate::simulation::policy::Policy;
 use crate::simulation::report::RunReport;
+use crate::simulation::run_scenario;
 use rayon::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
@@ -115,7 +115,7 @@
     let reports: Vec<((usize, Policy), RunReport)> = jobs
         .into_par_iter()
         .map(|(s, policy, seed)| {
-            let report = play(&scenarios[s], policy, seed);
+            let report = run_scenario(&scenarios[s], policy, seed);
             run_done();
             ((s, policy), report)
         })
@@ -303,7 +303,7 @@
         assert_eq!(all.len(), 2);
         for series in &all {
             let expected: Vec<u64> = (1..=4)
-                .map(|seed| play(&s, series.policy, seed).hash)
+                .map(|seed| run_scenario(&s, series.policy, seed).hash)
                 .collect();
             assert_eq!(
                 series.runs.iter().map(|d| d.hash).collect::<Vec<_>>(),
--- a/crates/testbed/src/simulation/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -111,9 +111,9 @@
 }
 
 /// Runs a scenario with a policy and a seed.
-pub fn play(scenario: &Scenario, policy: Policy, seed: u64) -> RunReport {
+pub fn run_scenario(scenario: &Scenario, policy: Policy, seed: u64) -> RunReport {
     let streams = Streams::new(seed);
-    play_with(scenario, seed, &mut |g, zone| {
+    run_scenario_with(scenario, seed, &mut |g, zone| {
         decisions(scenario, policy, &streams, g, zone)
     })
 }
@@ -147,7 +147,7 @@
 }
 
 /// Runs a scenario; `decisions` creates the decisions of each dispatcher from its number and zone.
-pub fn play_with(
+pub fn run_scenario_with(
     scenario: &Scenario,
     seed: u64,
     decisions: &mut dyn FnMut(usize, usize) -> Box<dyn Dispatch>,
--- a/crates/testbed/src/simulation/tests.rs
+++ b/crates/testbed/src/simulation/tests.rs
@@ -50,7 +50,7 @@
 fn every_policy_serves_a_run_without_faults_and_violates_no_rule() {
     let s = small("");
     for policy in Policy::ALL {
-        let r = play(&s, policy, 1);
+        let r = run_scenario(&s, policy, 1);
         assert_valid(&r);
         assert!(
             r.unpenalized_score() > 0.8,
@@ -66,15 +66,15 @@
 fn a_run_is_determined_by_its_seed() {
     let s = small(r#"{ at_s: 5, kind: "die", engines: 1, back_s: 5 }"#);
     for policy in [Policy::Module, Policy::TwoChoices] {
-        let (a, b) = (play(&s, policy, 7), play(&s, policy, 7));
+        let (a, b) = (run_scenario(&s, policy, 7), run_scenario(&s, policy, 7));
         assert_eq!((a.hash, a.events), (b.hash, b.events));
         assert_eq!(a.unpenalized_score(), b.unpenalized_score());
-        assert_ne!(a.hash, play(&s, policy, 8).hash);
+        assert_ne!(a.hash, run_scenario(&s, policy, 8).hash);
     }
     // Runs on other threads, at the same time, give the same hash.
     let hashes: Vec<u64> = std::thread::scope(|t| {
         let all: Vec<_> = (0..4)
-            .map(|_| t.spawn(|| play(&s, Policy::Module, 7).hash))
+            .map(|_| t.spawn(|| run_scenario(&s, Policy::Module, 7).hash))
             .collect();
         all.into_iter().map(|h| h.join().unwrap()).collect()
     });
@@ -85,7 +85,7 @@
 fn all_policies_receive_the_same_requests() {
     let s = small("");
     let offered = |p| {
-        let r = play(&s, p, 3);
+        let r = run_scenario(&s, p, 3);
         (
             r.requests,
             r.classes
@@ -104,7 +104,7 @@
         r#"{ at_s: 4, kind: "die", engines: [0, 1], back_s: 6 }, { at_s: 8, kind: "reset", engines: [2, 3] }"#,
     );
     for policy in Policy::ALL {
-        let r = play(&s, policy, 5);
+        let r = run_scenario(&s, policy, 5);
         assert_valid_for(policy, &r);
         let failed = r.classes[2].outcomes.failed;
         assert!(
@@ -128,7 +128,7 @@
         .replace("load:", "net: { list_ms: [0, 0], within_ms: 0.1, across_ms: [0.1, 0.2] }, load:")
         .replace("per_s: 24", "per_s: 60")
         .replace("FAULTS", r#"{ at_s: 5, kind: "drain", engines: [0], for_s: 5 }, { at_s: 12, kind: "drain", engines: [1, 2], for_s: 4 }"#);
-    let r = play(&parse(&text), Policy::Module, 2);
+    let r = run_scenario(&parse(&text), Policy::Module, 2);
     assert_valid(&r);
     assert!(
         r.latest_send_after_notice_ms < 1000.0,
@@ -141,7 +141,7 @@
 fn requests_are_answered_while_all_engines_are_down() {
     let s = small(r#"{ at_s: 3, kind: "die", engines: [0, 1, 2, 3], back_s: 30 }"#);
     for policy in Policy::ALL {
-        let r = play(&s, policy, 4);
+        let r = run_scenario(&s, policy, 4);
         assert_valid(&r);
         let unserved: u64 = r
             .classes
@@ -167,7 +167,7 @@
            { at_s: 10, kind: "registry_away", for_s: 6 }, { at_s: 11, kind: "by_hand", engines: [1], for_s: 5, restart_after_s: 2 }"#,
     );
     for seed in 1..4 {
-        assert_valid(&play(&s, Policy::Module, seed));
+        assert_valid(&run_scenario(&s, Policy::Module, seed));
     }
 }
 
@@ -179,7 +179,7 @@
             .replace("per_s: 24", "per_s: 24, leave: 0.3"),
     );
     for policy in [Policy::Module, Policy::Random] {
-        let r = play(&s, policy, 4);
+        let r = run_scenario(&s, policy, 4);
         assert_valid(&r);
     }
 }
@@ -266,7 +266,7 @@
         let s = small(faults);
         let fragile: Vec<bool> = s.classes.iter().map(|c| c.non_idempotent).collect();
         let streams = Streams::new(1);
-        let r = play_with(&s, 1, &mut |g, _| {
+        let r = run_scenario_with(&s, 1, &mut |g, _| {
             let inner = BaselineDispatcher::new(
                 Policy::Random,
                 fragile.clone(),
@@ -298,7 +298,7 @@
         "FAULTS",
         r#"{ at_s: 3, kind: "die", engines: [0, 1], back_s: 3 }"#,
     ));
-    let r = play(&s, Policy::Random, 1);
+    let r = run_scenario(&s, Policy::Random, 1);
     assert!(
         r.violations
             .iter()
@@ -306,7 +306,7 @@
         "{:?}",
         r.violations
     );
-    let r = play(&s, Policy::Module, 1);
+    let r = run_scenario(&s, Policy::Module, 1);
     assert!(
         !r.violations
             .iter()
@@ -329,7 +329,7 @@
             continue;
         }
         s.seconds = s.seconds.min(45.0);
-        assert_valid(&play(&s, Policy::Module, 1));
+        assert_valid(&run_scenario(&s, Policy::Module, 1));
     }
     for wanted in [
         "calm",
--- a/tests/recorded_decisions.rs
+++ b/tests/recorded_decisions.rs
@@ -24,7 +24,7 @@
 use profiles::profile;
 use record::Record;
 use testbed::scenario::Scenario;
-use testbed::simulation::{play, policy::Policy};
+use testbed::simulation::{policy::Policy, run_scenario};
 
 /// Streams of each profile, each with its own seed.
 const CONTROLLER_SEEDS: std::ops::Range<u64> = 0..16;
@@ -147,7 +147,7 @@
         seconds: SCENARIO_S,
         ..whole
     };
-    let day = play(&scenario, Policy::Module, SCENARIO_SEED);
+    let day = run_scenario(&scenario, Policy::Module, SCENARIO_SEED);
     let counts = format!(
         "simulated-events={} simulated-attempts={}",
         day.events, day.attempts
