--- a/tests/recorded_decisions.rs
+++ b/tests/recorded_decisions.rs
@@ -25,7 +25,7 @@
 use profiles::profile;
 use record::Record;
 use testbed::scenario::Scenario;
-use testbed::simulation::{play, policy::Policy};
+use testbed::simulation::{policy::Policy, run_scenario};
 
 /// Seeds of the streams of each profile of the decision module.
 const CONTROLLER_SEEDS: std::ops::Range<u64> = 0..16;
@@ -152,7 +152,7 @@
         seconds: SCENARIO_S,
         ..full
     };
-    let run = play(&scenario, Policy::Module, SCENARIO_SEED);
+    let run = run_scenario(&scenario, Policy::Module, SCENARIO_SEED);
     let counts = format!(
         "simulated-events={} simulated-attempts={}",
         run.events, run.attempts
