--- a/crates/testbed/src/platform/soak/clients.rs
+++ b/crates/testbed/src/platform/soak/clients.rs
@@ -1,11 +1,11 @@
-//! The clients of the soak: they use a connection for as long as their dispatcher does, and some come in a crowd.
+//! Clients of the soak: some use a connection until it ends, others connect in a burst and stay idle.
 
 use super::*;
 
-impl World {
-    /// One client: it keeps a connection for as long as the dispatcher does.
+impl SoakRun {
+    /// Runs one client, which opens a new connection whenever the previous one has ended.
     pub(super) async fn client(self: Rc<Self>, node: Rc<Node>, mut random: Stream) {
-        while !self.is_over.get() {
+        while !self.is_finished.get() {
             let connection = match Self::target(&node) {
                 Some(target) => Connection::open(target, &self.log).await.ok(),
                 None => None,
@@ -36,46 +36,48 @@
             }
         }
         match random.below(4) {
-            // With whatever is open on it.
+            // Closes it while requests may be open.
             0 => connection.close().await,
             1 => {
-                let garbage = crate::platform::clients::encode_frame(kind::REQUEST, 0, &[9]);
-                let _ = connection.send_raw(&garbage).await;
-                connection.until_idle(LONGEST_DEADLINE * 2).await;
+                let malformed = crate::platform::clients::encode_frame(kind::REQUEST, 0, &[9]);
+                let _ = connection.send_raw(&malformed).await;
+                connection.until_idle(MAX_DEADLINE * 2).await;
                 connection.close().await;
             }
             _ => {
-                connection.until_idle(LONGEST_DEADLINE * 2).await;
+                connection.until_idle(MAX_DEADLINE * 2).await;
                 connection.close().await;
             }
         }
     }
 
     async fn send(&self, connection: &Rc<Connection>, random: &mut Stream) -> std::io::Result<()> {
-        let (class, longest) = match random.below(10) {
-            0 => ("load", LONGEST_DEADLINE),
+        let (class, max_deadline) = match random.below(10) {
+            0 => ("load", MAX_DEADLINE),
             1..=3 => ("ledger", Duration::from_millis(1200)),
             _ => ("lookup", Duration::from_millis(800)),
         };
-        let part = if random.chance(0.1) {
+        let deadline_share = if random.chance(0.1) {
             0.02
         } else {
             random.between(0.2, 1.0)
         };
         let id = format!("{:016x}", random.bits());
-        let stream = connection.send(&id, class, longest.mul_f64(part)).await?;
+        let stream = connection
+            .send(&id, class, max_deadline.mul_f64(deadline_share))
+            .await?;
         if random.chance(0.1) {
-            let patience = Duration::from_millis(random.below(150) as u64);
+            let cancel_delay = Duration::from_millis(random.below(150) as u64);
             let connection = connection.clone();
             spawn_local(async move {
-                tokio::time::sleep(patience).await;
+                tokio::time::sleep(cancel_delay).await;
                 let _ = connection.cancel(stream).await;
             });
         }
         Ok(())
     }
 
-    /// Idle clients come in a crowd and stay for a while.
+    /// Opens many idle connections to one dispatcher at once and holds them for 500 ms.
     pub(super) async fn crowds(self: Rc<Self>, mut random: Stream) {
         if self.scale.crowd == 0 {
             return;
@@ -86,7 +88,7 @@
             let Some(target) = Self::target(node) else {
                 continue;
             };
-            self.count("crowd");
+            self.count_fault("crowd");
             let mut crowd = vec![];
             for _ in 0..self.scale.crowd {
                 crowd.extend(tokio::net::TcpStream::connect(target.address).await.ok());
--- a/crates/testbed/src/platform/soak/engine_faults.rs
+++ b/crates/testbed/src/platform/soak/engine_faults.rs
@@ -1,9 +1,9 @@
-//! Faults of engines and of the journal.
+//! Faults of the engines and of the journal service.
 
 use super::*;
 
-impl World {
-    /// Engines hang, fail, break off, are full or reset their connections for a while.
+impl SoakRun {
+    /// Makes engines hang, fail, truncate answers, reject requests or reset connections for a while.
     pub(super) async fn engine_faults(self: Rc<Self>, mut random: Stream) {
         loop {
             random.pause(300.0).await;
@@ -15,34 +15,34 @@
                 3 => Behaviour::Full,
                 _ => {
                     engine.reset_connections();
-                    self.count("engine resets");
+                    self.count_fault("engine resets");
                     continue;
                 }
             };
-            self.count("engine misbehaves");
+            self.count_fault("engine misbehaves");
             engine.behaviour.set(behaviour);
-            let span = random.between(200.0, 2500.0);
+            let duration = random.between(200.0, 2500.0);
             spawn_local(async move {
-                tokio::time::sleep(Duration::from_secs_f64(span / 1000.0)).await;
+                tokio::time::sleep(Duration::from_secs_f64(duration / 1000.0)).await;
                 engine.behaviour.set(Behaviour::Serving);
             });
         }
     }
 
-    /// Engines drain, crash, vanish from the list and come back cold.
+    /// Drains engines or crashes them, then restarts them cold.
     pub(super) async fn engine_lifecycles(self: Rc<Self>, mut random: Stream) {
         loop {
             random.pause(900.0).await;
             let engine = self.fleet.engines[random.below(self.scale.engines)].clone();
             if random.chance(0.5) {
-                self.count("engine drains");
+                self.count_fault("engine drains");
                 self.announce(&engine, Lifecycle::Draining, 0.0);
-                let notice = self.note_drain(&engine);
+                let notice = self.record_drain(&engine);
                 random.pause(2000.0).await;
                 self.restart(&engine).await;
                 self.records.borrow_mut().drains[notice].until = Some(Instant::now());
             } else {
-                self.count("engine crashes");
+                self.count_fault("engine crashes");
                 engine.crash();
                 random.pause(300.0).await;
                 self.restart(&engine).await;
@@ -55,15 +55,17 @@
             .announce(&[instance(engine, lifecycle, started_at_ms)]);
     }
 
-    fn journal_is_heard(&self) -> bool {
-        let is_settled = |back: Instant| back.elapsed() > RECONNECTED;
-        self.journal.mode() == Mode::Serving && self.journal_back_at.get().is_none_or(is_settled)
+    /// Returns whether the dispatchers are connected to the journal and receive its events.
+    fn journal_delivers_events(&self) -> bool {
+        let is_reconnected = |restored: Instant| restored.elapsed() > JOURNAL_RECONNECT_DELAY;
+        self.journal.mode() == Mode::Serving
+            && self.journal_restored_at.get().is_none_or(is_reconnected)
     }
 
-    fn note_drain(&self, engine: &Engine) -> usize {
-        let delay = match self.journal_is_heard() {
-            true => DELIVERY,
-            false => COUNTS_AS_TOLD,
+    fn record_drain(&self, engine: &Engine) -> usize {
+        let delay = match self.journal_delivers_events() {
+            true => EVENT_DELIVERY_DELAY,
+            false => MISSED_EVENT_DELAY,
         };
         let mut records = self.records.borrow_mut();
         records.drains.push(DrainNotice {
@@ -76,12 +78,12 @@
 
     async fn restart(&self, engine: &Rc<Engine>) {
         if engine.restart().await.is_err() {
-            self.count("restart failed");
+            self.count_fault("restart failed");
             return;
         }
-        self.count("engine starts cold");
+        self.count_fault("engine starts cold");
         self.announce(engine, Lifecycle::InService, crate::now());
-        if !self.journal_is_heard() {
+        if !self.journal_delivers_events() {
             return;
         }
         let started_at = Instant::now();
@@ -94,7 +96,7 @@
         });
     }
 
-    /// The journal falls silent or goes down for a while.
+    /// Makes the journal service go silent or down for a while.
     pub(super) async fn journal_faults(self: Rc<Self>, mut random: Stream) {
         loop {
             random.pause(5000.0).await;
@@ -102,13 +104,13 @@
                 true => Mode::Silent,
                 false => Mode::Down,
             };
-            self.count("journal outage");
+            self.count_fault("journal outage");
             self.journal.set_mode(mode);
-            // Slow starts that the outage overlaps are not known to all.
+            // Not every dispatcher knows of the slow starts that the outage overlaps, so they are not judged.
             self.records.borrow_mut().slow_starts.clear();
             random.pause(1500.0).await;
             self.journal.set_mode(Mode::Serving);
-            self.journal_back_at.set(Some(Instant::now()));
+            self.journal_restored_at.set(Some(Instant::now()));
         }
     }
 }
--- a/crates/testbed/src/platform/soak/mod.rs
+++ b/crates/testbed/src/platform/soak/mod.rs
@@ -1,5 +1,5 @@
-//! A soak: dispatchers as real processes, engines, the journal and clients on loopback, and random faults that overlap.
-//! Everything that happens is drawn from a seed; what was recorded is judged by [`crate::platform::verdict`].
+//! Soak test: dispatchers as real processes, engines, the journal service and clients on loopback, and random
+//! overlapping faults. All random draws come from a seed; [`crate::platform::verdict`] checks the records.
 
 mod clients;
 mod engine_faults;
@@ -22,34 +22,35 @@
 use std::time::{Duration, Instant};
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 
-/// The longest deadline of any class.
-const LONGEST_DEADLINE: Duration = Duration::from_millis(1500);
-/// SIGKILL comes so long after SIGTERM: the earliest that the operators allow.
-const KILL_AFTER: Duration = Duration::from_millis(1500 + 700);
-/// A dispatcher that is connected to the journal knows of an event after this.
-const DELIVERY: Duration = Duration::from_millis(150);
-/// Dispatchers have connected again by then after an outage of the journal.
-const RECONNECTED: Duration = Duration::from_secs(4);
-/// Events count as told after this even where they were not delivered.
-const COUNTS_AS_TOLD: Duration = Duration::from_secs(7);
-/// The judge's own clock must not be late by more.
-const MAX_LAG: Duration = Duration::from_millis(50);
+/// Longest deadline of any class.
+const MAX_DEADLINE: Duration = Duration::from_millis(1500);
+/// Time from SIGTERM to SIGKILL: the shortest that operators use.
+const SIGKILL_DELAY: Duration = Duration::from_millis(1500 + 700);
+/// Time within which a dispatcher that is connected to the journal receives an event.
+const EVENT_DELIVERY_DELAY: Duration = Duration::from_millis(150);
+/// Time within which dispatchers reconnect after an outage of the journal.
+const JOURNAL_RECONNECT_DELAY: Duration = Duration::from_secs(4);
+/// Time after which dispatchers count as notified of an event that the journal could not deliver at once.
+const MISSED_EVENT_DELAY: Duration = Duration::from_secs(7);
+/// Maximum delay of the test process's timers; with more, the recorded times prove nothing.
+const MAX_TIMER_LAG: Duration = Duration::from_millis(50);
 
-/// The size of a run.
+/// Size of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Scale {
     pub dispatchers: usize,
     pub engines: usize,
     pub connections_per_dispatcher: usize,
-    /// Between two requests of one connection, in milliseconds, on average.
+    /// Mean pause between two requests of one connection, in milliseconds.
     pub think_time_ms: f64,
+    /// Time for which faults are injected.
     pub span: Duration,
-    /// Idle connections that come in a crowd.
+    /// Number of idle connections that are opened at once; 0 for none.
     pub crowd: usize,
 }
 
 impl Scale {
-    /// Drawn from the seed: some runs have a crowd, some many engines.
+    /// Draws the size of a run from its seed: some runs have bursts of idle connections, some many engines.
     pub fn draw(seed: u64, span: Duration) -> Self {
         let mut random = Streams::new(seed).stream("scale");
         Scale {
@@ -66,7 +67,7 @@
     }
 }
 
-/// What a run came to.
+/// Result of a run.
 #[derive(Debug, Default)]
 pub struct Outcome {
     pub requests: usize,
@@ -75,27 +76,27 @@
     pub refused: usize,
     pub failed: usize,
     pub processes: usize,
-    /// Injected faults, by name.
+    /// Number of injected faults by name.
     pub faults: BTreeMap<&'static str, usize>,
-    /// The most by which the judge's own event loop was late.
+    /// Maximum delay of the test process's timers.
     pub lag: Duration,
     pub violations: Vec<Violation>,
-    /// Violations that the dispatchers counted themselves, by name.
-    pub counted: BTreeMap<String, u64>,
-    /// Processes that ended by themselves with an error.
+    /// Number of violations that the dispatchers reported themselves, by name.
+    pub reported_violations: BTreeMap<String, u64>,
+    /// Processes that exited by themselves with an error, or did not start.
     pub crashes: Vec<String>,
-    /// What each process has logged.
+    /// Log lines by process.
     pub logs: BTreeMap<String, Vec<String>>,
 }
 
 impl Outcome {
-    /// Nothing broke, and the judge could tell.
+    /// Returns whether the run has no violations and no crashes.
     pub fn is_clean(&self) -> bool {
-        let counted: u64 = self.counted.values().sum();
-        self.violations.is_empty() && self.crashes.is_empty() && counted == 0
+        let reported: u64 = self.reported_violations.values().sum();
+        self.violations.is_empty() && self.crashes.is_empty() && reported == 0
     }
 
-    /// A line, and one for each of the first violations.
+    /// Formats the result as one line, and a line for each of the first six violations.
     pub fn summary(&self) -> String {
         let violations = self.violations.iter().take(6);
         let violations: String = violations.map(|v| format!("\n    {v:?}")).collect();
@@ -111,7 +112,7 @@
             self.faults,
             self.lag,
             if self.is_void() { " (void)" } else { "" },
-            self.counted
+            self.reported_violations
                 .iter()
                 .filter(|(_, n)| **n > 0)
                 .collect::<Vec<_>>(),
@@ -120,9 +121,9 @@
         )
     }
 
-    /// The judge was so late that its times prove nothing.
+    /// Returns whether the timers were delayed so much that the recorded times prove nothing.
     pub fn is_void(&self) -> bool {
-        self.lag > MAX_LAG
+        self.lag > MAX_TIMER_LAG
     }
 }
 
@@ -141,7 +142,7 @@
             class(
                 "load",
                 Effect::Fragile,
-                LONGEST_DEADLINE.as_secs_f64() * 1000.0,
+                MAX_DEADLINE.as_secs_f64() * 1000.0,
                 4.0,
             ),
         ],
@@ -151,17 +152,17 @@
     }
 }
 
-/// One dispatcher: its present process, and how many it has had.
+/// One dispatcher: its current process, and the number of processes before it.
 struct Node {
     rank: usize,
     address: Cell<SocketAddr>,
     process: Cell<usize>,
     dispatcher: RefCell<Option<Dispatcher>>,
-    /// It is being restarted, or other signals are on their way.
+    /// Whether it is being restarted or is being sent other signals.
     is_busy: Cell<bool>,
 }
 
-struct World {
+struct SoakRun {
     scale: Scale,
     settings: Settings,
     binary: PathBuf,
@@ -175,13 +176,13 @@
     faults: RefCell<BTreeMap<&'static str, usize>>,
     crashes: RefCell<Vec<String>>,
     logs: RefCell<BTreeMap<String, Vec<String>>>,
-    counted: RefCell<BTreeMap<String, u64>>,
-    journal_back_at: Cell<Option<Instant>>,
-    is_over: Cell<bool>,
-    began: Instant,
+    reported_violations: RefCell<BTreeMap<String, u64>>,
+    journal_restored_at: Cell<Option<Instant>>,
+    is_finished: Cell<bool>,
+    started_at: Instant,
 }
 
-/// Plays one seed on a runtime of its own.
+/// Runs one seed on its own runtime.
 pub fn play(binary: &Path, seed: u64, scale: Scale) -> Result<Outcome, ProgramError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -191,71 +192,68 @@
 
 async fn run(binary: &Path, seed: u64, scale: Scale) -> Result<Outcome, ProgramError> {
     let streams = Streams::new(seed);
-    let lag = spawn_local(measure_lag());
-    let world = Rc::new(World::start(binary, seed, scale).await?);
-    let mut actors: Vec<JoinHandle<()>> = vec![];
-    for node in &world.nodes {
+    let lag_meter = spawn_local(measure_timer_lag());
+    let soak = Rc::new(SoakRun::start(binary, seed, scale).await?);
+    let mut clients: Vec<JoinHandle<()>> = vec![];
+    for node in &soak.nodes {
         for number in 0..scale.connections_per_dispatcher {
             let stream = streams.numbered("client", node.rank * 1000 + number);
-            actors.push(spawn_local(world.clone().client(node.clone(), stream)));
+            clients.push(spawn_local(soak.clone().client(node.clone(), stream)));
         }
     }
     let faults = [
-        spawn_local(world.clone().engine_faults(streams.stream("engines"))),
-        spawn_local(
-            world
-                .clone()
-                .engine_lifecycles(streams.stream("lifecycles")),
-        ),
-        spawn_local(world.clone().journal_faults(streams.stream("journal"))),
-        spawn_local(world.clone().signals(streams.stream("signals"))),
-        spawn_local(world.clone().machine_faults(streams.stream("machines"))),
-        spawn_local(world.clone().crowds(streams.stream("crowds"))),
+        spawn_local(soak.clone().engine_faults(streams.stream("engines"))),
+        spawn_local(soak.clone().engine_lifecycles(streams.stream("lifecycles"))),
+        spawn_local(soak.clone().journal_faults(streams.stream("journal"))),
+        spawn_local(soak.clone().signals(streams.stream("signals"))),
+        spawn_local(soak.clone().machine_faults(streams.stream("machines"))),
+        spawn_local(soak.clone().crowds(streams.stream("crowds"))),
     ];
     tokio::time::sleep(scale.span).await;
     faults.iter().for_each(JoinHandle::abort);
-    world.until_nodes_rest().await;
-    world.collect_counted().await;
-    let ends = world
+    soak.wait_for_idle_nodes().await;
+    soak.collect_violation_counters().await;
+    let stops = soak
         .nodes
         .iter()
-        .map(|node| world.clone().stop(node.clone()));
-    futures_util::future::join_all(ends).await;
-    world.is_over.set(true);
+        .map(|node| soak.clone().stop(node.clone()));
+    futures_util::future::join_all(stops).await;
+    soak.is_finished.set(true);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    actors.iter().for_each(JoinHandle::abort);
-    lag.abort();
-    Ok(world.outcome())
+    clients.iter().for_each(JoinHandle::abort);
+    lag_meter.abort();
+    Ok(soak.outcome())
 }
 
 thread_local! {
-    static LAG: Cell<Duration> = const { Cell::new(Duration::ZERO) };
+    static TIMER_LAG: Cell<Duration> = const { Cell::new(Duration::ZERO) };
 }
 
-/// Measures by how much this thread's timers are late.
-async fn measure_lag() {
+/// Measures the maximum delay of this thread's timers.
+async fn measure_timer_lag() {
     const STEP: Duration = Duration::from_millis(5);
-    LAG.set(Duration::ZERO);
+    TIMER_LAG.set(Duration::ZERO);
     loop {
         let due = Instant::now() + STEP;
         tokio::time::sleep(STEP).await;
-        LAG.set(LAG.get().max(due.elapsed()));
+        TIMER_LAG.set(TIMER_LAG.get().max(due.elapsed()));
     }
 }
 
-impl World {
+impl SoakRun {
+    /// Starts the engines, the journal service and the dispatchers.
     async fn start(binary: &Path, seed: u64, scale: Scale) -> Result<Self, ProgramError> {
         let folder = Folder::new(&format!("soak-{seed}"))?;
         let shim = Shim::build(&folder)?;
         let work = Duration::from_millis(40);
         let fleet = Fleet::start(scale.engines, work, 60).await?;
-        let listed: Vec<Instance> = fleet
+        let instances: Vec<Instance> = fleet
             .engines
             .iter()
             .map(|engine| instance(engine, Lifecycle::InService, 0.0))
             .collect();
-        let journal = Journal::start(&listed).await?;
-        let world = World {
+        let journal = Journal::start(&instances).await?;
+        let soak = SoakRun {
             scale,
             settings: Settings {
                 peers: Settings::free_peer_addresses(scale.dispatchers)?,
@@ -272,18 +270,18 @@
             faults: RefCell::default(),
             crashes: RefCell::default(),
             logs: RefCell::default(),
-            counted: RefCell::default(),
-            journal_back_at: Cell::new(None),
-            is_over: Cell::new(false),
-            began: Instant::now(),
+            reported_violations: RefCell::default(),
+            journal_restored_at: Cell::new(None),
+            is_finished: Cell::new(false),
+            started_at: Instant::now(),
         };
-        for node in &world.nodes {
-            world.start_process(node).await?;
+        for node in &soak.nodes {
+            soak.start_process(node).await?;
         }
-        Ok(world)
+        Ok(soak)
     }
 
-    fn count(&self, fault: &'static str) {
+    fn count_fault(&self, fault: &'static str) {
         *self.faults.borrow_mut().entry(fault).or_default() += 1;
     }
 
@@ -299,21 +297,21 @@
         let mut records = self.records.borrow_mut();
         records.requests = self.log.requests();
         records.executions = self.fleet.executions();
-        let answered = |wanted: u8| {
+        let count_answers = |code: u8| {
             let first = records.requests.iter().filter_map(|r| r.answers.first());
-            first.filter(|answer| answer.code == wanted).count()
+            first.filter(|answer| answer.code == code).count()
         };
         Outcome {
             requests: records.requests.len(),
             attempts: records.executions.len(),
-            served: answered(code::SERVED),
-            refused: answered(code::REFUSED),
-            failed: answered(code::FAILED),
+            served: count_answers(code::SERVED),
+            refused: count_answers(code::REFUSED),
+            failed: count_answers(code::FAILED),
             processes: self.nodes.iter().map(|node| node.process.get()).sum(),
             faults: self.faults.borrow().clone(),
-            lag: LAG.get(),
-            violations: judge(&records, &self.settings, self.began),
-            counted: self.counted.borrow().clone(),
+            lag: TIMER_LAG.get(),
+            violations: judge(&records, &self.settings, self.started_at),
+            reported_violations: self.reported_violations.borrow().clone(),
             crashes: self.crashes.borrow().clone(),
             logs: self.logs.borrow().clone(),
         }
--- a/crates/testbed/src/platform/soak/process_faults.rs
+++ b/crates/testbed/src/platform/soak/process_faults.rs
@@ -1,9 +1,9 @@
-//! Restarts, signals and faults of the machine, and what the processes tell of themselves.
+//! Restarts, signals and machine faults of dispatcher processes, and the violations that they report.
 
 use super::*;
 
-impl World {
-    /// Dispatchers are restarted, killed, told of configurations in a row, and stopped for a moment.
+impl SoakRun {
+    /// Restarts, kills, repeatedly reloads or briefly stops (SIGSTOP) dispatchers.
     pub(super) async fn signals(self: Rc<Self>, mut random: Stream) {
         loop {
             random.pause(600.0).await;
@@ -13,27 +13,27 @@
             }
             match random.below(5) {
                 0 | 1 => {
-                    self.count("planned restart");
-                    let world = self.clone();
-                    let is_told_before = random.chance(0.3);
+                    self.count_fault("planned restart");
+                    let run = self.clone();
+                    let reloads_first = random.chance(0.3);
                     spawn_local(async move {
-                        if is_told_before {
+                        if reloads_first {
                             signal(&node, "HUP").await;
                         }
-                        world.clone().stop(node.clone()).await;
-                        world.start_again(&node).await;
+                        run.clone().stop(node.clone()).await;
+                        run.restart_process(&node).await;
                     });
                 }
                 2 => {
-                    self.count("kill");
-                    let world = self.clone();
+                    self.count_fault("kill");
+                    let run = self.clone();
                     spawn_local(async move {
-                        world.kill(&node).await;
-                        world.start_again(&node).await;
+                        run.kill(&node).await;
+                        run.restart_process(&node).await;
                     });
                 }
                 3 => {
-                    self.count("reload");
+                    self.count_fault("reload");
                     let times = 1 + random.below(5);
                     spawn_local(async move {
                         for _ in 0..times {
@@ -44,13 +44,13 @@
                     });
                 }
                 _ => {
-                    self.count("pause");
-                    let span = random.between(20.0, 250.0);
-                    // A task of its own: what is stopped is always continued.
+                    self.count_fault("pause");
+                    let duration = random.between(20.0, 250.0);
+                    // A separate task, so that a stopped process is continued even when this one is aborted.
                     spawn_local(async move {
                         let id = node.process_id();
                         send_signal(id, "STOP").await;
-                        tokio::time::sleep(Duration::from_secs_f64(span / 1000.0)).await;
+                        tokio::time::sleep(Duration::from_secs_f64(duration / 1000.0)).await;
                         send_signal(id, "CONT").await;
                         node.is_busy.set(false);
                     });
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Wall clocks are stepped, and system calls fail for a moment.
+    /// Steps wall clocks, and lets system calls fail for 500 ms.
     pub(super) async fn machine_faults(self: Rc<Self>, mut random: Stream) {
         loop {
             random.pause(700.0).await;
@@ -71,58 +71,59 @@
             if let Some(dispatcher) = node.dispatcher.borrow().as_ref() {
                 let _ = dispatcher.set_faults(faults);
             }
-            self.count("clock step");
+            self.count_fault("clock step");
             if faults.call_failures_per_million == 0 {
                 continue;
             }
-            self.count("failing system calls");
+            self.count_fault("failing system calls");
             spawn_local(async move {
                 tokio::time::sleep(Duration::from_millis(500)).await;
-                let calm = Faults {
+                let without_call_failures = Faults {
                     call_failures_per_million: 0,
                     ..faults
                 };
                 if let Some(dispatcher) = node.dispatcher.borrow().as_ref() {
-                    let _ = dispatcher.set_faults(calm);
+                    let _ = dispatcher.set_faults(without_call_failures);
                 }
             });
         }
     }
 
-    /// SIGTERM, and SIGKILL at the earliest that the operators allow.
+    /// Sends SIGTERM, then SIGKILL after the shortest delay that operators use.
     pub(super) async fn stop(self: Rc<Self>, node: Rc<Node>) {
         node.is_busy.set(true);
         signal(&node, "TERM").await;
-        // A second one, and a configuration, change nothing any more.
-        tokio::time::sleep(KILL_AFTER / 4).await;
+        // A second SIGTERM and a reload have no effect during the shutdown.
+        tokio::time::sleep(SIGKILL_DELAY / 4).await;
         signal(&node, "HUP").await;
         signal(&node, "TERM").await;
-        tokio::time::sleep(KILL_AFTER * 3 / 4).await;
+        tokio::time::sleep(SIGKILL_DELAY * 3 / 4).await;
         let process = node.dispatcher.borrow_mut().take();
         let Some(mut process) = process else {
             return;
         };
-        let ended = process.wait(Duration::from_millis(1)).await;
-        if ended.is_some_and(|status| !status.success()) {
-            self.note_crash(&node, &process, ended);
+        let status = process.wait(Duration::from_millis(1)).await;
+        if status.is_some_and(|status| !status.success()) {
+            self.record_crash(&node, &process, status);
         }
-        self.count_logged(&process);
+        self.count_logged_violations(&process);
         process.kill().await;
-        self.keep_log(&node, &process);
+        self.store_log(&node, &process);
         node.process.set(node.process.get() + 1);
     }
 
+    /// Kills the dispatcher's process without a SIGTERM.
     async fn kill(&self, node: &Node) {
         let process = node.dispatcher.borrow_mut().take();
         let Some(mut process) = process else {
             return;
         };
-        let ended = process.wait(Duration::from_millis(1)).await;
-        if ended.is_some() {
-            self.note_crash(node, &process, ended);
+        let status = process.wait(Duration::from_millis(1)).await;
+        if status.is_some() {
+            self.record_crash(node, &process, status);
         }
         process.kill().await;
-        self.keep_log(node, &process);
+        self.store_log(node, &process);
         self.records.borrow_mut().process_ends.push(ProcessEnd {
             dispatcher: node.rank,
             process: node.process.get(),
@@ -131,15 +132,15 @@
         node.process.set(node.process.get() + 1);
     }
 
-    async fn start_again(&self, node: &Node) {
+    async fn restart_process(&self, node: &Node) {
         if let Err(error) = self.start_process(node).await {
-            let text = format!("n{} does not start again: {error}", node.rank);
+            let text = format!("n{} failed to restart: {error}", node.rank);
             self.crashes.borrow_mut().push(text);
         }
         node.is_busy.set(false);
     }
 
-    /// Starts the next process of a dispatcher, at the address that the first was given.
+    /// Starts the next process of a dispatcher, at the address of its first process.
     pub(super) async fn start_process(&self, node: &Node) -> Result<(), ProgramError> {
         let config = self.settings.file(
             node.rank,
@@ -155,27 +156,31 @@
         Ok(())
     }
 
-    /// Waits until no dispatcher is being restarted, for ten seconds at most.
-    pub(super) async fn until_nodes_rest(&self) {
+    /// Waits until no dispatcher is being restarted or signalled, for at most ten seconds.
+    pub(super) async fn wait_for_idle_nodes(&self) {
         let until = Instant::now() + Duration::from_secs(10);
         while self.nodes.iter().any(|node| node.is_busy.get()) && Instant::now() < until {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Counts the invariants that a process has logged as broken.
-    fn count_logged(&self, process: &Dispatcher) {
+    /// Counts the broken invariants in the log of a process.
+    fn count_logged_violations(&self, process: &Dispatcher) {
         for (_, line) in process.log() {
             if let Some((_, name)) = line.split_once("invariant broken: ") {
                 let name = format!("logged {name}");
-                *self.counted.borrow_mut().entry(name).or_default() += 1;
+                *self
+                    .reported_violations
+                    .borrow_mut()
+                    .entry(name)
+                    .or_default() += 1;
             }
         }
     }
 
-    /// Keeps what a process has logged, for the case that it broke a rule.
-    fn keep_log(&self, node: &Node, process: &Dispatcher) {
-        let since = |at: Instant| at.saturating_duration_since(self.began).as_secs_f64();
+    /// Stores the log of a process, to be printed if the run has violations.
+    fn store_log(&self, node: &Node, process: &Dispatcher) {
+        let since = |at: Instant| at.saturating_duration_since(self.started_at).as_secs_f64();
         let now = since(Instant::now());
         let lines = process.log();
         let lines = lines
@@ -185,7 +190,8 @@
         self.logs.borrow_mut().insert(name, lines.collect());
     }
 
-    fn note_crash(
+    /// Records that a process exited by itself, with the last line of its log.
+    fn record_crash(
         &self,
         node: &Node,
         process: &Dispatcher,
@@ -197,8 +203,8 @@
         self.crashes.borrow_mut().push(text);
     }
 
-    /// What the dispatchers that live now have counted against themselves.
-    pub(super) async fn collect_counted(&self) {
+    /// Adds the violation counters (`/_invariants`) of the dispatchers that are running.
+    pub(super) async fn collect_violation_counters(&self) {
         for node in &self.nodes {
             let process = node.dispatcher.borrow_mut().take();
             let Some(process) = process else {
@@ -209,7 +215,11 @@
             let counts = page.lines().filter_map(|line| line.split_once('='));
             for (name, value) in counts.filter(|(name, _)| name.starts_with("violations.")) {
                 let value: u64 = value.trim().parse().unwrap_or(0);
-                *self.counted.borrow_mut().entry(name.into()).or_default() += value;
+                *self
+                    .reported_violations
+                    .borrow_mut()
+                    .entry(name.into())
+                    .or_default() += value;
             }
         }
     }
