--- a/crates/testbed/src/platform/journal.rs
+++ b/crates/testbed/src/platform/journal.rs
@@ -1,4 +1,4 @@
-//! The journal service: numbered events about engines, as server-sent events.
+//! Fake of the journal service, which sends numbered events about engines as server-sent events.
 
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -11,10 +11,10 @@
 use tokio::sync::watch;
 use tokio::task::{AbortHandle, spawn_local};
 
-/// A comment is sent this often.
+/// Interval of the comments that keep an idle stream alive.
 const COMMENT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The state of an engine as the service tells it.
+/// State of an engine as the service reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
     InService,
@@ -28,7 +28,7 @@
     pub id: String,
     pub address: SocketAddr,
     pub lifecycle: Lifecycle,
-    /// Unix time of a late start, in milliseconds; 0 for an early one.
+    /// Unix time of a recent start, in milliseconds; 0 for an engine that started long ago.
     pub started_at_ms: f64,
 }
 
@@ -52,17 +52,17 @@
     json!({"pos": position, "hosts": {"generation": position, "reset": reset, "instances": instances}})
 }
 
-/// What the service does with its callers.
+/// How the service treats its callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     Serving,
-    /// Streams stay open and say nothing.
+    /// Streams stay open, and nothing is sent on them.
     Silent,
-    /// Every caller is cut off.
+    /// Every connection is closed.
     Down,
 }
 
-/// The service.
+/// Fake journal service.
 pub struct Journal {
     address: SocketAddr,
     events: RefCell<Vec<Value>>,
@@ -72,7 +72,7 @@
 }
 
 impl Journal {
-    /// A service on an address of its own, whose first event lists these instances.
+    /// Starts a service on a free loopback port, whose first event lists these instances.
     pub async fn start(instances: &[Instance]) -> io::Result<Rc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let (changed, _) = watch::channel(1);
@@ -100,13 +100,13 @@
         self.address
     }
 
-    /// The configuration's part: all events so far.
+    /// Returns all events so far, in the form of the configuration's `known` section.
     pub fn known(&self) -> Value {
         let events = self.events.borrow();
         json!({"pos": events.len(), "entries": *events})
     }
 
-    /// Adds an event about these instances.
+    /// Appends an event about these instances and sends it to the callers.
     pub fn announce(&self, instances: &[Instance]) {
         let position = self.events.borrow().len() as u64 + 1;
         self.events
@@ -140,9 +140,9 @@
         let mut changed = self.changed.subscribe();
         loop {
             if self.mode.get() == Mode::Serving {
-                let new = self.events_after(sent);
+                let unsent = self.events_after(sent);
                 sent = sent.max(self.events.borrow().len() as u64);
-                write.write_all(new.as_bytes()).await?;
+                write.write_all(unsent.as_bytes()).await?;
             }
             tokio::select! {
                 _ = changed.changed() => {}
@@ -154,15 +154,15 @@
     fn events_after(&self, position: u64) -> String {
         let events = self.events.borrow();
         let numbered = (1u64..).zip(events.iter());
-        let new = numbered.filter(|(number, _)| *number > position);
-        let text: String = new
+        let newer = numbered.filter(|(number, _)| *number > position);
+        let text: String = newer
             .map(|(number, event)| format!("id: {number}\ndata: {event}\n\n"))
             .collect();
         format!(": alive\n{text}")
     }
 }
 
-/// Reads a request's head.
+/// Reads the head of a request and returns its Last-Event-ID, or 0 without one.
 async fn last_event_id(head: &mut BufReader<tokio::net::tcp::OwnedReadHalf>) -> io::Result<u64> {
     let mut position = 0;
     loop {
--- a/crates/testbed/src/platform/mod.rs
+++ b/crates/testbed/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! The surroundings of a dispatcher on the platform's protocol, on real sockets: engines, the journal service, clients,
-//! and the program itself as a child process. What they record is judged by [`verdict`].
+//! Test environment of a dispatcher on the platform's protocol, on real sockets: engines, the journal,
+//! clients, and the program itself as a child process. [`verdict`] checks what they record.
 
 pub mod clients;
 pub mod dispatcher;
