--- a/crates/testbed/src/platform/clients.rs
+++ b/crates/testbed/src/platform/clients.rs
@@ -1,4 +1,4 @@
-//! Clients on the platform's frames. Each request is recorded from the moment when its last byte was written.
+//! Clients of the platform's framed protocol. They record each request with the time at which it was written.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -14,35 +14,36 @@
 
 use query_dispatcher::protocol::frames::{code, kind};
 
-/// A request that crosses the end of an idle connection by no more is sent again by its client.
-const CROSSING: Duration = Duration::from_millis(50);
+/// Maximum time by which a request may precede the dispatcher's end of an otherwise idle connection and still
+/// count as crossing it. Clients send such a request again.
+const CROSSING_WINDOW: Duration = Duration::from_millis(50);
 
-/// An answer as a client got it.
+/// An answer as a client received it.
 #[derive(Clone, Debug)]
 pub struct Answer {
     pub at: Instant,
     pub code: u8,
-    /// The rows of a served request, or the message of another.
+    /// Rows of a served request, or the error message of any other.
     pub body: String,
 }
 
-/// What a client knows of one request.
+/// Record of one request on the client's side.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub id: String,
     pub class: &'static str,
-    /// The dispatcher that it was handed to, and which of that dispatcher's processes.
+    /// Rank of the dispatcher that it was sent to, and the number of that dispatcher's process.
     pub dispatcher: usize,
     pub process: usize,
-    /// When its last byte was written.
+    /// Time at which it was written.
     pub sent_at: Instant,
     pub limit: Duration,
-    /// When its client cancelled it or closed its connection.
+    /// Time at which the client cancelled it or closed the connection.
     pub gone_at: Option<Instant>,
     pub answers: Vec<Answer>,
-    /// When the dispatcher ended the connection, if that came before the answer.
+    /// Time at which the dispatcher ended the connection, if that came before the answer.
     pub connection_ended_at: Option<Instant>,
-    /// It crossed the end of a connection on which nothing older was open.
+    /// Whether it crossed the end of a connection on which no older request was open.
     pub crossed_idle_end: bool,
 }
 
@@ -52,7 +53,7 @@
     }
 }
 
-/// All requests of a test.
+/// Log of all requests of a test.
 #[derive(Clone, Default)]
 pub struct RequestLog(Rc<RefCell<Vec<Request>>>);
 
@@ -75,7 +76,7 @@
     }
 }
 
-/// Where a connection leads.
+/// Dispatcher process that a connection leads to.
 #[derive(Clone, Copy, Debug)]
 pub struct Target {
     pub address: SocketAddr,
@@ -83,7 +84,7 @@
     pub process: usize,
 }
 
-/// One connection of a client.
+/// A connection of a client.
 pub struct Connection {
     target: Target,
     write: Mutex<OwnedWriteHalf>,
@@ -120,13 +121,13 @@
         }))
     }
 
-    /// The dispatcher has closed or reset it.
+    /// Returns whether the dispatcher has closed or reset the connection.
     pub fn has_ended(&self) -> bool {
         self.state.ended.get()
     }
 
-    /// The dispatcher wants no new request on it.
-    pub fn is_unwanted(&self) -> bool {
+    /// Returns whether the dispatcher has sent GOODBYE and accepts no new request on the connection.
+    pub fn has_received_goodbye(&self) -> bool {
         self.state.goodbye.get()
     }
 
@@ -134,20 +135,20 @@
         self.open.borrow().len()
     }
 
-    /// Sends a request; gives its stream.
+    /// Sends a request and returns its stream number.
     pub async fn send(&self, id: &str, class: &'static str, limit: Duration) -> io::Result<u32> {
         let stream = self.next_stream.get();
         self.next_stream.set(stream + 1);
         let limit_text = limit.as_millis().to_string();
         let fields = [("verb", class), ("txn", id), ("limit", &limit_text)];
-        let frame = encode(
+        let frame = encode_with_fields(
             kind::REQUEST,
             stream,
             &fields,
             b"select 1 from sales_17.orders",
         );
         let mut write = self.write.lock().await;
-        // Recorded before the write: its answer may be read before the writer's task runs again.
+        // Recorded before the write, because the answer may be read before this task runs again.
         let position = self.log.add(Request {
             id: id.to_string(),
             class,
@@ -162,7 +163,7 @@
         });
         self.open.borrow_mut().insert(stream, position);
         if let Err(error) = write.write_all(&frame).await {
-            // Not whole, so it was never handed in.
+            // The frame was not written whole, so the request was never sent.
             self.open.borrow_mut().remove(&stream);
             self.log
                 .update(position, |request| request.gone_at = Some(request.sent_at));
@@ -171,7 +172,7 @@
         if self.state.ended.get() {
             self.log.update(position, |request| {
                 let ended_at = *request.connection_ended_at.get_or_insert_with(Instant::now);
-                request.crossed_idle_end |= request.sent_at + CROSSING >= ended_at;
+                request.crossed_idle_end |= request.sent_at + CROSSING_WINDOW >= ended_at;
             });
         }
         Ok(stream)
@@ -190,7 +191,7 @@
         Ok(())
     }
 
-    /// Closes the connection, whatever is open on it.
+    /// Closes the connection, even if requests are open on it.
     pub async fn close(&self) {
         self.reader.abort();
         let _ = self.write.lock().await.shutdown().await;
@@ -200,20 +201,20 @@
         }
     }
 
-    /// Sends these bytes as they are.
+    /// Sends raw bytes.
     pub async fn send_raw(&self, bytes: &[u8]) -> io::Result<()> {
         self.write.lock().await.write_all(bytes).await
     }
 
-    /// Asks whether the dispatcher is ready, on a connection of its own.
-    pub async fn ask_ready(address: SocketAddr) -> io::Result<bool> {
+    /// Requests the dispatcher's readiness on a separate connection.
+    pub async fn request_readiness(address: SocketAddr) -> io::Result<bool> {
         let mut tcp = TcpStream::connect(address).await?;
         tcp.write_all(&encode_frame(kind::ASK, 1, &[0])).await?;
         let (kind, _, payload) = read_frame(&mut tcp).await?;
         Ok(kind == kind::STATE && payload.first() == Some(&code::SERVED))
     }
 
-    /// Waits until nothing is open on it, or it has ended.
+    /// Waits until no request is open or the connection has ended, at most for `timeout`.
     pub async fn until_idle(&self, timeout: Duration) {
         let wait = async {
             while !self.open.borrow().is_empty() && !self.has_ended() {
@@ -254,7 +255,7 @@
         .drain()
         .map(|(_, position)| position)
         .collect();
-    let is_crossing = |position: &usize| log.sent_at(*position) + CROSSING >= ended_at;
+    let is_crossing = |position: &usize| log.sent_at(*position) + CROSSING_WINDOW >= ended_at;
     let all_cross = open.iter().all(is_crossing);
     for position in open {
         log.update(position, |request| {
@@ -273,13 +274,13 @@
     Ok((frame[0], stream, frame.split_off(5)))
 }
 
-/// One frame: length, kind, stream and payload.
+/// Encodes a frame: length, kind, stream and payload.
 pub fn encode_frame(kind: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
     let length = (payload.len() as u32 + 5).to_be_bytes();
     [&length[..], &[kind], &stream.to_be_bytes(), payload].concat()
 }
 
-fn encode(kind: u8, stream: u32, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+fn encode_with_fields(kind: u8, stream: u32, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut payload = vec![fields.len() as u8];
     for (name, value) in fields {
         payload.push(name.len() as u8);
@@ -291,7 +292,7 @@
     encode_frame(kind, stream, &payload)
 }
 
-/// Code and body of an answer; a malformed one has the code 255.
+/// Decodes the code and the body of an answer; a malformed answer has the code 255.
 fn decode_answer(payload: &[u8]) -> Answer {
     let malformed = || Answer {
         at: Instant::now(),
--- a/crates/testbed/src/platform/dispatcher.rs
+++ b/crates/testbed/src/platform/dispatcher.rs
@@ -1,5 +1,5 @@
-//! The dispatcher on the platform's frontend as a child process, optionally under a preloaded shim that steps its wall
-//! clock or lets system calls fail.
+//! The dispatcher with the platform's frontend as a child process, optionally with a preloaded library (shim)
+//! that steps its wall clock or lets system calls fail.
 
 use crate::platform::clients::Connection;
 use crate::program::{Folder, ProgramError};
@@ -14,19 +14,19 @@
 use tokio::process::{Child, Command};
 use tokio::task::spawn_local;
 
-/// How long a start and a call may take.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Maximum time for a start and for an HTTP call.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The source of the shim.
+/// Source of the shim.
 const SHIM_SOURCE: &str = include_str!("shim.c");
 
-/// A library that is preloaded into dispatchers: it adds an offset to their wall clock and fails some system calls.
+/// Library, preloaded into dispatchers, that adds an offset to their wall clock and fails some system calls.
 pub struct Shim {
     library: PathBuf,
 }
 
 impl Shim {
-    /// Compiles it with the machine's C compiler, which linking Rust programs needs as well.
+    /// Compiles the library with the machine's C compiler, which linking Rust programs needs as well.
     pub fn build(folder: &Folder) -> Result<Self, ProgramError> {
         let source = folder.path().join("shim.c");
         let library = folder.path().join("libshim.so");
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The environment of a process under the shim, which reads its faults from this file.
+    /// Writes the initial faults to a file and returns the environment of a process that loads the shim.
     pub fn environment(
         &self,
         faults: &Path,
@@ -55,17 +55,17 @@
     }
 }
 
-/// What a shim does to one process. Written to a file that the process maps.
+/// Faults that a shim injects into one process, which maps the file that they are written to.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// Added to the wall clock, in milliseconds.
+    /// Offset that is added to the wall clock, in milliseconds.
     pub clock_offset_ms: i64,
-    /// Of a million system calls so many fail or are short.
+    /// Number of failing or short system calls per million.
     pub call_failures_per_million: u32,
 }
 
 impl Faults {
-    /// Steps of a wall clock, in milliseconds.
+    /// Wall-clock offsets that soaks draw from, in milliseconds.
     pub const CLOCK_STEPS_MS: [i64; 5] = [-3_600_000, -5000, 0, 5000, 3_600_000];
 
     fn bytes(self) -> [u8; 16] {
@@ -75,17 +75,17 @@
         bytes
     }
 
-    /// Changes what the shim of the process that reads this file does.
+    /// Overwrites the faults of the process that maps this file.
     pub fn write(self, file: &Path) -> std::io::Result<()> {
         use std::io::{Seek, Write};
-        // In place: the process maps this file.
+        // Written in place, because the process maps this file.
         let mut file = std::fs::OpenOptions::new().write(true).open(file)?;
         file.rewind()?;
         file.write_all(&self.bytes())
     }
 }
 
-/// A process of the dispatcher. It is killed when the handle is dropped.
+/// A process of the dispatcher, which is killed when the handle is dropped.
 pub struct Dispatcher {
     child: Child,
     pub address: SocketAddr,
@@ -128,24 +128,25 @@
                 }
             });
         }
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
+        let unknown = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut dispatcher = Dispatcher {
             child,
-            address: nowhere,
-            admin: nowhere,
+            address: unknown,
+            admin: unknown,
             file,
             faults,
             log,
         };
         dispatcher.admin = dispatcher.logged_address("operators call at ").await?;
         dispatcher.address = dispatcher.logged_address(" listens on ").await?;
-        dispatcher.until_ready().await?;
+        dispatcher.wait_until_ready().await?;
         Ok(dispatcher)
     }
 
+    /// Waits for a log line with this text and returns the address after it.
     async fn logged_address(&self, after: &str) -> Result<SocketAddr, ProgramError> {
-        let until = Instant::now() + PATIENCE;
-        while Instant::now() < until {
+        let deadline = Instant::now() + TIMEOUT;
+        while Instant::now() < deadline {
             let address = self.log().iter().find_map(|(_, line)| {
                 let (_, address) = line.split_once(after)?;
                 address.trim().parse().ok()
@@ -161,72 +162,75 @@
         })
     }
 
-    async fn until_ready(&self) -> Result<(), ProgramError> {
-        let until = Instant::now() + PATIENCE;
-        while Instant::now() < until {
-            if Connection::ask_ready(self.address).await.unwrap_or(false) {
+    async fn wait_until_ready(&self) -> Result<(), ProgramError> {
+        let deadline = Instant::now() + TIMEOUT;
+        while Instant::now() < deadline {
+            if Connection::request_readiness(self.address)
+                .await
+                .unwrap_or(false)
+            {
                 return Ok(());
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        Err(ProgramError::Unanswered("is it ready".into()))
+        Err(ProgramError::Unanswered("readiness request".into()))
     }
 
-    /// What it has logged, and when.
+    /// Returns the lines that the process has logged, with their times of arrival.
     pub fn log(&self) -> Vec<(Instant, String)> {
         self.log.borrow().clone()
     }
 
-    /// Changes what its shim does.
+    /// Changes the faults that the shim injects.
     pub fn set_faults(&self, faults: Faults) -> Result<(), ProgramError> {
         Ok(faults.write(&self.faults)?)
     }
 
-    /// Its process's id, while it lives.
+    /// Returns the process id, or `None` once the process has been reaped.
     pub fn id(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// Sends a signal by its name: `TERM`, `HUP`, `KILL`, `STOP`, `CONT`.
+    /// Sends the signal of this name: `TERM`, `HUP`, `KILL`, `STOP`, `CONT`.
     pub async fn signal(&self, name: &str) {
         send_signal(self.id(), name).await;
     }
 
-    /// Another configuration is in its file, and it is told.
+    /// Writes another configuration to the file and sends SIGHUP.
     pub async fn configure(&self, config: &str) -> Result<(), ProgramError> {
         std::fs::write(&self.file, config)?;
         self.signal("HUP").await;
         Ok(())
     }
 
-    /// Waits until it ends by itself, at most this long; gives its exit status.
+    /// Waits for the process to exit by itself, at most this long, and returns its exit status.
     pub async fn wait(&mut self, limit: Duration) -> Option<std::process::ExitStatus> {
-        let ended = tokio::time::timeout(limit, self.child.wait()).await;
-        ended.ok()?.ok()
+        let status = tokio::time::timeout(limit, self.child.wait()).await;
+        status.ok()?.ok()
     }
 
-    /// Ends it at once.
+    /// Kills the process and waits for its end.
     pub async fn kill(&mut self) {
         let _ = self.child.kill().await;
     }
 
-    /// A page at its operators' address.
+    /// Fetches a page from the operators' address: the whole HTTP response as text.
     pub async fn page(&self, path: &str) -> Result<String, ProgramError> {
-        let call = async {
+        let request_page = async {
             let mut tcp = TcpStream::connect(self.admin).await?;
             let request =
                 format!("GET {path} HTTP/1.1\r\nHost: local\r\nConnection: close\r\n\r\n");
             tcp.write_all(request.as_bytes()).await?;
-            let mut answer = String::new();
-            tcp.read_to_string(&mut answer).await?;
-            Ok(answer)
+            let mut response = String::new();
+            tcp.read_to_string(&mut response).await?;
+            Ok(response)
         };
-        tokio::time::timeout(PATIENCE, call)
+        tokio::time::timeout(TIMEOUT, request_page)
             .await
             .map_err(|_| ProgramError::Unanswered(path.into()))?
     }
 
-    /// A figure of `/_vars`; 0 if it is not there.
+    /// Returns a metric of `/_vars`; 0 if the page does not have it.
     pub async fn metric(&self, name: &str) -> Result<u64, ProgramError> {
         let page = self.page("/_vars").await?;
         let value = page
@@ -235,18 +239,18 @@
         Ok(value.and_then(|value| value.parse().ok()).unwrap_or(0))
     }
 
-    /// Seconds of processor time that it has taken so far.
+    /// Returns the processor time that the process has used so far, in seconds.
     pub fn processor_seconds(&self) -> f64 {
         let id = self.child.id().unwrap_or(0);
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
         let fields: Vec<&str> = stat.rsplit(") ").next().unwrap_or("").split(' ').collect();
-        let ticks = |at: usize| fields.get(at).and_then(|text| text.parse::<f64>().ok());
-        // The kernel's clock ticks a hundred times a second wherever this runs.
+        let ticks = |index: usize| fields.get(index).and_then(|text| text.parse::<f64>().ok());
+        // `utime` and `stime` count clock ticks: 100 per second on every machine that this runs on.
         (ticks(11).unwrap_or(0.0) + ticks(12).unwrap_or(0.0)) / 100.0
     }
 }
 
-/// Sends a signal by its name to a process that the caller has started, if it still has an id.
+/// Sends the signal of this name to a process that the caller has started; does nothing without an id.
 pub async fn send_signal(id: Option<u32>, name: &str) {
     let Some(id) = id else {
         return;
--- a/crates/testbed/src/platform/shim.c
+++ b/crates/testbed/src/platform/shim.c
@@ -1,6 +1,6 @@
-/* A library that tests preload into the dispatcher: it adds an offset to the wall clock, and lets a part of the system
- * calls fail in ways that Linux documents. Both are read from a file that the test writes while the process runs:
- * 8 bytes of offset in nanoseconds, 4 bytes of failures per million calls. */
+/* Library that tests preload into the dispatcher. It adds an offset to the wall clock and lets some system
+ * calls fail in ways that Linux documents. The process maps a file to which the test writes both settings:
+ * the offset in nanoseconds (8 bytes) and the number of failures per million calls (4 bytes). */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -20,8 +20,8 @@
     uint32_t reserved;
 };
 
-static const struct faults none;
-static volatile const struct faults *faults = &none;
+static const struct faults no_faults;
+static volatile const struct faults *faults = &no_faults;
 static _Thread_local uint64_t random_state = 0x9E3779B97F4A7C15ull;
 
 __attribute__((constructor)) static void map_faults(void) {
@@ -38,20 +38,20 @@
     random_state ^= (uint64_t)getpid() << 20;
 }
 
-static uint32_t draw(void) {
+static uint32_t next_random(void) {
     random_state ^= random_state << 13;
     random_state ^= random_state >> 7;
     random_state ^= random_state << 17;
     return (uint32_t)(random_state >> 32);
 }
 
-static int fails(void) {
+static int should_fail(void) {
     uint32_t rate = faults->failures_per_million;
-    return rate != 0 && draw() % 1000000 < rate;
+    return rate != 0 && next_random() % 1000000 < rate;
 }
 
 static int fail_with(const int *codes, int count) {
-    errno = codes[draw() % count];
+    errno = codes[next_random() % count];
     return -1;
 }
 
@@ -77,7 +77,7 @@
     if (!real) {
         real = REAL(accept4);
     }
-    return fails() ? fail_with(codes, 5) : real(socket, address, length, flags);
+    return should_fail() ? fail_with(codes, 5) : real(socket, address, length, flags);
 }
 
 int socket(int domain, int type, int protocol) {
@@ -86,7 +86,7 @@
     if (!real) {
         real = REAL(socket);
     }
-    return fails() ? fail_with(codes, 3) : real(domain, type, protocol);
+    return should_fail() ? fail_with(codes, 3) : real(domain, type, protocol);
 }
 
 int connect(int socket, const struct sockaddr *address, socklen_t length) {
@@ -95,7 +95,7 @@
     if (!real) {
         real = REAL(connect);
     }
-    return fails() ? fail_with(codes, 4) : real(socket, address, length);
+    return should_fail() ? fail_with(codes, 4) : real(socket, address, length);
 }
 
 ssize_t recv(int socket, void *buffer, size_t length, int flags) {
@@ -103,8 +103,8 @@
     if (!real) {
         real = REAL(recv);
     }
-    if (fails()) {
-        if (draw() % 2) {
+    if (should_fail()) {
+        if (next_random() % 2) {
             errno = EINTR;
             return -1;
         }
@@ -118,8 +118,8 @@
     if (!real) {
         real = REAL(send);
     }
-    if (fails()) {
-        if (draw() % 2) {
+    if (should_fail()) {
+        if (next_random() % 2) {
             errno = EINTR;
             return -1;
         }
@@ -133,7 +133,7 @@
     if (!real) {
         real = REAL(writev);
     }
-    if (fails()) {
+    if (should_fail()) {
         errno = EINTR;
         return -1;
     }
