--- a/crates/testbed/src/platform/engines.rs
+++ b/crates/testbed/src/platform/engines.rs
@@ -1,5 +1,5 @@
-//! Engines on the platform's RESP protocol: each listens at an address of its own, runs what it is sent for a while and
-//! records when each request reached it.
+//! Fake engines of the platform's RESP protocol: each listens at its own address, simulates the execution of
+//! requests and records when each request arrived.
 
 use bytes::Bytes;
 use query_dispatcher::protocol::resp::RespCodec;
@@ -17,35 +17,35 @@
 use tokio::task::{AbortHandle, JoinSet, spawn_local};
 use tokio_util::codec::Decoder;
 
-/// A request as it reached an engine.
+/// Record of a request that reached an engine.
 #[derive(Clone, Debug)]
 pub struct Execution {
     pub request: String,
     pub engine: usize,
     pub at: Instant,
-    /// How long the dispatcher says that it waits.
+    /// Time limit that the dispatcher sent with the request.
     pub time_limit: Duration,
-    /// The engine rejected it: it never ran.
+    /// Whether the engine rejected it, so that it never ran.
     pub rejected: bool,
-    /// The engine gave its answer.
+    /// Whether the engine sent its answer.
     pub answered: bool,
 }
 
-/// What an engine does with requests.
+/// How an engine treats requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
     Serving,
-    /// It takes requests and never answers them.
+    /// Accepts requests and never answers them.
     Hanging,
-    /// Every request fails.
+    /// Answers every request with an error.
     Failing,
-    /// Answers break off, and their connection with them.
+    /// Sends the first half of an answer and no more.
     Truncating,
-    /// It is full.
+    /// Rejects every request as if all slots were in use.
     Full,
 }
 
-/// All engines of a test, and what reached them.
+/// All engines of a test, and the requests that reached them.
 #[derive(Default)]
 pub struct Fleet {
     pub engines: Vec<Rc<Engine>>,
@@ -57,9 +57,9 @@
     pub number: usize,
     pub address: SocketAddr,
     pub behaviour: Cell<Behaviour>,
-    /// How long it works on one request.
+    /// Simulated execution time of a request.
     pub work: Cell<Duration>,
-    /// Requests that it runs at a time; more are rejected.
+    /// Maximum number of requests that run at once; more are rejected.
     pub slots: Cell<usize>,
     running: Cell<usize>,
     executions: Rc<RefCell<Vec<Execution>>>,
@@ -68,7 +68,7 @@
 }
 
 impl Fleet {
-    /// So many engines that work this long on a request.
+    /// Starts `count` engines, whose requests take `work`.
     pub async fn start(count: usize, work: Duration, slots: usize) -> io::Result<Self> {
         let mut fleet = Fleet::default();
         for _ in 0..count {
@@ -96,7 +96,7 @@
         Ok(engine)
     }
 
-    /// Everything that reached an engine so far.
+    /// Returns the requests that have reached the engines so far.
     pub fn executions(&self) -> Vec<Execution> {
         self.executions.borrow().clone()
     }
@@ -120,7 +120,7 @@
         *self.listener.borrow_mut() = Some(task.abort_handle());
     }
 
-    /// Its process ends: connections are reset, new ones refused.
+    /// Simulates the end of the process: resets connections and refuses new ones.
     pub fn crash(&self) {
         if let Some(listener) = self.listener.take() {
             listener.abort();
@@ -128,14 +128,14 @@
         self.reset_connections();
     }
 
-    /// Every connection to it is reset.
+    /// Resets every connection to the engine.
     pub fn reset_connections(&self) {
         for connection in self.connections.borrow_mut().drain(..) {
             connection.abort();
         }
     }
 
-    /// A new process takes its address.
+    /// Simulates a new process at the same address.
     pub async fn restart(self: &Rc<Self>) -> io::Result<()> {
         self.crash();
         self.running.set(0);
@@ -153,7 +153,7 @@
     }
 
     async fn serve(self: Rc<Self>, tcp: TcpStream) {
-        // Whatever ends this task resets the connection.
+        // With a linger time of zero the connection is reset however this task ends.
         let _ = SockRef::from(&tcp).set_linger(Some(Duration::ZERO));
         let _ = tcp.set_nodelay(true);
         let (mut read, write) = tcp.into_split();
@@ -163,12 +163,12 @@
         let mut codec = RespCodec;
         while let Ok(1..) = read.read_buf(&mut buffer).await {
             while let Ok(Some(command)) = codec.decode(&mut buffer) {
-                self.obey(&command, &write, &mut running);
+                self.handle_command(&command, &write, &mut running);
             }
         }
     }
 
-    fn obey(
+    fn handle_command(
         self: &Rc<Self>,
         command: &[Bytes],
         write: &Rc<Mutex<OwnedWriteHalf>>,
@@ -189,7 +189,7 @@
                 let (engine, write) = (self.clone(), write.clone());
                 let (id, index) = (text(1), text(2));
                 running.tasks.spawn_local(async move {
-                    let page = engine.page(&id);
+                    let page = engine.result_page(&id);
                     reply(&write, [&id, "BLOCK", &format!("index={index}"), &page]).await;
                 });
             }
@@ -197,6 +197,7 @@
         }
     }
 
+    /// Records the arrival of a request and returns the position of its record.
     fn record(&self, id: &str, fields: &str) -> usize {
         let limit = fields
             .split(',')
@@ -214,8 +215,8 @@
         executions.len() - 1
     }
 
-    /// A row that names the request and its engine.
-    fn page(&self, id: &str) -> String {
+    /// Returns a result page of one row, which names the request and its engine.
+    fn result_page(&self, id: &str) -> String {
         format!("{id}\te{}\t1\n", self.number)
     }
 
@@ -228,20 +229,20 @@
             self.executions.borrow_mut()[position].rejected = true;
             return reply(&write, [&id, "AGAIN", &load, ""]).await;
         }
-        let _running = Running::begin(&self);
+        let _guard = RunningGuard::begin(&self);
         tokio::time::sleep(self.work.get()).await;
         let pages = 1 + position % 2;
         let fields = format!("total={pages},{load}");
-        let page = self.page(&id);
+        let page = self.result_page(&id);
         match self.behaviour.get() {
             Behaviour::Hanging => std::future::pending().await,
             Behaviour::Failing => reply(&write, [&id, "EIO", "-", ""]).await,
             Behaviour::Truncating => {
-                let whole = encode([&id, "ACK", &fields, &page]);
+                let reply = encode([&id, "ACK", &fields, &page]);
                 let _ = write
                     .lock()
                     .await
-                    .write_all(&whole[..whole.len() / 2])
+                    .write_all(&reply[..reply.len() / 2])
                     .await;
                 std::future::pending().await
             }
@@ -253,7 +254,7 @@
     }
 }
 
-/// The requests of one connection: they end with it.
+/// Running requests of one connection, which are aborted when it ends.
 #[derive(Default)]
 struct RunningRequests {
     tasks: JoinSet<()>,
@@ -275,17 +276,17 @@
     }
 }
 
-/// Counts a request while it runs.
-struct Running(Rc<Engine>);
+/// Counts a request as running until it is dropped.
+struct RunningGuard(Rc<Engine>);
 
-impl Running {
+impl RunningGuard {
     fn begin(engine: &Rc<Engine>) -> Self {
         engine.running.set(engine.running.get() + 1);
-        Running(engine.clone())
+        RunningGuard(engine.clone())
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.0.running.set(self.0.running.get().saturating_sub(1));
     }
