--- a/crates/testbed/src/platform/settings.rs
+++ b/crates/testbed/src/platform/settings.rs
@@ -1,16 +1,16 @@
-//! The configuration of a dispatcher on the platform, as its JSON file.
+//! Configuration of a dispatcher on the platform, in the form of its JSON file.
 
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// What running a request of a class twice would do.
+/// Effect of running a request of a class twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing: it may be repeated freely.
+    /// None: the request is idempotent and may be repeated at any time.
     Retryable,
-    /// Nothing, while engines remember its id: within the window.
+    /// None within the deduplication window, in which engines recognize the request id.
     Deduplicated,
-    /// It must not run twice.
+    /// The request must not run twice.
     Fragile,
 }
 
@@ -19,33 +19,36 @@
 pub struct Class {
     pub name: &'static str,
     pub effect: Effect,
-    /// The latency objective, in milliseconds.
+    /// Latency objective, in milliseconds.
     pub objective: f64,
-    /// The longest deadline, in milliseconds.
+    /// Maximum deadline, in milliseconds.
     pub deadline: f64,
+    /// Priority weight.
     pub weight: f64,
 }
 
-/// Within this an engine recognizes a repeated request, in milliseconds.
+/// Time in which an engine recognizes a repeated request, in milliseconds.
 pub const DEDUPLICATION_WINDOW: f64 = 1500.0;
-/// Nothing new reaches an engine later than this after the notice that it drains, in milliseconds.
+/// Maximum time from the notice of a drain to the last new request that reaches the engine, in milliseconds.
 pub const DRAIN_GRACE: f64 = 1000.0;
 
-/// The settings of a fleet.
+/// Settings of a fleet.
 #[derive(Clone, Debug)]
 pub struct Settings {
     pub classes: Vec<Class>,
-    /// Dispatchers that share the engines.
+    /// Number of dispatchers that share the engines.
     pub dispatchers: usize,
+    /// Number of cores of an engine.
     pub cores: f64,
-    /// Part of its capacity that an engine has when it starts.
+    /// Share of its capacity that an engine has when it starts.
     pub initial_capacity: f64,
-    /// An engine is warm after this, in milliseconds.
+    /// Time after which a started engine is warm, in milliseconds.
     pub warm_up_period: f64,
+    /// Multiple of an engine's capacity above which it is overloaded.
     pub overload_multiple: f64,
-    /// In milliseconds.
+    /// Window in which an engine's load is compared with its capacity, in milliseconds.
     pub overload_window: f64,
-    /// Where each dispatcher hears its peers, by rank; empty: nowhere.
+    /// Addresses at which dispatchers receive gossip from their peers, by rank; empty without gossip.
     pub peers: Vec<SocketAddr>,
 }
 
@@ -66,7 +69,7 @@
 
 impl Settings {
     fn json(&self, rank: usize) -> Value {
-        let grades: Vec<Value> = self.classes.iter().map(grade).collect();
+        let grades: Vec<Value> = self.classes.iter().map(class_json).collect();
         let waits = vec![false; self.classes.len()];
         json!({
             "ceilings": {
@@ -92,7 +95,7 @@
         })
     }
 
-    /// The file of the dispatcher of this rank. `known` are the engines' entries at its start.
+    /// Returns the file of the dispatcher of this rank. `known` holds the journal's entries at its start.
     pub fn file(
         &self,
         rank: usize,
@@ -116,14 +119,14 @@
     }
 
     fn peer_listen(&self, rank: usize) -> SocketAddr {
-        let unlisted = SocketAddr::from(([127, 0, 0, 1], 0));
-        self.peers.get(rank).copied().unwrap_or(unlisted)
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        self.peers.get(rank).copied().unwrap_or(any_port)
     }
 
-    /// Addresses on loopback that are free now, for the peers.
+    /// Returns free UDP addresses on loopback for the gossip of `count` dispatchers.
     ///
     /// # Errors
-    /// The machine has none.
+    /// Returns an error if a socket cannot be bound.
     pub fn free_peer_addresses(count: usize) -> std::io::Result<Vec<SocketAddr>> {
         let bind = |_| std::net::UdpSocket::bind("127.0.0.1:0");
         let sockets: Vec<_> = (0..count).map(bind).collect::<Result<_, _>>()?;
@@ -133,13 +136,13 @@
             .collect()
     }
 
-    /// The class of this name.
+    /// Returns the class of this name.
     pub fn class(&self, name: &str) -> Option<&Class> {
         self.classes.iter().find(|class| class.name == name)
     }
 }
 
-fn grade(class: &Class) -> Value {
+fn class_json(class: &Class) -> Value {
     let effect = match class.effect {
         Effect::Retryable => "retryable",
         Effect::Deduplicated => "dedup",
