--- a/crates/testbed/src/platform/verdict.rs
+++ b/crates/testbed/src/platform/verdict.rs
@@ -1,4 +1,4 @@
-//! Judges what clients, engines and the test itself recorded by the rules of the protocol.
+//! Checks the records of clients, engines and the test itself against the rules of the protocol.
 
 use crate::platform::clients::Request;
 use crate::platform::engines::Execution;
@@ -7,64 +7,67 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// An answer later than this after its deadline is lost.
-const LATE_ANSWER: Duration = Duration::from_millis(500);
-/// An attempt that begins later than this after its request's end is forwarded after the end.
-const AFTER_END: Duration = Duration::from_millis(100);
-/// An engine may be told this much more time than its client has left.
+/// Maximum time from a request's deadline to its answer; a later answer counts as missing.
+const MAX_ANSWER_DELAY: Duration = Duration::from_millis(500);
+/// Maximum time from a request's end to the arrival of its last attempt at an engine.
+const MAX_START_AFTER_END: Duration = Duration::from_millis(100);
+/// Maximum by which the time limit sent to an engine may exceed the time that the client has left.
 const TIME_LIMIT_SLACK: Duration = Duration::from_millis(150);
-/// Every limit on sockets is this much longer.
+/// Time added to the protocol's limits, for delays of real sockets.
 const SOCKET_SLACK: Duration = Duration::from_millis(50);
 
-/// A broken rule.
+/// Violation of a rule; each holds a description of the request or engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// It got no answer, or one later than half a second after its deadline.
+    /// A request got no answer, or one later than half a second after its deadline.
     Unanswered(String),
-    /// It got more than one answer, or one that cannot be read.
+    /// A request got more than one answer, or a malformed one.
     AnsweredTwice(String),
-    /// It was answered as served with rows that no engine made for it.
+    /// A request was answered as served with rows that no engine returned for it.
     WrongResult(String),
-    /// An attempt began after its client had gone, or after its final answer.
+    /// An attempt began after the client had gone, or after the request was answered.
     StartedAfterEnd(String),
-    /// It ran twice where that has an effect, or was refused though it may have run.
+    /// A request ran twice where that has an effect, or was refused although it may have run.
     Repeated(String),
-    /// An attempt began at an engine past the grace after the notice that it drains or is gone.
+    /// An attempt reached a draining or gone engine after the grace period that follows the notice.
     SentToDraining(String),
-    /// An engine was told more time than the client had left.
+    /// The time limit sent to an engine exceeds the time that the client had left.
     TimeLimitTooLong(String),
-    /// A warming engine got more than it bears.
+    /// An engine that is warming up got more requests than it sustains.
     SlowStartOverload(String),
 }
 
-/// An engine that clients of discovery know to drain, or be gone, from a moment on until it starts again.
+/// Period in which the dispatchers know that an engine is draining or gone, until it starts again.
 #[derive(Clone, Copy, Debug)]
 pub struct DrainNotice {
     pub engine: usize,
+    /// Time at which the dispatchers count as notified.
     pub told_at: Instant,
+    /// Time of the engine's next start.
     pub until: Option<Instant>,
 }
 
-/// The end of a dispatcher's process.
+/// End of a dispatcher's process.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessEnd {
     pub dispatcher: usize,
     pub process: usize,
-    /// It was killed without notice: its clients' requests are theirs again.
+    /// Time at which it was killed without SIGTERM. Its open requests need no answer.
     pub killed_at: Option<Instant>,
 }
 
-/// The start of an engine that everybody was told of.
+/// Start of an engine of which every dispatcher was notified.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
     pub engine: usize,
     pub started_at: Instant,
+    /// End of the slow-start window.
     pub until: Instant,
-    /// Mean work of a request, in milliseconds on one core.
+    /// Mean execution time of a request, in milliseconds on one core.
     pub work_ms: f64,
 }
 
-/// Everything that a test recorded.
+/// All records of a test.
 #[derive(Default)]
 pub struct Records {
     pub requests: Vec<Request>,
@@ -74,7 +77,7 @@
     pub slow_starts: Vec<SlowStart>,
 }
 
-/// All violations. Times in them count from `epoch`.
+/// Returns all violations. Times in their descriptions are relative to `epoch`.
 pub fn judge(records: &Records, settings: &Settings, epoch: Instant) -> Vec<Violation> {
     let mut executions: HashMap<&str, Vec<&Execution>> = HashMap::new();
     for execution in &records.executions {
@@ -88,19 +91,19 @@
         let none = vec![];
         let attempts = executions.get(request.id.as_str()).unwrap_or(&none);
         let mut found = vec![];
-        judge_answers(records, request, attempts, &mut found);
-        judge_attempts(request, attempts, settings, &mut found);
+        check_answers(records, request, attempts, &mut found);
+        check_attempts(request, attempts, settings, &mut found);
         if !found.is_empty() {
             let text = describe(request, attempts, epoch);
             violations.extend(found.into_iter().map(|violation| violation(text.clone())));
         }
     }
-    judge_drains(records, &mut violations);
-    judge_slow_starts(records, settings, &mut violations);
+    check_drains(records, &mut violations);
+    check_slow_starts(records, settings, &mut violations);
     violations
 }
 
-fn judge_answers(
+fn check_answers(
     records: &Records,
     request: &Request,
     attempts: &[&Execution],
@@ -110,12 +113,13 @@
         found.push(Violation::AnsweredTwice);
     }
     let Some(answer) = request.answers.first() else {
-        if request.gone_at.is_none() && !is_excused(records, request, attempts) {
+        if request.gone_at.is_none() && !needs_no_answer(records, request, attempts) {
             found.push(Violation::Unanswered);
         }
         return;
     };
-    if request.gone_at.is_none() && answer.at > request.deadline() + LATE_ANSWER + SOCKET_SLACK {
+    if request.gone_at.is_none() && answer.at > request.deadline() + MAX_ANSWER_DELAY + SOCKET_SLACK
+    {
         found.push(Violation::Unanswered);
     }
     if answer.code == code::SERVED && !is_result_of(request, attempts, &answer.body) {
@@ -123,13 +127,14 @@
     }
 }
 
-/// Its process was killed without notice, or it crossed the end of an idle connection and was never forwarded.
-fn is_excused(records: &Records, request: &Request, attempts: &[&Execution]) -> bool {
-    let killed = records.process_ends.iter().any(|end| {
-        let is_its = (end.dispatcher, end.process) == (request.dispatcher, request.process);
-        is_its && end.killed_at.is_some()
+/// Returns whether a request needs no answer: its process was killed without SIGTERM, or it crossed the end of
+/// an idle connection and was never forwarded.
+fn needs_no_answer(records: &Records, request: &Request, attempts: &[&Execution]) -> bool {
+    let was_killed = records.process_ends.iter().any(|end| {
+        let is_same = (end.dispatcher, end.process) == (request.dispatcher, request.process);
+        is_same && end.killed_at.is_some()
     });
-    killed || request.crossed_idle_end && attempts.is_empty()
+    was_killed || request.crossed_idle_end && attempts.is_empty()
 }
 
 fn is_result_of(request: &Request, attempts: &[&Execution], body: &str) -> bool {
@@ -140,7 +145,7 @@
     })
 }
 
-fn judge_attempts(
+fn check_attempts(
     request: &Request,
     attempts: &[&Execution],
     settings: &Settings,
@@ -149,7 +154,7 @@
     let answered_at = request.answers.first().map(|answer| answer.at);
     let ended_at = [request.gone_at, answered_at].into_iter().flatten().min();
     for attempt in attempts {
-        if ended_at.is_some_and(|end| attempt.at > end + AFTER_END) {
+        if ended_at.is_some_and(|end| attempt.at > end + MAX_START_AFTER_END) {
             found.push(Violation::StartedAfterEnd);
         }
         let left = request.deadline().saturating_duration_since(attempt.at);
@@ -157,13 +162,14 @@
             found.push(Violation::TimeLimitTooLong);
         }
     }
-    if is_repeated(request, attempts, settings) {
+    if breaks_effect_rule(request, attempts, settings) {
         found.push(Violation::Repeated);
     }
 }
 
-/// Attempts that an engine rejected never ran; the fake engines reject at once, so those are not answered.
-fn is_repeated(request: &Request, attempts: &[&Execution], settings: &Settings) -> bool {
+/// Returns whether a request violates the effect of its class. Attempts that an engine rejected never ran: the
+/// fake engines reject a request before they run it.
+fn breaks_effect_rule(request: &Request, attempts: &[&Execution], settings: &Settings) -> bool {
     let Some(class) = settings.class(request.class) else {
         return false;
     };
@@ -184,7 +190,7 @@
     }
 }
 
-fn judge_drains(records: &Records, violations: &mut Vec<Violation>) {
+fn check_drains(records: &Records, violations: &mut Vec<Violation>) {
     let grace = Duration::from_secs_f64(DRAIN_GRACE / 1000.0) + SOCKET_SLACK;
     for notice in &records.drains {
         let is_late = |execution: &&Execution| {
@@ -200,21 +206,22 @@
     }
 }
 
-/// N + 2 x root of N + 2 requests in any window, under 30: N + 3 x root of N + 3.
+/// Returns the maximum number of requests in an overload window that begins at `window_begin`. Where the engine
+/// sustains N of them, it is N + 2 * sqrt(N) + 2, or N + 3 * sqrt(N) + 3 if N is below 30.
 fn slow_start_budget(start: &SlowStart, settings: &Settings, window_begin: Instant) -> f64 {
     let age = window_begin.saturating_duration_since(start.started_at);
     let progress = (age.as_secs_f64() * 1000.0 / settings.warm_up_period).min(1.0);
     let capacity = settings.initial_capacity + (1.0 - settings.initial_capacity) * progress;
     let work = settings.overload_multiple * settings.cores * capacity * settings.overload_window;
-    let count = work / start.work_ms;
-    if count < 30.0 {
-        count + 3.0 * count.sqrt() + 3.0
+    let sustained = work / start.work_ms;
+    if sustained < 30.0 {
+        sustained + 3.0 * sustained.sqrt() + 3.0
     } else {
-        count + 2.0 * count.sqrt() + 2.0
+        sustained + 2.0 * sustained.sqrt() + 2.0
     }
 }
 
-fn judge_slow_starts(records: &Records, settings: &Settings, violations: &mut Vec<Violation>) {
+fn check_slow_starts(records: &Records, settings: &Settings, violations: &mut Vec<Violation>) {
     let window = Duration::from_secs_f64(settings.overload_window / 1000.0);
     for start in &records.slow_starts {
         let is_in = |e: &&Execution| {
