--- a/crates/testbed/src/mysql_soak/mod.rs
+++ b/crates/testbed/src/mysql_soak/mod.rs
@@ -1,5 +1,5 @@
-//! A soak of the MySQL frontend: dispatchers as real processes, engines, a registry and sessions on loopback, and random
-//! faults that overlap. Everything that happens is drawn from a seed; what was recorded is judged by [`verdict`].
+//! Soak test of the MySQL frontend: dispatchers as real processes, engines, a registry and sessions on loopback,
+//! and random overlapping faults. All random draws come from a seed; [`verdict`] checks the records.
 
 pub mod verdict;
 
@@ -25,39 +25,40 @@
 const GATEWAYS: usize = 3;
 const ENGINES: usize = 4;
 const SESSIONS_PER_GATEWAY: usize = 6;
-/// Between two commands of a session, on average.
+/// Mean pause between two commands of a session, in milliseconds.
 const THINK_TIME_MS: f64 = 60.0;
+/// Deadline of reads, in milliseconds.
 const READ_LIMIT_MS: f64 = 800.0;
-/// The longest deadline.
+/// Deadline of writes, in milliseconds; the longest deadline.
 const WRITE_LIMIT_MS: f64 = 1200.0;
-/// SIGKILL comes so long after SIGTERM: the earliest that the operators allow.
-const KILL_AFTER: Duration = Duration::from_millis(1200 + 700);
-/// Longer than any answer may take.
-const PATIENCE: Duration = Duration::from_millis(4000);
+/// Time from SIGTERM to SIGKILL: the shortest that operators use.
+const SIGKILL_DELAY: Duration = Duration::from_millis(1200 + 700);
+/// Time for which a client waits for an answer; longer than any answer may take.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(4000);
 
-/// What a run came to.
+/// Result of a run.
 #[derive(Debug, Default)]
 pub struct Outcome {
     pub commands: usize,
     pub attempts: usize,
     pub served: usize,
     pub processes: usize,
-    /// Injected faults, by name.
+    /// Number of injected faults by name.
     pub faults: BTreeMap<&'static str, usize>,
     pub violations: Vec<Violation>,
-    /// Log lines of broken invariants.
-    pub counted: Vec<String>,
-    /// Processes that ended by themselves, or did not start.
+    /// Log lines about broken invariants.
+    pub logged_violations: Vec<String>,
+    /// Processes that exited by themselves, or did not start.
     pub crashes: Vec<String>,
 }
 
 impl Outcome {
-    /// Nothing broke.
+    /// Returns whether the run has no violations and no crashes.
     pub fn is_clean(&self) -> bool {
-        self.violations.is_empty() && self.counted.is_empty() && self.crashes.is_empty()
+        self.violations.is_empty() && self.logged_violations.is_empty() && self.crashes.is_empty()
     }
 
-    /// A line, and one for each of the first violations.
+    /// Formats the result as one line, and a line for each of the first six violations.
     pub fn summary(&self) -> String {
         let violations = self.violations.iter().take(6);
         let violations: String = violations.map(|v| format!("\n    {v:?}")).collect();
@@ -69,24 +70,24 @@
             self.served,
             self.processes,
             self.faults,
-            self.counted,
+            self.logged_violations,
             self.crashes,
             self.violations.len()
         )
     }
 }
 
-/// One dispatcher: its present process, and how many it has had.
+/// One dispatcher: its current process, and the number of processes before it.
 struct Gateway {
     number: usize,
     address: Cell<SocketAddr>,
     process: Cell<usize>,
     program: RefCell<Option<Program>>,
-    /// It is being restarted, or other signals are on their way.
+    /// Whether it is being restarted or is being sent other signals.
     is_busy: Cell<bool>,
 }
 
-struct World {
+struct SoakRun {
     binary: PathBuf,
     folder: Folder,
     shim: Shim,
@@ -96,12 +97,12 @@
     commands: RefCell<Vec<CommandRecord>>,
     kills: RefCell<Vec<Kill>>,
     faults: RefCell<BTreeMap<&'static str, usize>>,
-    counted: RefCell<Vec<String>>,
+    logged_violations: RefCell<Vec<String>>,
     crashes: RefCell<Vec<String>>,
-    is_over: Cell<bool>,
+    is_finished: Cell<bool>,
 }
 
-/// Plays one seed on a runtime of its own.
+/// Runs one seed on its own runtime.
 pub fn play(binary: &Path, seed: u64, span: Duration) -> Result<Outcome, ProgramError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -111,43 +112,44 @@
 
 async fn run(binary: &Path, seed: u64, span: Duration) -> Result<Outcome, ProgramError> {
     let streams = Streams::new(seed);
-    let world = Rc::new(World::start(binary, seed).await?);
+    let soak = Rc::new(SoakRun::start(binary, seed).await?);
     let mut sessions: Vec<JoinHandle<()>> = vec![];
-    for gateway in &world.gateways {
+    for gateway in &soak.gateways {
         for number in 0..SESSIONS_PER_GATEWAY {
             let stream = streams.numbered("session", gateway.number * 1000 + number);
-            sessions.push(spawn_local(world.clone().client(gateway.clone(), stream)));
+            sessions.push(spawn_local(soak.clone().client(gateway.clone(), stream)));
         }
     }
     let faults = [
-        spawn_local(world.clone().engine_faults(streams.stream("engines"))),
-        spawn_local(world.clone().registry_faults(streams.stream("registry"))),
-        spawn_local(world.clone().signals(streams.stream("signals"))),
-        spawn_local(world.clone().machine_faults(streams.stream("machines"))),
+        spawn_local(soak.clone().engine_faults(streams.stream("engines"))),
+        spawn_local(soak.clone().registry_faults(streams.stream("registry"))),
+        spawn_local(soak.clone().signals(streams.stream("signals"))),
+        spawn_local(soak.clone().machine_faults(streams.stream("machines"))),
     ];
     tokio::time::sleep(span).await;
     faults.iter().for_each(JoinHandle::abort);
-    // A gateway that starts now needs it.
-    let _ = world.registry.back().await;
-    world.until_gateways_rest().await;
-    let ends = world
+    // A gateway that is being restarted now needs the registry.
+    let _ = soak.registry.back().await;
+    soak.wait_for_idle_gateways().await;
+    let stops = soak
         .gateways
         .iter()
-        .map(|gateway| world.clone().stop(gateway.clone()));
-    futures_util::future::join_all(ends).await;
-    world.is_over.set(true);
+        .map(|gateway| soak.clone().stop(gateway.clone()));
+    futures_util::future::join_all(stops).await;
+    soak.is_finished.set(true);
     futures_util::future::join_all(sessions).await;
-    Ok(world.outcome())
+    Ok(soak.outcome())
 }
 
-impl World {
+impl SoakRun {
+    /// Starts the engines, the registry and the gateways.
     async fn start(binary: &Path, seed: u64) -> Result<Self, ProgramError> {
         let folder = Folder::new(&format!("mysql-soak-{seed}"))?;
         let shim = Shim::build(&folder)?;
         let engines = fixture::engines(ENGINES, Duration::from_millis(15)).await?;
         let registry = Node::start(fixture::ephemeral_address(), Rules::default()).await?;
         fixture::register_engines(&[&registry], &engines);
-        let world = World {
+        let soak = SoakRun {
             binary: binary.to_path_buf(),
             folder,
             shim,
@@ -157,17 +159,17 @@
             commands: RefCell::default(),
             kills: RefCell::default(),
             faults: RefCell::default(),
-            counted: RefCell::default(),
+            logged_violations: RefCell::default(),
             crashes: RefCell::default(),
-            is_over: Cell::new(false),
+            is_finished: Cell::new(false),
         };
-        for gateway in &world.gateways {
-            world.start_process(gateway).await?;
+        for gateway in &soak.gateways {
+            soak.start_process(gateway).await?;
         }
-        Ok(world)
+        Ok(soak)
     }
 
-    /// Starts the next process of a gateway, at the address that the first was given.
+    /// Starts the next process of a gateway, at the address of its first process.
     async fn start_process(&self, gateway: &Gateway) -> Result<(), ProgramError> {
         let eureka = fixture::eureka_section(&[&self.registry], "");
         let text = fixture::dispatcher_file("", &eureka)
@@ -198,12 +200,12 @@
             .join(format!("g{}.faults", gateway.number))
     }
 
-    fn count(&self, fault: &'static str) {
+    fn count_fault(&self, fault: &'static str) {
         *self.faults.borrow_mut().entry(fault).or_default() += 1;
     }
 
-    /// Waits until no gateway is being restarted, for ten seconds at most.
-    async fn until_gateways_rest(&self) {
+    /// Waits until no gateway is being restarted or signalled, for at most ten seconds.
+    async fn wait_for_idle_gateways(&self) {
         for _ in 0..500 {
             if !self.gateways.iter().any(|gateway| gateway.is_busy.get()) {
                 return;
@@ -212,13 +214,13 @@
         }
     }
 
-    /// One client: it uses a session for as long as the dispatcher does, up to the kill.
+    /// Runs one client, which opens a new session whenever the previous one has ended.
     async fn client(self: Rc<Self>, gateway: Rc<Gateway>, mut random: Stream) {
-        while !self.is_over.get() {
+        while !self.is_finished.get() {
             let process = gateway.process.get();
             let address = gateway.address.get();
             let login = Session::log_in(address, "guest", "guest", SessionOptions::default());
-            if let Ok(Ok(session)) = tokio::time::timeout(PATIENCE, login).await {
+            if let Ok(Ok(session)) = tokio::time::timeout(ANSWER_TIMEOUT, login).await {
                 self.use_session(session, &gateway, process, &mut random)
                     .await;
             }
@@ -257,57 +259,58 @@
                 is_write,
                 end: None,
             });
-            let patience = match random.chance(0.08) {
+            let client_timeout = match random.chance(0.08) {
                 true => Duration::from_millis(random.below(120) as u64),
-                false => PATIENCE,
+                false => ANSWER_TIMEOUT,
             };
-            let Ok(answer) = tokio::time::timeout(patience, session.answer()).await else {
-                if patience < PATIENCE {
+            let Ok(answer) = tokio::time::timeout(client_timeout, session.answer()).await else {
+                if client_timeout < ANSWER_TIMEOUT {
                     drop(session);
-                    self.end(record, CommandEnd::ClientGone { at: now() });
+                    self.set_end(record, CommandEnd::ClientGone { at: now() });
                 }
                 return;
             };
             let answer = match answer {
-                // The notice of a shutdown that the command has crossed.
+                // The command crossed the notice of a shutdown, which the session reads now.
                 Err(PacketError::OutOfOrder) => match session.notice().await {
                     Ok(notice) => Err(PacketError::Server(notice)),
                     Err(error) => Err(error),
                 },
                 other => other,
             };
-            let (end, goes_on) = command_end(answer.map(|_| ()));
-            self.end(record, end);
-            if !goes_on {
+            let (end, is_usable) = command_end(answer.map(|_| ()));
+            self.set_end(record, end);
+            if !is_usable {
                 return;
             }
         }
     }
 
+    /// Adds the record of a command and returns its position.
     fn record(&self, command: CommandRecord) -> usize {
         let mut commands = self.commands.borrow_mut();
         commands.push(command);
         commands.len() - 1
     }
 
-    fn end(&self, record: usize, end: CommandEnd) {
+    fn set_end(&self, record: usize, end: CommandEnd) {
         self.commands.borrow_mut()[record].end = Some(end);
     }
 
-    /// Engines crash and return, and become slow.
+    /// Crashes and restarts engines, and makes them slow.
     async fn engine_faults(self: Rc<Self>, mut random: Stream) {
         loop {
             random.pause(500.0).await;
             let engine = self.engines[random.below(ENGINES)].clone();
             if random.chance(0.4) {
-                self.count("engine crash");
+                self.count_fault("engine crash");
                 engine.end();
                 random.pause(300.0).await;
                 if engine.again().await.is_err() {
-                    self.count("engine did not return");
+                    self.count_fault("engine did not return");
                 }
             } else {
-                self.count("engine slow");
+                self.count_fault("engine slow");
                 engine.work(Duration::from_millis(200 + random.below(1500) as u64));
                 random.pause(400.0).await;
                 engine.work(Duration::from_millis(15));
@@ -315,19 +318,19 @@
         }
     }
 
-    /// Engines drain and return, and the registry goes away.
+    /// Drains engines for a while, and stops the registry for a while.
     async fn registry_faults(self: Rc<Self>, mut random: Stream) {
         loop {
             random.pause(900.0).await;
             let engine = self.engines[random.below(ENGINES)].name().to_string();
             if random.chance(0.7) {
-                self.count("engine drains");
+                self.count_fault("engine drains");
                 let drained = Some(Status::OutOfService);
                 self.registry.set_status("ENGINES", &engine, drained);
                 random.pause(700.0).await;
                 self.registry.set_status("ENGINES", &engine, None);
             } else {
-                self.count("registry away");
+                self.count_fault("registry away");
                 self.registry.away();
                 random.pause(700.0).await;
                 let _ = self.registry.back().await;
@@ -335,7 +338,7 @@
         }
     }
 
-    /// Gateways are restarted, killed, told of configurations in a row, and stopped for a moment.
+    /// Restarts, kills, repeatedly reloads or briefly stops (SIGSTOP) gateways.
     async fn signals(self: Rc<Self>, mut random: Stream) {
         loop {
             random.pause(700.0).await;
@@ -343,24 +346,24 @@
             if gateway.is_busy.replace(true) {
                 continue;
             }
-            let world = self.clone();
+            let soak = self.clone();
             match random.below(5) {
                 0 | 1 => {
-                    self.count("planned restart");
+                    self.count_fault("planned restart");
                     spawn_local(async move {
-                        world.clone().stop(gateway.clone()).await;
-                        world.start_again(&gateway).await;
+                        soak.clone().stop(gateway.clone()).await;
+                        soak.restart_process(&gateway).await;
                     });
                 }
                 2 => {
-                    self.count("kill");
+                    self.count_fault("kill");
                     spawn_local(async move {
-                        world.kill(&gateway).await;
-                        world.start_again(&gateway).await;
+                        soak.kill(&gateway).await;
+                        soak.restart_process(&gateway).await;
                     });
                 }
                 3 => {
-                    self.count("reload");
+                    self.count_fault("reload");
                     let times = 1 + random.below(4);
                     spawn_local(async move {
                         for _ in 0..times {
@@ -371,7 +374,7 @@
                     });
                 }
                 _ => {
-                    self.count("pause");
+                    self.count_fault("pause");
                     let span = random.between(20.0, 250.0);
                     spawn_local(async move {
                         let id = gateway.process_id();
@@ -385,7 +388,7 @@
         }
     }
 
-    /// Wall clocks are stepped, and system calls fail for a moment.
+    /// Steps wall clocks, and lets system calls fail for 400 ms.
     async fn machine_faults(self: Rc<Self>, mut random: Stream) {
         loop {
             random.pause(900.0).await;
@@ -394,49 +397,50 @@
                 clock_offset_ms: Faults::CLOCK_STEPS_MS[random.below(Faults::CLOCK_STEPS_MS.len())],
                 call_failures_per_million: if random.chance(0.5) { 10_000 } else { 0 },
             };
-            self.count("clock step");
+            self.count_fault("clock step");
             let file = self.faults_file(gateway);
             let _ = faults.write(&file);
             if faults.call_failures_per_million > 0 {
-                self.count("failing system calls");
+                self.count_fault("failing system calls");
                 tokio::time::sleep(Duration::from_millis(400)).await;
-                let calm = Faults {
+                let without_call_failures = Faults {
                     call_failures_per_million: 0,
                     ..faults
                 };
-                let _ = calm.write(&file);
+                let _ = without_call_failures.write(&file);
             }
         }
     }
 
-    /// SIGTERM twice with a configuration between, and SIGKILL at the earliest that the operators allow.
+    /// Sends SIGTERM twice with a reload between, then SIGKILL after the shortest delay that operators use.
     async fn stop(self: Rc<Self>, gateway: Rc<Gateway>) {
         gateway.is_busy.set(true);
         signal(&gateway, "TERM").await;
-        tokio::time::sleep(KILL_AFTER / 4).await;
+        tokio::time::sleep(SIGKILL_DELAY / 4).await;
         signal(&gateway, "HUP").await;
         signal(&gateway, "TERM").await;
-        tokio::time::sleep(KILL_AFTER * 3 / 4).await;
+        tokio::time::sleep(SIGKILL_DELAY * 3 / 4).await;
         let program = gateway.program.borrow_mut().take();
         if let Some(mut program) = program {
             if let Some(status) = program.ended()
                 && !status.success()
             {
-                self.note_crash(&gateway, &program, &format!("{status}"));
+                self.record_crash(&gateway, &program, &format!("{status}"));
             }
-            self.count_logged(&gateway, &program);
+            self.record_logged_violations(&gateway, &program);
             let _ = program.kill().await;
         }
         gateway.process.set(gateway.process.get() + 1);
     }
 
+    /// Kills the gateway's process without a SIGTERM.
     async fn kill(&self, gateway: &Gateway) {
         let program = gateway.program.borrow_mut().take();
         if let Some(mut program) = program {
             if let Some(status) = program.ended() {
-                self.note_crash(gateway, &program, &format!("{status}"));
+                self.record_crash(gateway, &program, &format!("{status}"));
             }
-            self.count_logged(gateway, &program);
+            self.record_logged_violations(gateway, &program);
             let _ = program.kill().await;
         }
         self.kills.borrow_mut().push(Kill {
@@ -446,24 +450,24 @@
         gateway.process.set(gateway.process.get() + 1);
     }
 
-    async fn start_again(&self, gateway: &Gateway) {
+    async fn restart_process(&self, gateway: &Gateway) {
         if let Err(error) = self.start_process(gateway).await {
-            let text = format!("g{} does not start again: {error}", gateway.number);
+            let text = format!("g{} failed to restart: {error}", gateway.number);
             self.crashes.borrow_mut().push(text);
         }
         gateway.is_busy.set(false);
     }
 
-    fn count_logged(&self, gateway: &Gateway, program: &Program) {
+    fn record_logged_violations(&self, gateway: &Gateway, program: &Program) {
         let broken = program
             .log()
             .into_iter()
             .filter(|line| line.contains("invariant broken: "))
             .map(|line| format!("g{}.{} {line}", gateway.number, gateway.process.get()));
-        self.counted.borrow_mut().extend(broken);
+        self.logged_violations.borrow_mut().extend(broken);
     }
 
-    fn note_crash(&self, gateway: &Gateway, program: &Program, status: &str) {
+    fn record_crash(&self, gateway: &Gateway, program: &Program, status: &str) {
         let last = program.log().pop();
         let text = format!("g{}: {status} {last:?}", gateway.number);
         self.crashes.borrow_mut().push(text);
@@ -482,7 +486,7 @@
             processes: self.gateways.iter().map(|g| g.process.get()).sum(),
             faults: self.faults.borrow().clone(),
             violations: judge(&commands, &self.kills.borrow(), &executions),
-            counted: self.counted.borrow().clone(),
+            logged_violations: self.logged_violations.borrow().clone(),
             crashes: self.crashes.borrow().clone(),
         }
     }
@@ -509,9 +513,9 @@
     format!("deadline_ms = {limit_ms:.1}")
 }
 
-/// How a command ended, and whether its session goes on.
+/// Returns the end of a command, and whether its session is still usable.
 fn command_end(answer: Result<(), PacketError>) -> (CommandEnd, bool) {
-    /// The dispatcher shuts down: the session ends with this answer.
+    /// Error code of a shutdown, after which the dispatcher closes the session.
     const SHUTDOWN: u16 = 1053;
     let at = now();
     match answer {
--- a/crates/testbed/src/mysql_soak/verdict.rs
+++ b/crates/testbed/src/mysql_soak/verdict.rs
@@ -1,61 +1,62 @@
-//! What the MySQL soak recorded, and the rules that it is judged by.
+//! Records of the MySQL soak, and the rules that they are checked against.
 
 use crate::fakes::engine::Execution;
 use std::collections::HashMap;
 
-/// An answer that is later than this after its deadline is lost, in milliseconds.
-const LATE_MS: f64 = 500.0;
-/// Nothing begins for a client later than this after it has gone, in milliseconds.
-const GONE_GRACE_MS: f64 = 100.0;
+/// Maximum time from a command's deadline to its answer, in milliseconds.
+const MAX_ANSWER_DELAY_MS: f64 = 500.0;
+/// Maximum time from a client's disconnect to the last attempt at an engine, in milliseconds.
+const DISCONNECT_GRACE_MS: f64 = 100.0;
 
-/// How a command ended for its client. Times are Unix times in milliseconds.
+/// End of a command on the client's side. Times are Unix times in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommandEnd {
-    /// A result, or the code of an error.
+    /// It was answered with a result, or with an error of this code.
     Answered { at: f64, error: Option<u16> },
-    /// The connection ended before the answer was whole.
+    /// The connection ended before the answer was complete.
     ConnectionEnded { at: f64, reason: String },
     /// The client closed its connection.
     ClientGone { at: f64 },
 }
 
-/// A command that was written whole to a connection.
+/// Record of a command that was written completely to a connection. Times are Unix times in milliseconds.
 #[derive(Clone, Debug)]
 pub struct CommandRecord {
-    /// Unique; the statement carries it.
+    /// Unique id, which the statement contains.
     pub id: String,
     pub gateway: usize,
-    /// The process of the gateway, counted from 0.
+    /// Number of the gateway's process, from 0.
     pub process: usize,
     pub sent_at: f64,
+    /// Deadline of the command's class, in milliseconds.
     pub limit_ms: f64,
-    /// It must not run twice.
+    /// Whether the command must not run twice.
     pub is_write: bool,
-    /// `None`: nothing has come when the records are judged.
+    /// `None` if the client had received no answer when the records were checked.
     pub end: Option<CommandEnd>,
 }
 
-/// A process that was killed without SIGTERM.
+/// Kill of a gateway's process without SIGTERM.
 #[derive(Clone, Copy, Debug)]
 pub struct Kill {
     pub gateway: usize,
     pub process: usize,
 }
 
-/// A broken rule.
+/// Violation of a rule; each holds a description of the command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Violation {
-    /// A command had no answer, though its client waited and its process was not killed without notice.
+    /// A command had no answer, although its client waited and its process was not killed without SIGTERM.
     Unanswered(String),
-    /// An answer came long after its deadline.
+    /// An answer came later than 500 ms after its deadline.
     Late(String),
     /// A write ran more than once.
     RanTwice(String),
-    /// An attempt reached an engine after its client had gone.
+    /// An attempt reached an engine after the client had disconnected.
     AfterEnd(String),
 }
 
-/// All violations in these records.
+/// Returns all violations in these records.
 pub fn judge(
     commands: &[CommandRecord],
     kills: &[Kill],
@@ -67,13 +68,13 @@
         let attempts = attempts
             .get(command.id.as_str())
             .map_or(&[][..], Vec::as_slice);
-        violations.extend(judge_answer(command, kills, attempts));
-        violations.extend(judge_attempts(command, attempts));
+        violations.extend(check_answer(command, kills, attempts));
+        violations.extend(check_attempts(command, attempts));
     }
     violations
 }
 
-/// Statements carry the id of their command between quotes.
+/// Groups executions by the id of their command, which the statement contains in single quotes.
 fn attempts_by_command(executions: &[Execution]) -> HashMap<&str, Vec<&Execution>> {
     let mut attempts: HashMap<&str, Vec<&Execution>> = HashMap::new();
     for execution in executions {
@@ -84,7 +85,7 @@
     attempts
 }
 
-fn judge_answer(
+fn check_answer(
     command: &CommandRecord,
     kills: &[Kill],
     attempts: &[&Execution],
@@ -95,7 +96,7 @@
     match &command.end {
         Some(CommandEnd::ClientGone { .. }) => None,
         Some(CommandEnd::Answered { at, .. }) => (at - command.sent_at
-            > command.limit_ms + LATE_MS)
+            > command.limit_ms + MAX_ANSWER_DELAY_MS)
             .then(|| Violation::Late(describe(command, attempts))),
         Some(CommandEnd::ConnectionEnded { .. }) | None => {
             (!was_killed).then(|| Violation::Unanswered(describe(command, attempts)))
@@ -103,7 +104,7 @@
     }
 }
 
-fn judge_attempts(command: &CommandRecord, attempts: &[&Execution]) -> Vec<Violation> {
+fn check_attempts(command: &CommandRecord, attempts: &[&Execution]) -> Vec<Violation> {
     let mut violations = vec![];
     if command.is_write && attempts.len() > 1 {
         violations.push(Violation::RanTwice(describe(command, attempts)));
@@ -111,7 +112,7 @@
     if let Some(CommandEnd::ClientGone { at }) = &command.end
         && attempts
             .iter()
-            .any(|attempt| attempt.at > at + GONE_GRACE_MS)
+            .any(|attempt| attempt.at > at + DISCONNECT_GRACE_MS)
     {
         violations.push(Violation::AfterEnd(describe(command, attempts)));
     }
