--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The laboratory's program: stand-ins to try a dispatcher with, and measurements.
+//! Command-line program of the testbed: fake registries and engines, soak tests and measurements.
 
 #![allow(
     missing_docs,
@@ -7,7 +7,7 @@
     clippy::too_many_lines,
     clippy::unwrap_used,
     clippy::wildcard_imports,
-    reason = "fakes and measurements whose modules are laid out, and not yet documented item by item"
+    reason = "code for tests and measurements, whose public items are not all documented"
 )]
 
 use clap::{Args, Parser, Subcommand};
@@ -28,80 +28,87 @@
 #[command(version, about, arg_required_else_help = true)]
 struct Cli {
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Registries that copy each other, until Ctrl-C.
+enum Command {
+    /// Runs fake registries that replicate each other, until Ctrl-C.
     Registry {
-        /// The first one's port; the others follow.
+        /// Port of the first registry; the others use the ports after it.
         #[arg(long, default_value_t = 8761)]
         port: u16,
+        /// Number of registries.
         #[arg(long, default_value_t = 1)]
         nodes: u16,
-        /// What changes at one is at the others so much later.
+        /// Replication delay between registries, in milliseconds.
         #[arg(long, default_value_t = 0.0)]
         lag_ms: f64,
-        /// Answers are up to so old.
+        /// Maximum age of cached answers, in milliseconds.
         #[arg(long, default_value_t = 0.0)]
         cache_ms: f64,
-        /// Engines to begin with, as NAME=PORT of this machine; they need no renewal.
+        /// Engine to register at the start, as NAME=PORT on this machine; its lease needs no renewal.
         #[arg(long = "engine")]
         engines: Vec<String>,
     },
-    /// Engines that speak MySQL, until Ctrl-C. Their password is `lab`.
+    /// Runs fake MySQL engines, until Ctrl-C. Their password is `lab`.
     Engines {
+        /// Port of the first engine; the others use the ports after it.
         #[arg(long, default_value_t = 4001)]
         port: u16,
+        /// Number of engines.
         #[arg(long, default_value_t = 2)]
         count: usize,
+        /// Execution time of a statement, in milliseconds.
         #[arg(long, default_value_t = 50)]
         work_ms: u64,
     },
-    /// Dispatchers on the platform under random faults that overlap, a line for each seed.
-    Soak(Soak),
-    /// The same on the MySQL frontend.
-    MysqlSoak(Soak),
-    /// Measures a program's membership; a line of JSON each.
+    /// Runs dispatchers with the platform's frontend under random overlapping faults; prints a line per seed.
+    Soak(SoakArgs),
+    /// Runs dispatchers with the MySQL frontend under random overlapping faults; prints a line per seed.
+    MysqlSoak(SoakArgs),
+    /// Measures a dispatcher; prints a line of JSON.
     #[command(subcommand)]
     Measure(Measure),
 }
 
 #[derive(Args)]
-struct Soak {
-    /// The dispatcher's program.
+struct SoakArgs {
+    /// Path of the dispatcher program.
     #[arg(long, default_value = "target/release/hitchwinch")]
     program: PathBuf,
-    /// The first seed.
+    /// First seed.
     #[arg(long, default_value_t = 1)]
     first: u64,
+    /// Number of seeds.
     #[arg(long, default_value_t = 50)]
     seeds: u64,
-    /// Seconds of faults in a run.
+    /// Time for which a run injects faults, in seconds.
     #[arg(long, default_value_t = 12)]
     seconds: u64,
-    /// Runs side by side.
+    /// Number of concurrent runs.
     #[arg(long, default_value_t = 2)]
     jobs: u64,
-    /// Prints what the processes of a seed have logged that is not clean.
+    /// Prints the logs of the processes of a seed that has violations or crashes.
     #[arg(long)]
     logs: bool,
 }
 
-impl Soak {
-    /// Plays all seeds; fails if one is not clean.
-    fn run(&self, play: PlaySeed) -> Result<(), Error> {
-        let jobs: Vec<_> = (0..self.jobs).map(|job| self.job(job, play)).collect();
+impl SoakArgs {
+    /// Runs all seeds and fails if one of them is not clean.
+    fn run(&self, run_seed: RunSeed) -> Result<(), Error> {
+        let jobs: Vec<_> = (0..self.jobs)
+            .map(|job| self.spawn_job(job, run_seed))
+            .collect();
         let clean = jobs.into_iter().map(|job| job.join().unwrap_or(false));
         match clean.fold(true, |all, clean| all & clean) {
             true => Ok(()),
-            false => Err("not all seeds are clean".into()),
+            false => Err("some seeds have violations or crashes".into()),
         }
     }
 
-    /// Plays every `jobs`-th seed on a thread of its own; true if all were clean.
-    fn job(&self, job: u64, play: PlaySeed) -> std::thread::JoinHandle<bool> {
+    /// Starts a thread that runs every `jobs`-th seed; it returns true if all of them were clean.
+    fn spawn_job(&self, job: u64, run_seed: RunSeed) -> std::thread::JoinHandle<bool> {
         let seeds = (self.first + job..self.first + self.seeds).step_by(self.jobs as usize);
         let program = self.program.clone();
         let span = Duration::from_secs(self.seconds);
@@ -109,17 +116,18 @@
         std::thread::spawn(move || {
             let mut all_clean = true;
             for seed in seeds {
-                all_clean &= play(&program, seed, span, logs);
+                all_clean &= run_seed(&program, seed, span, logs);
             }
             all_clean
         })
     }
 }
 
-/// Plays a seed with so long faults, and prints what it came to; true if it was clean.
-type PlaySeed = fn(&std::path::Path, u64, Duration, bool) -> bool;
+/// Function that runs a seed with faults for the given time, prints the result, and the logs if the flag is set and
+/// the run was not clean. Returns whether it was clean.
+type RunSeed = fn(&std::path::Path, u64, Duration, bool) -> bool;
 
-fn play_mysql_seed(program: &std::path::Path, seed: u64, span: Duration, _: bool) -> bool {
+fn run_mysql_seed(program: &std::path::Path, seed: u64, span: Duration, _: bool) -> bool {
     match mysql_soak::play(program, seed, span) {
         Ok(outcome) => {
             println!("seed {seed}: {}", outcome.summary());
@@ -132,7 +140,7 @@
     }
 }
 
-fn play_seed(program: &std::path::Path, seed: u64, span: Duration, logs: bool) -> bool {
+fn run_seed(program: &std::path::Path, seed: u64, span: Duration, logs: bool) -> bool {
     let scale = soak::Scale::draw(seed, span);
     match soak::play(program, seed, scale) {
         Ok(outcome) => {
@@ -150,21 +158,21 @@
 }
 
 #[derive(Args)]
-struct Which {
-    /// The dispatcher's program.
+struct ProgramArgs {
+    /// Path of the dispatcher program.
     #[arg(long, default_value = "target/release/hitchwinch")]
     program: PathBuf,
-    /// A program that knows only the earlier form of `[eureka]`, and no `[spool]`.
+    /// The program supports only the earlier form of `[eureka]`, and no `[spool]`.
     #[arg(long)]
     earlier: bool,
 }
 
 #[derive(Subcommand)]
 enum Measure {
-    /// From the notice that an engine drains to the last statement that it gets.
+    /// Measures the time from the notice that an engine drains to the last statement that it receives.
     Drains {
         #[command(flatten)]
-        which: Which,
+        target: ProgramArgs,
         #[arg(long, default_value_t = 1)]
         registries: usize,
         #[arg(long, default_value_t = 10)]
@@ -172,72 +180,72 @@
         #[arg(long, default_value_t = 20)]
         drains: usize,
     },
-    /// Processor time and memory of a round.
+    /// Measures the processor time and memory of a polling round.
     Rounds {
         #[command(flatten)]
-        which: Which,
+        target: ProgramArgs,
         #[arg(long, default_value_t = 10_000)]
         instances: usize,
-        /// Whole lists; else changes.
+        /// Fetches full lists instead of changes.
         #[arg(long)]
         full: bool,
     },
-    /// Requests lost while every registry is away.
+    /// Measures the requests that are lost while every registry is unavailable.
     Outage {
         #[command(flatten)]
-        which: Which,
+        target: ProgramArgs,
         #[arg(long, default_value_t = 60)]
         seconds: u64,
-        /// One engine restarts cold in the middle.
+        /// Restarts one engine cold halfway through.
         #[arg(long)]
         restart: bool,
     },
-    /// For how long a report of 10 MB holds its engine, by its client's pace.
+    /// Measures how long a result of 10 MB occupies its engine, depending on the client's reading rate.
     Occupancy {
         #[command(flatten)]
-        which: Which,
-        /// Bytes a second; 0 is full speed.
+        target: ProgramArgs,
+        /// Reading rate in bytes per second; 0 for no limit.
         #[arg(long, default_value_t = 0)]
         pace: usize,
     },
-    /// Memory with many slow readers.
+    /// Measures memory with many slow readers.
     Readers {
         #[command(flatten)]
-        which: Which,
+        target: ProgramArgs,
         #[arg(long, default_value_t = 200)]
         readers: usize,
         #[arg(long, default_value_t = 50)]
         megabytes: u64,
     },
-    /// A large result, beside a plain file.
+    /// Measures the throughput of a large result, compared with a plain file.
     Throughput {
         #[command(flatten)]
-        which: Which,
+        target: ProgramArgs,
         #[arg(long, default_value_t = 2048)]
         megabytes: u64,
     },
-    /// Latency of small results.
+    /// Measures the latency of small results.
     Small {
         #[command(flatten)]
-        which: Which,
+        target: ProgramArgs,
         #[arg(long, default_value_t = 10_000)]
         requests: u64,
     },
-    /// A start that finds many results.
+    /// Measures a start with many stored results.
     Recovery {
         #[command(flatten)]
-        which: Which,
+        target: ProgramArgs,
         #[arg(long, default_value_t = 10_000)]
         spools: u64,
     },
-    /// What sessions of the MySQL front cost beside the engine asked directly.
+    /// Measures the cost of sessions of the MySQL frontend, compared with direct requests to the engine.
     Sessions {
         #[command(flatten)]
-        which: Which,
+        target: ProgramArgs,
         #[arg(long, default_value_t = 10_000)]
         statements: usize,
     },
-    /// What a change of one engine costs the decision module, and the query after it.
+    /// Measures the cost of a change of one engine for the decision module, and of the query after it.
     ListEvents {
         #[arg(long, default_value_t = 16_000)]
         engines: usize,
@@ -246,14 +254,14 @@
         #[arg(long, default_value_t = 400)]
         events: usize,
     },
-    /// A start with every registry away.
+    /// Measures a start with every registry unavailable.
     Start {
         #[command(flatten)]
-        which: Which,
+        target: ProgramArgs,
     },
 }
 
-impl Which {
+impl ProgramArgs {
     fn spooling(&self) -> Spooling<'_> {
         Spooling {
             program: &self.program,
@@ -273,16 +281,16 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    match &cli.what {
-        What::Soak(soak) => return report(soak.run(play_seed)),
-        What::MysqlSoak(soak) => return report(soak.run(play_mysql_seed)),
+    match &cli.command {
+        Command::Soak(soak) => return report(soak.run(run_seed)),
+        Command::MysqlSoak(soak) => return report(soak.run(run_mysql_seed)),
         _ => {}
     }
     let run = || -> Result<(), Error> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
-        LocalSet::new().block_on(&runtime, run(cli.what))
+        LocalSet::new().block_on(&runtime, run(cli.command))
     };
     report(run())
 }
@@ -297,12 +305,12 @@
     }
 }
 
-async fn run(what: What) -> Result<(), Error> {
-    match what {
-        // Has runtimes of its own.
-        What::Soak(soak) => soak.run(play_seed)?,
-        What::MysqlSoak(soak) => soak.run(play_mysql_seed)?,
-        What::Registry {
+async fn run(command: Command) -> Result<(), Error> {
+    match command {
+        // `main` runs these before it builds this runtime, since each seed uses its own.
+        Command::Soak(soak) => soak.run(run_seed)?,
+        Command::MysqlSoak(soak) => soak.run(run_mysql_seed)?,
+        Command::Registry {
             port,
             nodes,
             lag_ms,
@@ -320,20 +328,23 @@
                 all.push(node);
             }
             for e in engines {
-                let (name, port) = e.split_once('=').ok_or(format!("{e:?} is not NAME=PORT"))?;
+                let (name, port) = e
+                    .split_once('=')
+                    .ok_or(format!("--engine {e:?} is not of the form NAME=PORT"))?;
                 let instance = Instance::engine("ENGINES", name, port.parse()?, testbed::now());
-                let forever = Instance {
+                let unexpiring = Instance {
                     duration: f64::MAX,
                     up: testbed::now() - 60_000.0,
                     ..instance
                 };
-                all.iter().for_each(|node| node.register(forever.clone()));
+                all.iter()
+                    .for_each(|node| node.register(unexpiring.clone()));
             }
             all.iter()
                 .for_each(|node| node.evict_every(Duration::from_secs(10)));
             tokio::signal::ctrl_c().await?;
         }
-        What::Engines {
+        Command::Engines {
             port,
             count,
             work_ms,
@@ -348,53 +359,53 @@
                 .iter()
                 .for_each(|e| println!("{}: {} statements", e.name(), e.count()));
         }
-        What::Measure(m) => {
+        Command::Measure(m) => {
             let line = match m {
                 Measure::Drains {
-                    which,
+                    target,
                     registries,
                     instances,
                     drains,
                 } => {
-                    membership::drains(&which.subject(), registries.max(1), instances, drains)
+                    membership::drains(&target.subject(), registries.max(1), instances, drains)
                         .await?
                 }
                 Measure::Rounds {
-                    which,
+                    target,
                     instances,
                     full,
-                } => membership::rounds(&which.subject(), instances, full).await?,
+                } => membership::rounds(&target.subject(), instances, full).await?,
                 Measure::Outage {
-                    which,
+                    target,
                     seconds,
                     restart,
-                } => membership::outage(&which.subject(), seconds, restart).await?,
-                Measure::Occupancy { which, pace } => {
-                    spool::occupancy(&which.spooling(), pace).await?
+                } => membership::outage(&target.subject(), seconds, restart).await?,
+                Measure::Occupancy { target, pace } => {
+                    spool::occupancy(&target.spooling(), pace).await?
                 }
                 Measure::Readers {
-                    which,
+                    target,
                     readers,
                     megabytes,
-                } => spool::readers(&which.spooling(), readers, megabytes).await?,
-                Measure::Throughput { which, megabytes } => {
-                    spool::throughput(&which.spooling(), megabytes).await?
+                } => spool::readers(&target.spooling(), readers, megabytes).await?,
+                Measure::Throughput { target, megabytes } => {
+                    spool::throughput(&target.spooling(), megabytes).await?
                 }
-                Measure::Small { which, requests } => {
-                    spool::small(&which.spooling(), requests).await?
+                Measure::Small { target, requests } => {
+                    spool::small(&target.spooling(), requests).await?
                 }
-                Measure::Recovery { which, spools } => {
-                    spool::recovery(&which.spooling(), spools).await?
+                Measure::Recovery { target, spools } => {
+                    spool::recovery(&target.spooling(), spools).await?
                 }
-                Measure::Sessions { which, statements } => {
-                    sessions::sessions(&which.subject(), statements).await?
+                Measure::Sessions { target, statements } => {
+                    sessions::sessions(&target.subject(), statements).await?
                 }
                 Measure::ListEvents {
                     engines,
                     open,
                     events,
                 } => list_events(engines, open, events)?,
-                Measure::Start { which } => membership::start_alone(&which.subject()).await?,
+                Measure::Start { target } => membership::start_alone(&target.subject()).await?,
             };
             println!("{line}");
         }
--- a/tests/mysql_soak.rs
+++ b/tests/mysql_soak.rs
@@ -1,5 +1,5 @@
-//! A short soak of the MySQL frontend: random faults that overlap, over some processes. Many seeds are played by hand:
-//! `testbed mysql-soak` (docs/ON-CALL.md).
+//! Short soak of the MySQL frontend: random overlapping faults, over several processes. For many seeds, run
+//! `testbed mysql-soak` by hand (docs/ON-CALL.md).
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,5 +1,5 @@
-//! A short soak of the program: random faults that overlap, over some dozens of processes. Many seeds are played by hand:
-//! `testbed soak` (docs/ON-CALL.md).
+//! Short soak of the program: random overlapping faults, over dozens of processes. For many seeds, run
+//! `testbed soak` by hand (docs/ON-CALL.md).
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
