--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -123,8 +123,8 @@
     }
 }
 
-/// Function that runs a seed with faults for the given time, prints the result, and the logs if the flag is set and
-/// the run was not clean. Returns whether it was clean.
+/// Function that runs a seed with faults for the given time and prints the result, and if the flag is set the
+/// logs of a run that was not clean. Returns whether the run was clean.
 type RunSeed = fn(&std::path::Path, u64, Duration, bool) -> bool;
 
 fn run_mysql_seed(program: &std::path::Path, seed: u64, span: Duration, _: bool) -> bool {
