--- a/crates/testbed/src/platform/clients.rs
+++ b/crates/testbed/src/platform/clients.rs
@@ -39,12 +39,12 @@
     pub sent_at: Instant,
     pub limit: Duration,
     /// Time at which the client cancelled it or closed the connection.
-    pub gone_at: Option<Instant>,
+    pub abandoned_at: Option<Instant>,
     pub answers: Vec<Answer>,
     /// Time at which the dispatcher ended the connection, if that came before the answer.
     pub connection_ended_at: Option<Instant>,
     /// Whether it crossed the end of a connection on which no older request was open.
-    pub crossed_idle_end: bool,
+    pub crossed_idle_close: bool,
 }
 
 impl Request {
@@ -156,23 +156,24 @@
             process: self.target.process,
             sent_at: Instant::now(),
             limit,
-            gone_at: None,
+            abandoned_at: None,
             answers: vec![],
             connection_ended_at: None,
-            crossed_idle_end: false,
+            crossed_idle_close: false,
         });
         self.open.borrow_mut().insert(stream, position);
         if let Err(error) = write.write_all(&frame).await {
             // The frame was not written whole, so the request was never sent.
             self.open.borrow_mut().remove(&stream);
-            self.log
-                .update(position, |request| request.gone_at = Some(request.sent_at));
+            self.log.update(position, |request| {
+                request.abandoned_at = Some(request.sent_at)
+            });
             return Err(error);
         }
         if self.state.ended.get() {
             self.log.update(position, |request| {
                 let ended_at = *request.connection_ended_at.get_or_insert_with(Instant::now);
-                request.crossed_idle_end |= request.sent_at + CROSSING_WINDOW >= ended_at;
+                request.crossed_idle_close |= request.sent_at + CROSSING_WINDOW >= ended_at;
             });
         }
         Ok(stream)
@@ -186,8 +187,9 @@
         };
         let frame = encode_frame(kind::LEAVE, stream, &[]);
         self.write.lock().await.write_all(&frame).await?;
-        self.log
-            .update(position, |request| request.gone_at = Some(Instant::now()));
+        self.log.update(position, |request| {
+            request.abandoned_at = Some(Instant::now())
+        });
         Ok(())
     }
 
@@ -196,8 +198,9 @@
         self.reader.abort();
         let _ = self.write.lock().await.shutdown().await;
         for (_, position) in self.open.borrow_mut().drain() {
-            self.log
-                .update(position, |request| request.gone_at = Some(Instant::now()));
+            self.log.update(position, |request| {
+                request.abandoned_at = Some(Instant::now())
+            });
         }
     }
 
@@ -260,7 +263,7 @@
     for position in open {
         log.update(position, |request| {
             request.connection_ended_at = Some(ended_at);
-            request.crossed_idle_end = all_cross;
+            request.crossed_idle_close = all_cross;
         });
     }
     state.changed.notify_one();
--- a/crates/testbed/src/platform/dispatcher.rs
+++ b/crates/testbed/src/platform/dispatcher.rs
@@ -197,14 +197,14 @@
     }
 
     /// Writes another configuration to the file and sends SIGHUP.
-    pub async fn configure(&self, config: &str) -> Result<(), ProgramError> {
+    pub async fn reload_config(&self, config: &str) -> Result<(), ProgramError> {
         std::fs::write(&self.file, config)?;
         self.signal("HUP").await;
         Ok(())
     }
 
     /// Waits for the process to exit by itself, at most this long, and returns its exit status.
-    pub async fn wait(&mut self, limit: Duration) -> Option<std::process::ExitStatus> {
+    pub async fn wait_for_exit(&mut self, limit: Duration) -> Option<std::process::ExitStatus> {
         let status = tokio::time::timeout(limit, self.child.wait()).await;
         status.ok()?.ok()
     }
@@ -215,7 +215,7 @@
     }
 
     /// Fetches a page from the operators' address: the whole HTTP response as text.
-    pub async fn page(&self, path: &str) -> Result<String, ProgramError> {
+    pub async fn fetch_page(&self, path: &str) -> Result<String, ProgramError> {
         let request_page = async {
             let mut tcp = TcpStream::connect(self.admin).await?;
             let request =
@@ -232,7 +232,7 @@
 
     /// Returns a metric of `/_vars`; 0 if the page does not have it.
     pub async fn metric(&self, name: &str) -> Result<u64, ProgramError> {
-        let page = self.page("/_vars").await?;
+        let page = self.fetch_page("/_vars").await?;
         let value = page
             .lines()
             .find_map(|line| line.trim().strip_prefix(name)?.strip_prefix('='));
--- a/crates/testbed/src/platform/engines.rs
+++ b/crates/testbed/src/platform/engines.rs
@@ -58,7 +58,7 @@
     pub address: SocketAddr,
     pub behaviour: Cell<Behaviour>,
     /// Simulated execution time of a request.
-    pub work: Cell<Duration>,
+    pub execution_time: Cell<Duration>,
     /// Maximum number of requests that run at once; more are rejected.
     pub slots: Cell<usize>,
     running: Cell<usize>,
@@ -68,23 +68,23 @@
 }
 
 impl Fleet {
-    /// Starts `count` engines, whose requests take `work`.
-    pub async fn start(count: usize, work: Duration, slots: usize) -> io::Result<Self> {
+    /// Starts `count` engines, whose requests take `execution_time`.
+    pub async fn start(count: usize, execution_time: Duration, slots: usize) -> io::Result<Self> {
         let mut fleet = Fleet::default();
         for _ in 0..count {
-            fleet.add(work, slots).await?;
+            fleet.add(execution_time, slots).await?;
         }
         Ok(fleet)
     }
 
     /// Starts one more engine.
-    pub async fn add(&mut self, work: Duration, slots: usize) -> io::Result<Rc<Engine>> {
+    pub async fn add(&mut self, execution_time: Duration, slots: usize) -> io::Result<Rc<Engine>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let engine = Rc::new(Engine {
             number: self.engines.len(),
             address: listener.local_addr()?,
             behaviour: Cell::new(Behaviour::Serving),
-            work: Cell::new(work),
+            execution_time: Cell::new(execution_time),
             slots: Cell::new(slots),
             running: Cell::new(0),
             executions: self.executions.clone(),
@@ -230,7 +230,7 @@
             return reply(&write, [&id, "AGAIN", &load, ""]).await;
         }
         let _guard = RunningGuard::begin(&self);
-        tokio::time::sleep(self.work.get()).await;
+        tokio::time::sleep(self.execution_time.get()).await;
         let pages = 1 + position % 2;
         let fields = format!("total={pages},{load}");
         let page = self.result_page(&id);
--- a/crates/testbed/src/platform/soak/engine_faults.rs
+++ b/crates/testbed/src/platform/soak/engine_faults.rs
@@ -70,7 +70,7 @@
         let mut records = self.records.borrow_mut();
         records.drains.push(DrainNotice {
             engine: engine.number,
-            told_at: Instant::now() + delay,
+            notified_at: Instant::now() + delay,
             until: None,
         });
         records.drains.len() - 1
@@ -92,7 +92,7 @@
             engine: engine.number,
             started_at,
             until: started_at + warm_up,
-            work_ms: engine.work.get().as_secs_f64() * 1000.0,
+            work_ms: engine.execution_time.get().as_secs_f64() * 1000.0,
         });
     }
 
--- a/crates/testbed/src/platform/soak/mod.rs
+++ b/crates/testbed/src/platform/soak/mod.rs
@@ -245,8 +245,8 @@
     async fn start(binary: &Path, seed: u64, scale: Scale) -> Result<Self, ProgramError> {
         let folder = Folder::new(&format!("soak-{seed}"))?;
         let shim = Shim::build(&folder)?;
-        let work = Duration::from_millis(40);
-        let fleet = Fleet::start(scale.engines, work, 60).await?;
+        let execution_time = Duration::from_millis(40);
+        let fleet = Fleet::start(scale.engines, execution_time, 60).await?;
         let instances: Vec<Instance> = fleet
             .engines
             .iter()
--- a/crates/testbed/src/platform/soak/process_faults.rs
+++ b/crates/testbed/src/platform/soak/process_faults.rs
@@ -102,7 +102,7 @@
         let Some(mut process) = process else {
             return;
         };
-        let status = process.wait(Duration::from_millis(1)).await;
+        let status = process.wait_for_exit(Duration::from_millis(1)).await;
         if status.is_some_and(|status| !status.success()) {
             self.record_crash(&node, &process, status);
         }
@@ -118,7 +118,7 @@
         let Some(mut process) = process else {
             return;
         };
-        let status = process.wait(Duration::from_millis(1)).await;
+        let status = process.wait_for_exit(Duration::from_millis(1)).await;
         if status.is_some() {
             self.record_crash(node, &process, status);
         }
@@ -210,7 +210,7 @@
             let Some(process) = process else {
                 continue;
             };
-            let page = process.page("/_invariants").await.unwrap_or_default();
+            let page = process.fetch_page("/_invariants").await.unwrap_or_default();
             *node.dispatcher.borrow_mut() = Some(process);
             let counts = page.lines().filter_map(|line| line.split_once('='));
             for (name, value) in counts.filter(|(name, _)| name.starts_with("violations.")) {
--- a/crates/testbed/src/platform/verdict.rs
+++ b/crates/testbed/src/platform/verdict.rs
@@ -42,7 +42,7 @@
 pub struct DrainNotice {
     pub engine: usize,
     /// Time at which the dispatchers count as notified.
-    pub told_at: Instant,
+    pub notified_at: Instant,
     /// Time of the engine's next start.
     pub until: Option<Instant>,
 }
@@ -113,12 +113,13 @@
         found.push(Violation::AnsweredTwice);
     }
     let Some(answer) = request.answers.first() else {
-        if request.gone_at.is_none() && !needs_no_answer(records, request, attempts) {
+        if request.abandoned_at.is_none() && !needs_no_answer(records, request, attempts) {
             found.push(Violation::Unanswered);
         }
         return;
     };
-    if request.gone_at.is_none() && answer.at > request.deadline() + MAX_ANSWER_DELAY + SOCKET_SLACK
+    if request.abandoned_at.is_none()
+        && answer.at > request.deadline() + MAX_ANSWER_DELAY + SOCKET_SLACK
     {
         found.push(Violation::Unanswered);
     }
@@ -134,7 +135,7 @@
         let is_same = (end.dispatcher, end.process) == (request.dispatcher, request.process);
         is_same && end.killed_at.is_some()
     });
-    was_killed || request.crossed_idle_end && attempts.is_empty()
+    was_killed || request.crossed_idle_close && attempts.is_empty()
 }
 
 fn is_result_of(request: &Request, attempts: &[&Execution], body: &str) -> bool {
@@ -152,7 +153,10 @@
     found: &mut Vec<fn(String) -> Violation>,
 ) {
     let answered_at = request.answers.first().map(|answer| answer.at);
-    let ended_at = [request.gone_at, answered_at].into_iter().flatten().min();
+    let ended_at = [request.abandoned_at, answered_at]
+        .into_iter()
+        .flatten()
+        .min();
     for attempt in attempts {
         if ended_at.is_some_and(|end| attempt.at > end + MAX_START_AFTER_END) {
             found.push(Violation::StartedAfterEnd);
@@ -195,11 +199,11 @@
     for notice in &records.drains {
         let is_late = |execution: &&Execution| {
             execution.engine == notice.engine
-                && execution.at > notice.told_at + grace
+                && execution.at > notice.notified_at + grace
                 && notice.until.is_none_or(|until| execution.at < until)
         };
         for execution in records.executions.iter().filter(is_late) {
-            let late = execution.at - notice.told_at;
+            let late = execution.at - notice.notified_at;
             let text = format!("{} at e{} after {late:?}", execution.request, notice.engine);
             violations.push(Violation::SentToDraining(text));
         }
@@ -277,7 +281,7 @@
         request.dispatcher,
         request.process,
         request.limit,
-        request.gone_at.map(since),
+        request.abandoned_at.map(since),
         request.connection_ended_at.map(since),
     )
 }
