--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -128,7 +128,7 @@
 type RunSeed = fn(&std::path::Path, u64, Duration, bool) -> bool;
 
 fn run_mysql_seed(program: &std::path::Path, seed: u64, span: Duration, _: bool) -> bool {
-    match mysql_soak::play(program, seed, span) {
+    match mysql_soak::run_seed(program, seed, span) {
         Ok(outcome) => {
             println!("seed {seed}: {}", outcome.summary());
             outcome.is_clean()
@@ -142,7 +142,7 @@
 
 fn run_seed(program: &std::path::Path, seed: u64, span: Duration, logs: bool) -> bool {
     let scale = soak::Scale::draw(seed, span);
-    match soak::play(program, seed, scale) {
+    match soak::run_seed(program, seed, scale) {
         Ok(outcome) => {
             println!("seed {seed} {scale:?}: {}", outcome.summary());
             if logs && !outcome.is_clean() {
--- a/crates/testbed/src/mysql_soak/mod.rs
+++ b/crates/testbed/src/mysql_soak/mod.rs
@@ -103,7 +103,7 @@
 }
 
 /// Runs one seed on its own runtime.
-pub fn play(binary: &Path, seed: u64, span: Duration) -> Result<Outcome, ProgramError> {
+pub fn run_seed(binary: &Path, seed: u64, span: Duration) -> Result<Outcome, ProgramError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
--- a/tests/mysql_soak.rs
+++ b/tests/mysql_soak.rs
@@ -5,13 +5,13 @@
 
 use std::path::Path;
 use std::time::Duration;
-use testbed::mysql_soak::play;
+use testbed::mysql_soak::run_seed;
 
 const SPAN: Duration = Duration::from_secs(8);
 
 fn assert_clean(seed: u64) {
     let binary = Path::new(env!("CARGO_BIN_EXE_hitchwinch"));
-    let outcome = play(binary, seed, SPAN).unwrap();
+    let outcome = run_seed(binary, seed, SPAN).unwrap();
     println!("seed {seed}: {}", outcome.summary());
     assert!(outcome.is_clean(), "seed {seed}: {}", outcome.summary());
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -5,13 +5,13 @@
 
 use std::path::Path;
 use std::time::Duration;
-use testbed::platform::soak::{Scale, play};
+use testbed::platform::soak::{Scale, run_seed};
 
 const SPAN: Duration = Duration::from_secs(10);
 
 fn assert_clean(seed: u64) {
     let binary = Path::new(env!("CARGO_BIN_EXE_hitchwinch"));
-    let outcome = play(binary, seed, Scale::draw(seed, SPAN)).unwrap();
+    let outcome = run_seed(binary, seed, Scale::draw(seed, SPAN)).unwrap();
     println!("seed {seed}: {}", outcome.summary());
     assert!(outcome.is_clean(), "seed {seed}: {}", outcome.summary());
 }
