--- a/crates/testbed/src/platform/journal.rs
+++ b/crates/testbed/src/platform/journal.rs
@@ -101,7 +101,7 @@
     }
 
     /// Returns all events so far, in the form of the configuration's `known` section.
-    pub fn known(&self) -> Value {
+    pub fn known_section(&self) -> Value {
         let events = self.events.borrow();
         json!({"pos": events.len(), "entries": *events})
     }
--- a/crates/testbed/src/platform/soak/process_faults.rs
+++ b/crates/testbed/src/platform/soak/process_faults.rs
@@ -146,7 +146,7 @@
             node.rank,
             node.address.get(),
             self.journal.address(),
-            &self.journal.known(),
+            &self.journal.known_section(),
         );
         let name = format!("n{}", node.rank);
         let shim = Some((&self.shim, Faults::default()));
