--- a/crates/testbed/src/platform/settings.rs
+++ b/crates/testbed/src/platform/settings.rs
@@ -96,7 +96,7 @@
     }
 
     /// Returns the file of the dispatcher of this rank. `known` holds the journal's entries at its start.
-    pub fn file(
+    pub fn config_file(
         &self,
         rank: usize,
         listen: SocketAddr,
--- a/crates/testbed/src/platform/soak/process_faults.rs
+++ b/crates/testbed/src/platform/soak/process_faults.rs
@@ -142,7 +142,7 @@
 
     /// Starts the next process of a dispatcher, at the address of its first process.
     pub(super) async fn start_process(&self, node: &Node) -> Result<(), ProgramError> {
-        let config = self.settings.file(
+        let config = self.settings.config_file(
             node.rank,
             node.address.get(),
             self.journal.address(),
--- a/tests/engine_ages.rs
+++ b/tests/engine_ages.rs
@@ -65,7 +65,8 @@
     let binary = Path::new(env!("CARGO_BIN_EXE_hitchwinch"));
     let start = async |rank: usize, clock_offset_ms: i64| {
         let listen = "127.0.0.1:0".parse().unwrap();
-        let config = settings.file(rank, listen, journal.address(), &journal.known_section());
+        let config =
+            settings.config_file(rank, listen, journal.address(), &journal.known_section());
         let faults = Faults {
             clock_offset_ms,
             ..Faults::default()
--- a/tests/failing_calls.rs
+++ b/tests/failing_calls.rs
@@ -49,7 +49,7 @@
         .collect();
     let journal = Journal::start(&listed).await.unwrap();
     let listen = "127.0.0.1:0".parse().unwrap();
-    let config = settings().file(0, listen, journal.address(), &journal.known_section());
+    let config = settings().config_file(0, listen, journal.address(), &journal.known_section());
     let shim = Shim::build(&folder).unwrap();
     let binary = Path::new(env!("CARGO_BIN_EXE_hitchwinch"));
     let no_faults = Some((&shim, Faults::default()));
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -109,7 +109,7 @@
         .collect();
     let journal = Journal::start(&listed).await.unwrap();
     let listen = "127.0.0.1:0".parse().unwrap();
-    let config = settings().file(0, listen, journal.address(), &journal.known_section());
+    let config = settings().config_file(0, listen, journal.address(), &journal.known_section());
     let binary = Path::new(env!("CARGO_BIN_EXE_hitchwinch"));
     let dispatcher = Dispatcher::start(binary, &folder, "n0", &config, None)
         .await
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -56,7 +56,7 @@
         let listed = [instance(&fleet, 0, 0.0), instance(&fleet, 1, 0.0)];
         let journal = Journal::start(&listed).await.unwrap();
         let listen = "127.0.0.1:0".parse().unwrap();
-        let config = settings().file(0, listen, journal.address(), &journal.known_section());
+        let config = settings().config_file(0, listen, journal.address(), &journal.known_section());
         let shim = Shim::build(&folder).unwrap();
         let binary = Path::new(env!("CARGO_BIN_EXE_hitchwinch"));
         let faults = Faults {
