--- a/crates/testbed/src/platform/clients.rs
+++ b/crates/testbed/src/platform/clients.rs
@@ -218,7 +218,7 @@
     }
 
     /// Waits until no request is open or the connection has ended, at most for `timeout`.
-    pub async fn until_idle(&self, timeout: Duration) {
+    pub async fn wait_until_idle(&self, timeout: Duration) {
         let wait = async {
             while !self.open.borrow().is_empty() && !self.has_ended() {
                 self.state.changed.notified().await;
--- a/crates/testbed/src/platform/soak/clients.rs
+++ b/crates/testbed/src/platform/soak/clients.rs
@@ -41,11 +41,11 @@
             1 => {
                 let malformed = crate::platform::clients::encode_frame(kind::REQUEST, 0, &[9]);
                 let _ = connection.send_raw(&malformed).await;
-                connection.until_idle(MAX_DEADLINE * 2).await;
+                connection.wait_until_idle(MAX_DEADLINE * 2).await;
                 connection.close().await;
             }
             _ => {
-                connection.until_idle(MAX_DEADLINE * 2).await;
+                connection.wait_until_idle(MAX_DEADLINE * 2).await;
                 connection.close().await;
             }
         }
--- a/tests/engine_ages.rs
+++ b/tests/engine_ages.rs
@@ -99,7 +99,7 @@
         connection.send(&id, "lookup", limit).await.unwrap();
         tokio::time::sleep_until((started_at + REQUEST_INTERVAL * number as u32).into()).await;
     }
-    connection.until_idle(Duration::from_secs(3)).await;
+    connection.wait_until_idle(Duration::from_secs(3)).await;
     let answers = log.requests();
     let is_served = |code: u8| code == query_dispatcher::protocol::frames::code::SERVED;
     let first = answers.iter().filter_map(|request| request.answers.first());
