--- a/crates/testbed/src/mysql_soak/mod.rs
+++ b/crates/testbed/src/mysql_soak/mod.rs
@@ -20,7 +20,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
-use verdict::{CommandEnd, CommandRecord, Kill, Violation, judge};
+use verdict::{CommandEnd, CommandRecord, Kill, Violation, find_violations};
 
 const GATEWAYS: usize = 3;
 const ENGINES: usize = 4;
@@ -485,7 +485,7 @@
             served: commands.iter().filter(is_served).count(),
             processes: self.gateways.iter().map(|g| g.process.get()).sum(),
             faults: self.faults.borrow().clone(),
-            violations: judge(&commands, &self.kills.borrow(), &executions),
+            violations: find_violations(&commands, &self.kills.borrow(), &executions),
             logged_violations: self.logged_violations.borrow().clone(),
             crashes: self.crashes.borrow().clone(),
         }
--- a/crates/testbed/src/mysql_soak/verdict.rs
+++ b/crates/testbed/src/mysql_soak/verdict.rs
@@ -57,7 +57,7 @@
 }
 
 /// Returns all violations in these records.
-pub fn judge(
+pub fn find_violations(
     commands: &[CommandRecord],
     kills: &[Kill],
     executions: &[Execution],
--- a/crates/testbed/src/platform/soak/engine_faults.rs
+++ b/crates/testbed/src/platform/soak/engine_faults.rs
@@ -106,7 +106,7 @@
             };
             self.count_fault("journal outage");
             self.journal.set_mode(mode);
-            // Not every dispatcher knows of the slow starts that the outage overlaps, so they are not judged.
+            // Not every dispatcher knows of the slow starts that the outage overlaps, so they are not checked.
             self.records.borrow_mut().slow_starts.clear();
             random.pause(1500.0).await;
             self.journal.set_mode(Mode::Serving);
--- a/crates/testbed/src/platform/soak/mod.rs
+++ b/crates/testbed/src/platform/soak/mod.rs
@@ -10,7 +10,9 @@
 use crate::platform::engines::{Behaviour, Engine, Fleet};
 use crate::platform::journal::{Instance, Journal, Lifecycle, Mode};
 use crate::platform::settings::{Class, Effect, Settings};
-use crate::platform::verdict::{DrainNotice, ProcessEnd, Records, SlowStart, Violation, judge};
+use crate::platform::verdict::{
+    DrainNotice, ProcessEnd, Records, SlowStart, Violation, find_violations,
+};
 use crate::program::{Folder, ProgramError};
 use crate::random::{Stream, Streams};
 use query_dispatcher::protocol::frames::{code, kind};
@@ -310,7 +312,7 @@
             processes: self.nodes.iter().map(|node| node.process.get()).sum(),
             faults: self.faults.borrow().clone(),
             lag: TIMER_LAG.get(),
-            violations: judge(&records, &self.settings, self.started_at),
+            violations: find_violations(&records, &self.settings, self.started_at),
             reported_violations: self.reported_violations.borrow().clone(),
             crashes: self.crashes.borrow().clone(),
             logs: self.logs.borrow().clone(),
--- a/crates/testbed/src/platform/verdict.rs
+++ b/crates/testbed/src/platform/verdict.rs
@@ -78,7 +78,7 @@
 }
 
 /// Returns all violations. Times in their descriptions are relative to `epoch`.
-pub fn judge(records: &Records, settings: &Settings, epoch: Instant) -> Vec<Violation> {
+pub fn find_violations(records: &Records, settings: &Settings, epoch: Instant) -> Vec<Violation> {
     let mut executions: HashMap<&str, Vec<&Execution>> = HashMap::new();
     for execution in &records.executions {
         executions
--- a/tests/failing_calls.rs
+++ b/tests/failing_calls.rs
@@ -9,7 +9,7 @@
 use testbed::platform::engines::Fleet;
 use testbed::platform::journal::{Instance, Journal, Lifecycle};
 use testbed::platform::settings::{Class, Effect, Settings};
-use testbed::platform::verdict::{Records, judge};
+use testbed::platform::verdict::{Records, find_violations};
 use testbed::program::Folder;
 use tokio::task::LocalSet;
 
@@ -93,7 +93,7 @@
 async fn every_request_is_answered_while_system_calls_fail_for_a_moment() {
     let began = Instant::now();
     let records = LocalSet::new().run_until(run_requests()).await;
-    assert_eq!(judge(&records, &settings(), began), []);
+    assert_eq!(find_violations(&records, &settings(), began), []);
     let answered = records.requests.iter().filter(|r| !r.answers.is_empty());
     assert_eq!(answered.count(), REQUESTS as usize);
 }
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -11,7 +11,7 @@
 use testbed::platform::engines::{Behaviour, Engine, Fleet};
 use testbed::platform::journal::{Instance, Journal, Lifecycle};
 use testbed::platform::settings::{Class, Effect, Settings};
-use testbed::platform::verdict::{Records, judge};
+use testbed::platform::verdict::{Records, find_violations};
 use testbed::program::Folder;
 use testbed::random::{Stream, Streams};
 use tokio::task::{LocalSet, spawn_local};
@@ -157,7 +157,7 @@
 async fn a_drain_of_thousands_of_engines_under_overload_holds_no_answer_back() {
     let started_at = Instant::now();
     let records = LocalSet::new().run_until(run_scenario()).await;
-    let violations = judge(&records, &settings(), started_at);
+    let violations = find_violations(&records, &settings(), started_at);
     let first: Vec<_> = violations.iter().take(5).collect();
     assert!(
         violations.is_empty(),
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -10,7 +10,7 @@
 use testbed::platform::engines::{Behaviour, Fleet};
 use testbed::platform::journal::{Instance, Journal, Lifecycle};
 use testbed::platform::settings::{Class, Effect, Settings};
-use testbed::platform::verdict::{Records, SlowStart, judge};
+use testbed::platform::verdict::{Records, SlowStart, find_violations};
 use testbed::program::Folder;
 use tokio::task::LocalSet;
 
@@ -147,7 +147,7 @@
         tokio::time::sleep(DEADLINE + ANSWER_GRACE).await;
     }
     let records = setup.records();
-    let violations = judge(&records, &settings(), Instant::now());
+    let violations = find_violations(&records, &settings(), Instant::now());
     assert_eq!(violations, [], "deadlines across steps of the clock");
     // A time-out is answered shortly before the deadline, never much earlier.
     let early = records.requests.iter().find(|request| {
@@ -180,7 +180,11 @@
         until: started_at + Duration::from_secs(6),
         work_ms: WORK.as_secs_f64() * 1000.0,
     });
-    assert_eq!(judge(&records, &settings(), Instant::now()), [], "{name}");
+    assert_eq!(
+        find_violations(&records, &settings(), Instant::now()),
+        [],
+        "{name}"
+    );
     let served = records.executions.iter().filter(|e| e.engine == 1);
     assert!(served.count() > 5, "{name}: the engine gets its share");
 }
