--- a/tests/engine_ages.rs
+++ b/tests/engine_ages.rs
@@ -65,7 +65,8 @@
     let binary = Path::new(env!("CARGO_BIN_EXE_hitchwinch"));
     let start = async |rank: usize, clock_offset_ms: i64| {
         let listen = "127.0.0.1:0".parse().unwrap();
-        let config = settings.file(rank, listen, journal.address(), &journal.known());
+        let config =
+            settings.config_file(rank, listen, journal.address(), &journal.known_section());
         let faults = Faults {
             clock_offset_ms,
             ..Faults::default()
@@ -98,7 +99,7 @@
         connection.send(&id, "lookup", limit).await.unwrap();
         tokio::time::sleep_until((started_at + REQUEST_INTERVAL * number as u32).into()).await;
     }
-    connection.until_idle(Duration::from_secs(3)).await;
+    connection.wait_until_idle(Duration::from_secs(3)).await;
     let answers = log.requests();
     let is_served = |code: u8| code == query_dispatcher::protocol::frames::code::SERVED;
     let first = answers.iter().filter_map(|request| request.answers.first());
--- a/tests/mysql_soak.rs
+++ b/tests/mysql_soak.rs
@@ -1,17 +1,17 @@
-//! A short soak of the MySQL frontend: random faults that overlap, over some processes. Many seeds are played by hand:
-//! `testbed mysql-soak` (docs/ON-CALL.md).
+//! Short soak of the MySQL frontend: random overlapping faults, over several processes. For many seeds, run
+//! `testbed mysql-soak` by hand (docs/ON-CALL.md).
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::path::Path;
 use std::time::Duration;
-use testbed::mysql_soak::play;
+use testbed::mysql_soak::run_seed;
 
 const SPAN: Duration = Duration::from_secs(8);
 
 fn assert_clean(seed: u64) {
     let binary = Path::new(env!("CARGO_BIN_EXE_hitchwinch"));
-    let outcome = play(binary, seed, SPAN).unwrap();
+    let outcome = run_seed(binary, seed, SPAN).unwrap();
     println!("seed {seed}: {}", outcome.summary());
     assert!(outcome.is_clean(), "seed {seed}: {}", outcome.summary());
 }
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -10,7 +10,7 @@
 use testbed::platform::engines::{Behaviour, Fleet};
 use testbed::platform::journal::{Instance, Journal, Lifecycle};
 use testbed::platform::settings::{Class, Effect, Settings};
-use testbed::platform::verdict::{Records, SlowStart, judge};
+use testbed::platform::verdict::{Records, SlowStart, find_violations};
 use testbed::program::Folder;
 use tokio::task::LocalSet;
 
@@ -56,7 +56,7 @@
         let listed = [instance(&fleet, 0, 0.0), instance(&fleet, 1, 0.0)];
         let journal = Journal::start(&listed).await.unwrap();
         let listen = "127.0.0.1:0".parse().unwrap();
-        let config = settings().file(0, listen, journal.address(), &journal.known());
+        let config = settings().config_file(0, listen, journal.address(), &journal.known_section());
         let shim = Shim::build(&folder).unwrap();
         let binary = Path::new(env!("CARGO_BIN_EXE_hitchwinch"));
         let faults = Faults {
@@ -147,7 +147,7 @@
         tokio::time::sleep(DEADLINE + ANSWER_GRACE).await;
     }
     let records = setup.records();
-    let violations = judge(&records, &settings(), Instant::now());
+    let violations = find_violations(&records, &settings(), Instant::now());
     assert_eq!(violations, [], "deadlines across steps of the clock");
     // A time-out is answered shortly before the deadline, never much earlier.
     let early = records.requests.iter().find(|request| {
@@ -180,7 +180,11 @@
         until: started_at + Duration::from_secs(6),
         work_ms: WORK.as_secs_f64() * 1000.0,
     });
-    assert_eq!(judge(&records, &settings(), Instant::now()), [], "{name}");
+    assert_eq!(
+        find_violations(&records, &settings(), Instant::now()),
+        [],
+        "{name}"
+    );
     let served = records.executions.iter().filter(|e| e.engine == 1);
     assert!(served.count() > 5, "{name}: the engine gets its share");
 }
