--- a/crates/testbed/src/fakes/engine.rs
+++ b/crates/testbed/src/fakes/engine.rs
@@ -1,5 +1,5 @@
-//! A stand-in for an engine that speaks MySQL: it runs every statement for a while, keeps an exact account of what
-//! it was sent and when, and can end, return, and hang.
+//! Fake MySQL engine. It executes every statement for a configurable time, records each statement with its
+//! time of arrival, and can be stopped, restarted and slowed down by a test.
 
 use crate::fakes::engine_session::{Session, SessionResponse};
 use crate::now;
@@ -19,53 +19,53 @@
 use tokio_stream::StreamExt;
 use tokio_util::codec::Framed;
 
-/// The password that a dispatcher's `[engines]` names.
+/// Password that the `[engines]` section of a dispatcher has to contain.
 pub const PASSWORD: &str = "lab";
-/// Statements that are remembered.
-const REMEMBERED: usize = 1_000_000;
+/// Maximum number of recorded statements; a further statement closes its connection.
+const MAX_EXECUTIONS: usize = 1_000_000;
 
-/// One statement that an engine was sent whole.
+/// One statement that the engine received completely.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Execution {
-    /// When its last byte was here, in milliseconds.
+    /// When the engine received its last byte, in milliseconds on the Unix clock.
     pub at: f64,
     pub sql: String,
-    /// The process of the engine, counted from its first start.
+    /// Number of the engine process that executed it; 1 is the first.
     pub process: u32,
-    /// The connection that brought it, by its number at the engine.
+    /// Number of the connection that it was sent on, as the engine counts connections.
     pub connection: u32,
-    /// Its answer was written.
+    /// Whether its response was written.
     pub answered: bool,
-    /// For how long it held its connection, in milliseconds, once it was answered.
+    /// Time from its arrival to the end of its response, in milliseconds; 0 before that.
     pub held: f64,
 }
 
-/// Rows that a statement asks for by `rows(N, BYTES)` somewhere in it; `rows(N, BYTES, K)` breaks the connection
-/// behind K of them where the engine was told to ([`Engine::breaks_once`]).
+/// Generated rows that a statement requests by containing `rows(N, BYTES)`. With `rows(N, BYTES, K)` the
+/// engine closes the connection after K rows, if the test requested that by [`Engine::breaks_once`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rows {
-    pub n: u64,
-    pub bytes: usize,
-    pub breaks: Option<u64>,
+pub struct GeneratedRows {
+    pub count: u64,
+    pub row_bytes: usize,
+    pub break_after: Option<u64>,
 }
 
-impl Rows {
-    fn read(sql: &str) -> Option<Self> {
+impl GeneratedRows {
+    fn parse(sql: &str) -> Option<Self> {
         let inner = sql.split_once("rows(")?.1.split_once(')')?.0;
         let mut numbers = inner.split(',').map(|n| n.trim().parse::<u64>());
-        let (n, bytes) = (numbers.next()?.ok()?, numbers.next()?.ok()?);
-        Some(Rows {
-            n,
-            bytes: (bytes as usize).min(1 << 20),
-            breaks: numbers.next().and_then(Result::ok),
+        let (count, row_bytes) = (numbers.next()?.ok()?, numbers.next()?.ok()?);
+        Some(GeneratedRows {
+            count,
+            row_bytes: (row_bytes as usize).min(1 << 20),
+            break_after: numbers.next().and_then(Result::ok),
         })
     }
 }
 
-/// The text in the first column of a row: its number, filled up to the length asked for.
+/// Returns the text in the first column of a generated row: the number of the row, padded to `bytes` bytes.
 pub fn filled(row: u64, bytes: usize) -> String {
     let mut text = format!("{row}:");
-    // What a report holds: words that repeat, and numbers that do not.
+    // Repeating words and random numbers, so that the text compresses about as well as a report.
     let mut n = row.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     while text.len() < bytes {
         n = n.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
@@ -79,37 +79,39 @@
 struct Inner {
     name: String,
     address: Cell<SocketAddr>,
-    work: Cell<Duration>,
+    execution_time: Cell<Duration>,
     process: Cell<u32>,
-    /// When this process started, in milliseconds.
+    /// When the current process started, in milliseconds on the Unix clock.
     started: Cell<f64>,
-    ran: RefCell<Vec<Execution>>,
-    /// Changes of rows that are committed, in that order.
-    lasting: RefCell<Vec<String>>,
-    /// A COMMIT is carried out and its answer lost with its connection; once.
-    loses_commit: Cell<bool>,
+    executions: RefCell<Vec<Execution>>,
+    /// Committed statements that change rows, in the order of their commits.
+    committed: RefCell<Vec<String>>,
+    /// Whether the next COMMIT takes effect and loses its response with the connection.
+    lose_commit_response: Cell<bool>,
     running: Cell<usize>,
-    most_running: Cell<usize>,
+    max_running: Cell<usize>,
     tasks: RefCell<Vec<AbortHandle>>,
     connections: Cell<u32>,
-    breaks: Cell<bool>,
+    /// Whether the next result that contains a break point ends there.
+    break_result: Cell<bool>,
 }
 
-/// One engine. Cloned handles are the same engine.
+/// Handle of a fake engine. Clones refer to the same engine.
 #[derive(Clone)]
 pub struct Engine(Rc<Inner>);
 
-/// Counts what runs, however it ends.
-struct Running<'a>(&'a Inner);
+/// Counts a statement as running until it is dropped.
+struct RunningGuard<'a>(&'a Inner);
 
-impl Drop for Running<'_> {
+impl Drop for RunningGuard<'_> {
     fn drop(&mut self) {
         self.0.running.set(self.0.running.get() - 1);
     }
 }
 
 impl Engine {
-    /// An engine at this address (port 0 takes a free one) that works on each statement for `work`.
+    /// Starts an engine at this address (port 0 selects a free port) that executes each statement for
+    /// `work`.
     ///
     /// # Errors
     /// The address cannot be listened on.
@@ -117,24 +119,24 @@
         let inner = Inner {
             name: name.into(),
             address: Cell::new(address),
-            work: Cell::new(work),
+            execution_time: Cell::new(work),
             process: Cell::new(0),
             started: Cell::new(now()),
-            ran: RefCell::default(),
-            lasting: RefCell::default(),
-            loses_commit: Cell::new(false),
+            executions: RefCell::default(),
+            committed: RefCell::default(),
+            lose_commit_response: Cell::new(false),
             running: Cell::new(0),
-            most_running: Cell::new(0),
+            max_running: Cell::new(0),
             tasks: RefCell::default(),
             connections: Cell::new(0),
-            breaks: Cell::new(false),
+            break_result: Cell::new(false),
         };
         let engine = Engine(Rc::new(inner));
         engine.again().await?;
         Ok(engine)
     }
 
-    /// Its process starts anew, at the same address.
+    /// Starts a new process of the engine at the same address.
     ///
     /// # Errors
     /// The address cannot be listened on.
@@ -150,7 +152,7 @@
                     return;
                 };
                 let session = engine.clone();
-                let task = spawn_local(async move { drop(session.session(tcp).await) });
+                let task = spawn_local(async move { drop(session.serve_connection(tcp).await) });
                 let mut tasks = engine.0.tasks.borrow_mut();
                 tasks.retain(|t| !t.is_finished());
                 tasks.push(task.abort_handle());
@@ -160,7 +162,7 @@
         Ok(())
     }
 
-    /// Its process ends: all connections break off, and new ones are refused.
+    /// Ends the engine's process: open connections are closed and new ones are refused.
     pub fn end(&self) {
         self.0.tasks.borrow_mut().drain(..).for_each(|t| t.abort());
     }
@@ -173,46 +175,47 @@
         self.0.address.get()
     }
 
-    /// When its process started last, in milliseconds.
+    /// Returns when its current process started, in milliseconds on the Unix clock.
     pub fn started(&self) -> f64 {
         self.0.started.get()
     }
 
-    /// How long it works on a statement from now on.
+    /// Sets the time that statements execute from now on.
     pub fn work(&self, span: Duration) {
-        self.0.work.set(span);
+        self.0.execution_time.set(span);
     }
 
-    /// All that it was sent, in order.
+    /// Returns all statements that it received, in the order of arrival.
     pub fn executions(&self) -> Vec<Execution> {
-        self.0.ran.borrow().clone()
+        self.0.executions.borrow().clone()
     }
 
-    /// What is committed here, in that order.
+    /// Returns the committed statements that change rows, in the order of their commits.
     pub fn lasting(&self) -> Vec<String> {
-        self.0.lasting.borrow().clone()
+        self.0.committed.borrow().clone()
     }
 
-    /// The next COMMIT holds, and its answer is lost with its connection.
+    /// Lets the next COMMIT take effect and closes its connection before the response.
     pub fn loses_commit_once(&self) {
-        self.0.loses_commit.set(true);
+        self.0.lose_commit_response.set(true);
     }
 
-    /// The last moment at which a statement came, in milliseconds.
+    /// Returns when the most recent statement arrived, in milliseconds on the Unix clock.
     pub fn last(&self) -> Option<f64> {
-        self.0.ran.borrow().last().map(|r| r.at)
+        self.0.executions.borrow().last().map(|r| r.at)
     }
 
+    /// Returns the number of statements that it received.
     pub fn count(&self) -> usize {
-        self.0.ran.borrow().len()
+        self.0.executions.borrow().len()
     }
 
-    /// The most that ran at a time since the last call.
+    /// Returns the maximum number of statements that ran at a time since the previous call.
     pub fn most_running(&self) -> usize {
-        self.0.most_running.replace(self.0.running.get())
+        self.0.max_running.replace(self.0.running.get())
     }
 
-    async fn session(&self, tcp: TcpStream) -> Result<(), PacketError> {
+    async fn serve_connection(&self, tcp: TcpStream) -> Result<(), PacketError> {
         tcp.set_nodelay(true)?;
         let mut wire = Framed::new(
             tcp,
@@ -244,7 +247,7 @@
         }
         wire.send(&ok_packet()[..]).await?;
         let mut statements: HashMap<u32, String> = HashMap::new();
-        let mut next = 0;
+        let mut last_id = 0;
         let mut session = Session::new(number, &self.0.name);
         loop {
             wire.codec_mut().sequence = 0;
@@ -255,28 +258,28 @@
             let Some((&kind, body)) = command.split_first() else {
                 return Ok(());
             };
-            let said = String::from_utf8_lossy(body).into_owned();
+            let text = String::from_utf8_lossy(body).into_owned();
             let id = PayloadReader(command.slice(1..)).u32().unwrap_or(0);
             let (sql, binary) = match kind {
                 COM_QUIT => return Ok(()),
-                COM_QUERY if said.starts_with("SET ") || said.starts_with("KILL ") => {
-                    match session.says(&said) {
-                        Some(SessionResponse::Error(code, state, text)) => {
+                COM_QUERY if text.starts_with("SET ") || text.starts_with("KILL ") => {
+                    match session.execute(&text) {
+                        Some(SessionResponse::Error(code, state, message)) => {
                             wire.send(
                                 &err_packet(&SqlError {
                                     code,
                                     state,
-                                    message: text,
+                                    message,
                                 })[..],
                             )
                             .await?;
                         }
-                        _ => wire.send(&done(session.status())[..]).await?,
+                        _ => wire.send(&ok_with_status(session.status())[..]).await?,
                     }
-                    self.0.lasting.borrow_mut().append(&mut session.lasting);
+                    self.0.committed.borrow_mut().append(&mut session.committed);
                     continue;
                 }
-                COM_QUERY => (said, false),
+                COM_QUERY => (text, false),
                 COM_STMT_EXECUTE => match statements.get(&id) {
                     Some(sql) => (sql.clone(), true),
                     None => {
@@ -291,10 +294,10 @@
                     }
                 },
                 COM_STMT_PREPARE => {
-                    next += 1;
-                    self.prepared(&mut wire, next, &said, session.columns(&said))
+                    last_id += 1;
+                    self.send_prepared(&mut wire, last_id, &text, session.column_count(&text))
                         .await?;
-                    statements.insert(next, said);
+                    statements.insert(last_id, text);
                     continue;
                 }
                 COM_STMT_CLOSE => {
@@ -303,29 +306,34 @@
                 }
                 COM_STMT_SEND_LONG_DATA => continue,
                 _ => {
-                    wire.send(&done(session.status())[..]).await?;
+                    wire.send(&ok_with_status(session.status())[..]).await?;
                     continue;
                 }
             };
-            let said = session.says(&sql);
+            let response = session.execute(&sql);
             let commits = sql.trim_start().to_ascii_lowercase().starts_with("commit");
-            self.0.lasting.borrow_mut().append(&mut session.lasting);
-            if commits && self.0.loses_commit.replace(false) {
-                return Err(PacketError::Protocol("it breaks here"));
+            self.0.committed.borrow_mut().append(&mut session.committed);
+            if commits && self.0.lose_commit_response.replace(false) {
+                return Err(PacketError::Protocol(
+                    "the test loses the response to a COMMIT",
+                ));
             }
-            self.run(&mut wire, sql, binary, said, &session).await?;
+            self.run(&mut wire, sql, binary, response, &session).await?;
         }
     }
 
-    async fn prepared(
+    /// Sends the response to a prepared statement. `known_columns` is the number of columns of a SELECT
+    /// that the session evaluates itself.
+    async fn send_prepared(
         &self,
         wire: &mut Wire,
         id: u32,
         sql: &str,
-        own: Option<usize>,
+        known_columns: Option<usize>,
     ) -> Result<(), PacketError> {
         let parameters = sql.matches('?').count().min(250) as u8;
-        let columns = own.map_or(if reads(sql) { 2 } else { 0 }, |n| n.min(250) as u8);
+        let columns =
+            known_columns.map_or(if is_select(sql) { 2 } else { 0 }, |n| n.min(250) as u8);
         let head = [
             &[0][..],
             &id.to_le_bytes(),
@@ -334,15 +342,15 @@
         .concat();
         wire.feed(&head[..]).await?;
         for _ in 0..parameters {
-            wire.feed(&column("?")[..]).await?;
+            wire.feed(&column_definition("?")[..]).await?;
         }
         if parameters > 0 {
             wire.feed(EOF).await?;
         }
         if columns > 0 {
             for n in 0..columns {
-                wire.feed(&column(["engine", "process", "more"][usize::from(n.min(2))])[..])
-                    .await?;
+                let name = ["engine", "process", "more"][usize::from(n.min(2))];
+                wire.feed(&column_definition(name)[..]).await?;
             }
             wire.feed(EOF).await?;
         }
@@ -354,16 +362,16 @@
         wire: &mut Wire,
         sql: String,
         binary: bool,
-        said: Option<SessionResponse>,
+        response: Option<SessionResponse>,
         session: &Session,
     ) -> Result<(), PacketError> {
         let inner = &*self.0;
-        let place = {
-            let mut ran = inner.ran.borrow_mut();
-            if ran.len() >= REMEMBERED {
-                return Err(PacketError::Protocol("the account is full"));
+        let index = {
+            let mut executions = inner.executions.borrow_mut();
+            if executions.len() >= MAX_EXECUTIONS {
+                return Err(PacketError::Protocol("the record of executions is full"));
             }
-            ran.push(Execution {
+            executions.push(Execution {
                 at: now(),
                 sql: sql.clone(),
                 process: inner.process.get(),
@@ -371,36 +379,37 @@
                 answered: false,
                 held: 0.0,
             });
-            ran.len() - 1
+            executions.len() - 1
         };
         inner.running.set(inner.running.get() + 1);
         inner
-            .most_running
-            .set(inner.most_running.get().max(inner.running.get()));
-        let running = Running(inner);
-        // The runtime's clock ticks in milliseconds: no work is to take no time.
-        if !inner.work.get().is_zero() {
-            tokio::time::sleep(inner.work.get()).await;
+            .max_running
+            .set(inner.max_running.get().max(inner.running.get()));
+        let running = RunningGuard(inner);
+        // The runtime's timer has a granularity of 1 ms, so even a zero sleep would take time.
+        if !inner.execution_time.get().is_zero() {
+            tokio::time::sleep(inner.execution_time.get()).await;
         }
         drop(running);
         let mut end = eof_packet(session.status());
         end[1..3].copy_from_slice(&session.warnings().to_le_bytes());
-        if let Some(said) = said {
-            self.tell(wire, said, binary, session.status()).await?;
-        } else if let Some(rows) = Rows::read(&sql) {
-            self.many(wire, rows, binary).await?;
-        } else if reads(&sql) {
+        if let Some(response) = response {
+            self.send_response(wire, response, binary, session.status())
+                .await?;
+        } else if let Some(rows) = GeneratedRows::parse(&sql) {
+            self.send_generated_rows(wire, rows, binary).await?;
+        } else if is_select(&sql) {
             let head: &[u8] = if binary { &[0, 0] } else { &[] };
             let row = [
                 head,
-                &text(&inner.name),
-                &text(&inner.process.get().to_string()),
+                &length_encoded_text(&inner.name),
+                &length_encoded_text(&inner.process.get().to_string()),
             ]
             .concat();
             for p in [
                 &[2][..],
-                &column("engine"),
-                &column("process"),
+                &column_definition("engine"),
+                &column_definition("process"),
                 &end,
                 &row,
                 &end,
@@ -409,32 +418,33 @@
             }
             SinkExt::<&[u8]>::flush(wire).await?;
         } else {
-            let mut done = done(session.status());
-            done[5..7].copy_from_slice(&session.warnings().to_le_bytes());
-            wire.send(&done[..]).await?;
+            let mut ok = ok_with_status(session.status());
+            ok[5..7].copy_from_slice(&session.warnings().to_le_bytes());
+            wire.send(&ok[..]).await?;
         }
-        let mut ran = inner.ran.borrow_mut();
-        (ran[place].answered, ran[place].held) = (true, now() - ran[place].at);
+        let mut executions = inner.executions.borrow_mut();
+        (executions[index].answered, executions[index].held) = (true, now() - executions[index].at);
         Ok(())
     }
 }
 
-/// An OK with this status.
-fn done(status: u16) -> Vec<u8> {
+/// Returns an OK packet with these status flags.
+fn ok_with_status(status: u16) -> Vec<u8> {
     let [low, high] = status.to_le_bytes();
     vec![0, 0, 0, low, high, 0, 0]
 }
 
 impl Engine {
-    async fn tell(
+    /// Sends a response of the session itself.
+    async fn send_response(
         &self,
         wire: &mut Wire,
-        said: SessionResponse,
+        response: SessionResponse,
         binary: bool,
         status: u16,
     ) -> Result<(), PacketError> {
-        let (names, rows) = match said {
-            SessionResponse::Ok => return wire.send(&done(status)[..]).await,
+        let (names, rows) = match response {
+            SessionResponse::Ok => return wire.send(&ok_with_status(status)[..]).await,
             SessionResponse::Error(code, state, message) => {
                 return wire
                     .send(
@@ -451,7 +461,7 @@
         };
         wire.feed(&[names.len() as u8][..]).await?;
         for name in &names {
-            wire.feed(&column(name)[..]).await?;
+            wire.feed(&column_definition(name)[..]).await?;
         }
         wire.feed(&eof_packet(status)[..]).await?;
         for row in &rows {
@@ -462,7 +472,7 @@
             };
             for (i, value) in row.iter().enumerate() {
                 match value {
-                    Some(v) => p.extend(text(v)),
+                    Some(v) => p.extend(length_encoded_text(v)),
                     None if binary => p[1 + (i + 2) / 8] |= 1 << ((i + 2) % 8),
                     None => p.push(0xfb),
                 }
@@ -473,34 +483,51 @@
         SinkExt::<&[u8]>::flush(wire).await
     }
 
-    async fn many(&self, wire: &mut Wire, rows: Rows, binary: bool) -> Result<(), PacketError> {
-        for p in [&[2][..], &column("engine"), &column("process"), EOF] {
+    async fn send_generated_rows(
+        &self,
+        wire: &mut Wire,
+        rows: GeneratedRows,
+        binary: bool,
+    ) -> Result<(), PacketError> {
+        for p in [
+            &[2][..],
+            &column_definition("engine"),
+            &column_definition("process"),
+            EOF,
+        ] {
             wire.feed(p).await?;
         }
         let process = self.0.process.get().to_string();
         let head: &[u8] = if binary { &[0, 0] } else { &[] };
-        // Long rows differ in their numbers only: the stand-in is to be quicker than what it stands before.
-        let filler = filled(0, rows.bytes);
-        for n in 0..rows.n {
-            if rows.breaks == Some(n) && self.0.breaks.replace(false) {
+        // Long rows differ in their numbers only, so that the fake generates them faster than a dispatcher
+        // reads them.
+        let filler = filled(0, rows.row_bytes);
+        for n in 0..rows.count {
+            if rows.break_after == Some(n) && self.0.break_result.replace(false) {
                 SinkExt::<&[u8]>::flush(wire).await?;
-                return Err(PacketError::Protocol("it breaks here"));
+                return Err(PacketError::Protocol("the test truncates this result"));
             }
-            let long = if rows.bytes < 2000 {
-                filled(n, rows.bytes)
+            let long = if rows.row_bytes < 2000 {
+                filled(n, rows.row_bytes)
             } else {
                 format!("{n}:{}", &filler[2..])
             };
-            let row = [head, &text(&long), &text(&process)].concat();
+            let row = [
+                head,
+                &length_encoded_text(&long),
+                &length_encoded_text(&process),
+            ]
+            .concat();
             wire.feed(&row[..]).await?;
         }
         wire.feed(EOF).await?;
         SinkExt::<&[u8]>::flush(wire).await
     }
 
-    /// The next result that is to break off half way does; see [`Rows`].
+    /// Truncates the next result that contains a break point, and closes its connection; see
+    /// [`GeneratedRows`].
     pub fn breaks_once(&self) {
-        self.0.breaks.set(true);
+        self.0.break_result.set(true);
     }
 }
 
@@ -514,7 +541,8 @@
 
 const EOF: &[u8] = &[0xfe, 0, 0, 2, 0];
 
-fn reads(sql: &str) -> bool {
+/// Returns whether a statement is a SELECT, with at most one comment before it.
+fn is_select(sql: &str) -> bool {
     let sql = sql.trim_start();
     let sql = sql
         .strip_prefix("/*")
@@ -524,17 +552,19 @@
         .is_some_and(|s| s.eq_ignore_ascii_case("select"))
 }
 
-fn text(s: &str) -> Vec<u8> {
+/// Returns a text as a length-encoded string.
+fn length_encoded_text(s: &str) -> Vec<u8> {
     let mut p = vec![];
     put_length_encoded_integer(&mut p, s.len() as u64);
     p.extend(s.bytes());
     p
 }
 
-fn column(name: &str) -> Vec<u8> {
+/// Returns the definition of a text column.
+fn column_definition(name: &str) -> Vec<u8> {
     let words: Vec<u8> = ["def", "", "", "", name, name]
         .into_iter()
-        .flat_map(text)
+        .flat_map(length_encoded_text)
         .collect();
     [
         &words[..],
--- a/crates/testbed/src/fakes/engine_session.rs
+++ b/crates/testbed/src/fakes/engine_session.rs
@@ -1,12 +1,13 @@
-//! The stand-in engine's side of a session, from the public description of MySQL: variables, transactions and what a
-//! connection leaves behind. Written apart from the dispatcher's own reading of them, which it is to check.
+//! Session state of a fake engine, from the public description of MySQL: variables, transactions and
+//! committed changes. It shares no code with the dispatcher's own interpretation of statements, because
+//! tests check that interpretation against it.
 
 use std::collections::BTreeMap;
 
 pub const IN_TRANSACTION: u16 = 1;
 pub const AUTOCOMMIT: u16 = 2;
 
-/// Variables of a session and what they are at its start.
+/// Session variables with their initial values.
 const VARIABLES: [(&str, &str); 24] = [
     ("autocommit", "1"),
     ("auto_increment_increment", "1"),
@@ -34,13 +35,15 @@
     ("wait_timeout", "28800"),
 ];
 
-/// What a statement comes to that an engine answers without touching a table.
+/// Response to a statement that the engine executes without access to a table.
 #[derive(Debug, PartialEq)]
 pub enum SessionResponse {
     Ok,
-    /// Names of columns and one row; none is NULL.
+    /// Column names and one row, in which `None` is NULL.
     Row(Vec<String>, Vec<Option<String>>),
+    /// Column names and rows.
     Rows(Vec<String>, Vec<Vec<Option<String>>>),
+    /// Error number, SQLSTATE and message.
     Error(u16, &'static str, String),
 }
 
@@ -48,14 +51,14 @@
     number: u32,
     name: String,
     variables: BTreeMap<String, String>,
-    users: BTreeMap<String, Option<String>>,
-    open: bool,
-    /// What the last statement warned of; any that holds the word `warns` does.
-    warned: Option<String>,
-    /// Changes of rows that are not committed.
+    user_variables: BTreeMap<String, Option<String>>,
+    in_transaction: bool,
+    /// Warning of the last statement. A statement that contains the word `warns` causes one.
+    warning: Option<String>,
+    /// Statements that change rows and are not committed yet.
     pending: Vec<String>,
-    /// Changes that have become lasting, to be taken out by the engine.
-    pub lasting: Vec<String>,
+    /// Committed statements that change rows; the engine drains this list.
+    pub committed: Vec<String>,
 }
 
 impl Session {
@@ -64,53 +67,56 @@
             .iter()
             .map(|(n, v)| ((*n).to_string(), (*v).to_string()))
             .collect();
-        let (users, pending, lasting) = (BTreeMap::new(), vec![], vec![]);
+        let (user_variables, pending, committed) = (BTreeMap::new(), vec![], vec![]);
         Session {
             number,
             name: name.into(),
             variables,
-            users,
-            open: false,
-            warned: None,
+            user_variables,
+            in_transaction: false,
+            warning: None,
             pending,
-            lasting,
+            committed,
         }
     }
 
-    /// How many warnings the last statement brought.
+    /// Returns the number of warnings of the last statement.
     pub fn warnings(&self) -> u16 {
-        u16::from(self.warned.is_some())
+        u16::from(self.warning.is_some())
     }
 
+    /// Returns the connection ID.
     pub fn number(&self) -> u32 {
         self.number
     }
 
+    /// Returns the status flags for an OK or EOF packet.
     pub fn status(&self) -> u16 {
-        let on = self.variables["autocommit"] == "1";
-        u16::from(self.open) * IN_TRANSACTION + u16::from(on) * AUTOCOMMIT
+        let autocommit = self.variables["autocommit"] == "1";
+        u16::from(self.in_transaction) * IN_TRANSACTION + u16::from(autocommit) * AUTOCOMMIT
     }
 
     fn commit(&mut self) {
-        self.open = false;
-        self.lasting.append(&mut self.pending);
+        self.in_transaction = false;
+        self.committed.append(&mut self.pending);
     }
 
-    /// What it answers by itself; none for what reads or changes tables, of which it takes note.
-    pub fn says(&mut self, sql: &str) -> Option<SessionResponse> {
-        let text = plain(sql);
+    /// Executes a statement. Returns the response of the session itself; `None` for a statement that
+    /// accesses tables, of which only the effect on the transaction is recorded.
+    pub fn execute(&mut self, sql: &str) -> Option<SessionResponse> {
+        let text = strip_comments(sql);
         let lower = text.to_ascii_lowercase();
         let words: Vec<&str> = lower.split_ascii_whitespace().collect();
         match words[..] {
             ["set", "transaction", ..] => return Some(SessionResponse::Ok),
             ["set", "names", ref rest @ ..] => {
-                let set = rest.first().map_or("", |w| w.trim_matches(['\'', '"']));
+                let charset = rest.first().map_or("", |w| w.trim_matches(['\'', '"']));
                 for v in [
                     "character_set_client",
                     "character_set_connection",
                     "character_set_results",
                 ] {
-                    self.variables.insert(v.into(), set.into());
+                    self.variables.insert(v.into(), charset.into());
                 }
                 return Some(SessionResponse::Ok);
             }
@@ -118,17 +124,17 @@
             ["kill", ..] => return Some(SessionResponse::Ok),
             ["begin"] | ["start", "transaction", ..] => {
                 self.commit();
-                self.open = true;
+                self.in_transaction = true;
                 return Some(SessionResponse::Ok);
             }
             ["commit", ref rest @ ..] => {
                 self.commit();
-                self.open = rest.contains(&"chain") && !rest.contains(&"no");
+                self.in_transaction = rest.contains(&"chain") && !rest.contains(&"no");
                 return Some(SessionResponse::Ok);
             }
             ["rollback"] => {
                 self.pending.clear();
-                self.open = false;
+                self.in_transaction = false;
                 return Some(SessionResponse::Ok);
             }
             ["rollback" | "savepoint" | "release" | "lock" | "unlock", ..] => {
@@ -140,7 +146,7 @@
                     |w: &String| vec![Some("Warning".into()), Some("1265".into()), Some(w.clone())];
                 return Some(SessionResponse::Rows(
                     columns,
-                    self.warned.iter().map(row).collect(),
+                    self.warning.iter().map(row).collect(),
                 ));
             }
             ["show", "variables" | "session", ..] => {
@@ -149,11 +155,11 @@
                     .nth(1)
                     .unwrap_or("%")
                     .to_ascii_lowercase();
-                let fits = |n: &str| match like.strip_suffix('%') {
+                let matches = |n: &str| match like.strip_suffix('%') {
                     Some(head) => n.starts_with(head),
                     None => n == like,
                 };
-                let rows = self.variables.iter().filter(|(n, _)| fits(n));
+                let rows = self.variables.iter().filter(|(n, _)| matches(n));
                 let rows = rows
                     .map(|(n, v)| vec![Some(n.clone()), Some(v.clone())])
                     .collect();
@@ -163,13 +169,13 @@
                 ));
             }
             ["select", ..] => {
-                if let Some(said) = self.select(&text[6..]) {
-                    return Some(said);
+                if let Some(response) = self.evaluate_select(&text[6..]) {
+                    return Some(response);
                 }
             }
             _ => {}
         }
-        self.warned = words
+        self.warning = words
             .contains(&"warns")
             .then(|| "Data truncated".to_string());
         let changes = matches!(
@@ -181,25 +187,26 @@
             Some(&("select" | "with" | "show" | "values" | "table"))
         );
         if !changes && !reads {
-            // What defines commits what is open.
+            // A statement that defines tables commits the open transaction.
             self.commit();
         } else if self.variables["autocommit"] != "1" && words.contains(&"from") | changes {
-            self.open = true;
+            self.in_transaction = true;
         }
         if changes {
-            match self.open {
+            match self.in_transaction {
                 true => self.pending.push(sql.to_string()),
-                false => self.lasting.push(sql.to_string()),
+                false => self.committed.push(sql.to_string()),
             }
         }
         None
     }
 
+    /// Assigns all variables of a SET statement, or none if one of the assignments is invalid.
     fn set(&mut self, list: &str) -> SessionResponse {
-        let mut new = (self.variables.clone(), self.users.clone());
-        for one in split(list) {
-            let Some((name, value)) = one.split_once('=') else {
-                return SessionResponse::Error(1064, "42000", format!("near {one}"));
+        let mut new = (self.variables.clone(), self.user_variables.clone());
+        for assignment in split_at_commas(list) {
+            let Some((name, value)) = assignment.split_once('=') else {
+                return SessionResponse::Error(1064, "42000", format!("near {assignment}"));
             };
             let name = name
                 .trim()
@@ -208,7 +215,7 @@
                 .to_ascii_lowercase();
             let value = value.trim();
             if let Some(user) = name.strip_prefix('@').filter(|n| !n.starts_with('@')) {
-                let Some(v) = self.value(value) else {
+                let Some(v) = self.evaluate(value) else {
                     return SessionResponse::Error(1064, "42000", value.into());
                 };
                 new.1.insert(user.trim_matches('`').into(), v);
@@ -230,7 +237,7 @@
                 "default" => Some((*default).to_string()),
                 "on" | "true" => Some("1".into()),
                 "off" | "false" => Some("0".into()),
-                _ => self.value(value).flatten(),
+                _ => self.evaluate(value).flatten(),
             };
             let value = value.unwrap_or_default();
             if name == "sql_mode" && value.split(',').any(|m| m == "NONSENSE") {
@@ -242,15 +249,16 @@
             }
             new.0.insert(name, value);
         }
-        (self.variables, self.users) = new;
+        (self.variables, self.user_variables) = new;
         if self.variables["autocommit"] == "1" {
             self.commit();
         }
         SessionResponse::Ok
     }
 
-    /// A value that needs no table; none if that cannot be told, `Some(None)` for NULL.
-    fn value(&self, text: &str) -> Option<Option<String>> {
+    /// Evaluates an expression that needs no table. Returns `None` if the expression is not supported and
+    /// `Some(None)` for NULL.
+    fn evaluate(&self, text: &str) -> Option<Option<String>> {
         let text = text.trim();
         let lower = text.to_ascii_lowercase();
         if let Some(inner) = text.strip_prefix('(').and_then(|t| t.strip_suffix(')')) {
@@ -259,14 +267,16 @@
                 .get(..6)
                 .filter(|w| w.eq_ignore_ascii_case("select"))
                 .map(|_| &inner[6..]);
-            return self.value(select.unwrap_or(inner));
+            return self.evaluate(select.unwrap_or(inner));
         }
         if let Some(args) = lower
             .starts_with("concat(")
             .then(|| &text[7..text.len() - 1])
         {
-            let all: Option<Vec<Option<String>>> =
-                split(args).iter().map(|a| self.value(a)).collect();
+            let all: Option<Vec<Option<String>>> = split_at_commas(args)
+                .iter()
+                .map(|a| self.evaluate(a))
+                .collect();
             return Some(
                 all?.into_iter()
                     .collect::<Option<Vec<String>>>()
@@ -281,7 +291,12 @@
             return self.variables.get(name).map(|v| Some(v.clone()));
         }
         if let Some(name) = lower.strip_prefix('@') {
-            return Some(self.users.get(name.trim_matches('`')).cloned().flatten());
+            return Some(
+                self.user_variables
+                    .get(name.trim_matches('`'))
+                    .cloned()
+                    .flatten(),
+            );
         }
         let quoted = |q: char| text.len() > 1 && text.starts_with(q) && text.ends_with(q);
         if quoted('\'') || quoted('"') {
@@ -302,39 +317,40 @@
         }
     }
 
-    /// How many columns a SELECT brings that it answers by itself.
-    pub fn columns(&self, sql: &str) -> Option<usize> {
-        let text = plain(sql);
+    /// Returns the number of columns of a SELECT that the session evaluates itself.
+    pub fn column_count(&self, sql: &str) -> Option<usize> {
+        let text = strip_comments(sql);
         let list = text
             .get(..6)
             .filter(|w| w.eq_ignore_ascii_case("select"))
             .map(|_| &text[6..])?;
-        match self.select(list)? {
+        match self.evaluate_select(list)? {
             SessionResponse::Row(names, _) => Some(names.len()),
             _ => None,
         }
     }
 
-    fn select(&self, list: &str) -> Option<SessionResponse> {
+    /// Evaluates the select list of a statement; returns `None` if one of its expressions needs a table.
+    fn evaluate_select(&self, list: &str) -> Option<SessionResponse> {
         let list = list.trim();
         let list = list
             .strip_suffix("LIMIT 1")
             .or_else(|| list.strip_suffix("limit 1"))
             .unwrap_or(list);
         let (mut names, mut row) = (vec![], vec![]);
-        for one in split(list) {
-            let one = one.trim();
-            let at = one.to_ascii_lowercase().rfind(" as ");
-            let (value, name) = at.map_or((one, one), |at| (&one[..at], one[at + 4..].trim()));
-            row.push(self.value(value)?);
+        for item in split_at_commas(list) {
+            let item = item.trim();
+            let at = item.to_ascii_lowercase().rfind(" as ");
+            let (value, name) = at.map_or((item, item), |at| (&item[..at], item[at + 4..].trim()));
+            row.push(self.evaluate(value)?);
             names.push(name.trim_matches('`').to_string());
         }
         Some(SessionResponse::Row(names, row))
     }
 }
 
-/// Without comments and the semicolon.
-fn plain(sql: &str) -> String {
+/// Removes leading comments and the semicolon at the end.
+fn strip_comments(sql: &str) -> String {
     let mut text = sql.trim();
     while let Some(rest) = text.strip_prefix("/*") {
         text = rest.split_once("*/").map_or("", |r| r.1).trim_start();
@@ -342,9 +358,9 @@
     text.trim_end_matches(';').trim().to_string()
 }
 
-/// At the commas outside strings and brackets.
-fn split(list: &str) -> Vec<String> {
-    let (mut all, mut one) = (vec![], String::new());
+/// Splits a list at the commas outside strings and parentheses.
+fn split_at_commas(list: &str) -> Vec<String> {
+    let (mut all, mut item) = (vec![], String::new());
     let (mut depth, mut quote) = (0, None);
     for c in list.chars() {
         match (quote, c) {
@@ -354,14 +370,14 @@
             (None, '(') => depth += 1,
             (None, ')') => depth -= 1,
             (None, ',') if depth == 0 => {
-                all.push(std::mem::take(&mut one));
+                all.push(std::mem::take(&mut item));
                 continue;
             }
             _ => {}
         }
-        one.push(c);
+        item.push(c);
     }
-    all.push(one);
+    all.push(item);
     all
 }
 
@@ -373,7 +389,7 @@
     fn variables_are_set_read_and_reset() {
         let mut s = Session::new(7, "e");
         assert_eq!(
-            s.says("SET SESSION time_zone = '+02:00', @x = 'it''s'"),
+            s.execute("SET SESSION time_zone = '+02:00', @x = 'it''s'"),
             Some(SessionResponse::Ok)
         );
         let row = SessionResponse::Row(
@@ -381,15 +397,20 @@
             vec![Some("+02:00".into()), Some("it's".into()), Some("7".into())],
         );
         assert_eq!(
-            s.says("select @@time_zone, @x as x, connection_id() as n"),
+            s.execute("select @@time_zone, @x as x, connection_id() as n"),
             Some(row)
         );
         assert!(matches!(
-            s.says("SET SESSION nonsense = 1, time_zone = 'x'"),
+            s.execute("SET SESSION nonsense = 1, time_zone = 'x'"),
             Some(SessionResponse::Error(1193, ..))
         ));
-        assert_eq!(s.variables["time_zone"], "+02:00", "all or nothing");
-        s.says("SET SESSION time_zone = DEFAULT, sql_mode = (SELECT CONCAT(@@sql_mode, ',ANSI'))");
+        assert_eq!(
+            s.variables["time_zone"], "+02:00",
+            "an invalid assignment cancels the whole statement"
+        );
+        s.execute(
+            "SET SESSION time_zone = DEFAULT, sql_mode = (SELECT CONCAT(@@sql_mode, ',ANSI'))",
+        );
         assert_eq!(s.variables["time_zone"], "SYSTEM");
         assert_eq!(
             s.variables["sql_mode"],
@@ -398,26 +419,30 @@
     }
 
     #[test]
-    fn changes_last_once_they_are_committed() {
+    fn changes_are_recorded_once_they_are_committed() {
         let mut s = Session::new(7, "e");
-        s.says("insert into t values (1)");
-        assert_eq!((s.lasting.len(), s.status()), (1, AUTOCOMMIT));
-        s.says("begin");
-        s.says("insert into t values (2)");
+        s.execute("insert into t values (1)");
+        assert_eq!((s.committed.len(), s.status()), (1, AUTOCOMMIT));
+        s.execute("begin");
+        s.execute("insert into t values (2)");
         assert_eq!(
-            (s.lasting.len(), s.status()),
+            (s.committed.len(), s.status()),
             (1, AUTOCOMMIT | IN_TRANSACTION)
         );
-        s.says("rollback");
-        s.says("SET SESSION autocommit = 0");
-        s.says("select 1");
-        assert_eq!(s.status(), 0, "no table is read");
-        s.says("select a from t");
-        s.says("insert into t values (3)");
-        assert_eq!((s.lasting.len(), s.status()), (1, IN_TRANSACTION));
-        s.says("create table u (a int)");
+        s.execute("rollback");
+        s.execute("SET SESSION autocommit = 0");
+        s.execute("select 1");
+        assert_eq!(
+            s.status(),
+            0,
+            "a SELECT without a table begins no transaction"
+        );
+        s.execute("select a from t");
+        s.execute("insert into t values (3)");
+        assert_eq!((s.committed.len(), s.status()), (1, IN_TRANSACTION));
+        s.execute("create table u (a int)");
         assert_eq!(
-            s.lasting,
+            s.committed,
             ["insert into t values (1)", "insert into t values (3)"]
         );
     }
--- a/crates/testbed/src/fakes/mod.rs
+++ b/crates/testbed/src/fakes/mod.rs
@@ -1,4 +1,5 @@
-//! Fakes of what surrounds a dispatcher, written from public specifications: MySQL engines and Eureka registries.
+//! Fakes of the systems around a dispatcher, written from public specifications: MySQL engines and Eureka
+//! registries.
 
 pub mod engine;
 pub mod engine_session;
--- a/crates/testbed/src/fakes/registry/document.rs
+++ b/crates/testbed/src/fakes/registry/document.rs
@@ -1,24 +1,24 @@
-//! A registry's documents, as its public API words them. Written by hand, not by the reader's own types: a mistake
-//! in the reader must not be repeated here.
+//! JSON and XML documents of a registry, as its public API defines them. They are formatted by hand rather
+//! than with the types of the dispatcher's parser, so that an error of the parser is not repeated here.
 
 use super::leases::Instance;
 use query_dispatcher::membership::Status;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Text within JSON's quotes.
-fn quoted(text: &str) -> String {
+/// Returns a text as a JSON string.
+fn json_string(text: &str) -> String {
     serde_json::Value::from(text).to_string()
 }
 
-/// Text within XML.
-fn escaped(text: &str) -> String {
+/// Escapes a text for XML.
+fn xml_escaped(text: &str) -> String {
     text.replace('&', "&amp;")
         .replace('<', "&lt;")
         .replace('>', "&gt;")
 }
 
-fn over(i: &Instance) -> &'static str {
+fn overridden_status(i: &Instance) -> &'static str {
     i.overridden.map_or("UNKNOWN", Status::as_str)
 }
 
@@ -26,7 +26,7 @@
     let metadata: Vec<String> = i
         .metadata
         .iter()
-        .map(|(k, v)| format!("{}:{}", quoted(k), quoted(v)))
+        .map(|(k, v)| format!("{}:{}", json_string(k), json_string(v)))
         .collect();
     format!(
         concat!(
@@ -40,12 +40,12 @@
             r#""isCoordinatingDiscoveryServer":"false","lastUpdatedTimestamp":"{updated}","#,
             r#""lastDirtyTimestamp":"{dirty}","actionType":"{action}"}}"#
         ),
-        id = quoted(&i.id),
-        host = quoted(&i.host),
-        app = quoted(&i.app),
-        ip = quoted(&i.ip),
+        id = json_string(&i.id),
+        host = json_string(&i.host),
+        app = json_string(&i.app),
+        ip = json_string(&i.ip),
         status = i.listed().as_str(),
-        over = over(i),
+        over = overridden_status(i),
         port = i.port,
         secure = i.secure_port.unwrap_or(443),
         has_secure = i.secure_port.is_some(),
@@ -54,8 +54,8 @@
         renewed = i.renewed as u64,
         up = i.up as u64,
         metadata = metadata.join(","),
-        vip = quoted(&i.vip),
-        svip = quoted(&i.svip),
+        vip = json_string(&i.vip),
+        svip = json_string(&i.svip),
         updated = i.updated,
         dirty = i.dirty,
         action = i.action,
@@ -65,7 +65,7 @@
 pub fn xml_instance(i: &Instance) -> String {
     let mut metadata = String::new();
     for (k, v) in &i.metadata {
-        let _ = write!(metadata, "<{k}>{}</{k}>", escaped(v));
+        let _ = write!(metadata, "<{k}>{}</{k}>", xml_escaped(v));
     }
     format!(
         concat!(
@@ -78,26 +78,26 @@
             "<lastUpdatedTimestamp>{updated}</lastUpdatedTimestamp>",
             "<lastDirtyTimestamp>{dirty}</lastDirtyTimestamp><actionType>{action}</actionType></instance>"
         ),
-        id = escaped(&i.id),
-        host = escaped(&i.host),
-        app = escaped(&i.app),
-        ip = escaped(&i.ip),
+        id = xml_escaped(&i.id),
+        host = xml_escaped(&i.host),
+        app = xml_escaped(&i.app),
+        ip = xml_escaped(&i.ip),
         status = i.listed().as_str(),
-        over = over(i),
+        over = overridden_status(i),
         port = i.port,
         secure = i.secure_port.unwrap_or(443),
         has_secure = i.secure_port.is_some(),
         lease = (i.duration / 1000.0) as u64,
         up = i.up as u64,
         metadata = metadata,
-        vip = escaped(&i.vip),
+        vip = xml_escaped(&i.vip),
         updated = i.updated,
         dirty = i.dirty,
         action = i.action,
     )
 }
 
-fn by_app<'a>(instances: &[&'a Instance]) -> BTreeMap<&'a str, Vec<&'a Instance>> {
+fn group_by_app<'a>(instances: &[&'a Instance]) -> BTreeMap<&'a str, Vec<&'a Instance>> {
     let mut apps: BTreeMap<&str, Vec<&Instance>> = BTreeMap::new();
     instances
         .iter()
@@ -107,26 +107,27 @@
 
 fn json_application(name: &str, instances: &[&Instance]) -> String {
     let all: Vec<String> = instances.iter().map(|i| json_instance(i)).collect();
-    // One instance stands without brackets, as registries write it.
+    // Registries write a single instance as an object instead of a list.
     let list = if all.len() == 1 {
         all[0].clone()
     } else {
         format!("[{}]", all.join(","))
     };
-    format!(r#"{{"name":{},"instance":{list}}}"#, quoted(name))
+    format!(r#"{{"name":{},"instance":{list}}}"#, json_string(name))
 }
 
 fn xml_application(name: &str, instances: &[&Instance]) -> String {
     let all: String = instances.iter().map(|i| xml_instance(i)).collect();
     format!(
         "<application><name>{}</name>{all}</application>",
-        escaped(name)
+        xml_escaped(name)
     )
 }
 
-/// All, or a delta, or those under one name.
+/// Formats a list of instances grouped by application: the whole list, a delta, or the instances of one
+/// VIP.
 pub fn applications(xml: bool, hashcode: &str, instances: &[&Instance]) -> String {
-    let apps = by_app(instances);
+    let apps = group_by_app(instances);
     match xml {
         true => {
             let all: String = apps
@@ -151,7 +152,7 @@
     }
 }
 
-/// One application alone.
+/// Formats a single application.
 pub fn application(xml: bool, name: &str, instances: &[&Instance]) -> String {
     match xml {
         true => xml_application(name, instances),
@@ -159,7 +160,7 @@
     }
 }
 
-/// One instance alone.
+/// Formats a single instance.
 pub fn instance(xml: bool, i: &Instance) -> String {
     if xml {
         xml_instance(i)
--- a/crates/testbed/src/fakes/registry/leases.rs
+++ b/crates/testbed/src/fakes/registry/leases.rs
@@ -1,16 +1,18 @@
-//! What one registry holds: instances and their leases. Pure; times are milliseconds on the Unix clock.
+//! State of one registry: instances and their leases. It does no I/O and reads no clock; times are in
+//! milliseconds on the Unix clock.
 
 use query_dispatcher::membership::Status;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How a registry keeps leases.
+/// Rules by which a registry manages leases.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// A lease that tells no length lasts this long, in milliseconds.
+    /// Duration of a lease whose registration states none, in milliseconds.
     pub lease: f64,
-    /// Below this part of the renewals that are due within a minute nothing is let go (self-preservation); 0: never.
+    /// Minimum share of the renewals due within a minute. Below it no lease is evicted (self-preservation);
+    /// 0 disables self-preservation.
     pub preserve: f64,
-    /// Changes are told in deltas for this long, in milliseconds.
+    /// How long a change is part of deltas, in milliseconds.
     pub retention: f64,
 }
 
@@ -24,7 +26,7 @@
     }
 }
 
-/// One instance, as it was registered and as the registry sees it.
+/// One instance: its registration and what the registry adds to it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Instance {
     pub app: String,
@@ -35,16 +37,16 @@
     pub secure_port: Option<u16>,
     pub vip: String,
     pub svip: String,
-    /// What the instance says of itself.
+    /// Status that the instance reports itself.
     pub status: Status,
-    /// What operators set over it.
+    /// Status by which operators override it.
     pub overridden: Option<Status>,
     pub metadata: BTreeMap<String, String>,
-    /// Of the lease, in milliseconds.
+    /// Duration of the lease, in milliseconds.
     pub duration: f64,
     pub registered: f64,
     pub renewed: f64,
-    /// First UP; 0 before.
+    /// When it was first UP, in milliseconds; 0 before that.
     pub up: f64,
     pub updated: u64,
     pub dirty: u64,
@@ -52,7 +54,7 @@
 }
 
 impl Instance {
-    /// An engine at a port of this machine.
+    /// Returns an instance that is UP at this port on the loopback address.
     pub fn engine(app: &str, id: &str, port: u16, now: f64) -> Self {
         Instance {
             app: app.to_uppercase(),
@@ -76,12 +78,12 @@
         }
     }
 
-    /// The status that the registry lists: an override goes before what the instance says, unless that is that it
+    /// Returns the status that the registry lists: the override, unless the instance itself reports that it
     /// cannot serve.
     pub fn listed(&self) -> Status {
         match (self.status, self.overridden) {
             (Status::Down | Status::Starting, _) | (_, None) => self.status,
-            (_, Some(over)) => over,
+            (_, Some(overridden)) => overridden,
         }
     }
 
@@ -96,19 +98,19 @@
 #[derive(Debug)]
 pub struct Leases {
     pub rules: Rules,
-    all: BTreeMap<Key, Instance>,
-    /// Changes of late, oldest first.
-    recent: VecDeque<(f64, Instance)>,
-    /// Renewals of the last minute.
+    instances: BTreeMap<Key, Instance>,
+    /// Recent changes with their times, oldest first.
+    recent_changes: VecDeque<(f64, Instance)>,
+    /// Times of the renewals within the last minute.
     renewals: VecDeque<f64>,
     pub evicted: u64,
 }
 
-/// What became of a renewal.
+/// Result of a renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Renewed {
     Done,
-    /// 404: register again.
+    /// The registry responds with 404, upon which the instance has to register again.
     Unknown,
 }
 
@@ -116,30 +118,31 @@
     pub fn new(rules: Rules) -> Self {
         Leases {
             rules,
-            all: BTreeMap::new(),
-            recent: VecDeque::new(),
+            instances: BTreeMap::new(),
+            recent_changes: VecDeque::new(),
             renewals: VecDeque::new(),
             evicted: 0,
         }
     }
 
     pub fn instances(&self) -> impl Iterator<Item = &Instance> {
-        self.all.values()
+        self.instances.values()
     }
 
     pub fn get(&self, app: &str, id: &str) -> Option<&Instance> {
-        self.all.get(&(app.to_uppercase(), id.to_string()))
+        self.instances.get(&(app.to_uppercase(), id.to_string()))
     }
 
-    /// The instance under this id, of whatever application.
+    /// Returns the instance with this ID in any application.
     pub fn by_id(&self, id: &str) -> Option<&Instance> {
-        self.all.values().find(|i| i.id == id)
+        self.instances.values().find(|i| i.id == id)
     }
 
-    /// `DOWN_1_UP_7_`, over all applications.
+    /// Returns the hash code over all applications: the number of instances by status, such as
+    /// `DOWN_1_UP_7_`.
     pub fn hashcode(&self) -> String {
         let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
-        self.all
+        self.instances
             .values()
             .for_each(|i| *counts.entry(i.listed().as_str()).or_default() += 1);
         counts
@@ -148,24 +151,24 @@
             .collect()
     }
 
-    fn changed(&mut self, now: f64, mut instance: Instance, action: &'static str) {
+    fn record_change(&mut self, now: f64, mut instance: Instance, action: &'static str) {
         instance.action = action;
-        self.recent.push_back((now, instance));
-        // Bounded by what is told in deltas, and by number.
+        self.recent_changes.push_back((now, instance));
+        // Keeps the changes that deltas may contain, and at most 65,536 of them.
         while self
-            .recent
+            .recent_changes
             .front()
             .is_some_and(|r| r.0 + self.rules.retention < now)
-            || self.recent.len() > 65_536
+            || self.recent_changes.len() > 65_536
         {
-            self.recent.pop_front();
+            self.recent_changes.pop_front();
         }
     }
 
-    /// Changes within the retention; of several of one instance the last.
+    /// Returns the changes within the retention period; of several changes of one instance only the last.
     pub fn delta(&self, now: f64) -> Vec<Instance> {
         let mut last: BTreeMap<Key, (usize, &Instance)> = BTreeMap::new();
-        for (n, (at, i)) in self.recent.iter().enumerate() {
+        for (n, (at, i)) in self.recent_changes.iter().enumerate() {
             if at + self.rules.retention >= now {
                 last.insert((i.app.clone(), i.id.clone()), (n, i));
             }
@@ -175,12 +178,12 @@
         changes.into_iter().map(|c| c.1.clone()).collect()
     }
 
-    /// Registers an instance, or takes it in from a replica. An older registration than that in hand changes
-    /// nothing but the lease.
+    /// Registers an instance, on its own request or from a replica. A registration older than the known one
+    /// only renews the lease.
     pub fn register(&mut self, now: f64, mut new: Instance) {
         let key = (new.app.to_uppercase(), new.id.clone());
         new.app = key.0.clone();
-        if let Some(old) = self.all.get_mut(&key) {
+        if let Some(old) = self.instances.get_mut(&key) {
             new.overridden = new.overridden.or(old.overridden);
             if old.dirty > new.dirty {
                 old.renewed = now;
@@ -191,21 +194,24 @@
         if new.listed() == Status::Up && new.up == 0.0 {
             new.up = now;
         }
-        let action = if self.all.contains_key(&key) {
+        let action = if self.instances.contains_key(&key) {
             "MODIFIED"
         } else {
             "ADDED"
         };
-        self.all.insert(key, new.clone());
-        self.changed(now, new, action);
+        self.instances.insert(key, new.clone());
+        self.record_change(now, new, action);
     }
 
-    /// A heartbeat.
+    /// Renews a lease upon a heartbeat of the instance.
     pub fn renew(&mut self, now: f64, app: &str, id: &str, dirty: Option<u64>) -> Renewed {
-        let Some(i) = self.all.get_mut(&(app.to_uppercase(), id.to_string())) else {
+        let Some(i) = self
+            .instances
+            .get_mut(&(app.to_uppercase(), id.to_string()))
+        else {
             return Renewed::Unknown;
         };
-        // What the instance tells of itself has changed since: it is to register again.
+        // The instance has changed since its registration, so it has to register again.
         if dirty.is_some_and(|d| d > i.dirty) {
             return Renewed::Unknown;
         }
@@ -217,68 +223,75 @@
         Renewed::Done
     }
 
-    /// The instance's own end, or a `DELETE` from a replica.
+    /// Removes an instance upon its own `DELETE` or one that was replicated. Returns whether it was
+    /// registered.
     pub fn cancel(&mut self, now: f64, app: &str, id: &str) -> bool {
-        let Some(mut gone) = self.all.remove(&(app.to_uppercase(), id.to_string())) else {
+        let Some(mut removed) = self.instances.remove(&(app.to_uppercase(), id.to_string())) else {
             return false;
         };
-        gone.updated = now as u64;
-        self.changed(now, gone, "DELETED");
+        removed.updated = now as u64;
+        self.record_change(now, removed, "DELETED");
         true
     }
 
-    /// Operators set a status over the instance's, or take it back.
+    /// Sets or clears the operators' override of an instance's status. Returns whether the instance is
+    /// registered.
     pub fn set_override(&mut self, now: f64, app: &str, id: &str, status: Option<Status>) -> bool {
-        let Some(i) = self.all.get_mut(&(app.to_uppercase(), id.to_string())) else {
+        let Some(i) = self
+            .instances
+            .get_mut(&(app.to_uppercase(), id.to_string()))
+        else {
             return false;
         };
         (i.overridden, i.updated) = (status, (now as u64).max(i.updated + 1));
         let changed = i.clone();
-        self.changed(now, changed, "MODIFIED");
+        self.record_change(now, changed, "MODIFIED");
         true
     }
 
-    /// Renewals are fewer than what the leases promise: the registry doubts its own sight.
+    /// Returns whether the registry preserves itself: so few leases are renewed that the cause may be its
+    /// own network.
     pub fn preserves(&self, now: f64) -> bool {
         // A lease is renewed three times within its length.
         let due: f64 = self
-            .all
+            .instances
             .values()
             .map(|i| 3.0 * 60_000.0 / i.duration.max(1.0))
             .sum();
-        let heard = self
+        let received = self
             .renewals
             .iter()
             .filter(|r| **r + 60_000.0 >= now)
             .count() as f64;
-        self.rules.preserve > 0.0 && heard < self.rules.preserve * due
+        self.rules.preserve > 0.0 && received < self.rules.preserve * due
     }
 
-    /// Lets go what was not renewed, unless it preserves itself. Of many no more than the part that may go at once.
+    /// Evicts expired leases and returns their instances. Evicts nothing during self-preservation, and at a
+    /// time no more than the share that self-preservation tolerates.
     pub fn evict(&mut self, now: f64) -> Vec<Instance> {
         if self.preserves(now) {
             return vec![];
         }
-        let most = match self.rules.preserve {
-            p if p > 0.0 => (((1.0 - p) * self.all.len() as f64) as usize).max(1),
+        let max_evictions = match self.rules.preserve {
+            p if p > 0.0 => (((1.0 - p) * self.instances.len() as f64) as usize).max(1),
             _ => usize::MAX,
         };
-        let over: Vec<Key> = self
-            .all
+        let expired: Vec<Key> = self
+            .instances
             .iter()
             .filter(|(_, i)| i.expires() < now)
             .map(|(k, _)| k.clone())
-            .take(most)
+            .take(max_evictions)
             .collect();
-        let gone: Vec<Instance> = over
+        let evicted: Vec<Instance> = expired
             .iter()
-            .filter_map(|k| self.all.get(k).cloned())
+            .filter_map(|k| self.instances.get(k).cloned())
             .collect();
-        for (app, id) in over {
+        for (app, id) in expired {
             self.cancel(now, &app, &id);
             self.evicted += 1;
         }
-        gone
+        evicted
     }
 }
 
@@ -301,7 +314,7 @@
     }
 
     #[test]
-    fn leases_end_unless_they_are_renewed() {
+    fn leases_expire_unless_they_are_renewed() {
         let mut l = leases(0.0);
         l.renew(60_000.0, "ENGINES", "e3", None);
         assert_eq!(l.evict(91_001.0).len(), 9);
@@ -317,11 +330,11 @@
     }
 
     #[test]
-    fn too_few_renewals_and_nothing_goes() {
+    fn self_preservation_stops_evictions() {
         let mut l = leases(0.85);
         assert!(l.preserves(91_001.0));
         assert!(l.evict(91_001.0).is_empty());
-        // All are heard often enough but one: that one goes.
+        // Only e9 is not renewed, so it alone is evicted.
         for at in [100_000.0, 120_000.0, 140_000.0] {
             for n in 0..9 {
                 assert_eq!(
@@ -340,7 +353,7 @@
     }
 
     #[test]
-    fn an_override_goes_before_the_instances_word_and_deltas_tell_the_last() {
+    fn an_override_takes_precedence_and_deltas_contain_the_last_change() {
         let mut l = leases(0.0);
         assert!(l.set_override(2000.0, "engines", "e1", Some(Status::OutOfService)));
         assert_eq!(l.hashcode(), "OUT_OF_SERVICE_1_UP_9_");
@@ -352,7 +365,7 @@
         assert_eq!(
             l.get("engines", "e1").unwrap().listed(),
             Status::OutOfService,
-            "it outlives a registration"
+            "the override survives a new registration"
         );
         assert!(l.set_override(3000.0, "engines", "e1", None));
         let delta = l.delta(3000.0);
@@ -360,7 +373,10 @@
             (delta.len(), delta.last().unwrap().listed()),
             (10, Status::Up)
         );
-        assert!(l.delta(200_000.0).is_empty(), "the retention is over");
+        assert!(
+            l.delta(200_000.0).is_empty(),
+            "the retention period has passed"
+        );
         let older = Instance {
             dirty: 1,
             status: Status::Down,
--- a/crates/testbed/src/fakes/registry/mod.rs
+++ b/crates/testbed/src/fakes/registry/mod.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a Eureka registry, from its public REST API: leases with eviction and self-preservation, a
-//! response cache, deltas with a retention, replicas that copy each other with a lag, and scripted trouble.
+//! Fake Eureka registry, from the public REST API: leases with eviction and self-preservation, a response
+//! cache, deltas with a retention period, replication with a lag, and faults that a test sets.
 
 pub mod document;
 pub mod leases;
--- a/crates/testbed/src/fakes/registry/server.rs
+++ b/crates/testbed/src/fakes/registry/server.rs
@@ -1,4 +1,5 @@
-//! A registry on a socket: the public REST API over [`Leases`], a response cache, replicas, and trouble on demand.
+//! HTTP server of a fake registry: the public REST API over [`Leases`], a response cache, replication, and
+//! faults.
 
 use super::document;
 use super::leases::{Instance, Leases, Renewed, Rules};
@@ -26,45 +27,49 @@
 use tokio::net::TcpListener;
 use tokio::task::{AbortHandle, spawn_local};
 
-/// Calls that are remembered.
-const CALLS: usize = 10_000;
-/// The longest registration, in bytes.
-const MOST: usize = 1 << 16;
+/// Maximum number of recorded calls; the oldest are dropped.
+const MAX_CALLS: usize = 10_000;
+/// Maximum size of a registration, in bytes.
+const MAX_REGISTRATION_BYTES: usize = 1 << 16;
 
 type Body = BoxBody<Bytes, io::Error>;
 
-/// Trouble that a node makes with every list that it is asked for.
+/// Fault of a node that affects its response to every request for a list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     None,
-    /// Answers as of now, whatever changes.
+    /// Responds with its state at the time when the fault was set.
     Stale,
-    /// Every answer comes so much later.
+    /// Delays every response by this duration.
     Delay(Duration),
-    /// 200, and no instance in it.
+    /// Responds with status 200 and no instance.
     Empty,
-    /// 200, and only the first so many.
+    /// Responds with status 200 and only this number of instances.
     Only(usize),
-    /// 200, and a page of another service.
+    /// Responds with status 200 and the HTML page of another service.
     Html,
-    /// 200, and so many bytes without an end; `told` by a length, or in chunks.
+    /// Responds with status 200 and this number of bytes, which are no whole document; with a
+    /// `Content-Length` if `told`, otherwise in chunks.
     Huge {
         bytes: u64,
         told: bool,
     },
-    /// No delta adds up: the hash code is another.
+    /// Responds with deltas that contradict their hash code.
     Hash,
-    /// A byte at a time.
+    /// Sends one byte per this interval.
     Drip(Duration),
-    /// The connection ends in the middle of the body.
+    /// Closes the connection in the middle of the body.
     Torn,
+    /// Responds with this status and no body.
     Status(u16),
+    /// Redirects to the same path below this URL.
     Redirect(String),
 }
 
-/// What a node shows: its leases as of a moment.
+/// State of a node from which it builds its responses.
 #[derive(Debug)]
-struct Shown {
+struct Snapshot {
+    /// When it was taken, in milliseconds on the Unix clock.
     at: f64,
     instances: Vec<Instance>,
     delta: Vec<Instance>,
@@ -74,29 +79,31 @@
 struct Inner {
     leases: RefCell<Leases>,
     fault: RefCell<Fault>,
-    /// Answers are made anew after this, in milliseconds.
-    cache: Cell<f64>,
-    shown: RefCell<Option<Rc<Shown>>>,
+    /// How long a snapshot is used for responses, in milliseconds.
+    cache_ttl: Cell<f64>,
+    snapshot: RefCell<Option<Rc<Snapshot>>>,
     peers: RefCell<Vec<Weak<Inner>>>,
-    /// What changes here is at the replicas so much later, in milliseconds; never, if they are cut off.
-    lag: Cell<f64>,
-    cut: Cell<bool>,
-    /// When an answer first told of each of these that it takes nothing new, in milliseconds.
-    watched: RefCell<BTreeMap<String, Option<f64>>>,
+    /// Delay after which the peers apply a change of this node, in milliseconds.
+    replication_lag: Cell<f64>,
+    /// Whether replication from this node to its peers is off.
+    replication_cut: Cell<bool>,
+    /// For each watched instance, when a response first reported that it accepts no new work, in
+    /// milliseconds.
+    drain_notices: RefCell<BTreeMap<String, Option<f64>>>,
     calls: RefCell<VecDeque<(f64, String)>>,
-    bytes: Cell<u64>,
+    bytes_sent: Cell<u64>,
     authorization: RefCell<Option<String>>,
     address: Cell<SocketAddr>,
     tasks: RefCell<Vec<AbortHandle>>,
 }
 
-/// One registry. Cloned handles are the same registry.
+/// Handle of one registry node. Clones refer to the same node.
 #[derive(Clone)]
 pub struct Node(Rc<Inner>);
 
-/// A change that replicas copy.
+/// Change that is replicated to the peers.
 #[derive(Clone, Debug)]
-enum Copied {
+enum Change {
     Register(Box<Instance>),
     Renew(String, String),
     Cancel(String, String),
@@ -104,7 +111,8 @@
 }
 
 impl Node {
-    /// A registry at this address; port 0 takes a free one. Runs until it is dropped or away.
+    /// Starts a registry at this address; port 0 selects a free port. It runs until it is dropped or
+    /// stopped by [`Node::away`].
     ///
     /// # Errors
     /// The address cannot be listened on.
@@ -112,14 +120,14 @@
         let inner = Inner {
             leases: RefCell::new(Leases::new(rules)),
             fault: RefCell::new(Fault::None),
-            cache: Cell::new(0.0),
-            shown: RefCell::default(),
+            cache_ttl: Cell::new(0.0),
+            snapshot: RefCell::default(),
             peers: RefCell::default(),
-            lag: Cell::new(0.0),
-            cut: Cell::new(false),
-            watched: RefCell::default(),
+            replication_lag: Cell::new(0.0),
+            replication_cut: Cell::new(false),
+            drain_notices: RefCell::default(),
             calls: RefCell::default(),
-            bytes: Cell::new(0),
+            bytes_sent: Cell::new(0),
             authorization: RefCell::default(),
             address: Cell::new(address),
             tasks: RefCell::default(),
@@ -129,7 +137,7 @@
         Ok(node)
     }
 
-    /// Listens again at its address, with what it held.
+    /// Listens at its address again, with the state that it had.
     ///
     /// # Errors
     /// The address cannot be listened on.
@@ -145,7 +153,7 @@
                     let inner = serve.upgrade();
                     async move {
                         match inner {
-                            Some(inner) => Node(inner).answer(request).await,
+                            Some(inner) => Node(inner).handle(request).await,
                             None => Err(io::Error::from(io::ErrorKind::ConnectionAborted)),
                         }
                     }
@@ -161,7 +169,7 @@
         Ok(())
     }
 
-    /// Takes no connection, and ends all that it has.
+    /// Stops listening and closes all connections.
     pub fn away(&self) {
         self.0.tasks.borrow_mut().drain(..).for_each(|t| t.abort());
     }
@@ -170,88 +178,90 @@
         self.0.address.get()
     }
 
-    /// As the operators' file of a dispatcher names it.
+    /// Returns its URL as the configuration file of a dispatcher contains it.
     pub fn url(&self) -> String {
         format!("http://{}/eureka", self.address())
     }
 
+    /// Sets the fault of its responses from now on.
     pub fn fault(&self, fault: Fault) {
         if fault == Fault::Stale {
-            self.shown(true);
+            self.snapshot(true);
         }
         *self.0.fault.borrow_mut() = fault;
     }
 
-    /// Answers are up to so old, in milliseconds.
+    /// Sets the maximum age of the state in responses, in milliseconds.
     pub fn cache(&self, ms: f64) {
-        self.0.cache.set(ms);
+        self.0.cache_ttl.set(ms);
     }
 
-    /// Changes at either are copied to the other.
+    /// Replicates changes between two nodes in both directions.
     pub fn peer(&self, other: &Node) {
         self.0.peers.borrow_mut().push(Rc::downgrade(&other.0));
         other.0.peers.borrow_mut().push(Rc::downgrade(&self.0));
     }
 
-    /// What changes here is at the replicas so much later, in milliseconds.
+    /// Sets the delay after which peers apply a change of this node, in milliseconds.
     pub fn lag(&self, ms: f64) {
-        self.0.lag.set(ms);
+        self.0.replication_lag.set(ms);
     }
 
-    /// Nothing is copied from here any more, or again.
+    /// Stops replication from this node to its peers, or resumes it.
     pub fn cut(&self, cut: bool) {
-        self.0.cut.set(cut);
+        self.0.replication_cut.set(cut);
     }
 
-    /// Only whoever names this `Authorization` is answered.
+    /// Rejects requests without this value of the `Authorization` header.
     pub fn authorize(&self, value: &str) {
         *self.0.authorization.borrow_mut() = Some(value.into());
     }
 
-    /// From now on it is noted when an answer first tells that this instance takes nothing new.
+    /// Starts to record when a response first reports that this instance accepts no new work.
     pub fn watch(&self, id: &str) {
-        self.0.watched.borrow_mut().insert(id.into(), None);
+        self.0.drain_notices.borrow_mut().insert(id.into(), None);
     }
 
-    /// When an answer first told so, in milliseconds: the moment it was worded, before it was sent.
+    /// Returns when a response first reported that a watched instance accepts no new work, in milliseconds
+    /// on the Unix clock: the time when the response was built, before it was sent.
     pub fn told(&self, id: &str) -> Option<f64> {
-        self.0.watched.borrow().get(id).copied().flatten()
+        self.0.drain_notices.borrow().get(id).copied().flatten()
     }
 
-    /// Calls so far, each `METHOD path`, oldest first.
+    /// Returns the recorded calls, each as `METHOD path`, oldest first.
     pub fn calls(&self) -> Vec<String> {
         self.0.calls.borrow().iter().map(|c| c.1.clone()).collect()
     }
 
-    /// Bytes of bodies sent.
+    /// Returns the total size of the sent response bodies, in bytes.
     pub fn bytes(&self) -> u64 {
-        self.0.bytes.get()
+        self.0.bytes_sent.get()
     }
 
-    /// The instance as it stands here.
+    /// Returns an instance in its current state at this node.
     pub fn instance(&self, app: &str, id: &str) -> Option<Instance> {
         self.0.leases.borrow().get(app, id).cloned()
     }
 
     pub fn register(&self, instance: Instance) {
-        self.change(Copied::Register(Box::new(instance)));
+        self.change(Change::Register(Box::new(instance)));
     }
 
     pub fn cancel(&self, app: &str, id: &str) {
-        self.change(Copied::Cancel(app.into(), id.into()));
+        self.change(Change::Cancel(app.into(), id.into()));
     }
 
-    /// Operators set a status over an instance's.
+    /// Sets or clears the operators' override of an instance's status.
     pub fn set_status(&self, app: &str, id: &str, status: Option<Status>) {
-        self.change(Copied::Override(app.into(), id.into(), status));
+        self.change(Change::Override(app.into(), id.into(), status));
     }
 
-    /// Lets go what was not renewed, as real registries do once a minute.
+    /// Evicts expired leases, as real registries do once a minute, and returns their number.
     pub fn evict(&self) -> usize {
         self.0.leases.borrow_mut().evict(now()).len()
     }
 
-    /// Evicts for as long as the node lives.
+    /// Evicts expired leases at this interval until the node is dropped or stopped.
     pub fn evict_every(&self, every: Duration) {
         let node = Rc::downgrade(&self.0);
         let task = spawn_local(async move {
@@ -264,11 +274,13 @@
         self.0.tasks.borrow_mut().push(task.abort_handle());
     }
 
-    fn change(&self, change: Copied) -> bool {
+    /// Applies a change and replicates it. Returns whether it had an effect.
+    fn change(&self, change: Change) -> bool {
         let done = self.apply(&change);
-        if done && !self.0.cut.get() {
+        if done && !self.0.replication_cut.get() {
             for peer in self.0.peers.borrow().iter() {
-                let (lag, change, peer) = (self.0.lag.get(), change.clone(), peer.clone());
+                let (lag, change, peer) =
+                    (self.0.replication_lag.get(), change.clone(), peer.clone());
                 spawn_local(async move {
                     tokio::time::sleep(Duration::from_secs_f64(lag / 1000.0)).await;
                     if let Some(peer) = peer.upgrade() {
@@ -280,53 +292,54 @@
         done
     }
 
-    fn apply(&self, change: &Copied) -> bool {
+    fn apply(&self, change: &Change) -> bool {
         let mut leases = self.0.leases.borrow_mut();
         match change {
-            Copied::Register(i) => {
+            Change::Register(i) => {
                 leases.register(now(), (**i).clone());
                 true
             }
-            Copied::Renew(app, id) => leases.renew(now(), app, id, None) == Renewed::Done,
-            Copied::Cancel(app, id) => leases.cancel(now(), app, id),
-            Copied::Override(app, id, status) => leases.set_override(now(), app, id, *status),
+            Change::Renew(app, id) => leases.renew(now(), app, id, None) == Renewed::Done,
+            Change::Cancel(app, id) => leases.cancel(now(), app, id),
+            Change::Override(app, id, status) => leases.set_override(now(), app, id, *status),
         }
     }
 
-    fn shown(&self, anew: bool) -> Rc<Shown> {
-        let mut shown = self.0.shown.borrow_mut();
+    /// Returns the cached snapshot, or takes a new one if it has expired or `refresh` is set.
+    fn snapshot(&self, refresh: bool) -> Rc<Snapshot> {
+        let mut cached = self.0.snapshot.borrow_mut();
         let stale = *self.0.fault.borrow() == Fault::Stale;
-        if let Some(s) = shown
+        if let Some(s) = cached
             .as_ref()
-            .filter(|s| !anew && (stale || s.at + self.0.cache.get() > now()))
+            .filter(|s| !refresh && (stale || s.at + self.0.cache_ttl.get() > now()))
         {
             return s.clone();
         }
         let leases = self.0.leases.borrow();
-        let fresh = Rc::new(Shown {
+        let fresh = Rc::new(Snapshot {
             at: now(),
             instances: leases.instances().cloned().collect(),
             delta: leases.delta(now()),
             hashcode: leases.hashcode(),
         });
-        *shown = Some(fresh.clone());
+        *cached = Some(fresh.clone());
         fresh
     }
 
-    /// Notes who is told to take nothing new.
-    fn note(&self, instances: &[&Instance]) {
-        let mut watched = self.0.watched.borrow_mut();
-        for (id, told) in watched.iter_mut().filter(|w| w.1.is_none()) {
+    /// Records which watched instances this response reports as accepting no new work.
+    fn record_drain_notices(&self, instances: &[&Instance]) {
+        let mut drain_notices = self.0.drain_notices.borrow_mut();
+        for (id, noticed) in drain_notices.iter_mut().filter(|w| w.1.is_none()) {
             if instances
                 .iter()
                 .any(|i| i.id == *id && (i.listed() != Status::Up || i.action == "DELETED"))
             {
-                *told = Some(now());
+                *noticed = Some(now());
             }
         }
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> io::Result<Response<Body>> {
+    async fn handle(&self, request: Request<Incoming>) -> io::Result<Response<Body>> {
         let path = request
             .uri()
             .path_and_query()
@@ -335,7 +348,7 @@
         let method = request.method().clone();
         {
             let mut calls = self.0.calls.borrow_mut();
-            if calls.len() >= CALLS {
+            if calls.len() >= MAX_CALLS {
                 calls.pop_front();
             }
             calls.push_back((now(), format!("{method} {path}")));
@@ -347,14 +360,14 @@
                 .and_then(|v| v.to_str().ok())
                 .unwrap_or_default()
         };
-        let wanted = self.0.authorization.borrow().clone();
-        if wanted.is_some_and(|w| header(AUTHORIZATION) != w) {
-            return Ok(plain(StatusCode::UNAUTHORIZED, ""));
+        let required = self.0.authorization.borrow().clone();
+        if required.is_some_and(|w| header(AUTHORIZATION) != w) {
+            return Ok(plain_response(StatusCode::UNAUTHORIZED, ""));
         }
         let xml = header(ACCEPT).contains("xml");
         let gzip = header(ACCEPT_ENCODING).contains("gzip");
         let Some(rest) = path.strip_prefix("/eureka") else {
-            return Ok(plain(StatusCode::NOT_FOUND, ""));
+            return Ok(plain_response(StatusCode::NOT_FOUND, ""));
         };
         let (rest, query) = rest.split_once('?').unwrap_or((rest, ""));
         let parts: Vec<String> = rest
@@ -369,24 +382,27 @@
         let parts: Vec<&str> = parts.iter().map(String::as_str).collect();
         match (&method, &parts[..]) {
             (&Method::POST, ["apps", app]) => {
-                let body = Limited::new(request.into_body(), MOST).collect().await;
+                let body = Limited::new(request.into_body(), MAX_REGISTRATION_BYTES)
+                    .collect()
+                    .await;
                 let Ok(body) = body else {
-                    return Ok(plain(StatusCode::BAD_REQUEST, "too long"));
+                    return Ok(plain_response(StatusCode::BAD_REQUEST, "too long"));
                 };
-                return Ok(self.registered(app, &body.to_bytes()));
+                return Ok(self.handle_registration(app, &body.to_bytes()));
             }
             (&Method::PUT, ["apps", app, id]) => {
-                let dirty = value(query, "lastDirtyTimestamp").and_then(|d| d.parse().ok());
+                let dirty =
+                    query_parameter(query, "lastDirtyTimestamp").and_then(|d| d.parse().ok());
                 let renewed = self.0.leases.borrow_mut().renew(now(), app, id, dirty);
                 if renewed == Renewed::Done {
-                    self.change(Copied::Renew(app.to_string(), id.to_string()));
-                    return Ok(plain(StatusCode::OK, ""));
+                    self.change(Change::Renew(app.to_string(), id.to_string()));
+                    return Ok(plain_response(StatusCode::OK, ""));
                 }
-                return Ok(plain(StatusCode::NOT_FOUND, ""));
+                return Ok(plain_response(StatusCode::NOT_FOUND, ""));
             }
             (&Method::DELETE, ["apps", app, id]) => {
-                let done = self.change(Copied::Cancel(app.to_string(), id.to_string()));
-                return Ok(plain(
+                let done = self.change(Change::Cancel(app.to_string(), id.to_string()));
+                return Ok(plain_response(
                     if done {
                         StatusCode::OK
                     } else {
@@ -396,10 +412,10 @@
                 ));
             }
             (&Method::PUT | &Method::DELETE, ["apps", app, id, "status"]) => {
-                let status = value(query, "value").filter(|_| method == Method::PUT);
+                let status = query_parameter(query, "value").filter(|_| method == Method::PUT);
                 let status = status.map(|s| Status::parse(&s));
-                let done = self.change(Copied::Override(app.to_string(), id.to_string(), status));
-                return Ok(plain(
+                let done = self.change(Change::Override(app.to_string(), id.to_string(), status));
+                return Ok(plain_response(
                     if done {
                         StatusCode::OK
                     } else {
@@ -409,22 +425,23 @@
                 ));
             }
             (&Method::GET, _) => {}
-            _ => return Ok(plain(StatusCode::METHOD_NOT_ALLOWED, "")),
+            _ => return Ok(plain_response(StatusCode::METHOD_NOT_ALLOWED, "")),
         }
         let fault = self.0.fault.borrow().clone();
         if let Fault::Delay(span) = fault {
             tokio::time::sleep(span).await;
         }
-        let Some(text) = self.list(&fault, xml, &parts) else {
-            return Ok(plain(StatusCode::NOT_FOUND, ""));
+        let Some(text) = self.document(&fault, xml, &parts) else {
+            return Ok(plain_response(StatusCode::NOT_FOUND, ""));
         };
-        Ok(self.troubled(fault, xml, gzip, text, rest))
+        Ok(self.respond(fault, xml, gzip, text, rest))
     }
 
-    fn registered(&self, app: &str, body: &[u8]) -> Response<Body> {
-        // The reader is the dispatcher's own: what it sends must at least read as what it meant.
+    fn handle_registration(&self, app: &str, body: &[u8]) -> Response<Body> {
+        // Parsed with the dispatcher's own parser: a registration that the dispatcher sends must be
+        // readable for it.
         let Ok(document) = format::json(body) else {
-            return plain(StatusCode::BAD_REQUEST, "no instance");
+            return plain_response(StatusCode::BAD_REQUEST, "no instance");
         };
         let Some(i) = document
             .applications
@@ -432,7 +449,7 @@
             .flat_map(|a| &a.instances)
             .next()
         else {
-            return plain(StatusCode::BAD_REQUEST, "no instance");
+            return plain_response(StatusCode::BAD_REQUEST, "no instance");
         };
         let raw: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
         let raw = &raw["instance"];
@@ -457,15 +474,15 @@
                 now(),
             )
         };
-        self.change(Copied::Register(Box::new(instance)));
-        plain(StatusCode::NO_CONTENT, "")
+        self.change(Change::Register(Box::new(instance)));
+        plain_response(StatusCode::NO_CONTENT, "")
     }
 
-    /// The list that a path asks for; none if nobody stands under that name.
-    fn list(&self, fault: &Fault, xml: bool, parts: &[&str]) -> Option<String> {
-        let shown = self.shown(false);
+    /// Returns the document at a path; `None` if no instance is listed there.
+    fn document(&self, fault: &Fault, xml: bool, parts: &[&str]) -> Option<String> {
+        let snapshot = self.snapshot(false);
         let empty = (vec![], String::new());
-        let all = || shown.instances.iter();
+        let all = || snapshot.instances.iter();
         let limited = |list: Vec<&Instance>| -> (Vec<Instance>, String) {
             match fault {
                 Fault::Empty => empty.clone(),
@@ -478,14 +495,17 @@
                     };
                     (first, hash)
                 }
-                _ => (list.into_iter().cloned().collect(), shown.hashcode.clone()),
+                _ => (
+                    list.into_iter().cloned().collect(),
+                    snapshot.hashcode.clone(),
+                ),
             }
         };
         match parts {
             ["apps"] | ["apps", ""] => {
                 let (list, hash) = limited(all().collect());
                 let list: Vec<&Instance> = list.iter().collect();
-                self.note(&list);
+                self.record_drain_notices(&list);
                 Some(document::applications(xml, &hash, &list))
             }
             ["apps", "delta"] => match fault {
@@ -493,16 +513,16 @@
                 Fault::Only(n) => Some(document::applications(xml, &format!("UP_{n}_"), &[])),
                 Fault::Hash => Some(document::applications(xml, "UP_0_", &[])),
                 _ => {
-                    let list: Vec<&Instance> = shown.delta.iter().collect();
-                    self.note(&list);
-                    Some(document::applications(xml, &shown.hashcode, &list))
+                    let list: Vec<&Instance> = snapshot.delta.iter().collect();
+                    self.record_drain_notices(&list);
+                    Some(document::applications(xml, &snapshot.hashcode, &list))
                 }
             },
             ["apps", app] => {
                 let (list, _) =
                     limited(all().filter(|i| i.app.eq_ignore_ascii_case(app)).collect());
                 let list: Vec<&Instance> = list.iter().collect();
-                self.note(&list);
+                self.record_drain_notices(&list);
                 (!list.is_empty()).then(|| document::application(xml, &app.to_uppercase(), &list))
             }
             ["apps", _, id] | ["instances", id] => {
@@ -510,23 +530,24 @@
                 Some(document::instance(xml, found))
             }
             [kind @ ("vips" | "svips"), name] => {
-                let under = |i: &&Instance| {
+                let has_vip = |i: &&Instance| {
                     if *kind == "vips" {
                         i.vip == *name
                     } else {
                         i.svip == *name
                     }
                 };
-                let (list, hash) = limited(all().filter(under).collect());
+                let (list, hash) = limited(all().filter(has_vip).collect());
                 let list: Vec<&Instance> = list.iter().collect();
-                self.note(&list);
+                self.record_drain_notices(&list);
                 (!list.is_empty()).then(|| document::applications(xml, &hash, &list))
             }
             _ => None,
         }
     }
 
-    fn troubled(
+    /// Builds the response with this document, altered by the fault.
+    fn respond(
         &self,
         fault: Fault,
         xml: bool,
@@ -547,7 +568,7 @@
                     "<html><body>Please log in to the network</body></html>".into(),
                 )),
             Fault::Status(code) => {
-                return plain(
+                return plain_response(
                     StatusCode::from_u16(code).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR),
                     "",
                 );
@@ -561,11 +582,11 @@
                 if told {
                     response = response.header("content-length", bytes);
                 }
-                response.body(endless(bytes))
+                response.body(huge_body(bytes))
             }
             Fault::Drip(every) => ok()
                 .header("content-length", text.len())
-                .body(drip(text.into(), every)),
+                .body(slow_body(text.into(), every)),
             Fault::Torn => {
                 let half = Bytes::from(text.clone()).slice(..text.len() / 2);
                 let broken = Err(io::Error::from(io::ErrorKind::ConnectionReset));
@@ -577,15 +598,19 @@
                 let mut packed = flate2::write::GzEncoder::new(vec![], flate2::Compression::fast());
                 let _ = packed.write_all(text.as_bytes());
                 let packed = Bytes::from(packed.finish().unwrap_or_default());
-                self.0.bytes.set(self.0.bytes.get() + packed.len() as u64);
+                self.0
+                    .bytes_sent
+                    .set(self.0.bytes_sent.get() + packed.len() as u64);
                 ok().header(CONTENT_ENCODING, "gzip").body(full(packed))
             }
             _ => {
-                self.0.bytes.set(self.0.bytes.get() + text.len() as u64);
+                self.0
+                    .bytes_sent
+                    .set(self.0.bytes_sent.get() + text.len() as u64);
                 ok().body(full(text.into()))
             }
         };
-        built.unwrap_or_else(|_| plain(StatusCode::INTERNAL_SERVER_ERROR, ""))
+        built.unwrap_or_else(|_| plain_response(StatusCode::INTERNAL_SERVER_ERROR, ""))
     }
 }
 
@@ -599,14 +624,14 @@
     Full::new(bytes).map_err(|never| match never {}).boxed()
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Response<Body> {
+fn plain_response(status: StatusCode, text: &'static str) -> Response<Body> {
     let mut response = Response::new(full(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
 }
 
-/// What looks like a list, for so many bytes.
-fn endless(bytes: u64) -> Body {
+/// Returns a body of this size that begins like a list.
+fn huge_body(bytes: u64) -> Body {
     let chunk = Bytes::from(vec![b'a'; 64 * 1024]);
     let head = Bytes::from_static(br#"{"applications":{"apps__hashcode":""#);
     let frames = stream::unfold((bytes, head, chunk), |(left, next, chunk)| async move {
@@ -620,8 +645,8 @@
     BodyExt::boxed(StreamBody::new(frames))
 }
 
-/// A byte at a time.
-fn drip(bytes: Bytes, every: Duration) -> Body {
+/// Returns a body that sends one byte per interval.
+fn slow_body(bytes: Bytes, every: Duration) -> Body {
     let frames = stream::unfold(bytes, move |rest| async move {
         if rest.is_empty() {
             return None;
@@ -632,7 +657,8 @@
     BodyExt::boxed(StreamBody::new(frames))
 }
 
-fn value(query: &str, key: &str) -> Option<String> {
+/// Returns the decoded value of a query parameter.
+fn query_parameter(query: &str, key: &str) -> Option<String> {
     let mut pairs = url::form_urlencoded::parse(query.as_bytes());
     pairs.find(|(k, _)| k == key).map(|(_, v)| v.into_owned())
 }
