--- a/crates/testbed/src/clients/load.rs
+++ b/crates/testbed/src/clients/load.rs
@@ -1,4 +1,5 @@
-//! Load on a dispatcher, with a driver that others wrote: clients that ask at a pace, and an account of every answer.
+//! Load generator for a dispatcher: clients that send requests at a fixed rate through a third-party MySQL
+//! driver, and a summary of every outcome.
 
 use crate::now;
 use hdrhistogram::Histogram;
@@ -15,29 +16,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum End {
     Served,
-    /// 3168: nothing ran, or a repeat is harmless.
+    /// Error 3168: nothing was executed, or a retry is harmless.
     Refused,
-    /// 1317: it may have run.
+    /// Error 1317: it may have been executed.
     Failed,
-    /// 3024.
+    /// Error 3024: the time limit was exceeded.
     Late,
-    /// Another error of the server, or a connection that broke off: no answer of the dispatcher's own.
+    /// Another error of the server, or a lost connection: not a response that the dispatcher defines.
     Lost,
 }
 
-/// What clients saw.
+/// Outcomes and latencies of the requests of all clients.
 #[derive(Default)]
 pub struct LoadSummary {
     pub ends: RefCell<BTreeMap<End, u64>>,
-    /// Microseconds from the moment that a request was due, so that waiting for the one before counts.
+    /// Latency in microseconds from the time at which a request was due, so that a wait for the previous
+    /// request counts.
     latency: RefCell<Option<Histogram<u64>>>,
-    /// Moments in milliseconds, and texts, of what was not served; the first thousand.
+    /// Time in milliseconds on the Unix clock and error of the first 1000 requests that were not served.
     pub troubles: RefCell<Vec<(f64, End, String)>>,
-    next: Cell<u64>,
+    next_number: Cell<u64>,
 }
 
 impl LoadSummary {
-    fn note(&self, end: End, due: f64, text: Option<String>) {
+    fn record(&self, end: End, due: f64, text: Option<String>) {
         *self.ends.borrow_mut().entry(end).or_default() += 1;
         let mut latency = self.latency.borrow_mut();
         let bounds = || Histogram::new_with_bounds(1, 120_000_000, 3).ok();
@@ -54,15 +56,17 @@
         }
     }
 
+    /// Returns the number of requests with this outcome.
     pub fn count(&self, end: End) -> u64 {
         self.ends.borrow().get(&end).copied().unwrap_or(0)
     }
 
+    /// Returns the number of all requests.
     pub fn all(&self) -> u64 {
         self.ends.borrow().values().sum()
     }
 
-    /// Milliseconds within which this part of the requests was answered.
+    /// Returns this percentile of the latency, in milliseconds.
     pub fn percentile(&self, percent: f64) -> f64 {
         self.latency
             .borrow()
@@ -71,26 +75,26 @@
     }
 }
 
-/// What clients ask.
+/// Load that the clients generate together.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
     pub clients: usize,
-    /// Between two requests of one client.
+    /// Interval between two requests of one client.
     pub gap: Duration,
-    /// One request in so many is a load, which must not run twice; 0: none.
+    /// Every n-th request is a load, which must not run twice; 0 for no loads.
     pub loads: u64,
-    /// Reads are prepared statements.
+    /// Whether reads are prepared statements.
     pub prepared: bool,
 }
 
-/// Clients under way. They stop with the handle.
+/// Running clients. They are aborted when this is dropped.
 pub struct Clients {
     pub account: Rc<LoadSummary>,
     tasks: Vec<JoinHandle<()>>,
     stop: Rc<Cell<bool>>,
 }
 
-/// How a client logs in: nothing is asked of the server but what the client was told to ask.
+/// Returns connection options with which the driver sends no statements of its own.
 pub fn opts(address: SocketAddr) -> Opts {
     OptsBuilder::default()
         .ip_or_hostname(address.ip().to_string())
@@ -104,21 +108,22 @@
 }
 
 impl Clients {
+    /// Starts the clients of this load against a dispatcher.
     pub fn start(address: SocketAddr, load: Load) -> Self {
-        let account = Rc::new(LoadSummary::default());
+        let summary = Rc::new(LoadSummary::default());
         let stop = Rc::new(Cell::new(false));
         let tasks = (0..load.clients).map(|n| {
-            let (account, stop) = (account.clone(), stop.clone());
-            spawn_local(async move { client(n, address, load, &account, &stop).await })
+            let (summary, stop) = (summary.clone(), stop.clone());
+            spawn_local(async move { run_client(n, address, load, &summary, &stop).await })
         });
         Clients {
             tasks: tasks.collect(),
-            account,
+            account: summary,
             stop,
         }
     }
 
-    /// Lets every client have its last answer.
+    /// Stops the clients after the response to their last request, and returns their summary.
     pub async fn stop(mut self) -> Rc<LoadSummary> {
         self.stop.set(true);
         for task in std::mem::take(&mut self.tasks) {
@@ -134,38 +139,38 @@
     }
 }
 
-async fn client(
+async fn run_client(
     n: usize,
     address: SocketAddr,
     load: Load,
-    account: &LoadSummary,
+    summary: &LoadSummary,
     stop: &Cell<bool>,
 ) {
     let mut conn: Option<Conn> = None;
-    // Clients do not ask in step.
+    // Spreads the clients over the interval, so that they do not send at the same time.
     let phase = load.gap.mul_f64(n as f64 / load.clients.max(1) as f64);
     let mut due = tokio::time::Instant::now() + phase;
     while !stop.get() {
         tokio::time::sleep_until(due).await;
-        let late = due.elapsed().as_secs_f64() * 1000.0;
-        let began = now() - late;
+        let delay = due.elapsed().as_secs_f64() * 1000.0;
+        let due_at = now() - delay;
         due += load.gap;
-        let number = account.next.get();
-        account.next.set(number + 1);
+        let number = summary.next_number.get();
+        summary.next_number.set(number + 1);
         let c = match conn.take() {
             Some(c) => c,
             None => match Conn::new(opts(address)).await {
                 Ok(c) => c,
                 Err(e) => {
-                    account.note(End::Lost, began, Some(format!("log in: {e}")));
+                    summary.record(End::Lost, due_at, Some(format!("log in: {e}")));
                     continue;
                 }
             },
         };
         let is_load = load.loads > 0 && number % load.loads == load.loads - 1;
-        let (c, result) = ask(c, number, is_load, load.prepared).await;
+        let (c, result) = send_request(c, number, is_load, load.prepared).await;
         match result {
-            Ok(()) => account.note(End::Served, began, None),
+            Ok(()) => summary.record(End::Served, due_at, None),
             Err(e) => {
                 let end = match &e {
                     mysql_async::Error::Server(s) => match s.code {
@@ -176,7 +181,7 @@
                     },
                     _ => End::Lost,
                 };
-                account.note(end, began, Some(format!("{number}: {e}")));
+                summary.record(end, due_at, Some(format!("{number}: {e}")));
             }
         }
         conn = c;
@@ -186,8 +191,8 @@
     }
 }
 
-/// One request. The connection comes back if it is of further use.
-async fn ask(
+/// Sends one request. Returns the connection if it is still usable.
+async fn send_request(
     mut c: Conn,
     number: u64,
     load: bool,
--- a/crates/testbed/src/clients/mysql.rs
+++ b/crates/testbed/src/clients/mysql.rs
@@ -1,4 +1,4 @@
-//! A client at the level of packets: for what drivers do not show, and for reading slowly.
+//! MySQL client at the packet level, for what drivers hide and for clients that read slowly.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use futures_util::SinkExt;
@@ -17,24 +17,24 @@
 use tokio_stream::StreamExt;
 use tokio_util::codec::Framed;
 
-/// What a session asks for at log-in, beside what every client does.
+/// Optional capabilities and socket settings of a session.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SessionOptions {
     pub deprecate_eof: bool,
     pub session_track: bool,
-    /// The machine keeps so few bytes for it that are not read, if that is said.
+    /// Size of the socket's receive buffer in bytes; `None` for the system's default.
     pub receive: Option<u32>,
 }
 
-/// A logged-in session.
+/// Session after its log-in.
 pub struct Session {
-    /// Its number, as the greeting told it.
+    /// Connection ID from the greeting.
     pub number: u32,
     wire: Framed<Stream, PacketCodec>,
     deprecate_eof: bool,
 }
 
-/// A result's packets: columns, rows, and what came last.
+/// Result of a statement: number of columns, row packets, and the final packet.
 #[derive(Debug)]
 pub struct Answer {
     pub columns: usize,
@@ -42,31 +42,33 @@
     pub last: Bytes,
 }
 
-fn broken<T>() -> Result<T, PacketError> {
+fn connection_ended<T>() -> Result<T, PacketError> {
     Err(PacketError::Protocol("the connection ended"))
 }
 
 impl Session {
+    /// Connects and logs in.
+    ///
     /// # Errors
-    /// It cannot connect, or is turned away.
+    /// The connection fails, or the server rejects the log-in.
     pub async fn log_in(
         address: SocketAddr,
         user: &str,
         password: &str,
-        wants: SessionOptions,
+        options: SessionOptions,
     ) -> Result<Self, PacketError> {
         let socket = TcpSocket::new_v4()?;
-        if let Some(bytes) = wants.receive {
+        if let Some(bytes) = options.receive {
             socket.set_recv_buffer_size(bytes)?;
         }
         let stream = Stream::from(socket.connect(address).await?);
-        Self::greet(stream, user, password, wants, None).await
+        Self::log_in_on(stream, user, password, options, None).await
     }
 
-    /// Logs in over TLS, as a client of this configuration that asks for this host.
+    /// Connects and logs in over TLS, with this client configuration and server name.
     ///
     /// # Errors
-    /// It cannot connect, does not trust the server, or is turned away.
+    /// The connection fails, the server's certificate is not trusted, or the server rejects the log-in.
     pub async fn log_in_tls(
         address: SocketAddr,
         user: &str,
@@ -75,10 +77,10 @@
         host: &str,
     ) -> Result<Self, PacketError> {
         let tcp = TcpStream::connect(address).await?;
-        // Its hello would wait for the wish before it to be acknowledged.
+        // Otherwise Nagle's algorithm delays the client hello until the SSL request is acknowledged.
         tcp.set_nodelay(true)?;
         let stream = Stream::from(tcp);
-        Self::greet(
+        Self::log_in_on(
             stream,
             user,
             password,
@@ -88,16 +90,16 @@
         .await
     }
 
-    /// The certificate that the server has shown.
+    /// Returns the certificate that the server presented.
     pub fn certificate(&self) -> Option<Vec<u8>> {
         self.wire.get_ref().certificate().map(<[u8]>::to_vec)
     }
 
-    async fn greet(
+    async fn log_in_on(
         stream: Stream,
         user: &str,
         password: &str,
-        wants: SessionOptions,
+        options: SessionOptions,
         tls: Option<(Arc<ClientConfig>, &str)>,
     ) -> Result<Self, PacketError> {
         let mut wire = Framed::new(
@@ -108,27 +110,27 @@
             },
         );
         let Some(greeting) = wire.next().await else {
-            return broken();
+            return connection_ended();
         };
         let greeting = Greeting::read(greeting?)?;
-        let proof =
+        let auth_response =
             auth::auth_response(&greeting.plugin, password, &greeting.nonce).unwrap_or_default();
-        let ends = ResultFormat::default();
+        let result_format = ResultFormat::default();
         let login = Login {
             user: user.into(),
-            auth: proof,
+            auth: auth_response,
             schema: None,
             plugin: greeting.plugin,
-            result_format: ends,
+            result_format,
         };
         let mut login = login.write(1 << 24);
         let mut flags = u32::from_le_bytes([login[0], login[1], login[2], login[3]]);
-        flags |= if wants.deprecate_eof {
+        flags |= if options.deprecate_eof {
             CLIENT_DEPRECATE_EOF
         } else {
             0
         };
-        flags |= if wants.session_track {
+        flags |= if options.session_track {
             CLIENT_SESSION_TRACK
         } else {
             0
@@ -136,14 +138,15 @@
         flags |= if tls.is_some() { CLIENT_SSL } else { 0 };
         login[..4].copy_from_slice(&flags.to_le_bytes());
         if let Some((config, host)) = tls {
-            // The same head alone, then all of it again in TLS.
+            // The SSL request is the first 32 bytes of the log-in, which follows whole over TLS.
             wire.send(&login[..32]).await?;
             let mut parts = wire.into_parts();
             let Stream::Plain(tcp) = parts.io else {
-                return broken();
+                return connection_ended();
             };
             let host = ServerName::try_from(host.to_string());
-            let host = host.map_err(|_| PacketError::Protocol("the host is no name"))?;
+            let host =
+                host.map_err(|_| PacketError::Protocol("the host is not a valid server name"))?;
             let secured = TlsConnector::from(config)
                 .connect(host, PrereadStream::new(BytesMut::new(), tcp))
                 .await?;
@@ -154,7 +157,7 @@
         let mut s = Session {
             number: greeting.connection,
             wire,
-            deprecate_eof: wants.deprecate_eof,
+            deprecate_eof: options.deprecate_eof,
         };
         let p = s.next().await?;
         match p.first() {
@@ -163,12 +166,12 @@
         }
     }
 
-    /// Another user takes the session over.
+    /// Changes the user of the session.
     ///
     /// # Errors
-    /// The connection's, or that it is turned away.
+    /// The connection fails, or the server rejects the user.
     pub async fn change_user(&mut self, user: &str, password: &str) -> Result<(), PacketError> {
-        // Whatever stands as its proof, the server asks anew with a nonce of its own.
+        // The authentication response is empty, since the server requests one for a new nonce in any case.
         self.send(
             COM_CHANGE_USER,
             &[
@@ -182,14 +185,18 @@
         let p = self.next().await?;
         let mut r = PayloadReader(p.slice(1..));
         if p.first() != Some(&0xfe) || r.text() != auth::MYSQL_NATIVE_PASSWORD {
-            return Err(PacketError::Protocol("it asks for no proof"));
+            return Err(PacketError::Protocol(
+                "the server requests no authentication",
+            ));
         }
-        let proof = auth::auth_response(
+        let auth_response = auth::auth_response(
             auth::MYSQL_NATIVE_PASSWORD,
             password,
             r.0.strip_suffix(&[0]).unwrap_or(&r.0),
         );
-        self.wire.send(&proof.unwrap_or_default()[..]).await?;
+        self.wire
+            .send(&auth_response.unwrap_or_default()[..])
+            .await?;
         let p = self.next().await?;
         match p.first() {
             Some(0) => Ok(()),
@@ -197,10 +204,10 @@
         }
     }
 
-    /// One packet, whatever it is.
+    /// Reads one packet of any kind.
     ///
     /// # Errors
-    /// The connection's, also its end.
+    /// The connection fails or has ended.
     pub async fn packet(&mut self) -> Result<Bytes, PacketError> {
         self.next().await
     }
@@ -208,12 +215,14 @@
     async fn next(&mut self) -> Result<Bytes, PacketError> {
         match self.wire.next().await {
             Some(p) => p,
-            None => broken(),
+            None => connection_ended(),
         }
     }
 
+    /// Sends a command whose payload consists of these parts.
+    ///
     /// # Errors
-    /// The connection's.
+    /// The connection fails.
     pub async fn send(&mut self, kind: u8, parts: &[&[u8]]) -> Result<(), PacketError> {
         let mut p = vec![kind];
         parts.iter().for_each(|part| p.put_slice(part));
@@ -221,19 +230,19 @@
         self.wire.send(&p[..]).await
     }
 
-    /// A statement and its whole result.
+    /// Executes a statement and reads its whole result.
     ///
     /// # Errors
-    /// The connection's, or the server's, also one that breaks a result off.
+    /// The connection fails, or the server reports an error, also in the middle of a result.
     pub async fn query(&mut self, sql: &str) -> Result<Answer, PacketError> {
         self.send(COM_QUERY, &[sql.as_bytes()]).await?;
         self.answer().await
     }
 
-    /// The answer to the oldest command that has none: others may have been sent behind it.
+    /// Reads the response to the oldest command without one; further commands may have been sent after it.
     ///
     /// # Errors
-    /// The connection's, or the server's.
+    /// The connection fails, or the server reports an error.
     pub async fn answer(&mut self) -> Result<Answer, PacketError> {
         self.wire.codec_mut().sequence = 1;
         let first = self.next().await?;
@@ -255,14 +264,14 @@
         self.rows(columns).await
     }
 
-    /// The error that a server sends of its own accord, such as that it shuts down: where an answer was awaited, it is out
-    /// of order.
+    /// Reads an error that the server sends without a command, such as one about its shutdown. A call that
+    /// waits for a response reports such an error as out of order.
     ///
     /// # Errors
-    /// The connection's.
+    /// The connection fails.
     pub async fn notice(&mut self) -> Result<SqlError, PacketError> {
         self.wire.codec_mut().sequence = 0;
-        // The stream rests once after an error; the packet is still there.
+        // After an error the packet stream returns `None` once, although the packet is still buffered.
         if let Some(unexpected) = self.wire.next().await {
             return unexpected.map(|packet| parse_err_packet(&packet));
         }
@@ -273,10 +282,10 @@
         }
     }
 
-    /// Rows up to their end.
+    /// Reads rows up to the end of the result.
     ///
     /// # Errors
-    /// The connection's, or the server's.
+    /// The connection fails, or the server reports an error.
     pub async fn rows(&mut self, columns: usize) -> Result<Answer, PacketError> {
         let mut rows = vec![];
         loop {
@@ -295,10 +304,10 @@
         }
     }
 
-    /// A statement whose rows are looked at as they come and not kept: how many there were.
+    /// Executes a statement and passes each row to `row` without storing it. Returns the number of rows.
     ///
     /// # Errors
-    /// The connection's, or the server's, also one that breaks a result off.
+    /// The connection fails, or the server reports an error, also in the middle of a result.
     pub async fn each(
         &mut self,
         sql: &str,
@@ -324,10 +333,10 @@
         }
     }
 
-    /// Prepares a statement without parameters: its number and its columns.
+    /// Prepares a statement without parameters. Returns its ID and its number of columns.
     ///
     /// # Errors
-    /// The connection's, or the server's.
+    /// The connection fails, or the server reports an error.
     pub async fn prepare(&mut self, sql: &str) -> Result<(u32, usize), PacketError> {
         self.send(COM_STMT_PREPARE, &[sql.as_bytes()]).await?;
         let first = self.next().await?;
@@ -342,10 +351,10 @@
         Ok((id, columns))
     }
 
-    /// Executes it; with `cursor` the rows wait to be fetched.
+    /// Executes a prepared statement. With `cursor`, the rows stay at the server for [`Session::fetch`].
     ///
     /// # Errors
-    /// The connection's, or the server's.
+    /// The connection fails, or the server reports an error.
     pub async fn execute(&mut self, id: u32, cursor: bool) -> Result<Answer, PacketError> {
         self.send(
             COM_STMT_EXECUTE,
@@ -371,40 +380,40 @@
         })
     }
 
-    /// The next rows of its cursor.
+    /// Fetches the next rows of a statement's cursor.
     ///
     /// # Errors
-    /// The connection's, or the server's.
+    /// The connection fails, or the server reports an error.
     pub async fn fetch(&mut self, id: u32, rows: u32) -> Result<Answer, PacketError> {
         self.send(COM_STMT_FETCH, &[&id.to_le_bytes(), &rows.to_le_bytes()])
             .await?;
         self.rows(0).await
     }
 
-    /// Reads what comes at so many bytes a second, for so long; the bytes that were read.
+    /// Reads at this rate for this duration, and returns the number of bytes read.
     ///
     /// # Errors
-    /// The connection's; its end is none.
+    /// The connection fails; its end is not an error.
     pub async fn read_slowly(
         &mut self,
-        bytes_a_second: usize,
+        bytes_per_second: usize,
         span: Duration,
     ) -> Result<usize, PacketError> {
-        let (mut all, step) = (0, Duration::from_millis(100));
+        let (mut total, step) = (0, Duration::from_millis(100));
         let began = tokio::time::Instant::now();
-        let mut buffer = vec![0; (bytes_a_second / 10).max(1)];
+        let mut buffer = vec![0; (bytes_per_second / 10).max(1)];
         while began.elapsed() < span {
             match self.wire.get_mut().read(&mut buffer).await? {
                 0 => break,
-                n => all += n,
+                n => total += n,
             }
             tokio::time::sleep(step).await;
         }
-        Ok(all)
+        Ok(total)
     }
 }
 
-/// The text of a row's first column.
+/// Returns the text in the first column of a row.
 pub fn text(row: &Bytes, binary: bool) -> Option<String> {
     let mut r = PayloadReader(row.slice(if binary { 2 } else { 0 }..));
     r.length_encoded_bytes()
@@ -412,7 +421,7 @@
         .map(|b| String::from_utf8_lossy(&b).into_owned())
 }
 
-/// All columns of a row of texts.
+/// Returns all columns of a row in the text protocol.
 pub fn texts(row: &Bytes) -> Vec<String> {
     let mut r = PayloadReader(row.clone());
     std::iter::from_fn(|| {
@@ -423,7 +432,7 @@
     .collect()
 }
 
-/// The server's error in a result.
+/// Returns the server's error in a result, if there is one.
 pub fn error<T>(result: Result<T, PacketError>) -> Option<SqlError> {
     match result {
         Err(PacketError::Server(e)) => Some(e),
