--- a/crates/testbed/src/fixture.rs
+++ b/crates/testbed/src/fixture.rs
@@ -1,5 +1,5 @@
-//! What a dispatcher stands in: engines, and the operators' file that leads it to registries; and the rules that are
-//! checked of what engines were sent.
+//! Environment of a dispatcher under test: fake engines and its configuration file; and checks of the rules
+//! for what engines receive.
 
 use crate::fakes::engine::Engine;
 use crate::fakes::registry::{Instance, Node};
@@ -9,15 +9,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A free port of this machine.
+/// Returns a loopback address whose port 0 selects a free port.
 pub fn ephemeral_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// So many engines, `engine-0` and on, that work on a statement for `work`.
+/// Starts `n` engines named `engine-0` and up, which execute each statement for `work`.
 ///
 /// # Errors
-/// They cannot listen.
+/// An engine cannot listen.
 pub async fn engines(n: usize, work: Duration) -> io::Result<Vec<Engine>> {
     let mut all = vec![];
     for i in 0..n {
@@ -26,21 +26,23 @@
     Ok(all)
 }
 
-/// Registers engines as `ENGINES`, alike at each of these registries; up for a minute, so that none is cold.
+/// Registers engines in the application `ENGINES` at each of these registries, as UP for a minute, so that
+/// none of them is in its slow-start window.
 pub fn register_engines(nodes: &[&Node], engines: &[Engine]) {
     for e in engines {
-        let long_up = now() - 60_000.0;
+        let up_since = now() - 60_000.0;
         let instance = Instance::engine("ENGINES", e.name(), e.address().port(), now());
         for node in nodes {
             node.register(Instance {
-                up: long_up,
+                up: up_since,
                 ..instance.clone()
             });
         }
     }
 }
 
-/// The operators' file of a dispatcher: `eureka` is its `[eureka]` and what belongs there, `top` further keys.
+/// Returns the configuration file of a dispatcher. `top` holds further keys at the top level, and `eureka`
+/// the sections that follow, such as `[eureka]`.
 pub fn dispatcher_file(top: &str, eureka: &str) -> String {
     format!(
         r#"listen = "127.0.0.1:0"
@@ -77,7 +79,7 @@
     )
 }
 
-/// `[eureka]` with these servers, a round every 200 ms, and further keys.
+/// Returns an `[eureka]` section with these servers, a polling interval of 200 ms, and further keys.
 pub fn eureka_section(nodes: &[&Node], more: &str) -> String {
     let urls: Vec<String> = nodes.iter().map(|n| format!("{:?}", n.url())).collect();
     format!(
@@ -86,19 +88,20 @@
     )
 }
 
-/// A rule that a run broke, with the first event that did.
+/// Violation of a rule in a run, with the first event that violated it.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RuleViolation {
-    #[error("{engine} was sent {sql:?} {late:.0} ms after the notice that it drains")]
+    #[error("{engine} received {sql:?} {late:.0} ms after its drain was reported")]
     Drain {
         engine: String,
         sql: String,
         late: f64,
     },
-    #[error("{sql:?} ran {times} times")]
+    #[error("{sql:?} was executed {times} times")]
     LoadTwice { sql: String, times: usize },
     #[error(
-        "{engine} was sent {sent} statements within {within:.0} ms of its start, where {most} were allowed"
+        "{engine} received {sent} statements in a window of {within:.0} ms after its start; \
+         at most {most} were allowed"
     )]
     SlowStart {
         engine: String,
@@ -108,10 +111,11 @@
     },
 }
 
-/// Nothing new to an engine later than 1 s after notice.
+/// Checks that an engine receives nothing later than 1 s after its drain was reported at `notice`. Returns
+/// the delay of the last statement after that time, in milliseconds.
 ///
 /// # Errors
-/// The first statement that came later.
+/// The first statement that arrived later.
 pub fn check_drain(engine: &Engine, notice: f64) -> Result<f64, RuleViolation> {
     let ran = engine.executions();
     let after: Vec<_> = ran.iter().filter(|r| r.at > notice).collect();
@@ -125,10 +129,11 @@
     }
 }
 
-/// A load never runs twice, wherever.
+/// Checks that no load was executed twice, on the same or on different engines. Returns the number of
+/// loads.
 ///
 /// # Errors
-/// The first that did.
+/// The first load that was executed twice.
 pub fn check_loads_run_once(engines: &[Engine]) -> Result<usize, RuleViolation> {
     let mut times: BTreeMap<String, usize> = BTreeMap::new();
     for r in engines
@@ -145,11 +150,13 @@
     }
 }
 
-/// No cold engine is pushed over: since its last start no span of so many milliseconds brought it more than `most`
-/// tells for its age, in milliseconds, when the span begins.
+/// Checks that an engine is not overloaded after a restart: in every window of `within` milliseconds since
+/// its last start it receives at most `most(age)` statements, where `age` is its age in milliseconds at the
+/// begin of the window. Returns the maximum number of statements in a window, and the number of all
+/// statements since the start.
 ///
 /// # Errors
-/// One did. Else the most that any span brought, and all since the start.
+/// The first window with more statements.
 pub fn check_slow_start(
     engine: &Engine,
     within: f64,
--- a/crates/testbed/src/program.rs
+++ b/crates/testbed/src/program.rs
@@ -1,4 +1,5 @@
-//! The dispatcher's program itself, as a child: started with a file, called by operators, told by signals.
+//! The dispatcher's binary as a child process: started with a configuration file, controlled by signals and
+//! by calls to the operators' address.
 
 use std::cell::RefCell;
 use std::io;
@@ -13,28 +14,28 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// How long anything is waited for.
-const WAIT: Duration = Duration::from_secs(10);
+/// Time limit for a log line, a page or a response.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What went wrong with a child.
+/// Error of a child process.
 #[derive(Debug, thiserror::Error)]
 pub enum ProgramError {
     #[error(transparent)]
     Io(#[from] io::Error),
-    #[error("it never said {what:?}; its log: {log:?}")]
+    #[error("timed out waiting for {what:?}; log of the program: {log:?}")]
     Silent { what: String, log: Vec<String> },
-    #[error("the call {0} was not answered")]
+    #[error("the call {0:?} received no valid response")]
     Unanswered(String),
 }
 
-/// A folder that goes with its handle.
+/// Temporary directory that is removed when the handle is dropped.
 pub struct Folder(PathBuf);
 
 impl Folder {
-    /// A new one under the machine's folder for such.
+    /// Creates a directory below the system's directory for temporary files.
     ///
     /// # Errors
-    /// It cannot be made.
+    /// The directory cannot be created.
     pub fn new(name: &str) -> io::Result<Self> {
         let path = std::env::temp_dir().join(format!("hitchwinch-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&path)?;
@@ -55,10 +56,10 @@
 #[derive(Default)]
 struct Log {
     lines: RefCell<Vec<String>>,
-    more: Notify,
+    line_added: Notify,
 }
 
-/// A dispatcher on the MySQL front. It is killed when the handle goes.
+/// Dispatcher process with the MySQL front. It is killed when the handle is dropped.
 pub struct Program {
     child: Child,
     pub address: SocketAddr,
@@ -68,10 +69,10 @@
 }
 
 impl Program {
-    /// Starts `binary --mysql FILE` with this text in the file and waits until it listens.
+    /// Starts `binary --mysql FILE` with this text in the file and waits until the process listens.
     ///
     /// # Errors
-    /// It does not start, or ends before it listens.
+    /// The process does not start, or does not listen in time.
     pub async fn start(
         binary: &Path,
         folder: &Folder,
@@ -81,10 +82,10 @@
         Self::start_with(binary, folder, name, text, &[]).await
     }
 
-    /// The same with these variables in its environment.
+    /// Starts it like [`Program::start`], with further environment variables.
     ///
     /// # Errors
-    /// It does not start, or ends before it listens.
+    /// The process does not start, or does not listen in time.
     pub async fn start_with(
         binary: &Path,
         folder: &Folder,
@@ -110,51 +111,54 @@
                 let mut lines = BufReader::new(stderr).lines();
                 while let Ok(Some(line)) = lines.next_line().await {
                     log.lines.borrow_mut().push(line);
-                    log.more.notify_waiters();
+                    log.line_added.notify_waiters();
                 }
             });
         }
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
+        let unspecified = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut program = Program {
             child,
-            address: nowhere,
+            address: unspecified,
             admin: None,
             file,
             log,
         };
         let line = program.says("listens on ").await?;
-        program.address = after(&line, "listens on ").unwrap_or(nowhere);
-        let told = program
+        program.address = address_after(&line, "listens on ").unwrap_or(unspecified);
+        let admin = program
             .log
             .lines
             .borrow()
             .iter()
-            .find_map(|l| after(l, "operators call at "));
-        program.admin = told;
+            .find_map(|l| address_after(l, "operators call at "));
+        program.admin = admin;
         Ok(program)
     }
 
-    /// The first line of its log that holds this.
+    /// Waits for a log line that contains this text, and returns the first one.
     ///
     /// # Errors
-    /// None came in time.
+    /// No such line was written in time.
     pub async fn says(&self, what: &str) -> Result<String, ProgramError> {
-        let silent = || ProgramError::Silent {
+        let timed_out = || ProgramError::Silent {
             what: what.into(),
             log: self.log.lines.borrow().clone(),
         };
         let wait = async {
             loop {
-                let more = self.log.more.notified();
+                let line_added = self.log.line_added.notified();
                 if let Some(line) = self.log.lines.borrow().iter().find(|l| l.contains(what)) {
                     return line.clone();
                 }
-                more.await;
+                line_added.await;
             }
         };
-        tokio::time::timeout(WAIT, wait).await.map_err(|_| silent())
+        tokio::time::timeout(TIMEOUT, wait)
+            .await
+            .map_err(|_| timed_out())
     }
 
+    /// Returns the lines that the process has written to stderr so far.
     pub fn log(&self) -> Vec<String> {
         self.log.lines.borrow().clone()
     }
@@ -163,10 +167,10 @@
         self.child.id().unwrap_or(0)
     }
 
-    /// Sends a signal by its name: `TERM`, `HUP`, `KILL`.
+    /// Sends a signal by its name, such as `TERM`, `HUP` or `KILL`.
     ///
     /// # Errors
-    /// The machine's `kill` is not to be had.
+    /// The command `kill` cannot be run.
     pub async fn signal(&self, name: &str) -> Result<(), ProgramError> {
         Command::new("kill")
             .arg(format!("-{name}"))
@@ -176,7 +180,7 @@
         Ok(())
     }
 
-    /// Another text is in its file, and it is told.
+    /// Replaces the text of its configuration file and sends SIGHUP.
     ///
     /// # Errors
     /// The file cannot be written.
@@ -185,10 +189,10 @@
         self.signal("HUP").await
     }
 
-    /// An operator's call: its status and its body.
+    /// Sends a request to the operators' address. Returns the status code and the body.
     ///
     /// # Errors
-    /// No whole answer.
+    /// No whole response arrives in time.
     pub async fn call(&self, method: &str, path: &str) -> Result<(u16, String), ProgramError> {
         let unanswered = || ProgramError::Unanswered(format!("{method} {path}"));
         let admin = self.admin.ok_or_else(unanswered)?;
@@ -200,7 +204,7 @@
             tcp.read_to_string(&mut text).await?;
             Ok::<_, io::Error>(text)
         };
-        let text = tokio::time::timeout(WAIT, exchange)
+        let text = tokio::time::timeout(TIMEOUT, exchange)
             .await
             .map_err(|_| unanswered())??;
         let (head, body) = text.split_once("\r\n\r\n").ok_or_else(unanswered)?;
@@ -212,19 +216,20 @@
         Ok((code, body.to_string()))
     }
 
-    /// `GET /_members`, as JSON; null before there is one.
+    /// Requests `GET /_members` and parses the body as JSON; null if it is not JSON.
     ///
     /// # Errors
-    /// No whole answer.
+    /// No whole response arrives in time.
     pub async fn members(&self, query: &str) -> Result<serde_json::Value, ProgramError> {
         let (_, body) = self.call("GET", &format!("/_members{query}")).await?;
         Ok(serde_json::from_str(&body).unwrap_or_default())
     }
 
-    /// Waits until this holds of `GET /_members`.
+    /// Requests `GET /_members` until the page meets this condition, and returns the page. `what` names the
+    /// condition in the error.
     ///
     /// # Errors
-    /// It did not come to hold in time.
+    /// The condition was not met in time.
     pub async fn until(
         &self,
         what: &str,
@@ -240,17 +245,19 @@
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        let silent = || ProgramError::Silent {
+        let timed_out = || ProgramError::Silent {
             what: what.into(),
             log: self.log(),
         };
-        tokio::time::timeout(WAIT, wait).await.map_err(|_| silent())
+        tokio::time::timeout(TIMEOUT, wait)
+            .await
+            .map_err(|_| timed_out())
     }
 
-    /// Sends SIGTERM and waits: true if it ended well.
+    /// Sends SIGTERM and waits up to 35 s for the exit. Returns whether the exit status reports success.
     ///
     /// # Errors
-    /// It did not end in time.
+    /// The process does not exit in time.
     pub async fn ends(mut self) -> Result<bool, ProgramError> {
         self.signal("TERM").await?;
         let ended = tokio::time::timeout(Duration::from_secs(35), self.child.wait()).await;
@@ -259,20 +266,20 @@
             .success())
     }
 
-    /// Its exit status, if it has ended by itself.
+    /// Returns the exit status if the process has exited.
     pub fn ended(&mut self) -> Option<std::process::ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Ends it without a word.
+    /// Kills the process by SIGKILL and waits for its exit.
     ///
     /// # Errors
-    /// The system's.
+    /// The process cannot be killed.
     pub async fn kill(mut self) -> Result<(), ProgramError> {
         Ok(self.child.kill().await?)
     }
 
-    /// Seconds of processor time that it has taken so far.
+    /// Returns the CPU time that the process has used so far, in seconds.
     pub fn cpu(&self) -> f64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.id())).unwrap_or_default();
         let fields: Vec<&str> = stat
@@ -287,11 +294,11 @@
                 .and_then(|f| f.parse::<f64>().ok())
                 .unwrap_or(0.0)
         };
-        // The kernel's clock ticks a hundred times a second wherever this runs.
+        // The kernel counts CPU time in units of 1/100 s (USER_HZ) on all supported machines.
         (ticks(11) + ticks(12)) / 100.0
     }
 
-    /// Megabytes of memory: now, and the most so far.
+    /// Returns the resident memory of the process in megabytes: now, and its maximum so far.
     pub fn memory(&self) -> (f64, f64) {
         let status =
             std::fs::read_to_string(format!("/proc/{}/status", self.id())).unwrap_or_default();
@@ -310,6 +317,7 @@
     }
 }
 
-fn after(line: &str, what: &str) -> Option<SocketAddr> {
+/// Parses the address that follows `what` in a log line.
+fn address_after(line: &str, what: &str) -> Option<SocketAddr> {
     line.split_once(what)?.1.trim().parse().ok()
 }
