--- a/crates/testbed/src/measurements/list_events.rs
+++ b/crates/testbed/src/measurements/list_events.rs
@@ -1,4 +1,4 @@
-//! What a change of one engine costs the decision module of a dispatcher before many engines, and the decision that follows.
+//! CPU time of the decision module for a change of one engine in a long list, and for the query after it.
 
 use query_dispatcher::{
     Action, Class, Controller, EngineCapabilities, EngineEntry, EngineState, Event, Idempotency,
@@ -7,9 +7,9 @@
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
-/// Milliseconds between two events.
-const STEP: f64 = 0.5;
-/// Table groups that queries read.
+/// Interval between two events, in milliseconds.
+const EVENT_INTERVAL: f64 = 0.5;
+/// Number of table groups that queries read.
 const GROUPS: u64 = 32;
 const ZONES: usize = 3;
 
@@ -100,7 +100,7 @@
     }
 }
 
-/// A dispatcher with open queries, on a clock of the measurement's own.
+/// Decision module under measurement, in virtual time.
 struct Subject {
     controller: Controller,
     now: f64,
@@ -108,8 +108,9 @@
 }
 
 impl Subject {
+    /// Handles an event and returns the real time that this took.
     fn timed(&mut self, event: Event) -> Duration {
-        self.now += STEP;
+        self.now += EVENT_INTERVAL;
         self.actions.clear();
         let began = Instant::now();
         self.controller.handle(self.now, event, &mut self.actions);
@@ -122,11 +123,11 @@
     (mean * 10.0).round() / 10.0
 }
 
-/// So many engines drain, and are ready again, one by one, before a dispatcher with so many open queries; a new query comes
-/// after each.
+/// Measures `events` changes of a list of `engines` engines, with `open` open queries. The engines drain
+/// and become ready again one by one, and a new query follows each change.
 ///
 /// # Errors
-/// The settings cannot be used.
+/// The settings are invalid.
 pub fn list_events(engines: usize, open: u64, events: usize) -> Result<Value, SettingsError> {
     let mut subject = Subject {
         controller: Controller::new(settings(), 7)?,
@@ -143,7 +144,7 @@
     }
     let (mut changes, mut queries) = (Duration::ZERO, Duration::ZERO);
     for number in 0..events {
-        // Each engine drains and is ready again at once.
+        // Each engine drains and is ready again with the next event.
         let state = match number % 2 {
             0 => EngineState::Draining,
             _ => EngineState::Ready,
--- a/crates/testbed/src/measurements/membership.rs
+++ b/crates/testbed/src/measurements/membership.rs
@@ -1,5 +1,6 @@
-//! Measurements of membership on real sockets: long, and no part of any test. Each prints a line of JSON, so that an
-//! earlier program can be measured by the same script and laid beside.
+//! Long measurements of membership on real sockets, which are not part of any test. Each returns a JSON
+//! object that is printed as a line, so that a script can compare them with those of an earlier version of
+//! the program.
 
 use crate::clients::load::{Clients, End, Load};
 use crate::fakes::engine::Engine;
@@ -14,24 +15,25 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Why a measurement gave nothing.
+/// Failure of a measurement.
 #[derive(Debug, thiserror::Error)]
 pub enum MeasureError {
     #[error(transparent)]
     Program(#[from] ProgramError),
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    #[error("it never came to {0}")]
+    #[error("the measurement failed: {0}")]
     Never(String),
-    #[error("the lab's own clients were too slow: {0}; the figures would be theirs")]
+    #[error("the test clients failed: {0}")]
     Client(String),
 }
 
-/// Which program is measured, and by which form of its file.
+/// Measured program, and the format of its configuration file.
 #[derive(Clone, Debug)]
 pub struct Subject {
     pub program: PathBuf,
-    /// It knows only `address` and `path`: one registry, rounds of whole seconds.
+    /// Whether it is an earlier version, whose `[eureka]` section knows only `address` and `path`: one
+    /// registry, polled at an interval of whole seconds.
     pub earlier: bool,
 }
 
@@ -70,29 +72,33 @@
     }
 }
 
-/// One of the figures that operators are told.
-async fn figure(program: &Program, name: &str) -> Option<u64> {
+/// Returns a metric from `/_vars`.
+async fn metric(program: &Program, name: &str) -> Option<u64> {
     let (_, text) = program.call("GET", "/_vars").await.ok()?;
     text.lines()
         .find_map(|l| l.strip_prefix(&format!("{name}="))?.parse().ok())
 }
 
-async fn targets(program: &Program, n: u64) -> Result<(), MeasureError> {
+/// Waits until the program reports `n` engines.
+async fn wait_for_targets(program: &Program, n: u64) -> Result<(), MeasureError> {
     for _ in 0..1500 {
-        if figure(program, "targets").await == Some(n) {
+        if metric(program, "targets").await == Some(n) {
             return Ok(());
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    Err(MeasureError::Never(format!("{n} engines in the list")))
+    Err(MeasureError::Never(format!(
+        "the dispatcher did not list {n} engines in time"
+    )))
 }
 
-async fn pass(ms: u64) {
+async fn sleep_ms(ms: u64) {
     tokio::time::sleep(Duration::from_millis(ms)).await;
 }
 
-/// Engines that are listed and never take anything: a list of so many is as long as one that serves.
-fn fill(nodes: &[Node], from: usize, to: usize) {
+/// Registers instances `from` to `to` that stay STARTING and receive nothing, so that the list has the
+/// length of a large fleet's.
+fn register_fillers(nodes: &[Node], from: usize, to: usize) {
     for n in from..to {
         let filler = Instance {
             ip: format!("127.1.{}.{}", n / 250, n % 250 + 1),
@@ -103,10 +109,10 @@
     }
 }
 
-async fn nodes(n: usize) -> Result<Vec<Node>, MeasureError> {
+async fn start_nodes(n: usize) -> Result<Vec<Node>, MeasureError> {
     let mut all = vec![];
     for _ in 0..n {
-        // Nothing is let go while it is measured, and no delta grows without end.
+        // No lease is evicted during a measurement, and deltas stay bounded.
         all.push(
             Node::start(
                 ephemeral_address(),
@@ -123,16 +129,16 @@
 }
 
 #[derive(Serialize)]
-struct Spread {
+struct Distribution {
     n: u64,
     p50_ms: f64,
     p99_ms: f64,
     max_ms: f64,
 }
 
-fn spread(values: &[f64]) -> Spread {
+fn distribution(values: &[f64]) -> Distribution {
     let Ok(mut h) = Histogram::<u64>::new(3) else {
-        return Spread {
+        return Distribution {
             n: 0,
             p50_ms: 0.0,
             p99_ms: 0.0,
@@ -143,7 +149,7 @@
         .iter()
         .for_each(|v| h.saturating_record((v * 1000.0) as u64));
     let at = |p| h.value_at_percentile(p) as f64 / 1000.0;
-    Spread {
+    Distribution {
         n: h.len(),
         p50_ms: at(50.0),
         p99_ms: at(99.0),
@@ -151,10 +157,11 @@
     }
 }
 
-/// From the notice that an engine drains to the last statement that it gets, over so many drains.
+/// Measures the delay from the time when a drain is reported to the last statement that the engine
+/// receives, over this number of drains.
 ///
 /// # Errors
-/// The program or a stand-in does not do its part.
+/// The program or a fake fails, or does not reach an expected state in time.
 pub async fn drains(
     subject: &Subject,
     registries: usize,
@@ -162,16 +169,16 @@
     drains: usize,
 ) -> Result<Value, MeasureError> {
     let folder = Folder::new("measure-drains")?;
-    let nodes = nodes(registries).await?;
+    let nodes = start_nodes(registries).await?;
     let engines = fixture::engines(5, Duration::from_millis(4)).await?;
     let all: Vec<&Node> = nodes.iter().collect();
     fixture::register_engines(&all, &engines);
-    fill(&nodes, engines.len(), instances);
+    register_fillers(&nodes, engines.len(), instances);
     let program = subject
         .start(&folder, "", &subject.section(&all, 1.0, "ask = 1"))
         .await?;
-    targets(&program, instances.max(engines.len()) as u64).await?;
-    // What changes at the first is at the others 300 ms later.
+    wait_for_targets(&program, instances.max(engines.len()) as u64).await?;
+    // A change at one node reaches the others 300 ms later.
     for (i, a) in nodes.iter().enumerate() {
         a.lag(300.0);
         nodes[i + 1..].iter().for_each(|b| a.peer(b));
@@ -183,13 +190,13 @@
         prepared: true,
     };
     let clients = Clients::start(program.address, load);
-    pass(1500).await;
-    let mut late = vec![];
+    sleep_ms(1500).await;
+    let mut delays = vec![];
     for n in 0..drains {
         let engine = &engines[n % engines.len()];
         nodes.iter().for_each(|node| node.watch(engine.name()));
-        // At whatever moment of a round.
-        pass((n as u64 * 137) % 1000).await;
+        // Starts the drains at different phases of the polling interval.
+        sleep_ms((n as u64 * 137) % 1000).await;
         nodes[0].set_status("ENGINES", engine.name(), Some(Status::OutOfService));
         let mut notice = None;
         for _ in 0..200 {
@@ -200,56 +207,58 @@
             if notice.is_some() {
                 break;
             }
-            pass(20).await;
+            sleep_ms(20).await;
         }
         let Some(notice) = notice else {
-            return Err(MeasureError::Never("a notice".into()));
+            return Err(MeasureError::Never(
+                "no registry reported the drain in time".into(),
+            ));
         };
-        pass(1400).await;
+        sleep_ms(1400).await;
         let last = engine
             .executions()
             .iter()
             .rev()
             .find(|r| r.at > notice)
             .map_or(0.0, |r| r.at - notice);
-        late.push(last);
+        delays.push(last);
         let before = engine.count();
         nodes[0].set_status("ENGINES", engine.name(), None);
         for _ in 0..200 {
             if engine.count() > before + 3 {
                 break;
             }
-            pass(20).await;
+            sleep_ms(20).await;
         }
     }
-    let account = clients.stop().await;
+    let summary = clients.stop().await;
     Ok(json!({
         "measure": "drains", "earlier": subject.earlier, "registries": registries, "instances": instances,
-        "notice_to_last": spread(&late), "requests": account.all(), "served": account.count(End::Served),
-        "latency_p99_ms": account.percentile(99.0),
+        "notice_to_last": distribution(&delays), "requests": summary.all(), "served": summary.count(End::Served),
+        "latency_p99_ms": summary.percentile(99.0),
     }))
 }
 
-/// Processor time and memory of a round, with lists in full and by changes, beside a paced client.
+/// Measures CPU time and memory of a polling round under load, with whole lists (`full`) or with deltas.
 ///
 /// # Errors
-/// The program or a stand-in does not do its part.
+/// The program or a fake fails, or does not reach an expected state in time.
 pub async fn rounds(
     subject: &Subject,
     instances: usize,
     full: bool,
 ) -> Result<Value, MeasureError> {
     let folder = Folder::new("measure-rounds")?;
-    let nodes = nodes(1).await?;
+    let nodes = start_nodes(1).await?;
     let engines = fixture::engines(2, Duration::from_millis(1)).await?;
     fixture::register_engines(&[&nodes[0]], &engines);
-    fill(&nodes, engines.len(), instances);
-    // Changes that are told in every delta end with their retention.
-    pass(if instances > 100 { 11_000 } else { 0 }).await;
+    register_fillers(&nodes, engines.len(), instances);
+    // Waits for the retention period of the registrations, which every delta would contain until then.
+    sleep_ms(if instances > 100 { 11_000 } else { 0 }).await;
     let program = subject
         .start(&folder, "", &subject.section(&[&nodes[0]], 1.0, ""))
         .await?;
-    targets(&program, instances.max(engines.len()) as u64).await?;
+    wait_for_targets(&program, instances.max(engines.len()) as u64).await?;
     let load = Load {
         clients: 4,
         gap: Duration::from_millis(20),
@@ -257,10 +266,10 @@
         prepared: true,
     };
     let clients = Clients::start(program.address, load);
-    pass(2000).await;
+    sleep_ms(2000).await;
     let idle = clients.stop().await;
     if full {
-        // No delta adds up: the whole is asked for in every round.
+        // Every delta contradicts its hash code, so the whole list is requested in every round.
         nodes[0].fault(Fault::Hash);
     }
     let rounds_before = nodes[0]
@@ -271,7 +280,7 @@
     let (cpu, bytes) = (program.cpu(), nodes[0].bytes());
     let clients = Clients::start(program.address, load);
     for n in 0..200usize {
-        // Ten changes a second, as a fleet has.
+        // Ten changes a second, as in a large fleet.
         if n % 2 == 0 {
             let id = format!(
                 "filler-{}",
@@ -280,43 +289,45 @@
             let status = if n % 4 == 0 { Some(Status::Down) } else { None };
             nodes[0].set_status("ENGINES", &id, status);
         }
-        pass(50).await;
+        sleep_ms(50).await;
     }
-    let account = clients.stop().await;
+    let summary = clients.stop().await;
     let rounds = nodes[0]
         .calls()
         .iter()
         .filter(|c| c.ends_with("/apps/delta"))
         .count()
         - rounds_before;
-    let used = program.cpu() - cpu;
-    let (now_mb, most_mb) = program.memory();
-    // What the clients themselves take, from a stretch without rounds that matter, is taken off by rate.
+    let cpu_used = program.cpu() - cpu;
+    let (now_mb, max_mb) = program.memory();
+    // The CPU time includes the clients' requests. Their share is not subtracted here; it can be estimated
+    // by rate from a period without polling rounds.
     Ok(json!({
         "measure": "rounds", "earlier": subject.earlier, "instances": instances, "full": full, "rounds": rounds,
-        "cpu_ms_a_round_with_load": 1000.0 * used / rounds.max(1) as f64,
+        "cpu_ms_a_round_with_load": 1000.0 * cpu_used / rounds.max(1) as f64,
         "kb_a_round": (nodes[0].bytes() - bytes) as f64 / 1024.0 / rounds.max(1) as f64,
-        "memory_mb": now_mb, "memory_most_mb": most_mb,
-        "latency_p50_ms": account.percentile(50.0), "latency_p99_ms": account.percentile(99.0),
-        "latency_max_ms": account.percentile(100.0),
-        "latency_p99_before_ms": idle.percentile(99.0), "not_served": account.all() - account.count(End::Served),
+        "memory_mb": now_mb, "memory_most_mb": max_mb,
+        "latency_p50_ms": summary.percentile(50.0), "latency_p99_ms": summary.percentile(99.0),
+        "latency_max_ms": summary.percentile(100.0),
+        "latency_p99_before_ms": idle.percentile(99.0), "not_served": summary.all() - summary.count(End::Served),
     }))
 }
 
-/// Requests lost while every registry is away for so long, one engine restarting cold in the middle.
+/// Counts the outcomes of requests while every registry is unreachable for this number of seconds. With
+/// `restart`, one engine restarts in the middle.
 ///
 /// # Errors
-/// The program or a stand-in does not do its part.
+/// The program or a fake fails, or does not reach an expected state in time.
 pub async fn outage(subject: &Subject, seconds: u64, restart: bool) -> Result<Value, MeasureError> {
     let folder = Folder::new("measure-outage")?;
-    let nodes = nodes(2).await?;
+    let nodes = start_nodes(2).await?;
     let engines = fixture::engines(3, Duration::from_millis(400)).await?;
     let all: Vec<&Node> = nodes.iter().collect();
     fixture::register_engines(&all, &engines);
     let program = subject
         .start(&folder, "", &subject.section(&all, 1.0, ""))
         .await?;
-    targets(&program, 3).await?;
+    wait_for_targets(&program, 3).await?;
     let load = Load {
         clients: 90,
         gap: Duration::from_millis(1000),
@@ -324,25 +335,25 @@
         prepared: false,
     };
     let clients = Clients::start(program.address, load);
-    pass(4000).await;
+    sleep_ms(4000).await;
     nodes.iter().for_each(Node::away);
-    pass(500 * seconds).await;
-    let mut cold = Value::Null;
+    sleep_ms(500 * seconds).await;
+    let mut most_cold = Value::Null;
     if restart {
         engines[0].end();
-        pass(3000).await;
+        sleep_ms(3000).await;
         engines[0].again().await?;
-        pass(8000).await;
-        let most = fixture::check_slow_start(&engines[0], 2000.0, |_| usize::MAX);
-        cold = json!(most.map_or(0, |m| m.0));
+        sleep_ms(8000).await;
+        let checked = fixture::check_slow_start(&engines[0], 2000.0, |_| usize::MAX);
+        most_cold = json!(checked.map_or(0, |(most, _)| most));
     }
-    pass(500 * seconds).await;
+    sleep_ms(500 * seconds).await;
     for node in &nodes {
         node.back().await?;
     }
-    pass(2000).await;
-    let account = clients.stop().await;
-    let ends: Vec<(String, u64)> = account
+    sleep_ms(2000).await;
+    let summary = clients.stop().await;
+    let ends: Vec<(String, u64)> = summary
         .ends
         .borrow()
         .iter()
@@ -351,25 +362,26 @@
     Ok(json!({
         "measure": "outage", "earlier": subject.earlier, "seconds": seconds, "restart": restart,
         "ends": ends.into_iter().collect::<std::collections::BTreeMap<_, _>>(),
-        "most_in_2_s_on_the_cold_engine": cold, "borne_cold_in_2_s": 48,
+        "most_in_2_s_on_the_cold_engine": most_cold, "borne_cold_in_2_s": 48,
         "loads_run_twice": fixture::check_loads_run_once(&engines).is_err(),
     }))
 }
 
-/// A start while every registry is away: how many of a hundred requests are served.
+/// Starts the program while its registry is unreachable, and counts how many requests of ten clients are
+/// served in one second.
 ///
 /// # Errors
-/// The program or a stand-in does not do its part.
+/// The program or a fake fails, or does not reach an expected state in time.
 pub async fn start_alone(subject: &Subject) -> Result<Value, MeasureError> {
     let folder = Folder::new("measure-start")?;
-    let nodes = nodes(1).await?;
+    let nodes = start_nodes(1).await?;
     let engines = fixture::engines(3, Duration::from_millis(10)).await?;
     fixture::register_engines(&[&nodes[0]], &engines);
     let top = format!("state_dir = {:?}", folder.path());
     let section = subject.section(&[&nodes[0]], 1.0, "");
     let program = subject.start(&folder, &top, &section).await?;
-    targets(&program, 3).await?;
-    pass(2000).await;
+    wait_for_targets(&program, 3).await?;
+    sleep_ms(2000).await;
     program.kill().await?;
     nodes[0].away();
     let began = now();
@@ -380,7 +392,7 @@
             ready = Some(now() - began);
             break;
         }
-        pass(20).await;
+        sleep_ms(20).await;
     }
     let load = Load {
         clients: 10,
@@ -389,18 +401,18 @@
         prepared: true,
     };
     let clients = Clients::start(program.address, load);
-    pass(1000).await;
-    let account = clients.stop().await;
+    sleep_ms(1000).await;
+    let summary = clients.stop().await;
     Ok(json!({
         "measure": "start", "earlier": subject.earlier, "ready_after_ms": ready,
-        "requests": account.all(), "served": account.count(End::Served),
+        "requests": summary.all(), "served": summary.count(End::Served),
     }))
 }
 
-/// Engines for trying things by hand.
+/// Starts engines on consecutive ports for manual experiments.
 ///
 /// # Errors
-/// A port is taken.
+/// A port is in use.
 pub async fn serve_engines(
     count: usize,
     first_port: u16,
--- a/crates/testbed/src/measurements/mod.rs
+++ b/crates/testbed/src/measurements/mod.rs
@@ -1,4 +1,5 @@
-//! Measurements of a dispatcher's program: membership, spooled results and sessions; and of its decision module.
+//! Measurements of the dispatcher's binary (membership, spooled results and sessions) and of its decision
+//! module.
 
 pub mod list_events;
 pub mod membership;
--- a/crates/testbed/src/measurements/sessions.rs
+++ b/crates/testbed/src/measurements/sessions.rs
@@ -1,4 +1,4 @@
-//! What sessions of the MySQL front cost, against the same stand-in engine asked directly.
+//! Cost of sessions of the MySQL front, compared with sessions directly at the same fake engine.
 
 use crate::clients::mysql::{Session, SessionOptions};
 use crate::fakes::engine::PASSWORD;
@@ -14,18 +14,20 @@
 use tokio_rustls::rustls::crypto::ring;
 use tokio_rustls::rustls::{ClientConfig, RootCertStore};
 
-/// Sessions that are opened for the figures of memory, and those of them that are pinned.
+/// Number of sessions that are opened to measure memory and log-ins, and the number of them that are
+/// pinned.
 const IDLE: usize = 200;
 const PINNED: usize = 40;
 
 struct SessionRun {
-    /// Microseconds.
+    /// Latency of a statement, in microseconds.
     latency: Histogram<u64>,
     seconds: f64,
 }
 
 impl SessionRun {
-    fn told(&self, cpu: Option<f64>) -> Value {
+    /// Returns the results as JSON. `cpu` is the CPU time that the dispatcher used, in seconds.
+    fn report(&self, cpu: Option<f64>) -> Value {
         let n = self.latency.len();
         json!({
             "p50_us": self.latency.value_at_quantile(0.5),
@@ -40,8 +42,8 @@
     Session::log_in(at, user, password, SessionOptions::default()).await
 }
 
-/// Rounds of these statements, by turns on these sessions.
-async fn rounds(
+/// Executes `rounds` rounds of these statements, on each session in turn.
+async fn run_rounds(
     all: &mut [Session],
     sqls: &[&str],
     rounds: usize,
@@ -54,11 +56,11 @@
             break;
         };
         for sql in sqls {
-            let asked = Instant::now();
+            let sent = Instant::now();
             s.query(sql)
                 .await
                 .map_err(|e| MeasureError::Never(format!("{sql}: {e}")))?;
-            let _ = latency.record(asked.elapsed().as_micros() as u64 + 1);
+            let _ = latency.record(sent.elapsed().as_micros() as u64 + 1);
         }
     }
     Ok(SessionRun {
@@ -69,18 +71,21 @@
 
 const HOST: &str = "lab.example";
 
-/// A key for the dispatcher, as the tables of its file, and a client that trusts it.
-fn keys(folder: &Folder) -> Result<(String, Arc<ClientConfig>), MeasureError> {
-    let wrong = |e: &dyn std::fmt::Display| MeasureError::Never(format!("a key: {e}"));
-    let made = rcgen::generate_simple_self_signed(vec![HOST.to_string()]).map_err(|e| wrong(&e))?;
+/// Creates a certificate for the dispatcher. Returns the TLS sections of the configuration file, and a
+/// client configuration that trusts the certificate.
+fn create_certificate(folder: &Folder) -> Result<(String, Arc<ClientConfig>), MeasureError> {
+    let failed =
+        |e: &dyn std::fmt::Display| MeasureError::Never(format!("creating a certificate: {e}"));
+    let made =
+        rcgen::generate_simple_self_signed(vec![HOST.to_string()]).map_err(|e| failed(&e))?;
     let (cert, key) = (folder.path().join("lab.pem"), folder.path().join("lab.key"));
     std::fs::write(&cert, made.cert.pem())?;
     std::fs::write(&key, made.signing_key.serialize_pem())?;
     let mut roots = RootCertStore::empty();
-    roots.add(made.cert.der().clone()).map_err(|e| wrong(&e))?;
+    roots.add(made.cert.der().clone()).map_err(|e| failed(&e))?;
     let client = ClientConfig::builder_with_provider(Arc::new(ring::default_provider()))
         .with_safe_default_protocol_versions()
-        .map_err(|e| wrong(&e))?
+        .map_err(|e| failed(&e))?
         .with_root_certificates(roots)
         .with_no_client_auth();
     Ok((
@@ -89,24 +94,24 @@
     ))
 }
 
-/// Overhead of a statement, alone and in transactions and where two sessions' settings take turns on one connection;
-/// log-ins a second; memory of a session idle and pinned.
+/// Measures the overhead of a statement: alone, in transactions, and where two sessions with different
+/// settings share a connection; log-ins per second; and the memory of an idle and of a pinned session.
 ///
 /// # Errors
-/// The program cannot be started, or an answer is wrong.
+/// The program cannot be started, or a request fails.
 pub async fn sessions(subject: &Subject, statements: usize) -> Result<Value, MeasureError> {
-    let failed = |e: PacketError| MeasureError::Never(format!("a session: {e}"));
+    let failed = |e: PacketError| MeasureError::Never(format!("session: {e}"));
     let engines = fixture::engines(1, Duration::ZERO).await?;
     let engine = engines
         .first()
-        .ok_or_else(|| MeasureError::Never("an engine".into()))?;
+        .ok_or_else(|| MeasureError::Never("no engine was started".into()))?;
     let folder = Folder::new("measure-sessions")?;
     let list = format!(
         "[[engine]]\nid = {:?}\naddress = \"{}\"\n",
         engine.name(),
         engine.address()
     );
-    let (tls, client) = keys(&folder)?;
+    let (tls, client) = create_certificate(&folder)?;
     let text = fixture::dispatcher_file("max_clients = 512", &format!("{list}{tls}"));
     let text = text.replace("[engines]", "[engines]\nconnections = 64");
     let program =
@@ -124,12 +129,12 @@
         let mut through = [log_in(program.address, "guest", "guest")
             .await
             .map_err(failed)?];
-        rounds(&mut through, sqls, n / 10).await?;
-        let told = rounds(&mut direct, sqls, n).await?.told(None);
-        out.insert(format!("{name}_direct"), told);
+        run_rounds(&mut through, sqls, n / 10).await?;
+        let report = run_rounds(&mut direct, sqls, n).await?.report(None);
+        out.insert(format!("{name}_direct"), report);
         let before = program.cpu();
-        let ran = rounds(&mut through, sqls, n).await?;
-        out.insert(name.into(), ran.told(Some(program.cpu() - before)));
+        let run = run_rounds(&mut through, sqls, n).await?;
+        out.insert(name.into(), run.report(Some(program.cpu() - before)));
     }
     let mut two = vec![];
     for zone in ["+01:00", "+02:00"] {
@@ -144,10 +149,10 @@
         two.push(s);
     }
     let before = program.cpu();
-    let ran = rounds(&mut two, &read, statements).await?;
+    let run = run_rounds(&mut two, &read, statements).await?;
     out.insert(
         "read_with_settings_by_turns".into(),
-        ran.told(Some(program.cpu() - before)),
+        run.report(Some(program.cpu() - before)),
     );
 
     let log_in_tls = async || {
@@ -157,8 +162,11 @@
     };
     let mut secure = [log_in_tls().await?];
     let before = program.cpu();
-    let ran = rounds(&mut secure, &read, statements).await?;
-    out.insert("read_in_tls".into(), ran.told(Some(program.cpu() - before)));
+    let run = run_rounds(&mut secure, &read, statements).await?;
+    out.insert(
+        "read_in_tls".into(),
+        run.report(Some(program.cpu() - before)),
+    );
     let (began, before) = (Instant::now(), program.cpu());
     for _ in 0..IDLE {
         log_in_tls().await?;
--- a/crates/testbed/src/measurements/spool.rs
+++ b/crates/testbed/src/measurements/spool.rs
@@ -1,4 +1,4 @@
-//! Measurements of results that wait for slow readers, on real sockets: long, and no part of any test.
+//! Long measurements of spooled results for slow readers on real sockets, which are not part of any test.
 
 use crate::clients::mysql::{Session, SessionOptions};
 use crate::fakes::engine::Engine;
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// The program that is measured, and whether it knows `[spool]`.
+/// Measured program, and whether it is an earlier version that does not know `[spool]`.
 #[derive(Clone, Debug)]
 pub struct Spooling<'a> {
     pub program: &'a Path,
@@ -48,7 +48,8 @@
     }
 }
 
-async fn results(p: &Program) -> u64 {
+/// Returns the number of spooled results that `/_spools` reports.
+async fn spooled_results(p: &Program) -> u64 {
     let page = p
         .call("GET", "/_spools")
         .await
@@ -58,14 +59,15 @@
     page["results"].as_u64().unwrap_or(0)
 }
 
-fn broken(e: impl std::fmt::Display) -> MeasureError {
-    MeasureError::Never(format!("an answer: {e}"))
+fn request_failed(e: impl std::fmt::Display) -> MeasureError {
+    MeasureError::Never(format!("request: {e}"))
 }
 
-/// For how long a report of 10 MB holds its engine, by its client's pace in bytes a second (0: full speed).
+/// Measures how long a result of 10 MB occupies its engine while the client reads it at `pace` bytes per
+/// second (0 for full speed).
 ///
 /// # Errors
-/// The program or a stand-in does not do its part.
+/// The program or a fake fails, or does not reach an expected state in time.
 pub async fn occupancy(subject: &Spooling<'_>, pace: usize) -> Result<Value, MeasureError> {
     let folder = Folder::new("measure-occupancy")?;
     let engines = fixture::engines(1, Duration::from_millis(1)).await?;
@@ -74,13 +76,13 @@
         .await?;
     let sql = "select engine from report /* rows(10000, 1000) */";
     for _ in 0..12 {
-        let wants = SessionOptions {
+        let options = SessionOptions {
             receive: (pace > 0).then_some(8192),
             ..SessionOptions::default()
         };
-        let mut s = Session::log_in(program.address, "guest", "guest", wants)
+        let mut s = Session::log_in(program.address, "guest", "guest", options)
             .await
-            .map_err(broken)?;
+            .map_err(request_failed)?;
         let before = engines[0]
             .executions()
             .iter()
@@ -88,7 +90,8 @@
             .count();
         let reader = spawn_local(async move {
             match pace {
-                // As long between two reports as with the slow ones: an idle machine starts slowly.
+                // Waits as long between two results as with slow readers, since an idle machine starts
+                // slowly.
                 0 => {
                     drop(s.query(sql).await);
                     tokio::time::sleep(Duration::from_secs(2)).await;
@@ -110,7 +113,7 @@
         }
         let _ = reader.await;
     }
-    // The first two are not counted: connections and buffers are new.
+    // The first two results are not counted, since they open connections and allocate buffers.
     let mut held: Vec<f64> = engines[0]
         .executions()
         .iter()
@@ -124,10 +127,10 @@
     }))
 }
 
-/// Memory with so many slow readers of so many megabytes each.
+/// Measures the memory with `readers` slow readers, each of a result of `megabytes`.
 ///
 /// # Errors
-/// The program or a stand-in does not do its part.
+/// The program or a fake fails, or does not reach an expected state in time.
 pub async fn readers(
     subject: &Spooling<'_>,
     readers: usize,
@@ -144,13 +147,13 @@
     let began = now();
     let mut tasks = vec![];
     for n in 0..readers {
-        let wants = SessionOptions {
+        let options = SessionOptions {
             receive: Some(8192),
             ..SessionOptions::default()
         };
-        let mut s = Session::log_in(program.address, "guest", "guest", wants)
+        let mut s = Session::log_in(program.address, "guest", "guest", options)
             .await
-            .map_err(broken)?;
+            .map_err(request_failed)?;
         let sql = sql.clone();
         tasks.push(spawn_local(async move {
             let _ = s.send(3, &[sql.as_bytes()]).await;
@@ -166,26 +169,26 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
             if now() - began > 500_000.0 {
                 return Err(MeasureError::Never(format!(
-                    "{readers} whole results; {n} are"
+                    "{n} of {readers} results were whole after 500 s"
                 )));
             }
         }
     }
-    let took = (now() - began) / 1000.0;
+    let seconds = (now() - began) / 1000.0;
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let (memory, most) = program.memory();
+    let (memory, max_memory) = program.memory();
     tasks.iter().for_each(|t| t.abort());
     Ok(json!({
-        "measure": "readers", "readers": readers, "mb_each": megabytes, "seconds_to_take_all": took,
-        "mb_a_second": readers as f64 * megabytes as f64 / took, "memory_mb": memory, "memory_most_mb": most,
+        "measure": "readers", "readers": readers, "mb_each": megabytes, "seconds_to_take_all": seconds,
+        "mb_a_second": readers as f64 * megabytes as f64 / seconds, "memory_mb": memory, "memory_most_mb": max_memory,
     }))
 }
 
-/// How quickly a result of so many megabytes goes through to a client at full speed, beside a plain file that is
-/// written and synced.
+/// Measures the throughput of a result of `megabytes` to a client at full speed, compared with writing and
+/// syncing a plain file.
 ///
 /// # Errors
-/// The program or a stand-in does not do its part.
+/// The program or a fake fails, or does not reach an expected state in time.
 pub async fn throughput(subject: &Spooling<'_>, megabytes: u64) -> Result<Value, MeasureError> {
     let folder = Folder::new("measure-throughput")?;
     let block = crate::fakes::engine::filled(1, 1 << 20);
@@ -201,7 +204,7 @@
     let program = subject.start(&folder, &engines, spool).await?;
     let mut s = Session::log_in(program.address, "guest", "guest", SessionOptions::default())
         .await
-        .map_err(broken)?;
+        .map_err(request_failed)?;
     let sql = format!(
         "select engine from report /* rows({}, 100000) */",
         megabytes * 10
@@ -213,7 +216,7 @@
             first = Some(now());
         }
     };
-    let rows = s.each(&sql, each).await.map_err(broken)?;
+    let rows = s.each(&sql, each).await.map_err(request_failed)?;
     let (all, first) = (
         (now() - began) / 1000.0,
         (first.unwrap_or(began) - began) / 1000.0,
@@ -225,22 +228,25 @@
     }))
 }
 
-/// Latency of results of one row, one after the other on one connection, so that no clock's grain is in it.
+/// Measures the latency of results of one row. The requests follow one another on one connection, so that
+/// no timer's granularity affects it.
 ///
 /// # Errors
-/// The program or a stand-in does not do its part.
+/// The program or a fake fails, or does not reach an expected state in time.
 pub async fn small(subject: &Spooling<'_>, requests: u64) -> Result<Value, MeasureError> {
     let folder = Folder::new("measure-small")?;
     let engines = fixture::engines(2, Duration::ZERO).await?;
     let program = subject.start(&folder, &engines, "").await?;
     let mut s = Session::log_in(program.address, "guest", "guest", SessionOptions::default())
         .await
-        .map_err(broken)?;
+        .map_err(request_failed)?;
     let mut spans = vec![];
     for n in 0..requests + 500 {
         let began = std::time::Instant::now();
-        s.query("select engine from stock").await.map_err(broken)?;
-        // The first ones open connections and warm everything up.
+        s.query("select engine from stock")
+            .await
+            .map_err(request_failed)?;
+        // The first 500 requests open connections and fill caches.
         if n >= 500 {
             spans.push(began.elapsed().as_secs_f64() * 1e6);
         }
@@ -259,10 +265,10 @@
     }))
 }
 
-/// How long a start takes that finds so many spools.
+/// Measures the start of the program with `spools` spools of an earlier process on disk.
 ///
 /// # Errors
-/// The program or a stand-in does not do its part.
+/// The program or a fake fails, or does not reach an expected state in time.
 pub async fn recovery(subject: &Spooling<'_>, spools: u64) -> Result<Value, MeasureError> {
     let folder = Folder::new("measure-recovery")?;
     let engines = fixture::engines(2, Duration::ZERO).await?;
@@ -272,7 +278,7 @@
     for n in 0..8 {
         let mut s = Session::log_in(program.address, "guest", "guest", SessionOptions::default())
             .await
-            .map_err(broken)?;
+            .map_err(request_failed)?;
         tasks.push(spawn_local(async move {
             let mut done = 0;
             while done < spools / 8 {
@@ -293,8 +299,8 @@
     program.kill().await?;
     let began = now();
     let program = subject.start(&folder, &engines, spool).await?;
-    let took = now() - began;
+    let start_ms = now() - began;
     Ok(json!({
-        "measure": "recovery", "spools": results(&program).await, "start_ms": took, "memory_mb": program.memory().0,
+        "measure": "recovery", "spools": spooled_results(&program).await, "start_ms": start_ms, "memory_mb": program.memory().0,
     }))
 }
