--- a/crates/testbed/src/program.rs
+++ b/crates/testbed/src/program.rs
@@ -123,7 +123,7 @@
             file,
             log,
         };
-        let line = program.says("listens on ").await?;
+        let line = program.wait_for_log("listens on ").await?;
         program.address = address_after(&line, "listens on ").unwrap_or(unspecified);
         let admin = program
             .log
@@ -139,7 +139,7 @@
     ///
     /// # Errors
     /// No such line was written in time.
-    pub async fn says(&self, what: &str) -> Result<String, ProgramError> {
+    pub async fn wait_for_log(&self, what: &str) -> Result<String, ProgramError> {
         let timed_out = || ProgramError::Silent {
             what: what.into(),
             log: self.log.lines.borrow().clone(),
--- a/tests/eureka.rs
+++ b/tests/eureka.rs
@@ -538,7 +538,10 @@
         program.kill().await.unwrap();
         node.away();
         let program = start_program(&folder, "b", &text).await;
-        program.says("a snapshot of 3 engines").await.unwrap();
+        program
+            .wait_for_log("a snapshot of 3 engines")
+            .await
+            .unwrap();
         let page = program
             .until("two engines", |page| {
                 page["serving"] == true && has_ready(page, 2)
@@ -574,7 +577,7 @@
         {
             std::fs::write(&snapshot, bytes).unwrap();
             let program = start_program(&folder, &format!("c{index}"), &text).await;
-            let line = program.says("set aside").await.unwrap();
+            let line = program.wait_for_log("set aside").await.unwrap();
             assert!(line.contains(what), "{line}");
             assert_eq!(
                 std::fs::read(snapshot.with_extension(format!("unread-{index}"))).unwrap(),
@@ -698,7 +701,7 @@
         assert_eq!(page["rejected"][0]["address"], decoy.address().to_string());
         assert!(
             program
-                .says("is rejected")
+                .wait_for_log("is rejected")
                 .await
                 .unwrap()
                 .contains("engine-x")
@@ -800,7 +803,7 @@
             .unwrap();
         assert!(
             program
-                .says("SIGHUP")
+                .wait_for_log("SIGHUP")
                 .await
                 .unwrap()
                 .contains("eureka.networks[0]")
@@ -811,7 +814,7 @@
             .configure(&dispatcher_file("", &eureka_section(&[&b], "")))
             .await
             .unwrap();
-        program.says("in force").await.unwrap();
+        program.wait_for_log("in force").await.unwrap();
         sleep_ms(400).await;
         assert!(has_ready(&program.members("").await.unwrap(), 3));
         b.fault(Fault::None);
@@ -945,7 +948,7 @@
         })
         .await
         .unwrap();
-        old.says("2 processes").await.unwrap();
+        old.wait_for_log("2 processes").await.unwrap();
         assert!(old.ends().await.unwrap());
         sleep_ms(700).await;
         assert_eq!(
--- a/tests/mysql_tls.rs
+++ b/tests/mysql_tls.rs
@@ -164,7 +164,7 @@
     }
 
     async fn expect_log(&self, what: &str) {
-        self.program.says(what).await.unwrap();
+        self.program.wait_for_log(what).await.unwrap();
     }
 }
 
@@ -353,7 +353,7 @@
             ),
         ] {
             write_key_pair(&dispatcher.folder, "a", &pair);
-            let line = dispatcher.program.says(message).await.unwrap();
+            let line = dispatcher.program.wait_for_log(message).await.unwrap();
             assert!(line.contains("the previous keys stay in force"), "{line}");
             assert_eq!(
                 dispatcher
--- a/tests/spool.rs
+++ b/tests/spool.rs
@@ -287,7 +287,7 @@
         program.kill().await.unwrap();
         let program = start(&folder, "b", &configuration).await;
         program
-            .says("1 results of earlier processes")
+            .wait_for_log("1 results of earlier processes")
             .await
             .unwrap();
         let mut third_session = log_in(&program).await;
@@ -569,7 +569,7 @@
         }
         let program = start(&folder, "last", &configuration).await;
         program
-            .says("6 results of earlier processes")
+            .wait_for_log("6 results of earlier processes")
             .await
             .unwrap();
         let mut session = log_in(&program).await;
@@ -675,7 +675,7 @@
         })
         .await;
         assert!(page["memory_bytes"].as_u64() >= Some(4_000_000), "{page}");
-        program.says("the disk is failing").await.unwrap();
+        program.wait_for_log("the disk is failing").await.unwrap();
         assert!(
             program
                 .call("GET", "/_vars")
@@ -797,7 +797,7 @@
             .send(3, &[b"select engine from report /* rows(20000, 1000) */"])
             .await
             .unwrap();
-        program.says("timed out").await.unwrap();
+        program.wait_for_log("timed out").await.unwrap();
         // A client that reads slowly stays connected.
         let mut slow = Session::log_in(program.address, "guest", "guest", options)
             .await
@@ -839,7 +839,7 @@
         .await;
         sleep_ms(50).await;
         let new = start(&folder, "new", &configuration).await;
-        old.says("2 processes").await.unwrap();
+        old.wait_for_log("2 processes").await.unwrap();
         // Both processes run, each with its own directory; the new one imports the results that are
         // requested.
         let mut session = log_in(&new).await;
