--- a/crates/testbed/src/mysql_soak/mod.rs
+++ b/crates/testbed/src/mysql_soak/mod.rs
@@ -183,7 +183,7 @@
         let program =
             Program::start_with(&self.binary, &self.folder, &name, &text, &environment).await?;
         program
-            .until("engines are listed", |page| {
+            .wait_for_members("engines are listed", |page| {
                 page.to_string().contains("engine-0")
             })
             .await?;
@@ -419,7 +419,7 @@
         tokio::time::sleep(KILL_AFTER * 3 / 4).await;
         let program = gateway.program.borrow_mut().take();
         if let Some(mut program) = program {
-            if let Some(status) = program.ended()
+            if let Some(status) = program.exit_status()
                 && !status.success()
             {
                 self.note_crash(&gateway, &program, &format!("{status}"));
@@ -433,7 +433,7 @@
     async fn kill(&self, gateway: &Gateway) {
         let program = gateway.program.borrow_mut().take();
         if let Some(mut program) = program {
-            if let Some(status) = program.ended() {
+            if let Some(status) = program.exit_status() {
                 self.note_crash(gateway, &program, &format!("{status}"));
             }
             self.count_logged(gateway, &program);
--- a/crates/testbed/src/program.rs
+++ b/crates/testbed/src/program.rs
@@ -230,7 +230,7 @@
     ///
     /// # Errors
     /// The condition was not met in time.
-    pub async fn until(
+    pub async fn wait_for_members(
         &self,
         what: &str,
         holds: impl Fn(&serde_json::Value) -> bool,
@@ -258,7 +258,7 @@
     ///
     /// # Errors
     /// The process does not exit in time.
-    pub async fn ends(mut self) -> Result<bool, ProgramError> {
+    pub async fn terminate(mut self) -> Result<bool, ProgramError> {
         self.signal("TERM").await?;
         let ended = tokio::time::timeout(Duration::from_secs(35), self.child.wait()).await;
         Ok(ended
@@ -267,7 +267,7 @@
     }
 
     /// Returns the exit status if the process has exited.
-    pub fn ended(&mut self) -> Option<std::process::ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<std::process::ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
--- a/tests/eureka.rs
+++ b/tests/eureka.rs
@@ -120,7 +120,7 @@
         )
         .await;
         program
-            .until("five engines", |page| has_ready(page, 5))
+            .wait_for_members("five engines", |page| has_ready(page, 5))
             .await
             .unwrap();
         let clients = start_clients(&program);
@@ -163,7 +163,7 @@
             "{page}"
         );
         check_clients(&*clients.stop().await, &engines);
-        assert!(program.ends().await.unwrap());
+        assert!(program.terminate().await.unwrap());
     });
 }
 
@@ -182,7 +182,7 @@
         )
         .await;
         program
-            .until("three engines", |page| has_ready(page, 3))
+            .wait_for_members("three engines", |page| has_ready(page, 3))
             .await
             .unwrap();
         let clients = start_clients(&program);
@@ -190,7 +190,7 @@
         a.watch("engine-1");
         a.set_status("ENGINES", "engine-1", Some(Status::OutOfService));
         program
-            .until("the engine drains", |page| has_ready(page, 2))
+            .wait_for_members("the engine drains", |page| has_ready(page, 2))
             .await
             .unwrap();
         // The registry that reported the drain becomes unreachable; only the stale one responds.
@@ -209,7 +209,7 @@
             testbed::now() + 1.0,
         ));
         program
-            .until("the engine is back", |page| has_ready(page, 3))
+            .wait_for_members("the engine is back", |page| has_ready(page, 3))
             .await
             .unwrap();
         check_clients(&*clients.stop().await, &engines);
@@ -230,14 +230,14 @@
         )
         .await;
         program
-            .until("three engines", |page| has_ready(page, 3))
+            .wait_for_members("three engines", |page| has_ready(page, 3))
             .await
             .unwrap();
         let clients = start_clients(&program);
         a.watch("engine-0");
         a.set_status("ENGINES", "engine-0", Some(Status::OutOfService));
         program
-            .until("the engine drains", |page| has_ready(page, 2))
+            .wait_for_members("the engine drains", |page| has_ready(page, 2))
             .await
             .unwrap();
         for turn in 0..10u64 {
@@ -286,7 +286,7 @@
         )
         .await;
         program
-            .until("three engines", |page| has_ready(page, 3))
+            .wait_for_members("three engines", |page| has_ready(page, 3))
             .await
             .unwrap();
         // 90 statements a second of 400 ms each occupy 12 threads on each of 3 engines.
@@ -306,7 +306,7 @@
         sleep_ms(1_500).await;
         engines[0].again().await.unwrap();
         let page = program
-            .until("the restart is known", |page| {
+            .wait_for_members("the restart is known", |page| {
                 member(page, "engine-0")["started_age_ms"]
                     .as_f64()
                     .is_some_and(|age| age < 3_000.0)
@@ -360,14 +360,14 @@
         )
         .await;
         program
-            .until("200 engines", |page| has_ready(page, 200))
+            .wait_for_members("200 engines", |page| has_ready(page, 200))
             .await
             .unwrap();
         let clients = start_clients(&program);
         sleep_ms(300).await;
         node.fault(Fault::Only(1));
         let page = program
-            .until("199 engines are held", |page| page["counts"]["held"] == 199)
+            .wait_for_members("199 engines are held", |page| page["counts"]["held"] == 199)
             .await
             .unwrap();
         assert!(has_ready(&page, 200));
@@ -379,7 +379,7 @@
         // Refused connections confirm, one by one, the engines that are really gone.
         engines[50..].iter().for_each(Engine::end);
         let page = program
-            .until("some engines are gone", |page| {
+            .wait_for_members("some engines are gone", |page| {
                 page["counts"]["gone"].as_u64() > Some(0)
             })
             .await
@@ -389,19 +389,19 @@
         // effect.
         node.fault(Fault::None);
         program
-            .until("no engine is held", |page| page["counts"]["held"] == 0)
+            .wait_for_members("no engine is held", |page| page["counts"]["held"] == 0)
             .await
             .unwrap();
         // If the list stays short, the hold ends and the engines are removed.
         node.fault(Fault::Only(1));
         program
-            .until("engines are held again", |page| {
+            .wait_for_members("engines are held again", |page| {
                 page["counts"]["held"].as_u64() > Some(0)
             })
             .await
             .unwrap();
         program
-            .until("one engine is ready", |page| has_ready(page, 1))
+            .wait_for_members("one engine is ready", |page| has_ready(page, 1))
             .await
             .unwrap();
         let summary = clients.stop().await;
@@ -427,7 +427,7 @@
         )
         .await;
         program
-            .until("two engines", |page| has_ready(page, 2))
+            .wait_for_members("two engines", |page| has_ready(page, 2))
             .await
             .unwrap();
         let clients = start_clients(&program);
@@ -440,7 +440,7 @@
             testbed::now(),
         ));
         let page = program
-            .until("the new instance is ready", |page| {
+            .wait_for_members("the new instance is ready", |page| {
                 member(page, "engine-new")["state"] == "ready"
             })
             .await
@@ -454,7 +454,7 @@
         sleep_ms(300).await;
         node.cancel("ENGINES", "engine-0");
         program
-            .until("the old instance is gone", |page| {
+            .wait_for_members("the old instance is gone", |page| {
                 member(page, "engine-0").is_null()
             })
             .await
@@ -488,7 +488,7 @@
         )
         .await;
         program
-            .until("two engines", |page| has_ready(page, 2))
+            .wait_for_members("two engines", |page| has_ready(page, 2))
             .await
             .unwrap();
         let clients = start_clients(&program);
@@ -506,7 +506,7 @@
         node.register(last_heartbeat);
         node.set_status("ENGINES", "engine-0", Some(Status::OutOfService));
         program
-            .until("the engine drains", |page| has_ready(page, 1))
+            .wait_for_members("the engine drains", |page| has_ready(page, 1))
             .await
             .unwrap();
         sleep_ms(1_200).await;
@@ -528,7 +528,7 @@
         let text = dispatcher_file("state_dir = \"FOLDER\"", &eureka_section(&[&node], ""));
         let program = start_program(&folder, "a", &text).await;
         program
-            .until("two engines", |page| has_ready(page, 2))
+            .wait_for_members("two engines", |page| has_ready(page, 2))
             .await
             .unwrap();
         let snapshot = folder.path().join("hitchwinch/members");
@@ -543,7 +543,7 @@
             .await
             .unwrap();
         let page = program
-            .until("two engines", |page| {
+            .wait_for_members("two engines", |page| {
                 page["serving"] == true && has_ready(page, 2)
             })
             .await
@@ -557,7 +557,7 @@
         // The registry is back and confirms the engines.
         node.back().await.unwrap();
         program
-            .until("all engines are confirmed", |page| {
+            .wait_for_members("all engines are confirmed", |page| {
                 page["counts"]["unproven"] == 0
             })
             .await
@@ -584,7 +584,7 @@
                 bytes
             );
             program
-                .until("two engines", |page| has_ready(page, 2))
+                .wait_for_members("two engines", |page| has_ready(page, 2))
                 .await
                 .unwrap();
             program.kill().await.unwrap();
@@ -606,7 +606,7 @@
         )
         .await;
         program
-            .until("two engines", |page| has_ready(page, 2))
+            .wait_for_members("two engines", |page| has_ready(page, 2))
             .await
             .unwrap();
         let clients = start_clients(&program);
@@ -637,7 +637,7 @@
             let before = program.members("").await.unwrap()["sources"][0]["failures"].as_u64();
             a.fault(fault.clone());
             let page = program
-                .until(what, |page| {
+                .wait_for_members(what, |page| {
                     let source = &page["sources"][0];
                     source["failures"].as_u64() > before
                         && source["last_failure"]
@@ -650,7 +650,7 @@
             a.fault(Fault::None);
             let full_lists = page["sources"][0]["whole_lists"].as_u64();
             program
-                .until("the registry responds", |page| {
+                .wait_for_members("the registry responds", |page| {
                     page["sources"][0]["whole_lists"].as_u64() > full_lists
                 })
                 .await
@@ -683,7 +683,7 @@
         );
         let program = start_program(&folder, "a", &text).await;
         program
-            .until("two engines", |page| has_ready(page, 2))
+            .wait_for_members("two engines", |page| has_ready(page, 2))
             .await
             .unwrap();
         let clients = start_clients(&program);
@@ -693,7 +693,7 @@
         };
         node.register(poisoned("engine-x", testbed::now()));
         let page = program
-            .until("the address is rejected", |page| {
+            .wait_for_members("the address is rejected", |page| {
                 page["counts"]["rejections"].as_u64() > Some(0)
             })
             .await
@@ -709,7 +709,7 @@
         // A known engine that moves to that address receives no more requests.
         node.register(poisoned("engine-1", testbed::now() + 1.0));
         program
-            .until(
+            .wait_for_members(
                 "the engine with the rejected address is not ready",
                 |page| has_ready(page, 1),
             )
@@ -739,7 +739,7 @@
         let program =
             start_program(&folder, "a", &dispatcher_file("zone = \"home\"", &zoned)).await;
         program
-            .until("three engines", |page| has_ready(page, 3))
+            .wait_for_members("three engines", |page| has_ready(page, 3))
             .await
             .unwrap();
         assert!(
@@ -749,7 +749,7 @@
         let clients = start_clients(&program);
         near.away();
         program
-            .until("both registries were polled", |page| {
+            .wait_for_members("both registries were polled", |page| {
                 page["sources"]
                     .as_array()
                     .is_some_and(|sources| sources.len() == 2)
@@ -790,7 +790,7 @@
         )
         .await;
         program
-            .until("three engines", |page| has_ready(page, 3))
+            .wait_for_members("three engines", |page| has_ready(page, 3))
             .await
             .unwrap();
         let clients = start_clients(&program);
@@ -880,7 +880,7 @@
         // Operators override the status, which `/_members` reports.
         node.set_status("HITCHWINCH", "us", Some(Status::OutOfService));
         program
-            .until("the override is shown", |page| {
+            .wait_for_members("the override is shown", |page| {
                 page["registration"]
                     .as_str()
                     .is_some_and(|text| text.contains("shows OUT_OF_SERVICE"))
@@ -943,13 +943,13 @@
             sleep_ms(20).await;
         }
         let new = start_program(&folder, "new", &text).await;
-        new.until("one engine", |page| {
+        new.wait_for_members("one engine", |page| {
             page["serving"] == true && has_ready(page, 1)
         })
         .await
         .unwrap();
         old.wait_for_log("2 processes").await.unwrap();
-        assert!(old.ends().await.unwrap());
+        assert!(old.terminate().await.unwrap());
         sleep_ms(700).await;
         assert_eq!(
             status(),
@@ -957,7 +957,7 @@
             "the registry lists the new process"
         );
         assert!(!node.calls().iter().any(|call| call.starts_with("DELETE")));
-        assert!(new.ends().await.unwrap());
+        assert!(new.terminate().await.unwrap());
         assert_eq!(status(), None);
     });
 }
@@ -998,7 +998,7 @@
             )
             .await;
             let page = program
-                .until("four engines", |page| has_ready(page, 4))
+                .wait_for_members("four engines", |page| has_ready(page, 4))
                 .await
                 .unwrap();
             assert!(
@@ -1013,12 +1013,12 @@
             // Each kind of query delivers a drain.
             node.set_status("ENGINES", "engine-3", Some(Status::Down));
             program
-                .until("the engine drains", |page| has_ready(page, 3))
+                .wait_for_members("the engine drains", |page| has_ready(page, 3))
                 .await
                 .unwrap();
             node.set_status("ENGINES", "engine-3", None);
             program
-                .until("the engine is back", |page| has_ready(page, 4))
+                .wait_for_members("the engine is back", |page| has_ready(page, 4))
                 .await
                 .unwrap();
             assert!(!program.log().iter().any(|line| line.contains("cret")));
@@ -1043,7 +1043,7 @@
         )
         .await;
         program
-            .until("two engines", |page| has_ready(page, 2))
+            .wait_for_members("two engines", |page| has_ready(page, 2))
             .await
             .unwrap();
         // Sessions with prepared statements, which send more requests than the engines sustain.
@@ -1133,7 +1133,7 @@
         };
         (0..6).for_each(add);
         program
-            .until("six engines", |page| has_ready(page, 6))
+            .wait_for_members("six engines", |page| has_ready(page, 6))
             .await
             .unwrap();
         let clients = start_clients(&program);
@@ -1145,7 +1145,7 @@
             node.cancel("ENGINES", &name(index - 6));
         }
         let page = program
-            .until("six engines", |page| has_ready(page, 6))
+            .wait_for_members("six engines", |page| has_ready(page, 6))
             .await
             .unwrap();
         assert!(page["counts"]["gone"].as_u64() <= Some(54), "{page}");
--- a/tests/spool.rs
+++ b/tests/spool.rs
@@ -856,7 +856,7 @@
         let mut reading = log_in(&old).await;
         reading.send(3, &[REPORT.as_bytes()]).await.unwrap();
         reading.read_slowly(1_000_000, ms(200)).await.unwrap();
-        assert!(old.ends().await.unwrap());
+        assert!(old.terminate().await.unwrap());
         assert_rows(
             &session.query(&fetch).await.unwrap().rows,
             1000,
