--- a/crates/mysql-conformance/src/lib.rs
+++ b/crates/mysql-conformance/src/lib.rs
@@ -190,7 +190,7 @@
             Step::Killed(sql, want) => {
                 self.engines
                     .iter()
-                    .for_each(|e| e.work(Duration::from_secs(3)));
+                    .for_each(|e| e.set_execution_time(Duration::from_secs(3)));
                 s.send(COM_QUERY, &[sql.as_bytes()])
                     .await
                     .map_err(|e| e.to_string())?;
@@ -203,7 +203,7 @@
                 let answer = s.answer().await;
                 self.engines
                     .iter()
-                    .for_each(|e| e.work(Duration::from_millis(1)));
+                    .for_each(|e| e.set_execution_time(Duration::from_millis(1)));
                 judge(want, answer, false)
             }
             Step::Beside(sql, want) => {
--- a/crates/testbed/src/fakes/engine.rs
+++ b/crates/testbed/src/fakes/engine.rs
@@ -41,7 +41,7 @@
 }
 
 /// Generated rows that a statement requests by containing `rows(N, BYTES)`. With `rows(N, BYTES, K)` the
-/// engine closes the connection after K rows, if the test requested that by [`Engine::breaks_once`].
+/// engine closes the connection after K rows, if the test requested that by [`Engine::truncate_next_result`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GeneratedRows {
     pub count: u64,
@@ -132,7 +132,7 @@
             break_result: Cell::new(false),
         };
         let engine = Engine(Rc::new(inner));
-        engine.again().await?;
+        engine.restart().await?;
         Ok(engine)
     }
 
@@ -140,7 +140,7 @@
     ///
     /// # Errors
     /// The address cannot be listened on.
-    pub async fn again(&self) -> io::Result<()> {
+    pub async fn restart(&self) -> io::Result<()> {
         let listener = TcpListener::bind(self.0.address.get()).await?;
         self.0.address.set(listener.local_addr()?);
         self.0.process.set(self.0.process.get() + 1);
@@ -163,7 +163,7 @@
     }
 
     /// Ends the engine's process: open connections are closed and new ones are refused.
-    pub fn end(&self) {
+    pub fn stop(&self) {
         self.0.tasks.borrow_mut().drain(..).for_each(|t| t.abort());
     }
 
@@ -181,7 +181,7 @@
     }
 
     /// Sets the time that statements execute from now on.
-    pub fn work(&self, span: Duration) {
+    pub fn set_execution_time(&self, span: Duration) {
         self.0.execution_time.set(span);
     }
 
@@ -191,12 +191,12 @@
     }
 
     /// Returns the committed statements that change rows, in the order of their commits.
-    pub fn lasting(&self) -> Vec<String> {
+    pub fn committed(&self) -> Vec<String> {
         self.0.committed.borrow().clone()
     }
 
     /// Lets the next COMMIT take effect and closes its connection before the response.
-    pub fn loses_commit_once(&self) {
+    pub fn lose_next_commit_response(&self) {
         self.0.lose_commit_response.set(true);
     }
 
@@ -526,7 +526,7 @@
 
     /// Truncates the next result that contains a break point, and closes its connection; see
     /// [`GeneratedRows`].
-    pub fn breaks_once(&self) {
+    pub fn truncate_next_result(&self) {
         self.0.break_result.set(true);
     }
 }
--- a/crates/testbed/src/measurements/membership.rs
+++ b/crates/testbed/src/measurements/membership.rs
@@ -340,9 +340,9 @@
     sleep_ms(500 * seconds).await;
     let mut most_cold = Value::Null;
     if restart {
-        engines[0].end();
+        engines[0].stop();
         sleep_ms(3000).await;
-        engines[0].again().await?;
+        engines[0].restart().await?;
         sleep_ms(8000).await;
         let checked = fixture::check_slow_start(&engines[0], 2000.0, |_| usize::MAX);
         most_cold = json!(checked.map_or(0, |(most, _)| most));
--- a/crates/testbed/src/mysql_soak/mod.rs
+++ b/crates/testbed/src/mysql_soak/mod.rs
@@ -301,16 +301,16 @@
             let engine = self.engines[random.below(ENGINES)].clone();
             if random.chance(0.4) {
                 self.count("engine crash");
-                engine.end();
+                engine.stop();
                 random.pause(300.0).await;
-                if engine.again().await.is_err() {
+                if engine.restart().await.is_err() {
                     self.count("engine did not return");
                 }
             } else {
                 self.count("engine slow");
-                engine.work(Duration::from_millis(200 + random.below(1500) as u64));
+                engine.set_execution_time(Duration::from_millis(200 + random.below(1500) as u64));
                 random.pause(400.0).await;
-                engine.work(Duration::from_millis(15));
+                engine.set_execution_time(Duration::from_millis(15));
             }
         }
     }
--- a/tests/eureka.rs
+++ b/tests/eureka.rs
@@ -132,7 +132,7 @@
             Status::Unknown,
         ];
         for (engine, status) in engines.iter().zip(statuses) {
-            engine.work(ms(400)); // a statement runs when the drain is reported
+            engine.set_execution_time(ms(400)); // a statement runs when the drain is reported
             sleep_ms(150).await;
             node.watch(engine.name());
             node.set_status("ENGINES", engine.name(), Some(status));
@@ -302,9 +302,9 @@
         sleep_ms(1_000).await;
         let before_restart = engines[0].count();
 
-        engines[0].end();
+        engines[0].stop();
         sleep_ms(1_500).await;
-        engines[0].again().await.unwrap();
+        engines[0].restart().await.unwrap();
         let page = program
             .wait_for_members("the restart is known", |page| {
                 member(page, "engine-0")["started_age_ms"]
@@ -377,7 +377,7 @@
             "{held}"
         );
         // Refused connections confirm, one by one, the engines that are really gone.
-        engines[50..].iter().for_each(Engine::end);
+        engines[50..].iter().for_each(Engine::stop);
         let page = program
             .wait_for_members("some engines are gone", |page| {
                 page["counts"]["gone"].as_u64() > Some(0)
--- a/tests/mysql_sessions.rs
+++ b/tests/mysql_sessions.rs
@@ -73,7 +73,7 @@
     }
 
     fn lasting(&self) -> Vec<String> {
-        let mut all: Vec<String> = self.engines.iter().flat_map(Engine::lasting).collect();
+        let mut all: Vec<String> = self.engines.iter().flat_map(Engine::committed).collect();
         all.sort();
         all
     }
@@ -297,7 +297,10 @@
         let mut s = stand.session().await;
         says(&mut s, "begin").await;
         says(&mut s, "insert into t values (1)").await;
-        stand.engines.iter().for_each(Engine::loses_commit_once);
+        stand
+            .engines
+            .iter()
+            .for_each(Engine::lose_next_commit_response);
         let (number, text) = code(&mut s, "commit").await;
         assert!(
             number == 1317 && text.contains("not known whether"),
@@ -324,7 +327,7 @@
         let mut s = stand.session().await;
         says(&mut s, "begin").await;
         says(&mut s, "insert into t values (1)").await;
-        stand.parted("begin").0.end();
+        stand.parted("begin").0.stop();
         let (number, text) = code(&mut s, "insert into t values (2)").await;
         assert!(
             number == 1213 && text.contains("rolled back"),
@@ -336,7 +339,7 @@
         assert_eq!(stand.lasting(), ["insert into t values (3)"]);
         // A rollback of what is rolled back is no error.
         says(&mut s, "begin").await;
-        stand.engines.iter().for_each(Engine::end);
+        stand.engines.iter().for_each(Engine::stop);
         pass(50).await;
         says(&mut s, "rollback").await;
     });
--- a/tests/spool.rs
+++ b/tests/spool.rs
@@ -482,7 +482,7 @@
         )
         .await;
         let mut session = log_in(&program).await;
-        engines[0].breaks_once();
+        engines[0].truncate_next_result();
         let breaking = "select engine from report /* rows(4000, 1000, 2500) */";
         let mut sent = 0;
         while engines[0].count() == 0 {
@@ -517,7 +517,7 @@
         );
         // A statement that writes runs once: its partial result is an error, and nothing of the result is
         // kept.
-        engines.iter().for_each(Engine::breaks_once);
+        engines.iter().for_each(Engine::truncate_next_result);
         let writing = "insert into report /* rows(4000, 1000, 2500) */ values (1)";
         let error_packet = error(session.query(writing).await).unwrap();
         assert_eq!(error_packet.code, 1317, "{error_packet:?}");
