--- a/crates/testbed/src/fakes/registry/server.rs
+++ b/crates/testbed/src/fakes/registry/server.rs
@@ -112,7 +112,7 @@
 
 impl Node {
     /// Starts a registry at this address; port 0 selects a free port. It runs until it is dropped or
-    /// stopped by [`Node::away`].
+    /// stopped by [`Node::stop`].
     ///
     /// # Errors
     /// The address cannot be listened on.
@@ -133,7 +133,7 @@
             tasks: RefCell::default(),
         };
         let node = Node(Rc::new(inner));
-        node.back().await?;
+        node.restart().await?;
         Ok(node)
     }
 
@@ -141,7 +141,7 @@
     ///
     /// # Errors
     /// The address cannot be listened on.
-    pub async fn back(&self) -> io::Result<()> {
+    pub async fn restart(&self) -> io::Result<()> {
         let listener = TcpListener::bind(self.0.address.get()).await?;
         self.0.address.set(listener.local_addr()?);
         let node = Rc::downgrade(&self.0);
@@ -170,7 +170,7 @@
     }
 
     /// Stops listening and closes all connections.
-    pub fn away(&self) {
+    pub fn stop(&self) {
         self.0.tasks.borrow_mut().drain(..).for_each(|t| t.abort());
     }
 
@@ -184,7 +184,7 @@
     }
 
     /// Sets the fault of its responses from now on.
-    pub fn fault(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: Fault) {
         if fault == Fault::Stale {
             self.snapshot(true);
         }
@@ -224,7 +224,7 @@
 
     /// Returns when a response first reported that a watched instance accepts no new work, in milliseconds
     /// on the Unix clock: the time when the response was built, before it was sent.
-    pub fn told(&self, id: &str) -> Option<f64> {
+    pub fn drain_reported_at(&self, id: &str) -> Option<f64> {
         self.0.drain_notices.borrow().get(id).copied().flatten()
     }
 
--- a/crates/testbed/src/measurements/membership.rs
+++ b/crates/testbed/src/measurements/membership.rs
@@ -202,7 +202,7 @@
         for _ in 0..200 {
             notice = nodes
                 .iter()
-                .filter_map(|node| node.told(engine.name()))
+                .filter_map(|node| node.drain_reported_at(engine.name()))
                 .reduce(f64::min);
             if notice.is_some() {
                 break;
@@ -270,7 +270,7 @@
     let idle = clients.stop().await;
     if full {
         // Every delta contradicts its hash code, so the whole list is requested in every round.
-        nodes[0].fault(Fault::Hash);
+        nodes[0].set_fault(Fault::Hash);
     }
     let rounds_before = nodes[0]
         .calls()
@@ -336,7 +336,7 @@
     };
     let clients = Clients::start(program.address, load);
     sleep_ms(4000).await;
-    nodes.iter().for_each(Node::away);
+    nodes.iter().for_each(Node::stop);
     sleep_ms(500 * seconds).await;
     let mut most_cold = Value::Null;
     if restart {
@@ -349,7 +349,7 @@
     }
     sleep_ms(500 * seconds).await;
     for node in &nodes {
-        node.back().await?;
+        node.restart().await?;
     }
     sleep_ms(2000).await;
     let summary = clients.stop().await;
@@ -383,7 +383,7 @@
     wait_for_targets(&program, 3).await?;
     sleep_ms(2000).await;
     program.kill().await?;
-    nodes[0].away();
+    nodes[0].stop();
     let began = now();
     let program = subject.start(&folder, &top, &section).await?;
     let mut ready = None;
--- a/crates/testbed/src/mysql_soak/mod.rs
+++ b/crates/testbed/src/mysql_soak/mod.rs
@@ -128,7 +128,7 @@
     tokio::time::sleep(span).await;
     faults.iter().for_each(JoinHandle::abort);
     // A gateway that starts now needs it.
-    let _ = world.registry.back().await;
+    let _ = world.registry.restart().await;
     world.until_gateways_rest().await;
     let ends = world
         .gateways
@@ -328,9 +328,9 @@
                 self.registry.set_status("ENGINES", &engine, None);
             } else {
                 self.count("registry away");
-                self.registry.away();
+                self.registry.stop();
                 random.pause(700.0).await;
-                let _ = self.registry.back().await;
+                let _ = self.registry.restart().await;
             }
         }
     }
--- a/tests/eureka.rs
+++ b/tests/eureka.rs
@@ -140,7 +140,9 @@
         }
         sleep_ms(600).await;
         for engine in &engines[..4] {
-            let notice = node.told(engine.name()).expect("the drain was reported");
+            let notice = node
+                .drain_reported_at(engine.name())
+                .expect("the drain was reported");
             check_drain(engine, notice).unwrap();
             assert!(
                 engine
@@ -173,7 +175,7 @@
         let (a, b) = (start_node().await, start_node().await);
         let engines = fixture::engines(3, ms(10)).await.unwrap();
         register_engines(&[&a, &b], &engines);
-        b.fault(Fault::Stale); // it repeats its current list from now on
+        b.set_fault(Fault::Stale); // it repeats its current list from now on
         let folder = test_folder("stale");
         let program = start_program(
             &folder,
@@ -194,14 +196,14 @@
             .await
             .unwrap();
         // The registry that reported the drain becomes unreachable; only the stale one responds.
-        a.away();
+        a.stop();
         sleep_ms(4_000).await;
         let page = program.members("").await.unwrap();
         assert!(has_ready(&page, 2), "{page}");
         assert_eq!(member(&page, "engine-1")["state"], "draining");
-        check_drain(&engines[1], a.told("engine-1").unwrap()).unwrap();
+        check_drain(&engines[1], a.drain_reported_at("engine-1").unwrap()).unwrap();
         // A newer record restores the engine.
-        b.fault(Fault::None);
+        b.set_fault(Fault::None);
         b.register(Instance::engine(
             "ENGINES",
             "engine-1",
@@ -265,7 +267,7 @@
             "the records of both registries are shown"
         );
         assert_eq!(shown["turns"], 2);
-        check_drain(&engines[0], a.told("engine-0").unwrap()).unwrap();
+        check_drain(&engines[0], a.drain_reported_at("engine-0").unwrap()).unwrap();
         check_clients(&*clients.stop().await, &engines);
     });
 }
@@ -298,7 +300,7 @@
         };
         let clients = Clients::start(program.address, heavy_load);
         sleep_ms(2_500).await;
-        node.away();
+        node.stop();
         sleep_ms(1_000).await;
         let before_restart = engines[0].count();
 
@@ -365,7 +367,7 @@
             .unwrap();
         let clients = start_clients(&program);
         sleep_ms(300).await;
-        node.fault(Fault::Only(1));
+        node.set_fault(Fault::Only(1));
         let page = program
             .wait_for_members("199 engines are held", |page| page["counts"]["held"] == 199)
             .await
@@ -387,13 +389,13 @@
         assert!(page["counts"]["held"].as_u64() < Some(199));
         // The list is complete again before the hold ends: the held engines are released without further
         // effect.
-        node.fault(Fault::None);
+        node.set_fault(Fault::None);
         program
             .wait_for_members("no engine is held", |page| page["counts"]["held"] == 0)
             .await
             .unwrap();
         // If the list stays short, the hold ends and the engines are removed.
-        node.fault(Fault::Only(1));
+        node.set_fault(Fault::Only(1));
         program
             .wait_for_members("engines are held again", |page| {
                 page["counts"]["held"].as_u64() > Some(0)
@@ -510,7 +512,7 @@
             .await
             .unwrap();
         sleep_ms(1_200).await;
-        check_drain(&engines[0], node.told("engine-0").unwrap()).unwrap();
+        check_drain(&engines[0], node.drain_reported_at("engine-0").unwrap()).unwrap();
         check_clients(&*clients.stop().await, &engines);
     });
 }
@@ -536,7 +538,7 @@
             sleep_ms(20).await;
         }
         program.kill().await.unwrap();
-        node.away();
+        node.stop();
         let program = start_program(&folder, "b", &text).await;
         program
             .wait_for_log("a snapshot of 3 engines")
@@ -555,7 +557,7 @@
         sleep_ms(800).await;
         assert_eq!(engines[2].count(), 0, "the snapshot has it as draining");
         // The registry is back and confirms the engines.
-        node.back().await.unwrap();
+        node.restart().await.unwrap();
         program
             .wait_for_members("all engines are confirmed", |page| {
                 page["counts"]["unproven"] == 0
@@ -635,7 +637,7 @@
         ];
         for (fault, what) in faults {
             let before = program.members("").await.unwrap()["sources"][0]["failures"].as_u64();
-            a.fault(fault.clone());
+            a.set_fault(fault.clone());
             let page = program
                 .wait_for_members(what, |page| {
                     let source = &page["sources"][0];
@@ -647,7 +649,7 @@
                 .await
                 .unwrap_or_else(|e| panic!("{fault:?}: {e}"));
             assert!(has_ready(&page, 2), "{fault:?}: {page}");
-            a.fault(Fault::None);
+            a.set_fault(Fault::None);
             let full_lists = page["sources"][0]["whole_lists"].as_u64();
             program
                 .wait_for_members("the registry responds", |page| {
@@ -747,7 +749,7 @@
             "the registry of the own zone is polled first"
         );
         let clients = start_clients(&program);
-        near.away();
+        near.stop();
         program
             .wait_for_members("both registries were polled", |page| {
                 page["sources"]
@@ -756,11 +758,11 @@
             })
             .await
             .unwrap();
-        far.away();
+        far.stop();
         sleep_ms(3_000).await;
         assert!(has_ready(&program.members("").await.unwrap(), 3));
-        far.back().await.unwrap();
-        near.back().await.unwrap();
+        far.restart().await.unwrap();
+        near.restart().await.unwrap();
         let calls = near.calls().len();
         while near.calls().len() < calls + 3 {
             sleep_ms(50).await;
@@ -808,7 +810,7 @@
                 .unwrap()
                 .contains("eureka.networks[0]")
         );
-        b.fault(Fault::Delay(ms(800))); // the current list stays until the new one arrives
+        b.set_fault(Fault::Delay(ms(800))); // the current list stays until the new one arrives
         let (old_calls, new_calls) = (a.calls().len(), b.calls().len());
         program
             .configure(&dispatcher_file("", &eureka_section(&[&b], "")))
@@ -817,7 +819,7 @@
         program.wait_for_log("in force").await.unwrap();
         sleep_ms(400).await;
         assert!(has_ready(&program.members("").await.unwrap(), 3));
-        b.fault(Fault::None);
+        b.set_fault(Fault::None);
         sleep_ms(1_200).await;
         assert!(has_ready(&program.members("").await.unwrap(), 3));
         assert!(
@@ -839,7 +841,7 @@
         let register_section = "[eureka.register]\nip = \"127.0.0.1\"\nport = 3390\ninstance_id = \"us\"\n\
                     renew_s = 0.3\n\
                     metadata = { zone = \"depot\" }";
-        node.fault(Fault::Status(503)); // no list yet
+        node.set_fault(Fault::Status(503)); // no list yet
         let program = start_program(
             &folder,
             "a",
@@ -859,7 +861,7 @@
             "the dispatcher is not ready"
         );
         register_engines(&[&node], &engines);
-        node.fault(Fault::None);
+        node.set_fault(Fault::None);
         while status() != Some(Status::Up) {
             sleep_ms(20).await;
         }
@@ -1097,7 +1099,7 @@
             last_engines.iter().all(|engine| engine == "engine-1"),
             "{last_engines:?}"
         );
-        check_drain(&engines[0], node.told("engine-0").unwrap()).unwrap();
+        check_drain(&engines[0], node.drain_reported_at("engine-0").unwrap()).unwrap();
         let answered = engines
             .iter()
             .flat_map(Engine::executions)
