--- a/crates/testbed/src/fakes/registry/server.rs
+++ b/crates/testbed/src/fakes/registry/server.rs
@@ -49,17 +49,17 @@
     /// Responds with status 200 and the HTML page of another service.
     Html,
     /// Responds with status 200 and this number of bytes, which are no whole document; with a
-    /// `Content-Length` if `told`, otherwise in chunks.
+    /// `Content-Length` if `with_length`, otherwise in chunks.
     Huge {
         bytes: u64,
-        told: bool,
+        with_length: bool,
     },
     /// Responds with deltas that contradict their hash code.
-    Hash,
+    WrongHashCode,
     /// Sends one byte per this interval.
     Drip(Duration),
     /// Closes the connection in the middle of the body.
-    Torn,
+    Truncated,
     /// Responds with this status and no body.
     Status(u16),
     /// Redirects to the same path below this URL.
@@ -511,7 +511,7 @@
             ["apps", "delta"] => match fault {
                 Fault::Empty => Some(document::applications(xml, "", &[])),
                 Fault::Only(n) => Some(document::applications(xml, &format!("UP_{n}_"), &[])),
-                Fault::Hash => Some(document::applications(xml, "UP_0_", &[])),
+                Fault::WrongHashCode => Some(document::applications(xml, "UP_0_", &[])),
                 _ => {
                     let list: Vec<&Instance> = snapshot.delta.iter().collect();
                     self.record_drain_notices(&list);
@@ -577,9 +577,9 @@
                 .status(302)
                 .header(LOCATION, format!("{to}{path}"))
                 .body(full(Bytes::new())),
-            Fault::Huge { bytes, told } => {
+            Fault::Huge { bytes, with_length } => {
                 let mut response = ok();
-                if told {
+                if with_length {
                     response = response.header("content-length", bytes);
                 }
                 response.body(huge_body(bytes))
@@ -587,7 +587,7 @@
             Fault::Drip(every) => ok()
                 .header("content-length", text.len())
                 .body(slow_body(text.into(), every)),
-            Fault::Torn => {
+            Fault::Truncated => {
                 let half = Bytes::from(text.clone()).slice(..text.len() / 2);
                 let broken = Err(io::Error::from(io::ErrorKind::ConnectionReset));
                 let frames = stream::iter([Ok(Frame::data(half)), broken]);
--- a/crates/testbed/src/measurements/membership.rs
+++ b/crates/testbed/src/measurements/membership.rs
@@ -270,7 +270,7 @@
     let idle = clients.stop().await;
     if full {
         // Every delta contradicts its hash code, so the whole list is requested in every round.
-        nodes[0].set_fault(Fault::Hash);
+        nodes[0].set_fault(Fault::WrongHashCode);
     }
     let rounds_before = nodes[0]
         .calls()
--- a/tests/eureka.rs
+++ b/tests/eureka.rs
@@ -617,19 +617,19 @@
             (
                 Fault::Huge {
                     bytes: 3 << 30,
-                    told: true,
+                    with_length: true,
                 },
                 "above the bound",
             ),
             (
                 Fault::Huge {
                     bytes: 3 << 30,
-                    told: false,
+                    with_length: false,
                 },
                 "above the bound",
             ),
             (Fault::Drip(ms(1000)), "no whole answer within"),
-            (Fault::Torn, "eureka"),
+            (Fault::Truncated, "eureka"),
             (Fault::Status(500), "status 500"),
             (Fault::Delay(ms(1500)), "no whole answer within"),
             (Fault::Redirect(b.url()), "no server of the configuration"),
