--- a/crates/testbed/src/clients/load.rs
+++ b/crates/testbed/src/clients/load.rs
@@ -34,7 +34,7 @@
     /// request counts.
     latency: RefCell<Option<Histogram<u64>>>,
     /// Time in milliseconds on the Unix clock and error of the first 1000 requests that were not served.
-    pub troubles: RefCell<Vec<(f64, End, String)>>,
+    pub errors: RefCell<Vec<(f64, End, String)>>,
     next_number: Cell<u64>,
 }
 
@@ -48,11 +48,11 @@
             let _ = h.record(((now() - due).max(0.0) * 1000.0) as u64 + 1);
             *latency = Some(h);
         }
-        let mut troubles = self.troubles.borrow_mut();
+        let mut errors = self.errors.borrow_mut();
         if let Some(text) = text
-            && troubles.len() < 1000
+            && errors.len() < 1000
         {
-            troubles.push((now(), end, text));
+            errors.push((now(), end, text));
         }
     }
 
@@ -89,7 +89,7 @@
 
 /// Running clients. They are aborted when this is dropped.
 pub struct Clients {
-    pub account: Rc<LoadSummary>,
+    pub summary: Rc<LoadSummary>,
     tasks: Vec<JoinHandle<()>>,
     stop: Rc<Cell<bool>>,
 }
@@ -118,7 +118,7 @@
         });
         Clients {
             tasks: tasks.collect(),
-            account: summary,
+            summary,
             stop,
         }
     }
@@ -129,7 +129,7 @@
         for task in std::mem::take(&mut self.tasks) {
             let _ = task.await;
         }
-        self.account.clone()
+        self.summary.clone()
     }
 }
 
--- a/tests/eureka.rs
+++ b/tests/eureka.rs
@@ -100,7 +100,7 @@
         summary.ends.borrow()
     );
     let failures = [End::Lost, End::Failed, End::Late].map(|end| summary.count(end));
-    assert_eq!(failures, [0, 0, 0], "{:?}", summary.troubles.borrow());
+    assert_eq!(failures, [0, 0, 0], "{:?}", summary.errors.borrow());
     assert!(check_loads_run_once(engines).unwrap() > 0);
 }
 
@@ -337,12 +337,7 @@
             "the engine had its share before: {before_restart}"
         );
         let summary = clients.stop().await;
-        assert_eq!(
-            summary.count(End::Lost),
-            0,
-            "{:?}",
-            summary.troubles.borrow()
-        );
+        assert_eq!(summary.count(End::Lost), 0, "{:?}", summary.errors.borrow());
     });
 }
 
@@ -408,7 +403,7 @@
             .unwrap();
         let summary = clients.stop().await;
         let failures = [End::Lost, End::Late].map(|end| summary.count(end));
-        assert_eq!(failures, [0, 0], "{:?}", summary.troubles.borrow());
+        assert_eq!(failures, [0, 0], "{:?}", summary.errors.borrow());
         check_loads_run_once(&engines).unwrap();
     });
 }
@@ -464,12 +459,7 @@
         sleep_ms(300).await;
         assert!(has_ready(&program.members("").await.unwrap(), 2));
         let summary = clients.stop().await;
-        assert_eq!(
-            summary.count(End::Lost),
-            0,
-            "{:?}",
-            summary.troubles.borrow()
-        );
+        assert_eq!(summary.count(End::Lost), 0, "{:?}", summary.errors.borrow());
         check_loads_run_once(&engines).unwrap();
     });
 }
@@ -1152,12 +1142,7 @@
             .unwrap();
         assert!(page["counts"]["gone"].as_u64() <= Some(54), "{page}");
         let summary = clients.stop().await;
-        assert_eq!(
-            summary.count(End::Lost),
-            0,
-            "{:?}",
-            summary.troubles.borrow()
-        );
+        assert_eq!(summary.count(End::Lost), 0, "{:?}", summary.errors.borrow());
         check_loads_run_once(&engines).unwrap();
     });
 }
--- a/tests/spool.rs
+++ b/tests/spool.rs
@@ -209,7 +209,7 @@
             summary.count(End::Served),
             summary.all(),
             "{:?}",
-            summary.troubles.borrow()
+            summary.errors.borrow()
         );
         let executions = engines
             .iter()
