--- a/crates/testbed/src/clients/mysql.rs
+++ b/crates/testbed/src/clients/mysql.rs
@@ -23,7 +23,7 @@
     pub deprecate_eof: bool,
     pub session_track: bool,
     /// Size of the socket's receive buffer in bytes; `None` for the system's default.
-    pub receive: Option<u32>,
+    pub receive_buffer: Option<u32>,
 }
 
 /// Session after its log-in.
@@ -58,7 +58,7 @@
         options: SessionOptions,
     ) -> Result<Self, PacketError> {
         let socket = TcpSocket::new_v4()?;
-        if let Some(bytes) = options.receive {
+        if let Some(bytes) = options.receive_buffer {
             socket.set_recv_buffer_size(bytes)?;
         }
         let stream = Stream::from(socket.connect(address).await?);
--- a/crates/testbed/src/fakes/engine.rs
+++ b/crates/testbed/src/fakes/engine.rs
@@ -63,7 +63,7 @@
 }
 
 /// Returns the text in the first column of a generated row: the number of the row, padded to `bytes` bytes.
-pub fn filled(row: u64, bytes: usize) -> String {
+pub fn padded_text(row: u64, bytes: usize) -> String {
     let mut text = format!("{row}:");
     // Repeating words and random numbers, so that the text compresses about as well as a report.
     let mut n = row.wrapping_mul(0x9e37_79b9_7f4a_7c15);
@@ -501,14 +501,14 @@
         let head: &[u8] = if binary { &[0, 0] } else { &[] };
         // Long rows differ in their numbers only, so that the fake generates them faster than a dispatcher
         // reads them.
-        let filler = filled(0, rows.row_bytes);
+        let filler = padded_text(0, rows.row_bytes);
         for n in 0..rows.count {
             if rows.break_after == Some(n) && self.0.break_result.replace(false) {
                 SinkExt::<&[u8]>::flush(wire).await?;
                 return Err(PacketError::Protocol("the test truncates this result"));
             }
             let long = if rows.row_bytes < 2000 {
-                filled(n, rows.row_bytes)
+                padded_text(n, rows.row_bytes)
             } else {
                 format!("{n}:{}", &filler[2..])
             };
--- a/crates/testbed/src/measurements/spool.rs
+++ b/crates/testbed/src/measurements/spool.rs
@@ -77,7 +77,7 @@
     let sql = "select engine from report /* rows(10000, 1000) */";
     for _ in 0..12 {
         let options = SessionOptions {
-            receive: (pace > 0).then_some(8192),
+            receive_buffer: (pace > 0).then_some(8192),
             ..SessionOptions::default()
         };
         let mut s = Session::log_in(program.address, "guest", "guest", options)
@@ -148,7 +148,7 @@
     let mut tasks = vec![];
     for n in 0..readers {
         let options = SessionOptions {
-            receive: Some(8192),
+            receive_buffer: Some(8192),
             ..SessionOptions::default()
         };
         let mut s = Session::log_in(program.address, "guest", "guest", options)
@@ -191,7 +191,7 @@
 /// The program or a fake fails, or does not reach an expected state in time.
 pub async fn throughput(subject: &Spooling<'_>, megabytes: u64) -> Result<Value, MeasureError> {
     let folder = Folder::new("measure-throughput")?;
-    let block = crate::fakes::engine::filled(1, 1 << 20);
+    let block = crate::fakes::engine::padded_text(1, 1 << 20);
     let began = now();
     let mut file = std::fs::File::create(folder.path().join("plain"))?;
     for _ in 0..megabytes {
--- a/tests/spool.rs
+++ b/tests/spool.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use testbed::clients::load::{Clients, End, Load};
 use testbed::clients::mysql::{Session, SessionOptions, error, text, texts};
-use testbed::fakes::engine::{Engine, filled};
+use testbed::fakes::engine::{Engine, padded_text};
 use testbed::fixture;
 use testbed::program::{Folder, Program};
 use tokio::task::{LocalSet, spawn_local};
@@ -109,7 +109,7 @@
             &content[..20.min(content.len())]
         );
         assert!(
-            bytes >= 2000 || content == filled(number, bytes),
+            bytes >= 2000 || content == padded_text(number, bytes),
             "row {number}"
         );
     }
@@ -155,7 +155,7 @@
         let mut slow = vec![];
         for _ in 0..200 {
             let options = SessionOptions {
-                receive: Some(4096),
+                receive_buffer: Some(4096),
                 ..SessionOptions::default()
             };
             slow.push(
@@ -384,7 +384,7 @@
         let mut rejection = None;
         for n in 0..12 {
             let options = SessionOptions {
-                receive: Some(4096),
+                receive_buffer: Some(4096),
                 ..SessionOptions::default()
             };
             let mut reader = Session::log_in(program.address, "guest", "guest", options)
@@ -787,7 +787,7 @@
             configuration(&engines, "stall_s = 0.5\nkeep_s = 600\nresult = \"40 MB\"");
         let program = start(&folder, "a", &configuration).await;
         let options = SessionOptions {
-            receive: Some(4096),
+            receive_buffer: Some(4096),
             ..SessionOptions::default()
         };
         let mut stalled = Session::log_in(program.address, "guest", "guest", options)
@@ -884,7 +884,7 @@
         let options = SessionOptions {
             deprecate_eof: true,
             session_track: true,
-            receive: None,
+            receive_buffer: None,
         };
         let mut session = Session::log_in(program.address, "guest", "guest", options)
             .await
