--- a/crates/testbed/src/fakes/registry/leases.rs
+++ b/crates/testbed/src/fakes/registry/leases.rs
@@ -11,7 +11,7 @@
     pub lease: f64,
     /// Minimum share of the renewals due within a minute. Below it no lease is evicted (self-preservation);
     /// 0 disables self-preservation.
-    pub preserve: f64,
+    pub renewal_threshold: f64,
     /// How long a change is part of deltas, in milliseconds.
     pub retention: f64,
 }
@@ -20,7 +20,7 @@
     fn default() -> Self {
         Rules {
             lease: 90_000.0,
-            preserve: 0.85,
+            renewal_threshold: 0.85,
             retention: 180_000.0,
         }
     }
@@ -251,7 +251,7 @@
 
     /// Returns whether the registry preserves itself: so few leases are renewed that the cause may be its
     /// own network.
-    pub fn preserves(&self, now: f64) -> bool {
+    pub fn is_self_preserving(&self, now: f64) -> bool {
         // A lease is renewed three times within its length.
         let due: f64 = self
             .instances
@@ -263,16 +263,16 @@
             .iter()
             .filter(|r| **r + 60_000.0 >= now)
             .count() as f64;
-        self.rules.preserve > 0.0 && received < self.rules.preserve * due
+        self.rules.renewal_threshold > 0.0 && received < self.rules.renewal_threshold * due
     }
 
     /// Evicts expired leases and returns their instances. Evicts nothing during self-preservation, and at a
     /// time no more than the share that self-preservation tolerates.
     pub fn evict(&mut self, now: f64) -> Vec<Instance> {
-        if self.preserves(now) {
+        if self.is_self_preserving(now) {
             return vec![];
         }
-        let max_evictions = match self.rules.preserve {
+        let max_evictions = match self.rules.renewal_threshold {
             p if p > 0.0 => (((1.0 - p) * self.instances.len() as f64) as usize).max(1),
             _ => usize::MAX,
         };
@@ -299,9 +299,9 @@
 mod tests {
     use super::*;
 
-    fn leases(preserve: f64) -> Leases {
+    fn leases(renewal_threshold: f64) -> Leases {
         let mut l = Leases::new(Rules {
-            preserve,
+            renewal_threshold,
             ..Rules::default()
         });
         for n in 0..10 {
@@ -332,7 +332,7 @@
     #[test]
     fn self_preservation_stops_evictions() {
         let mut l = leases(0.85);
-        assert!(l.preserves(91_001.0));
+        assert!(l.is_self_preserving(91_001.0));
         assert!(l.evict(91_001.0).is_empty());
         // Only e9 is not renewed, so it alone is evicted.
         for at in [100_000.0, 120_000.0, 140_000.0] {
--- a/crates/testbed/src/measurements/membership.rs
+++ b/crates/testbed/src/measurements/membership.rs
@@ -23,7 +23,7 @@
     #[error(transparent)]
     Io(#[from] std::io::Error),
     #[error("the measurement failed: {0}")]
-    Never(String),
+    Failed(String),
     #[error("the test clients failed: {0}")]
     Client(String),
 }
@@ -87,7 +87,7 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    Err(MeasureError::Never(format!(
+    Err(MeasureError::Failed(format!(
         "the dispatcher did not list {n} engines in time"
     )))
 }
@@ -117,7 +117,7 @@
             Node::start(
                 ephemeral_address(),
                 Rules {
-                    preserve: 1.0,
+                    renewal_threshold: 1.0,
                     retention: 10_000.0,
                     ..Rules::default()
                 },
@@ -210,7 +210,7 @@
             sleep_ms(20).await;
         }
         let Some(notice) = notice else {
-            return Err(MeasureError::Never(
+            return Err(MeasureError::Failed(
                 "no registry reported the drain in time".into(),
             ));
         };
--- a/crates/testbed/src/measurements/sessions.rs
+++ b/crates/testbed/src/measurements/sessions.rs
@@ -59,7 +59,7 @@
             let sent = Instant::now();
             s.query(sql)
                 .await
-                .map_err(|e| MeasureError::Never(format!("{sql}: {e}")))?;
+                .map_err(|e| MeasureError::Failed(format!("{sql}: {e}")))?;
             let _ = latency.record(sent.elapsed().as_micros() as u64 + 1);
         }
     }
@@ -75,7 +75,7 @@
 /// client configuration that trusts the certificate.
 fn create_certificate(folder: &Folder) -> Result<(String, Arc<ClientConfig>), MeasureError> {
     let failed =
-        |e: &dyn std::fmt::Display| MeasureError::Never(format!("creating a certificate: {e}"));
+        |e: &dyn std::fmt::Display| MeasureError::Failed(format!("creating a certificate: {e}"));
     let made =
         rcgen::generate_simple_self_signed(vec![HOST.to_string()]).map_err(|e| failed(&e))?;
     let (cert, key) = (folder.path().join("lab.pem"), folder.path().join("lab.key"));
@@ -100,11 +100,11 @@
 /// # Errors
 /// The program cannot be started, or a request fails.
 pub async fn sessions(subject: &Subject, statements: usize) -> Result<Value, MeasureError> {
-    let failed = |e: PacketError| MeasureError::Never(format!("session: {e}"));
+    let failed = |e: PacketError| MeasureError::Failed(format!("session: {e}"));
     let engines = fixture::engines(1, Duration::ZERO).await?;
     let engine = engines
         .first()
-        .ok_or_else(|| MeasureError::Never("no engine was started".into()))?;
+        .ok_or_else(|| MeasureError::Failed("no engine was started".into()))?;
     let folder = Folder::new("measure-sessions")?;
     let list = format!(
         "[[engine]]\nid = {:?}\naddress = \"{}\"\n",
--- a/crates/testbed/src/measurements/spool.rs
+++ b/crates/testbed/src/measurements/spool.rs
@@ -60,7 +60,7 @@
 }
 
 fn request_failed(e: impl std::fmt::Display) -> MeasureError {
-    MeasureError::Never(format!("request: {e}"))
+    MeasureError::Failed(format!("request: {e}"))
 }
 
 /// Measures how long a result of 10 MB occupies its engine while the client reads it at `pace` bytes per
@@ -168,7 +168,7 @@
         {
             tokio::time::sleep(Duration::from_millis(20)).await;
             if now() - began > 500_000.0 {
-                return Err(MeasureError::Never(format!(
+                return Err(MeasureError::Failed(format!(
                     "{n} of {readers} results were whole after 500 s"
                 )));
             }
--- a/crates/testbed/src/platform/dispatcher.rs
+++ b/crates/testbed/src/platform/dispatcher.rs
@@ -155,7 +155,7 @@
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        Err(ProgramError::Silent {
+        Err(ProgramError::TimedOut {
             what: after.into(),
             log: self.log().into_iter().map(|(_, line)| line).collect(),
         })
--- a/crates/testbed/src/program.rs
+++ b/crates/testbed/src/program.rs
@@ -23,7 +23,7 @@
     #[error(transparent)]
     Io(#[from] io::Error),
     #[error("timed out waiting for {what:?}; log of the program: {log:?}")]
-    Silent { what: String, log: Vec<String> },
+    TimedOut { what: String, log: Vec<String> },
     #[error("the call {0:?} received no valid response")]
     Unanswered(String),
 }
@@ -140,7 +140,7 @@
     /// # Errors
     /// No such line was written in time.
     pub async fn wait_for_log(&self, what: &str) -> Result<String, ProgramError> {
-        let timed_out = || ProgramError::Silent {
+        let timed_out = || ProgramError::TimedOut {
             what: what.into(),
             log: self.log.lines.borrow().clone(),
         };
@@ -245,7 +245,7 @@
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        let timed_out = || ProgramError::Silent {
+        let timed_out = || ProgramError::TimedOut {
             what: what.into(),
             log: self.log(),
         };
