--- a/crates/testbed/src/fixture.rs
+++ b/crates/testbed/src/fixture.rs
@@ -152,7 +152,7 @@
 
 /// Checks that an engine is not overloaded after a restart: in every window of `within` milliseconds since
 /// its last start it receives at most `most(age)` statements, where `age` is its age in milliseconds at the
-/// begin of the window. Returns the maximum number of statements in a window, and the number of all
+/// start of the window. Returns the maximum number of statements in a window, and the number of all
 /// statements since the start.
 ///
 /// # Errors
