--- a/crates/mysql-conformance/src/lib.rs
+++ b/crates/mysql-conformance/src/lib.rs
@@ -202,7 +202,7 @@
             Step::KillQuery(sql, expected) => {
                 self.engines
                     .iter()
-                    .for_each(|e| e.work(Duration::from_secs(3)));
+                    .for_each(|e| e.set_execution_time(Duration::from_secs(3)));
                 s.send(COM_QUERY, &[sql.as_bytes()])
                     .await
                     .map_err(|e| e.to_string())?;
@@ -215,7 +215,7 @@
                 let answer = s.answer().await;
                 self.engines
                     .iter()
-                    .for_each(|e| e.work(Duration::from_millis(1)));
+                    .for_each(|e| e.set_execution_time(Duration::from_millis(1)));
                 check_answer(expected, answer, false)
             }
             Step::OtherSession(sql, expected) => {
--- a/crates/testbed/src/mysql_soak/mod.rs
+++ b/crates/testbed/src/mysql_soak/mod.rs
@@ -129,7 +129,7 @@
     tokio::time::sleep(span).await;
     faults.iter().for_each(JoinHandle::abort);
     // A gateway that is being restarted now needs the registry.
-    let _ = soak.registry.back().await;
+    let _ = soak.registry.restart().await;
     soak.wait_for_idle_gateways().await;
     let stops = soak
         .gateways
@@ -185,7 +185,7 @@
         let program =
             Program::start_with(&self.binary, &self.folder, &name, &text, &environment).await?;
         program
-            .until("engines are listed", |page| {
+            .wait_for_members("engines are listed", |page| {
                 page.to_string().contains("engine-0")
             })
             .await?;
@@ -304,16 +304,16 @@
             let engine = self.engines[random.below(ENGINES)].clone();
             if random.chance(0.4) {
                 self.count_fault("engine crash");
-                engine.end();
+                engine.stop();
                 random.pause(300.0).await;
-                if engine.again().await.is_err() {
+                if engine.restart().await.is_err() {
                     self.count_fault("engine did not return");
                 }
             } else {
                 self.count_fault("engine slow");
-                engine.work(Duration::from_millis(200 + random.below(1500) as u64));
+                engine.set_execution_time(Duration::from_millis(200 + random.below(1500) as u64));
                 random.pause(400.0).await;
-                engine.work(Duration::from_millis(15));
+                engine.set_execution_time(Duration::from_millis(15));
             }
         }
     }
@@ -331,9 +331,9 @@
                 self.registry.set_status("ENGINES", &engine, None);
             } else {
                 self.count_fault("registry away");
-                self.registry.away();
+                self.registry.stop();
                 random.pause(700.0).await;
-                let _ = self.registry.back().await;
+                let _ = self.registry.restart().await;
             }
         }
     }
@@ -422,7 +422,7 @@
         tokio::time::sleep(SIGKILL_DELAY * 3 / 4).await;
         let program = gateway.program.borrow_mut().take();
         if let Some(mut program) = program {
-            if let Some(status) = program.ended()
+            if let Some(status) = program.exit_status()
                 && !status.success()
             {
                 self.record_crash(&gateway, &program, &format!("{status}"));
@@ -437,7 +437,7 @@
     async fn kill(&self, gateway: &Gateway) {
         let program = gateway.program.borrow_mut().take();
         if let Some(mut program) = program {
-            if let Some(status) = program.ended() {
+            if let Some(status) = program.exit_status() {
                 self.record_crash(gateway, &program, &format!("{status}"));
             }
             self.record_logged_violations(gateway, &program);
--- a/tests/eureka.rs
+++ b/tests/eureka.rs
@@ -100,7 +100,7 @@
         summary.ends.borrow()
     );
     let failures = [End::Lost, End::Failed, End::Late].map(|end| summary.count(end));
-    assert_eq!(failures, [0, 0, 0], "{:?}", summary.troubles.borrow());
+    assert_eq!(failures, [0, 0, 0], "{:?}", summary.errors.borrow());
     assert!(check_loads_run_once(engines).unwrap() > 0);
 }
 
@@ -120,7 +120,7 @@
         )
         .await;
         program
-            .until("five engines", |page| has_ready(page, 5))
+            .wait_for_members("five engines", |page| has_ready(page, 5))
             .await
             .unwrap();
         let clients = start_clients(&program);
@@ -132,7 +132,7 @@
             Status::Unknown,
         ];
         for (engine, status) in engines.iter().zip(statuses) {
-            engine.work(ms(400)); // a statement runs when the drain is reported
+            engine.set_execution_time(ms(400)); // a statement runs when the drain is reported
             sleep_ms(150).await;
             node.watch(engine.name());
             node.set_status("ENGINES", engine.name(), Some(status));
@@ -140,7 +140,9 @@
         }
         sleep_ms(600).await;
         for engine in &engines[..4] {
-            let notice = node.told(engine.name()).expect("the drain was reported");
+            let notice = node
+                .drain_reported_at(engine.name())
+                .expect("the drain was reported");
             check_drain(engine, notice).unwrap();
             assert!(
                 engine
@@ -163,7 +165,7 @@
             "{page}"
         );
         check_clients(&*clients.stop().await, &engines);
-        assert!(program.ends().await.unwrap());
+        assert!(program.terminate().await.unwrap());
     });
 }
 
@@ -173,7 +175,7 @@
         let (a, b) = (start_node().await, start_node().await);
         let engines = fixture::engines(3, ms(10)).await.unwrap();
         register_engines(&[&a, &b], &engines);
-        b.fault(Fault::Stale); // it repeats its current list from now on
+        b.set_fault(Fault::Stale); // it repeats its current list from now on
         let folder = test_folder("stale");
         let program = start_program(
             &folder,
@@ -182,7 +184,7 @@
         )
         .await;
         program
-            .until("three engines", |page| has_ready(page, 3))
+            .wait_for_members("three engines", |page| has_ready(page, 3))
             .await
             .unwrap();
         let clients = start_clients(&program);
@@ -190,18 +192,18 @@
         a.watch("engine-1");
         a.set_status("ENGINES", "engine-1", Some(Status::OutOfService));
         program
-            .until("the engine drains", |page| has_ready(page, 2))
+            .wait_for_members("the engine drains", |page| has_ready(page, 2))
             .await
             .unwrap();
         // The registry that reported the drain becomes unreachable; only the stale one responds.
-        a.away();
+        a.stop();
         sleep_ms(4_000).await;
         let page = program.members("").await.unwrap();
         assert!(has_ready(&page, 2), "{page}");
         assert_eq!(member(&page, "engine-1")["state"], "draining");
-        check_drain(&engines[1], a.told("engine-1").unwrap()).unwrap();
+        check_drain(&engines[1], a.drain_reported_at("engine-1").unwrap()).unwrap();
         // A newer record restores the engine.
-        b.fault(Fault::None);
+        b.set_fault(Fault::None);
         b.register(Instance::engine(
             "ENGINES",
             "engine-1",
@@ -209,7 +211,7 @@
             testbed::now() + 1.0,
         ));
         program
-            .until("the engine is back", |page| has_ready(page, 3))
+            .wait_for_members("the engine is back", |page| has_ready(page, 3))
             .await
             .unwrap();
         check_clients(&*clients.stop().await, &engines);
@@ -230,14 +232,14 @@
         )
         .await;
         program
-            .until("three engines", |page| has_ready(page, 3))
+            .wait_for_members("three engines", |page| has_ready(page, 3))
             .await
             .unwrap();
         let clients = start_clients(&program);
         a.watch("engine-0");
         a.set_status("ENGINES", "engine-0", Some(Status::OutOfService));
         program
-            .until("the engine drains", |page| has_ready(page, 2))
+            .wait_for_members("the engine drains", |page| has_ready(page, 2))
             .await
             .unwrap();
         for turn in 0..10u64 {
@@ -265,7 +267,7 @@
             "the records of both registries are shown"
         );
         assert_eq!(shown["turns"], 2);
-        check_drain(&engines[0], a.told("engine-0").unwrap()).unwrap();
+        check_drain(&engines[0], a.drain_reported_at("engine-0").unwrap()).unwrap();
         check_clients(&*clients.stop().await, &engines);
     });
 }
@@ -286,7 +288,7 @@
         )
         .await;
         program
-            .until("three engines", |page| has_ready(page, 3))
+            .wait_for_members("three engines", |page| has_ready(page, 3))
             .await
             .unwrap();
         // 90 statements a second of 400 ms each occupy 12 threads on each of 3 engines.
@@ -298,15 +300,15 @@
         };
         let clients = Clients::start(program.address, heavy_load);
         sleep_ms(2_500).await;
-        node.away();
+        node.stop();
         sleep_ms(1_000).await;
         let before_restart = engines[0].count();
 
-        engines[0].end();
+        engines[0].stop();
         sleep_ms(1_500).await;
-        engines[0].again().await.unwrap();
+        engines[0].restart().await.unwrap();
         let page = program
-            .until("the restart is known", |page| {
+            .wait_for_members("the restart is known", |page| {
                 member(page, "engine-0")["started_age_ms"]
                     .as_f64()
                     .is_some_and(|age| age < 3_000.0)
@@ -335,12 +337,7 @@
             "the engine had its share before: {before_restart}"
         );
         let summary = clients.stop().await;
-        assert_eq!(
-            summary.count(End::Lost),
-            0,
-            "{:?}",
-            summary.troubles.borrow()
-        );
+        assert_eq!(summary.count(End::Lost), 0, "{:?}", summary.errors.borrow());
     });
 }
 
@@ -360,14 +357,14 @@
         )
         .await;
         program
-            .until("200 engines", |page| has_ready(page, 200))
+            .wait_for_members("200 engines", |page| has_ready(page, 200))
             .await
             .unwrap();
         let clients = start_clients(&program);
         sleep_ms(300).await;
-        node.fault(Fault::Only(1));
+        node.set_fault(Fault::Only(1));
         let page = program
-            .until("199 engines are held", |page| page["counts"]["held"] == 199)
+            .wait_for_members("199 engines are held", |page| page["counts"]["held"] == 199)
             .await
             .unwrap();
         assert!(has_ready(&page, 200));
@@ -377,9 +374,9 @@
             "{held}"
         );
         // Refused connections confirm, one by one, the engines that are really gone.
-        engines[50..].iter().for_each(Engine::end);
+        engines[50..].iter().for_each(Engine::stop);
         let page = program
-            .until("some engines are gone", |page| {
+            .wait_for_members("some engines are gone", |page| {
                 page["counts"]["gone"].as_u64() > Some(0)
             })
             .await
@@ -387,26 +384,26 @@
         assert!(page["counts"]["held"].as_u64() < Some(199));
         // The list is complete again before the hold ends: the held engines are released without further
         // effect.
-        node.fault(Fault::None);
+        node.set_fault(Fault::None);
         program
-            .until("no engine is held", |page| page["counts"]["held"] == 0)
+            .wait_for_members("no engine is held", |page| page["counts"]["held"] == 0)
             .await
             .unwrap();
         // If the list stays short, the hold ends and the engines are removed.
-        node.fault(Fault::Only(1));
+        node.set_fault(Fault::Only(1));
         program
-            .until("engines are held again", |page| {
+            .wait_for_members("engines are held again", |page| {
                 page["counts"]["held"].as_u64() > Some(0)
             })
             .await
             .unwrap();
         program
-            .until("one engine is ready", |page| has_ready(page, 1))
+            .wait_for_members("one engine is ready", |page| has_ready(page, 1))
             .await
             .unwrap();
         let summary = clients.stop().await;
         let failures = [End::Lost, End::Late].map(|end| summary.count(end));
-        assert_eq!(failures, [0, 0], "{:?}", summary.troubles.borrow());
+        assert_eq!(failures, [0, 0], "{:?}", summary.errors.borrow());
         check_loads_run_once(&engines).unwrap();
     });
 }
@@ -427,7 +424,7 @@
         )
         .await;
         program
-            .until("two engines", |page| has_ready(page, 2))
+            .wait_for_members("two engines", |page| has_ready(page, 2))
             .await
             .unwrap();
         let clients = start_clients(&program);
@@ -440,7 +437,7 @@
             testbed::now(),
         ));
         let page = program
-            .until("the new instance is ready", |page| {
+            .wait_for_members("the new instance is ready", |page| {
                 member(page, "engine-new")["state"] == "ready"
             })
             .await
@@ -454,7 +451,7 @@
         sleep_ms(300).await;
         node.cancel("ENGINES", "engine-0");
         program
-            .until("the old instance is gone", |page| {
+            .wait_for_members("the old instance is gone", |page| {
                 member(page, "engine-0").is_null()
             })
             .await
@@ -462,12 +459,7 @@
         sleep_ms(300).await;
         assert!(has_ready(&program.members("").await.unwrap(), 2));
         let summary = clients.stop().await;
-        assert_eq!(
-            summary.count(End::Lost),
-            0,
-            "{:?}",
-            summary.troubles.borrow()
-        );
+        assert_eq!(summary.count(End::Lost), 0, "{:?}", summary.errors.borrow());
         check_loads_run_once(&engines).unwrap();
     });
 }
@@ -488,7 +480,7 @@
         )
         .await;
         program
-            .until("two engines", |page| has_ready(page, 2))
+            .wait_for_members("two engines", |page| has_ready(page, 2))
             .await
             .unwrap();
         let clients = start_clients(&program);
@@ -506,11 +498,11 @@
         node.register(last_heartbeat);
         node.set_status("ENGINES", "engine-0", Some(Status::OutOfService));
         program
-            .until("the engine drains", |page| has_ready(page, 1))
+            .wait_for_members("the engine drains", |page| has_ready(page, 1))
             .await
             .unwrap();
         sleep_ms(1_200).await;
-        check_drain(&engines[0], node.told("engine-0").unwrap()).unwrap();
+        check_drain(&engines[0], node.drain_reported_at("engine-0").unwrap()).unwrap();
         check_clients(&*clients.stop().await, &engines);
     });
 }
@@ -528,7 +520,7 @@
         let text = dispatcher_file("state_dir = \"FOLDER\"", &eureka_section(&[&node], ""));
         let program = start_program(&folder, "a", &text).await;
         program
-            .until("two engines", |page| has_ready(page, 2))
+            .wait_for_members("two engines", |page| has_ready(page, 2))
             .await
             .unwrap();
         let snapshot = folder.path().join("hitchwinch/members");
@@ -536,11 +528,14 @@
             sleep_ms(20).await;
         }
         program.kill().await.unwrap();
-        node.away();
+        node.stop();
         let program = start_program(&folder, "b", &text).await;
-        program.says("a snapshot of 3 engines").await.unwrap();
+        program
+            .wait_for_log("a snapshot of 3 engines")
+            .await
+            .unwrap();
         let page = program
-            .until("two engines", |page| {
+            .wait_for_members("two engines", |page| {
                 page["serving"] == true && has_ready(page, 2)
             })
             .await
@@ -552,9 +547,9 @@
         sleep_ms(800).await;
         assert_eq!(engines[2].count(), 0, "the snapshot has it as draining");
         // The registry is back and confirms the engines.
-        node.back().await.unwrap();
+        node.restart().await.unwrap();
         program
-            .until("all engines are confirmed", |page| {
+            .wait_for_members("all engines are confirmed", |page| {
                 page["counts"]["unproven"] == 0
             })
             .await
@@ -574,14 +569,14 @@
         {
             std::fs::write(&snapshot, bytes).unwrap();
             let program = start_program(&folder, &format!("c{index}"), &text).await;
-            let line = program.says("set aside").await.unwrap();
+            let line = program.wait_for_log("set aside").await.unwrap();
             assert!(line.contains(what), "{line}");
             assert_eq!(
                 std::fs::read(snapshot.with_extension(format!("unread-{index}"))).unwrap(),
                 bytes
             );
             program
-                .until("two engines", |page| has_ready(page, 2))
+                .wait_for_members("two engines", |page| has_ready(page, 2))
                 .await
                 .unwrap();
             program.kill().await.unwrap();
@@ -603,7 +598,7 @@
         )
         .await;
         program
-            .until("two engines", |page| has_ready(page, 2))
+            .wait_for_members("two engines", |page| has_ready(page, 2))
             .await
             .unwrap();
         let clients = start_clients(&program);
@@ -612,19 +607,19 @@
             (
                 Fault::Huge {
                     bytes: 3 << 30,
-                    told: true,
+                    with_length: true,
                 },
                 "above the bound",
             ),
             (
                 Fault::Huge {
                     bytes: 3 << 30,
-                    told: false,
+                    with_length: false,
                 },
                 "above the bound",
             ),
             (Fault::Drip(ms(1000)), "no whole answer within"),
-            (Fault::Torn, "eureka"),
+            (Fault::Truncated, "eureka"),
             (Fault::Status(500), "status 500"),
             (Fault::Delay(ms(1500)), "no whole answer within"),
             (Fault::Redirect(b.url()), "no server of the configuration"),
@@ -632,9 +627,9 @@
         ];
         for (fault, what) in faults {
             let before = program.members("").await.unwrap()["sources"][0]["failures"].as_u64();
-            a.fault(fault.clone());
+            a.set_fault(fault.clone());
             let page = program
-                .until(what, |page| {
+                .wait_for_members(what, |page| {
                     let source = &page["sources"][0];
                     source["failures"].as_u64() > before
                         && source["last_failure"]
@@ -644,10 +639,10 @@
                 .await
                 .unwrap_or_else(|e| panic!("{fault:?}: {e}"));
             assert!(has_ready(&page, 2), "{fault:?}: {page}");
-            a.fault(Fault::None);
+            a.set_fault(Fault::None);
             let full_lists = page["sources"][0]["whole_lists"].as_u64();
             program
-                .until("the registry responds", |page| {
+                .wait_for_members("the registry responds", |page| {
                     page["sources"][0]["whole_lists"].as_u64() > full_lists
                 })
                 .await
@@ -680,7 +675,7 @@
         );
         let program = start_program(&folder, "a", &text).await;
         program
-            .until("two engines", |page| has_ready(page, 2))
+            .wait_for_members("two engines", |page| has_ready(page, 2))
             .await
             .unwrap();
         let clients = start_clients(&program);
@@ -690,7 +685,7 @@
         };
         node.register(poisoned("engine-x", testbed::now()));
         let page = program
-            .until("the address is rejected", |page| {
+            .wait_for_members("the address is rejected", |page| {
                 page["counts"]["rejections"].as_u64() > Some(0)
             })
             .await
@@ -698,7 +693,7 @@
         assert_eq!(page["rejected"][0]["address"], decoy.address().to_string());
         assert!(
             program
-                .says("is rejected")
+                .wait_for_log("is rejected")
                 .await
                 .unwrap()
                 .contains("engine-x")
@@ -706,7 +701,7 @@
         // A known engine that moves to that address receives no more requests.
         node.register(poisoned("engine-1", testbed::now() + 1.0));
         program
-            .until(
+            .wait_for_members(
                 "the engine with the rejected address is not ready",
                 |page| has_ready(page, 1),
             )
@@ -736,7 +731,7 @@
         let program =
             start_program(&folder, "a", &dispatcher_file("zone = \"home\"", &zoned)).await;
         program
-            .until("three engines", |page| has_ready(page, 3))
+            .wait_for_members("three engines", |page| has_ready(page, 3))
             .await
             .unwrap();
         assert!(
@@ -744,20 +739,20 @@
             "the registry of the own zone is polled first"
         );
         let clients = start_clients(&program);
-        near.away();
+        near.stop();
         program
-            .until("both registries were polled", |page| {
+            .wait_for_members("both registries were polled", |page| {
                 page["sources"]
                     .as_array()
                     .is_some_and(|sources| sources.len() == 2)
             })
             .await
             .unwrap();
-        far.away();
+        far.stop();
         sleep_ms(3_000).await;
         assert!(has_ready(&program.members("").await.unwrap(), 3));
-        far.back().await.unwrap();
-        near.back().await.unwrap();
+        far.restart().await.unwrap();
+        near.restart().await.unwrap();
         let calls = near.calls().len();
         while near.calls().len() < calls + 3 {
             sleep_ms(50).await;
@@ -787,7 +782,7 @@
         )
         .await;
         program
-            .until("three engines", |page| has_ready(page, 3))
+            .wait_for_members("three engines", |page| has_ready(page, 3))
             .await
             .unwrap();
         let clients = start_clients(&program);
@@ -800,21 +795,21 @@
             .unwrap();
         assert!(
             program
-                .says("SIGHUP")
+                .wait_for_log("SIGHUP")
                 .await
                 .unwrap()
                 .contains("eureka.networks[0]")
         );
-        b.fault(Fault::Delay(ms(800))); // the current list stays until the new one arrives
+        b.set_fault(Fault::Delay(ms(800))); // the current list stays until the new one arrives
         let (old_calls, new_calls) = (a.calls().len(), b.calls().len());
         program
             .configure(&dispatcher_file("", &eureka_section(&[&b], "")))
             .await
             .unwrap();
-        program.says("in force").await.unwrap();
+        program.wait_for_log("in force").await.unwrap();
         sleep_ms(400).await;
         assert!(has_ready(&program.members("").await.unwrap(), 3));
-        b.fault(Fault::None);
+        b.set_fault(Fault::None);
         sleep_ms(1_200).await;
         assert!(has_ready(&program.members("").await.unwrap(), 3));
         assert!(
@@ -836,7 +831,7 @@
         let register_section = "[eureka.register]\nip = \"127.0.0.1\"\nport = 3390\ninstance_id = \"us\"\n\
                     renew_s = 0.3\n\
                     metadata = { zone = \"depot\" }";
-        node.fault(Fault::Status(503)); // no list yet
+        node.set_fault(Fault::Status(503)); // no list yet
         let program = start_program(
             &folder,
             "a",
@@ -856,7 +851,7 @@
             "the dispatcher is not ready"
         );
         register_engines(&[&node], &engines);
-        node.fault(Fault::None);
+        node.set_fault(Fault::None);
         while status() != Some(Status::Up) {
             sleep_ms(20).await;
         }
@@ -877,7 +872,7 @@
         // Operators override the status, which `/_members` reports.
         node.set_status("HITCHWINCH", "us", Some(Status::OutOfService));
         program
-            .until("the override is shown", |page| {
+            .wait_for_members("the override is shown", |page| {
                 page["registration"]
                     .as_str()
                     .is_some_and(|text| text.contains("shows OUT_OF_SERVICE"))
@@ -940,13 +935,13 @@
             sleep_ms(20).await;
         }
         let new = start_program(&folder, "new", &text).await;
-        new.until("one engine", |page| {
+        new.wait_for_members("one engine", |page| {
             page["serving"] == true && has_ready(page, 1)
         })
         .await
         .unwrap();
-        old.says("2 processes").await.unwrap();
-        assert!(old.ends().await.unwrap());
+        old.wait_for_log("2 processes").await.unwrap();
+        assert!(old.terminate().await.unwrap());
         sleep_ms(700).await;
         assert_eq!(
             status(),
@@ -954,7 +949,7 @@
             "the registry lists the new process"
         );
         assert!(!node.calls().iter().any(|call| call.starts_with("DELETE")));
-        assert!(new.ends().await.unwrap());
+        assert!(new.terminate().await.unwrap());
         assert_eq!(status(), None);
     });
 }
@@ -995,7 +990,7 @@
             )
             .await;
             let page = program
-                .until("four engines", |page| has_ready(page, 4))
+                .wait_for_members("four engines", |page| has_ready(page, 4))
                 .await
                 .unwrap();
             assert!(
@@ -1010,12 +1005,12 @@
             // Each kind of query delivers a drain.
             node.set_status("ENGINES", "engine-3", Some(Status::Down));
             program
-                .until("the engine drains", |page| has_ready(page, 3))
+                .wait_for_members("the engine drains", |page| has_ready(page, 3))
                 .await
                 .unwrap();
             node.set_status("ENGINES", "engine-3", None);
             program
-                .until("the engine is back", |page| has_ready(page, 4))
+                .wait_for_members("the engine is back", |page| has_ready(page, 4))
                 .await
                 .unwrap();
             assert!(!program.log().iter().any(|line| line.contains("cret")));
@@ -1040,7 +1035,7 @@
         )
         .await;
         program
-            .until("two engines", |page| has_ready(page, 2))
+            .wait_for_members("two engines", |page| has_ready(page, 2))
             .await
             .unwrap();
         // Sessions with prepared statements, which send more requests than the engines sustain.
@@ -1094,7 +1089,7 @@
             last_engines.iter().all(|engine| engine == "engine-1"),
             "{last_engines:?}"
         );
-        check_drain(&engines[0], node.told("engine-0").unwrap()).unwrap();
+        check_drain(&engines[0], node.drain_reported_at("engine-0").unwrap()).unwrap();
         let answered = engines
             .iter()
             .flat_map(Engine::executions)
@@ -1130,7 +1125,7 @@
         };
         (0..6).for_each(add);
         program
-            .until("six engines", |page| has_ready(page, 6))
+            .wait_for_members("six engines", |page| has_ready(page, 6))
             .await
             .unwrap();
         let clients = start_clients(&program);
@@ -1142,17 +1137,12 @@
             node.cancel("ENGINES", &name(index - 6));
         }
         let page = program
-            .until("six engines", |page| has_ready(page, 6))
+            .wait_for_members("six engines", |page| has_ready(page, 6))
             .await
             .unwrap();
         assert!(page["counts"]["gone"].as_u64() <= Some(54), "{page}");
         let summary = clients.stop().await;
-        assert_eq!(
-            summary.count(End::Lost),
-            0,
-            "{:?}",
-            summary.troubles.borrow()
-        );
+        assert_eq!(summary.count(End::Lost), 0, "{:?}", summary.errors.borrow());
         check_loads_run_once(&engines).unwrap();
     });
 }
--- a/tests/mysql_sessions.rs
+++ b/tests/mysql_sessions.rs
@@ -80,7 +80,7 @@
 
     /// Returns the statements that were committed on any engine, sorted.
     fn committed(&self) -> Vec<String> {
-        let mut statements: Vec<String> = self.engines.iter().flat_map(Engine::lasting).collect();
+        let mut statements: Vec<String> = self.engines.iter().flat_map(Engine::committed).collect();
         statements.sort();
         statements
     }
@@ -342,7 +342,10 @@
         let mut s = fixture.session().await;
         query_rows(&mut s, "begin").await;
         query_rows(&mut s, "insert into t values (1)").await;
-        fixture.engines.iter().for_each(Engine::loses_commit_once);
+        fixture
+            .engines
+            .iter()
+            .for_each(Engine::lose_next_commit_response);
         let (number, text) = query_error(&mut s, "commit").await;
         assert!(
             number == 1317 && text.contains("not known whether"),
@@ -372,7 +375,7 @@
         let mut s = fixture.session().await;
         query_rows(&mut s, "begin").await;
         query_rows(&mut s, "insert into t values (1)").await;
-        fixture.partition_by_execution("begin").0.end();
+        fixture.partition_by_execution("begin").0.stop();
         let (number, text) = query_error(&mut s, "insert into t values (2)").await;
         assert!(
             number == 1213 && text.contains("rolled back"),
@@ -384,7 +387,7 @@
         assert_eq!(fixture.committed(), ["insert into t values (3)"]);
         // A rollback succeeds after the engine's death has rolled the transaction back.
         query_rows(&mut s, "begin").await;
-        fixture.engines.iter().for_each(Engine::end);
+        fixture.engines.iter().for_each(Engine::stop);
         sleep_ms(50).await;
         query_rows(&mut s, "rollback").await;
     });
--- a/tests/spool.rs
+++ b/tests/spool.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use testbed::clients::load::{Clients, End, Load};
 use testbed::clients::mysql::{Session, SessionOptions, error, text, texts};
-use testbed::fakes::engine::{Engine, filled};
+use testbed::fakes::engine::{Engine, padded_text};
 use testbed::fixture;
 use testbed::program::{Folder, Program};
 use tokio::task::{LocalSet, spawn_local};
@@ -109,7 +109,7 @@
             &content[..20.min(content.len())]
         );
         assert!(
-            bytes >= 2000 || content == filled(number, bytes),
+            bytes >= 2000 || content == padded_text(number, bytes),
             "row {number}"
         );
     }
@@ -155,7 +155,7 @@
         let mut slow = vec![];
         for _ in 0..200 {
             let options = SessionOptions {
-                receive: Some(4096),
+                receive_buffer: Some(4096),
                 ..SessionOptions::default()
             };
             slow.push(
@@ -209,7 +209,7 @@
             summary.count(End::Served),
             summary.all(),
             "{:?}",
-            summary.troubles.borrow()
+            summary.errors.borrow()
         );
         let executions = engines
             .iter()
@@ -287,7 +287,7 @@
         program.kill().await.unwrap();
         let program = start(&folder, "b", &configuration).await;
         program
-            .says("1 results of earlier processes")
+            .wait_for_log("1 results of earlier processes")
             .await
             .unwrap();
         let mut third_session = log_in(&program).await;
@@ -384,7 +384,7 @@
         let mut rejection = None;
         for n in 0..12 {
             let options = SessionOptions {
-                receive: Some(4096),
+                receive_buffer: Some(4096),
                 ..SessionOptions::default()
             };
             let mut reader = Session::log_in(program.address, "guest", "guest", options)
@@ -482,7 +482,7 @@
         )
         .await;
         let mut session = log_in(&program).await;
-        engines[0].breaks_once();
+        engines[0].truncate_next_result();
         let breaking = "select engine from report /* rows(4000, 1000, 2500) */";
         let mut sent = 0;
         while engines[0].count() == 0 {
@@ -517,7 +517,7 @@
         );
         // A statement that writes runs once: its partial result is an error, and nothing of the result is
         // kept.
-        engines.iter().for_each(Engine::breaks_once);
+        engines.iter().for_each(Engine::truncate_next_result);
         let writing = "insert into report /* rows(4000, 1000, 2500) */ values (1)";
         let error_packet = error(session.query(writing).await).unwrap();
         assert_eq!(error_packet.code, 1317, "{error_packet:?}");
@@ -569,7 +569,7 @@
         }
         let program = start(&folder, "last", &configuration).await;
         program
-            .says("6 results of earlier processes")
+            .wait_for_log("6 results of earlier processes")
             .await
             .unwrap();
         let mut session = log_in(&program).await;
@@ -675,7 +675,7 @@
         })
         .await;
         assert!(page["memory_bytes"].as_u64() >= Some(4_000_000), "{page}");
-        program.says("the disk is failing").await.unwrap();
+        program.wait_for_log("the disk is failing").await.unwrap();
         assert!(
             program
                 .call("GET", "/_vars")
@@ -787,7 +787,7 @@
             configuration(&engines, "stall_s = 0.5\nkeep_s = 600\nresult = \"40 MB\"");
         let program = start(&folder, "a", &configuration).await;
         let options = SessionOptions {
-            receive: Some(4096),
+            receive_buffer: Some(4096),
             ..SessionOptions::default()
         };
         let mut stalled = Session::log_in(program.address, "guest", "guest", options)
@@ -797,7 +797,7 @@
             .send(3, &[b"select engine from report /* rows(20000, 1000) */"])
             .await
             .unwrap();
-        program.says("timed out").await.unwrap();
+        program.wait_for_log("timed out").await.unwrap();
         // A client that reads slowly stays connected.
         let mut slow = Session::log_in(program.address, "guest", "guest", options)
             .await
@@ -839,7 +839,7 @@
         .await;
         sleep_ms(50).await;
         let new = start(&folder, "new", &configuration).await;
-        old.says("2 processes").await.unwrap();
+        old.wait_for_log("2 processes").await.unwrap();
         // Both processes run, each with its own directory; the new one imports the results that are
         // requested.
         let mut session = log_in(&new).await;
@@ -856,7 +856,7 @@
         let mut reading = log_in(&old).await;
         reading.send(3, &[REPORT.as_bytes()]).await.unwrap();
         reading.read_slowly(1_000_000, ms(200)).await.unwrap();
-        assert!(old.ends().await.unwrap());
+        assert!(old.terminate().await.unwrap());
         assert_rows(
             &session.query(&fetch).await.unwrap().rows,
             1000,
@@ -884,7 +884,7 @@
         let options = SessionOptions {
             deprecate_eof: true,
             session_track: true,
-            receive: None,
+            receive_buffer: None,
         };
         let mut session = Session::log_in(program.address, "guest", "guest", options)
             .await
