--- a/Makefile
+++ b/Makefile
@@ -24,10 +24,13 @@
 # The whole verdict, as CI asks for it: tests run the programs of the dev profile, so that nothing is built twice. What
 # moves gigabytes through the spool runs beside the rest, which mostly waits.
 LONG = spool
-SHORT = $(filter-out $(LONG),$(basename $(notdir $(wildcard tests/*.rs crates/*/tests/*.rs))))
+# Keeps one thread busy for seconds and asserts deadlines meanwhile: nothing else runs beside it.
+ALONE = large_fleet
+SHORT = $(filter-out $(LONG) $(ALONE),$(basename $(notdir $(wildcard tests/*.rs crates/*/tests/*.rs))))
 check: module lint
 	cargo test --locked --workspace --no-run
 	$(MAKE) --no-print-directory --output-sync=target -j2 check-long check-short
+	cargo test --locked $(ALONE:%=--test %)
 	@$(MAKE) --no-print-directory check-red
 
 # Tests that fail for a fault which is known and not mended yet, FILE::TEST: CAUSE: ISSUE, three at most. They run all the
