--- a/Makefile
+++ b/Makefile
@@ -30,7 +30,7 @@
 check: module lint
 	cargo test --locked --workspace --no-run
 	$(MAKE) --no-print-directory --output-sync=target -j2 check-long check-short
-	cargo test --locked $(ALONE:%=--test %)
+	cargo test --locked --workspace $(ALONE:%=--test %)
 	@$(MAKE) --no-print-directory check-red
 
 # Tests that fail for a fault which is known and not mended yet, FILE::TEST: CAUSE: ISSUE, three at most. They run all the
